--- a/src/bin/petrelgauge-benchlink.rs
+++ b/src/bin/petrelgauge-simulator-adapter.rs
@@ -1,8 +1,8 @@
-//! The adapter of the drill bench: JSON lines in, JSON lines out, many routers in one process.
+//! The adapter to the simulator: JSON lines in, JSON lines out, many routers in one process.
 //! It only translates; every decision is the library's.
 #![forbid(unsafe_code)]
 
-#[path = "petrelgauge-benchlink/wire.rs"]
+#[path = "petrelgauge-simulator-adapter/wire.rs"]
 mod wire;
 
 use std::io::{BufRead, Write};
@@ -24,7 +24,7 @@
         let sent = match reply {
             Ok(reply) => writeln!(output, "{reply}").and_then(|()| output.flush()),
             Err(cause) => {
-                eprintln!("petrelgauge-benchlink: line {number}: {cause}");
+                eprintln!("petrelgauge-simulator-adapter: line {number}: {cause}");
                 std::process::exit(2);
             }
         };
--- a/src/bin/petrelgauge-benchlink/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The bench's wire in the library's words and back.
+//! The simulator's messages and the decision module's events and actions, translated into each other.
 
 use petrelgauge::settings::{self, Info};
 use petrelgauge::*;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a deployment, from their JSON form to [`Settings`]. The adapter of the drill bench and the
+//! The settings of a deployment, from their JSON form to [`Settings`]. The adapter to the simulator and the
 //! gateway read them here, so that both decide by the same figures.
 
 use petrelgauge_policy::*;
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -36,7 +36,7 @@
 }
 
 fn drill(input: &str) -> (i32, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_petrelgauge-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_petrelgauge-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
