--- a/crates/records/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -2,7 +2,7 @@
 //! whoever reads it; a field that nobody asks for is an error, and so is a value of another type.
 //!
 //! ```
-//! use petrelgauge_records::Record;
+//! use petrelgauge_config_language::Record;
 //!
 //! let text = "sessions: {\n  // Which classes carry sessions.\n  classes: [\"balance-view\"]\n  pace: 100ms\n}\n";
 //! let mut file = Record::read("petrelgauge.cue", text).expect("sound");
--- a/crates/records/tests/files.rs
+++ b/crates/config-language/tests/files.rs
@@ -1,6 +1,6 @@
 //! Files that can be read, and one plain sentence with its place for those that cannot.
 
-use petrelgauge_records::Record;
+use petrelgauge_config_language::Record;
 use proptest::prelude::*;
 
 fn error(text: &str) -> String {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::{Class, Need, Time};
 use petrelgauge_ownership::{Settings as Spans, MOST_SHARDS};
-use petrelgauge_records::{Record, RecordError};
+use petrelgauge_config_language::{Record, RecordError};
 use petrelgauge_sessions::{Promise, Settings, Told};
 
 /// What an operator has set.
