--- a/crates/config-language/src/grammar.rs
+++ b/crates/config-language/src/grammar.rs
@@ -1,6 +1,6 @@
-//! From text to values, each with the place where it stands.
+//! The grammar: from text to fields and values, each with the byte offset at which it stands.
 
-use crate::MOST_DEPTH;
+use crate::MAX_DEPTH;
 use winnow::ascii::{digit1, multispace1};
 use winnow::combinator::{
     alt, cut_err, delimited, fail, not, opt, peek, preceded, repeat, separated, terminated,
@@ -10,44 +10,54 @@
 use winnow::stream::{LocatingSlice, Location};
 use winnow::token::{one_of, take_till, take_while};
 
-/// A value and the byte at which it begins.
+/// A value and the byte offset at which it begins.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place<T> {
-    pub at: usize,
+pub struct Located<T> {
+    pub offset: usize,
     pub value: T,
 }
 
 /// What a field holds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    Truth(bool),
+    Bool(bool),
     /// A whole number and its unit, empty where it has none.
     Number(i64, String),
-    Text(String),
-    List(Vec<Place<Value>>),
+    String(String),
+    List(Vec<Located<Value>>),
     Record(Vec<Field>),
 }
 
 /// A named value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
-    pub name: Place<String>,
-    pub value: Place<Value>,
+    pub name: Located<String>,
+    pub value: Located<Value>,
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// All fields of a file; else where it stopped making sense, and why.
-pub fn file(text: &str) -> Result<Vec<Field>, (usize, String)> {
-    let whole = terminated(|input: &mut Input| fields(input, MOST_DEPTH), blank);
+/// Text that the grammar does not cover.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SyntaxError {
+    /// Byte offset at which it stops being understood.
+    pub offset: usize,
+    /// What would have to stand there.
+    pub reason: String,
+}
+
+/// Parses all fields of a file.
+pub fn file(text: &str) -> Result<Vec<Field>, SyntaxError> {
+    let whole = terminated(|input: &mut Input| fields(input, MAX_DEPTH), blank);
     let mut whole = terminated(whole, winnow::combinator::eof.context(expected("a field")));
     whole.parse(LocatingSlice::new(text)).map_err(|error| {
         let wanted = error.inner().context().find_map(|context| match context {
             StrContext::Expected(StrContextValue::Description(what)) => Some(*what),
             _ => None,
         });
-        let cause = wanted.map_or("this is not understood".into(), |what| format!("{what} is expected here"));
-        (error.offset(), cause)
+        let reason =
+            wanted.map_or("this is not understood".into(), |what| format!("{what} is expected here"));
+        SyntaxError { offset: error.offset(), reason }
     })
 }
 
@@ -66,20 +76,20 @@
 }
 
 fn field(input: &mut Input, depth: usize) -> ModalResult<Field> {
-    let name = preceded(blank, place(alt((word, quoted)))).parse_next(input)?;
+    let name = preceded(blank, located(alt((word, quoted)))).parse_next(input)?;
     cut_err((blank, ':')).context(expected("a colon")).parse_next(input)?;
-    let value = cut_err(preceded(blank, place(|input: &mut Input| value(input, depth))))
+    let value = cut_err(preceded(blank, located(|input: &mut Input| value(input, depth))))
         .context(expected("a value"))
         .parse_next(input)?;
     Ok(Field { name, value })
 }
 
-fn place<'a, T>(
+fn located<'a, T>(
     mut parser: impl Parser<Input<'a>, T, winnow::error::ErrMode<winnow::error::ContextError>>,
-) -> impl Parser<Input<'a>, Place<T>, winnow::error::ErrMode<winnow::error::ContextError>> {
+) -> impl Parser<Input<'a>, Located<T>, winnow::error::ErrMode<winnow::error::ContextError>> {
     move |input: &mut Input<'a>| {
-        let at = input.current_token_start();
-        parser.parse_next(input).map(|value| Place { at, value })
+        let offset = input.current_token_start();
+        parser.parse_next(input).map(|value| Located { offset, value })
     }
 }
 
@@ -101,13 +111,13 @@
     }
     let end = (blank, cut_err('}').context(expected("a closing brace")));
     let record = delimited('{', |input: &mut Input| fields(input, depth - 1), end).map(Value::Record);
-    let item = preceded(blank, place(|input: &mut Input| value(input, depth - 1)));
+    let item = preceded(blank, located(|input: &mut Input| value(input, depth - 1)));
     let items = terminated(separated(0.., item, (blank, ',')), (blank, opt(',')));
     let end = (blank, cut_err(']').context(expected("a closing bracket")));
     let list = delimited('[', items, end).map(Value::List);
     let truth = alt(("true".value(true), "false".value(false)));
     let truth = terminated(truth, not(peek(one_of(|c: char| c.is_ascii_alphanumeric() || c == '_'))));
-    alt((record, list, quoted.map(Value::Text), truth.map(Value::Truth), number)).parse_next(input)
+    alt((record, list, quoted.map(Value::String), truth.map(Value::Bool), number)).parse_next(input)
 }
 
 fn number(input: &mut Input) -> ModalResult<Value> {
--- a/crates/config-language/tests/files.rs
+++ b/crates/config-language/tests/files.rs
@@ -6,10 +6,10 @@
 fn error(text: &str) -> String {
     let read = Record::read("f.cue", text).and_then(|mut file| {
         file.record("r")?.map_or(Ok(()), |mut record| {
-            record.span("span")?;
-            record.truth("truth")?;
-            record.count("count")?;
-            record.texts("texts")?;
+            record.duration("span")?;
+            record.boolean("truth")?;
+            record.unsigned("count")?;
+            record.strings("texts")?;
             record.size("size")?;
             record.one_of("kind", &["a", "b"])?;
             record.end()
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's file: what is switched on beside the platform's settings. Without one nothing is.
 
 use crate::{Class, Need, Time};
-use petrelgauge_ownership::{Settings as Spans, MOST_SHARDS};
 use petrelgauge_config_language::{Record, RecordError};
+use petrelgauge_ownership::{Settings as Spans, MOST_SHARDS};
 use petrelgauge_sessions::{Promise, Settings, Told};
 
 /// What an operator has set.
@@ -57,7 +57,7 @@
         let mut file = Record::read(file, text)?;
         let sessions = file.record("sessions")?.map(sessions).transpose()?;
         let ownership = file.record("ownership")?.map(ownership).transpose()?;
-        let clock_shift = file.span("clock_shift")?.unwrap_or(0);
+        let clock_shift = file.duration("clock_shift")?.unwrap_or(0);
         file.end()?;
         Ok(Operator { sessions, ownership, clock_shift })
     }
@@ -93,11 +93,11 @@
 
 fn sessions(mut record: Record) -> Result<Sessions, RecordError> {
     let base = Settings::default();
-    let classes = record.texts("classes")?.unwrap_or_default();
+    let classes = record.strings("classes")?.unwrap_or_default();
     if classes.is_empty() {
         return Err(record.error("sessions: classes names the classes that carry sessions"));
     }
-    let sources = record.texts("sources")?.unwrap_or_else(|| vec!["token".into()]);
+    let sources = record.strings("sources")?.unwrap_or_else(|| vec!["token".into()]);
     if let Some(other) = sources.iter().find(|name| !["token", "peers"].contains(&name.as_str())) {
         return Err(record.error(format!("sources are \"token\" and \"peers\", not {other:?}")));
     }
@@ -105,7 +105,7 @@
     let promise = record.one_of("promise", &["writes", "writes-and-reads"])?.map(|place| promises[place]);
     let told = [Told::WithRead, Told::WithAnswer];
     let told = record.one_of("positions", &["read", "answer"])?.map(|place| told[place]);
-    let secret = record.text("secret")?.map(|text| u64::from_str_radix(&text, 16));
+    let secret = record.string("secret")?.map(|text| u64::from_str_radix(&text, 16));
     let Ok(secret) = secret.transpose() else {
         return Err(record.error("secret is up to 16 hexadecimal digits"));
     };
@@ -116,15 +116,15 @@
         promise: promise.unwrap_or(base.promise),
         told: told.unwrap_or(base.told),
         conservative: record.one_of("unknown", &["asked-for", "ignored"])? != Some(1),
-        roams: record.truth("roams")?.unwrap_or(base.roams),
+        roams: record.boolean("roams")?.unwrap_or(base.roams),
         tokens: sources.iter().any(|name| name == "token"),
-        exact: record.count("exact")?.map_or(base.exact, |count| count as usize),
-        cells: record.count("cells")?.map_or(base.cells, |count| count as usize),
-        token_age: record.span("token_age")?.unwrap_or(base.token_age),
-        clock_error: record.span("clock_error")?.unwrap_or(base.clock_error),
-        granule: record.span("granule")?.unwrap_or(base.granule),
-        pace: record.span("pace")?.unwrap_or(base.pace),
-        hold: record.span("hold")?.unwrap_or(base.hold),
+        exact: record.unsigned("exact")?.map_or(base.exact, |count| count as usize),
+        cells: record.unsigned("cells")?.map_or(base.cells, |count| count as usize),
+        token_age: record.duration("token_age")?.unwrap_or(base.token_age),
+        clock_error: record.duration("clock_error")?.unwrap_or(base.clock_error),
+        granule: record.duration("granule")?.unwrap_or(base.granule),
+        pace: record.duration("pace")?.unwrap_or(base.pace),
+        hold: record.duration("hold")?.unwrap_or(base.hold),
         secret,
         ..base
     };
@@ -135,16 +135,16 @@
 
 fn ownership(mut record: Record) -> Result<Ownership, RecordError> {
     let base = Spans::default();
-    let secret = record.text("secret")?.map(|text| u64::from_str_radix(&text, 16));
+    let secret = record.string("secret")?.map(|text| u64::from_str_radix(&text, 16));
     let Ok(Some(secret)) = secret.transpose() else {
         return Err(
             record.error("ownership: a secret of up to 16 hexadecimal digits, the same at all gateways")
         );
     };
-    let electors = record.count("electors")?.unwrap_or(3) as usize;
-    let drift = record.count("drift_percent")?.map_or(base.drift, |percent| percent as f64 / 100.0);
-    let lease = record.span("lease")?.unwrap_or(base.lease);
-    let delay = record.span("delay")?.unwrap_or(base.delay);
+    let electors = record.unsigned("electors")?.unwrap_or(3) as usize;
+    let drift = record.unsigned("drift_percent")?.map_or(base.drift, |percent| percent as f64 / 100.0);
+    let lease = record.duration("lease")?.unwrap_or(base.lease);
+    let delay = record.duration("delay")?.unwrap_or(base.delay);
     let spans = Spans { lease, drift, delay, ..base };
     // With as many gateways as electors it can be checked here, where the file and the place are known.
     let stand_in = Spans {
@@ -153,11 +153,11 @@
         ..spans.clone()
     };
     stand_in.check().map_err(|cause| record.error(format!("ownership: {cause}")))?;
-    let shards = record.count("shards")?.unwrap_or(1);
+    let shards = record.unsigned("shards")?.unwrap_or(1);
     if !(1..=u64::from(MOST_SHARDS)).contains(&shards) {
         return Err(record.error(format!("ownership: shards are from 1 to {MOST_SHARDS}")));
     }
-    let duties = record.texts("duties")?.unwrap_or_else(|| vec!["scout".into()]);
+    let duties = record.strings("duties")?.unwrap_or_else(|| vec!["scout".into()]);
     if let Some(other) = duties.iter().find(|name| !["scout", "shares"].contains(&name.as_str())) {
         return Err(record.error(format!("duties are \"scout\" and \"shares\", not {other:?}")));
     }
