--- a/crates/lab/src/scale/files.rs
+++ b/crates/lab/src/scale/files.rs
@@ -1,7 +1,7 @@
 //! What gateways of a fleet are told: their configurations, and the list's entries of real hosts.
 
 use super::addresses::{of_gateway, port, zone, zone_name};
-use super::fleet::{Family, Plan};
+use super::fleet_plan::{Family, Plan};
 use crate::gateways::settings_of_tier;
 use crate::group::Part;
 use crate::hosts::Farm;
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -2,9 +2,10 @@
 
 use super::costs::{cost, mean, Costs};
 use super::files::{client_address, farm_entries, write_files};
+use super::fleet_plan::{Plan, FARM, QUIET, REAL};
 use super::list_service::ListService;
 use super::processes::{Hollow, Real};
-use super::protocol::{Command, GatewayStats, HollowPlan, Plant, Stats};
+use super::protocol::{Command, GatewayStats, HollowPlan, Stats};
 use crate::hosts::Farm;
 use crate::stage::{program, BOUND};
 use rand::SeedableRng;
@@ -17,76 +18,8 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Real gateways beside the hollow ones: the first places that have no elector.
-pub const REAL: usize = 4;
-/// Hollow gateways that report no demand, compared with the real ones while these serve nobody: the next places.
-pub const QUIET: usize = 4;
-/// Groups and members of the real hosts that real gateways serve from.
-const FARM: (usize, usize) = (4, 5);
 /// Hollow gateways of one process at most, but for electors, which have processes of their own.
 const PER_PROCESS: usize = 50;
-/// What gateways tell each other.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Family {
-    /// Duties: leases, primaries' words, the share-out.
-    Duties,
-    /// Marks of sessions.
-    Sessions,
-}
-
-/// A fleet to be played.
-#[derive(Clone, Debug)]
-pub struct Plan {
-    /// Gateways, real ones included.
-    pub gateways: usize,
-    /// Entries of the list.
-    pub hosts: usize,
-    /// Changes of the list.
-    pub changes_per_minute: f64,
-    /// What they tell each other.
-    pub family: Family,
-    /// The record `ownership` beside its secret.
-    pub ownership: String,
-    /// Places of the electors.
-    pub electors: Vec<usize>,
-    /// How many of them share the owners' work; the others only grant leases.
-    pub owners: usize,
-    /// Seed of all chance.
-    pub seed: u64,
-    /// A fault that is injected.
-    pub plant: Option<Plant>,
-}
-
-impl Plan {
-    /// Groups of the list, those of the real hosts included.
-    pub fn groups(&self) -> usize {
-        self.phantoms().div_ceil(super::list_service::MEMBERS) + FARM.0
-    }
-
-    fn phantoms(&self) -> usize {
-        self.hosts.saturating_sub(FARM.0 * FARM.1)
-    }
-
-    /// Gateways that grant no leases, in order.
-    fn plain(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.gateways).filter(|number| !self.electors.contains(number))
-    }
-
-    fn real(&self) -> Vec<usize> {
-        self.plain().take(REAL).collect()
-    }
-
-    /// Hollow gateways without demand.
-    pub fn quiet(&self) -> BTreeSet<usize> {
-        self.plain().skip(REAL).take(QUIET).collect()
-    }
-
-    /// The places of so many electors among so many gateways, as the operator's file has them.
-    pub fn spread(electors: usize, gateways: usize) -> Vec<usize> {
-        (0..electors).map(|place| place * gateways / electors).collect()
-    }
-}
-
 /// A folder that is removed with this value.
 struct Folder(PathBuf);
 
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -20,6 +20,7 @@
 mod files;
 pub mod fit;
 pub mod fleet;
+mod fleet_plan;
 pub mod hollow;
 pub mod list_service;
 mod processes;
@@ -32,7 +33,8 @@
 use crate::Options;
 use costs::{Cost, Costs};
 use figures::{Figure, Prediction, Reckoned, Size, DUTIES, SESSIONS};
-use fleet::{Family, Fleet, Plan};
+use fleet::Fleet;
+use fleet_plan::{Family, Plan};
 use protocol::Plant;
 use serde_json::{json, Value};
 use sizes::{Axes, Mode, Played, Spans, SHARDED, SINGLE_OWNER};
@@ -155,7 +157,7 @@
         let plan = self.plan(size, family);
         let (changes, seed) = (plan.changes_per_minute, plan.seed);
         let mut fleet = Fleet::start(plan).await?;
-        self.processes = self.processes.max(fleet.hollow.len() + fleet::REAL);
+        self.processes = self.processes.max(fleet.hollow.len() + fleet_plan::REAL);
         let duties = if family == Family::Duties { self.mode.duties } else { 0 };
         fleet.until(OWNED, "all owners", |one| one.known_owners >= duties).await?;
         if changes > 0.0 {
