--- /dev/null
+++ b/crates/policy/src/fleet_clock.rs
@@ -0,0 +1,198 @@
+//! The hosts' clock as seen from the router's own: an estimate of the offset between the two.
+//!
+//! Hosts tell log positions, commits and starts in their Unix time, and all hosts read one clock. The router's own clock
+//! never jumps, but was set from a wall clock that may be wrong by any span. This module alone relates the two. The true
+//! offset, `hosts' clock - own clock`, lies in an interval:
+//!
+//! - **Lower bounds.** What a host has told was true when it arrived: `told <= received + offset`.
+//! - **Upper bounds.** A write is committed after it was sent (Cristian's algorithm): `sent + offset <= commit`. An answer
+//!   that repeats an earlier run's commit would give too small a bound, so callers pass only first attempts of requests
+//!   that are no client's retries, and of the last few bounds one of the largest counts.
+//!
+//! One absurd value must not move the estimate: a lower bound counts if two members support it or if several commits
+//! agree with it, and an upper bound is dropped if two members contradict it. The estimate is 0 clamped into the
+//! interval, so that a router whose clock is right decides as if the clocks were one.
+
+use crate::interface::{MemberId, Time};
+use std::collections::VecDeque;
+
+/// Step to which hosts round the times that they tell (microseconds).
+const GRANULARITY: Time = 1_000;
+/// How far a told time may lie ahead of what the hosts' clock can show (microseconds).
+const MOST_AHEAD: Time = 1_000_000;
+/// A position so near to the own clock confirms that the two are one (microseconds).
+const CONFIRMING_DISTANCE: Time = 1_000_000;
+/// Upper bounds kept (count): the last ones.
+const UPPER_BOUNDS: usize = 5;
+/// So many upper bounds outvote one that is far too large (count).
+const SEVERAL: usize = 3;
+/// Members whose lower bounds are kept (count): the highest ones.
+const LOWER_BOUNDS: usize = 4;
+/// Lower bounds older than one to two of these spans are forgotten, as the clocks drift apart (microseconds).
+const EVIDENCE_SPAN: Time = 60_000_000;
+/// Two clocks drift apart by one part in so many.
+const DRIFT_DIVISOR: Time = 10_000;
+
+/// The highest lower bounds of one span, each of another member, the highest first.
+#[derive(Clone, Debug, Default)]
+struct LowerBounds(Vec<(Time, MemberId)>);
+
+impl LowerBounds {
+    fn insert(&mut self, bound: Time, member: MemberId) {
+        if self.0.iter().any(|(known, of)| *of == member && *known >= bound) {
+            return;
+        }
+        self.0.retain(|(_, of)| *of != member);
+        let place = self.0.partition_point(|(known, _)| *known >= bound);
+        self.0.insert(place, (bound, member));
+        self.0.truncate(LOWER_BOUNDS);
+    }
+}
+
+/// The estimate of `hosts' clock - own clock`. All calls take times of the own clock, which must not jump.
+#[derive(Clone, Debug, Default)]
+pub struct FleetClock {
+    /// Off: the two clocks are one, and nothing is estimated.
+    enabled: bool,
+    /// Lower bounds of the current span, and of the one before it.
+    lower: [LowerBounds; 2],
+    span_started: Time,
+    /// Upper bounds, each with the time of its commit's arrival, the oldest first.
+    upper: VecDeque<(Time, Time)>,
+    /// A position was told that was nearly the own clock's time.
+    confirmed: bool,
+    /// A position was told at all.
+    heard: bool,
+    /// The estimate that follows from these.
+    offset: Time,
+    /// The same, where it is to err on the large side.
+    largest_offset: Time,
+    /// An upper bound holds.
+    bounded_above: bool,
+}
+
+impl FleetClock {
+    /// Estimates the offset from now on; while off, the clocks are taken for one.
+    pub fn set_enabled(&mut self, enabled: bool) {
+        self.enabled = enabled;
+        self.update(self.span_started);
+    }
+
+    /// The list names a start of this member: it was no later than now.
+    pub fn member_started(&mut self, member: MemberId, started: Time, now: Time) {
+        if self.enabled && started > 0 {
+            self.add_lower(member, started, now);
+            self.update(now);
+        }
+    }
+
+    /// A member told a position, which arrived at this time.
+    pub fn position_told(&mut self, member: MemberId, position: Time, received: Time) {
+        if !self.enabled || position <= 0 {
+            return;
+        }
+        self.heard = true;
+        self.confirmed |= (position - received).abs() <= CONFIRMING_DISTANCE;
+        self.add_lower(member, position, received);
+        self.update(received);
+    }
+
+    /// A write that was sent to this member at `sent` has been committed. `first` says that it was the first attempt of a
+    /// request that is no client's retry: only then was it surely committed after it was sent.
+    pub fn committed(&mut self, member: MemberId, commit: Time, sent: Time, received: Time, first: bool) {
+        if !self.enabled || commit <= 0 {
+            return;
+        }
+        if first {
+            self.upper.push_back((commit.saturating_sub(sent), received));
+            if self.upper.len() > UPPER_BOUNDS {
+                self.upper.pop_front();
+            }
+        }
+        self.heard = true;
+        self.add_lower(member, commit, received);
+        self.update(received);
+    }
+
+    /// The hosts' time at a time of the own clock.
+    pub fn hosts_time(&self, own: Time) -> Time {
+        own.saturating_add(self.offset)
+    }
+
+    /// The latest that the hosts' time can be at a time of the own clock, as far as is known.
+    pub fn latest_hosts_time(&self, own: Time) -> Time {
+        own.saturating_add(self.largest_offset)
+    }
+
+    /// The own clock's time at a time of the hosts.
+    pub fn own_time(&self, hosts: Time) -> Time {
+        hosts.saturating_sub(self.offset)
+    }
+
+    /// Whether a host can have told this time by now: it does not lie in the hosts' future.
+    pub fn can_be(&self, told: Time, now: Time) -> bool {
+        told <= self.latest_hosts_time(now).saturating_add(MOST_AHEAD)
+    }
+
+    /// Whether the estimate may be used to call a replica fresh: commits bound the offset above, or the clocks look like
+    /// one.
+    pub fn is_trusted(&self) -> bool {
+        !self.enabled || self.bounded_above || (self.confirmed && self.offset == 0)
+    }
+
+    /// Whether what hosts have told so far speaks against the estimate.
+    pub fn is_doubtful(&self) -> bool {
+        self.heard && !self.is_trusted()
+    }
+
+    fn add_lower(&mut self, member: MemberId, told: Time, received: Time) {
+        if received - self.span_started > EVIDENCE_SPAN {
+            self.lower.swap(0, 1);
+            self.lower[0] = LowerBounds::default();
+            self.span_started = received;
+        }
+        let bound = told.saturating_sub(received).saturating_sub(GRANULARITY);
+        self.lower[0].insert(bound, member);
+    }
+
+    fn update(&mut self, now: Time) {
+        if !self.enabled {
+            (self.offset, self.largest_offset, self.bounded_above) = (0, 0, false);
+            return;
+        }
+        let lower = self.merged_lower_bounds();
+        let corroborated = lower.get(1).copied();
+        let upper = self.upper_bound(now).filter(|upper| corroborated.is_none_or(|lower| lower <= *upper));
+        let below = |upper: Time| lower.iter().copied().find(|lower| *lower <= upper);
+        let highest = upper.and_then(below);
+        let firm = if self.upper.len() >= SEVERAL { highest.or(corroborated) } else { corroborated };
+        self.bounded_above = upper.is_some();
+        self.offset = clamp_zero(firm, upper);
+        // Outside of a right clock's interval the far end is the safe one.
+        self.largest_offset = match upper {
+            Some(upper) if highest.is_some_and(|lower| lower > 0) => upper,
+            _ => self.offset,
+        };
+    }
+
+    /// The highest lower bounds of different members, the highest first.
+    fn merged_lower_bounds(&self) -> Vec<Time> {
+        let mut merged = self.lower[0].clone();
+        self.lower[1].0.iter().for_each(|(bound, member)| merged.insert(*bound, *member));
+        merged.0.into_iter().map(|(bound, _)| bound).collect()
+    }
+
+    /// The largest of the last upper bounds; of several the second largest, so that one absurd commit does not count.
+    fn upper_bound(&self, now: Time) -> Option<Time> {
+        let widened = |(bound, at): &(Time, Time)| bound.saturating_add((now - at).max(0) / DRIFT_DIVISOR);
+        let mut bounds: Vec<Time> = self.upper.iter().map(widened).collect();
+        bounds.sort_unstable_by_key(|bound| std::cmp::Reverse(*bound));
+        bounds.get(usize::from(bounds.len() >= SEVERAL)).copied()
+    }
+}
+
+/// The point of the interval that is nearest to 0.
+fn clamp_zero(lower: Option<Time>, upper: Option<Time>) -> Time {
+    let raised = lower.unwrap_or(0).max(0);
+    upper.map_or(raised, |upper| raised.min(upper))
+}
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -165,6 +165,8 @@
     pub hold: Time,
     /// Members of a group without a primary are tried so many times as rarely as a router on its own would (count).
     pub scout_every: Time,
+    /// The router's clock may differ from the hosts' by any span: the difference is then estimated from what they tell.
+    pub clock_may_be_wrong: bool,
     /// Price of one crossing of zones a request, as a share of all worth.
     pub crossing_price: f64,
     /// Price of one probe a request, as a share of all worth.
@@ -202,6 +204,7 @@
             list_role: ListRole::Trailing,
             hold: 0,
             scout_every: 1,
+            clock_may_be_wrong: false,
             crossing_price: 0.0,
             probe_price: 0.0,
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -15,7 +15,7 @@
 //! | `router/sends.rs` | the guards that every send must pass |
 //!
 //! `interface.rs` holds the words (settings, events, actions, endings), `state.rs` plain data, and `beliefs.rs` what of it
-//! one router can leave to the next; none of them decides.
+//! one router can leave to the next; none of them decides. `fleet_clock.rs` relates the hosts' clock to the router's own.
 //!
 //! Bounds: requests by what clients can hold open ([`Settings::most_open`]), members by the list and a minute more,
 //! samples by a fixed count for each member.
@@ -61,12 +61,14 @@
 //! ```
 
 mod beliefs;
+mod fleet_clock;
 mod interface;
 mod mutant;
 mod router;
 mod state;
 
 pub use beliefs::Beliefs;
+pub use fleet_clock::FleetClock;
 pub use interface::*;
 #[cfg(feature = "mutants")]
 pub use mutant::plant;
--- a/crates/policy/src/router/list.rs
+++ b/crates/policy/src/router/list.rs
@@ -10,6 +10,7 @@
             unnamed.for_each(|(_, member)| member.standing = Standing::Gone);
         }
         for entry in entries {
+            self.fleet_clock.member_started(entry.member, entry.started, self.now);
             match self.members.get_mut(&entry.member) {
                 // An old list that comes again wipes nothing that is newer.
                 Some(member) if member.started > entry.started => continue,
@@ -42,6 +43,7 @@
             standing: entry.standing,
             drained: entry.standing == Standing::Draining,
             started: entry.started,
+            listed_at: self.now,
             // The list is the weakest evidence: anything a member says outweighs it.
             primary_at: named as Time,
             limit: FIRST_LIMIT,
@@ -63,10 +65,20 @@
         let Some(position) = told else { return };
         member.position = member.position.max(position);
         if role == Some(Role::Replica) && at == Some(now) {
-            keep(&mut member.lags, (now, now.saturating_sub(position).max(0)));
+            let hosts_now = self.fleet_clock.hosts_time(now);
+            keep(&mut member.lags, (now, hosts_now.saturating_sub(position).max(0)));
         }
     }
 
+    /// A load report says what held at its position, which is a time of the hosts.
+    pub(super) fn learn_report(&mut self, id: MemberId, report: &Report) {
+        let own_time = |position| match self.fleet_clock.own_time(position) {
+            at if self.set.clock_may_be_wrong => at.min(self.now),
+            at => at,
+        };
+        self.learn(id, report.position, report.role, report.position.map(own_time));
+    }
+
     pub(super) fn outcome(&mut self, event: &Event) {
         let Event::Outcome { request, attempt, member: id, ending, took, closed, position, role, report } =
             event
@@ -81,7 +93,7 @@
         if spoke {
             let commit = write && *ending == Ending::Served;
             self.learn(*id, if commit { None } else { *position }, *role, Some(now));
-            self.learn(*id, report.position, report.role, report.position);
+            self.learn_report(*id, report);
             if let (true, Some(at)) = (commit, *position) {
                 self.committed(*id, at);
             }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -9,6 +9,7 @@
 mod requests;
 mod sends;
 
+use crate::fleet_clock::FleetClock;
 use crate::interface::*;
 use crate::mutant::{mutant, Mutant::*};
 use crate::state::*;
@@ -88,6 +89,8 @@
     /// This router's even part in the limits of a few.
     part: f64,
     rng: Dice,
+    /// The hosts' clock in relation to `now`.
+    pub(super) fleet_clock: FleetClock,
     pub(crate) now: Time,
     pub(crate) members: BTreeMap<MemberId, Member>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
@@ -142,6 +145,7 @@
         self.silence = settings.classes.iter().map(|c| c.aim).max().unwrap_or(0) / 2;
         self.brief = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
         self.part = (FEW / settings.routers as f64).powf(RARE).min(1.0);
+        self.fleet_clock.set_enabled(settings.clock_may_be_wrong);
         self.set = settings;
         Ok(())
     }
@@ -182,6 +186,16 @@
         actions.append(&mut self.actions);
     }
 
+    /// What is known of the hosts' clock. Times that cross machines are compared through it alone.
+    pub fn fleet_clock(&self) -> &FleetClock {
+        &self.fleet_clock
+    }
+
+    /// For whoever receives the hosts' answers, to pass on what they tell of their clock when they arrive.
+    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
+        &mut self.fleet_clock
+    }
+
     /// This router's part in the limits of a group's members: the even one, with what was given or lent.
     pub(super) fn part(&self, group: GroupId) -> f64 {
         self.part * self.groups.get(&group).map_or(1.0, |g| g.share.at(self.now))
--- a/crates/policy/src/router/pick.rs
+++ b/crates/policy/src/router/pick.rs
@@ -8,7 +8,7 @@
         let req = self.requests.get(&seq)?;
         let mark = req.mark;
         let Need::Bounded(bound) = self.set.classes[req.class].need else { return mark };
-        let horizon = self.now - bound;
+        let horizon = self.fleet_clock.latest_hosts_time(self.now) - bound;
         let commits = &self.groups.get(&req.group)?.commits;
         let place = commits.partition_point(|&c| c <= horizon);
         if place < commits.len() || commits.len() < 2 {
@@ -67,12 +67,13 @@
     /// One read: trials over the usable members, the smallest R that passes, and the pick.
     pub(super) fn pick(&mut self, need: Option<Time>, usable: &[MemberId], lent: bool) -> Option<MemberId> {
         let count = usable.len();
+        let hosts_now = self.fleet_clock.latest_hosts_time(self.now);
         let (mut own, mut first_fresh) = (vec![0u32; count], vec![0u32; count]);
         for _ in 0..TRIALS {
             let mut draws: Vec<(f64, usize, bool)> = Vec::with_capacity(count);
             for (place, id) in usable.iter().enumerate() {
                 let lag = self.draw_lag(*id);
-                let fresh = need.is_none_or(|commit| lag < (self.now - commit).max(1));
+                let fresh = need.is_none_or(|commit| lag < (hosts_now - commit).max(1));
                 own[place] += fresh as u32;
                 draws.push((self.draw_sojourn(*id, lent), place, fresh));
             }
@@ -124,7 +125,8 @@
         // A replica about to pass the floor is worth a short wait, unless the primary has time to lend.
         let Some(mark) = held.filter(|_| choice == primary && !lent) else { return choice };
         let mut others = usable.into_iter().filter(|id| Some(*id) != primary);
-        let soon = others.any(|id| (self.now..by).contains(&(mark + self.draw_lag(id))));
+        let soon =
+            others.any(|id| (self.now..by).contains(&(self.fleet_clock.own_time(mark) + self.draw_lag(id))));
         choice.filter(|_| !soon)
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -40,13 +40,17 @@
     pub(crate) standing: Standing,
     /// Listed as draining since its last start: that stays so, whatever later lists say.
     pub(crate) drained: bool,
+    /// When it last started, by the hosts' clock; 0 for long ago.
     pub(crate) started: Time,
+    /// When it was first listed as started then, by the own clock. Not left to the next process.
+    #[serde(skip)]
+    pub(crate) listed_at: Time,
     /// When it last answered after being down.
     pub(crate) revived: Time,
     /// When it last gave evidence of being primary, or replica.
     pub(crate) primary_at: Time,
     pub(crate) replica_at: Time,
-    /// Highest position it ever told.
+    /// Highest position it ever told, by the hosts' clock.
     pub(crate) position: Time,
     pub(crate) lags: Samples<Time>,
     /// In aims, for each attempt that was out at its send.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -56,6 +56,7 @@
         behind: Behind::Refuse,
         list_role: ListRole::Static,
         hold: 0,
+        clock_may_be_wrong: false,
         crossing_price: 0.0,
         probe_price: 0.01,
     }
