--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -81,23 +81,26 @@
         }
         self.look(request.at);
         let write = self.rules.class(request.class).need == Need::Write;
+        let hosts_now = self.hosts_now(request.at);
         let watch = match (&mut self.keeper, request.session) {
             (Some(keeper), Some(SessionRef { key, token })) => {
-                let floor = (!write).then(|| keeper.ask(request.at, key, token.as_ref()));
+                let floor = (!write).then(|| keeper.ask(hosts_now, key, token.as_ref()));
                 // Of a write that is out nobody knows here whether it was committed and answered.
                 let may_be_known = request.at - DEEMED;
                 let writes = |errand: &OutAttempt| errand.writes.is_some_and(|(written, _)| written == key);
                 let under_way = self.out.values().any(|out| writes(out) && out.at <= may_be_known);
-                let floor = floor.map(|floor| if under_way { floor.with_write(may_be_known) } else { floor });
+                let floor =
+                    floor.map(|floor| if under_way { floor.with_write(hosts_now - DEEMED) } else { floor });
                 if let (true, Some(token)) = (write, &token) {
-                    keeper.bring(request.at, key, token);
+                    keeper.bring(hosts_now, key, token);
                 }
                 Some(SessionWatch { key, arrived: request.at, floor, before: None })
             }
             _ => None,
         };
         let needed = watch.as_ref().and_then(|watch| watch.floor).map(|floor| floor.need());
-        self.open.insert(id.clone(), Open { class: request.class, attempts: 0, ran_from: None, watch });
+        let Request { class, repeat, .. } = request;
+        self.open.insert(id.clone(), Open { class, attempts: 0, ran_from: None, repeat, watch });
         self.queue.push(Event::Request {
             request: id.clone(),
             class: request.class,
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -22,12 +22,14 @@
     pub fn report(&mut self, now: Time, send: &Send, mut outcome: Outcome) -> bool {
         // Reported already? A second word would count the attempt out twice.
         let Some(errand) = self.out.remove(&(send.request.clone(), send.attempt)) else { return false };
+        let hosts_now = self.hosts_now(now);
         if let (Some(keeper), Some((key, arrived))) = (&mut self.keeper, errand.writes) {
+            let arrived = hosts_now - (now - arrived);
             match outcome.ending {
                 // Also if its client has left: the session's next read may come by another connection.
-                Ending::Served => keeper.wrote(now, key, arrived, outcome.position),
+                Ending::Served => keeper.wrote(hosts_now, key, arrived, outcome.position),
                 // Its answer may have been lost on the way.
-                Ending::Broken | Ending::TimedOut | Ending::CalledOff => keeper.unsure(now, key),
+                Ending::Broken | Ending::TimedOut | Ending::CalledOff => keeper.unsure(hosts_now, key),
                 _ => {}
             }
         }
@@ -65,16 +67,18 @@
 
     /// Learns the time: what was given up before it, and may have run, was committed before it.
     pub(super) fn look(&mut self, now: Time) {
+        let hosts_now = self.hosts_now(now);
         let Some(keeper) = &mut self.keeper else { return };
-        self.unsure.drain(..).for_each(|key| keeper.unsure(now, key));
+        self.unsure.drain(..).for_each(|key| keeper.unsure(hosts_now, key));
     }
 
     /// A request ends without having been served.
     pub(super) fn end(&mut self, now: Time, request: &RequestId) -> Option<Open> {
         let open = self.open.remove(request)?;
+        let hosts_now = self.hosts_now(now);
         if let (Some(keeper), Some(SessionWatch { key, floor: None, .. })) = (&mut self.keeper, &open.watch) {
             if open.attempts > 0 {
-                keeper.unsure(now, *key);
+                keeper.unsure(hosts_now, *key);
             }
         }
         Some(open)
@@ -86,11 +90,12 @@
         let need = self.rules.class(class).need;
         let Some(bound) = need.bound().or((need == Need::Strong).then_some(0)) else { return false };
         let replica = self.settings.behind == Behind::Serve && outcome.role == Some(Role::Replica);
-        replica && outcome.position.is_some_and(|position| position < send.at - bound)
+        replica && outcome.position.is_some_and(|position| position < self.hosts_now(send.at) - bound)
     }
 
     /// A member served an open request. Whether that is the answer: for a session's read it must prove its floor.
     pub(super) fn served(&mut self, now: Time, request: &RequestId, outcome: &Outcome) -> bool {
+        let hosts_now = self.hosts_now(now);
         let Some(keeper) = &mut self.keeper else { return true };
         let watch = self.open.get(request).and_then(|open| open.watch.as_ref());
         // What a write has made was told to the keeper.
@@ -98,7 +103,7 @@
         if keeper.judge(floor, outcome.position, *before, outcome.role) == Verdict::Behind {
             return false;
         }
-        keeper.read(now, *key, floor, outcome.position.unwrap_or(0));
+        keeper.read(hosts_now, *key, floor, outcome.position.unwrap_or(0));
         true
     }
 }
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -14,10 +14,12 @@
 //! | `admission.rs` | what is taken in: requests, settings, lists |
 //! | `steps.rs` | the decisions' steps, and what they order |
 //! | `completion.rs` | reports, withdrawals, the one end of each request |
+//! | `hosts_clock.rs` | what hosts tell of their clock, and times that cross machines |
 //! | `sessions.rs` | what sessions are owed, and what gateways tell each other of them |
 
 mod admission;
 mod completion;
+mod hosts_clock;
 mod sessions;
 mod steps;
 mod types;
@@ -51,6 +53,8 @@
     /// Places of classes that carry sessions.
     carrying: BTreeSet<usize>,
     keeper: Option<Keeper>,
+    /// How far the hosts' clock was taken to be ahead of the own one when the keeper last started over.
+    keeper_offset: Time,
     /// Sessions whose writes were given up by their clients since the last look at the clock.
     unsure: Vec<Key>,
     /// Highest position that each listed member told.
@@ -65,6 +69,8 @@
     attempts: u32,
     /// When the first attempt was ordered that may have run.
     ran_from: Option<Time>,
+    /// Its client marked it as a repeat.
+    repeat: bool,
     watch: Option<SessionWatch>,
 }
 
@@ -75,6 +81,8 @@
     class: usize,
     /// When it was ordered.
     at: Time,
+    /// The first attempt of a request that is no client's repeat.
+    first: bool,
     /// The session that it writes for, and when its request came.
     writes: Option<(Key, Time)>,
 }
@@ -115,6 +123,7 @@
             groups: BTreeSet::new(),
             listed: BTreeSet::new(),
             keeper,
+            keeper_offset: 0,
             unsure: Vec::new(),
             told: BTreeMap::new(),
             asked: BTreeMap::new(),
@@ -137,10 +146,12 @@
         self.is_open(&send.request) && self.router.is_fresh(now, &send.request, send.host)
     }
 
-    /// Another gateway had an answer of this member as its group's primary. No word is of a time to come.
+    /// Another gateway had an answer of this member as its group's primary, at a time of the hosts' clock. No word is of a
+    /// time to come.
     pub fn hearsay(&mut self, now: Time, member: MemberId, at: Time) {
         if self.listed.contains(&member) {
-            self.queue.push(Event::Hearsay { member, at: at.min(now) });
+            let at = self.router.fleet_clock().own_time(at).min(now);
+            self.queue.push(Event::Hearsay { member, at });
         }
     }
 
@@ -168,9 +179,11 @@
         self.router.group_of(member)
     }
 
-    /// Members taken for primaries, and since when by their own word.
+    /// Members taken for primaries, and when they last said so, by the hosts' clock: other gateways read that one.
     pub fn leaders(&self) -> Vec<(GroupId, MemberId, Time)> {
-        self.router.leaders()
+        let fleet_clock = self.router.fleet_clock();
+        let leaders = self.router.leaders().into_iter();
+        leaders.map(|(group, member, at)| (group, member, fleet_clock.hosts_time(at))).collect()
     }
 
     /// What the module has learned of the members so far.
@@ -185,7 +198,7 @@
 
     /// A member said this of itself after its attempt was reported: behind a row that was passed on as it came.
     pub fn heard(&mut self, now: Time, host: MemberId, said: Outcome) {
-        let position = said.position.map(|position| position.min(now));
+        let position = said.position.map(|position| position.min(self.hosts_now(now)));
         let report = Report { position, role: said.role, ..said.report };
         self.queue.push(Event::Probed { member: host, ending: Ending::Served, report });
     }
--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -32,7 +32,7 @@
         let key = keeper.key(group, name);
         let mut token: Option<Token> = None;
         for text in tokens {
-            let read = keeper.take_token(at, text, key)?;
+            let read = keeper.take_token(self.hosts_now(at), text, key)?;
             token = Some(token.map_or(read, |known| known.join(read)));
         }
         Ok(Some(SessionRef { key, token }))
@@ -40,7 +40,7 @@
 
     /// The token that goes with an answer to this session, where clients carry tokens.
     pub fn token(&self, now: Time, key: Key) -> Option<String> {
-        self.keeper.as_ref()?.token(now, key)
+        self.keeper.as_ref()?.token(self.hosts_now(now), key)
     }
 
     /// Entries about other gateways' sessions.
@@ -55,17 +55,18 @@
 
     /// The marks of this moment, if sessions are kept.
     pub fn snapshot(&self, now: Time, clean: bool) -> Option<Snapshot> {
-        self.keeper.as_ref().map(|keeper| keeper.snapshot(now, clean))
+        self.keeper.as_ref().map(|keeper| keeper.snapshot(self.hosts_now(now), clean))
     }
 
     /// A datagram of another instance came. Reads that wait may need less now.
     pub fn hear(&mut self, now: Time, bytes: &[u8]) -> Result<(), BulletinError> {
+        let hosts_now = self.hosts_now(now);
         let RequestTable { keeper, open, queue, .. } = self;
         let Some(keeper) = keeper else { return Ok(()) };
-        keeper.receive(now, bytes)?;
+        keeper.receive(hosts_now, bytes)?;
         for (request, open) in open.iter_mut() {
             let Some(SessionWatch { key, floor: Some(floor), .. }) = &mut open.watch else { continue };
-            if let Some(less) = keeper.settle(now, *key, floor) {
+            if let Some(less) = keeper.settle(hosts_now, *key, floor) {
                 *floor = less;
                 queue.push(Event::Floor { request: request.clone(), floor: less.need() });
             }
@@ -75,7 +76,10 @@
 
     /// Datagrams for every other instance that are due now, and when to call again.
     pub fn tell(&mut self, now: Time) -> (Vec<Vec<u8>>, Option<Time>) {
+        let hosts_now = self.hosts_now(now);
         let Some(keeper) = &mut self.keeper else { return (Vec::new(), None) };
-        (keeper.tell(now), keeper.due())
+        let told = keeper.tell(hosts_now);
+        // Its next time by the own clock.
+        (told, keeper.due().map(|due| due - (hosts_now - now)))
     }
 }
--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -34,6 +34,7 @@
             Action::Send { request, member, until } => {
                 let open = self.open.get_mut(&request)?;
                 let attempt = open.attempts;
+                let first = attempt == 0 && !open.repeat;
                 open.attempts += 1;
                 if let Some(watch) = &mut open.watch {
                     watch.before = self.told.get(&member).copied();
@@ -45,7 +46,7 @@
                 };
                 let writes = open.watch.as_ref().filter(|watch| watch.floor.is_none());
                 let writes = writes.map(|watch| (watch.key, watch.arrived));
-                self.out.insert((request.clone(), attempt), OutAttempt { class, at: now, writes });
+                self.out.insert((request.clone(), attempt), OutAttempt { class, at: now, first, writes });
                 Some(Order::Send(Send { request, attempt, host: member, until, write_by, at: now }))
             }
             Action::Refuse { request, wait } => {
--- a/crates/lifecycle/src/verdict.rs
+++ b/crates/lifecycle/src/verdict.rs
@@ -3,9 +3,6 @@
 use crate::ending::End;
 use petrelgauge_policy::{Report, Time};
 
-/// Span that a position may lie ahead of this gateway's clock (microseconds).
-const AHEAD: Time = 1_000_000;
-
 /// How an attempt ended that was answered with an error of this code.
 pub fn of_code(code: &str) -> End {
     match code {
@@ -18,16 +15,15 @@
     }
 }
 
-/// Whether a load report can be: nothing in it is negative, not a number, or a position further ahead of this gateway's
-/// clock than clocks differ. One that cannot is dropped whole; the answer that it came with holds.
-pub fn report_can_be(report: &Report, now: Time) -> bool {
+/// Whether a load report can be: nothing in it is negative or not a number. One that cannot is dropped whole; the answer
+/// that it came with holds. Whether its position can be is asked of the hosts' clock; see
+/// [`RequestTable::screen`](crate::request_table::RequestTable::screen).
+pub fn report_can_be(report: &Report) -> bool {
     let sound = |figure: Option<f64>| figure.is_none_or(|figure| figure.is_finite() && figure >= 0.0);
-    let position = report.position.is_none_or(|at| at >= 0 && at <= now + AHEAD);
-    position && sound(report.waiting) && sound(report.busy)
+    report.position.is_none_or(|at| at >= 0) && sound(report.waiting) && sound(report.busy)
 }
 
-/// A position that was told in Unix milliseconds. One clock is read by all: what lies ahead of it by more than clocks
-/// may differ was not read but made up.
-pub fn position(ms: Time, now: Time) -> Option<Time> {
-    ms.checked_mul(1000).filter(|at| *at > 0 && *at <= now + AHEAD)
+/// A position that was told in Unix milliseconds, by the hosts' clock.
+pub fn position(ms: Time) -> Option<Time> {
+    ms.checked_mul(1000).filter(|at| *at > 0)
 }
--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -7,11 +7,12 @@
 //! - **Lower bounds.** What a host has told was true when it arrived: `told <= received + offset`.
 //! - **Upper bounds.** A write is committed after it was sent (Cristian's algorithm): `sent + offset <= commit`. An answer
 //!   that repeats an earlier run's commit would give too small a bound, so callers pass only first attempts of requests
-//!   that are no client's retries, and of the last few bounds one of the largest counts.
+//!   that are no client's retries, and of the last bounds not the smallest ones count.
 //!
 //! One absurd value must not move the estimate: a lower bound counts if two members support it or if several commits
-//! agree with it, and an upper bound is dropped if two members contradict it. The estimate is 0 clamped into the
-//! interval, so that a router whose clock is right decides as if the clocks were one.
+//! agree with it, and an upper bound is passed over if two members contradict it. Where 0 lies in the interval the
+//! estimate is 0, so that a router whose clock is right decides as if the clocks were one. Elsewhere it is the lower
+//! end, which is the closer one: a host's answer is on its way for less time than a write takes.
 
 use crate::interface::{MemberId, Time};
 use std::collections::VecDeque;
@@ -23,9 +24,12 @@
 /// A position so near to the own clock confirms that the two are one (microseconds).
 const CONFIRMING_DISTANCE: Time = 1_000_000;
 /// Upper bounds kept (count): the last ones.
-const UPPER_BOUNDS: usize = 5;
-/// So many upper bounds outvote one that is far too large (count).
+const UPPER_BOUNDS: usize = 16;
+/// Of the upper bounds so many support the one that counts, itself included; fewer are not yet evidence enough to move
+/// the estimate by themselves (count).
 const SEVERAL: usize = 3;
+/// Longest that the quickest answers take from their host to here, rounding included (microseconds).
+const QUICKEST_ANSWER: Time = 5_000;
 /// Members whose lower bounds are kept (count): the highest ones.
 const LOWER_BOUNDS: usize = 4;
 /// Lower bounds older than one to two of these spans are forgotten, as the clocks drift apart (microseconds).
@@ -162,15 +166,19 @@
         }
         let lower = self.merged_lower_bounds();
         let corroborated = lower.get(1).copied();
-        let upper = self.upper_bound(now).filter(|upper| corroborated.is_none_or(|lower| lower <= *upper));
+        let upper = self.upper_bound(now, corroborated.unwrap_or(Time::MIN));
         let below = |upper: Time| lower.iter().copied().find(|lower| *lower <= upper);
         let highest = upper.and_then(below);
-        let firm = if self.upper.len() >= SEVERAL { highest.or(corroborated) } else { corroborated };
+        let may_raise = if self.upper.len() >= SEVERAL { highest.or(corroborated) } else { corroborated };
         self.bounded_above = upper.is_some();
-        self.offset = clamp_zero(firm, upper);
-        // Outside of a right clock's interval the far end is the safe one.
-        self.largest_offset = match upper {
-            Some(upper) if highest.is_some_and(|lower| lower > 0) => upper,
+        self.offset = match upper {
+            Some(upper) if upper < 0 => highest.unwrap_or(upper),
+            _ => may_raise.unwrap_or(0).max(0),
+        };
+        self.largest_offset = match (upper, highest) {
+            (Some(upper), Some(highest)) if highest > 0 || upper < 0 => {
+                upper.min(highest.saturating_add(QUICKEST_ANSWER))
+            }
             _ => self.offset,
         };
     }
@@ -182,17 +190,12 @@
         merged.0.into_iter().map(|(bound, _)| bound).collect()
     }
 
-    /// The largest of the last upper bounds; of several the second largest, so that one absurd commit does not count.
-    fn upper_bound(&self, now: Time) -> Option<Time> {
+    /// The smallest upper bound that several support, of those that the members' lower bounds do not contradict; the
+    /// largest one where there are fewer.
+    fn upper_bound(&self, now: Time, least: Time) -> Option<Time> {
         let widened = |(bound, at): &(Time, Time)| bound.saturating_add((now - at).max(0) / DRIFT_DIVISOR);
-        let mut bounds: Vec<Time> = self.upper.iter().map(widened).collect();
-        bounds.sort_unstable_by_key(|bound| std::cmp::Reverse(*bound));
-        bounds.get(usize::from(bounds.len() >= SEVERAL)).copied()
+        let mut bounds: Vec<Time> = self.upper.iter().map(widened).filter(|bound| *bound >= least).collect();
+        bounds.sort_unstable();
+        bounds.get(SEVERAL - 1).or(bounds.last()).copied()
     }
 }
-
-/// The point of the interval that is nearest to 0.
-fn clamp_zero(lower: Option<Time>, upper: Option<Time>) -> Time {
-    let raised = lower.unwrap_or(0).max(0);
-    upper.map_or(raised, |upper| raised.min(upper))
-}
--- a/crates/sessions/src/keeper.rs
+++ b/crates/sessions/src/keeper.rs
@@ -161,6 +161,15 @@
         Ok(keeper)
     }
 
+    /// The clock that times are told by was wrong, and shows `now` from here on. Whatever is known of sessions is kept and
+    /// taken for incomplete; what the other instances told of their times is asked for anew.
+    pub fn restart(&mut self, now: Time) {
+        self.memory.doubt(self.ceiling(now));
+        self.groups.clear();
+        self.base = self.base.min(now);
+        (self.epoch, self.lost, self.told_at, self.latest) = (now, now, now, now);
+    }
+
     /// The marks of this moment. `clean` says that nothing is answered any more.
     pub fn snapshot(&self, now: Time, clean: bool) -> Snapshot {
         let base = self.base.max(self.memory.highest_evicted().floor(self.set.promise));
--- a/crates/sessions/src/memory.rs
+++ b/crates/sessions/src/memory.rs
@@ -86,6 +86,15 @@
         entry.mark
     }
 
+    /// Marks were made by a clock that was wrong: none lies above this, and none covers what its session did.
+    pub fn doubt(&mut self, ceiling: Time) {
+        for (_, entry) in self.exact.iter_mut() {
+            *entry = Entry { mark: entry.mark.at_most(ceiling), seen: 0 };
+        }
+        self.rest.lower(ceiling);
+        self.highest_evicted = self.highest_evicted.at_most(ceiling);
+    }
+
     /// All that is kept exactly, the latest used first.
     pub fn iter(&self) -> impl Iterator<Item = (Key, Entry)> + '_ {
         self.exact.iter().map(|(key, entry)| (*key, *entry))
--- a/crates/sessions/src/sketch.rs
+++ b/crates/sessions/src/sketch.rs
@@ -1,6 +1,7 @@
 //! A summary of many marks that may only err upward: a max-sketch.
 
 use crate::mark::{Key, Mark};
+use petrelgauge_policy::Time;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Rows, each with a hash of its own. A key's bound is the least of its cells.
@@ -45,6 +46,11 @@
         Mark { wrote: first.wrote.min(second.wrote), read: first.read.min(second.read) }
     }
 
+    /// No mark that was put in was really above this.
+    pub fn lower(&mut self, ceiling: Time) {
+        self.cells.iter_mut().for_each(|cell| *cell = cell.at_most(ceiling));
+    }
+
     /// Bytes of its cells.
     pub fn bytes(&self) -> usize {
         self.cells.len() * std::mem::size_of::<Mark>()
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -219,6 +219,11 @@
         self.0.woken.notify_one();
     }
 
+    /// Takes what a member's word tells of the hosts' clock; see [`RequestTable::screen`].
+    pub fn screen(&self, now: Time, host: MemberId, said: &mut Outcome) -> bool {
+        self.0.table.borrow_mut().screen(now, host, None, said)
+    }
+
     /// A member said this of itself outside of an attempt's report.
     pub fn heard(&self, now: Time, host: MemberId, said: Outcome) {
         self.0.table.borrow_mut().heard(now, host, said);
@@ -332,6 +337,11 @@
         !self.off && self.facade.0.table.borrow().may_go(now, &self.send)
     }
 
+    /// Takes what the answer tells of the hosts' clock, before it is reported; see [`RequestTable::screen`].
+    pub fn screen(&self, now: Time, outcome: &mut Outcome) -> bool {
+        self.facade.0.table.borrow_mut().screen(now, self.host, Some(&self.send), outcome)
+    }
+
     /// Reports how the attempt ended. True if the member answered and its request is still open: then what the member
     /// said is the request's final answer, and the caller owes it to the client.
     pub fn report(mut self, now: Time, outcome: Outcome) -> bool {
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -100,11 +100,14 @@
         );
         // What a host said counts only if that is how the attempt ended.
         let reply = reply.filter(|_| told.end.is_answer());
-        let outcome = match (&reply, &flow) {
-            (Some(reply), _) => outcome(told.end, &reply.told, now, &self.counters),
-            (None, Some(flow)) => outcome(told.end, flow.told(), now, &self.counters),
+        let mut outcome = match (&reply, &flow) {
+            (Some(reply), _) => outcome(told.end, &reply.told, &self.counters),
+            (None, Some(flow)) => outcome(told.end, flow.told(), &self.counters),
             (None, None) => Outcome::silent(told.end.for_decisions()),
         };
+        if !attempt.screen(now, &mut outcome) {
+            self.counters.bad_reports.add();
+        }
         let owed = attempt.report(now, outcome);
         let answer = match (reply, flow) {
             (Some(reply), _) => Some(AnswerBody::Whole(reply.answer)),
@@ -272,7 +275,7 @@
 }
 
 /// What the decisions are told of an answered attempt.
-pub(super) fn outcome(end: End, told: &[(String, String)], now: Time, counters: &Counters) -> Outcome {
+pub(super) fn outcome(end: End, told: &[(String, String)], counters: &Counters) -> Outcome {
     let mut outcome = Outcome::silent(end.for_decisions());
     outcome.unusable = end == End::Unusable;
     for (name, value) in told {
@@ -285,9 +288,9 @@
                 }
             }
             "log_position" => {
-                outcome.position = value.parse().ok().and_then(|ms| verdict::position(ms, now));
+                outcome.position = value.parse().ok().and_then(|ms| verdict::position(ms));
             }
-            "pressure" => match pressure(value, now) {
+            "pressure" => match pressure(value) {
                 Some(report) => outcome.report = report,
                 None => counters.bad_reports.add(),
             },
@@ -298,7 +301,7 @@
 }
 
 /// A load report: names and values, positions as Unix times in seconds. None if it makes no sense.
-fn pressure(text: &str, now: Time) -> Option<Report> {
+fn pressure(text: &str) -> Option<Report> {
     let pair = |pair: &str| -> Option<(String, f64)> {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0)?;
@@ -306,5 +309,5 @@
     };
     let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
     let report = settings::report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
-    verdict::report_can_be(&report, now).then_some(report)
+    verdict::report_can_be(&report).then_some(report)
 }
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -185,8 +185,12 @@
         let (mut out, front) = (Vec::new(), self.front.clone());
         flow.pass(&mut self.writer).await?;
         let host = flow.host();
-        let (complete, said) = flow.end().await?;
-        front.facade.heard(front.clock.now(), host, said);
+        let (complete, mut said) = flow.end().await?;
+        let now = front.clock.now();
+        if !front.facade.screen(now, host, &mut said) {
+            front.counters.bad_reports.add();
+        }
+        front.facade.heard(now, host, said);
         out.extend_from_slice(&complete);
         front.put_mark(&mut out, taken.session_key());
         pg::put_ready(&mut out);
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,5 +1,8 @@
 //! The gateway's clock: Unix time in microseconds, read from the system once and carried on by the
-//! monotonic clock, so that it never jumps.
+//! monotonic clock, so that it never jumps, whatever becomes of the system's time.
+//!
+//! Its spans are real ones. Its points are as wrong as the system's time was at the start: they may be compared with each
+//! other, and with what other machines tell only through `petrelgauge_policy::FleetClock`.
 
 use crate::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -253,6 +253,7 @@
     // The protocol has no probes, and the watch of discovery is always open.
     settings.may_probe = false;
     settings.list_on_request = false;
+    settings.clock_may_be_wrong = true;
     settings.way = WAY;
     // Clients hold at most a third of the descriptors.
     settings.most_open = settings.most_open.min(config.sockets as u32 / 3);
--- a/src/net/flow.rs
+++ b/src/net/flow.rs
@@ -80,7 +80,7 @@
             }
         };
         let Answer::Row(mut row) = reply.answer else { return Err(End::HostMalformed) };
-        let said = outcome(End::Served, &reply.told, self.hosts.clock.now(), &self.hosts.counters);
+        let said = outcome(End::Served, &reply.told, &self.hosts.counters);
         let Flow { hosts, host, connection, .. } = self;
         match (reply.ready, connection.framer.is_empty()) {
             (true, true) => hosts.put_back(host, connection),
