--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -31,7 +31,9 @@
 /// Longest that the quickest answers take from their host to here, rounding included (microseconds).
 const QUICKEST_ANSWER: Time = 5_000;
 /// Members whose lower bounds are kept (count): the highest ones.
-const LOWER_BOUNDS: usize = 4;
+const LOWER_BOUNDS: usize = 8;
+/// Bounds of two members that lie so near to each other support each other (microseconds): made-up values do not.
+const AGREEMENT: Time = 10_000_000;
 /// Lower bounds older than one to two of these spans are forgotten, as the clocks drift apart (microseconds).
 const EVIDENCE_SPAN: Time = 60_000_000;
 /// Two clocks drift apart by one part in so many.
@@ -165,7 +167,9 @@
             return;
         }
         let lower = self.merged_lower_bounds();
-        let corroborated = lower.get(1).copied();
+        let mut pairs = lower.windows(2);
+        let agreeing = pairs.find(|pair| pair[0].saturating_sub(pair[1]) <= AGREEMENT);
+        let corroborated = agreeing.map(|pair| pair[1]);
         let upper = self.upper_bound(now, corroborated.unwrap_or(Time::MIN));
         let below = |upper: Time| lower.iter().copied().find(|lower| *lower <= upper);
         let highest = upper.and_then(below);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -215,6 +215,8 @@
             },
             hold: 0,
             scout_every: 1,
+            // Whoever embeds the decisions says whose clock it gives them.
+            clock_may_be_wrong: false,
             crossing_price: self.penalties.cross_zone,
             probe_price: self.penalties.probe,
             classes,
