--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -75,6 +75,8 @@
     largest_offset: Time,
     /// An upper bound holds.
     bounded_above: bool,
+    /// A member has told what lies ahead of the own clock by more than clocks may differ.
+    contradicted: bool,
 }
 
 impl FleetClock {
@@ -143,7 +145,7 @@
     /// Whether the estimate may be used to call a replica fresh: commits bound the offset above, or the clocks look like
     /// one.
     pub fn is_trusted(&self) -> bool {
-        !self.enabled || self.bounded_above || (self.confirmed && self.offset == 0)
+        !self.enabled || self.bounded_above || (self.confirmed && !self.contradicted)
     }
 
     /// Whether what hosts have told so far speaks against the estimate.
@@ -175,6 +177,7 @@
         let highest = upper.and_then(below);
         let may_raise = if self.upper.len() >= SEVERAL { highest.or(corroborated) } else { corroborated };
         self.bounded_above = upper.is_some();
+        self.contradicted = lower.first().is_some_and(|highest| *highest > MOST_AHEAD);
         self.offset = match upper {
             Some(upper) if upper < 0 => highest.unwrap_or(upper),
             _ => may_raise.unwrap_or(0).max(0),
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -79,6 +79,9 @@
         assert!(clock.is_doubtful(), "{offset}");
         clock.position_told(2, NOON + offset - 5 * S, NOON);
         assert!(clock.is_doubtful(), "{offset}");
+        // A replica that is as old as the clock is behind does not vouch for it.
+        clock.position_told(3, NOON.min(NOON + offset), NOON);
+        assert!(clock.is_doubtful(), "{offset}");
     }
 }
 
@@ -300,7 +303,9 @@
 #[test]
 fn no_bounded_read_goes_to_a_stale_replica_whatever_the_clock() {
     for offset in OFFSETS.into_iter().chain([0]) {
-        for stale in [260 * MS, 1_500 * MS, 10 * S, 3_700 * S] {
+        // Also a replica whose data are about as old as the clock is behind: by that one they look new.
+        let behind = offset.max(S);
+        for stale in [260 * MS, 1_500 * MS, 10 * S, 3_700 * S, behind - 500 * MS, behind, behind + 100 * MS] {
             let went = Shifted::new(offset, [0, 20 * MS, stale], [0; 3]).rounds(1..=40);
             assert_eq!(went[2], 0, "{offset} {stale}: {went:?}");
         }
