--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -137,6 +137,11 @@
         hosts.saturating_sub(self.offset)
     }
 
+    /// The earliest that the own clock can have shown at a time of the hosts, as far as is known.
+    pub fn earliest_own_time(&self, hosts: Time) -> Time {
+        hosts.saturating_sub(self.largest_offset)
+    }
+
     /// Whether a host can have told this time by now: it does not lie in the hosts' future.
     pub fn can_be(&self, told: Time, now: Time) -> bool {
         told <= self.latest_hosts_time(now).saturating_add(MOST_AHEAD)
--- a/crates/policy/src/router/cold.rs
+++ b/crates/policy/src/router/cold.rs
@@ -16,7 +16,8 @@
         if member.started <= 0 {
             return 0;
         }
-        let started = self.fleet_clock.own_time(member.started);
+        // With but one commit heard the clock may already be known to be behind, and all members would look cold.
+        let started = self.fleet_clock.earliest_own_time(member.started);
         if self.fleet_clock.is_doubtful() {
             return started.max(member.listed_at);
         }
--- a/tests/stage/host.rs
+++ b/tests/stage/host.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::Duration;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// What a scripted host does with a query.
 pub enum Say {
@@ -16,6 +16,10 @@
     RowAt(&'static [u8], u64),
     /// The same from a replica.
     ReplicaAt(&'static [u8], u64),
+    /// A row of a host whose clock shows `ahead` milliseconds more than the machine's, at the position of this moment.
+    RowByClock(&'static [u8], i64),
+    /// The same from a replica that is so many milliseconds behind, in the second place.
+    ReplicaByClock(&'static [u8], i64, i64),
     /// A row, and these bytes right behind it.
     Surplus(&'static [u8], &'static [u8]),
     /// These bytes and no more.
@@ -125,13 +129,18 @@
         assert_eq!(kind, b'Q', "only simple queries");
         let _ = saw.send(String::from_utf8_lossy(&body[..body.len() - 1]).into_owned());
         let say = script.lock().expect("a script").next();
-        let role =
-            if matches!(say, Some(Say::ReplicaAt(..) | Say::ErrorAt(..))) { "standby" } else { "primary" };
+        let role = if matches!(say, Some(Say::ReplicaAt(..) | Say::ReplicaByClock(..) | Say::ErrorAt(..))) {
+            "standby"
+        } else {
+            "primary"
+        };
         let answer = match say {
             Some(Say::Row(value)) => row(value),
             Some(Say::RowAt(value, at) | Say::ReplicaAt(value, at)) => {
                 [row(value), message(b'S', format!("log_position\0{at}\0").as_bytes())].concat()
             }
+            Some(Say::RowByClock(value, ahead)) => row_by_clock(value, ahead),
+            Some(Say::ReplicaByClock(value, ahead, behind)) => row_by_clock(value, ahead - behind),
             Some(Say::Bytes(bytes)) => {
                 let _ = stream.write_all(bytes);
                 continue;
@@ -178,6 +187,12 @@
     }
 }
 
+/// A row at the machine's time, this much later (milliseconds).
+fn row_by_clock(value: &[u8], later: i64) -> Vec<u8> {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
+    [row(value), message(b'S', format!("log_position\0{}\0", now + later).as_bytes())].concat()
+}
+
 pub fn row(value: &[u8]) -> Vec<u8> {
     let description = message(b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let data = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
--- /dev/null
+++ b/tests/wall_clock.rs
@@ -0,0 +1,228 @@
+//! Hosts whose clock differs from the machine's, as it does for a gateway whose machine has a wrong wall clock: hosts'
+//! positions and starts are shifted here, and the machine's clock is left alone.
+
+#[path = "../crates/policy/tests/common/mod.rs"]
+mod common;
+mod stage;
+
+use common::{entry, settings, G, MS};
+use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, Ticket};
+use petrelgauge::*;
+use petrelgauge_sessions::Keeper;
+use stage::*;
+use std::future::Future;
+use std::pin::pin;
+use std::task::{Context, Poll, Waker};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// How far the hosts' clock is ahead of the gateway's (milliseconds).
+const SHIFTS_MS: [i64; 7] = [0, 3_000, 60_000, 3_600_000, -3_000, -60_000, -3_600_000];
+
+/// Hosts do not look at how far behind they are, and there are reads of data no older than 1 s.
+fn unchecked(config: &str) -> String {
+    let bounded = r#"{"aim_us":4000000,"deadline_us":30000000,"idempotency":"safe","name":"bounded","points":2.0,"late_share":0.2}"#;
+    let changes = [
+        ("\"when_behind\":\"bounce\"", "\"when_behind\":\"off\"".to_string()),
+        ("[\"eventual\",\"mutate\"]", "[\"eventual\",\"mutate\",\"lag_bound\"]".to_string()),
+        ("\"staleness_bound_us\":[0,0]", "\"staleness_bound_us\":[0,0,1000000]".to_string()),
+        ("\"late_share\":0.5}]", format!("\"late_share\":0.5}},{bounded}]")),
+    ];
+    changes.iter().fold(config.to_string(), |config, (old, new)| {
+        assert!(config.contains(old), "{old}");
+        config.replace(old, new)
+    })
+}
+
+/// What answered so many bounded reads, one after the other, from a primary, a fresh replica and one whose data are about as
+/// old as the machine's clock is behind the hosts'.
+fn bounded_reads(number: u8, shift_ms: i64, count: usize) -> [usize; 3] {
+    let stage = Stage::new(number);
+    let stale_ms = shift_ms.max(3_000) - 200;
+    let hosts = [
+        stage.host((0..300).map(|_| Say::RowByClock(b"primary", shift_ms)).collect()),
+        stage.host((0..300).map(|_| Say::ReplicaByClock(b"fresh", shift_ms, 10)).collect()),
+        stage.host((0..300).map(|_| Say::ReplicaByClock(b"stale", shift_ms, stale_ms)).collect()),
+    ];
+    let stage = stage.list(&[
+        (&hosts[0], "up", "primary"),
+        (&hosts[1], "up", "standby"),
+        (&hosts[2], "up", "standby"),
+    ]);
+    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
+    let started_ms = now_ms + shift_ms - 1_800_000;
+    let config =
+        unchecked(&stage.config()).replace(r#""up_since_ms":0"#, &format!(r#""up_since_ms":{started_ms}"#));
+    let gateway = stage.start_as(&config);
+    let mut client = gateway.client();
+    let mut answered = [0; 3];
+    for round in 0..count {
+        if round % 5 == 0 {
+            client.ask(&insert("a", 20_000));
+            client.ask(&select("a", "view", 20_000));
+        }
+        let answer = client.ask(&select("a", "bounded", 20_000));
+        assert_eq!(kinds(&answer), "TDCZ", "{shift_ms}");
+        let place =
+            [&b"primary"[..], b"fresh", b"stale"].iter().position(|value| answer[1].1[6..] == **value);
+        answered[place.expect("one of the hosts")] += 1;
+    }
+    answered
+}
+
+#[test]
+fn bounded_reads_are_spread_over_fresh_replicas_and_no_others_whatever_the_wall_clock() {
+    for (number, shift_ms) in (240..).zip(SHIFTS_MS) {
+        let [primary, fresh, stale] = bounded_reads(number, shift_ms, 60);
+        println!("{shift_ms}: {primary} {fresh} {stale}");
+        assert_eq!(stale, 0, "{shift_ms}");
+        assert!(fresh >= 20, "{shift_ms}: {primary} at the primary, {fresh} at the replica");
+    }
+}
+
+/// Some time of the hosts' clock (microseconds).
+const NOON: Time = 1_000_000_000 * MS;
+const STEP: Time = 5 * MS;
+const READ: usize = 2;
+const WRITE: usize = 5;
+
+fn ready<T>(future: impl Future<Output = T>) -> Option<T> {
+    match pin!(future).poll(&mut Context::from_waker(Waker::noop())) {
+        Poll::Ready(value) => Some(value),
+        Poll::Pending => None,
+    }
+}
+
+/// The decisions of one gateway, whose clock shows the hosts' time less `offset`.
+struct Shifted {
+    facade: Facade,
+    now: Time,
+    offset: Time,
+}
+
+impl Shifted {
+    fn new(shift_ms: i64, sessions: Option<petrelgauge_sessions::Settings>) -> Shifted {
+        let offset = shift_ms * MS;
+        let now = NOON - offset;
+        let set = Settings { may_probe: false, clock_may_be_wrong: true, ..settings() };
+        let keeper = sessions.map(|set| (Keeper::new(set, now).expect("sound settings"), vec![READ, WRITE]));
+        let facade = Facade::with_sessions(set, 11, keeper).expect("sound settings");
+        facade.list(true, (1..=3).map(|member| entry(member, Standing::Up, member == 1, 0)).collect());
+        let mut shifted = Shifted { facade, now, offset };
+        shifted.step();
+        shifted
+    }
+
+    fn hosts_now(&self) -> Time {
+        self.now + self.offset
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.facade.tick(self.now);
+    }
+
+    /// A request of session `one`, and its first attempt.
+    fn send(&mut self, class: usize) -> (Ticket, Attempt) {
+        let (at, until) = (self.now, self.now + 900 * MS);
+        let session = self.facade.visit(at, G, "one", &[]).expect("no token");
+        let request = Request { class, group: G, until, repeat: false, at, after: None, session };
+        let mut ticket = self.facade.admit(request);
+        self.step();
+        match ready(ticket.pick()) {
+            Some(Decision::Send(attempt)) => (ticket, attempt),
+            other => panic!("no send but {other:?}"),
+        }
+    }
+
+    /// The host of this attempt answers as served, at this position; whether that is the answer.
+    fn answer(&mut self, attempt: Attempt, position: Time, role: Role) -> bool {
+        self.now += 2 * MS;
+        let silent = Outcome::silent(Ending::Served);
+        let mut outcome = Outcome { position: Some(position), role: Some(role), ..silent };
+        attempt.screen(self.now, &mut outcome);
+        attempt.report(self.now, outcome)
+    }
+
+    /// A write that the member which gets it has served: the member, and the commit.
+    fn write(&mut self) -> (MemberId, Time) {
+        let (_ticket, attempt) = self.send(WRITE);
+        let (host, commit) = (attempt.host, self.hosts_now() + MS);
+        assert!(self.answer(attempt, commit, Role::Primary));
+        self.step();
+        (host, commit)
+    }
+
+    fn leader(&self) -> Option<MemberId> {
+        self.facade.leaders().first().map(|(_, member, _)| *member)
+    }
+}
+
+// One gateway alone is wrong: what the others tell it of a take-over must count, and its own word must not outlive the truth.
+#[test]
+fn a_gossiped_leader_counts_whatever_the_clocks_of_the_gateways() {
+    for shift_ms in SHIFTS_MS {
+        let (mut right, mut wrong) = (Shifted::new(0, None), Shifted::new(shift_ms, None));
+        for _ in 0..3 {
+            right.write();
+            wrong.write();
+        }
+        assert_eq!((right.leader(), wrong.leader()), (Some(1), Some(1)));
+        let told = |from: &Shifted| from.facade.leaders()[0].2;
+        let (by_right, by_wrong) = (told(&right), told(&wrong));
+        assert!((by_right - by_wrong).abs() <= 20 * MS, "{shift_ms}: {by_right} and {by_wrong}");
+        // Some time later member 2 has taken over, and one gateway had its answer.
+        for gateway in [&mut right, &mut wrong] {
+            gateway.now += 1_000 * MS;
+            let at = by_right + 900 * MS;
+            gateway.facade.hearsay(gateway.now, 2, at);
+            gateway.step();
+            assert_eq!(gateway.leader(), Some(2), "{shift_ms}");
+        }
+    }
+}
+
+// Commits were cut to the gateway's clock: with one behind, reads of a session asked for less than it had written.
+#[test]
+fn a_session_reads_its_write_and_is_not_asked_for_more_whatever_the_clock() {
+    let kept = petrelgauge_sessions::Settings { roams: false, tokens: false, ..Default::default() };
+    for shift_ms in SHIFTS_MS {
+        let mut shifted = Shifted::new(shift_ms, Some(kept.clone()));
+        for n in 0..4 {
+            let (_, commit) = shifted.write();
+            let (_ticket, attempt) = shifted.send(READ);
+            assert!(
+                !shifted.answer(attempt, commit - MS, Role::Replica),
+                "{shift_ms} {n}: it lacks the write"
+            );
+            shifted.step();
+            let (_ticket, attempt) = shifted.send(READ);
+            assert!(
+                shifted.answer(attempt, commit + 20 * MS, Role::Replica),
+                "{shift_ms} {n}: it has the write"
+            );
+            shifted.step();
+        }
+    }
+}
+
+// What a write without an answer may have made was committed before now, by the hosts' clock.
+#[test]
+fn a_write_without_an_answer_binds_its_session_by_the_hosts_clock() {
+    let kept = petrelgauge_sessions::Settings { roams: false, tokens: false, ..Default::default() };
+    for shift_ms in SHIFTS_MS {
+        let mut shifted = Shifted::new(shift_ms, Some(kept.clone()));
+        shifted.write();
+        let (ticket, attempt) = shifted.send(WRITE);
+        shifted.now += 50 * MS;
+        let lost = shifted.hosts_now();
+        assert!(!attempt.report(shifted.now, Outcome::silent(Ending::Broken)));
+        drop(ticket);
+        shifted.step();
+        let (_ticket, attempt) = shifted.send(READ);
+        assert!(!shifted.answer(attempt, lost - 10 * MS, Role::Replica), "{shift_ms}: it may lack it");
+        shifted.now += 100 * MS;
+        shifted.step();
+        let (_ticket, attempt) = shifted.send(READ);
+        assert!(shifted.answer(attempt, lost + 20 * MS, Role::Replica), "{shift_ms}: it has all of it");
+    }
+}
