--- a/crates/sessions/src/keeper.rs
+++ b/crates/sessions/src/keeper.rs
@@ -129,6 +129,13 @@
     others: Vec<Coverage>,
 }
 
+impl Group {
+    /// Nothing was made or heard since `start`.
+    fn new(id: GroupId, start: Time, others: usize) -> Group {
+        Group { outbox: Outbox::new(id, start), others: vec![Coverage::default(); others] }
+    }
+}
+
 impl Keeper {
     /// A keeper that starts now and knows nothing: whatever was acknowledged before is taken to be lost.
     pub fn new(settings: Settings, now: Time) -> Result<Keeper, SettingsError> {
@@ -165,7 +172,9 @@
     /// taken for incomplete; what the other instances told of their times is asked for anew.
     pub fn restart(&mut self, now: Time) {
         self.memory.doubt(self.ceiling(now));
-        self.groups.clear();
+        let others = usize::from(self.set.instances);
+        // They stay served here: the others wait to be told of them.
+        self.groups.iter_mut().for_each(|(id, group)| *group = Group::new(*id, now, others));
         self.base = self.base.min(now);
         (self.epoch, self.lost, self.told_at, self.latest) = (now, now, now, now);
     }
@@ -386,8 +395,7 @@
         if self.groups.len() >= MOST_GROUPS && !self.groups.contains_key(&id) {
             return None;
         }
-        let blank = || Group { outbox: Outbox::new(id, start), others: vec![Coverage::default(); others] };
-        Some(self.groups.entry(id).or_insert_with(blank))
+        Some(self.groups.entry(id).or_insert_with(|| Group::new(id, start, others)))
     }
 
     fn hear(&mut self, now: Time, bytes: &[u8]) -> Result<(), BulletinError> {
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -288,7 +288,7 @@
                 }
             }
             "log_position" => {
-                outcome.position = value.parse().ok().and_then(|ms| verdict::position(ms));
+                outcome.position = value.parse().ok().and_then(verdict::position);
             }
             "pressure" => match pressure(value) {
                 Some(report) => outcome.report = report,
