--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -14,7 +14,8 @@
 //! estimate is 0, so that a router whose clock is right decides as if the clocks were one. Elsewhere it is the lower
 //! end, which is the closer one: a host's answer is on its way for less time than a write takes.
 
-use crate::interface::{MemberId, Time};
+use crate::interface::{MemberId, Report, Time};
+use crate::router::Router;
 use std::collections::VecDeque;
 
 /// Step to which hosts round the times that they tell (microseconds).
@@ -137,9 +138,41 @@
         hosts.saturating_sub(self.offset)
     }
 
-    /// The earliest that the own clock can have shown at a time of the hosts, as far as is known.
-    pub fn earliest_own_time(&self, hosts: Time) -> Time {
-        hosts.saturating_sub(self.largest_offset)
+    /// When a load report held, by the own clock: it says as of which position.
+    pub fn as_of(&self, report: &Report, now: Time) -> Option<Time> {
+        let at = report.position.map(|position| self.own_time(position));
+        if self.enabled {
+            return at.map(|at| at.min(now));
+        }
+        at
+    }
+
+    /// How old data at this position are at a time of the own clock, at the most: under 0 for a time to come.
+    pub fn age(&self, position: Time, now: Time) -> Time {
+        self.latest_hosts_time(now).saturating_sub(position)
+    }
+
+    /// The position from which on data are no older than `bound` at a time of the own clock; none has reached it while
+    /// the estimate is not to be trusted.
+    pub fn horizon(&self, bound: Time, now: Time) -> Time {
+        if self.is_trusted() {
+            return self.latest_hosts_time(now) - bound;
+        }
+        Time::MAX
+    }
+
+    /// When a member that the list says started then did so, by the own clock; 0 for long ago. While what hosts tell speaks
+    /// against the estimate, it may have started right before it was listed.
+    pub fn started_at(&self, started: Time, listed_at: Time) -> Time {
+        if started <= 0 {
+            return 0;
+        }
+        // With but one commit heard the own clock may be known to be behind, and all members would look cold.
+        let earliest = started.saturating_sub(self.largest_offset);
+        if self.is_doubtful() {
+            return earliest.max(listed_at);
+        }
+        earliest
     }
 
     /// Whether a host can have told this time by now: it does not lie in the hosts' future.
@@ -211,3 +244,15 @@
         bounds.get(SEVERAL - 1).or(bounds.last()).copied()
     }
 }
+
+impl Router {
+    /// What is known of the hosts' clock. Times that cross machines are compared through it alone.
+    pub fn fleet_clock(&self) -> &FleetClock {
+        &self.fleet_clock
+    }
+
+    /// For whoever receives the hosts' answers, to pass on what they tell of their clock when they arrive.
+    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
+        &mut self.fleet_clock
+    }
+}
--- a/crates/policy/src/router/cold.rs
+++ b/crates/policy/src/router/cold.rs
@@ -4,26 +4,12 @@
 
 impl Router {
     pub(super) fn present_share(&self, member: &Member) -> f64 {
-        let started = self.started_at(member).max(member.revived);
+        let started = self.fleet_clock.started_at(member.started, member.listed_at).max(member.revived);
         let age = if started > 0 { self.now - started } else { 2 * self.set.cold_for.max(1) };
         let grown = age.max(0) as f64 / self.set.cold_for.max(1) as f64;
         (self.set.cold_from + (1.0 - self.set.cold_from) * grown).min(1.0)
     }
 
-    /// When a member started, by the own clock; 0 for long ago. While the hosts' clock is in doubt, it may have started
-    /// right before it was listed.
-    fn started_at(&self, member: &Member) -> Time {
-        if member.started <= 0 {
-            return 0;
-        }
-        // With but one commit heard the clock may already be known to be behind, and all members would look cold.
-        let started = self.fleet_clock.earliest_own_time(member.started);
-        if self.fleet_clock.is_doubtful() {
-            return started.max(member.listed_at);
-        }
-        started
-    }
-
     /// Served answers a second, as of now: a mean over some seconds.
     pub(super) fn rate_now(&self) -> f64 {
         self.rate * (-((self.now - self.rated_at) as f64) / RATE_SPAN).exp()
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -99,7 +99,7 @@
     }
 
     pub(super) fn probed(&mut self, id: MemberId, ending: Ending, report: &Report) {
-        self.learn_report(id, report);
+        self.learn(id, report.position, report.role, self.fleet_clock.as_of(report, self.now));
         let (now, chance) = (self.now, self.chance());
         let Some(member) = self.members.get_mut(&id) else { return };
         member.probe_out = false;
--- a/crates/policy/src/router/list.rs
+++ b/crates/policy/src/router/list.rs
@@ -25,9 +25,8 @@
                 }
             }
             let group = self.groups.entry(entry.group).or_default();
-            if !group.members.contains(&entry.member) {
-                group.members.push(entry.member);
-                group.members.sort_unstable();
+            if let Err(place) = group.members.binary_search(&entry.member) {
+                group.members.insert(place, entry.member);
             }
         }
     }
@@ -65,20 +64,10 @@
         let Some(position) = told else { return };
         member.position = member.position.max(position);
         if role == Some(Role::Replica) && at == Some(now) {
-            let hosts_now = self.fleet_clock.hosts_time(now);
-            keep(&mut member.lags, (now, hosts_now.saturating_sub(position).max(0)));
+            keep(&mut member.lags, (now, self.fleet_clock.age(position, now).max(0)));
         }
     }
 
-    /// A load report says what held at its position, which is a time of the hosts.
-    pub(super) fn learn_report(&mut self, id: MemberId, report: &Report) {
-        let own_time = |position| match self.fleet_clock.own_time(position) {
-            at if self.set.clock_may_be_wrong => at.min(self.now),
-            at => at,
-        };
-        self.learn(id, report.position, report.role, report.position.map(own_time));
-    }
-
     pub(super) fn outcome(&mut self, event: &Event) {
         let Event::Outcome { request, attempt, member: id, ending, took, closed, position, role, report } =
             event
@@ -93,7 +82,7 @@
         if spoke {
             let commit = write && *ending == Ending::Served;
             self.learn(*id, if commit { None } else { *position }, *role, Some(now));
-            self.learn_report(*id, report);
+            self.learn(*id, report.position, report.role, self.fleet_clock.as_of(report, now));
             if let (true, Some(at)) = (commit, *position) {
                 self.committed(*id, at);
             }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -90,7 +90,7 @@
     part: f64,
     rng: Dice,
     /// The hosts' clock in relation to `now`.
-    pub(super) fleet_clock: FleetClock,
+    pub(crate) fleet_clock: FleetClock,
     pub(crate) now: Time,
     pub(crate) members: BTreeMap<MemberId, Member>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
@@ -186,16 +186,6 @@
         actions.append(&mut self.actions);
     }
 
-    /// What is known of the hosts' clock. Times that cross machines are compared through it alone.
-    pub fn fleet_clock(&self) -> &FleetClock {
-        &self.fleet_clock
-    }
-
-    /// For whoever receives the hosts' answers, to pass on what they tell of their clock when they arrive.
-    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
-        &mut self.fleet_clock
-    }
-
     /// This router's part in the limits of a group's members: the even one, with what was given or lent.
     pub(super) fn part(&self, group: GroupId) -> f64 {
         self.part * self.groups.get(&group).map_or(1.0, |g| g.share.at(self.now))
--- a/crates/policy/src/router/pick.rs
+++ b/crates/policy/src/router/pick.rs
@@ -8,7 +8,7 @@
         let req = self.requests.get(&seq)?;
         let mark = req.mark;
         let Need::Bounded(bound) = self.set.classes[req.class].need else { return mark };
-        let horizon = self.fleet_clock.latest_hosts_time(self.now) - bound;
+        let horizon = self.fleet_clock.horizon(bound, self.now);
         let commits = &self.groups.get(&req.group)?.commits;
         let place = commits.partition_point(|&c| c <= horizon);
         if place < commits.len() || commits.len() < 2 {
@@ -56,24 +56,20 @@
         let Some(member) = self.members.get(&id) else { return TARGET };
         let handicap = if member.leads() && !lent { PRIMARY_HANDICAP } else { 1.0 };
         let (own, all) = (self.live(&member.sojourns), self.live(&self.sojourns));
-        let count = own.clone().count();
-        let drawn = match dice % (count + 1) {
-            place if place < count => own.clone().nth(place),
-            _ => all.clone().nth((order * all.clone().count() as f64) as usize),
-        };
+        let any = || all.clone().nth((order * all.clone().count() as f64) as usize);
+        let drawn = own.clone().nth(dice % (own.clone().count() + 1)).or_else(any);
         drawn.map_or(TARGET * order, |sample| sample.1) * (1.0 + member.out as f64) * handicap
     }
 
     /// One read: trials over the usable members, the smallest R that passes, and the pick.
     pub(super) fn pick(&mut self, need: Option<Time>, usable: &[MemberId], lent: bool) -> Option<MemberId> {
         let count = usable.len();
-        let hosts_now = self.fleet_clock.latest_hosts_time(self.now);
         let (mut own, mut first_fresh) = (vec![0u32; count], vec![0u32; count]);
         for _ in 0..TRIALS {
             let mut draws: Vec<(f64, usize, bool)> = Vec::with_capacity(count);
             for (place, id) in usable.iter().enumerate() {
                 let lag = self.draw_lag(*id);
-                let fresh = need.is_none_or(|commit| lag < (hosts_now - commit).max(1));
+                let fresh = need.is_none_or(|commit| lag < self.fleet_clock.age(commit, self.now).max(1));
                 own[place] += fresh as u32;
                 draws.push((self.draw_sojourn(*id, lent), place, fresh));
             }
@@ -85,8 +81,8 @@
         let wanted = (1.0 - STALE_RATIO) * TRIALS as f64;
         let fresh_within = |readers: usize| first_fresh[..readers].iter().sum::<u32>() as f64;
         let readers = (1..=count).find(|r| fresh_within(*r) >= wanted).unwrap_or(count);
-        let drawn = |place: usize| (self.draw_sojourn(usable[place], lent), place);
-        let mut ranked: Vec<(f64, usize)> = (0..count).map(drawn).collect();
+        let mut ranked: Vec<_> =
+            (0..count).map(|place| (self.draw_sojourn(usable[place], lent), place)).collect();
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
         let best = own.iter().copied().max().filter(|best| *best > 0)?;
         let passing = ranked.iter().take(readers).find(|(_, place)| own[*place] as f64 >= wanted);
@@ -100,12 +96,11 @@
         let class = &self.set.classes[req.class];
         let last = !req.attempts.is_empty() && req.attempts.len() + 1 >= class.attempts as usize;
         let by = req.born + self.set.hold.min(share_of(class.aim, HOLD));
-        let held = req.mark.filter(|_| !last && self.now < by);
+        let held = req.mark.filter(|_| !last && self.now < by).map(|mark| self.fleet_clock.own_time(mark));
         let fit = req.attempts.is_empty() && class.effect == Effect::Safe && class.aim <= 2 * self.brief;
-        if fit && self.trial_purse >= 1.0 {
-            if let Some(id) = self.peers(req.group).iter().copied().find(|id| self.due(*id)) {
-                return Some(id);
-            }
+        let due = || self.peers(req.group).iter().copied().find(|id| self.due(*id));
+        if let Some(id) = (fit && self.trial_purse >= 1.0).then(due).flatten() {
+            return Some(id);
         }
         let share = |id: &MemberId| if Some(*id) == primary { READ_ROOM } else { 1.0 };
         let able = |id: &MemberId| self.well(*id) && self.room(*id, share(id));
@@ -125,8 +120,7 @@
         // A replica about to pass the floor is worth a short wait, unless the primary has time to lend.
         let Some(mark) = held.filter(|_| choice == primary && !lent) else { return choice };
         let mut others = usable.into_iter().filter(|id| Some(*id) != primary);
-        let soon =
-            others.any(|id| (self.now..by).contains(&(self.fleet_clock.own_time(mark) + self.draw_lag(id))));
+        let soon = others.any(|id| (self.now..by).contains(&(mark + self.draw_lag(id))));
         choice.filter(|_| !soon)
     }
 }
--- a/crates/policy/src/router/primary.rs
+++ b/crates/policy/src/router/primary.rs
@@ -49,9 +49,8 @@
         if spent || self.now - self.groups.get(&group)?.scout_at < pause / 2 * self.set.scout_every {
             return None;
         }
-        let fit = |id: &MemberId| self.well(*id) && !self.lately_refused(req, *id);
-        let options =
-            self.peers(group).iter().copied().filter(|id| fit(id) && Some(*id) != self.primary(group));
+        let other = |id: &MemberId| Some(*id) != self.primary(group) && !self.lately_refused(req, *id);
+        let options = self.peers(group).iter().copied().filter(|id| self.well(*id) && other(id));
         let oldest = options.min_by_key(|id| self.members[id].replica_at)?;
         self.groups.get_mut(&group)?.scout_at = self.now;
         Some(oldest)
--- a/crates/policy/src/router/sends.rs
+++ b/crates/policy/src/router/sends.rs
@@ -41,10 +41,8 @@
         let req = self.names.get(request).and_then(|seq| self.requests.get(seq));
         let (Some(req), Some(member)) = (req, self.members.get(&id)) else { return false };
         let need = self.set.classes[req.class].need;
-        let hosts_now = self.fleet_clock.latest_hosts_time(now);
-        let mark = req.mark.max(need.bound().map(|bound| hosts_now - bound));
-        let comparable = need.bound().is_none() || self.fleet_clock.is_trusted();
-        let known = need != Need::Strong && comparable && mark.is_none_or(|mark| member.position >= mark);
+        let mark = req.mark.max(need.bound().map(|bound| self.fleet_clock.horizon(bound, now)));
+        let known = need != Need::Strong && mark.is_none_or(|mark| member.position >= mark);
         // What has long been out there may have been answered by one that leads no more, and that been lost.
         let lost = |(of, out): (&(RequestId, u32), &Out)| of.0 != *request && out.may_be_lost(id, now);
         let recent = now - member.primary_at <= need.bound().unwrap_or(0).max(2 * DEEMED) - DEEMED;
