--- a/crates/policy/src/router/list.rs
+++ b/crates/policy/src/router/list.rs
@@ -10,6 +10,7 @@
             unnamed.for_each(|(_, member)| member.standing = Standing::Gone);
         }
         for entry in entries {
+            self.fleet_clock.member_started(entry.member, entry.started, self.now);
             match self.members.get_mut(&entry.member) {
                 // An old list that comes again wipes nothing that is newer.
                 Some(member) if member.started > entry.started => continue,
@@ -24,9 +25,8 @@
                 }
             }
             let group = self.groups.entry(entry.group).or_default();
-            if !group.members.contains(&entry.member) {
-                group.members.push(entry.member);
-                group.members.sort_unstable();
+            if let Err(place) = group.members.binary_search(&entry.member) {
+                group.members.insert(place, entry.member);
             }
         }
     }
@@ -42,6 +42,7 @@
             standing: entry.standing,
             drained: entry.standing == Standing::Draining,
             started: entry.started,
+            listed_at: self.now,
             // The list is the weakest evidence: anything a member says outweighs it.
             primary_at: named as Time,
             limit: FIRST_LIMIT,
@@ -63,7 +64,7 @@
         let Some(position) = told else { return };
         member.position = member.position.max(position);
         if role == Some(Role::Replica) && at == Some(now) {
-            keep(&mut member.lags, (now, now.saturating_sub(position).max(0)));
+            keep(&mut member.lags, (now, self.fleet_clock.age(position, now).max(0)));
         }
     }
 
@@ -81,7 +82,7 @@
         if spoke {
             let commit = write && *ending == Ending::Served;
             self.learn(*id, if commit { None } else { *position }, *role, Some(now));
-            self.learn(*id, report.position, report.role, report.position);
+            self.learn(*id, report.position, report.role, self.fleet_clock.as_of(report, now));
             if let (true, Some(at)) = (commit, *position) {
                 self.committed(*id, at);
             }
