--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,7 +3,9 @@
 
 use petrelgauge_policy::*;
 
+pub mod counts;
 pub mod fleet;
+pub mod phases;
 pub mod workload;
 
 pub const G: GroupId = 7;
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -2,7 +2,9 @@
 //! health checks, gossip, quotas, setting reloads, a process handover and idle time. It draws from a generator of its own,
 //! so that the router's actions are the only thing that a change to the router can alter.
 
-use super::{settings, MS, START};
+use super::counts::Counts;
+use super::phases::phase_settings;
+use super::{MS, START};
 use petrelgauge_policy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -11,9 +13,13 @@
 use xxhash_rust::xxh3::Xxh3;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Idle members have a zone of their own: what its other members lose would put them in doubt.
+const IDLE_ZONE: &str = "d";
 const MEMBERS_OF_A_GROUP: u32 = 6;
 /// Steps between two changes of the scenario's phase.
 const PHASE: usize = 1_200;
+const FIRST_IDLE_GROUP: GroupId = 1_000;
+const FIRST_IDLE_MEMBER: MemberId = 100_000;
 const LAST_MEMBER_PLACE: u32 = MEMBERS_OF_A_GROUP - 1;
 
 /// How a member behaves, beside its line on the list.
@@ -32,20 +38,6 @@
     cancelled: bool,
 }
 
-/// How often each kind of action came.
-#[derive(Debug, Default)]
-pub struct Counts {
-    pub events: usize,
-    pub sends: usize,
-    pub refusals: usize,
-    pub failures: usize,
-    pub cancellations: usize,
-    pub health_checks: usize,
-    pub list_watches: usize,
-    pub timers: usize,
-    pub notes: usize,
-}
-
 pub struct Workload {
     pub router: Router,
     pub counts: Counts,
@@ -54,6 +46,10 @@
     now: Time,
     groups: Vec<GroupId>,
     hosts: BTreeMap<MemberId, Host>,
+    /// Lines of the list for members that no request is for.
+    idle: Vec<Entry>,
+    /// Every member has its full capacity from its start on.
+    no_slow_start: bool,
     in_flight: Vec<InFlight>,
     attempts: BTreeMap<RequestId, u32>,
     open: Vec<RequestId>,
@@ -73,6 +69,8 @@
             now: START,
             groups: (1..=groups).collect(),
             hosts: BTreeMap::new(),
+            idle: Vec::new(),
+            no_slow_start: false,
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             open: Vec::new(),
@@ -87,6 +85,35 @@
         workload
     }
 
+    /// A workload beside groups that no request is for, without slow start: that depends on the number of members, as it
+    /// is meant to. The idle members are known from another router, which has drawn its random numbers for them.
+    pub fn beside_idle_groups(seed: u64, groups: u64, idle_groups: u64) -> Workload {
+        let mut workload = Workload::new(seed, groups);
+        workload.no_slow_start = true;
+        let entry = |n: u64| Entry {
+            member: FIRST_IDLE_MEMBER + n as MemberId,
+            group: FIRST_IDLE_GROUP + n / MEMBERS_OF_A_GROUP as u64,
+            zone: IDLE_ZONE.into(),
+            weight: 1.0,
+            started: 0,
+            standing: Standing::Up,
+            primary: n.is_multiple_of(MEMBERS_OF_A_GROUP as u64),
+        };
+        workload.idle = (0..idle_groups * MEMBERS_OF_A_GROUP as u64).map(entry).collect();
+        let list = workload.list(true, workload.hosts.keys().copied().collect());
+        workload.router.step(START, &[list], &mut Vec::new());
+        let beliefs = workload.router.beliefs();
+        workload.router = Router::new(workload.settings(0), seed).expect("sound settings");
+        workload.router.believe(beliefs);
+        workload
+    }
+
+    fn settings(&self, phase: usize) -> Settings {
+        let settings = phase_settings(phase);
+        let cold_from = if self.no_slow_start { 1.0 } else { settings.cold_from };
+        Settings { cold_from, ..settings }
+    }
+
     /// The digest of the text of all actions so far.
     pub fn digest(&self) -> u64 {
         self.digest.digest()
@@ -139,7 +166,8 @@
     }
 
     fn list(&self, whole: bool, members: Vec<MemberId>) -> Event {
-        let entries = members.iter().map(|id| self.hosts[id].entry.clone()).collect::<Vec<_>>();
+        let mut entries = members.iter().map(|id| self.hosts[id].entry.clone()).collect::<Vec<_>>();
+        entries.extend(self.idle.iter().filter(|_| whole).cloned());
         Event::List { whole, entries: entries.into() }
     }
 
@@ -156,7 +184,7 @@
 
     /// Each phase has settings and faults of its own; the fourth one is played by a process that took over.
     fn change_phase(&mut self, phase: usize) {
-        let settings = phase_settings(phase);
+        let settings = self.settings(phase);
         let silent_zone = [None, Some("b"), None, Some("c")][phase % 4];
         self.hosts.values_mut().for_each(|host| host.answers = Some(host.entry.zone.as_str()) != silent_zone);
         if phase == 4 {
@@ -361,21 +389,3 @@
         self.open.retain(|open| open != request);
     }
 }
-
-/// The settings of a phase; all phases have the same classes, so that open requests keep theirs.
-fn phase_settings(phase: usize) -> Settings {
-    let base = Settings { crossing_price: 0.01, hold: 60 * MS, ..settings() };
-    match phase % 5 {
-        0 => base,
-        1 => Settings { may_probe: false, routers: 20, list_role: ListRole::Trailing, ..base },
-        2 => Settings { behind: Behind::Serve, list_on_request: true, ask_every: 1_000 * MS, ..base },
-        3 => Settings { may_probe: false, soft_removal: true, scout_every: 3, most_open: 60, ..base },
-        _ => Settings {
-            may_overlap: true,
-            routers: 3,
-            list_role: ListRole::Absent,
-            cold_for: 4_000 * MS,
-            ..base
-        },
-    }
-}
--- a/crates/policy/tests/digest.rs
+++ b/crates/policy/tests/digest.rs
@@ -4,10 +4,14 @@
 //! A change that means to alter decisions replaces the constants, and says in its commit why they moved.
 
 mod common;
+use common::counts::Counts;
 use common::workload::*;
 
 const STEPS: usize = 24_000;
 const GROUPS: u64 = 5;
+const IDLE_GROUPS: u64 = 500;
+/// Enough for all phases.
+const STEPS_BESIDE_IDLE_GROUPS: usize = 7_000;
 /// Taken from the code of commit a97f0e8.
 const FIRST_DIGEST: u64 = 14_703_266_976_131_508_814;
 const SECOND_DIGEST: u64 = 9_074_794_261_805_414_333;
@@ -42,3 +46,12 @@
     assert_rich(&workload.counts);
     assert_eq!(digest, SECOND_DIGEST);
 }
+
+#[test]
+fn idle_groups_change_no_action() {
+    let mut alone = Workload::beside_idle_groups(3, GROUPS, 0);
+    let mut beside = Workload::beside_idle_groups(3, GROUPS, IDLE_GROUPS);
+    let digest = alone.play(STEPS_BESIDE_IDLE_GROUPS);
+    assert!(alone.counts.sends >= 2_000, "{:?}", alone.counts);
+    assert_eq!(beside.play(STEPS_BESIDE_IDLE_GROUPS), digest);
+}
--- /dev/null
+++ b/crates/policy/tests/dispatch.rs
@@ -0,0 +1,202 @@
+//! Requests that wait are sent as soon as anything makes that possible, whatever event came last and wherever; and what a
+//! router keeps beside its members and groups stays in line with them over takeovers, reloads and removals.
+
+mod common;
+use common::*;
+use petrelgauge_policy::*;
+
+/// A group without any member at the start, and one of a single member.
+const EMPTY: GroupId = 50;
+const SINGLE: GroupId = 60;
+const ONLY_MEMBER: MemberId = 61;
+/// What a member may have in flight before it has shown what it carries.
+const FIRST_LIMIT: usize = 6;
+
+fn request_to(group: GroupId, name: &str) -> Event {
+    // A write may use all of its member.
+    Event::Request { request: name.into(), class: 5, group, time_left: 900 * MS, repeat: false, floor: None }
+}
+
+fn only_member(standing: Standing) -> Event {
+    let entry = Entry { group: SINGLE, ..entry(ONLY_MEMBER, standing, true, 0) };
+    Event::List { whole: false, entries: vec![entry].into() }
+}
+
+/// An event that has nothing to do with any request.
+fn unrelated() -> Event {
+    Event::Hearsay { member: 1, at: START }
+}
+
+fn with_single_group(settings: Settings) -> Stage {
+    let mut stage = Stage::new(settings);
+    stage.play(only_member(Standing::Up));
+    stage
+}
+
+fn sent(actions: &[Action], name: &str) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Send { request, .. } if &**request == name))
+}
+
+fn probed(actions: &[Action], id: MemberId) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Probe { member } if *member == id))
+}
+
+fn is_known(stage: &Stage, id: MemberId) -> bool {
+    stage.router.group_of(id).is_some()
+}
+
+/// Takes over from a router, as the next process of a gateway does.
+fn taken_over(stage: &Stage, settings: Settings) -> Stage {
+    let beliefs = stage.router.beliefs();
+    let mut next = Stage::empty(settings);
+    next.now = stage.now;
+    next.router.believe(beliefs);
+    next
+}
+
+#[test]
+fn a_request_waits_for_its_members_pause_and_goes_out_with_an_unrelated_event() {
+    let mut stage = with_single_group(settings());
+    assert!(sent(&stage.play(request_to(SINGLE, "r")), "r"));
+    let again = stage.end("r", 0, ONLY_MEMBER, Ending::Full);
+    assert!(!sent(&again, "r"), "its member has just rejected it");
+    stage.now += 60 * MS;
+    assert!(sent(&stage.play(unrelated()), "r"));
+}
+
+#[test]
+fn a_request_goes_out_when_another_frees_its_member() {
+    let mut stage = with_single_group(settings());
+    for n in 0..FIRST_LIMIT {
+        assert!(sent(&stage.play(request_to(SINGLE, &format!("r{n}"))), &format!("r{n}")));
+    }
+    assert_eq!(sends(&stage.play(request_to(SINGLE, "waits"))), 0, "its member is at its limit");
+    assert_eq!(sends(&stage.play(request("elsewhere", 2, 900 * MS, None))), 1, "another group is not");
+    assert!(sent(&stage.end("r0", 0, ONLY_MEMBER, Ending::Served), "waits"));
+}
+
+#[test]
+fn a_request_goes_out_when_a_list_change_brings_its_group_a_member() {
+    let mut stage = Stage::new(settings());
+    assert_eq!(sends(&stage.play(request_to(EMPTY, "r"))), 0);
+    assert_eq!(sends(&stage.play(only_member(Standing::Up))), 0, "that is another group's member");
+    let entry = Entry { group: EMPTY, ..entry(51, Standing::Up, true, 0) };
+    let news = Event::List { whole: false, entries: vec![entry].into() };
+    assert!(sent(&stage.play(news), "r"));
+}
+
+#[test]
+fn requests_go_out_when_their_group_gets_a_larger_quota() {
+    let mut stage = with_single_group(settings());
+    let quota = |extra| Event::Share(SINGLE, Share { extra, until: START + 10_000 * MS });
+    stage.play(quota(-0.5));
+    let first: usize =
+        (0..FIRST_LIMIT).map(|n| sends(&stage.play(request_to(SINGLE, &format!("r{n}"))))).sum();
+    assert_eq!(first, FIRST_LIMIT / 2);
+    assert_eq!(sends(&stage.play(unrelated())), 0);
+    assert_eq!(sends(&stage.play(quota(0.5))), FIRST_LIMIT / 2);
+}
+
+#[test]
+fn a_request_goes_out_when_new_settings_allow_its_member() {
+    let mut stage = with_single_group(settings());
+    stage.play(only_member(Standing::Gone));
+    assert_eq!(sends(&stage.play(request_to(SINGLE, "r"))), 0);
+    stage.router.follow(Settings { soft_removal: true, ..settings() }).expect("sound settings");
+    assert!(sent(&stage.play(unrelated()), "r"));
+}
+
+#[test]
+fn several_groups_are_served_in_the_step_that_makes_it_possible() {
+    let mut stage = Stage::new(settings());
+    for group in EMPTY..EMPTY + 5 {
+        assert_eq!(sends(&stage.play(request_to(group, &format!("r{group}")))), 0);
+    }
+    let member = |group| Entry { group, ..entry(group as MemberId + 100, Standing::Up, true, 0) };
+    let entries: Vec<Entry> = (EMPTY..EMPTY + 5).map(member).collect();
+    let sent = stage.play(Event::List { whole: false, entries: entries.into() });
+    let names: Vec<&str> = sent
+        .iter()
+        .filter_map(|action| match action {
+            Action::Send { request, .. } => Some(&**request),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(names, ["r50", "r51", "r52", "r53", "r54"]);
+}
+
+#[test]
+fn a_router_that_took_over_serves_its_own_requests_and_none_of_the_others() {
+    let mut stage = with_single_group(settings());
+    assert_eq!(sends(&stage.play(request_to(EMPTY, "old"))), 0);
+    let mut next = taken_over(&stage, settings());
+    let entry = Entry { group: EMPTY, ..entry(51, Standing::Up, true, 0) };
+    let news = Event::List { whole: false, entries: vec![entry].into() };
+    assert_eq!(sends(&next.play(news)), 0, "the other process has that request");
+    assert!(sent(&next.play(request_to(SINGLE, "new")), "new"));
+}
+
+#[test]
+fn a_router_that_took_over_checks_members_that_were_in_doubt() {
+    let mut stage = with_single_group(settings());
+    stage.play(request_to(SINGLE, "r"));
+    // Not answered for well over half of the longest latency target.
+    let mut probes = false;
+    for _ in 0..8 {
+        probes |= probed(&stage.wait(50 * MS), ONLY_MEMBER);
+    }
+    assert!(probes, "a silent member is checked");
+    let mut next = taken_over(&stage, settings());
+    assert!(probed(&next.wait(200 * MS), ONLY_MEMBER), "and by the next process too");
+}
+
+#[test]
+fn a_member_that_is_down_is_checked_until_it_answers() {
+    let mut stage = with_single_group(settings());
+    let result = |ending| Event::Probed { member: ONLY_MEMBER, ending, report: Report::default() };
+    stage.play(result(Ending::TimedOut));
+    for _ in 0..3 {
+        assert!(probed(&stage.wait(400 * MS), ONLY_MEMBER));
+        stage.play(result(Ending::TimedOut));
+    }
+    stage.wait(400 * MS);
+    stage.play(result(Ending::Served));
+    assert!(!probed(&stage.wait(400 * MS), ONLY_MEMBER), "it has answered");
+}
+
+#[test]
+fn a_member_is_forgotten_a_minute_after_it_left_and_not_before() {
+    let mut stage = with_single_group(settings());
+    stage.wait(100_000 * MS);
+    stage.play(only_member(Standing::Gone));
+    stage.wait(59_000 * MS);
+    assert!(is_known(&stage, ONLY_MEMBER), "an old list may name it again");
+    stage.wait(2_000 * MS);
+    assert!(!is_known(&stage, ONLY_MEMBER));
+}
+
+#[test]
+fn a_member_that_came_back_in_time_stays_known() {
+    let mut stage = with_single_group(settings());
+    stage.play(only_member(Standing::Gone));
+    stage.wait(30_000 * MS);
+    stage.play(only_member(Standing::Up));
+    stage.wait(100_000 * MS);
+    assert!(is_known(&stage, ONLY_MEMBER));
+    stage.play(only_member(Standing::Gone));
+    stage.wait(59_000 * MS);
+    assert!(is_known(&stage, ONLY_MEMBER), "its minute starts anew");
+}
+
+#[test]
+fn a_takeover_keeps_what_is_left_of_a_members_minute() {
+    let mut stage = with_single_group(settings());
+    stage.wait(100_000 * MS);
+    let mut next = taken_over(&stage, settings());
+    next.play(only_member(Standing::Gone));
+    next.wait(59_000 * MS);
+    assert!(is_known(&next, ONLY_MEMBER), "it was in service when the other process ended");
+    let mut last = taken_over(&next, settings());
+    last.wait(2_000 * MS);
+    assert!(!is_known(&last, ONLY_MEMBER), "and has been gone for a minute by now");
+}
