--- a/crates/policy/src/beliefs.rs
+++ b/crates/policy/src/beliefs.rs
@@ -33,7 +33,8 @@
     /// What this router has learned so far.
     pub fn beliefs(&self) -> Beliefs {
         let mut members = self.members.clone();
-        for member in members.values_mut() {
+        for (id, member) in &mut members {
+            member.named = self.last_named(*id, member);
             (member.out, member.lost, member.quiet, member.probe_out) = (0, 0, (0.0, 0), false);
         }
         let mut groups = self.groups.clone();
@@ -71,5 +72,6 @@
         let Beliefs { members, groups, sojourns, rate, rated_at, work, shed } = beliefs;
         (self.members, self.groups, self.sojourns) = (members, groups, sojourns);
         (self.rate, self.rated_at, self.work, self.shed) = (rate, rated_at, work, shed);
+        self.rebuild_indexes();
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -11,6 +11,7 @@
 //! | `router/primary.rs` | who is taken for the primary, and what only it may take |
 //! | `router/requests.rs` | the order in which requests wait, and how the router ends them |
 //! | `router/health.rs` | suspicion, probes, trials of silent members |
+//! | `router/health_index.rs` | which members a health check looks at |
 //! | `router/cold.rs` | the budget of a member that has just started |
 //! | `router/sends.rs` | the guards that every send must pass |
 //!
--- a/crates/policy/src/router/list.rs
+++ b/crates/policy/src/router/list.rs
@@ -7,19 +7,20 @@
         if whole {
             let named: BTreeSet<MemberId> = entries.iter().map(|e| e.member).collect();
             let unnamed = self.members.iter_mut().filter(|(id, _)| !named.contains(id));
-            unnamed.for_each(|(_, member)| member.standing = Standing::Gone);
+            let (health, checked_at) = (&mut self.health, self.watched_at);
+            unnamed.for_each(|(id, member)| health.set_standing(*id, member, Standing::Gone, checked_at));
         }
         for entry in entries {
             match self.members.get_mut(&entry.member) {
                 // An old list that comes again wipes nothing that is newer.
                 Some(member) if member.started > entry.started => continue,
                 Some(member) if member.started == entry.started => {
-                    member.standing = entry.standing;
-                    member.drained |= entry.standing == Standing::Draining;
+                    self.health.set_standing(entry.member, member, entry.standing, self.watched_at);
                 }
                 known => {
                     let (out, replica_at) = known.map_or((0, 0), |known| (known.out, known.replica_at));
-                    let member = Member { out, replica_at, credit: self.chance(), ..self.blank(entry) };
+                    let mut member = Member { out, replica_at, credit: self.chance(), ..self.blank(entry) };
+                    self.health.set_standing(entry.member, &mut member, entry.standing, self.watched_at);
                     self.members.insert(entry.member, member);
                 }
             }
@@ -133,10 +134,16 @@
                 // A refusal comes at once and tells of a process; what hangs tells of its machine.
                 Ending::Unreached | Ending::Broken => {
                     member.suspect |= member.strikes > 0;
-                    member.lost_at = if *took > self.brief / 16 { now } else { member.lost_at };
+                    if *took > self.brief / 16 {
+                        member.lost_at = now;
+                        self.health.newest_loss = now;
+                    }
                 }
                 _ => {}
             }
+            if member.suspect {
+                self.health.in_doubt.insert(*id);
+            }
             // A limit of a tenth of an attempt is one attempt, and a pause nine times as long.
             let pause =
                 aim * aims.max(member.load).clamp(TARGET, 3.0) * (1.0 / (member.limit * part) - 1.0).max(0.0);
@@ -169,7 +176,7 @@
         if effect == Effect::Unsafe && !never_ran && !mutant(UnsafeRepeated) {
             return self.finish(seq);
         }
-        self.groups.entry(group).or_default().waiting.insert(seq);
+        self.enqueue(group, seq);
     }
 
     pub(super) fn committed(&mut self, id: MemberId, at: Time) {
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -3,6 +3,7 @@
 
 mod cold;
 mod health;
+mod health_index;
 mod list;
 mod pick;
 mod primary;
@@ -12,6 +13,7 @@
 use crate::interface::*;
 use crate::mutant::{mutant, Mutant::*};
 use crate::state::*;
+use health_index::HealthIndex;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -91,6 +93,8 @@
     pub(crate) now: Time,
     pub(crate) members: BTreeMap<MemberId, Member>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
+    /// The groups in which requests wait: as many as there are groups and open requests at most.
+    waiting_groups: BTreeSet<GroupId>,
     requests: BTreeMap<u64, Request>,
     names: BTreeMap<RequestId, u64>,
     outs: BTreeMap<(RequestId, u32), Out>,
@@ -112,6 +116,7 @@
     /// What all members showed lately, as `Member::sojourns`.
     pub(crate) sojourns: Samples<f64>,
     watched_at: Time,
+    health: HealthIndex,
     /// Time that reads and writes lately took at members.
     pub(crate) work: [f64; 2],
     /// Share of the least worthy reads that is refused unsent.
@@ -143,9 +148,28 @@
         self.brief = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
         self.part = (FEW / settings.routers as f64).powf(RARE).min(1.0);
         self.set = settings;
+        // Who counts as in service may depend on them.
+        self.health.alive_outdated = true;
         Ok(())
     }
 
+    /// Brings what is derived from members and groups in line with them, when all of them have changed.
+    pub(crate) fn rebuild_indexes(&mut self) {
+        self.prune_groups();
+        self.health = HealthIndex::of(&self.members);
+        let waiting = self.groups.iter().filter(|(_, state)| !state.waiting.is_empty());
+        self.waiting_groups = waiting.map(|(group, _)| *group).collect();
+    }
+
+    /// When a member was last known to be in service or to have something out.
+    pub(crate) fn last_named(&self, id: MemberId, member: &Member) -> Time {
+        if self.health.delisted.contains(&id) {
+            member.named
+        } else {
+            member.named.max(self.watched_at)
+        }
+    }
+
     /// Takes one batch of events, all at `now`, and appends what is to be done.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
@@ -170,7 +194,8 @@
         self.watch_health();
         self.expire();
         self.give_way();
-        self.groups.keys().copied().collect::<Vec<_>>().into_iter().for_each(|group| self.pump(group));
+        let waiting: Vec<GroupId> = self.waiting_groups.iter().copied().collect();
+        waiting.into_iter().for_each(|group| self.pump(group));
         if !self.ticking && !self.requests.is_empty() {
             self.ticking = true;
             self.actions.push(Action::Timer { token: 0, at: now + 2 * self.set.granularity });
--- a/crates/policy/src/router/requests.rs
+++ b/crates/policy/src/router/requests.rs
@@ -42,7 +42,22 @@
             ..Request::default()
         };
         self.requests.insert(seq, state);
-        self.groups.entry(*group).or_default().waiting.insert(seq);
+        self.enqueue(*group, seq);
+    }
+
+    /// The request waits in its group from now on.
+    pub(super) fn enqueue(&mut self, group: GroupId, seq: u64) {
+        self.groups.entry(group).or_default().waiting.insert(seq);
+        self.waiting_groups.insert(group);
+    }
+
+    /// The request no longer waits in its group.
+    pub(super) fn dequeue(&mut self, group: GroupId, seq: u64) {
+        let Some(state) = self.groups.get_mut(&group) else { return };
+        state.waiting.remove(&seq);
+        if state.waiting.is_empty() {
+            self.waiting_groups.remove(&group);
+        }
     }
 
     /// Worth for each unit of work, judged now.
@@ -151,7 +166,7 @@
     pub(super) fn forget(&mut self, seq: u64) {
         let Some(req) = self.requests.remove(&seq) else { return };
         self.names.remove(&req.id);
-        self.groups.entry(req.group).or_default().waiting.remove(&seq);
+        self.dequeue(req.group, seq);
     }
 
     /// Calls off what a request has out, at one member or wherever it is.
--- a/crates/policy/src/router/sends.rs
+++ b/crates/policy/src/router/sends.rs
@@ -70,8 +70,9 @@
         member.out += 1;
         if let Some(req) = self.requests.get_mut(&seq) {
             req.attempts.push(Attempt { member: id, sent: now, out: true, ..Attempt::default() });
+            let group = req.group;
             if !mutant(SecondCopy) {
-                self.groups.entry(req.group).or_default().waiting.remove(&seq);
+                self.dequeue(group, seq);
             }
         }
         self.actions.push(Action::Send { request, member: id, until });
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -200,3 +200,46 @@
     last.wait(2_000 * MS);
     assert!(!is_known(&last, ONLY_MEMBER), "and has been gone for a minute by now");
 }
+
+#[test]
+fn a_forgotten_member_that_comes_back_in_another_group_leaves_the_first_one() {
+    let mut stage = with_single_group(settings());
+    stage.play(only_member(Standing::Gone));
+    stage.wait(61_000 * MS);
+    assert!(!is_known(&stage, ONLY_MEMBER));
+    let moved = Entry { group: EMPTY, ..entry(ONLY_MEMBER, Standing::Up, true, 0) };
+    stage.play(Event::List { whole: false, entries: vec![moved].into() });
+    stage.play(Event::Hearsay { member: ONLY_MEMBER, at: stage.now });
+    assert_eq!(stage.router.leaders(), [(EMPTY, ONLY_MEMBER, stage.now)]);
+}
+
+/// Reads that a member which has just started gets, after 400 served reads elsewhere, among 40 members that left.
+fn sent_to_a_warming_member(soft_removal: bool) -> usize {
+    let mut stage = Stage::new(settings());
+    let left = (100..140).map(|id| entry(id, Standing::Gone, false, 0));
+    stage.play(Event::List { whole: false, entries: left.collect() });
+    for n in 0..400 {
+        let sent = stage.ask(&format!("r{n}"), 2, 900 * MS);
+        stage.serve_all(sent, 20 * MS);
+    }
+    let started = Entry { group: SINGLE, ..entry(ONLY_MEMBER, Standing::Up, true, stage.now) };
+    stage.play(Event::List { whole: false, entries: vec![started].into() });
+    stage.wait(100 * MS);
+    stage.router.follow(Settings { soft_removal, ..settings() }).expect("sound settings");
+    stage.wait(1_000 * MS);
+    let read = |n| Event::Request {
+        request: format!("s{n}").into(),
+        class: 2,
+        group: SINGLE,
+        time_left: 900 * MS,
+        repeat: false,
+        floor: None,
+    };
+    (0..FIRST_LIMIT).map(|n| sends(&stage.play(read(n)))).sum()
+}
+
+#[test]
+fn new_settings_change_how_many_members_are_taken_to_carry_the_work() {
+    assert_eq!(sent_to_a_warming_member(false), FIRST_LIMIT);
+    assert!(sent_to_a_warming_member(true) < FIRST_LIMIT / 2, "it is one of many now");
+}
