--- a/crates/policy/src/router/list.rs
+++ b/crates/policy/src/router/list.rs
@@ -166,9 +166,11 @@
             tried.refused_at = if *ending == Ending::CalledOff { tried.refused_at } else { now };
             tried.reached = !matches!(ending, Ending::Unreached | Ending::NotSent);
         }
+        self.schedule_end(seq);
         if *closed || *ending == Ending::Served {
             return self.close(seq);
         }
+        let Some(req) = self.requests.get(&seq) else { return };
         if req.is_out() {
             return;
         }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -96,6 +96,8 @@
     /// The groups in which requests wait: as many as there are groups and open requests at most.
     waiting_groups: BTreeSet<GroupId>,
     requests: BTreeMap<u64, Request>,
+    /// When each open request ends, if nothing happens to it before.
+    ends: BTreeSet<(Time, u64)>,
     names: BTreeMap<RequestId, u64>,
     outs: BTreeMap<(RequestId, u32), Out>,
     next: u64,
@@ -150,6 +152,7 @@
         self.set = settings;
         // Who counts as in service may depend on them.
         self.health.alive_outdated = true;
+        self.requests.keys().copied().collect::<Vec<_>>().into_iter().for_each(|seq| self.schedule_end(seq));
         Ok(())
     }
 
--- a/crates/policy/src/router/sends.rs
+++ b/crates/policy/src/router/sends.rs
@@ -16,7 +16,7 @@
         let Some(member) = self.members.get(&id) else { return false };
         let class = &self.set.classes[req.class];
         // Rule 1: only an open request, and only while its client waits. No key is used behind its window.
-        let in_time = self.now < req.end && !req.is_spent(class, self.now + self.set.granularity);
+        let in_time = self.now < req.end && req.spent_from(class) > self.now + self.set.granularity;
         // Rule 2: no second effect, no second copy where there may be none.
         let alone = self.set.may_overlap || mutant(SecondCopy) || !req.is_out();
         let repeatable = match (class.effect, req.first_run()) {
@@ -74,6 +74,7 @@
             if !mutant(SecondCopy) {
                 self.dequeue(group, seq);
             }
+            self.schedule_end(seq);
         }
         self.actions.push(Action::Send { request, member: id, until });
     }
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -243,3 +243,73 @@
     assert_eq!(sent_to_a_warming_member(false), FIRST_LIMIT);
     assert!(sent_to_a_warming_member(true) < FIRST_LIMIT / 2, "it is one of many now");
 }
+
+fn is_final(action: &Action, name: &str) -> bool {
+    matches!(action, Action::Refuse { request, .. } | Action::Fail { request } if &**request == name)
+}
+
+/// When a request that nothing is sent for has its final answer, after settings changed in between.
+fn ended_after(before: Settings, after: Settings) -> Time {
+    let mut stage = Stage::new(before);
+    stage.play(request_to(EMPTY, "r"));
+    stage.router.follow(after).expect("sound settings");
+    let ends = |stage: &mut Stage| stage.wait(5 * MS).iter().any(|action| is_final(action, "r"));
+    let ticks = (1..400).find(|_| ends(&mut stage)).expect("every request has its final answer");
+    ticks * 5 * MS
+}
+
+#[test]
+fn new_settings_change_when_an_open_request_ends() {
+    let short = settings();
+    let long = Settings { granularity: 50 * MS, ..settings() };
+    // Half of 900 ms, less two times the granularity.
+    assert_eq!(ended_after(short.clone(), short.clone()), 440 * MS);
+    assert_eq!(ended_after(short.clone(), long.clone()), 350 * MS);
+    assert_eq!(ended_after(long, short), 440 * MS);
+}
+
+#[test]
+fn requests_whose_time_ends_together_are_ended_in_the_order_they_came() {
+    let mut stage = Stage::new(settings());
+    for n in 0..4 {
+        // Those that come later end a little earlier.
+        let time_left = (900 - n) * MS;
+        let name = format!("r{n}");
+        let event = Event::Request {
+            request: name.into(),
+            class: 5,
+            group: EMPTY,
+            time_left,
+            repeat: false,
+            floor: None,
+        };
+        stage.play(event);
+    }
+    let actions = stage.wait(600 * MS);
+    let ended: Vec<&str> = actions
+        .iter()
+        .filter_map(|action| match action {
+            Action::Refuse { request, .. } => Some(&**request),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(ended, ["r0", "r1", "r2", "r3"]);
+}
+
+#[test]
+fn ended_requests_leave_nothing_behind() {
+    let mut stage = Stage::new(settings());
+    let mut size_after = |rounds: usize| {
+        for n in 0..rounds {
+            let sent = stage.ask(&format!("{}-{n}", stage.now), n % 6, 900 * MS);
+            stage.serve_all(sent, 20 * MS);
+            stage.wait(5 * MS);
+        }
+        // Also those that were not served.
+        stage.wait(2_000 * MS);
+        format!("{:?}", stage.router).len()
+    };
+    let first = size_after(500);
+    let second = size_after(2_000);
+    assert!(second < first + first / 10, "{first} bytes of text after 500 requests, {second} after 2,500");
+}
