--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,7 +3,10 @@
 
 use petrelgauge_policy::*;
 
+pub mod counts;
 pub mod fleet;
+pub mod phases;
+pub mod workload;
 
 pub const G: GroupId = 7;
 pub const MS: Time = 1_000;
--- /dev/null
+++ b/crates/policy/tests/dispatch.rs
@@ -0,0 +1,315 @@
+//! Requests that wait are sent as soon as anything makes that possible, whatever event came last and wherever; and what a
+//! router keeps beside its members and groups stays in line with them over takeovers, reloads and removals.
+
+mod common;
+use common::*;
+use petrelgauge_policy::*;
+
+/// A group without any member at the start, and one of a single member.
+const EMPTY: GroupId = 50;
+const SINGLE: GroupId = 60;
+const ONLY_MEMBER: MemberId = 61;
+/// What a member may have in flight before it has shown what it carries.
+const FIRST_LIMIT: usize = 6;
+
+fn request_to(group: GroupId, name: &str) -> Event {
+    // A write may use all of its member.
+    Event::Request { request: name.into(), class: 5, group, time_left: 900 * MS, repeat: false, floor: None }
+}
+
+fn only_member(standing: Standing) -> Event {
+    let entry = Entry { group: SINGLE, ..entry(ONLY_MEMBER, standing, true, 0) };
+    Event::List { whole: false, entries: vec![entry].into() }
+}
+
+/// An event that has nothing to do with any request.
+fn unrelated() -> Event {
+    Event::Hearsay { member: 1, at: START }
+}
+
+fn with_single_group(settings: Settings) -> Stage {
+    let mut stage = Stage::new(settings);
+    stage.play(only_member(Standing::Up));
+    stage
+}
+
+fn sent(actions: &[Action], name: &str) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Send { request, .. } if &**request == name))
+}
+
+fn probed(actions: &[Action], id: MemberId) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Probe { member } if *member == id))
+}
+
+fn is_known(stage: &Stage, id: MemberId) -> bool {
+    stage.router.group_of(id).is_some()
+}
+
+/// Takes over from a router, as the next process of a gateway does.
+fn taken_over(stage: &Stage, settings: Settings) -> Stage {
+    let beliefs = stage.router.beliefs();
+    let mut next = Stage::empty(settings);
+    next.now = stage.now;
+    next.router.believe(beliefs);
+    next
+}
+
+#[test]
+fn a_request_waits_for_its_members_pause_and_goes_out_with_an_unrelated_event() {
+    let mut stage = with_single_group(settings());
+    assert!(sent(&stage.play(request_to(SINGLE, "r")), "r"));
+    let again = stage.end("r", 0, ONLY_MEMBER, Ending::Full);
+    assert!(!sent(&again, "r"), "its member has just rejected it");
+    stage.now += 60 * MS;
+    assert!(sent(&stage.play(unrelated()), "r"));
+}
+
+#[test]
+fn a_request_goes_out_when_another_frees_its_member() {
+    let mut stage = with_single_group(settings());
+    for n in 0..FIRST_LIMIT {
+        assert!(sent(&stage.play(request_to(SINGLE, &format!("r{n}"))), &format!("r{n}")));
+    }
+    assert_eq!(sends(&stage.play(request_to(SINGLE, "waits"))), 0, "its member is at its limit");
+    assert_eq!(sends(&stage.play(request("elsewhere", 2, 900 * MS, None))), 1, "another group is not");
+    assert!(sent(&stage.end("r0", 0, ONLY_MEMBER, Ending::Served), "waits"));
+}
+
+#[test]
+fn a_request_goes_out_when_a_list_change_brings_its_group_a_member() {
+    let mut stage = Stage::new(settings());
+    assert_eq!(sends(&stage.play(request_to(EMPTY, "r"))), 0);
+    assert_eq!(sends(&stage.play(only_member(Standing::Up))), 0, "that is another group's member");
+    let entry = Entry { group: EMPTY, ..entry(51, Standing::Up, true, 0) };
+    let news = Event::List { whole: false, entries: vec![entry].into() };
+    assert!(sent(&stage.play(news), "r"));
+}
+
+#[test]
+fn requests_go_out_when_their_group_gets_a_larger_quota() {
+    let mut stage = with_single_group(settings());
+    let quota = |extra| Event::Share(SINGLE, Share { extra, until: START + 10_000 * MS });
+    stage.play(quota(-0.5));
+    let first: usize =
+        (0..FIRST_LIMIT).map(|n| sends(&stage.play(request_to(SINGLE, &format!("r{n}"))))).sum();
+    assert_eq!(first, FIRST_LIMIT / 2);
+    assert_eq!(sends(&stage.play(unrelated())), 0);
+    assert_eq!(sends(&stage.play(quota(0.5))), FIRST_LIMIT / 2);
+}
+
+#[test]
+fn a_request_goes_out_when_new_settings_allow_its_member() {
+    let mut stage = with_single_group(settings());
+    stage.play(only_member(Standing::Gone));
+    assert_eq!(sends(&stage.play(request_to(SINGLE, "r"))), 0);
+    stage.router.follow(Settings { soft_removal: true, ..settings() }).expect("sound settings");
+    assert!(sent(&stage.play(unrelated()), "r"));
+}
+
+#[test]
+fn several_groups_are_served_in_the_step_that_makes_it_possible() {
+    let mut stage = Stage::new(settings());
+    for group in EMPTY..EMPTY + 5 {
+        assert_eq!(sends(&stage.play(request_to(group, &format!("r{group}")))), 0);
+    }
+    let member = |group| Entry { group, ..entry(group as MemberId + 100, Standing::Up, true, 0) };
+    let entries: Vec<Entry> = (EMPTY..EMPTY + 5).map(member).collect();
+    let sent = stage.play(Event::List { whole: false, entries: entries.into() });
+    let names: Vec<&str> = sent
+        .iter()
+        .filter_map(|action| match action {
+            Action::Send { request, .. } => Some(&**request),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(names, ["r50", "r51", "r52", "r53", "r54"]);
+}
+
+#[test]
+fn a_router_that_took_over_serves_its_own_requests_and_none_of_the_others() {
+    let mut stage = with_single_group(settings());
+    assert_eq!(sends(&stage.play(request_to(EMPTY, "old"))), 0);
+    let mut next = taken_over(&stage, settings());
+    let entry = Entry { group: EMPTY, ..entry(51, Standing::Up, true, 0) };
+    let news = Event::List { whole: false, entries: vec![entry].into() };
+    assert_eq!(sends(&next.play(news)), 0, "the other process has that request");
+    assert!(sent(&next.play(request_to(SINGLE, "new")), "new"));
+}
+
+#[test]
+fn a_router_that_took_over_checks_members_that_were_in_doubt() {
+    let mut stage = with_single_group(settings());
+    stage.play(request_to(SINGLE, "r"));
+    // Not answered for well over half of the longest latency target.
+    let mut probes = false;
+    for _ in 0..8 {
+        probes |= probed(&stage.wait(50 * MS), ONLY_MEMBER);
+    }
+    assert!(probes, "a silent member is checked");
+    let mut next = taken_over(&stage, settings());
+    assert!(probed(&next.wait(200 * MS), ONLY_MEMBER), "and by the next process too");
+}
+
+#[test]
+fn a_member_that_is_down_is_checked_until_it_answers() {
+    let mut stage = with_single_group(settings());
+    let result = |ending| Event::Probed { member: ONLY_MEMBER, ending, report: Report::default() };
+    stage.play(result(Ending::TimedOut));
+    for _ in 0..3 {
+        assert!(probed(&stage.wait(400 * MS), ONLY_MEMBER));
+        stage.play(result(Ending::TimedOut));
+    }
+    stage.wait(400 * MS);
+    stage.play(result(Ending::Served));
+    assert!(!probed(&stage.wait(400 * MS), ONLY_MEMBER), "it has answered");
+}
+
+#[test]
+fn a_member_is_forgotten_a_minute_after_it_left_and_not_before() {
+    let mut stage = with_single_group(settings());
+    stage.wait(100_000 * MS);
+    stage.play(only_member(Standing::Gone));
+    stage.wait(59_000 * MS);
+    assert!(is_known(&stage, ONLY_MEMBER), "an old list may name it again");
+    stage.wait(2_000 * MS);
+    assert!(!is_known(&stage, ONLY_MEMBER));
+}
+
+#[test]
+fn a_member_that_came_back_in_time_stays_known() {
+    let mut stage = with_single_group(settings());
+    stage.play(only_member(Standing::Gone));
+    stage.wait(30_000 * MS);
+    stage.play(only_member(Standing::Up));
+    stage.wait(100_000 * MS);
+    assert!(is_known(&stage, ONLY_MEMBER));
+    stage.play(only_member(Standing::Gone));
+    stage.wait(59_000 * MS);
+    assert!(is_known(&stage, ONLY_MEMBER), "its minute starts anew");
+}
+
+#[test]
+fn a_takeover_keeps_what_is_left_of_a_members_minute() {
+    let mut stage = with_single_group(settings());
+    stage.wait(100_000 * MS);
+    let mut next = taken_over(&stage, settings());
+    next.play(only_member(Standing::Gone));
+    next.wait(59_000 * MS);
+    assert!(is_known(&next, ONLY_MEMBER), "it was in service when the other process ended");
+    let mut last = taken_over(&next, settings());
+    last.wait(2_000 * MS);
+    assert!(!is_known(&last, ONLY_MEMBER), "and has been gone for a minute by now");
+}
+
+#[test]
+fn a_forgotten_member_that_comes_back_in_another_group_leaves_the_first_one() {
+    let mut stage = with_single_group(settings());
+    stage.play(only_member(Standing::Gone));
+    stage.wait(61_000 * MS);
+    assert!(!is_known(&stage, ONLY_MEMBER));
+    let moved = Entry { group: EMPTY, ..entry(ONLY_MEMBER, Standing::Up, true, 0) };
+    stage.play(Event::List { whole: false, entries: vec![moved].into() });
+    stage.play(Event::Hearsay { member: ONLY_MEMBER, at: stage.now });
+    assert_eq!(stage.router.leaders(), [(EMPTY, ONLY_MEMBER, stage.now)]);
+}
+
+/// Reads that a member which has just started gets, after 400 served reads elsewhere, among 40 members that left.
+fn sent_to_a_warming_member(soft_removal: bool) -> usize {
+    let mut stage = Stage::new(settings());
+    let left = (100..140).map(|id| entry(id, Standing::Gone, false, 0));
+    stage.play(Event::List { whole: false, entries: left.collect() });
+    for n in 0..400 {
+        let sent = stage.ask(&format!("r{n}"), 2, 900 * MS);
+        stage.serve_all(sent, 20 * MS);
+    }
+    let started = Entry { group: SINGLE, ..entry(ONLY_MEMBER, Standing::Up, true, stage.now) };
+    stage.play(Event::List { whole: false, entries: vec![started].into() });
+    stage.wait(100 * MS);
+    stage.router.follow(Settings { soft_removal, ..settings() }).expect("sound settings");
+    stage.wait(1_000 * MS);
+    let read = |n| Event::Request {
+        request: format!("s{n}").into(),
+        class: 2,
+        group: SINGLE,
+        time_left: 900 * MS,
+        repeat: false,
+        floor: None,
+    };
+    (0..FIRST_LIMIT).map(|n| sends(&stage.play(read(n)))).sum()
+}
+
+#[test]
+fn new_settings_change_how_many_members_are_taken_to_carry_the_work() {
+    assert_eq!(sent_to_a_warming_member(false), FIRST_LIMIT);
+    assert!(sent_to_a_warming_member(true) < FIRST_LIMIT / 2, "it is one of many now");
+}
+
+fn is_final(action: &Action, name: &str) -> bool {
+    matches!(action, Action::Refuse { request, .. } | Action::Fail { request } if &**request == name)
+}
+
+/// When a request that nothing is sent for has its final answer, after settings changed in between.
+fn ended_after(before: Settings, after: Settings) -> Time {
+    let mut stage = Stage::new(before);
+    stage.play(request_to(EMPTY, "r"));
+    stage.router.follow(after).expect("sound settings");
+    let ends = |stage: &mut Stage| stage.wait(5 * MS).iter().any(|action| is_final(action, "r"));
+    let ticks = (1..400).find(|_| ends(&mut stage)).expect("every request has its final answer");
+    ticks * 5 * MS
+}
+
+#[test]
+fn new_settings_change_when_an_open_request_ends() {
+    let short = settings();
+    let long = Settings { granularity: 50 * MS, ..settings() };
+    // Half of 900 ms, less two times the granularity.
+    assert_eq!(ended_after(short.clone(), short.clone()), 440 * MS);
+    assert_eq!(ended_after(short.clone(), long.clone()), 350 * MS);
+    assert_eq!(ended_after(long, short), 440 * MS);
+}
+
+#[test]
+fn requests_whose_time_ends_together_are_ended_in_the_order_they_came() {
+    let mut stage = Stage::new(settings());
+    for n in 0..4 {
+        // Those that come later end a little earlier.
+        let time_left = (900 - n) * MS;
+        let name = format!("r{n}");
+        let event = Event::Request {
+            request: name.into(),
+            class: 5,
+            group: EMPTY,
+            time_left,
+            repeat: false,
+            floor: None,
+        };
+        stage.play(event);
+    }
+    let actions = stage.wait(600 * MS);
+    let ended: Vec<&str> = actions
+        .iter()
+        .filter_map(|action| match action {
+            Action::Refuse { request, .. } => Some(&**request),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(ended, ["r0", "r1", "r2", "r3"]);
+}
+
+#[test]
+fn ended_requests_leave_nothing_behind() {
+    let mut stage = Stage::new(settings());
+    let mut size_after = |rounds: usize| {
+        for n in 0..rounds {
+            let sent = stage.ask(&format!("{}-{n}", stage.now), n % 6, 900 * MS);
+            stage.serve_all(sent, 20 * MS);
+            stage.wait(5 * MS);
+        }
+        // Also those that were not served.
+        stage.wait(2_000 * MS);
+        format!("{:?}", stage.router).len()
+    };
+    let first = size_after(500);
+    let second = size_after(2_000);
+    assert!(second < first + first / 10, "{first} bytes of text after 500 requests, {second} after 2,500");
+}
