--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -8,6 +8,7 @@
 use crate::net::link::Connection;
 use crate::net::pg::{Answer, Gather, Reply};
 use crate::net::read_buffer;
+use crate::net::socket;
 use crate::net::statement::Statement;
 use crate::{settings, MemberId, Report, Role, Time};
 use bytes::Buf;
@@ -19,7 +20,6 @@
 use std::hash::Hasher;
 use std::pin::pin;
 use std::rc::Rc;
-use tokio::io::AsyncWriteExt;
 
 impl Hosts {
     /// Makes one attempt and reports it. Gives what the host said if it is the request's final answer.
@@ -136,7 +136,7 @@
                 let left = until - self.clock.now();
                 let query =
                     line.query.get_or_insert_with(|| Box::new(statement.query((left / 1000).max(1) as u64)));
-                match connection.stream.write_all_buf(query).await {
+                match socket::write_all(&connection.stream, query).await {
                     Ok(()) => {
                         self.counters.sent.add();
                         Event::Written
--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -8,6 +8,7 @@
 use crate::net::front::Front;
 use crate::net::pg::{self, Framer, Message, Opening};
 use crate::net::read_buffer::{self, ReadBuffer};
+use crate::net::socket::{self, SocketError};
 use crate::Time;
 use bytes::Bytes;
 use petrelgauge_lifecycle::client::{Event, Kind, Stage};
@@ -129,9 +130,10 @@
                 reader.try_read(&mut bytes[..asked])
             };
             match self.read_buffer.read(once, framer.as_deref_mut()) {
-                Ok(Some(0)) | Err(_) => return Err(End::ClientLeft),
-                Ok(Some(read)) => break (read, asked),
+                Ok(Some(read @ 1..)) => break (read, asked),
                 Ok(None) => {}
+                Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
+                Ok(Some(0)) | Err(_) => return Err(End::ClientLeft),
             }
         };
         if self.error.is_none() {
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -6,12 +6,12 @@
 use crate::net::ending::End;
 use crate::net::front::Front;
 use crate::net::pg::{self, Severity};
+use crate::net::socket::{self, Unread};
 use crate::Time;
 use bytes::Buf;
 use petrelgauge_lifecycle::client::{Action, Client, Event, Stage, Used};
 use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_sessions::SessionTokens;
-use socket2::SockRef;
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::WriteHalf;
@@ -151,8 +151,7 @@
             // It waits for memory in the middle of a message.
             return false;
         }
-        let mut first = [std::mem::MaybeUninit::uninit()];
-        let unread = matches!(SockRef::from(self.writer.as_ref()).peek(&mut first), Ok(1..));
+        let unread = socket::unread_on(self.writer.as_ref()) == Unread::Bytes;
         if unread {
             tokio::task::yield_now().await;
         }
@@ -194,7 +193,7 @@
         let by = end.max(self.front.clock.now()) + TAKING;
         tokio::select! {
             biased;
-            written = self.writer.write_all_buf(&mut bytes) => written.map_err(|_| End::ClientLeft),
+            written = socket::write_all(self.writer.as_ref(), &mut bytes) => written.map_err(|_| End::ClientLeft),
             () = self.front.clock.sleep_until(by) => Err(End::ClientStuck),
         }
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -202,12 +202,12 @@
         let after = self.holding.after().map(|revision| format!("&after={revision}")).unwrap_or_default();
         self.holding.opened();
         let mut answer = Answer::default();
-        let mut stream = open(address, &format!("?watch=1{after}"), clock).await?;
+        let stream = open(address, &format!("?watch=1{after}"), clock).await?;
         // A call for the whole list beside the watch, while it is owed.
         let mut call: Option<Call> = None;
         let cause = loop {
             let read = tokio::select! {
-                read = answer.read(&mut stream, clock) => read,
+                read = answer.read(&stream, clock) => read,
                 called = finished(&mut call) => {
                     call = None;
                     if let Err(cause) = called.and_then(|list| self.called(list)) {
--- a/src/net/flow.rs
+++ b/src/net/flow.rs
@@ -8,10 +8,10 @@
 use crate::net::link::Connection;
 use crate::net::pg::{Answer, Gather};
 use crate::net::read_buffer;
+use crate::net::socket;
 use crate::{MemberId, Time};
 use bytes::{Buf, Bytes};
 use std::rc::Rc;
-use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::WriteHalf;
 
 /// Bytes that are read at once: what a row holds here while its client does not take it.
@@ -105,10 +105,7 @@
             let by = clock.now() + SILENCE;
             tokio::select! {
                 biased;
-                written = writer.write_buf(&mut bytes) => match written {
-                    Ok(1..) => {}
-                    Ok(0) | Err(_) => return Err(End::ClientLeft),
-                },
+                written = socket::write(writer.as_ref(), &mut bytes) => written.map_err(|_| End::ClientLeft)?,
                 () = clock.sleep_until(by) => return Err(End::ClientStuck),
             }
         }
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -6,6 +6,7 @@
 use crate::net::link::Connection;
 use crate::net::pg::{self, Framer};
 use crate::net::read_buffer::ReadBuffer;
+use crate::net::socket::{self, SocketError};
 use crate::{MemberId, Time};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::Event;
@@ -15,8 +16,6 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tokio::io::AsyncWriteExt;
-use tokio::net::TcpStream;
 
 /// Spans after which an idle client can be spared, while there is room, and when there is none: if it has asked
 /// for nothing, and if it was answered (microseconds).
@@ -233,22 +232,24 @@
         }
         let slot = self.budget.take();
         self.counters.host_connects.add();
-        let stream = TcpStream::connect(site.address).await.map_err(|cause| match cause.raw_os_error() {
-            Some(EMFILE | ENFILE | EADDRNOTAVAIL) => Event::NotTried(End::NoDescriptor),
-            _ => Event::Refused,
-        })?;
+        let stream = socket::connect(site.address).await.map_err(|error| after_failed_connect(&error))?;
         let _ = stream.set_nodelay(true);
-        let mut connection =
+        let connection =
             Connection { stream, framer: Framer::default(), site, last: None, recent: false, _slot: slot };
         let mut startup = Vec::new();
         pg::put_startup(&mut startup);
         // It is up; that the host is gone again shows with the greeting.
-        let _ = connection.stream.write_all(&startup).await;
+        let _ = socket::write_all(&connection.stream, &mut &startup[..]).await;
         Ok(connection)
     }
 }
 
-/// "Too many open files", of the process and of the system, and no port left to connect from.
-const EMFILE: i32 = 24;
-const ENFILE: i32 = 23;
-const EADDRNOTAVAIL: i32 = 99;
+/// What a connect that failed means for its attempt. Only what the host did may count against it.
+pub fn after_failed_connect(error: &SocketError) -> Event {
+    match error {
+        SocketError::Unreachable(_) | SocketError::Broken(_) => Event::Refused,
+        SocketError::OwnShortage(_) | SocketError::Interrupted | SocketError::WouldBlock => {
+            Event::NotTried(End::NoDescriptor)
+        }
+    }
+}
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -4,10 +4,10 @@
 use crate::net::hosts::Site;
 use crate::net::pg::{self, Framer, Message};
 use crate::net::read_buffer::ReadBuffer;
+use crate::net::socket::{self, SocketError, Unread};
 use crate::Time;
 use petrelgauge_lifecycle::exchange::Event;
 use petrelgauge_lifecycle::rest::{Look, Resting};
-use socket2::SockRef;
 use tokio::net::TcpStream;
 
 /// A connection that is up.
@@ -42,20 +42,20 @@
             self.stream.readable().await.map_err(|_| Event::Broke)?;
             let stream = &self.stream;
             match room.read(|bytes| stream.try_read(&mut bytes[..most]), Some(&mut self.framer)) {
-                Ok(Some(0)) | Err(_) => return Err(Event::Broke),
-                Ok(Some(_)) => return Ok(()),
+                Ok(Some(1..)) => return Ok(()),
                 Ok(None) => {}
+                Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
+                Ok(Some(0)) | Err(_) => return Err(Event::Broke),
             }
         }
     }
 
-    /// What the kernel says of it while it rests. The kernel is asked itself: the reactor has not yet heard of what
-    /// came a moment ago.
+    /// What the kernel says of it while it rests.
     pub(super) fn look(&self) -> Look {
-        match SockRef::from(&self.stream).peek(&mut [std::mem::MaybeUninit::uninit()]) {
-            Err(cause) if cause.kind() == std::io::ErrorKind::WouldBlock => Look::Quiet,
-            Ok(0) | Err(_) => Look::Closed,
-            Ok(_) => Look::Spoke,
+        match socket::unread_on(&self.stream) {
+            Unread::Nothing => Look::Quiet,
+            Unread::End => Look::Closed,
+            Unread::Bytes => Look::Spoke,
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -30,5 +30,6 @@
 pub mod set;
 pub mod share_out;
 pub mod signals;
-mod source;
+pub mod socket;
+pub mod source;
 pub mod statement;
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -4,11 +4,12 @@
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
 use crate::net::hosts::Hosts;
+use crate::net::socket::{self, ByteStream, SocketError};
 use crate::Time;
 use petrelgauge_lifecycle::ops::{self, Call, Flaw, Reply, LINE, MOST_CALLERS, MOST_LINE};
 use std::collections::VecDeque;
 use std::rc::Rc;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
@@ -39,10 +40,18 @@
         let ops = Rc::new(self);
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
-            let Ok((stream, _)) = listener.accept().await else {
-                ops.hosts.make_room();
-                ops.clock.sleep_until(ops.clock.now() + PAUSE).await;
-                continue;
+            let stream = match socket::accept(&listener).await {
+                Ok(stream) => stream,
+                // That caller has left; the next may be there.
+                Err(SocketError::Broken(_)) => {
+                    tokio::task::yield_now().await;
+                    continue;
+                }
+                Err(_) => {
+                    ops.hosts.make_room();
+                    ops.clock.sleep_until(ops.clock.now() + PAUSE).await;
+                    continue;
+                }
             };
             callers.retain(|caller| !caller.is_finished());
             if callers.len() >= MOST_CALLERS {
@@ -58,7 +67,7 @@
         let clock = self.clock;
         self.counters.calls.add();
         let line = tokio::select! {
-            line = line(&mut stream) => line,
+            line = line(&stream) => line,
             () = clock.sleep_until(clock.now() + LINE) => Err(Some(Flaw::Late)),
         };
         let reply = match line {
@@ -73,12 +82,12 @@
             self.counters.calls_denied.add();
         }
         let told = async {
-            stream.write_all(reply.to_string().as_bytes()).await?;
-            stream.shutdown().await?;
+            socket::write_all(&stream, &mut reply.to_string().as_bytes()).await?;
+            stream.shutdown().await.map_err(SocketError::Broken)?;
             // Closed with bytes unread, the connection would be reset and the answer lost.
             let mut rest = [0; MOST_LINE];
-            while stream.read(&mut rest).await? > 0 {}
-            Ok::<(), std::io::Error>(())
+            while socket::read(&stream, &mut rest).await? > 0 {}
+            Ok::<(), SocketError>(())
         };
         tokio::select! {
             _ = told => {}
@@ -98,10 +107,10 @@
 }
 
 /// A caller's line, without its end. Nothing if the caller left before it had said anything.
-async fn line(stream: &mut TcpStream) -> Result<Vec<u8>, Option<Flaw>> {
+pub async fn line(stream: &impl ByteStream) -> Result<Vec<u8>, Option<Flaw>> {
     let (mut line, mut bytes) = (Vec::new(), [0; MOST_LINE]);
     loop {
-        let count = stream.read(&mut bytes).await.map_err(|_| None)?;
+        let count = socket::read(stream, &mut bytes).await.map_err(|_| None)?;
         if let Some(end) = bytes[..count].iter().position(|byte| *byte == b'\n') {
             line.extend_from_slice(&bytes[..end]);
             return Ok(line);
--- a/src/net/read_buffer.rs
+++ b/src/net/read_buffer.rs
@@ -2,6 +2,7 @@
 //! enough, and a connection that waits holds none.
 
 use crate::net::pg::Framer;
+use crate::net::socket::{uninterrupted, Call, SocketError};
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
@@ -19,20 +20,20 @@
     }
 
     /// Reads once, without waiting, and feeds the framer if there is one. Says how much came; nothing if it
-    /// was not ready after all.
+    /// was not ready after all. A call that a signal interrupts is repeated.
     pub fn read(
         &self,
-        read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
+        mut read: impl FnMut(&mut [u8]) -> io::Result<usize>,
         framer: Option<&mut Framer>,
-    ) -> io::Result<Option<usize>> {
+    ) -> Result<Option<usize>, SocketError> {
         let mut bytes = self.0.borrow_mut();
-        match read(&mut bytes) {
+        match uninterrupted(Call::Read, || read(&mut bytes)) {
             Ok(count) => {
                 framer.into_iter().for_each(|framer| framer.feed(&bytes[..count]));
                 Ok(Some(count))
             }
-            Err(cause) if cause.kind() == io::ErrorKind::WouldBlock => Ok(None),
-            Err(cause) => Err(cause),
+            Err(SocketError::WouldBlock) => Ok(None),
+            Err(error) => Err(error),
         }
     }
 }
--- /dev/null
+++ b/src/net/socket.rs
@@ -0,0 +1,282 @@
+//! Calls on TCP sockets, with the failures that Linux documents for them sorted by what the caller has to do.
+//!
+//! Every accept, connect, read, write and peek of the gateway goes through this module. A call that a signal interrupted
+//! is repeated here; short reads and writes are left to the caller's loop or, for [`write_all`], handled here. The traits
+//! [`Acceptor`] and [`ByteStream`] let tests put a schedule of failures in place of the kernel; in the program they are
+//! implemented by tokio's types and cost nothing.
+
+use bytes::Buf;
+use std::future::Future;
+use std::io::{self, IoSlice};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Pause before a read or write is repeated that failed for want of memory in the kernel.
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
+/// Buffers that one write takes at most.
+const MAX_WRITE_SLICES: usize = 64;
+
+/// A system call on a socket. The same error number means different things to different calls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Call {
+    /// Takes the next connection from a listener's backlog.
+    Accept,
+    /// Creates a socket and connects it.
+    Connect,
+    /// Reads bytes.
+    Read,
+    /// Writes bytes.
+    Write,
+    /// Reads bytes and leaves them in the kernel.
+    Peek,
+}
+
+/// Why a call failed, by what follows from it.
+#[derive(Debug, thiserror::Error)]
+pub enum SocketError {
+    /// A signal came before the call did anything: it is to be repeated at once.
+    #[error("interrupted by a signal")]
+    Interrupted,
+    /// Nothing can be done before the socket is ready.
+    #[error("not ready")]
+    WouldBlock,
+    /// This process or its machine lacks descriptors, memory, ports or a network. It says nothing of the peer.
+    #[error("{0}")]
+    OwnShortage(#[source] io::Error),
+    /// The peer did not take the connection: it refused, or its machine does not answer.
+    #[error("{0}")]
+    Unreachable(#[source] io::Error),
+    /// This one connection is over. A listener that reports it still works.
+    #[error("{0}")]
+    Broken(#[source] io::Error),
+}
+
+/// Sorts a failure of this call.
+pub fn classify(call: Call, cause: io::Error) -> SocketError {
+    let Some(number) = cause.raw_os_error() else { return classify_kind(call, cause) };
+    match (call, number) {
+        (_, libc::EINTR) => SocketError::Interrupted,
+        // On connect: the kernel has no port or no entry in its tables left.
+        (Call::Connect, libc::EAGAIN) => SocketError::OwnShortage(cause),
+        (_, libc::EAGAIN) => SocketError::WouldBlock,
+        (_, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => SocketError::OwnShortage(cause),
+        (Call::Connect, number) if is_local_to_connect(number) => SocketError::OwnShortage(cause),
+        (Call::Connect, _) => SocketError::Unreachable(cause),
+        (Call::Accept, number) if ends_accepted_connection(number) => SocketError::Broken(cause),
+        // The listener itself may be at fault: repeated at once, it could take up the processor.
+        (Call::Accept, _) => SocketError::OwnShortage(cause),
+        (Call::Read | Call::Write | Call::Peek, _) => SocketError::Broken(cause),
+    }
+}
+
+/// The same for a failure that has no number, since a library reports it.
+fn classify_kind(call: Call, cause: io::Error) -> SocketError {
+    match (cause.kind(), call) {
+        (io::ErrorKind::Interrupted, _) => SocketError::Interrupted,
+        (io::ErrorKind::WouldBlock, _) => SocketError::WouldBlock,
+        (_, Call::Accept) => SocketError::OwnShortage(cause),
+        (_, Call::Connect) => SocketError::Unreachable(cause),
+        (_, Call::Read | Call::Write | Call::Peek) => SocketError::Broken(cause),
+    }
+}
+
+/// A connect that fails so has not left this machine: no port, no route, no network, or its own firewall.
+fn is_local_to_connect(number: i32) -> bool {
+    matches!(
+        number,
+        libc::EADDRNOTAVAIL
+            | libc::EADDRINUSE
+            | libc::ENETUNREACH
+            | libc::ENETDOWN
+            | libc::EACCES
+            | libc::EPERM
+    )
+}
+
+/// An accept that fails so has taken a connection from the backlog that had already ended: Linux reports the
+/// connection's own errors here.
+fn ends_accepted_connection(number: i32) -> bool {
+    matches!(
+        number,
+        libc::ECONNABORTED
+            | libc::ECONNRESET
+            | libc::EPROTO
+            | libc::ENOPROTOOPT
+            | libc::ENETDOWN
+            | libc::ENETUNREACH
+            | libc::ENONET
+            | libc::EHOSTDOWN
+            | libc::EHOSTUNREACH
+            | libc::ETIMEDOUT
+            | libc::EPERM
+    )
+}
+
+/// Makes a call that does not wait, again while signals interrupt it.
+pub fn uninterrupted<T>(call: Call, mut operation: impl FnMut() -> io::Result<T>) -> Result<T, SocketError> {
+    loop {
+        match operation().map_err(|cause| classify(call, cause)) {
+            Err(SocketError::Interrupted) => {}
+            done => return done,
+        }
+    }
+}
+
+/// Where connections are accepted.
+pub trait Acceptor {
+    /// An accepted connection.
+    type Stream;
+
+    /// Makes one call. May be cancelled without loss.
+    fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
+}
+
+impl Acceptor for TcpListener {
+    type Stream = TcpStream;
+
+    async fn accept(&self) -> io::Result<TcpStream> {
+        Ok(TcpListener::accept(self).await?.0)
+    }
+}
+
+/// Accepts a connection. May be cancelled without loss.
+pub async fn accept<A: Acceptor>(acceptor: &A) -> Result<A::Stream, SocketError> {
+    loop {
+        match acceptor.accept().await.map_err(|cause| classify(Call::Accept, cause)) {
+            Err(SocketError::Interrupted | SocketError::WouldBlock) => {}
+            accepted => return accepted,
+        }
+    }
+}
+
+/// Connects to a peer.
+pub async fn connect(address: SocketAddr) -> Result<TcpStream, SocketError> {
+    connect_with(|| TcpStream::connect(address)).await
+}
+
+/// Connects by this call, which makes a new socket each time.
+pub async fn connect_with<S, F>(mut call: impl FnMut() -> F) -> Result<S, SocketError>
+where
+    F: Future<Output = io::Result<S>>,
+{
+    loop {
+        match call().await.map_err(|cause| classify(Call::Connect, cause)) {
+            // A connect that fails at once never waits: the caller's timers need their turn.
+            Err(SocketError::Interrupted) => tokio::task::yield_now().await,
+            connected => return connected,
+        }
+    }
+}
+
+/// A connection's two directions. A call that would block shows as [`io::ErrorKind::WouldBlock`].
+pub trait ByteStream {
+    /// Waits until a read may bring something.
+    fn readable(&self) -> impl Future<Output = io::Result<()>>;
+
+    /// Waits until a write may take something.
+    fn writable(&self) -> impl Future<Output = io::Result<()>>;
+
+    /// Reads once.
+    fn try_read(&self, bytes: &mut [u8]) -> io::Result<usize>;
+
+    /// Writes once.
+    fn try_write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize>;
+}
+
+impl ByteStream for TcpStream {
+    async fn readable(&self) -> io::Result<()> {
+        TcpStream::readable(self).await
+    }
+
+    async fn writable(&self) -> io::Result<()> {
+        TcpStream::writable(self).await
+    }
+
+    fn try_read(&self, bytes: &mut [u8]) -> io::Result<usize> {
+        TcpStream::try_read(self, bytes)
+    }
+
+    fn try_write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
+        TcpStream::try_write_vectored(self, slices)
+    }
+}
+
+/// Reads once, as soon as something is there; 0 at the end of the stream. A short read does not count as a sign that
+/// nothing more is there. May be cancelled without loss.
+pub async fn read(stream: &impl ByteStream, bytes: &mut [u8]) -> Result<usize, SocketError> {
+    loop {
+        stream.readable().await.map_err(SocketError::Broken)?;
+        // A peer that always has more must not keep other tasks from their turn.
+        tokio::task::coop::consume_budget().await;
+        match uninterrupted(Call::Read, || stream.try_read(bytes)) {
+            Err(SocketError::WouldBlock) => {}
+            Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
+            done => return done,
+        }
+    }
+}
+
+/// Writes something of it, and moves it on by what was taken. May be cancelled without loss.
+pub async fn write(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
+    loop {
+        stream.writable().await.map_err(SocketError::Broken)?;
+        tokio::task::coop::consume_budget().await;
+        match uninterrupted(Call::Write, || try_write(stream, bytes)) {
+            Ok(0) => return Err(SocketError::Broken(io::ErrorKind::WriteZero.into())),
+            Ok(count) => {
+                bytes.advance(count);
+                return Ok(());
+            }
+            Err(SocketError::WouldBlock) => {}
+            Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
+            Err(error) => return Err(error),
+        }
+    }
+}
+
+/// Writes all of it. If it is cancelled, what is left tells where to go on.
+pub async fn write_all(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
+    while bytes.has_remaining() {
+        write(stream, bytes).await?;
+    }
+    Ok(())
+}
+
+fn try_write(stream: &impl ByteStream, bytes: &impl Buf) -> io::Result<usize> {
+    let mut slices = [IoSlice::new(&[]); MAX_WRITE_SLICES];
+    let count = bytes.chunks_vectored(&mut slices);
+    stream.try_write(&slices[..count])
+}
+
+/// Lets the kernel free memory before a read or write is repeated.
+pub async fn pause_after_shortage() {
+    tokio::time::sleep(SHORTAGE_PAUSE).await;
+}
+
+/// What lies unread in the kernel.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Unread {
+    /// Nothing.
+    Nothing,
+    /// Bytes.
+    Bytes,
+    /// The end of the stream, or an error that ended it.
+    End,
+}
+
+/// What this call, which peeks without waiting, finds unread.
+pub fn unread(peek: impl FnMut() -> io::Result<usize>) -> Unread {
+    match uninterrupted(Call::Peek, peek) {
+        Ok(1..) => Unread::Bytes,
+        Err(SocketError::WouldBlock | SocketError::OwnShortage(_)) => Unread::Nothing,
+        Ok(0) | Err(_) => Unread::End,
+    }
+}
+
+/// What lies unread on this connection. The kernel itself is asked: the reactor may not have heard yet of what came a
+/// moment ago.
+pub fn unread_on(stream: &TcpStream) -> Unread {
+    let socket = socket2::SockRef::from(stream);
+    unread(|| socket.peek(&mut [std::mem::MaybeUninit::uninit()]))
+}
--- a/src/net/source.rs
+++ b/src/net/source.rs
@@ -3,19 +3,19 @@
 use crate::net::clock::Clock;
 use crate::net::discovery::List;
 use crate::net::lines::{Lines, Text, Texts, OVER};
+use crate::net::socket::{self, ByteStream, SocketError};
 use crate::Time;
 use petrelgauge_lifecycle::watch::SILENCE;
 use std::net::SocketAddr;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 /// Calls for the whole list.
 pub(super) async fn call(address: SocketAddr, from: Time, clock: Clock) -> Result<List, String> {
     clock.sleep_until(from).await;
     let mut answer = Answer::default();
-    let mut stream = open(address, "", clock).await?;
+    let stream = open(address, "", clock).await?;
     loop {
-        let read = answer.read(&mut stream, clock).await;
+        let read = answer.read(&stream, clock).await;
         let whole = std::mem::take(&mut answer.texts).into_iter().find_map(|text| match text {
             Text::Whole(text) => serde_json::from_slice(&text).ok(),
             Text::Broken => None,
@@ -32,9 +32,9 @@
 pub(super) async fn open(address: SocketAddr, what: &str, clock: Clock) -> Result<TcpStream, String> {
     let request = format!("GET /discovery/hosts{what} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     let opened = async {
-        let mut stream = TcpStream::connect(address).await?;
-        stream.write_all(request.as_bytes()).await?;
-        Ok::<TcpStream, std::io::Error>(stream)
+        let stream = socket::connect(address).await?;
+        socket::write_all(&stream, &mut request.as_bytes()).await?;
+        Ok::<TcpStream, SocketError>(stream)
     };
     tokio::select! {
         stream = opened => stream.map_err(|cause| cause.to_string()),
@@ -44,11 +44,11 @@
 
 /// An answer of discovery that is being read.
 #[derive(Default)]
-pub(super) struct Answer {
+pub struct Answer {
     pub(super) lines: Lines,
     partial: Texts,
     /// What is whole and was not taken.
-    pub(super) texts: Vec<Text>,
+    pub texts: Vec<Text>,
     /// Bytes that were read and not counted yet.
     pub(super) bytes: usize,
     /// When the last line came.
@@ -56,21 +56,22 @@
 }
 
 /// Why it is over.
-pub(super) struct Over {
-    pub(super) text: String,
+pub struct Over {
+    /// In plain words, for the log.
+    pub text: String,
     /// What came made no sense.
-    pub(super) flawed: bool,
+    pub flawed: bool,
 }
 
 impl Answer {
     /// Reads once. With its end comes what it still held. May be cancelled without loss.
-    pub(super) async fn read(&mut self, stream: &mut TcpStream, clock: Clock) -> Result<(), Over> {
+    pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), Over> {
         let over = |text: &str, flawed| Err(Over { text: text.into(), flawed });
         let by = *self.heard.get_or_insert_with(|| clock.now()) + SILENCE;
         let mut bytes = [0; 16 * 1024];
         let read = tokio::select! {
             biased;
-            count = stream.read(&mut bytes) => match count {
+            count = socket::read(stream, &mut bytes) => match count {
                 Ok(0) => over("discovery closed it", false),
                 Ok(count) => {
                     self.bytes += count;
--- /dev/null
+++ b/tests/socket_calls.rs
@@ -0,0 +1,36 @@
+//! Which files may call the kernel on a TCP connection of the gateway.
+
+/// What only `socket.rs` calls itself; the others go through it, so that no call misses its retry or its class.
+const DIRECT_CALLS: [&str; 13] = [
+    "TcpStream::connect",
+    ".accept().await",
+    "AsyncReadExt",
+    "write_all_buf",
+    "write_buf",
+    ".write_all(",
+    "read_buf(",
+    "read_exact",
+    "SockRef",
+    "try_write",
+    ".peek(",
+    "raw_os_error",
+    "TcpSocket",
+];
+
+#[test]
+fn connections_are_used_through_the_socket_module_alone() {
+    let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src/net");
+    let (mut files, mut direct) = (0, Vec::new());
+    for entry in std::fs::read_dir(folder).expect("the folder of the net layer") {
+        let path = entry.expect("an entry").path();
+        let text = std::fs::read_to_string(&path).expect("a file of text");
+        files += 1;
+        if path.ends_with("socket.rs") {
+            continue;
+        }
+        let calls = DIRECT_CALLS.into_iter().filter(|call| text.contains(call));
+        direct.extend(calls.map(|call| format!("{}: {call}", path.display())));
+    }
+    assert!(files > 20, "only {files} files: has the net layer moved?");
+    assert!(direct.is_empty(), "these calls miss their retry or their class: {direct:#?}");
+}
--- /dev/null
+++ b/tests/system_calls.rs
@@ -0,0 +1,377 @@
+//! System calls that fail or fall short in the ways that Linux documents, by a schedule drawn from a seed: on clients,
+//! hosts, discovery and the second address.
+
+use bytes::{Buf, Bytes};
+use petrelgauge::net::clock::Clock;
+use petrelgauge::net::hosts::after_failed_connect;
+use petrelgauge::net::lines::Text;
+use petrelgauge::net::ops;
+use petrelgauge::net::pg::Framer;
+use petrelgauge::net::read_buffer::ReadBuffer;
+use petrelgauge::net::socket::{self, classify, ByteStream, Call, SocketError, Unread};
+use petrelgauge::net::source::Answer;
+use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::exchange::Event;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::cell::{Cell, RefCell};
+use std::future::Future;
+use std::io::{self, IoSlice};
+use std::time::Duration;
+
+/// Seeds that each schedule is played with.
+const SEEDS: u64 = 200;
+/// Nothing that works takes so long; what does not work fails then and does not hang.
+const NEVER: Duration = Duration::from_secs(60);
+
+fn error(number: i32) -> io::Error {
+    io::Error::from_raw_os_error(number)
+}
+
+fn block_on<T>(future: impl Future<Output = T>) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    runtime.block_on(async { tokio::time::timeout(NEVER, future).await.expect("it goes on") })
+}
+
+/// The names of [`SocketError`], to compare.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Class {
+    Interrupted,
+    WouldBlock,
+    OwnShortage,
+    Unreachable,
+    Broken,
+}
+use Class::*;
+
+fn class(call: Call, number: i32) -> Class {
+    match classify(call, error(number)) {
+        SocketError::Interrupted => Interrupted,
+        SocketError::WouldBlock => WouldBlock,
+        SocketError::OwnShortage(_) => OwnShortage,
+        SocketError::Unreachable(_) => Unreachable,
+        SocketError::Broken(_) => Broken,
+    }
+}
+
+#[test]
+fn each_error_of_each_call_has_its_class() {
+    // In the order: accept, connect, read (and write and peek).
+    let table = [
+        (libc::EINTR, [Interrupted; 3]),
+        (libc::EAGAIN, [WouldBlock, OwnShortage, WouldBlock]),
+        (libc::EMFILE, [OwnShortage; 3]),
+        (libc::ENFILE, [OwnShortage; 3]),
+        (libc::ENOBUFS, [OwnShortage; 3]),
+        (libc::ENOMEM, [OwnShortage; 3]),
+        (libc::ECONNABORTED, [Broken, Unreachable, Broken]),
+        (libc::EPROTO, [Broken, Unreachable, Broken]),
+        (libc::EPERM, [Broken, OwnShortage, Broken]),
+        (libc::EADDRNOTAVAIL, [OwnShortage, OwnShortage, Broken]),
+        (libc::EADDRINUSE, [OwnShortage, OwnShortage, Broken]),
+        (libc::ENETUNREACH, [Broken, OwnShortage, Broken]),
+        (libc::ENETDOWN, [Broken, OwnShortage, Broken]),
+        (libc::EHOSTUNREACH, [Broken, Unreachable, Broken]),
+        (libc::ETIMEDOUT, [Broken, Unreachable, Broken]),
+        (libc::ECONNREFUSED, [OwnShortage, Unreachable, Broken]),
+        (libc::ECONNRESET, [Broken, Unreachable, Broken]),
+        (libc::EPIPE, [OwnShortage, Unreachable, Broken]),
+        (libc::EINVAL, [OwnShortage, Unreachable, Broken]),
+    ];
+    for (number, [accept, connect, transfer]) in table {
+        let cause = error(number);
+        assert_eq!(class(Call::Accept, number), accept, "accept: {cause}");
+        assert_eq!(class(Call::Connect, number), connect, "connect: {cause}");
+        for call in [Call::Read, Call::Write, Call::Peek] {
+            assert_eq!(class(call, number), transfer, "{call:?}: {cause}");
+        }
+    }
+}
+
+// ENOBUFS, ENOMEM, EAGAIN and ENETUNREACH counted as the host's refusal: evidence against a host that did nothing.
+#[test]
+fn a_connect_that_fails_here_is_no_evidence_against_its_host() {
+    let event = |number| after_failed_connect(&classify(Call::Connect, error(number)));
+    for number in [
+        libc::EMFILE,
+        libc::ENFILE,
+        libc::EADDRNOTAVAIL,
+        libc::ENOBUFS,
+        libc::ENOMEM,
+        libc::EAGAIN,
+        libc::ENETUNREACH,
+    ] {
+        assert_eq!(event(number), Event::NotTried(End::NoDescriptor), "{}", error(number));
+    }
+    for number in [libc::ECONNREFUSED, libc::EHOSTUNREACH, libc::ETIMEDOUT, libc::ECONNRESET] {
+        assert_eq!(event(number), Event::Refused, "{}", error(number));
+    }
+}
+
+#[test]
+fn an_interrupted_connect_is_made_again() {
+    for last in [None, Some(libc::ETIMEDOUT), Some(libc::ENOBUFS)] {
+        let calls = Cell::new(0);
+        let connected = block_on(socket::connect_with(|| {
+            calls.set(calls.get() + 1);
+            let interrupted = calls.get() <= 5;
+            std::future::ready(match (interrupted, last) {
+                (true, _) => Err(error(libc::EINTR)),
+                (false, None) => Ok("connected"),
+                (false, Some(number)) => Err(error(number)),
+            })
+        }));
+        assert_eq!(calls.get(), 6);
+        match (last, connected) {
+            (None, Ok("connected")) => {}
+            (Some(libc::ETIMEDOUT), Err(SocketError::Unreachable(_))) => {}
+            (Some(libc::ENOBUFS), Err(SocketError::OwnShortage(_))) => {}
+            (_, other) => panic!("{last:?} gave {other:?}"),
+        }
+    }
+}
+
+/// A stream whose calls fail or fall short by a schedule, before what it brings has ended and it breaks.
+struct FaultyStream {
+    faults: RefCell<Pcg64Mcg>,
+    incoming: RefCell<Bytes>,
+    /// What both directions end with; without one, reads end with the end of the stream.
+    broken: Option<i32>,
+    written: RefCell<Vec<u8>>,
+    /// Bytes that writes take before they break.
+    takes: usize,
+}
+
+impl FaultyStream {
+    fn new(seed: u64, incoming: &[u8]) -> FaultyStream {
+        FaultyStream {
+            faults: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
+            incoming: RefCell::new(Bytes::copy_from_slice(incoming)),
+            broken: None,
+            written: RefCell::default(),
+            takes: usize::MAX,
+        }
+    }
+
+    /// Bytes that the next call moves of so many, if it does not fail.
+    fn next_transfer(&self, most: usize) -> io::Result<usize> {
+        match self.faults.borrow_mut().next_u32() % 16 {
+            0..3 => Err(error(libc::EINTR)),
+            3..6 => Err(io::ErrorKind::WouldBlock.into()),
+            6 => Err(error(libc::ENOBUFS)),
+            7..14 => Ok(most.min(1)),
+            _ => Ok(most),
+        }
+    }
+}
+
+impl ByteStream for FaultyStream {
+    async fn readable(&self) -> io::Result<()> {
+        tokio::task::yield_now().await;
+        Ok(())
+    }
+
+    async fn writable(&self) -> io::Result<()> {
+        tokio::task::yield_now().await;
+        Ok(())
+    }
+
+    fn try_read(&self, bytes: &mut [u8]) -> io::Result<usize> {
+        let mut incoming = self.incoming.borrow_mut();
+        let count = self.next_transfer(bytes.len().min(incoming.len()))?;
+        incoming.copy_to_slice(&mut bytes[..count]);
+        match (count, self.broken) {
+            (0, Some(number)) => Err(error(number)),
+            _ => Ok(count),
+        }
+    }
+
+    fn try_write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
+        let whole: Vec<u8> = slices.iter().flat_map(|slice| slice.iter().copied()).collect();
+        let mut written = self.written.borrow_mut();
+        let count = self.next_transfer(whole.len().min(self.takes - written.len()))?;
+        written.extend_from_slice(&whole[..count]);
+        match (count, self.broken) {
+            (0, Some(number)) => Err(error(number)),
+            _ => Ok(count),
+        }
+    }
+}
+
+#[test]
+fn all_bytes_go_out_once_and_in_order() {
+    for seed in 0..SEEDS {
+        let stream = FaultyStream::new(seed, b"");
+        let mut bytes = (&b"the first part, "[..]).chain(&b"and the second"[..]);
+        block_on(socket::write_all(&stream, &mut bytes)).expect("it is written");
+        assert_eq!(*stream.written.borrow(), b"the first part, and the second", "seed {seed}");
+    }
+}
+
+#[test]
+fn a_connection_that_breaks_in_a_write_is_broken_whatever_it_says() {
+    for number in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE] {
+        for seed in 0..SEEDS {
+            let mut stream = FaultyStream::new(seed, b"");
+            (stream.takes, stream.broken) = (7, Some(number));
+            let mut bytes = &b"more than it takes"[..];
+            let written = block_on(socket::write_all(&stream, &mut bytes));
+            assert!(matches!(written, Err(SocketError::Broken(_))), "seed {seed}: {written:?}");
+            assert_eq!(*stream.written.borrow(), b"more th");
+            assert_eq!(bytes, b"an it takes", "what is left tells where it broke");
+        }
+    }
+}
+
+#[test]
+fn all_bytes_come_in_once_and_in_order() {
+    for seed in 0..SEEDS {
+        for broken in [None, Some(libc::ETIMEDOUT), Some(libc::EHOSTUNREACH)] {
+            let mut stream = FaultyStream::new(seed, b"what the peer says");
+            stream.broken = broken;
+            let (mut all, mut bytes) = (Vec::new(), [0; 64]);
+            let end = loop {
+                match block_on(socket::read(&stream, &mut bytes)) {
+                    Ok(0) => break None,
+                    Ok(count) => all.extend_from_slice(&bytes[..count]),
+                    Err(SocketError::Broken(cause)) => break cause.raw_os_error(),
+                    Err(other) => panic!("seed {seed}: {other:?}"),
+                }
+            };
+            assert_eq!(all, b"what the peer says", "seed {seed}");
+            assert_eq!(end, broken, "seed {seed}");
+        }
+    }
+}
+
+// A read that a signal interrupted was taken for a broken connection: of a client, and of a host.
+#[test]
+fn messages_of_clients_and_hosts_survive_interrupted_and_short_reads() {
+    let message = [&b"Q"[..], &9u32.to_be_bytes(), b"text\0"].concat();
+    let buffer = ReadBuffer::new();
+    for seed in 0..SEEDS {
+        let stream = FaultyStream::new(seed, &message);
+        let mut framer = Framer::default();
+        let message = loop {
+            match buffer.read(|bytes| stream.try_read(bytes), Some(&mut framer)) {
+                Ok(Some(0)) => panic!("seed {seed}: it ended"),
+                Ok(_) | Err(SocketError::OwnShortage(_)) => {}
+                Err(other) => panic!("seed {seed}: {other:?}"),
+            }
+            if let Some(message) = framer.message().expect("it makes sense") {
+                break message;
+            }
+        };
+        assert_eq!((message.kind(), message.body()), (b'Q', &b"text\0"[..]), "seed {seed}");
+    }
+}
+
+// An interrupted peek was taken for a closed connection; the connection rests and is whole.
+#[test]
+fn a_peek_that_is_interrupted_is_made_again() {
+    let cases: [(Result<usize, i32>, Unread); 7] = [
+        (Err(libc::EAGAIN), Unread::Nothing),
+        (Err(libc::ENOBUFS), Unread::Nothing),
+        (Err(libc::ENOMEM), Unread::Nothing),
+        (Ok(1), Unread::Bytes),
+        (Ok(0), Unread::End),
+        (Err(libc::ETIMEDOUT), Unread::End),
+        (Err(libc::EHOSTUNREACH), Unread::End),
+    ];
+    for (result, expected) in cases {
+        for interruptions in [0, 1, 7] {
+            let mut calls = 0;
+            let unread = socket::unread(|| {
+                calls += 1;
+                if calls <= interruptions {
+                    return Err(error(libc::EINTR));
+                }
+                result.map_err(error)
+            });
+            assert_eq!(unread, expected, "{result:?} after {interruptions} interruptions");
+        }
+    }
+}
+
+// An interrupted read ended the caller's connection without an answer.
+#[test]
+fn a_line_of_the_staff_survives_interrupted_and_short_reads() {
+    for seed in 0..SEEDS {
+        let stream = FaultyStream::new(seed, b"STATUS\nand no more of it");
+        let line = block_on(ops::line(&stream));
+        assert!(matches!(&line, Ok(line) if line == b"STATUS"), "seed {seed}");
+    }
+}
+
+// An interrupted read ended the watch, and with it what it was about to tell.
+#[test]
+fn a_list_of_discovery_survives_interrupted_and_short_reads() {
+    let list = r#"{"revision":7,"complete":true,"members":[]}"#;
+    let text =
+        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1);
+    for seed in 0..SEEDS {
+        let stream = FaultyStream::new(seed, text.as_bytes());
+        let (mut answer, clock) = (Answer::default(), Clock::start());
+        block_on(async {
+            while answer.texts.is_empty() {
+                let read = answer.read(&stream, clock).await;
+                read.unwrap_or_else(|over| panic!("seed {seed}: {}", over.text));
+            }
+        });
+        assert_eq!(answer.texts, [Text::Whole(format!("{list}\n").into())], "seed {seed}");
+    }
+}
+
+/// A stream that is always ready and moves one byte at a time, up to when something else had its turn.
+struct ReadyUntil<'a> {
+    other_ran: &'a Cell<bool>,
+    calls: Cell<u32>,
+}
+
+impl ReadyUntil<'_> {
+    fn next_transfer(&self) -> io::Result<usize> {
+        self.calls.set(self.calls.get() + 1);
+        assert!(self.calls.get() < 10_000, "nothing else gets a turn");
+        match self.other_ran.get() {
+            false => Ok(1),
+            true => Err(error(libc::ECONNRESET)),
+        }
+    }
+}
+
+impl ByteStream for ReadyUntil<'_> {
+    async fn readable(&self) -> io::Result<()> {
+        Ok(())
+    }
+
+    async fn writable(&self) -> io::Result<()> {
+        Ok(())
+    }
+
+    fn try_read(&self, _bytes: &mut [u8]) -> io::Result<usize> {
+        self.next_transfer()
+    }
+
+    fn try_write(&self, _slices: &[IoSlice<'_>]) -> io::Result<usize> {
+        self.next_transfer()
+    }
+}
+
+#[test]
+fn a_peer_that_is_always_ready_does_not_keep_others_from_their_turn() {
+    for writes in [false, true] {
+        let other_ran = Cell::new(false);
+        let stream = ReadyUntil { other_ran: &other_ran, calls: Cell::new(0) };
+        let transfer = async {
+            match writes {
+                true => socket::write_all(&stream, &mut &[0; 20_000][..]).await.expect_err("it breaks"),
+                false => loop {
+                    if let Err(broken) = socket::read(&stream, &mut [0; 8]).await {
+                        break broken;
+                    }
+                },
+            }
+        };
+        block_on(async { tokio::join!(transfer, async { other_ran.set(true) }) });
+    }
+}
