--- a/src/main.rs
+++ b/src/main.rs
@@ -14,6 +14,7 @@
 use petrelgauge::net::ops::Ops;
 use petrelgauge::net::read_buffer::ReadBuffer;
 use petrelgauge::net::signals::{Signals, Told};
+use petrelgauge::net::socket::{self, SocketError};
 use petrelgauge::Time;
 use petrelgauge_handover::company::Held;
 use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage};
@@ -22,7 +23,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
@@ -30,8 +31,8 @@
 const LOOK: Time = 10_000;
 /// Span after the start in which the staff is told that the list may be old, while discovery has not spoken yet.
 const LIST_PATIENCE: Time = 1_500_000;
-/// Connections that the kernel holds ready.
-const BACKLOG: u32 = 1024;
+/// Times that a start tries to listen while the machine lacks descriptors or memory (count).
+const LISTEN_ATTEMPTS: u32 = 500;
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
@@ -92,7 +93,10 @@
     let patience_until = clock.now() + LIST_PATIENCE;
     let mut reread: Result<Config, String> = Err(String::new());
     let (doors, door) = watch::channel(ServingState::Serving);
-    let listener = inherited.map_or_else(|| listen(config.listen), TcpListener::from_std);
+    let listener = match inherited {
+        Some(listener) => TcpListener::from_std(listener).map_err(|cause| cause.to_string()),
+        None => listen(config.listen).await.map_err(|cause| cause.to_string()),
+    };
     let listener = listener.map_err(|cause| format!("cannot listen: {cause}"))?;
     let (desk, mut asked) = mpsc::channel(MOST_CALLERS);
     let (discovery, moved) = watch::channel(config.discovery);
@@ -104,7 +108,7 @@
     let _desk = ops.desk.clone();
     if let Some(address) = config.ops {
         let listener =
-            listen(address).map_err(|cause| format!("ops: cannot listen at {address}: {cause}"))?;
+            listen(address).await.map_err(|cause| format!("ops: cannot listen at {address}: {cause}"))?;
         tasks.spawn_local(ops.accept(listener));
     }
     let seen = facade.clone();
@@ -216,12 +220,8 @@
     Ok(())
 }
 
-fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A gateway that starts again finds connections of its last run still winding up.
-    socket.set_reuseaddr(true)?;
-    socket.bind(address)?;
-    socket.listen(BACKLOG)
+async fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
+    socket::through_shortages(LISTEN_ATTEMPTS, || async { socket::listen(address) }).await
 }
 
 /// What this process may hold while it is the gateway's only one.
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -22,6 +22,10 @@
 const QUIET: Time = 100_000;
 const SLOW: Time = 20_000;
 const UNUSED: Time = 1_000_000;
+/// Times that a connection is tried while this machine lacks what it takes (count). Together the pauses are far shorter
+/// than the span that a connection is given to come up.
+const CONNECT_ATTEMPTS: u32 = 3;
+
 /// Where a host listens and since when it runs. A connection to another address or an earlier run is of no
 /// more use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -232,7 +236,8 @@
         }
         let slot = self.budget.take();
         self.counters.host_connects.add();
-        let stream = socket::connect(site.address).await.map_err(|error| after_failed_connect(&error))?;
+        let connected = socket::through_shortages(CONNECT_ATTEMPTS, || socket::connect(site.address)).await;
+        let stream = connected.map_err(|error| after_failed_connect(&error))?;
         let _ = stream.set_nodelay(true);
         let connection =
             Connection { stream, framer: Framer::default(), site, last: None, recent: false, _slot: slot };
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -10,16 +10,20 @@
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Pause before a read or write is repeated that failed for want of memory in the kernel.
+/// Pause before a call is repeated that failed for a shortage of this machine.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
+/// Connections that the kernel holds ready for a listener.
+const BACKLOG: u32 = 1024;
 /// Buffers that one write takes at most.
 const MAX_WRITE_SLICES: usize = 64;
 
 /// A system call on a socket. The same error number means different things to different calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
+    /// Creates a socket and listens on it.
+    Listen,
     /// Takes the next connection from a listener's backlog.
     Accept,
     /// Creates a socket and connects it.
@@ -47,7 +51,7 @@
     /// The peer did not take the connection: it refused, or its machine does not answer.
     #[error("{0}")]
     Unreachable(#[source] io::Error),
-    /// This one connection is over. A listener that reports it still works.
+    /// This one connection is over, or its address cannot be listened at. A listener that reports it still works.
     #[error("{0}")]
     Broken(#[source] io::Error),
 }
@@ -66,7 +70,7 @@
         (Call::Accept, number) if ends_accepted_connection(number) => SocketError::Broken(cause),
         // The listener itself may be at fault: repeated at once, it could take up the processor.
         (Call::Accept, _) => SocketError::OwnShortage(cause),
-        (Call::Read | Call::Write | Call::Peek, _) => SocketError::Broken(cause),
+        (Call::Listen | Call::Read | Call::Write | Call::Peek, _) => SocketError::Broken(cause),
     }
 }
 
@@ -77,7 +81,7 @@
         (io::ErrorKind::WouldBlock, _) => SocketError::WouldBlock,
         (_, Call::Accept) => SocketError::OwnShortage(cause),
         (_, Call::Connect) => SocketError::Unreachable(cause),
-        (_, Call::Read | Call::Write | Call::Peek) => SocketError::Broken(cause),
+        (_, Call::Listen | Call::Read | Call::Write | Call::Peek) => SocketError::Broken(cause),
     }
 }
 
@@ -123,6 +127,31 @@
     }
 }
 
+/// Makes a call again while a shortage of this machine lasts, so many times at most: some pass in a moment.
+pub async fn through_shortages<T, F>(attempts: u32, mut call: impl FnMut() -> F) -> Result<T, SocketError>
+where
+    F: Future<Output = Result<T, SocketError>>,
+{
+    for _ in 1..attempts {
+        match call().await {
+            Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
+            done => return done,
+        }
+    }
+    call().await
+}
+
+/// Listens at an address.
+pub fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
+    uninterrupted(Call::Listen, || {
+        let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+        // A gateway that starts again finds connections of its last run still winding up.
+        socket.set_reuseaddr(true)?;
+        socket.bind(address)?;
+        socket.listen(BACKLOG)
+    })
+}
+
 /// Where connections are accepted.
 pub trait Acceptor {
     /// An accepted connection.
@@ -249,7 +278,7 @@
     stream.try_write(&slices[..count])
 }
 
-/// Lets the kernel free memory before a read or write is repeated.
+/// Waits before a call is repeated that failed for a shortage of this machine.
 pub async fn pause_after_shortage() {
     tokio::time::sleep(SHORTAGE_PAUSE).await;
 }
--- a/tests/stage/source.rs
+++ b/tests/stage/source.rs
@@ -21,6 +21,8 @@
 pub enum Act {
     /// Writes these bytes.
     Say(Vec<u8>),
+    /// Writes these bytes in segments of one byte each.
+    SayBytesApart(Vec<u8>),
     /// Waits until the test says so.
     WaitForGo,
     /// Writes these bytes again and again, up to the connection's end.
@@ -88,6 +90,13 @@
             Act::Say(bytes) => {
                 let _ = stream.write_all(&bytes);
             }
+            Act::SayBytesApart(bytes) => {
+                stream.set_nodelay(true).expect("an option");
+                for byte in bytes {
+                    let _ = stream.write_all(&[byte]);
+                    thread::sleep(Duration::from_millis(1));
+                }
+            }
             Act::WaitForGo => go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on"),
             Act::Trickle(bytes) => while pause(1) && stream.write_all(&bytes).is_ok() {},
             Act::Beat => while stream.write_all(&chunk("\n")).is_ok() && pause(5) {},
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -56,7 +56,7 @@
 
 #[test]
 fn each_error_of_each_call_has_its_class() {
-    // In the order: accept, connect, read (and write and peek).
+    // In the order: accept, connect, read (and write, peek and listen).
     let table = [
         (libc::EINTR, [Interrupted; 3]),
         (libc::EAGAIN, [WouldBlock, OwnShortage, WouldBlock]),
@@ -82,7 +82,7 @@
         let cause = error(number);
         assert_eq!(class(Call::Accept, number), accept, "accept: {cause}");
         assert_eq!(class(Call::Connect, number), connect, "connect: {cause}");
-        for call in [Call::Read, Call::Write, Call::Peek] {
+        for call in [Call::Listen, Call::Read, Call::Write, Call::Peek] {
             assert_eq!(class(call, number), transfer, "{call:?}: {cause}");
         }
     }
@@ -131,6 +131,25 @@
     }
 }
 
+#[test]
+fn a_shortage_that_passes_in_a_moment_is_waited_for_and_no_other_failure_is() {
+    let play = |shortages: u32, last: Result<u32, i32>| {
+        let calls = Cell::new(0);
+        let done = block_on(socket::through_shortages(3, || {
+            calls.set(calls.get() + 1);
+            let result = if calls.get() <= shortages { Err(libc::ENOBUFS) } else { last };
+            std::future::ready(result.map_err(|number| classify(Call::Connect, error(number))))
+        }));
+        (done, calls.get())
+    };
+    for shortages in 0..3 {
+        assert!(matches!(play(shortages, Ok(7)), (Ok(7), calls) if calls == shortages + 1));
+    }
+    assert!(matches!(play(3, Ok(7)), (Err(SocketError::OwnShortage(_)), 3)));
+    assert!(matches!(play(0, Err(libc::EHOSTUNREACH)), (Err(SocketError::Unreachable(_)), 1)));
+    assert!(matches!(play(1, Err(libc::ETIMEDOUT)), (Err(SocketError::Unreachable(_)), 2)));
+}
+
 /// A stream whose calls fail or fall short by a schedule, before what it brings has ended and it breaks.
 struct FaultyStream {
     faults: RefCell<Pcg64Mcg>,
