--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,7 @@
 //! The gateway on sockets: PostgreSQL clients in front, database hosts behind, discovery beside.
 //! Nothing here decides anything; every decision comes from the [facade](crate::facade).
 
+pub mod accept_loop;
 pub mod attempt;
 pub mod budget;
 pub mod cancel;
@@ -30,5 +31,6 @@
 pub mod set;
 pub mod share_out;
 pub mod signals;
-mod source;
+pub mod socket;
+pub mod source;
 pub mod statement;
