--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -11,12 +11,11 @@
 //! | `router/primary.rs` | who is taken for the primary, and what only it may take |
 //! | `router/requests.rs` | the order in which requests wait, and how the router ends them |
 //! | `router/health.rs` | suspicion, probes, trials of silent members |
-//! | `router/health_index.rs` | which members a health check looks at |
 //! | `router/cold.rs` | the budget of a member that has just started |
 //! | `router/sends.rs` | the guards that every send must pass |
 //!
-//! `interface.rs` holds the words (settings, events, actions, endings), `state.rs` plain data, and `beliefs.rs` what of it
-//! one router can leave to the next; none of them decides.
+//! `interface.rs` holds the words (settings, events, actions, endings), `state.rs` plain data, `indexes.rs` which of it
+//! a step has to look at, and `beliefs.rs` what of it one router can leave to the next; none of them decides.
 //!
 //! Bounds: requests by what clients can hold open ([`Settings::most_open`]), members by the list and a minute more,
 //! samples by a fixed count for each member.
@@ -62,6 +61,7 @@
 //! ```
 
 mod beliefs;
+mod indexes;
 mod interface;
 mod mutant;
 mod router;
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -10,64 +10,60 @@
     }
 
     pub(super) fn watch_health(&mut self) {
-        if self.now - self.watched_at < self.brief / 8 {
+        let (now, silence, brief, soft) = (self.now, self.silence, self.brief, self.set.soft_removal);
+        if now - self.watched_at < brief / 8 {
             return;
         }
-        self.watched_at = self.now;
-        self.forget_members();
-        self.add_up_waits();
-        self.count_alive();
-        for id in self.health.to_check() {
-            self.check_member(id);
+        self.watched_at = now;
+        // A member that drops some of its work and answers the rest must not have its room held by what is
+        // lost. Covers lossy paths and hung requests of any kind; harms a crowded member by some more work.
+        self.indexes.begin_check(&mut self.members);
+        // Members are replaced for as long as a router runs.
+        self.forget_members(|member| member.standing != Standing::Gone || member.out > 0 || soft);
+        for out in self.outs.values() {
+            let Some(member) = self.members.get_mut(&out.member) else { continue };
+            self.indexes.await_member(out.member);
+            let (waited, aim) = (now - out.sent, self.set.classes[out.class].aim);
+            if member.heard > out.sent {
+                member.lost += (waited > share_of(aim, LOST)) as u32;
+            } else {
+                member.quiet = (member.quiet.0 + waited as f64 / aim as f64, member.quiet.1.max(waited));
+            }
         }
-        let members = &self.members;
-        self.health.in_doubt.retain(|id| members.get(id).is_some_and(|member| member.suspect || member.down));
-        let lost_lately = |member: &Member| self.now - member.lost_at < self.brief;
-        if self.now - self.health.newest_loss < self.brief && self.members.values().any(lost_lately) {
-            self.watch_zones();
+        if self.indexes.take_alive_outdated() {
+            self.alive = self.members.values().filter(|m| self.standing(m) && !m.down).count();
         }
-        self.probe_groups_without_primary();
-    }
-
-    /// Suspects a member that has been silent for long, and probes one in doubt.
-    fn check_member(&mut self, id: MemberId) {
-        let silence = self.silence;
-        let Some(member) = self.members.get_mut(&id) else { return };
-        // Nothing heard since several were sent says soon what one alone says after its aim; a crowded
-        // member is given longer. Covers what hangs or is cut off; harms one that pauses, for a moment.
-        let usual = share_of(self.brief, QUIET + QUIET_LOAD * member.load);
-        let (waits, longest) = member.quiet;
-        if self.set.may_probe {
-            member.suspect |= longest > silence;
-        } else if waits >= 1.0 && longest > usual && !member.suspect {
-            self.note(format!("member {id} is silent: {waits:.1} aims, {longest} us at the longest"));
-            self.fall_silent(id);
+        for id in self.indexes.members_to_check() {
+            let Some(member) = self.members.get_mut(&id) else { continue };
+            // Nothing heard since several were sent says soon what one alone says after its aim; a crowded
+            // member is given longer. Covers what hangs or is cut off; harms one that pauses, for a moment.
+            let usual = share_of(brief, QUIET + QUIET_LOAD * member.load);
+            let (waits, longest) = member.quiet;
+            if self.set.may_probe {
+                member.suspect |= longest > silence;
+            } else if waits >= 1.0 && longest > usual && !member.suspect {
+                self.note(format!("member {id} is silent: {waits:.1} aims, {longest} us at the longest"));
+                self.fall_silent(id);
+            }
+            let Some(member) = self.members.get(&id) else { continue };
+            self.indexes.note_doubt(id, member);
+            if member.suspect || member.down {
+                self.probe(id, if member.down { 2 * silence } else { silence / 4 });
+            }
         }
-        let Some(member) = self.members.get(&id) else { return };
-        let (suspect, down) = (member.suspect, member.down);
-        if suspect || down {
-            self.doubt(id);
-            self.probe(id, if down { 2 * silence } else { silence / 4 });
+        if self.indexes.lost_within(brief, now) && self.members.values().any(|m| now - m.lost_at < brief) {
+            self.watch_zones();
         }
-    }
-
-    /// Probes all members of groups in which requests wait that no primary can take.
-    fn probe_groups_without_primary(&mut self) {
-        let led = |group: &GroupId| self.primary(*group).is_some_and(|primary| self.well(primary));
-        let without = self.waiting_groups.iter().filter(|group| !led(group));
-        let asked: Vec<MemberId> = without.flat_map(|group| self.peers(*group)).copied().collect();
-        asked.into_iter().for_each(|id| self.probe(id, 2 * self.silence));
+        let led = |id: &GroupId| self.primary(*id).is_some_and(|p| self.well(p));
+        let lost = self.indexes.waiting_groups().into_iter().filter(|id| !led(id));
+        let asked: Vec<MemberId> = lost.flat_map(|id| self.peers(id)).copied().collect();
+        asked.into_iter().for_each(|id| self.probe(id, 2 * silence));
     }
 
     /// A lost zone would else be found out member by member, each by a request of its own at every router.
     pub(super) fn watch_zones(&mut self) {
-        let in_service = |member: &&Member| member.standing == Standing::Up;
-        let lost = self.members.values().filter(in_service).filter(|member| member.lost_at > member.heard);
-        if lost.count() < DARK {
-            return;
-        }
         let mut zones: BTreeMap<Arc<str>, (Time, Vec<Time>)> = BTreeMap::new();
-        for member in self.members.values().filter(in_service) {
+        for member in self.members.values().filter(|m| m.standing == Standing::Up) {
             let zone = zones.entry(member.zone.clone()).or_default();
             (zone.0, _) = (zone.0.max(member.heard), zone.1.push(member.lost_at));
         }
@@ -81,8 +77,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         (member.suspect, member.lost_at, member.strikes) = (true, self.now, member.strikes.max(SILENT_PAUSE));
         member.barred_until = self.now + (self.set.granularity << member.strikes);
-        self.health.newest_loss = self.now;
-        self.doubt(id);
+        self.indexes.note_doubt(id, member);
         self.abandon(id, |effect| effect == Effect::Safe);
     }
 
@@ -111,8 +106,7 @@
         if ending == Ending::Served {
             (member.heard, member.suspect) = (now, false);
             if member.down {
-                member.down = false;
-                self.health.alive_outdated = true;
+                self.indexes.set_down(id, member, false);
                 // It may have restarted unannounced: it counts as cold from now.
                 member.revived = now;
                 (member.credit, member.credited_at) = (chance, now);
@@ -120,9 +114,7 @@
                 self.note(format!("member {id} answers again"));
             }
         } else if matches!(ending, Ending::TimedOut | Ending::Unreached | Ending::Broken) && !member.down {
-            member.down = true;
-            self.health.alive_outdated = true;
-            self.health.in_doubt.insert(id);
+            self.indexes.set_down(id, member, true);
             member.lags.clear();
             member.sojourns.clear();
             self.note(format!("member {id} does not answer, nothing new goes there"));
--- a/crates/policy/src/router/list.rs
+++ b/crates/policy/src/router/list.rs
@@ -6,24 +6,21 @@
     pub(super) fn list(&mut self, whole: bool, entries: &[Entry]) {
         if whole {
             let named: BTreeSet<MemberId> = entries.iter().map(|e| e.member).collect();
-            let unnamed = self.members.iter_mut().filter(|(id, _)| !named.contains(id));
-            let (health, checked_at) = (&mut self.health, self.watched_at);
-            unnamed.for_each(|(id, member)| health.set_standing(*id, member, Standing::Gone, checked_at));
+            let unnamed: Vec<_> = self.members.keys().filter(|id| !named.contains(id)).copied().collect();
+            unnamed.into_iter().for_each(|id| self.set_standing(id, Standing::Gone));
         }
         for entry in entries {
             match self.members.get_mut(&entry.member) {
                 // An old list that comes again wipes nothing that is newer.
                 Some(member) if member.started > entry.started => continue,
-                Some(member) if member.started == entry.started => {
-                    self.health.set_standing(entry.member, member, entry.standing, self.watched_at);
-                }
+                Some(member) if member.started == entry.started => {}
                 known => {
                     let (out, replica_at) = known.map_or((0, 0), |known| (known.out, known.replica_at));
-                    let mut member = Member { out, replica_at, credit: self.chance(), ..self.blank(entry) };
-                    self.health.set_standing(entry.member, &mut member, entry.standing, self.watched_at);
+                    let member = Member { out, replica_at, credit: self.chance(), ..self.blank(entry) };
                     self.members.insert(entry.member, member);
                 }
             }
+            self.set_standing(entry.member, entry.standing);
             let group = self.groups.entry(entry.group).or_default();
             if !group.members.contains(&entry.member) {
                 group.members.push(entry.member);
@@ -40,8 +37,6 @@
             group: entry.group,
             zone: entry.zone.as_str().into(),
             weight: if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 },
-            standing: entry.standing,
-            drained: entry.standing == Standing::Draining,
             started: entry.started,
             // The list is the weakest evidence: anything a member says outweighs it.
             primary_at: named as Time,
@@ -134,16 +129,11 @@
                 // A refusal comes at once and tells of a process; what hangs tells of its machine.
                 Ending::Unreached | Ending::Broken => {
                     member.suspect |= member.strikes > 0;
-                    if *took > self.brief / 16 {
-                        member.lost_at = now;
-                        self.health.newest_loss = now;
-                    }
+                    member.lost_at = if *took > self.brief / 16 { now } else { member.lost_at };
                 }
                 _ => {}
             }
-            if member.suspect {
-                self.health.in_doubt.insert(*id);
-            }
+            self.indexes.note_doubt(*id, member);
             // A limit of a tenth of an attempt is one attempt, and a pause nine times as long.
             let pause =
                 aim * aims.max(member.load).clamp(TARGET, 3.0) * (1.0 / (member.limit * part) - 1.0).max(0.0);
@@ -166,11 +156,9 @@
             tried.refused_at = if *ending == Ending::CalledOff { tried.refused_at } else { now };
             tried.reached = !matches!(ending, Ending::Unreached | Ending::NotSent);
         }
-        self.schedule_end(seq);
         if *closed || *ending == Ending::Served {
             return self.close(seq);
         }
-        let Some(req) = self.requests.get(&seq) else { return };
         if req.is_out() {
             return;
         }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -3,17 +3,16 @@
 
 mod cold;
 mod health;
-mod health_index;
 mod list;
 mod pick;
 mod primary;
 mod requests;
 mod sends;
 
+use crate::indexes::Indexes;
 use crate::interface::*;
 use crate::mutant::{mutant, Mutant::*};
 use crate::state::*;
-use health_index::HealthIndex;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -79,7 +78,7 @@
 const QUIET: f64 = 0.3;
 const QUIET_LOAD: f64 = 6.0;
 /// Span after which a member that is gone is forgotten (microseconds): no list that old may name it again.
-const FORGOTTEN: Time = 60_000_000;
+pub(crate) const FORGOTTEN: Time = 60_000_000;
 /// Share of what clients can hold open that may be held here: the rest is for those yet to come (fraction).
 const OPEN_SHARE: f64 = 0.85;
 
@@ -93,11 +92,7 @@
     pub(crate) now: Time,
     pub(crate) members: BTreeMap<MemberId, Member>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
-    /// The groups in which requests wait: as many as there are groups and open requests at most.
-    waiting_groups: BTreeSet<GroupId>,
     requests: BTreeMap<u64, Request>,
-    /// When each open request ends, if nothing happens to it before.
-    ends: BTreeSet<(Time, u64)>,
     names: BTreeMap<RequestId, u64>,
     outs: BTreeMap<(RequestId, u32), Out>,
     next: u64,
@@ -117,8 +112,8 @@
     alive: usize,
     /// What all members showed lately, as `Member::sojourns`.
     pub(crate) sojourns: Samples<f64>,
-    watched_at: Time,
-    health: HealthIndex,
+    pub(crate) watched_at: Time,
+    pub(crate) indexes: Indexes,
     /// Time that reads and writes lately took at members.
     pub(crate) work: [f64; 2],
     /// Share of the least worthy reads that is refused unsent.
@@ -150,29 +145,10 @@
         self.brief = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
         self.part = (FEW / settings.routers as f64).powf(RARE).min(1.0);
         self.set = settings;
-        // Who counts as in service may depend on them.
-        self.health.alive_outdated = true;
-        self.requests.keys().copied().collect::<Vec<_>>().into_iter().for_each(|seq| self.schedule_end(seq));
+        self.indexes.outdate_alive();
         Ok(())
     }
 
-    /// Brings what is derived from members and groups in line with them, when all of them have changed.
-    pub(crate) fn rebuild_indexes(&mut self) {
-        self.prune_groups();
-        self.health = HealthIndex::of(&self.members);
-        let waiting = self.groups.iter().filter(|(_, state)| !state.waiting.is_empty());
-        self.waiting_groups = waiting.map(|(group, _)| *group).collect();
-    }
-
-    /// When a member was last known to be in service or to have something out.
-    pub(crate) fn last_named(&self, id: MemberId, member: &Member) -> Time {
-        if self.health.delisted.contains(&id) {
-            member.named
-        } else {
-            member.named.max(self.watched_at)
-        }
-    }
-
     /// Takes one batch of events, all at `now`, and appends what is to be done.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
@@ -197,8 +173,7 @@
         self.watch_health();
         self.expire();
         self.give_way();
-        let waiting: Vec<GroupId> = self.waiting_groups.iter().copied().collect();
-        waiting.into_iter().for_each(|group| self.pump(group));
+        self.indexes.waiting_groups().into_iter().for_each(|group| self.pump(group));
         if !self.ticking && !self.requests.is_empty() {
             self.ticking = true;
             self.actions.push(Action::Timer { token: 0, at: now + 2 * self.set.granularity });
--- a/crates/policy/src/router/requests.rs
+++ b/crates/policy/src/router/requests.rs
@@ -42,25 +42,9 @@
             ..Request::default()
         };
         self.requests.insert(seq, state);
-        self.schedule_end(seq);
         self.enqueue(*group, seq);
     }
 
-    /// The request waits in its group from now on.
-    pub(super) fn enqueue(&mut self, group: GroupId, seq: u64) {
-        self.groups.entry(group).or_default().waiting.insert(seq);
-        self.waiting_groups.insert(group);
-    }
-
-    /// The request no longer waits in its group.
-    pub(super) fn dequeue(&mut self, group: GroupId, seq: u64) {
-        let Some(state) = self.groups.get_mut(&group) else { return };
-        state.waiting.remove(&seq);
-        if state.waiting.is_empty() {
-            self.waiting_groups.remove(&group);
-        }
-    }
-
     /// Worth for each unit of work, judged now.
     pub(super) fn density(&self, req: &Request) -> f64 {
         let class = &self.set.classes[req.class];
@@ -99,37 +83,22 @@
         req.attempts.iter().any(|a| a.member == id && self.now - a.refused_at < pause)
     }
 
-    /// Ends the requests whose time is over, in the order in which they came.
     pub(super) fn expire(&mut self) {
-        let over = self.ends.iter().take_while(|(at, _)| *at <= self.now);
-        let ended: BTreeSet<u64> = over.map(|(_, seq)| *seq).collect();
-        ended.into_iter().for_each(|seq| self.finish(seq));
-    }
-
-    /// When the router ends a request to which nothing more happens.
-    fn end_of(&self, req: &Request) -> Time {
-        let class = &self.set.classes[req.class];
-        // Never sent by half its time, it has little hope here; its client still has time to retry.
-        let unsent = req.attempts.iter().all(|a| !a.out && !a.reached);
-        let end = if unsent { req.half.min(req.end) } else { req.end };
-        let given_up = end.saturating_sub(2 * self.set.granularity);
-        // What is out is not given up for being late: its work goes on, and its client would come again.
-        if req.is_out() {
-            return given_up;
+        let mut ended = Vec::new();
+        for (seq, req) in &self.requests {
+            let class = &self.set.classes[req.class];
+            // What is out is not given up for being late: its work goes on, and its client would come again.
+            let safe = class.effect == Effect::Safe && class.late_share <= 0.0;
+            let worthless = safe && self.now >= req.born + share_of(class.aim, HOPE);
+            let spent = req.is_spent(class, self.now + self.set.granularity);
+            // Never sent by half its time, it has little hope here; its client still has time to retry.
+            let unsent = req.attempts.iter().all(|a| !a.out && !a.reached);
+            let end = if unsent { req.half.min(req.end) } else { req.end };
+            if self.now + 2 * self.set.granularity >= end || !req.is_out() && (worthless || spent) {
+                ended.push(*seq);
+            }
         }
-        let late_is_worthless = class.effect == Effect::Safe && class.late_share <= 0.0;
-        let worthless = if late_is_worthless { req.born + share_of(class.aim, HOPE) } else { Time::MAX };
-        let spent = req.spent_from(class).saturating_sub(self.set.granularity);
-        given_up.min(worthless).min(spent)
-    }
-
-    /// Notes anew when a request ends: it has come, or something has happened to it.
-    pub(super) fn schedule_end(&mut self, seq: u64) {
-        let Some(req) = self.requests.get(&seq) else { return };
-        let (before, ends_at) = (req.ends_at, self.end_of(req));
-        self.ends.remove(&(before, seq));
-        self.ends.insert((ends_at, seq));
-        self.requests.entry(seq).and_modify(|req| req.ends_at = ends_at);
+        ended.into_iter().for_each(|seq| self.finish(seq));
     }
 
     /// Clients hold only so many connections: with all of them in use the next request reaches nobody. What
@@ -182,7 +151,6 @@
     pub(super) fn forget(&mut self, seq: u64) {
         let Some(req) = self.requests.remove(&seq) else { return };
         self.names.remove(&req.id);
-        self.ends.remove(&(req.ends_at, seq));
         self.dequeue(req.group, seq);
     }
 
--- a/crates/policy/src/router/sends.rs
+++ b/crates/policy/src/router/sends.rs
@@ -16,7 +16,7 @@
         let Some(member) = self.members.get(&id) else { return false };
         let class = &self.set.classes[req.class];
         // Rule 1: only an open request, and only while its client waits. No key is used behind its window.
-        let in_time = self.now < req.end && req.spent_from(class) > self.now + self.set.granularity;
+        let in_time = self.now < req.end && !req.is_spent(class, self.now + self.set.granularity);
         // Rule 2: no second effect, no second copy where there may be none.
         let alone = self.set.may_overlap || mutant(SecondCopy) || !req.is_out();
         let repeatable = match (class.effect, req.first_run()) {
@@ -52,7 +52,7 @@
 
     pub(super) fn send(&mut self, seq: u64, id: MemberId) {
         let Some(req) = self.requests.get(&seq).filter(|req| self.allowed(req, id)) else { return };
-        let (now, request, class, end) = (self.now, req.id.clone(), req.class, req.end);
+        let (now, request, class, group, end) = (self.now, req.id.clone(), req.class, req.group, req.end);
         let place = req.attempts.len() as u32;
         let credit = self.members.get(&id).map_or(0.0, |member| self.cold_credit(member)) - 1.0;
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -70,11 +70,9 @@
         member.out += 1;
         if let Some(req) = self.requests.get_mut(&seq) {
             req.attempts.push(Attempt { member: id, sent: now, out: true, ..Attempt::default() });
-            let group = req.group;
             if !mutant(SecondCopy) {
                 self.dequeue(group, seq);
             }
-            self.schedule_end(seq);
         }
         self.actions.push(Action::Send { request, member: id, until });
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -116,8 +116,6 @@
     /// Commit that its data must hold.
     pub(crate) mark: Option<Time>,
     pub(crate) attempts: Vec<Attempt>,
-    /// When the router ends it, if nothing happens to it before.
-    pub(crate) ends_at: Time,
 }
 
 impl Request {
@@ -131,18 +129,16 @@
         self.attempts.iter().find(|attempt| attempt.out || attempt.may_have_run)
     }
 
-    /// From then on no further attempt can follow: all are spent, or the window of its key has closed, which an attempt
-    /// opened that may have run.
-    pub(crate) fn spent_from(&self, class: &Class) -> Time {
-        if self.attempts.len() >= class.attempts as usize {
-            return Time::MIN;
-        }
-        match (class.effect, self.first_run()) {
+    /// By then no further attempt can follow: all are spent, or the window of its key has closed, which an attempt opened
+    /// that may have run.
+    pub(crate) fn is_spent(&self, class: &Class, by: Time) -> bool {
+        let closes = match (class.effect, self.first_run()) {
             (Effect::Keyed { window, .. }, Some(first)) if !mutant(WindowIgnored) => {
                 first.sent.saturating_add(window)
             }
             _ => Time::MAX,
-        }
+        };
+        closes <= by || self.attempts.len() >= class.attempts as usize
     }
 }
 
