--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -216,3 +216,12 @@
         assert_eq!(broken(again), BTreeSet::new());
     }
 }
+
+#[test]
+fn a_host_whose_start_only_some_routers_have_heard_of_is_not_sent_more_than_its_budget() {
+    for host in [PRIMARY, REPLICA] {
+        for load in [0.3, 0.6, 0.9] {
+            assert_eq!(broken(|case| Case { host, load, hears: 2, ..case }), BTreeSet::new());
+        }
+    }
+}
