--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -26,6 +26,8 @@
     Cancelled,
     /// The client left.
     Left,
+    /// The client sent malformed bytes behind it, and the time for an answer before the connection ends is over.
+    GraceOver,
 }
 
 /// How it ended.
@@ -50,6 +52,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestState {
     out: bool,
+    /// An attempt was made.
+    attempted: bool,
     ended: Option<FinalAnswer>,
 }
 
@@ -65,7 +69,7 @@
             return None;
         }
         match event {
-            Event::Ordered => self.out = true,
+            Event::Ordered => (self.out, self.attempted) = (true, true),
             Event::Returned { owed } => {
                 self.out = false;
                 self.ended = owed.then_some(FinalAnswer::Given);
@@ -74,6 +78,9 @@
             Event::Failed => self.ended = Some(FinalAnswer::Failed),
             Event::Cancelled => self.ended = Some(FinalAnswer::Cancelled),
             Event::Left => self.ended = Some(FinalAnswer::Withdrawn),
+            // It may have had an effect only if it was attempted.
+            Event::GraceOver if self.attempted => self.ended = Some(FinalAnswer::Failed),
+            Event::GraceOver => self.ended = Some(FinalAnswer::Refused { wait: 0 }),
         }
         self.ended
     }
--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -163,6 +163,11 @@
         }
     }
 
+    /// Malformed bytes came behind the open query, and the time for its answer is over.
+    pub(super) fn is_grace_over(&self) -> bool {
+        self.error.is_some_and(|(_, by)| self.clock.now() >= by)
+    }
+
     /// Reads and forgets until the client leaves.
     pub(super) async fn discard(&mut self) {
         while self.read().await.is_ok() {
@@ -201,16 +206,14 @@
         self.hold.give_reserve();
         loop {
             self.cut();
-            match self.error {
-                Some((error, by)) if self.queue.is_empty() || self.clock.now() >= by => {
-                    return Ok(Err(error))
-                }
-                _ => {}
-            }
+            // What came whole before an error is answered first.
             if let Some((message, at)) = self.queue.pop_front() {
                 self.ahead.on_taken(weight(&message));
                 return Ok(Ok((message, at)));
             }
+            if let Some((error, _)) = self.error {
+                return Ok(Err(error));
+            }
             self.read().await?;
         }
     }
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -196,7 +196,7 @@
     async fn decide(&mut self, taken: &Taken) -> Result<RequestEnd, End> {
         let front = self.front.clone();
         front.counters.requests.add();
-        if self.late() {
+        if self.late() || self.reader.is_grace_over() {
             return Ok(RequestEnd::Refused { wait: 0 });
         }
         let mut ticket = front.facade.admit(taken.request.clone());
@@ -222,10 +222,13 @@
                     Decision::Fail => Event::Failed,
                 },
                 () = self.cancel_key.cancelled() => Event::Cancelled,
-                end = self.reader.left() => {
-                    left = end;
-                    Event::Left
-                }
+                end = self.reader.left() => match self.flawed(end) {
+                    true => Event::GraceOver,
+                    false => {
+                        left = end;
+                        Event::Left
+                    }
+                },
             };
             match (state.on(event), given.take()) {
                 (None, _) => {}
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -8,7 +8,7 @@
 use crate::net::pg::{self, Severity};
 use crate::Time;
 use bytes::Buf;
-use petrelgauge_lifecycle::client::{Action, Client, Event, Stage, Used};
+use petrelgauge_lifecycle::client::{Action, Client, Event, Stage};
 use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_sessions::SessionTokens;
 use socket2::SockRef;
@@ -62,8 +62,6 @@
                 let (text, at) = event.query.unwrap_or_default();
                 let event = match self.query(text, at).await {
                     Ok(used) => Event::Answered(used),
-                    // Its time to be answered is over, and so are those behind it.
-                    Err(end) if self.flawed(end) => Event::Answered(Used::Request),
                     Err(end) => Event::Left(end),
                 };
                 action = life.on(clock.now(), event);
@@ -165,7 +163,7 @@
     }
 
     /// The connection is to end so, since what came on it made no sense.
-    fn flawed(&self, end: End) -> bool {
+    pub(super) fn flawed(&self, end: End) -> bool {
         self.reader.error.is_some_and(|(error, _)| error.end == end)
     }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -277,10 +277,12 @@
     for client in [&mut silent, &mut half_a_startup, &mut idle, &mut copying] {
         assert_eq!(kinds(&client.rest()), "");
     }
-    for client in [&mut half, &mut behind] {
-        let last = client.rest();
-        assert_eq!((kinds(&last).as_str(), field(&last[0].1, b'C').as_str()), ("E", "08P01"));
-    }
+    let last = half.rest();
+    assert_eq!((kinds(&last).as_str(), field(&last[0].1, b'C').as_str()), ("E", "08P01"));
+    // The query before the malformed bytes gets its final answer first.
+    let last = behind.rest();
+    assert_eq!(kinds(&last), "EZE");
+    assert_eq!((field(&last[0].1, b'C').as_str(), field(&last[2].1, b'C').as_str()), ("40003", "08P01"));
     // What was asked before the flaw goes nowhere any more.
     host.next_query();
     host.left();
