--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -175,6 +175,11 @@
         }
     }
 
+    /// Waits until the client has closed its side, without reading.
+    pub(super) async fn closed(&self) {
+        closed(&self.reader).await;
+    }
+
     /// Cuts what was read into messages, as many as may be queued.
     fn cut(&mut self) {
         while self.error.is_none() && self.ahead.may_queue() {
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -19,7 +19,8 @@
 
 /// Span after a request's end in which its client must have taken the answer (microseconds).
 const TAKING: Time = 2_000_000;
-/// Span in which a client that is cut off may send to the end and read the reason (microseconds).
+/// Span in which a client that is cut off may send to the end and read the reason, and in which one that is closed for
+/// the stop may take its last answer (microseconds).
 const LINGER: Time = 1_000_000;
 /// While clients are being closed: span after its coming in which a client that has asked for nothing yet is left to
 /// (microseconds), since its first query may be on its way.
@@ -68,7 +69,12 @@
             }
             match action {
                 Action::Wait | Action::Answer | Action::Pause { .. } => continue,
-                Action::Close(end) => return Ok(end),
+                Action::Close(end) => {
+                    if end == End::Stopped {
+                        self.wait_for_close().await;
+                    }
+                    return Ok(end);
+                }
                 Action::CutOff { unfinished: true, .. } => return self.cut_off(UNFINISHED).await,
                 Action::CutOff { .. } => return self.cut_off(event.error.unwrap_or(UNKNOWN)).await,
                 Action::Decline => out.push(b'N'),
@@ -186,6 +192,21 @@
         Ok(error.end)
     }
 
+    /// Closes the write half and waits until the client has closed too, so that an answer that it has not taken to the
+    /// end is not lost to the reset that bytes of it cause once the socket is closed. Nothing more is read: a query
+    /// that was read here would have no answer, and one that was not is sent again to another gateway.
+    async fn wait_for_close(&mut self) {
+        let _ = self.writer.shutdown().await;
+        let now = self.front.clock.now();
+        let by = (now + LINGER).min(self.front.last.get());
+        let _idle = self.front.budget.idle(Idleness::CutOff, now, &self.shed);
+        tokio::select! {
+            () = self.reader.closed() => {}
+            () = self.shed.notified() => {}
+            () = self.front.clock.sleep_until(by) => {}
+        }
+    }
+
     /// Writes all of it, or ends the connection of a client that does not take it.
     pub(super) async fn write(&mut self, mut bytes: impl Buf, end: Time) -> Result<(), End> {
         // A request that waited behind others may end long after its time.
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -47,3 +47,29 @@
     assert_eq!(kinds(&answers), "TDCZTDCZE");
     assert_eq!(codes(&answers), ["08P01"]);
 }
+
+// The gateway closed as soon as it had written. A query that then came reset the connection, and the part of the answer
+// that the client had not yet taken was lost with it.
+#[test]
+fn an_answer_that_is_taken_slowly_outlives_the_stop_and_a_query_behind_it() {
+    static VALUE: [u8; 60_000] = [b'v'; 60_000];
+    let stage = Stage::new(242);
+    let host = stage.host(vec![Say::WaitForGo(&VALUE)]);
+    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let (mut idle, mut client) = (gateway.client(), gateway.narrow_client());
+    client.write(&identified("1", 25_000));
+    host.next_query();
+    gateway.signal("TERM");
+    assert_eq!(kinds(&idle.rest()), "", "from now on clients are closed");
+    host.go();
+    // By the clock: the answer is written, and the connection closed for writing.
+    std::thread::sleep(std::time::Duration::from_millis(200));
+    client.write(&identified("2", 25_000));
+    let answer = client.rest();
+    assert_eq!(kinds(&answer), "TDCZ");
+    assert!(answer[1].1.ends_with(&VALUE));
+    drop(client);
+    let (code, log) = gateway.ended();
+    assert_eq!(code, Some(0), "{log}");
+    assert!(log.contains("requests=1 served=1 "), "the second was not read: {log}");
+}
--- a/tests/stage/gateway.rs
+++ b/tests/stage/gateway.rs
@@ -62,6 +62,22 @@
         Client::admitted(self.address.parse().expect("an address"))
     }
 
+    /// One that is admitted, and whose socket holds little that it has not read.
+    pub fn narrow_client(&self) -> Client {
+        const LITTLE: usize = 4 * 1024;
+        let address: SocketAddr = self.address.parse().expect("an address");
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+        socket.set_recv_buffer_size(LITTLE).expect("an option");
+        socket.connect(&address.into()).expect("it accepts");
+        let stream = TcpStream::from(socket);
+        stream.set_read_timeout(Some(NEVER)).expect("a limit");
+        let mut client = Client(stream, address);
+        client.write(&startup());
+        client.until_ready();
+        client
+    }
+
     /// Replaces its configuration and tells it so.
     pub fn configure(&self, config: &str) {
         std::fs::write(config_path(&self.address), config).expect("a place to write");
