--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -73,3 +73,77 @@
     assert_eq!(code, Some(0), "{log}");
     assert!(log.contains("requests=1 served=1 "), "the second was not read: {log}");
 }
+
+/// Whether the query that came with the startup message had its final answer. One that had none was not read: the
+/// kernel resets a connection that is closed over unread bytes.
+fn was_answered(client: &mut Client) -> bool {
+    let (messages, reset) = client.rest_and_reset();
+    let kinds = kinds(&messages);
+    let answered = kinds.ends_with("TDCZ") || kinds.ends_with("EZ");
+    assert!(answered || reset, "read and closed without an answer: {kinds}");
+    answered
+}
+
+// What a connection brings in its first segment may be read just before the decision to close it.
+#[test]
+fn a_query_in_one_segment_with_the_startup_message_is_answered_or_not_read_while_the_gateway_stops() {
+    const CLIENTS: usize = 150;
+    let stage = Stage::new(243);
+    let host = stage.host((0..CLIENTS).map(|_| Say::Row(b"v")).collect());
+    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let mut clients = Vec::new();
+    for number in 0..CLIENTS {
+        if number == 20 {
+            gateway.signal("TERM");
+        }
+        let Some(mut client) = gateway.try_client() else { break };
+        let _ = client.try_write(&[startup(), identified(&format!("{number:x}"), 25_000)].concat());
+        clients.push(client);
+        std::thread::sleep(std::time::Duration::from_millis(5));
+    }
+    assert!(clients.len() < CLIENTS, "the listener is closed in the end");
+    let answered = clients.iter_mut().map(was_answered).filter(|answered| *answered).count();
+    assert!(answered >= 20, "{answered}");
+    drop(clients);
+    let (code, log) = gateway.ended();
+    assert_eq!(code, Some(0), "{log}");
+    assert!(log.contains(&format!("requests={answered} ")), "{answered} answers: {log}");
+}
+
+#[test]
+fn a_query_in_one_segment_with_the_startup_message_is_answered_or_not_read_while_clients_are_shed() {
+    const CLIENTS: usize = 60;
+    let stage = Stage::new(244).sockets(50);
+    let host = stage.host((0..CLIENTS).map(|_| Say::Row(b"v")).collect());
+    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let idle: Vec<Client> = (0..30).map(|_| gateway.raw_client()).collect();
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.raw_client()).collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        let _ = client.try_write(&[startup(), identified(&format!("{number:x}"), 2_000)].concat());
+    }
+    let answered = clients.iter_mut().map(was_answered).filter(|answered| *answered).count();
+    assert!(answered > 0);
+    gateway.signal("TERM");
+    drop((idle, clients));
+    let (code, log) = gateway.ended();
+    assert_eq!(code, Some(0), "{log}");
+    assert!(log.contains(&format!("requests={answered} ")), "{answered} answers: {log}");
+}
+
+// The second query was read with the startup message, long before the gateway began to close its clients.
+#[test]
+fn queries_in_one_segment_with_the_startup_message_are_all_answered_in_a_stop() {
+    let stage = Stage::new(245);
+    let host = stage.host(vec![Say::WaitForGo(b"one"), Say::Row(b"two")]);
+    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let (mut idle, mut client) = (gateway.client(), gateway.raw_client());
+    client.write(&[startup(), identified("1", 25_000), identified("2", 25_000)].concat());
+    host.next_query();
+    gateway.signal("TERM");
+    assert_eq!(kinds(&idle.rest()), "", "from now on clients are closed");
+    host.go();
+    client.until_ready();
+    assert_eq!(kinds(&client.rest()), "TDCZTDCZ");
+    drop(client);
+    assert_eq!(gateway.ended().0, Some(0));
+}
--- a/tests/stage/gateway.rs
+++ b/tests/stage/gateway.rs
@@ -78,6 +78,14 @@
         client
     }
 
+    /// A connection, if the gateway still listens.
+    pub fn try_client(&self) -> Option<Client> {
+        let address: SocketAddr = self.address.parse().expect("an address");
+        let stream = TcpStream::connect(address).ok()?;
+        stream.set_read_timeout(Some(NEVER)).expect("a limit");
+        Some(Client(stream, address))
+    }
+
     /// Replaces its configuration and tells it so.
     pub fn configure(&self, config: &str) {
         std::fs::write(config_path(&self.address), config).expect("a place to write");
@@ -201,6 +209,11 @@
         self.0.write_all(bytes).expect("it is read");
     }
 
+    /// Writes to a connection that may have been closed.
+    pub fn try_write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
+        self.0.write_all(bytes)
+    }
+
     /// Writes in a thread of its own: what the gateway does not read may not fit into the sockets.
     pub fn write_behind(&self, bytes: Vec<u8>) -> thread::JoinHandle<std::io::Result<()>> {
         let mut stream = self.0.try_clone().expect("a second handle");
@@ -247,6 +260,14 @@
         std::iter::from_fn(|| read_message(&mut self.0)).collect()
     }
 
+    /// What comes until the connection ends, and whether it ended with a reset.
+    pub fn rest_and_reset(&mut self) -> (Vec<(u8, Vec<u8>)>, bool) {
+        let mut bytes = Vec::new();
+        let ended = self.0.read_to_end(&mut bytes);
+        let mut unread = &bytes[..];
+        (std::iter::from_fn(|| read_message(&mut unread)).collect(), ended.is_err())
+    }
+
     /// Asks as the protocol's clients do: where the gateway closed the connection before it read the
     /// query, once more over a new one.
     pub fn ask(&mut self, text: &str) -> Vec<(u8, Vec<u8>)> {
