--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -22,6 +22,9 @@
 pub const WHOLE_NEW: Time = 2_500_000;
 /// The same for a client that has been served.
 pub const WHOLE: Time = 6_000_000;
+/// Span without a further byte of a message that has begun after which a client is cut off (microseconds): one that is
+/// slow goes on, and one that stays without going on is owed an error within 3 s.
+pub const STALLED: Time = 2_500_000;
 /// Pause after a statement that could not be used before the next is read, doubled for each in a row up to the longest
 /// (microseconds): a client that sends the same again at once must not cost the others time.
 pub const FIRST_PAUSE: Time = 1_000;
@@ -133,12 +136,12 @@
         /// Something lies there unread.
         unread: bool,
     },
-    /// The time that [`Client::due`] named has come; `begun`: a message has begun and is not whole.
+    /// The time that [`Client::due`] named has come.
     Due {
         /// Something lies there unread.
         unread: bool,
-        /// A part of a message is there.
-        begun: bool,
+        /// When the last part of a message that has begun and is not complete came, if there is one.
+        partial_at: Option<Time>,
     },
 }
 
@@ -260,12 +263,14 @@
             (Stage::Opening, Event::Due { unread: false, .. }) => Action::Close(End::ClientSilent),
 
             (Stage::Idle, Event::Message(kind)) => self.message(now, kind),
-            (Stage::Idle, Event::Due { unread: false, begun }) => match begun {
-                false => Action::Close(End::ClientIdle),
-                true if now >= self.whole_by => Action::CutOff { unknown: false, unfinished: true },
-                true => {
-                    self.idle_by = self.whole_by;
-                    Action::Wait
+            (Stage::Idle, Event::Due { unread: false, partial_at }) => match partial_at {
+                None => Action::Close(End::ClientIdle),
+                Some(at) => {
+                    self.idle_by = self.whole_by.min(at + STALLED);
+                    match now >= self.idle_by {
+                        true => Action::CutOff { unknown: false, unfinished: true },
+                        false => Action::Wait,
+                    }
                 }
             },
 
--- a/crates/lifecycle/src/read_ahead.rs
+++ b/crates/lifecycle/src/read_ahead.rs
@@ -116,6 +116,11 @@
         !self.drained
     }
 
+    /// The time of the last read.
+    pub fn last_read(&self) -> Time {
+        self.last_read
+    }
+
     /// The earliest time at which the message that is cut off next can have come whole.
     pub fn arrived(&self) -> Time {
         self.arrived
--- /dev/null
+++ b/crates/lifecycle/tests/client.rs
@@ -0,0 +1,43 @@
+//! When a client that is between two queries is closed, and when one that does not complete a message is.
+
+use petrelgauge_lifecycle::client::{Action, Client, Event, Kind, Used, WHOLE};
+use petrelgauge_policy::Time;
+
+const SECOND: Time = 1_000_000;
+
+/// A client that has had an answer at this time.
+fn served(at: Time) -> Client {
+    let mut client = Client::new(at);
+    client.on(at, Event::Opened);
+    client.on(at, Event::Message(Kind::Query));
+    client.on(at, Event::Answered(Used::Request));
+    client
+}
+
+/// Plays a client that sends a part of a message at each of these times; gives when it is cut off.
+fn cut_off_at(client: &mut Client, parts: &[Time]) -> Time {
+    for _ in 0..100 {
+        let now = client.due();
+        let partial_at = parts.iter().copied().filter(|at| *at <= now).next_back();
+        match client.on(now, Event::Due { unread: false, partial_at }) {
+            Action::Wait => {}
+            Action::CutOff { unfinished: true, .. } => return now,
+            other => panic!("{other:?} at {now}"),
+        }
+    }
+    panic!("it is never cut off");
+}
+
+#[test]
+fn a_client_that_stops_in_the_middle_of_a_message_is_cut_off_within_three_seconds_of_its_last_byte() {
+    for begun in [1, SECOND / 2, SECOND, 2 * SECOND] {
+        let at = cut_off_at(&mut served(0), &[begun]);
+        assert!((begun..begun + 3 * SECOND).contains(&at), "begun at {begun}, cut off at {at}");
+    }
+}
+
+#[test]
+fn a_client_that_goes_on_slowly_has_the_time_for_a_whole_message() {
+    let parts: Vec<Time> = (1..100).map(|number| number * SECOND).collect();
+    assert_eq!(cut_off_at(&mut served(0), &parts), WHOLE);
+}
--- a/crates/models/src/stop.rs
+++ b/crates/models/src/stop.rs
@@ -200,7 +200,7 @@
             Move::Stopped(place) | Move::Idle(place) => {
                 let At::Open { life, unread, .. } = &self.clients[place] else { return };
                 let unread = *unread > 0;
-                let due = client::Event::Due { unread, begun: false };
+                let due = client::Event::Due { unread, partial_at: None };
                 let _ = life;
                 let told = if *event == Move::Stopped(place) { client::Event::Stop { unread } } else { due };
                 self.tell(place, told);
--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -90,6 +90,13 @@
         self.ahead.is_behind()
     }
 
+    /// When the last part of a message that has begun came, if there is one. Now, while nothing can be read for want of
+    /// memory: then it is not the client that does not go on.
+    pub(super) fn partial_at(&self) -> Option<Time> {
+        let at = if self.may_read() { self.ahead.last_read() } else { self.clock.now() };
+        (!self.framer.is_empty()).then_some(at)
+    }
+
     /// Waits until something may be read: gives how much, or the client's leaving. At the connection's own bound it
     /// waits for that alone: whoever takes a message up reads anew.
     async fn wait_for_allowance(&mut self) -> Result<usize, End> {
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -139,7 +139,7 @@
             }
             () = clock.sleep_until(life.due()) => {
                 let unread = self.unread(life.stage()).await;
-                Event::Due { unread, begun: !self.reader.framer.is_empty() }.into()
+                Event::Due { unread, partial_at: self.reader.partial_at() }.into()
             }
         }
     }
--- /dev/null
+++ b/tests/production.rs
@@ -0,0 +1,165 @@
+//! Faults of the days in production: connections that hosts forget or reset, clients that stop in the middle of a
+//! query, reloads in quick succession, a restart during a drain, requests with little time, a shutdown before hosts
+//! that hang.
+
+mod stage;
+use stage::*;
+use std::time::{Duration, Instant};
+
+/// What a client that stops in the middle of a request waits at the longest for its error.
+const OWED: Duration = Duration::from_secs(3);
+/// What a test allows a busy machine beyond a span of the gateway.
+const BUSY: Duration = Duration::from_secs(2);
+/// From SIGTERM to the kill, where the longest deadline is 3 s or more.
+const KILL: Duration = Duration::from_millis(3_700);
+
+/// A query with an id of its own.
+fn identified(text: &str, id: &str) -> Vec<u8> {
+    query(&text.replace("9b1f", id))
+}
+
+// Any client that had been served once was left 6 s.
+#[test]
+fn a_served_client_that_stops_in_the_middle_of_a_query_gets_its_error_in_time() {
+    let stage = Stage::new(246);
+    let host = stage.host(vec![Say::Row(b"v")]);
+    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let mut client = gateway.client();
+    let text = identified(&select("a", "view", 5_000), "1");
+    // The second query comes in part behind a whole one.
+    client.write(&[&text[..], &text[..20]].concat());
+    assert_eq!(kinds(&client.until_ready()), "TDCZ");
+    let begun = Instant::now();
+    let last = client.rest();
+    assert!(begun.elapsed() < OWED + BUSY / 2, "{:?}", begun.elapsed());
+    assert_eq!((kinds(&last).as_str(), field(&last[0].1, b'C').as_str()), ("E", "08P01"));
+}
+
+// A machine between the gateway and the host has forgotten the connection: nothing comes back, no reset either.
+#[test]
+fn a_request_on_an_idle_connection_that_was_forgotten_silently_is_answered_over_another() {
+    let stage = Stage::new(247);
+    let host = stage.host(vec![Say::Row(b"one"), Say::Nothing, Say::Row(b"two")]);
+    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let mut client = gateway.client();
+    assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"one");
+    gateway.rest();
+    let asked = Instant::now();
+    assert_eq!(client.ask(&select("b", "view", 20_000))[1].1[6..], *b"two");
+    assert!(asked.elapsed() < Duration::from_secs(10), "{:?}", asked.elapsed());
+    gateway.wait_for_counter("host_connects=2 ");
+}
+
+#[test]
+fn a_request_behind_the_reset_of_an_idle_connection_goes_out_on_a_new_one() {
+    for (number, text) in [(248, select("a", "view", 20_000)), (249, insert("a", 20_000))] {
+        let stage = Stage::new(number);
+        let host = stage.host(vec![Say::ResetOnGo(b"one"), Say::Row(b"two")]);
+        let gateway = stage.list(&[(&host, "up", "primary")]).start();
+        let mut client = gateway.client();
+        assert_eq!(client.ask(&text)[1].1[6..], *b"one");
+        gateway.rest();
+        host.go();
+        host.left();
+        assert_eq!(client.ask(&text.replace("5c0f", "5c10"))[1].1[6..], *b"two");
+        assert_eq!(host.queries(), 2, "nothing was tried on the dead connection");
+    }
+}
+
+#[test]
+fn a_request_with_little_time_that_its_host_drops_is_answered_and_spoils_nothing() {
+    let stage = Stage::new(250);
+    let host = stage.host(vec![Say::Nothing, Say::Row(b"next")]);
+    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let mut client = gateway.client();
+    for wait_ms in [60, 3, 1] {
+        let asked = Instant::now();
+        let answer = client.ask(&select("a", "view", wait_ms));
+        assert!(asked.elapsed() < Duration::from_millis(500) + BUSY / 2, "{:?}", asked.elapsed());
+        assert!(["EZ", "TDCZ"].contains(&kinds(&answer).as_str()), "{wait_ms} ms: {}", kinds(&answer));
+    }
+    assert_eq!(kinds(&client.ask(&select("b", "view", 20_000))), "TDCZ");
+}
+
+#[test]
+fn every_request_has_its_answer_before_the_kill_though_hosts_hang_through_the_whole_shutdown() {
+    let stage = Stage::new(251);
+    let (silent, mute) = (stage.host((0..9).map(|_| Say::Nothing).collect()), stage.slow_host(0, vec![]));
+    let mut gateway = stage.list(&[(&silent, "up", "primary"), (&mute, "up", "standby")]).start();
+    let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        let read = identified(&select("a", "view", 25_000), &format!("{number}a"));
+        let write =
+            identified(&insert("a", 25_000).replace("5c0f", &format!("{number}")), &format!("{number}b"));
+        client.write(&[read, write].concat());
+    }
+    silent.next_query();
+    gateway.signal("TERM");
+    let told = Instant::now();
+    for client in &mut clients {
+        assert_eq!(kinds(&client.until_ready()), "EZ");
+        assert_eq!(kinds(&client.until_ready()), "EZ");
+        assert_eq!(client.rest(), [], "and nothing behind");
+    }
+    drop(clients);
+    let (code, log) = gateway.ended();
+    assert_eq!(code, Some(0), "{log}");
+    assert!(told.elapsed() < KILL + BUSY, "{:?}", told.elapsed());
+    assert!(log.contains("requests=8 served=0 "), "{log}");
+}
+
+#[test]
+fn reloads_in_quick_succession_lose_no_request_and_the_last_one_holds() {
+    const RELOADS: usize = 25;
+    let stage = Stage::new(252);
+    let host = stage.host((0..=RELOADS).map(|_| Say::Row(b"v")).collect());
+    let stage = stage.list(&[(&host, "up", "primary")]);
+    let config = stage.config();
+    let gateway = stage.start();
+    let mut client = gateway.client();
+    let extra = r#""classes":[{"aim_us":4000000,"deadline_us":30000000,"idempotency":"safe","name":"extra","points":2.0},"#;
+    let grown = config.replace(r#""classes":["#, extra);
+    let grown = grown.replace(r#"["eventual","mutate"]"#, r#"["eventual","eventual","mutate"]"#);
+    let grown = grown.replace("[0,0]", "[0,0,0]");
+    for number in 0..RELOADS {
+        // A file that cannot be used is among them, and must not stand in the way of the next.
+        let text = ["{", &grown, &config][number % 3];
+        gateway.configure(text);
+        assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ", "reload {number}");
+    }
+    gateway.configure(&grown);
+    // Signals that come close together may arrive as one: the last file is what counts.
+    let until = Instant::now() + Duration::from_secs(20);
+    while kinds(&client.ask(&select("a", "extra", 20_000))) != "TDCZ" {
+        assert!(Instant::now() < until, "the last configuration does not hold");
+        gateway.rest();
+    }
+}
+
+// The new process starts from an old list that names the host as up; discovery has the drain.
+#[test]
+fn a_restart_during_a_drain_sends_nothing_new_to_the_host_that_drains_and_answers_what_is_out() {
+    let mut stage = Stage::new(253).shared();
+    let hosts =
+        [stage.host(vec![Say::WaitForGo(b"late")]), stage.host((0..40).map(|_| Say::Row(b"new")).collect())];
+    let drained = stage.entries(&[(&hosts[0], "draining", "standby"), (&hosts[1], "up", "primary")]);
+    stage = stage.list(&[(&hosts[0], "up", "primary")]);
+    let mut old = stage.beside();
+    let mut waits = old.client();
+    waits.write(&identified(&select("a", "view", 20_000), "1"));
+    hosts[0].next_query();
+    stage = stage.news(&[&list(42, true, &drained)]);
+    stage.discover();
+    let new = stage.beside();
+    old.signal("TERM");
+    new.wait_for("lists=", |count| count >= 2);
+    hosts[0].go();
+    assert!(waits.until_ready()[1].1.ends_with(b"late"), "its answer comes over the host that drains");
+    drop(waits);
+    assert_eq!(old.ended().0, Some(0));
+    let mut client = new.client();
+    for _ in 0..30 {
+        assert_eq!(client.ask(&select("b", "view", 20_000))[1].1[6..], *b"new");
+    }
+    assert_eq!(hosts[0].queries(), 1);
+}
--- a/tests/stage/host.rs
+++ b/tests/stage/host.rs
@@ -24,6 +24,8 @@
     Cut(&'static [u8]),
     /// A row, in so many bytes at a time and so many milliseconds apart.
     Pieces(&'static [u8], usize, u64),
+    /// A row, and the connection reset when the test says so.
+    ResetOnGo(&'static [u8]),
     WaitForGo(&'static [u8]),
     /// The same, at this position.
     RowAtOnGo(&'static [u8], u64),
@@ -152,6 +154,12 @@
                 }
                 continue;
             }
+            Some(Say::ResetOnGo(value)) => {
+                let _ = stream.write_all(&[row(value), ready.clone()].concat());
+                go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
+                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
+                return;
+            }
             Some(Say::WaitForGo(value)) => {
                 go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
                 row(value)
