--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -91,6 +91,13 @@
         self.ahead.is_behind()
     }
 
+    /// When the last part of a message that has begun came, if there is one. Now, while nothing can be read for want of
+    /// memory: then it is not the client that does not go on.
+    pub(super) fn partial_at(&self) -> Option<Time> {
+        let at = if self.may_read() { self.ahead.last_read() } else { self.clock.now() };
+        (!self.framer.is_empty()).then_some(at)
+    }
+
     /// Waits until something may be read: gives how much, or the client's leaving. At the connection's own bound it
     /// waits for that alone: whoever takes a message up reads anew.
     async fn wait_for_allowance(&mut self) -> Result<usize, End> {
@@ -165,6 +172,11 @@
         }
     }
 
+    /// Malformed bytes came behind the open query, and the time for its answer is over.
+    pub(super) fn is_grace_over(&self) -> bool {
+        self.error.is_some_and(|(_, by)| self.clock.now() >= by)
+    }
+
     /// Reads and forgets until the client leaves.
     pub(super) async fn discard(&mut self) {
         while self.read().await.is_ok() {
@@ -172,6 +184,11 @@
         }
     }
 
+    /// Waits until the client has closed its side, without reading.
+    pub(super) async fn closed(&self) {
+        closed(&self.reader).await;
+    }
+
     /// Cuts what was read into messages, as many as may be queued.
     fn cut(&mut self) {
         while self.error.is_none() && self.ahead.may_queue() {
@@ -203,16 +220,14 @@
         self.hold.give_reserve();
         loop {
             self.cut();
-            match self.error {
-                Some((error, by)) if self.queue.is_empty() || self.clock.now() >= by => {
-                    return Ok(Err(error))
-                }
-                _ => {}
-            }
+            // What came whole before an error is answered first.
             if let Some((message, at)) = self.queue.pop_front() {
                 self.ahead.on_taken(weight(&message));
                 return Ok(Ok((message, at)));
             }
+            if let Some((error, _)) = self.error {
+                return Ok(Err(error));
+            }
             self.read().await?;
         }
     }
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -5,13 +5,14 @@
 use crate::net::client_session::ClientSession;
 use crate::net::ending::End;
 use crate::net::flow::Flow;
-use crate::net::front::Claim;
+use crate::net::front::{Claim, Front};
 use crate::net::pg::{self, Answer, Severity};
 use crate::net::set::{self, Setting};
 use crate::net::statement::Statement;
 use crate::{Effect, Need, Time};
 use bytes::{Buf, Bytes};
 use petrelgauge_lifecycle::client::Used;
+use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_lifecycle::request::{Event, FinalAnswer, RequestState};
 use petrelgauge_sessions::Key;
 use std::rc::Rc;
@@ -200,7 +201,7 @@
     async fn decide(&mut self, taken: &Taken) -> Result<RequestEnd, End> {
         let front = self.front.clone();
         front.counters.requests.add();
-        if self.late() {
+        if self.late() || self.reader.is_grace_over() {
             return Ok(RequestEnd::Refused { wait: 0 });
         }
         let mut ticket = front.facade.admit(taken.request.clone());
@@ -226,10 +227,14 @@
                     Decision::Fail => Event::Failed,
                 },
                 () = self.cancel_key.cancelled() => Event::Cancelled,
-                end = self.reader.left() => {
-                    left = end;
-                    Event::Left
-                }
+                () = stop_deadline(&front) => Event::GraceOver,
+                end = self.reader.left() => match self.flawed(end) {
+                    true => Event::GraceOver,
+                    false => {
+                        left = end;
+                        Event::Left
+                    }
+                },
             };
             match (state.on(event), given.take()) {
                 (None, _) => {}
@@ -282,6 +287,17 @@
     }
 }
 
+/// Waits until the last answers of a stop are due: the process may be killed soon, and a request that came before the stop
+/// may have more time than that.
+async fn stop_deadline(front: &Front) {
+    // The deadline is known from the stop on, well before the serving state says so.
+    let stopped = front.door.clone().wait_for(|door| *door == ServingState::Stopped).await.is_ok();
+    match stopped {
+        true => front.clock.sleep_until(front.last.get()).await,
+        false => std::future::pending().await,
+    }
+}
+
 /// Waits for the attempt that is out, if there is one.
 async fn finished(attempt: &mut Option<JoinHandle<Option<HostAnswer>>>) -> Option<HostAnswer> {
     match attempt {
