--- a/crates/lifecycle/src/rules.rs
+++ b/crates/lifecycle/src/rules.rs
@@ -16,7 +16,7 @@
 //! use petrelgauge_policy::{Class, Effect, Need};
 //!
 //! let class = |name: &str, effect| Class {
-//!     name: name.into(), need: Need::Eventual, effect, attempts: 4, aim: 1, deadline: 2, worth: 1.0, late_share: 0.0,
+//!     name: name.into(), need: Need::Eventual, effect, attempts: 4, latency_target: 1, deadline: 2, priority_weight: 1.0, late_share: 0.0,
 //! };
 //! let mut rules = Rules::new(vec![class("view", Effect::Safe)]);
 //! let before = rules.find(0, "view", false).expect("it is there");
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,9 +30,9 @@
 //!         need: Need::Bounded(300_000),
 //!         effect: Effect::Safe,
 //!         attempts: 4,
-//!         aim: 200_000,
+//!         latency_target: 200_000,
 //!         deadline: 1_000_000,
-//!         worth: 1.0,
+//!         priority_weight: 1.0,
 //!         late_share: 0.0,
 //!     }],
 //!     ..Settings::default()
