--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -8,7 +8,7 @@
 use crate::stage::{Plan, Stage, BOUND};
 use crate::Options;
 use petrelgauge::Time;
-use petrelgauge_sessions::{Key, Mark, Token};
+use petrelgauge_sessions::{SessionKey, Token, Watermark};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -228,14 +228,33 @@
     trouble(&crowd, spans).await?;
     while tasks.join_next().await.is_some() {}
     stage.stop().await;
-    let names = ["by_token", "by_memory", "by_peers", "open", "settled", "behind", "bad_bulletins", "gaps"];
-    let counters = names.into_iter().map(|name| (name, stage.counted(name))).collect();
+    let counters = SESSION_COUNTERS.map(|(key, logged)| (key, counted(&stage, key, logged))).to_vec();
     let [datagrams, bytes] = stage.paths.delivered.each_ref().map(Cell::get);
     let (found, odd, requests) = (crowd.ledger.borrow().found(), crowd.odd.get(), crowd.requests.get());
     let phases = crowd.phases.take();
     Ok(Shown { found, phases, odd, counters, datagrams, bytes, requests })
 }
 
+/// Session counters of the report: their key, and their name in the gateway's log.
+const SESSION_COUNTERS: [(&str, &str); 8] = [
+    ("by_token", "by_token"),
+    ("by_memory", "by_memory"),
+    ("by_peers", "by_peers"),
+    ("open", "open"),
+    ("settled", "settled"),
+    ("behind", "behind"),
+    ("bad_bulletins", "broadcasts_rejected"),
+    ("gaps", "gaps"),
+];
+
+/// A session counter summed over all gateways. Earlier builds, as a baseline may be, log it under the report's key.
+fn counted(stage: &Stage, key: &str, logged: &str) -> u64 {
+    match stage.counted(logged) {
+        0 if key != logged => stage.counted(key),
+        count => count,
+    }
+}
+
 /// Calm, slow replay, a restart wave, a primary that hangs and comes back believing; each for its span.
 async fn trouble(crowd: &Crowd, spans: [Time; 4]) -> std::io::Result<()> {
     let (stage, clock) = (&crowd.stage, crowd.stage.farm.clock);
@@ -462,13 +481,13 @@
 }
 
 fn group_of(token: &str) -> Option<u64> {
-    Token::read(token, SECRET).ok().map(|token| token.key.group)
+    Token::decode(token, SECRET).ok().map(|token| token.key.group)
 }
 
-/// The fault `unverified`: a token whose marks were struck out and which passes nevertheless.
+/// The fault `unverified`: a token whose watermarks were erased and which passes nevertheless.
 fn forged(token: &str) -> String {
-    let read = Token::read(token, SECRET);
-    read.map_or(String::new(), |token| Token { mark: Mark::NONE, ..token }.write(SECRET))
+    let read = Token::decode(token, SECRET);
+    read.map_or(String::new(), |token| Token { watermark: Watermark::NONE, ..token }.encode(SECRET))
 }
 
 /// A client that sends tokens that are altered, of another session or of another group, and old ones of its own:
@@ -484,18 +503,18 @@
         one.write(turn % GATEWAYS, row).await;
         let Some(token) = one.tokens.pop() else { continue };
         let sound =
-            Token::read(&token, SECRET).unwrap_or_else(|cause| unreachable!("its own token: {cause}"));
-        let key = |group: u64, name: u64| Key { group, name };
+            Token::decode(&token, SECRET).unwrap_or_else(|cause| unreachable!("its own token: {cause}"));
+        let key = |group: u64, name: u64| SessionKey { group, name_hash: name };
         let strange = [
             token.chars().rev().collect::<String>(),
-            Token { key: key(sound.key.group, sound.key.name ^ 1), ..sound }.write(SECRET),
-            Token { key: key(5, sound.key.name), ..sound }.write(SECRET),
+            Token { key: key(sound.key.group, sound.key.name_hash ^ 1), ..sound }.encode(SECRET),
+            Token { key: key(5, sound.key.name_hash), ..sound }.encode(SECRET),
         ];
-        for mark in strange {
+        for token in strange {
             one.asked += 1;
             let (asked, group) = (one.asked, row % 2 + 2);
             let text = format!(
-                "SELECT content FROM kv WHERE name = 'r{row}' /* id={number}y{asked},c=history,d=1200,cluster={group},session=s{number},mark={mark} */"
+                "SELECT content FROM kv WHERE name = 'r{row}' /* id={number}y{asked},c=history,d=1200,cluster={group},session=s{number},mark={token} */"
             );
             let answer = ask(&mut one.idle, &crowd.stage, (turn + 1) % GATEWAYS, &text, 1_400).await;
             let mut odd = crowd.odd.get();
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -52,7 +52,7 @@
     /// What is wrong with them is said before anything has changed.
     pub fn follow(&mut self, now: Time, mut settings: Settings, carrying: &[usize]) -> Result<(), NotTaken> {
         settings.check().map_err(NotTaken::Unsound)?;
-        if self.keeper.is_none() && !carrying.is_empty() {
+        if self.session_tracker.is_none() && !carrying.is_empty() {
             return Err(NotTaken::Sessions);
         }
         let out = self.out.values().map(|errand| errand.class);
@@ -81,22 +81,23 @@
         }
         self.look(request.at);
         let write = self.rules.class(request.class).need == Need::Write;
-        let watch = match (&mut self.keeper, request.session) {
-            (Some(keeper), Some(SessionRef { key, token })) => {
-                let floor = (!write).then(|| keeper.ask(request.at, key, token.as_ref()));
+        let watch = match (&mut self.session_tracker, request.session) {
+            (Some(tracker), Some(SessionRef { key, token })) => {
+                let floor = (!write).then(|| tracker.begin_read(request.at, key, token.as_ref()));
                 // Of a write that is out nobody knows here whether it was committed and answered.
                 let may_be_known = request.at - DEEMED;
                 let writes = |errand: &OutAttempt| errand.writes.is_some_and(|(written, _)| written == key);
                 let under_way = self.out.values().any(|out| writes(out) && out.at <= may_be_known);
-                let floor = floor.map(|floor| if under_way { floor.with_write(may_be_known) } else { floor });
+                let floor =
+                    floor.map(|floor| if under_way { floor.with_pending_write(may_be_known) } else { floor });
                 if let (true, Some(token)) = (write, &token) {
-                    keeper.bring(request.at, key, token);
+                    tracker.merge_token(request.at, key, token);
                 }
                 Some(SessionWatch { key, arrived: request.at, floor, before: None })
             }
             _ => None,
         };
-        let needed = watch.as_ref().and_then(|watch| watch.floor).map(|floor| floor.need());
+        let needed = watch.as_ref().and_then(|watch| watch.floor).map(|floor| floor.position());
         self.open.insert(id.clone(), Open { class: request.class, attempts: 0, ran_from: None, watch });
         self.queue.push(Event::Request {
             request: id.clone(),
@@ -116,8 +117,8 @@
             self.listed.clear();
         }
         self.groups.extend(entries.iter().map(|entry| entry.group));
-        if let Some(keeper) = &mut self.keeper {
-            self.groups.iter().for_each(|group| keeper.serve(*group));
+        if let Some(tracker) = &mut self.session_tracker {
+            self.groups.iter().for_each(|group| tracker.track_group(*group));
         }
         for entry in &entries {
             match entry.standing {
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -22,12 +22,14 @@
     pub fn report(&mut self, now: Time, send: &Send, mut outcome: Outcome) -> bool {
         // Reported already? A second word would count the attempt out twice.
         let Some(errand) = self.out.remove(&(send.request.clone(), send.attempt)) else { return false };
-        if let (Some(keeper), Some((key, arrived))) = (&mut self.keeper, errand.writes) {
+        if let (Some(tracker), Some((key, arrived))) = (&mut self.session_tracker, errand.writes) {
             match outcome.ending {
                 // Also if its client has left: the session's next read may come by another connection.
-                Ending::Served => keeper.wrote(now, key, arrived, outcome.position),
+                Ending::Served => tracker.record_write(now, key, arrived, outcome.position),
                 // Its answer may have been lost on the way.
-                Ending::Broken | Ending::TimedOut | Ending::CalledOff => keeper.unsure(now, key),
+                Ending::Broken | Ending::TimedOut | Ending::CalledOff => {
+                    tracker.record_unconfirmed_write(now, key)
+                }
                 _ => {}
             }
         }
@@ -37,7 +39,7 @@
             outcome.ending = Ending::TurnedAway;
         }
         // A late word of a member that is gone must not keep a place for it.
-        let kept = self.keeper.is_some() && self.listed.contains(&send.host);
+        let kept = self.session_tracker.is_some() && self.listed.contains(&send.host);
         if let (Some(position), Some(Role::Replica), true) = (outcome.position, outcome.role, kept) {
             let told = self.told.entry(send.host).or_default();
             *told = position.max(*told);
@@ -65,16 +67,18 @@
 
     /// Learns the time: what was given up before it, and may have run, was committed before it.
     pub(super) fn look(&mut self, now: Time) {
-        let Some(keeper) = &mut self.keeper else { return };
-        self.unsure.drain(..).for_each(|key| keeper.unsure(now, key));
+        let Some(tracker) = &mut self.session_tracker else { return };
+        self.unsure.drain(..).for_each(|key| tracker.record_unconfirmed_write(now, key));
     }
 
     /// A request ends without having been served.
     pub(super) fn end(&mut self, now: Time, request: &RequestId) -> Option<Open> {
         let open = self.open.remove(request)?;
-        if let (Some(keeper), Some(SessionWatch { key, floor: None, .. })) = (&mut self.keeper, &open.watch) {
+        if let (Some(tracker), Some(SessionWatch { key, floor: None, .. })) =
+            (&mut self.session_tracker, &open.watch)
+        {
             if open.attempts > 0 {
-                keeper.unsure(now, *key);
+                tracker.record_unconfirmed_write(now, *key);
             }
         }
         Some(open)
@@ -91,14 +95,14 @@
 
     /// A member served an open request. Whether that is the answer: for a session's read it must prove its floor.
     pub(super) fn served(&mut self, now: Time, request: &RequestId, outcome: &Outcome) -> bool {
-        let Some(keeper) = &mut self.keeper else { return true };
+        let Some(tracker) = &mut self.session_tracker else { return true };
         let watch = self.open.get(request).and_then(|open| open.watch.as_ref());
-        // What a write has made was told to the keeper.
+        // What a write has made was recorded by the tracker.
         let Some(SessionWatch { key, floor: Some(floor), before, .. }) = watch else { return true };
-        if keeper.judge(floor, outcome.position, *before, outcome.role) == Verdict::Behind {
+        if tracker.verify_answer(floor, outcome.position, *before, outcome.role) == Verdict::Unproven {
             return false;
         }
-        keeper.read(now, *key, floor, outcome.position.unwrap_or(0));
+        tracker.record_read(now, *key, floor, outcome.position.unwrap_or(0));
         true
     }
 }
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::rules::Rules;
 use petrelgauge_policy::*;
-use petrelgauge_sessions::{Floor, Keeper, Key};
+use petrelgauge_sessions::{MinimumPosition, SessionKey, SessionTracker};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All requests and attempts of a gateway. Bounded by what clients may hold open; an attempt stays until its report.
@@ -50,9 +50,9 @@
     settings: Settings,
     /// Places of classes that carry sessions.
     carrying: BTreeSet<usize>,
-    keeper: Option<Keeper>,
+    session_tracker: Option<SessionTracker>,
     /// Sessions whose writes were given up by their clients since the last look at the clock.
-    unsure: Vec<Key>,
+    unsure: Vec<SessionKey>,
     /// Highest position that each listed member told.
     told: BTreeMap<MemberId, Time>,
     /// Requests that came for each listed group so far.
@@ -76,16 +76,16 @@
     /// When it was ordered.
     at: Time,
     /// The session that it writes for, and when its request came.
-    writes: Option<(Key, Time)>,
+    writes: Option<(SessionKey, Time)>,
 }
 
 /// What is owed to the session of an open request.
 #[derive(Clone, Debug)]
 struct SessionWatch {
-    key: Key,
+    key: SessionKey,
     arrived: Time,
     /// What a read must prove; none for a write.
-    floor: Option<Floor>,
+    floor: Option<MinimumPosition>,
     /// What the member had told when the last attempt went out.
     before: Option<Time>,
 }
@@ -96,9 +96,9 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        sessions: Option<(Keeper, Vec<usize>)>,
+        sessions: Option<(SessionTracker, Vec<usize>)>,
     ) -> Result<RequestTable, SettingsError> {
-        let (keeper, places) = sessions.unzip();
+        let (session_tracker, places) = sessions.unzip();
         let places = places.unwrap_or_default();
         Ok(RequestTable {
             granularity: settings.granularity,
@@ -114,7 +114,7 @@
             out: BTreeMap::new(),
             groups: BTreeSet::new(),
             listed: BTreeSet::new(),
-            keeper,
+            session_tracker,
             unsure: Vec::new(),
             told: BTreeMap::new(),
             asked: BTreeMap::new(),
--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -1,7 +1,7 @@
-//! What sessions are owed, and what gateways tell each other of them.
+//! Session consistency: tokens, minimum positions of open reads, and watermark broadcasts of other gateways.
 
 use super::*;
-use petrelgauge_sessions::{BulletinError, Counts, SessionTokens, Snapshot, Token, TokenError};
+use petrelgauge_sessions::{BroadcastError, Counts, SessionTokens, Snapshot, Token, TokenError};
 
 impl RequestTable {
     /// Whether the class of this place carries sessions.
@@ -14,68 +14,72 @@
         !self.carrying.is_empty()
     }
 
-    /// Puts what a client set into its wallet.
-    pub fn set_tokens(&self, wallet: &mut SessionTokens, text: &str) -> Result<(), TokenError> {
-        let keeper = self.keeper.as_ref().filter(|keeper| keeper.settings().tokens).ok_or(TokenError::Off)?;
-        wallet.set(text, keeper.settings().secret)
+    /// Stores the tokens that a client has set for its connection.
+    pub fn set_tokens(&self, tokens: &mut SessionTokens, text: &str) -> Result<(), TokenError> {
+        let tracker = self
+            .session_tracker
+            .as_ref()
+            .filter(|tracker| tracker.settings().tokens)
+            .ok_or(TokenError::Disabled)?;
+        tokens.set(text, tracker.settings().secret)
     }
 
-    /// The visit of a session, with what its client brought of it. An unusable token is an error.
-    pub fn visit(
+    /// The session that a request belongs to, with the tokens that its client sent joined into one. An unusable token is an error.
+    pub fn session_ref(
         &self,
         at: Time,
         group: GroupId,
         name: &str,
         tokens: &[&str],
     ) -> Result<Option<SessionRef>, TokenError> {
-        let Some(keeper) = &self.keeper else { return Ok(None) };
-        let key = keeper.key(group, name);
+        let Some(tracker) = &self.session_tracker else { return Ok(None) };
+        let key = tracker.session_key(group, name);
         let mut token: Option<Token> = None;
         for text in tokens {
-            let read = keeper.take_token(at, text, key)?;
+            let read = tracker.parse_token(at, text, key)?;
             token = Some(token.map_or(read, |known| known.join(read)));
         }
         Ok(Some(SessionRef { key, token }))
     }
 
     /// The token that goes with an answer to this session, where clients carry tokens.
-    pub fn token(&self, now: Time, key: Key) -> Option<String> {
-        self.keeper.as_ref()?.token(now, key)
+    pub fn token(&self, now: Time, key: SessionKey) -> Option<String> {
+        self.session_tracker.as_ref()?.issue_token(now, key)
     }
 
     /// Entries about other gateways' sessions.
     pub fn session_entries(&self) -> usize {
-        self.keeper.as_ref().map_or(0, Keeper::entries)
+        self.session_tracker.as_ref().map_or(0, SessionTracker::peer_entries)
     }
 
-    /// Counts of the sessions and gaps in what others told, if they are kept.
+    /// Counts of the sessions and gaps in the broadcasts of others, if sessions are tracked.
     pub fn session_counts(&self) -> Option<(Counts, u64)> {
-        self.keeper.as_ref().map(|keeper| (keeper.counts(), keeper.holes()))
+        self.session_tracker.as_ref().map(|tracker| (tracker.counts(), tracker.gaps()))
     }
 
-    /// The marks of this moment, if sessions are kept.
+    /// The watermarks of this moment, if sessions are tracked.
     pub fn snapshot(&self, now: Time, clean: bool) -> Option<Snapshot> {
-        self.keeper.as_ref().map(|keeper| keeper.snapshot(now, clean))
+        self.session_tracker.as_ref().map(|tracker| tracker.snapshot(now, clean))
     }
 
     /// A datagram of another instance came. Reads that wait may need less now.
-    pub fn hear(&mut self, now: Time, bytes: &[u8]) -> Result<(), BulletinError> {
-        let RequestTable { keeper, open, queue, .. } = self;
-        let Some(keeper) = keeper else { return Ok(()) };
-        keeper.receive(now, bytes)?;
+    pub fn receive_broadcast(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
+        let RequestTable { session_tracker, open, queue, .. } = self;
+        let Some(tracker) = session_tracker else { return Ok(()) };
+        tracker.receive(now, bytes)?;
         for (request, open) in open.iter_mut() {
             let Some(SessionWatch { key, floor: Some(floor), .. }) = &mut open.watch else { continue };
-            if let Some(less) = keeper.settle(now, *key, floor) {
+            if let Some(less) = tracker.recheck_read(now, *key, floor) {
                 *floor = less;
-                queue.push(Event::Floor { request: request.clone(), floor: less.need() });
+                queue.push(Event::Floor { request: request.clone(), floor: less.position() });
             }
         }
         Ok(())
     }
 
     /// Datagrams for every other instance that are due now, and when to call again.
-    pub fn tell(&mut self, now: Time) -> (Vec<Vec<u8>>, Option<Time>) {
-        let Some(keeper) = &mut self.keeper else { return (Vec::new(), None) };
-        (keeper.tell(now), keeper.due())
+    pub fn due_broadcasts(&mut self, now: Time) -> (Vec<Vec<u8>>, Option<Time>) {
+        let Some(tracker) = &mut self.session_tracker else { return (Vec::new(), None) };
+        (tracker.due_broadcasts(now), tracker.next_broadcast_at())
     }
 }
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -1,7 +1,7 @@
 //! What comes to the request table and what it orders, in no protocol's words.
 
 use petrelgauge_policy::*;
-use petrelgauge_sessions::{Key, Token};
+use petrelgauge_sessions::{SessionKey, Token};
 
 /// A request, in no protocol's words.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct SessionRef {
     /// The session in the request's group.
-    pub key: Key,
+    pub key: SessionKey,
     /// The token that the client brought.
     pub token: Option<Token>,
 }
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A model is a world around that code: clients, hosts, a list, time. From each state it names every event that could
 //! come next; the checker plays them all, breadth first, so that the first broken property comes with a shortest run.
-//! The machines of an attempt, of a connection, the desk with the real decision module, and the keeper of sessions are
+//! The machines of an attempt, of a connection, the desk with the real decision module, and the session tracker are
 //! cloned with each state; what tells two states apart is a 128-bit hash of all that the code and the world hold.
 //!
 //! | file | model |
--- a/crates/models/src/marks.rs
+++ b/crates/models/src/marks.rs
@@ -1,18 +1,18 @@
-//! Model `marks`: one session that writes and reads through two instances which tell each other its marks; messages
-//! are lost, late and out of order, and one instance restarts without a snapshot. The keepers are the gateway's.
+//! Model `marks`: one session that writes and reads through two instances which broadcast its watermarks to each other; messages
+//! are lost, late and out of order, and one instance restarts without a snapshot. The trackers are the gateway's.
 
 use crate::check::{check, Report, World};
 use crate::Size;
 use petrelgauge_policy::{Role, Time};
-use petrelgauge_sessions::{Floor, Keeper, Key, Promise, Settings, Verdict};
+use petrelgauge_sessions::{MinimumPosition, Promise, SessionKey, SessionTracker, Settings, Verdict};
 
 const START: Time = 1_000_000_000;
 /// Time that each event takes.
 const STEP: Time = 10_000;
-const PACE: Time = 20_000;
+const BROADCAST_INTERVAL: Time = 20_000;
 const GROUP: u64 = 2;
 
-const LOW: &str = "no read is answered from data below its session's mark";
+const LOW: &str = "no read is answered from data below its session's watermark";
 const LET: &str = "the true primary's answer is never held back";
 
 /// An event.
@@ -24,8 +24,8 @@
     Reads(usize),
     /// The read is answered from the oldest data that passes, of data this many steps old at most.
     Answered,
-    /// An instance tells its marks.
-    Tells(usize),
+    /// An instance broadcasts its watermarks.
+    Broadcasts(usize),
     /// A datagram arrives.
     Arrives(usize),
     /// A datagram is lost.
@@ -37,12 +37,12 @@
 #[derive(Clone, Debug)]
 struct Pair {
     now: Time,
-    keepers: [Keeper; 2],
-    key: Key,
-    /// What the session was told: its last commit, and the newest data that it saw.
-    wrote: Time,
+    trackers: [SessionTracker; 2],
+    key: SessionKey,
+    /// What the session has seen: its last commit, and the newest data that it saw.
+    written: Time,
     saw: Time,
-    reading: Option<(usize, Floor, Time, Time)>,
+    reading: Option<(usize, MinimumPosition, Time, Time)>,
     /// Datagrams on their way to an instance.
     flying: Vec<(usize, Vec<u8>)>,
     events: usize,
@@ -51,25 +51,25 @@
     broken: Option<&'static str>,
 }
 
-fn settings(me: u16) -> Settings {
+fn settings(instance: u16) -> Settings {
     Settings {
         promise: Promise::WritesAndReads,
         instances: 2,
-        me,
+        instance,
         tokens: false,
-        exact: 2,
-        cells: 2,
-        pace: PACE,
+        exact_sessions: 2,
+        sketch_width: 2,
+        broadcast_interval: BROADCAST_INTERVAL,
         secret: 3,
         ..Settings::default()
     }
 }
 
-fn keeper(me: usize, now: Time) -> Keeper {
-    let made = Keeper::new(settings(me as u16), now);
-    let mut keeper = made.unwrap_or_else(|cause| unreachable!("constant settings: {cause}"));
-    keeper.serve(GROUP);
-    keeper
+fn tracker(instance: usize, now: Time) -> SessionTracker {
+    let made = SessionTracker::new(settings(instance as u16), now);
+    let mut tracker = made.unwrap_or_else(|cause| unreachable!("constant settings: {cause}"));
+    tracker.track_group(GROUP);
+    tracker
 }
 
 impl World for Pair {
@@ -87,9 +87,10 @@
         } else {
             moves.extend((0..2).flat_map(|place| [Move::Writes(place), Move::Reads(place)]));
         }
-        let due = |place: &usize| self.keepers[*place].due().is_some_and(|due| self.now >= due);
+        let due =
+            |place: &usize| self.trackers[*place].next_broadcast_at().is_some_and(|due| self.now >= due);
         if self.flying.len() < 3 {
-            moves.extend((0..2).filter(due).map(Move::Tells));
+            moves.extend((0..2).filter(due).map(Move::Broadcasts));
         }
         moves.extend((0..self.flying.len()).flat_map(|place| [Move::Arrives(place), Move::Lost(place)]));
         if self.restarts > 0 {
@@ -105,50 +106,52 @@
         match *event {
             Move::Writes(place) => {
                 let commit = now - STEP / 2;
-                self.keepers[place].wrote(now, key, now - STEP, Some(commit));
-                self.wrote = commit;
+                self.trackers[place].record_write(now, key, now - STEP, Some(commit));
+                self.written = commit;
             }
             Move::Reads(place) => {
-                let floor = self.keepers[place].ask(now, key, None);
-                self.reading = Some((place, floor, self.wrote, self.saw));
+                let floor = self.trackers[place].begin_read(now, key, None);
+                self.reading = Some((place, floor, self.written, self.saw));
             }
             Move::Answered => {
-                let Some((place, floor, wrote, saw)) = self.reading.take() else { return };
-                let floor = self.keepers[place].settle(now, key, &floor).unwrap_or(floor);
-                let keeper = &mut self.keepers[place];
+                let Some((place, floor, written, saw)) = self.reading.take() else { return };
+                let floor = self.trackers[place].recheck_read(now, key, &floor).unwrap_or(floor);
+                let tracker = &mut self.trackers[place];
                 // The oldest data that a replica can show and that is let pass.
                 let ages = (0..30).rev().map(|steps| now - steps * STEP / 2);
                 let mut shown = None;
                 for position in ages {
-                    if keeper.judge(&floor, Some(position), None, Some(Role::Replica)) == Verdict::Proven {
+                    if tracker.verify_answer(&floor, Some(position), None, Some(Role::Replica))
+                        == Verdict::Proven
+                    {
                         shown = Some(position);
                         break;
                     }
                 }
-                if keeper.judge(&floor, Some(now), None, Some(Role::Primary)) != Verdict::Proven {
+                if tracker.verify_answer(&floor, Some(now), None, Some(Role::Primary)) != Verdict::Proven {
                     self.broken = Some(LET);
                 }
                 let shown = shown.unwrap_or(now);
-                if shown < wrote || shown < saw {
+                if shown < written || shown < saw {
                     self.broken = Some(LOW);
                 }
-                keeper.read(now, key, &floor, shown);
+                tracker.record_read(now, key, &floor, shown);
                 self.saw = self.saw.max(shown);
             }
-            Move::Tells(place) => {
-                let told = self.keepers[place].tell(now);
-                self.flying.extend(told.into_iter().map(|bytes| (1 - place, bytes)));
+            Move::Broadcasts(place) => {
+                let broadcasts = self.trackers[place].due_broadcasts(now);
+                self.flying.extend(broadcasts.into_iter().map(|bytes| (1 - place, bytes)));
             }
             Move::Arrives(place) => {
                 let (to, bytes) = self.flying.remove(place);
-                if self.keepers[to].receive(now, &bytes).is_err() {
+                if self.trackers[to].receive(now, &bytes).is_err() {
                     self.broken = Some(LET);
                 }
             }
             Move::Lost(place) => drop(self.flying.remove(place)),
             Move::Restarts(place) => {
                 self.restarts -= 1;
-                self.keepers[place] = keeper(place, now);
+                self.trackers[place] = tracker(place, now);
                 // A read that it had is gone with it.
                 self.reading = self.reading.filter(|(at, ..)| *at != place);
             }
@@ -162,7 +165,7 @@
             Move::Writes(place) => format!("the session pays at {}", name(place)),
             Move::Reads(place) => format!("the session reads at {}", name(place)),
             Move::Answered => "the read is answered from the oldest data that passes".into(),
-            Move::Tells(place) => format!("{} tells its marks", name(place)),
+            Move::Broadcasts(place) => format!("{} broadcasts its watermarks", name(place)),
             Move::Arrives(place) => format!("a datagram arrives at {}", name(&self.flying[*place].0)),
             Move::Lost(place) => format!("a datagram to {} is lost", name(&self.flying[*place].0)),
             Move::Restarts(place) => format!("{} restarts and knows nothing", name(place)),
@@ -177,12 +180,12 @@
 
 /// Plays it.
 pub fn run(size: Size, path: &[String]) -> Report {
-    let keepers = [keeper(0, START), keeper(1, START)];
+    let trackers = [tracker(0, START), tracker(1, START)];
     let start = Pair {
         now: START + 100 * STEP,
-        key: keepers[0].key(GROUP, "one"),
-        keepers,
-        wrote: 0,
+        key: trackers[0].session_key(GROUP, "one"),
+        trackers,
+        written: 0,
         saw: 0,
         reading: None,
         flying: Vec::new(),
--- a/crates/sessions/src/memory.rs
+++ b/crates/sessions/src/session_memory.rs
@@ -1,7 +1,7 @@
-//! The marks that this instance remembers: exactly for the recent sessions, in a summary for the rest.
+//! The watermarks that this instance remembers: exactly for the recent sessions, in a summary for the rest.
 
-use crate::mark::{Key, Mark};
-use crate::sketch::Sketch;
+use crate::sketch::MaxSketch;
+use crate::watermark::{SessionKey, Watermark};
 use lru::LruCache;
 use petrelgauge_policy::Time;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -9,11 +9,11 @@
 
 /// What is known of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Entry {
-    /// Its mark.
-    pub mark: Mark,
-    /// The mark covers all that the session did before this clock time, at whatever instance.
-    pub seen: Time,
+pub struct SessionEntry {
+    /// Its watermark.
+    pub watermark: Watermark,
+    /// The watermark covers all that the session did before this clock time, at whatever instance.
+    pub complete_until: Time,
 }
 
 /// Keys are hashes already, of a secret seed; mixing them once more is for the group.
@@ -37,57 +37,65 @@
 }
 
 /// Marks by session. Holds `exact` entries; the one that was used longest ago gives way to the summary, which
-/// keeps its mark (an upper bound of it) and forgets how far that covers.
+/// keeps its watermark (an upper bound of it) and forgets how far that covers.
 #[derive(Clone)]
-pub struct Memory {
-    exact: LruCache<Key, Entry, BuildHasherDefault<KeyHasher>>,
-    rest: Sketch,
+pub struct SessionMemory {
+    exact: LruCache<SessionKey, SessionEntry, BuildHasherDefault<KeyHasher>>,
+    sketch: MaxSketch,
     evicted: u64,
-    highest_evicted: Mark,
+    highest_evicted: Watermark,
 }
 
-impl std::fmt::Debug for Memory {
+impl std::fmt::Debug for SessionMemory {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_list().entries(self.iter()).finish()?;
-        write!(f, " and {:?}", self.rest)
+        write!(f, " and {:?}", self.sketch)
     }
 }
 
-impl Memory {
+impl SessionMemory {
     /// An empty memory for so many sessions, at least one, and a summary with rows of so many cells.
-    pub fn new(exact: usize, cells: usize, secret: u64) -> Memory {
-        let room = NonZeroUsize::new(exact).unwrap_or(NonZeroUsize::MIN);
+    pub fn new(exact_sessions: usize, sketch_width: usize, secret: u64) -> SessionMemory {
+        let capacity = NonZeroUsize::new(exact_sessions).unwrap_or(NonZeroUsize::MIN);
         // Grown as it fills: most instances never see so many.
         let mut exact = LruCache::unbounded_with_hasher(BuildHasherDefault::default());
-        exact.resize(room);
-        Memory { exact, rest: Sketch::new(cells, secret), evicted: 0, highest_evicted: Mark::NONE }
+        exact.resize(capacity);
+        SessionMemory {
+            exact,
+            sketch: MaxSketch::new(sketch_width, secret),
+            evicted: 0,
+            highest_evicted: Watermark::NONE,
+        }
     }
 
     /// What is known of a session. Of one that is not kept exactly the summary tells a bound, which covers
     /// nothing that other instances did.
-    pub fn get(&self, key: Key) -> Entry {
+    pub fn get(&self, key: SessionKey) -> SessionEntry {
         match self.exact.peek(&key) {
             Some(entry) => *entry,
-            None => Entry { mark: self.rest.bound(key), seen: 0 },
+            None => SessionEntry { watermark: self.sketch.upper_bound(key), complete_until: 0 },
         }
     }
 
     /// Joins what was learned into what is known. `seen` may be 0 where nothing is said of what it covers.
-    pub fn join(&mut self, key: Key, mark: Mark, seen: Time) -> Mark {
+    pub fn join(&mut self, key: SessionKey, watermark: Watermark, complete_until: Time) -> Watermark {
         let known = self.get(key);
-        let entry = Entry { mark: known.mark.join(mark), seen: known.seen.max(seen) };
+        let entry = SessionEntry {
+            watermark: known.watermark.join(watermark),
+            complete_until: known.complete_until.max(complete_until),
+        };
         if let Some((gone, old)) = self.exact.push(key, entry) {
             if gone != key {
-                self.rest.put(gone, old.mark);
-                self.highest_evicted = self.highest_evicted.join(old.mark);
+                self.sketch.insert(gone, old.watermark);
+                self.highest_evicted = self.highest_evicted.join(old.watermark);
                 self.evicted += 1;
             }
         }
-        entry.mark
+        entry.watermark
     }
 
     /// All that is kept exactly, the latest used first.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, Entry)> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = (SessionKey, SessionEntry)> + '_ {
         self.exact.iter().map(|(key, entry)| (*key, *entry))
     }
 
@@ -106,8 +114,8 @@
         self.evicted
     }
 
-    /// No mark that went into the summary lies above this.
-    pub fn highest_evicted(&self) -> Mark {
+    /// No watermark that went into the summary lies above this.
+    pub fn highest_evicted(&self) -> Watermark {
         self.highest_evicted
     }
 
@@ -115,6 +123,7 @@
     pub fn bytes(&self) -> usize {
         const LINKS: usize = 2 * std::mem::size_of::<usize>();
         const TABLE: usize = 2 * (std::mem::size_of::<usize>() * 2 + 1);
-        self.exact.len() * (std::mem::size_of::<(Key, Entry)>() + LINKS + TABLE) + self.rest.bytes()
+        self.exact.len() * (std::mem::size_of::<(SessionKey, SessionEntry)>() + LINKS + TABLE)
+            + self.sketch.bytes()
     }
 }
--- a/crates/sessions/tests/fixtures.rs
+++ b/crates/sessions/tests/fixtures.rs
@@ -28,54 +28,54 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-fn key(name: u64) -> Key {
-    Key { group: 0x0102_0304_0506_0708, name }
+fn key(name: u64) -> SessionKey {
+    SessionKey { group: 0x0102_0304_0506_0708, name_hash: name }
 }
 
-fn mark(wrote: Time, read: Time) -> Mark {
-    Mark { wrote, read }
+fn watermark(wrote: Time, read: Time) -> Watermark {
+    Watermark { written: wrote, read }
 }
 
 /// Tokens by the name of their fixture, with what is read back.
 fn tokens() -> Vec<(&'static str, Token, Token)> {
-    let token = |mark, issued| Token { key: key(0xFE_DCBA_9876), mark, issued };
+    let token = |watermark, issued_at| Token { key: key(0xFE_DCBA_9876), watermark, issued_at };
     vec![
-        ("nothing-seen", token(Mark::NONE, NOW), token(Mark::NONE, NOW)),
-        ("written", token(mark(NOW - 5 * MS, 0), NOW), token(mark(NOW - 5 * MS, 0), NOW)),
-        ("read", token(mark(0, NOW - 7 * MS), NOW), token(mark(0, NOW - 7 * MS), NOW)),
+        ("nothing-seen", token(Watermark::NONE, NOW), token(Watermark::NONE, NOW)),
+        ("written", token(watermark(NOW - 5 * MS, 0), NOW), token(watermark(NOW - 5 * MS, 0), NOW)),
+        ("read", token(watermark(0, NOW - 7 * MS), NOW), token(watermark(0, NOW - 7 * MS), NOW)),
         (
-            "marks-round-up-issue-rounds-down",
-            token(mark(NOW - 5 * MS + 1, NOW - 7 * MS + 999), NOW + 999),
-            token(mark(NOW - 4 * MS, NOW - 6 * MS), NOW),
+            "watermarks-round-up-issue-rounds-down",
+            token(watermark(NOW - 5 * MS + 1, NOW - 7 * MS + 999), NOW + 999),
+            token(watermark(NOW - 4 * MS, NOW - 6 * MS), NOW),
         ),
         (
             "largest",
-            token(mark(Time::MAX, Time::MAX), Time::MAX),
-            token(mark(((1 << 48) - 1) * MS, ((1 << 48) - 1) * MS), ((1 << 48) - 1) * MS),
+            token(watermark(Time::MAX, Time::MAX), Time::MAX),
+            token(watermark(((1 << 48) - 1) * MS, ((1 << 48) - 1) * MS), ((1 << 48) - 1) * MS),
         ),
     ]
 }
 
-fn datagram(lines: Vec<(u64, Mark)>) -> Bulletin {
-    Bulletin {
+fn datagram(lines: Vec<(u64, Watermark)>) -> WatermarkBroadcast {
+    WatermarkBroadcast {
         instance: 513,
         group: 0x0102_0304_0506_0708,
         epoch: NOW - 60_000 * MS,
         from: NOW - 200 * MS,
         until: NOW,
-        base: 0,
-        lines,
+        omitted_bound: 0,
+        entries: lines,
     }
 }
 
 /// Datagrams by the name of their fixture, with what is read back.
-fn datagrams() -> Vec<(&'static str, Bulletin, Bulletin)> {
-    let full: Vec<(u64, Mark)> =
-        (0..MOST_LINES as u64).map(|n| (n << 32 | n, mark(NOW - n as Time * MS, 0))).collect();
+fn datagrams() -> Vec<(&'static str, WatermarkBroadcast, WatermarkBroadcast)> {
+    let full: Vec<(u64, Watermark)> =
+        (0..MAX_ENTRIES as u64).map(|n| (n << 32 | n, watermark(NOW - n as Time * MS, 0))).collect();
     let three = vec![
-        (7, mark(NOW - 5 * MS, 0)),
-        (8, mark(0, NOW - 7 * MS)),
-        (0xFF_FFFF_FFFF, mark(NOW, NOW + 2_000 * MS)),
+        (7, watermark(NOW - 5 * MS, 0)),
+        (8, watermark(0, NOW - 7 * MS)),
+        (0xFF_FFFF_FFFF, watermark(NOW, NOW + 2_000 * MS)),
     ];
     // Further back than a line can say, it is brought forward to the oldest that it can.
     let oldest = NOW + 2_000 * MS - (Time::from(u16::MAX) - 1) * MS;
@@ -84,18 +84,21 @@
         ("three-sessions", datagram(three.clone()), datagram(three)),
         ("full", datagram(full.clone()), datagram(full)),
         (
-            "base-and-marks-round-up",
-            Bulletin {
+            "bound-and-watermarks-round-up",
+            WatermarkBroadcast {
                 epoch: NOW - 60_000 * MS + 999,
-                base: NOW - 90 * MS + 1,
-                ..datagram(vec![(7, mark(NOW - 5 * MS + 1, NOW - 600_000 * MS))])
+                omitted_bound: NOW - 90 * MS + 1,
+                ..datagram(vec![(7, watermark(NOW - 5 * MS + 1, NOW - 600_000 * MS))])
+            },
+            WatermarkBroadcast {
+                omitted_bound: NOW - 89 * MS,
+                ..datagram(vec![(7, watermark(NOW - 4 * MS, oldest))])
             },
-            Bulletin { base: NOW - 89 * MS, ..datagram(vec![(7, mark(NOW - 4 * MS, oldest))]) },
         ),
         (
             "first-interval-of-a-run",
-            Bulletin { epoch: NOW, from: NOW, ..datagram(Vec::new()) },
-            Bulletin { epoch: NOW, from: NOW, ..datagram(Vec::new()) },
+            WatermarkBroadcast { epoch: NOW, from: NOW, ..datagram(Vec::new()) },
+            WatermarkBroadcast { epoch: NOW, from: NOW, ..datagram(Vec::new()) },
         ),
     ]
 }
@@ -105,7 +108,7 @@
     let fixtures = fixtures(TOKENS);
     assert_eq!(fixtures.len(), tokens().len());
     for (name, token, _) in tokens() {
-        assert_eq!(Some(&token.write(SECRET).as_str()), fixtures.get(name), "{name}");
+        assert_eq!(Some(&token.encode(SECRET).as_str()), fixtures.get(name), "{name}");
     }
 }
 
@@ -113,9 +116,9 @@
 fn tokens_written_before_are_read() {
     let fixtures = fixtures(TOKENS);
     for (name, _, expected) in tokens() {
-        assert_eq!(Token::read(fixtures[name], SECRET), Ok(expected), "{name}");
+        assert_eq!(Token::decode(fixtures[name], SECRET), Ok(expected), "{name}");
     }
-    assert_eq!(FRESH, "new", "what a client sends without a token");
+    assert_eq!(NEW_SESSION, "new", "what a client sends without a token");
 }
 
 #[test]
@@ -123,7 +126,7 @@
     let fixtures = fixtures(DATAGRAMS);
     assert_eq!(fixtures.len(), datagrams().len());
     for (name, datagram, _) in datagrams() {
-        assert_eq!(Some(&hex(&datagram.write(SECRET)).as_str()), fixtures.get(name), "{name}");
+        assert_eq!(Some(&hex(&datagram.encode(SECRET)).as_str()), fixtures.get(name), "{name}");
     }
 }
 
@@ -131,7 +134,7 @@
 fn datagrams_written_before_are_read() {
     let fixtures = fixtures(DATAGRAMS);
     for (name, _, expected) in datagrams() {
-        assert_eq!(Bulletin::read(&bytes_of(fixtures[name]), SECRET), Ok(expected), "{name}");
+        assert_eq!(WatermarkBroadcast::decode(&bytes_of(fixtures[name]), SECRET), Ok(expected), "{name}");
     }
 }
 
@@ -139,17 +142,20 @@
 #[test]
 fn fixtures_of_another_secret_are_rejected() {
     for text in fixtures(TOKENS).values() {
-        assert_eq!(Token::read(text, SECRET + 1), Err(TokenError::Check));
+        assert_eq!(Token::decode(text, SECRET + 1), Err(TokenError::InvalidChecksum));
     }
     for text in fixtures(DATAGRAMS).values() {
-        assert_eq!(Bulletin::read(&bytes_of(text), SECRET + 1), Err(BulletinError::Check));
+        assert_eq!(
+            WatermarkBroadcast::decode(&bytes_of(text), SECRET + 1),
+            Err(BroadcastError::InvalidChecksum)
+        );
     }
 }
 
-// The names of sessions in tokens and datagrams are hashes: another hash would make all known marks another session's.
+// The names of sessions in tokens and datagrams are hashes: another hash would make all known watermarks another session's.
 #[test]
 fn session_names_hash_as_before() {
     let names = ["", "member-17", "9b1f6e2c-2f3d-4c55-9d0c-0a4f6a1f0d11"];
-    let hashes = names.map(|name| Key::new(SECRET, 2, name).name);
+    let hashes = names.map(|name| SessionKey::new(SECRET, 2, name).name_hash);
     assert_eq!(hashes, [354919028394, 495073452570, 366701853798]);
 }
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -15,250 +15,275 @@
     }
 }
 
-fn a_mark() -> impl Strategy<Value = Mark> {
-    (0..1i64 << 44, 0..1i64 << 44).prop_map(|(wrote, read)| Mark { wrote, read })
+fn a_watermark() -> impl Strategy<Value = Watermark> {
+    (0..1i64 << 44, 0..1i64 << 44).prop_map(|(wrote, read)| Watermark { written: wrote, read })
 }
 
-fn a_key() -> impl Strategy<Value = Key> {
-    (0..4u64, 0..300u64).prop_map(|(group, name)| Key { group, name })
+fn a_key() -> impl Strategy<Value = SessionKey> {
+    (0..4u64, 0..300u64).prop_map(|(group, name)| SessionKey { group, name_hash: name })
 }
 
-fn bulletin(lines: Vec<(u64, Mark)>, until: Time) -> Bulletin {
-    Bulletin { instance: 1, group: G, epoch: MS, from: until - 20 * MS, until, base: 0, lines }
+fn broadcast(lines: Vec<(u64, Watermark)>, until: Time) -> WatermarkBroadcast {
+    WatermarkBroadcast {
+        instance: 1,
+        group: G,
+        epoch: MS,
+        from: until - 20 * MS,
+        until,
+        omitted_bound: 0,
+        entries: lines,
+    }
 }
 
 proptest! {
     #![proptest_config(config())]
 
     #[test]
-    fn merging_is_commutative_associative_idempotent_and_never_lowers(a in a_mark(), b in a_mark(), c in a_mark()) {
+    fn merging_is_commutative_associative_idempotent_and_never_lowers(a in a_watermark(), b in a_watermark(), c in a_watermark()) {
         prop_assert_eq!(a.join(b), b.join(a));
         prop_assert_eq!(a.join(b).join(c), a.join(b.join(c)));
         prop_assert_eq!(a.join(a), a);
         prop_assert!(a.join(b).covers(a) && a.join(b).covers(b));
-        prop_assert_eq!(a.join(Mark::NONE), a);
+        prop_assert_eq!(a.join(Watermark::NONE), a);
     }
 
     #[test]
-    fn memory_never_errs_downward_and_keeps_its_bound(puts in prop::collection::vec((a_key(), a_mark()), 1..400)) {
-        let mut memory = Memory::new(32, 64, 5);
-        let mut truth = std::collections::BTreeMap::<Key, Mark>::new();
-        for (key, mark) in &puts {
-            memory.join(*key, *mark, 0);
+    fn memory_never_errs_downward_and_keeps_its_bound(puts in prop::collection::vec((a_key(), a_watermark()), 1..400)) {
+        let mut memory = SessionMemory::new(32, 64, 5);
+        let mut truth = std::collections::BTreeMap::<SessionKey, Watermark>::new();
+        for (key, watermark) in &puts {
+            memory.join(*key, *watermark, 0);
             let known = truth.entry(*key).or_default();
-            *known = known.join(*mark);
+            *known = known.join(*watermark);
             prop_assert!(memory.len() <= 32);
         }
-        for (key, mark) in truth {
-            prop_assert!(memory.get(key).mark.covers(mark));
+        for (key, watermark) in truth {
+            prop_assert!(memory.get(key).watermark.covers(watermark));
         }
     }
 
     #[test]
-    fn a_token_comes_back_rounded_up_and_only_as_it_was(key in a_key(), mark in a_mark(), issued in 0..1i64 << 44, at in 0..60usize, bit in 0..8u8) {
-        let text = Token { key, mark, issued }.write(9);
-        let token = Token::read(&text, 9).expect("its own token");
+    fn a_token_round_trips_rounded_up_and_rejects_alterations(key in a_key(), watermark in a_watermark(), issued_at in 0..1i64 << 44, at in 0..60usize, bit in 0..8u8) {
+        let text = Token { key, watermark, issued_at }.encode(9);
+        let token = Token::decode(&text, 9).expect("its own token");
         prop_assert_eq!(token.key, key);
-        let less = Mark { wrote: token.mark.wrote - MS, read: token.mark.read - MS };
-        prop_assert!(token.mark.covers(mark) && mark.covers(less));
-        prop_assert!(token.issued <= issued);
-        prop_assert_eq!(Token::read(&text, 10).err(), Some(TokenError::Check));
+        let less = Watermark { written: token.watermark.written - MS, read: token.watermark.read - MS };
+        prop_assert!(token.watermark.covers(watermark) && watermark.covers(less));
+        prop_assert!(token.issued_at <= issued_at);
+        prop_assert_eq!(Token::decode(&text, 10).err(), Some(TokenError::InvalidChecksum));
         let mut bytes = text.clone().into_bytes();
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
         let altered = String::from_utf8_lossy(&bytes).into_owned();
-        prop_assert!(altered == text || Token::read(&altered, 9).is_err());
+        prop_assert!(altered == text || Token::decode(&altered, 9).is_err());
     }
 
     #[test]
-    fn garbage_is_no_token_and_no_bulletin(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 0..256usize) {
-        prop_assert!(Token::read(&String::from_utf8_lossy(&bytes), 9).is_err());
-        prop_assert!(Bulletin::read(&bytes, 9).is_err());
-        let whole = bulletin(vec![(7, Mark { wrote: 990 * MS, read: 0 })], 1_000 * MS).write(9);
-        prop_assert!(Bulletin::read(&whole[..cut.min(whole.len() - 1)], 9).is_err());
-        let mut altered = whole.clone();
-        altered[cut % whole.len()] ^= 1 << (cut % 8);
-        prop_assert!(Bulletin::read(&altered, 9).is_err());
+    fn garbage_is_rejected_as_token_and_broadcast(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 0..256usize) {
+        prop_assert!(Token::decode(&String::from_utf8_lossy(&bytes), 9).is_err());
+        prop_assert!(WatermarkBroadcast::decode(&bytes, 9).is_err());
+        let complete = broadcast(vec![(7, Watermark { written: 990 * MS, read: 0 })], 1_000 * MS).encode(9);
+        prop_assert!(WatermarkBroadcast::decode(&complete[..cut.min(complete.len() - 1)], 9).is_err());
+        let mut altered = complete.clone();
+        altered[cut % complete.len()] ^= 1 << (cut % 8);
+        prop_assert!(WatermarkBroadcast::decode(&altered, 9).is_err());
     }
 
     #[test]
-    fn a_bulletin_comes_back_with_its_marks_rounded_up(
-        ages in prop::collection::vec((0..1u64 << 40, -900..200_000i64, 0..3_000i64), 0..=MOST_LINES),
+    fn a_broadcast_round_trips_with_watermarks_rounded_up(
+        ages in prop::collection::vec((0..1u64 << 40, -900..200_000i64, 0..3_000i64), 0..=MAX_ENTRIES),
     ) {
         let until = 5_000_000 * MS;
-        let lines: Vec<(u64, Mark)> = ages.iter()
-            .map(|(name, wrote, read)| (*name, Mark { wrote: until - wrote * MS - 1, read: until - read * MS }))
+        let lines: Vec<(u64, Watermark)> = ages.iter()
+            .map(|(name, wrote, read)| (*name, Watermark { written: until - wrote * MS - 1, read: until - read * MS }))
             .collect();
-        let told = bulletin(lines.clone(), until);
-        let bytes = told.write(9);
-        prop_assert!(bytes.len() <= MOST_BYTES);
-        let heard = Bulletin::read(&bytes, 9).expect("its own bulletin");
-        prop_assert_eq!((heard.instance, heard.group, heard.from, heard.until), (1, G, told.from, told.until));
-        for ((name, mark), (other, back)) in lines.iter().zip(&heard.lines) {
+        let sent = broadcast(lines.clone(), until);
+        let bytes = sent.encode(9);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+        let received = WatermarkBroadcast::decode(&bytes, 9).expect("its own broadcast");
+        prop_assert_eq!((received.instance, received.group, received.from, received.until), (1, G, sent.from, sent.until));
+        for ((name, watermark), (other, back)) in lines.iter().zip(&received.entries) {
             prop_assert_eq!(name, other);
-            prop_assert!(back.covers(*mark), "{:?} came back as {:?}", mark, back);
+            prop_assert!(back.covers(*watermark), "{:?} came back as {:?}", watermark, back);
         }
     }
 
     #[test]
-    fn what_an_outbox_leaves_out_is_bounded_by_its_base(made in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
+    fn what_an_outbox_omits_is_bounded(made in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
         let (mut outbox, start) = (Outbox::new(G, 1_000 * MS), 1_000 * MS);
         let mut now = start;
         for (name, age) in &made {
             now += MS / 2;
-            outbox.push(now, *name, Mark { wrote: now - age * MS, read: 0 }, Promise::Writes);
+            outbox.push(now, *name, Watermark { written: now - age * MS, read: 0 }, Promise::Writes);
         }
-        let told = outbox.tell(now + 2 * MS, 0, start, Promise::Writes);
-        prop_assert!(told.until >= now && told.from <= start);
+        let sent = outbox.next_broadcast(now + 2 * MS, 0, start, Promise::Writes);
+        prop_assert!(sent.until >= now && sent.from <= start);
         now = start;
         for (name, age) in &made {
             now += MS / 2;
-            let mark = now - age * MS;
-            let line = told.lines.iter().find(|(other, _)| other == name).map_or(0, |(_, mark)| mark.wrote);
-            prop_assert!(mark <= line.max(told.base), "{mark} is neither told nor bounded");
+            let watermark = now - age * MS;
+            let line = sent.entries.iter().find(|(other, _)| other == name).map_or(0, |(_, watermark)| watermark.written);
+            prop_assert!(watermark <= line.max(sent.omitted_bound), "{watermark} is neither sent nor bounded");
         }
     }
 }
 
 #[test]
-fn the_summary_errs_as_reckoned() {
+fn the_sketch_overestimates_at_the_predicted_rate() {
     let (width, higher) = (4096, 3_000);
-    let mut sketch = Sketch::new(width, 11);
+    let mut sketch = MaxSketch::new(width, 11);
     for name in 0..higher {
-        sketch.put(Key { group: G, name }, Mark { wrote: 100, read: 0 });
+        sketch.insert(SessionKey { group: G, name_hash: name }, Watermark { written: 100, read: 0 });
     }
     let others = 20_000u64;
-    let wrong = (0..others).filter(|n| sketch.bound(Key { group: G, name: 1_000_000 + n }).wrote > 0).count();
-    let (share, reckoned) = (wrong as f64 / others as f64, false_share(higher as f64, width));
-    assert!((share - reckoned).abs() < 0.02, "{share} measured, {reckoned} reckoned");
+    let wrong = (0..others)
+        .filter(|n| sketch.upper_bound(SessionKey { group: G, name_hash: 1_000_000 + n }).written > 0)
+        .count();
+    let (share, predicted) = (wrong as f64 / others as f64, overestimate_rate(higher as f64, width));
+    assert!((share - predicted).abs() < 0.02, "{share} measured, {predicted} predicted");
 }
 
 #[test]
-fn a_gap_is_waited_for_then_closed_by_a_blanket() {
-    let mut coverage = Coverage::default();
-    coverage.hear(0, 10, 10, 20, 0);
-    assert_eq!((coverage.until(), coverage.blanket()), (20, 10), "what was before the first one is unknown");
-    coverage.hear(1, 10, 30, 40, 0);
-    coverage.hear(1, 10, 30, 40, 0);
-    assert_eq!((coverage.until(), coverage.blanket()), (20, 10), "the one between may yet come");
-    coverage.hear(2, 10, 18, 30, 0);
-    assert_eq!((coverage.until(), coverage.blanket()), (40, 10), "it came");
-    coverage.hear(3, 10, 50, 60, 0);
-    coverage.expire(100, 50);
-    assert_eq!((coverage.until(), coverage.blanket()), (60, 50));
-    coverage.hear(101, 10, 40, 50, 0);
-    assert_eq!((coverage.until(), coverage.blanket()), (60, 50), "too late: nothing is taken back");
+fn a_gap_is_awaited_then_closed_with_an_upper_bound() {
+    let mut range = KnownRange::default();
+    range.record_interval(0, 10, 10, 20, 0);
+    assert_eq!((range.known_until(), range.gap_end()), (20, 10), "what was before the first one is unknown");
+    range.record_interval(1, 10, 30, 40, 0);
+    range.record_interval(1, 10, 30, 40, 0);
+    assert_eq!((range.known_until(), range.gap_end()), (20, 10), "the one between may yet come");
+    range.record_interval(2, 10, 18, 30, 0);
+    assert_eq!((range.known_until(), range.gap_end()), (40, 10), "it came");
+    range.record_interval(3, 10, 50, 60, 0);
+    range.expire_gaps(100, 50);
+    assert_eq!((range.known_until(), range.gap_end()), (60, 50));
+    range.record_interval(101, 10, 40, 50, 0);
+    assert_eq!((range.known_until(), range.gap_end()), (60, 50), "too late: nothing is taken back");
     // A new run: what the old one made last is lost at once.
-    coverage.hear(102, 70, 70, 80, 0);
-    assert_eq!((coverage.until(), coverage.blanket(), coverage.holes()), (80, 70, 3));
-    coverage.hear(103, 10, 60, 200, 0);
-    assert_eq!(coverage.until(), 80, "the old run has nothing more to say");
+    range.record_interval(102, 70, 70, 80, 0);
+    assert_eq!((range.known_until(), range.gap_end(), range.gaps()), (80, 70, 3));
+    range.record_interval(103, 10, 60, 200, 0);
+    assert_eq!(range.known_until(), 80, "the old run has nothing more to say");
 }
 
 #[test]
-fn forged_and_foreign_tokens_are_named_or_hurt_only_themselves() {
+fn forged_and_foreign_tokens_are_rejected_or_affect_only_their_session() {
     let now = 9_000_000 * MS;
-    let mut keeper = Keeper::new(settings(0, 0), now - 60_000 * MS).expect("sound");
-    let (key, other) = (keeper.key(G, "one"), keeper.key(G, "two"));
-    let write = |key, mark, issued| Token { key, mark, issued }.write(99);
-    let none = write(key, Mark::NONE, now);
-    assert_eq!(keeper.take_token(now, &none, other).err(), Some(TokenError::Session));
-    assert_eq!(keeper.take_token(now, &none, Key { group: 3, ..key }).err(), Some(TokenError::Group));
-    assert_eq!(keeper.take_token(now, "x", key).err(), Some(TokenError::Shape));
+    let mut tracker = SessionTracker::new(settings(0, 0), now - 60_000 * MS).expect("sound");
+    let (key, other) = (tracker.session_key(G, "one"), tracker.session_key(G, "two"));
+    let write = |key, watermark, issued_at| Token { key, watermark, issued_at }.encode(99);
+    let none = write(key, Watermark::NONE, now);
+    assert_eq!(tracker.parse_token(now, &none, other).err(), Some(TokenError::WrongSession));
+    assert_eq!(
+        tracker.parse_token(now, &none, SessionKey { group: 3, ..key }).err(),
+        Some(TokenError::WrongGroup)
+    );
+    assert_eq!(tracker.parse_token(now, "x", key).err(), Some(TokenError::Malformed));
     // Far ahead of the clock: held down to it, and never taken to be complete.
-    let ahead = Mark { wrote: now + 1_000_000 * MS, read: 0 };
-    let ahead = keeper.take_token(now, &write(key, ahead, now + 10 * MS), key).expect("sound");
-    let floor = keeper.ask(now, key, Some(&ahead));
-    assert_eq!((floor.need(), floor.source), (now, Source::Open));
-    assert_eq!(keeper.ask(now, other, None).need(), now, "no other session is asked for more than before");
+    let ahead = Watermark { written: now + 1_000_000 * MS, read: 0 };
+    let ahead = tracker.parse_token(now, &write(key, ahead, now + 10 * MS), key).expect("sound");
+    let floor = tracker.begin_read(now, key, Some(&ahead));
+    assert_eq!((floor.position(), floor.source), (now, PositionSource::Unknown));
+    assert_eq!(
+        tracker.begin_read(now, other, None).position(),
+        now,
+        "no other session is asked for more than before"
+    );
     // Too old to stand for all that the session did since.
-    let old = keeper.take_token(now, &write(other, Mark::NONE, now - 31_000 * MS), other).expect("sound");
-    assert_eq!(keeper.ask(now, other, Some(&old)).source, Source::Open);
-    let off = Keeper::new(Settings { tokens: false, ..settings(0, 0) }, now).expect("sound");
-    assert_eq!(off.take_token(now, &none, key).err(), Some(TokenError::Off));
-    assert_eq!(off.token(now, key), None);
+    let old =
+        tracker.parse_token(now, &write(other, Watermark::NONE, now - 31_000 * MS), other).expect("sound");
+    assert_eq!(tracker.begin_read(now, other, Some(&old)).source, PositionSource::Unknown);
+    let off = SessionTracker::new(Settings { tokens: false, ..settings(0, 0) }, now).expect("sound");
+    assert_eq!(off.parse_token(now, &none, key).err(), Some(TokenError::Disabled));
+    assert_eq!(off.issue_token(now, key), None);
 }
 
 #[test]
-fn bulletins_from_the_future_or_from_nowhere_are_turned_away() {
+fn broadcasts_from_the_future_or_unknown_instances_are_rejected() {
     let now = 1_000 * MS;
-    let mut keeper = Keeper::new(settings(3, 0), now).expect("sound");
-    let say = |instance, until| Bulletin { instance, ..bulletin(Vec::new(), until) }.write(99);
-    assert_eq!(keeper.receive(now, &say(1, now + MS)).err(), Some(BulletinError::Interval));
-    assert_eq!(keeper.receive(now, &say(0, now)).err(), Some(BulletinError::Instance));
-    assert_eq!(keeper.receive(now, &say(3, now)).err(), Some(BulletinError::Instance));
+    let mut tracker = SessionTracker::new(settings(3, 0), now).expect("sound");
+    let say = |instance, until| WatermarkBroadcast { instance, ..broadcast(Vec::new(), until) }.encode(99);
+    assert_eq!(tracker.receive(now, &say(1, now + MS)).err(), Some(BroadcastError::InvalidInterval));
+    assert_eq!(tracker.receive(now, &say(0, now)).err(), Some(BroadcastError::UnknownInstance));
+    assert_eq!(tracker.receive(now, &say(3, now)).err(), Some(BroadcastError::UnknownInstance));
     let mut later = say(1, now);
     later[0] = 2;
-    assert_eq!(keeper.receive(now, &later).err(), Some(BulletinError::Version));
-    assert!(keeper.receive(now, &say(1, now)).is_ok());
-    assert_eq!((keeper.counts().heard, keeper.counts().bad_bulletins), (1, 4));
+    assert_eq!(tracker.receive(now, &later).err(), Some(BroadcastError::UnsupportedVersion));
+    assert!(tracker.receive(now, &say(1, now)).is_ok());
+    assert_eq!((tracker.counts().received, tracker.counts().rejected), (1, 4));
 }
 
 #[test]
-fn settings_that_make_no_sense_are_named() {
+fn invalid_settings_are_rejected_with_the_reason() {
     let bad = |settings: Settings| settings.check().err().map(|cause| cause.to_string()).unwrap_or_default();
-    assert!(bad(Settings { cells: 1000, ..settings(0, 0) }).contains("power of two"));
-    assert!(bad(Settings { exact: 0, ..settings(0, 0) }).contains("exact"));
+    assert!(bad(Settings { sketch_width: 1000, ..settings(0, 0) }).contains("power of two"));
+    assert!(bad(Settings { exact_sessions: 0, ..settings(0, 0) }).contains("exact"));
     assert!(bad(settings(3, 3)).contains("instance 3 is none of 3"));
     assert_eq!(bad(settings(3, 2)), "");
 }
 
 // Several tokens of a group set at once all count: a client with several requests open holds several.
 #[test]
-fn a_wallet_keeps_all_that_was_set_or_says_so() {
+fn session_tokens_keep_all_that_was_set_or_reject_it() {
     let text = |group, wrote| {
-        Token { key: Key { group, name: 1 }, mark: Mark { wrote, read: 0 }, issued: MS }.write(9)
+        Token {
+            key: SessionKey { group, name_hash: 1 },
+            watermark: Watermark { written: wrote, read: 0 },
+            issued_at: MS,
+        }
+        .encode(9)
     };
     let (one, two, other) = (text(2, MS), text(2, 2 * MS), text(3, MS));
-    let held = |wallet: &SessionTokens, group| wallet.of(group).map(str::to_string).collect::<Vec<_>>();
-    let mut wallet = SessionTokens::default();
-    assert_eq!(wallet.set(&format!("{one}+{two}+{other}"), 9), Ok(()));
-    assert_eq!(held(&wallet, 2), [one.clone(), two.clone()]);
-    assert_eq!(wallet.set(&two, 9), Ok(()));
+    let held =
+        |tokens: &SessionTokens, group| tokens.for_group(group).map(str::to_string).collect::<Vec<_>>();
+    let mut tokens = SessionTokens::default();
+    assert_eq!(tokens.set(&format!("{one}+{two}+{other}"), 9), Ok(()));
+    assert_eq!(held(&tokens, 2), [one.clone(), two.clone()]);
+    assert_eq!(tokens.set(&two, 9), Ok(()));
     assert_eq!(
-        (held(&wallet, 2), held(&wallet, 3)),
+        (held(&tokens, 2), held(&tokens, 3)),
         (vec![two.clone()], vec![other]),
         "what is set replaces its group's"
     );
-    assert_eq!(wallet.set(&format!("{one}+x"), 9), Err(TokenError::Shape));
-    assert_eq!(held(&wallet, 2).len(), 1, "what cannot be used changes nothing");
-    let many: Vec<String> = (0..=MOST_SET as u64).map(|group| text(group, MS)).collect();
-    assert_eq!(wallet.set(&many.join("+"), 9), Err(TokenError::TooMany));
-    assert_eq!(held(&wallet, 2), [two]);
-    wallet.clear();
-    assert!(held(&wallet, 2).is_empty());
+    assert_eq!(tokens.set(&format!("{one}+x"), 9), Err(TokenError::Malformed));
+    assert_eq!(held(&tokens, 2).len(), 1, "what cannot be used changes nothing");
+    let many: Vec<String> = (0..=MAX_TOKENS as u64).map(|group| text(group, MS)).collect();
+    assert_eq!(tokens.set(&many.join("+"), 9), Err(TokenError::TooMany));
+    assert_eq!(held(&tokens, 2), [two]);
+    tokens.clear();
+    assert!(held(&tokens, 2).is_empty());
 }
 
-// A customer whose hosts tell no positions: every answer to a session's read was held for one that proves nothing, and no
+// A customer whose hosts report no positions: every answer to a session's read was held for one that proves nothing, and no
 // such read was ever served.
 #[test]
-fn where_no_positions_are_told_an_answer_proves_what_its_host_looks_at_or_a_primary_stands_for() {
-    let told = Settings { roams: false, tokens: false, ..Default::default() };
+fn without_reported_positions_an_answer_proves_what_its_host_enforces_or_a_primary_implies() {
+    let reporting = Settings { roams: false, tokens: false, ..Default::default() };
     let verdicts = |settings: Settings, position| {
-        let mut keeper = Keeper::new(settings, 0).expect("sound");
-        let (key, now) = (keeper.key(G, "member-1"), 9_000 * MS);
-        keeper.wrote(now, key, now - MS, Some(now - MS));
-        let floor = keeper.ask(now, key, None);
+        let mut tracker = SessionTracker::new(settings, 0).expect("sound");
+        let (key, now) = (tracker.session_key(G, "member-1"), 9_000 * MS);
+        tracker.record_write(now, key, now - MS, Some(now - MS));
+        let floor = tracker.begin_read(now, key, None);
         let roles = [Some(Role::Primary), Some(Role::Replica), None];
-        roles.map(|role| keeper.judge(&floor, position, None, role) == Verdict::Proven)
+        roles.map(|role| tracker.verify_answer(&floor, position, None, role) == Verdict::Proven)
     };
-    let silent = Settings { positions: false, ..told.clone() };
+    let silent = Settings { hosts_report_positions: false, ..reporting.clone() };
     assert_eq!(verdicts(silent.clone(), None), [true, false, false]);
-    assert_eq!(verdicts(Settings { checks: true, ..silent.clone() }, None), [true; 3]);
-    // What is told counts, and where positions are told an answer without one proves nothing.
+    assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..silent.clone() }, None), [true; 3]);
+    // What is reported counts, and where positions are reported an answer without one proves nothing.
     assert_eq!(verdicts(silent, Some(8_000 * MS)), [false; 3]);
-    assert_eq!(verdicts(Settings { checks: true, ..told }, None), [false; 3]);
+    assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..reporting }, None), [false; 3]);
 }
 
 #[test]
-fn a_session_that_has_written_nothing_is_answered_by_whoever_answers() {
-    let settings = Settings { roams: false, tokens: false, positions: false, ..Default::default() };
-    let mut keeper = Keeper::new(settings, 0).expect("sound");
-    let key = keeper.key(G, "member-1");
-    let floor = keeper.ask(9_000 * MS, key, None);
-    assert_eq!(keeper.judge(&floor, None, None, Some(Role::Replica)), Verdict::Proven);
+fn a_session_without_writes_accepts_any_answer() {
+    let settings =
+        Settings { roams: false, tokens: false, hosts_report_positions: false, ..Default::default() };
+    let mut tracker = SessionTracker::new(settings, 0).expect("sound");
+    let key = tracker.session_key(G, "member-1");
+    let floor = tracker.begin_read(9_000 * MS, key, None);
+    assert_eq!(tracker.verify_answer(&floor, None, None, Some(Role::Replica)), Verdict::Proven);
     // A write that is under way may have been answered, and the answer been lost.
-    let floor = floor.with_write(8_900 * MS);
-    assert_eq!((floor.need(), floor.with_write(1).need()), (8_900 * MS, 8_900 * MS));
-    assert_eq!(keeper.judge(&floor, None, None, Some(Role::Replica)), Verdict::Behind);
+    let floor = floor.with_pending_write(8_900 * MS);
+    assert_eq!((floor.position(), floor.with_pending_write(1).position()), (8_900 * MS, 8_900 * MS));
+    assert_eq!(tracker.verify_answer(&floor, None, None, Some(Role::Replica)), Verdict::Unproven);
 }
--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -26,16 +26,21 @@
         self.0.update(&number.to_le_bytes());
     }
 
-    fn floor(&mut self, floor: &Floor) {
+    fn floor(&mut self, floor: &MinimumPosition) {
         let source = match floor.source {
-            Source::Token => 0,
-            Source::Memory => 1,
-            Source::Peers => 2,
-            Source::Open => 3,
+            PositionSource::Token => 0,
+            PositionSource::LocalMemory => 1,
+            PositionSource::Peers => 2,
+            PositionSource::Unknown => 3,
         };
-        for number in
-            [floor.arrived, floor.known, floor.open.unwrap_or(-1), floor.under_way, floor.need(), source]
-        {
+        for number in [
+            floor.arrived,
+            floor.known,
+            floor.unknown_until.unwrap_or(-1),
+            floor.pending_write,
+            floor.position(),
+            source,
+        ] {
             self.number(number);
         }
     }
@@ -45,18 +50,26 @@
     }
 
     fn snapshot(&mut self, snapshot: &Snapshot) {
-        for number in [snapshot.taken, i64::from(snapshot.clean), snapshot.lost, snapshot.base] {
+        for number in
+            [snapshot.taken_at, i64::from(snapshot.clean), snapshot.lost_until, snapshot.omitted_bound]
+        {
             self.number(number);
         }
         for (key, entry) in &snapshot.entries {
-            for number in [key.group as i64, key.name as i64, entry.mark.wrote, entry.mark.read, entry.seen] {
+            for number in [
+                key.group as i64,
+                key.name_hash as i64,
+                entry.watermark.written,
+                entry.watermark.read,
+                entry.complete_until,
+            ] {
                 self.number(number);
             }
         }
     }
 
-    fn counts(&mut self, keeper: &Keeper) {
-        let counts = keeper.counts();
+    fn counts(&mut self, tracker: &SessionTracker) {
+        let counts = tracker.counts();
         let numbers = [
             counts.by_token,
             counts.by_memory,
@@ -66,13 +79,13 @@
             counts.behind,
             counts.old_tokens,
             counts.early_tokens,
-            counts.told,
-            counts.heard,
-            counts.bad_bulletins,
-            keeper.holes(),
-            keeper.entries() as u64,
-            keeper.memory().evicted(),
-            keeper.memory().len() as u64,
+            counts.sent,
+            counts.received,
+            counts.rejected,
+            tracker.gaps(),
+            tracker.peer_entries() as u64,
+            tracker.memory().evicted(),
+            tracker.memory().len() as u64,
         ];
         numbers.iter().for_each(|number| self.number(*number as i64));
     }
@@ -88,15 +101,15 @@
 /// A read that waits for its answer.
 struct OpenRead {
     place: usize,
-    key: Key,
-    floor: Floor,
+    key: SessionKey,
+    floor: MinimumPosition,
 }
 
 struct Run {
     rng: Pcg64Mcg,
     now: Time,
     settings: Settings,
-    instances: Vec<Keeper>,
+    instances: Vec<SessionTracker>,
     datagrams: Vec<Datagram>,
     tokens: Vec<String>,
     reads: Vec<OpenRead>,
@@ -106,7 +119,9 @@
 impl Run {
     fn new(settings: Settings, seed: u64) -> Run {
         let instances = (0..settings.instances.max(2))
-            .map(|me| Keeper::new(Settings { me, ..settings.clone() }, START).expect("sound settings"))
+            .map(|instance| {
+                SessionTracker::new(Settings { instance, ..settings.clone() }, START).expect("sound settings")
+            })
             .collect();
         Run {
             rng: Pcg64Mcg::new(u128::from(seed) * 2 + 1),
@@ -137,7 +152,7 @@
     /// Sends what is due, with loss, delay and repetition, and delivers what has arrived.
     fn exchange(&mut self) {
         for from in 0..self.instances.len() {
-            for bytes in self.instances[from].tell(self.now) {
+            for bytes in self.instances[from].due_broadcasts(self.now) {
                 self.digest.bytes(&bytes);
                 for to in (0..self.instances.len()).filter(|to| *to != from) {
                     for _ in 0..self.rng.random_range(0..3) {
@@ -147,8 +162,8 @@
                 }
             }
         }
-        let (arrived, under_way) = self.datagrams.drain(..).partition(|datagram| datagram.due <= self.now);
-        self.datagrams = under_way;
+        let (arrived, in_transit) = self.datagrams.drain(..).partition(|datagram| datagram.due <= self.now);
+        self.datagrams = in_transit;
         let arrived: Vec<Datagram> = arrived;
         for datagram in arrived {
             let received = self.instances[datagram.to].receive(self.now, &datagram.bytes);
@@ -156,27 +171,27 @@
         }
     }
 
-    fn key(&mut self, place: usize) -> Key {
+    fn key(&mut self, place: usize) -> SessionKey {
         let group = self.rng.random_range(0..GROUPS);
         let session = self.rng.random_range(0..90u32).to_string();
-        self.instances[place].key(group, &session)
+        self.instances[place].session_key(group, &session)
     }
 
     /// A token that some client holds, when it is this session's or by chance another's.
-    fn token(&mut self, place: usize, key: Key) -> Option<Token> {
+    fn token(&mut self, place: usize, key: SessionKey) -> Option<Token> {
         let held = self
             .tokens
             .iter()
             .rev()
             .take(200)
-            .find(|text| Token::read(text, self.settings.secret).is_ok_and(|token| token.key == key));
+            .find(|text| Token::decode(text, self.settings.secret).is_ok_and(|token| token.key == key));
         let brought = match self.rng.random_range(0..10) {
-            0 => Some(FRESH.to_string()),
+            0 => Some(NEW_SESSION.to_string()),
             1 => self.tokens.first().cloned(),
             2..8 => held.cloned(),
             _ => None,
         }?;
-        let taken = self.instances[place].take_token(self.now, &brought, key);
+        let taken = self.instances[place].parse_token(self.now, &brought, key);
         self.digest.number(i64::from(taken.is_ok()));
         taken.ok()
     }
@@ -184,22 +199,22 @@
     fn write(&mut self, place: usize) {
         let key = self.key(place);
         if let Some(token) = self.token(place, key) {
-            let mark = self.instances[place].bring(self.now, key, &token);
-            self.digest.number(mark.wrote);
-            self.digest.number(mark.read);
+            let watermark = self.instances[place].merge_token(self.now, key, &token);
+            self.digest.number(watermark.written);
+            self.digest.number(watermark.read);
         }
         let arrived = self.now;
         self.now += self.rng.random_range(10..MS);
         match self.rng.random_range(0..10) {
-            0 => self.instances[place].unsure(self.now, key),
-            1 => self.instances[place].wrote(self.now, key, arrived, None),
-            _ => self.instances[place].wrote(self.now, key, arrived, Some(self.now - 5)),
+            0 => self.instances[place].record_unconfirmed_write(self.now, key),
+            1 => self.instances[place].record_write(self.now, key, arrived, None),
+            _ => self.instances[place].record_write(self.now, key, arrived, Some(self.now - 5)),
         }
         self.hand_out(place, key);
     }
 
-    fn hand_out(&mut self, place: usize, key: Key) {
-        if let Some(token) = self.instances[place].token(self.now, key) {
+    fn hand_out(&mut self, place: usize, key: SessionKey) {
+        if let Some(token) = self.instances[place].issue_token(self.now, key) {
             self.digest.bytes(token.as_bytes());
             self.tokens.push(token);
         }
@@ -208,9 +223,9 @@
     fn read(&mut self, place: usize) {
         let key = self.key(place);
         let token = self.token(place, key);
-        let floor = self.instances[place].ask(self.now, key, token.as_ref());
+        let floor = self.instances[place].begin_read(self.now, key, token.as_ref());
         let floor = match self.rng.random_range(0..10) {
-            0 => floor.with_write(self.now - 3 * MS),
+            0 => floor.with_pending_write(self.now - 3 * MS),
             _ => floor,
         };
         self.digest.floor(&floor);
@@ -224,19 +239,19 @@
         }
         let at = self.rng.random_range(0..self.reads.len());
         let OpenRead { place, key, mut floor } = self.reads.swap_remove(at);
-        if let Some(lower) = self.instances[place].settle(self.now, key, &floor) {
+        if let Some(lower) = self.instances[place].recheck_read(self.now, key, &floor) {
             self.digest.floor(&lower);
             floor = lower;
         }
         let behind = self.rng.random_range(0..80 * MS);
         let position = (self.now - behind) / MS * MS;
         let before = self.rng.random_bool(0.5).then_some(position - MS);
-        let keeper = &mut self.instances[place];
+        let tracker = &mut self.instances[place];
         for role in [Some(Role::Replica), None, Some(Role::Primary)] {
-            self.digest.verdict(keeper.judge(&floor, None, before, role));
-            self.digest.verdict(keeper.judge(&floor, Some(position), before, role));
+            self.digest.verdict(tracker.verify_answer(&floor, None, before, role));
+            self.digest.verdict(tracker.verify_answer(&floor, Some(position), before, role));
         }
-        keeper.read(self.now, key, &floor, position.max(floor.need()));
+        tracker.record_read(self.now, key, &floor, position.max(floor.position()));
         self.hand_out(place, key);
     }
 
@@ -248,7 +263,7 @@
 
     fn serve(&mut self, place: usize) {
         let group = self.rng.random_range(0..GROUPS);
-        self.instances[place].serve(group);
+        self.instances[place].track_group(group);
     }
 
     fn restart(&mut self, place: usize) {
@@ -257,10 +272,10 @@
         self.digest.snapshot(&snapshot);
         self.digest.counts(&self.instances[place]);
         self.now += self.rng.random_range(MS..200 * MS);
-        let settings = Settings { me: place as u16, ..self.settings.clone() };
+        let settings = Settings { instance: place as u16, ..self.settings.clone() };
         self.instances[place] = match self.rng.random_bool(0.3) {
-            true => Keeper::new(settings, self.now),
-            false => Keeper::restore(settings, self.now, &snapshot),
+            true => SessionTracker::new(settings, self.now),
+            false => SessionTracker::restore(settings, self.now, &snapshot),
         }
         .expect("sound settings");
         self.reads.retain(|read| read.place != place);
@@ -270,9 +285,9 @@
 fn digest_of(settings: Settings, seed: u64) -> u64 {
     let mut run = Run::new(settings, seed);
     (0..STEPS).for_each(|_| run.step());
-    for keeper in &run.instances {
-        run.digest.counts(keeper);
-        run.digest.snapshot(&keeper.snapshot(run.now, true));
+    for tracker in &run.instances {
+        run.digest.counts(tracker);
+        run.digest.snapshot(&tracker.snapshot(run.now, true));
     }
     run.digest.0.digest()
 }
@@ -280,9 +295,9 @@
 fn settings() -> Settings {
     Settings {
         instances: 4,
-        exact: 48,
-        cells: 64,
-        pace: 20 * MS,
+        exact_sessions: 48,
+        sketch_width: 64,
+        broadcast_interval: 20 * MS,
         token_age: 400 * MS,
         secret: 77,
         ..Settings::default()
@@ -291,10 +306,16 @@
 
 #[test]
 fn outputs_are_those_of_the_reference() {
-    let clocks = Settings { clock_error: 5 * MS, told: Told::WithAnswer, ..settings() };
+    let clocks = Settings { clock_error: 5 * MS, position_scope: PositionScope::HostAtAnswer, ..settings() };
     let writes = Settings { promise: Promise::Writes, tokens: false, ..settings() };
-    let alone = Settings { instances: 0, roams: false, positions: false, checks: true, ..settings() };
-    let guessing = Settings { conservative: false, positions: false, ..settings() };
+    let alone = Settings {
+        instances: 0,
+        roams: false,
+        hosts_report_positions: false,
+        hosts_enforce_positions: true,
+        ..settings()
+    };
+    let guessing = Settings { conservative: false, hosts_report_positions: false, ..settings() };
     let digests = [
         digest_of(settings(), 1),
         digest_of(clocks, 2),
--- a/src/bin/petrelgauge-benchlink/wire.rs
+++ b/src/bin/petrelgauge-benchlink/wire.rs
@@ -2,7 +2,7 @@
 
 use petrelgauge::settings::{self, Info};
 use petrelgauge::*;
-use petrelgauge_sessions::{Keeper, Key};
+use petrelgauge_sessions::{SessionKey, SessionTracker};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -110,19 +110,19 @@
     sessions: Option<Sessions>,
 }
 
-/// The marks of an instance whose deployment remembers them: of its own answers, since its start.
+/// The watermarks of an instance whose deployment remembers them: of its own answers, since its start.
 struct Sessions {
-    keeper: Keeper,
+    tracker: SessionTracker,
     /// Keys of the writes that are open.
-    writes: BTreeMap<Arc<str>, Key>,
+    writes: BTreeMap<Arc<str>, SessionKey>,
 }
 
 impl Sessions {
     fn new(info: &Info, needs: &[Need]) -> Option<Sessions> {
         let kept = info.remembers_sessions() && needs.contains(&Need::Session);
         let settings = petrelgauge_sessions::Settings { roams: false, ..Default::default() };
-        let keeper = kept.then(|| Keeper::new(settings, 0).ok())??;
-        Some(Sessions { keeper, writes: BTreeMap::new() })
+        let tracker = kept.then(|| SessionTracker::new(settings, 0).ok())??;
+        Some(Sessions { tracker, writes: BTreeMap::new() })
     }
 
     /// What a request must see, if its class reads what its session wrote.
@@ -134,17 +134,17 @@
         group: GroupId,
         name: &str,
     ) -> Option<Time> {
-        let key = self.keeper.key(group, name);
+        let key = self.tracker.session_key(group, name);
         if need == Need::Write {
             self.writes.insert(txn.clone(), key);
         }
-        (need == Need::Session).then(|| self.keeper.ask(now, key, None).need())
+        (need == Need::Session).then(|| self.tracker.begin_read(now, key, None).position())
     }
 
     fn done(&mut self, now: Time, txn: &Arc<str>, commit: Option<Time>, over: bool) {
         let key = if over { self.writes.remove(txn) } else { self.writes.get(txn).copied() };
         if let (Some(key), Some(commit)) = (key, commit) {
-            self.keeper.wrote(now, key, 0, Some(commit));
+            self.tracker.record_write(now, key, 0, Some(commit));
         }
     }
 }
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -9,7 +9,9 @@
 pub use petrelgauge_lifecycle::request_table::{NotTaken, Outcome, Request, SessionRef};
 use petrelgauge_lifecycle::request_table::{Order, RequestTable, Send};
 use petrelgauge_policy::*;
-use petrelgauge_sessions::{BulletinError, Counts, Keeper, Key, SessionTokens, Snapshot, TokenError};
+use petrelgauge_sessions::{
+    BroadcastError, Counts, SessionKey, SessionTokens, SessionTracker, Snapshot, TokenError,
+};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -53,7 +55,7 @@
     pub fn with_sessions(
         settings: Settings,
         seed: u64,
-        sessions: Option<(Keeper, Vec<usize>)>,
+        sessions: Option<(SessionTracker, Vec<usize>)>,
     ) -> Result<Facade, SettingsError> {
         let table = RefCell::new(RequestTable::new(settings, seed, sessions)?);
         let (asking, callers) = (RefCell::default(), RefCell::default());
@@ -156,24 +158,24 @@
         self.0.table.borrow().keeps_sessions()
     }
 
-    /// Puts what a client set into its wallet.
-    pub fn set_tokens(&self, wallet: &mut SessionTokens, text: &str) -> Result<(), TokenError> {
-        self.0.table.borrow().set_tokens(wallet, text)
+    /// Stores the tokens that a client has set for its connection.
+    pub fn set_tokens(&self, tokens: &mut SessionTokens, text: &str) -> Result<(), TokenError> {
+        self.0.table.borrow().set_tokens(tokens, text)
     }
 
-    /// The visit of a session, with what its client brought of it. An unusable token is an error.
-    pub fn visit(
+    /// The session that a request belongs to, with the tokens that its client sent joined into one. An unusable token is an error.
+    pub fn session_ref(
         &self,
         at: Time,
         group: GroupId,
         name: &str,
         tokens: &[&str],
     ) -> Result<Option<SessionRef>, TokenError> {
-        self.0.table.borrow().visit(at, group, name, tokens)
+        self.0.table.borrow().session_ref(at, group, name, tokens)
     }
 
     /// The token that goes with an answer to this session, where clients carry tokens.
-    pub fn token(&self, now: Time, key: Key) -> Option<String> {
+    pub fn token(&self, now: Time, key: SessionKey) -> Option<String> {
         self.0.table.borrow().token(now, key)
     }
 
@@ -187,21 +189,21 @@
         self.0.table.borrow().session_counts()
     }
 
-    /// The marks of this moment, if sessions are kept.
+    /// The watermarks of this moment, if sessions are tracked.
     pub fn snapshot(&self, now: Time, clean: bool) -> Option<Snapshot> {
         self.0.table.borrow().snapshot(now, clean)
     }
 
     /// A datagram of another instance came. Reads that wait may need less now.
-    pub fn hear(&self, now: Time, bytes: &[u8]) -> Result<(), BulletinError> {
-        self.0.table.borrow_mut().hear(now, bytes)?;
+    pub fn receive_broadcast(&self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
+        self.0.table.borrow_mut().receive_broadcast(now, bytes)?;
         self.0.woken.notify_one();
         Ok(())
     }
 
     /// Datagrams for every other instance that are due now, and when to call again.
-    pub fn tell(&self, now: Time) -> (Vec<Vec<u8>>, Option<Time>) {
-        self.0.table.borrow_mut().tell(now)
+    pub fn due_broadcasts(&self, now: Time) -> (Vec<Vec<u8>>, Option<Time>) {
+        self.0.table.borrow_mut().due_broadcasts(now)
     }
 
     /// Takes a request in.
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -13,7 +13,7 @@
 use bytes::{Buf, Bytes};
 use petrelgauge_lifecycle::client::Used;
 use petrelgauge_lifecycle::request::{Event, FinalAnswer, RequestState};
-use petrelgauge_sessions::Key;
+use petrelgauge_sessions::SessionKey;
 use std::rc::Rc;
 use tokio::task::JoinHandle;
 
@@ -53,10 +53,10 @@
     fn set(&mut self, setting: Setting) -> Result<&'static str, Unusable> {
         match &setting {
             Setting::Mark(text) if self.front.facade.keeps_sessions() => {
-                let set = self.front.facade.set_tokens(&mut self.marks, text);
+                let set = self.front.facade.set_tokens(&mut self.session_tokens, text);
                 set.map_err(|cause| ("22023", cause.to_string()))?;
             }
-            Setting::NoMark | Setting::Discard => self.marks.clear(),
+            Setting::NoMark | Setting::Discard => self.session_tokens.clear(),
             Setting::Mark(_) | Setting::Other | Setting::Reset => {}
         }
         Ok(setting.tag())
@@ -77,8 +77,8 @@
         let name = statement.session.as_ref().unwrap_or(&statement.name);
         let brought =
             statement.mark.iter().flat_map(|text| text.split('+')).filter(|token| !token.is_empty());
-        let tokens: Vec<&str> = brought.chain(self.marks.of(statement.cluster)).collect();
-        facade.visit(at, statement.cluster, name, &tokens).map_err(|cause| ("22023", cause.to_string()))
+        let tokens: Vec<&str> = brought.chain(self.session_tokens.for_group(statement.cluster)).collect();
+        facade.session_ref(at, statement.cluster, name, &tokens).map_err(|cause| ("22023", cause.to_string()))
     }
 
     fn read_statement(&self, text: &Bytes, at: Time) -> Result<Taken, Unusable> {
@@ -254,7 +254,7 @@
 }
 
 impl Taken {
-    fn session_key(&self) -> Option<Key> {
+    fn session_key(&self) -> Option<SessionKey> {
         self.request.session.as_ref().map(|session| session.key)
     }
 }
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -39,7 +39,7 @@
     /// What cancels its open query.
     pub(super) cancel_key: Registered,
     /// Session tokens that it set.
-    pub(super) marks: SessionTokens,
+    pub(super) session_tokens: SessionTokens,
 }
 
 impl ClientSession<'_> {
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -17,7 +17,7 @@
 use crate::{Class, MemberId, Need, Settings, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
 use petrelgauge_ownership::Office;
-use petrelgauge_sessions::{Keeper, SettingsError};
+use petrelgauge_sessions::{SessionTracker, SettingsError};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
@@ -46,7 +46,7 @@
     /// Longest that a read is held for a replica (microseconds).
     pub hold: Time,
     gateways: u32,
-    /// Where marks of other gateways are heard.
+    /// Where the watermark broadcasts of other gateways are received.
     exchange: Option<SocketAddr>,
 }
 
@@ -55,7 +55,7 @@
     pub fn new(config: &Config, now: Time) -> Result<Decisions, String> {
         let mut settings = settings(config)?;
         let (sessions, exchange) = sessions(config, &settings.classes, now)?;
-        let hold = sessions.as_ref().map_or(0, |(keeper, _)| keeper.settings().hold);
+        let hold = sessions.as_ref().map_or(0, |(tracker, _)| tracker.settings().max_read_wait);
         settings.hold = hold;
         let (most_open, gateways) = (settings.most_open, settings.routers);
         let facade = Facade::with_sessions(settings, config.seed, sessions)
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Entries of state that grow with the fleet: hosts, parts of limits, marks of other gateways.
+    /// Entries of state that grow with the fleet: hosts, parts of limits, watermarks of other gateways.
     pub fn entries(&self) -> usize {
         let duties = self.duties.as_ref().map_or(0, |duties| duties.entries());
         self.names.len() + duties + self.facade.session_entries()
@@ -206,12 +206,12 @@
     Ok(Some(Duties::new(office, shares, plan, facade, clock, counters, names)))
 }
 
-/// A keeper of sessions with the classes that carry them, and where marks of others are heard.
-type Kept = (Option<(Keeper, Vec<usize>)>, Option<SocketAddr>);
+/// The session tracker with the classes that carry them, and where the watermark broadcasts of others are received.
+type TrackedSessions = (Option<(SessionTracker, Vec<usize>)>, Option<SocketAddr>);
 
-/// The sessions that the operator has switched on, or else what the deployment asks for by itself: marks of this
+/// The sessions that the operator has switched on, or else what the deployment asks for by itself: watermarks of this
 /// instance's own answers, since its start.
-fn sessions(config: &Config, classes: &[Class], now: Time) -> Result<Kept, String> {
+fn sessions(config: &Config, classes: &[Class], now: Time) -> Result<TrackedSessions, String> {
     let refused = |cause: SettingsError| format!("sessions: {cause}");
     if let Some(set) = &config.operator.sessions {
         let (places, mut settings) = (carrying(config, classes)?, set.settings.clone());
@@ -219,19 +219,25 @@
         if set.peers {
             let listen = config.peer_listen.ok_or("sessions: the configuration names no peer_listen")?;
             let me = config.place().ok_or("sessions: this gateway is none of the peers")?;
-            (settings.me, settings.instances) = (me as u16, config.peers.len().min(u16::MAX.into()) as u16);
+            (settings.instance, settings.instances) =
+                (me as u16, config.peers.len().min(u16::MAX.into()) as u16);
             exchange = Some(listen);
         }
-        return Ok((Some((Keeper::new(settings, now).map_err(refused)?, places)), exchange));
+        return Ok((Some((SessionTracker::new(settings, now).map_err(refused)?, places)), exchange));
     }
     let places = carrying(config, classes)?;
     if places.is_empty() {
         return Ok((None, None));
     }
-    let (positions, checks) = (config.info.tells_positions(), config.info.checks());
-    let told = petrelgauge_sessions::Settings { positions, checks, ..Default::default() };
+    let (hosts_report_positions, hosts_enforce_positions) =
+        (config.info.tells_positions(), config.info.checks());
+    let told = petrelgauge_sessions::Settings {
+        hosts_report_positions,
+        hosts_enforce_positions,
+        ..Default::default()
+    };
     let settings = petrelgauge_sessions::Settings { roams: false, tokens: false, ..told };
-    Ok((Some((Keeper::new(settings, 0).map_err(refused)?, places)), None))
+    Ok((Some((SessionTracker::new(settings, 0).map_err(refused)?, places)), None))
 }
 
 /// Places of the classes that carry sessions: those that the operator names, or else those that the deployment asks
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -13,7 +13,7 @@
 use crate::net::set;
 use crate::Time;
 use petrelgauge_lifecycle::gateway::{LastReads, ServingState};
-use petrelgauge_sessions::{Key, SessionTokens};
+use petrelgauge_sessions::{SessionKey, SessionTokens};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -105,7 +105,7 @@
             door: self.door.clone(),
             close_from: 0,
             cancel_key: self.cancel_keys.register(number),
-            marks: SessionTokens::default(),
+            session_tokens: SessionTokens::default(),
         };
         let end = session.run().await;
         log::debug!("client {number} ended: {end:?}");
@@ -113,7 +113,7 @@
     }
 
     /// Tells the session's token, where its client carries one.
-    pub(super) fn put_mark(&self, out: &mut Vec<u8>, session: Option<Key>) {
+    pub(super) fn put_mark(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
         if let Some(token) = session.and_then(|key| self.facade.token(self.clock.now(), key)) {
             pg::put_status(out, set::MARK, &token);
         }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between instances: bulletins out at their pace, bulletins in as they come. What is in them, and what
+//! Datagrams between instances: watermark broadcasts out when they are due, broadcasts in as they come. What is in them, and what
 //! follows from it, the sessions decide; and datagrams about duties, of which `duties.rs` sees to.
 
 use crate::facade::Facade;
@@ -6,7 +6,7 @@
 use crate::net::counters::Counters;
 use crate::net::duties::{Duties, Parcel};
 use crate::Time;
-use petrelgauge_sessions::MOST_BYTES;
+use petrelgauge_sessions::MAX_DATAGRAM_BYTES;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -55,10 +55,10 @@
         duties: Option<Rc<Duties>>,
     ) {
         // One byte more than any that can be used, to tell those that are cut.
-        let mut bytes = [0; MOST_BYTES + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let mut failing = false;
         loop {
-            let (told, next) = facade.tell(clock.now());
+            let (told, next) = facade.due_broadcasts(clock.now());
             for datagram in &told {
                 for (_, other) in self.all.iter().enumerate().filter(|(number, _)| *number != self.me) {
                     counters.told.add();
@@ -84,7 +84,7 @@
                             self.send(parcels, &counters);
                             None
                         }
-                        _ => facade.hear(clock.now(), &bytes[..length]).err(),
+                        _ => facade.receive_broadcast(clock.now(), &bytes[..length]).err(),
                     };
                     // Once for each row of them.
                     if let Some(cause) = &cause {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::{Class, Need, Time};
 use petrelgauge_ownership::{Settings as Spans, MOST_SHARDS};
 use petrelgauge_records::{Record, RecordError};
-use petrelgauge_sessions::{Promise, Settings, Told};
+use petrelgauge_sessions::{PositionScope, Promise, Settings};
 
 /// What an operator has set.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -103,8 +103,8 @@
     }
     let promises = [Promise::Writes, Promise::WritesAndReads];
     let promise = record.one_of("promise", &["writes", "writes-and-reads"])?.map(|place| promises[place]);
-    let told = [Told::WithRead, Told::WithAnswer];
-    let told = record.one_of("positions", &["read", "answer"])?.map(|place| told[place]);
+    let scopes = [PositionScope::DataRead, PositionScope::HostAtAnswer];
+    let position_scope = record.one_of("positions", &["read", "answer"])?.map(|place| scopes[place]);
     let secret = record.text("secret")?.map(|text| u64::from_str_radix(&text, 16));
     let Ok(secret) = secret.transpose() else {
         return Err(record.error("secret is up to 16 hexadecimal digits"));
@@ -114,17 +114,17 @@
     };
     let settings = Settings {
         promise: promise.unwrap_or(base.promise),
-        told: told.unwrap_or(base.told),
+        position_scope: position_scope.unwrap_or(base.position_scope),
         conservative: record.one_of("unknown", &["asked-for", "ignored"])? != Some(1),
         roams: record.truth("roams")?.unwrap_or(base.roams),
         tokens: sources.iter().any(|name| name == "token"),
-        exact: record.count("exact")?.map_or(base.exact, |count| count as usize),
-        cells: record.count("cells")?.map_or(base.cells, |count| count as usize),
+        exact_sessions: record.count("exact")?.map_or(base.exact_sessions, |count| count as usize),
+        sketch_width: record.count("cells")?.map_or(base.sketch_width, |count| count as usize),
         token_age: record.span("token_age")?.unwrap_or(base.token_age),
         clock_error: record.span("clock_error")?.unwrap_or(base.clock_error),
-        granule: record.span("granule")?.unwrap_or(base.granule),
-        pace: record.span("pace")?.unwrap_or(base.pace),
-        hold: record.span("hold")?.unwrap_or(base.hold),
+        position_granularity: record.span("granule")?.unwrap_or(base.position_granularity),
+        broadcast_interval: record.span("pace")?.unwrap_or(base.broadcast_interval),
+        max_read_wait: record.span("hold")?.unwrap_or(base.max_read_wait),
         secret,
         ..base
     };
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -7,7 +7,7 @@
 use petrelgauge::net::set;
 use petrelgauge::net::statement::Statement;
 use petrelgauge::operator::Operator;
-use petrelgauge_sessions::{Bulletin, Key, Mark, Token, MOST_BYTES};
+use petrelgauge_sessions::{SessionKey, Token, Watermark, WatermarkBroadcast, MAX_DATAGRAM_BYTES};
 
 /// Mutations of each sample.
 const ROUNDS: u32 = 4_000;
@@ -187,28 +187,28 @@
 }
 
 #[test]
-fn tokens_and_bulletins() {
-    let key = Key { group: 2, name: 77 };
-    let mark = Mark { wrote: 1_767_225_600_123_000, read: 1_767_225_600_150_000 };
-    let token = Token { key, mark, issued: 1_767_225_600_200_000 }.write(9);
-    let told = Bulletin {
+fn tokens_and_watermark_broadcasts() {
+    let key = SessionKey { group: 2, name_hash: 77 };
+    let watermark = Watermark { written: 1_767_225_600_123_000, read: 1_767_225_600_150_000 };
+    let token = Token { key, watermark, issued_at: 1_767_225_600_200_000 }.encode(9);
+    let broadcast = WatermarkBroadcast {
         instance: 1,
         group: 2,
         epoch: 1_767_225_000_000_000,
         from: 1_767_225_600_000_000,
         until: 1_767_225_600_100_000,
-        base: 0,
-        lines: vec![(77, mark), (78, Mark::NONE)],
+        omitted_bound: 0,
+        entries: vec![(77, watermark), (78, Watermark::NONE)],
     }
-    .write(9);
-    assert!(told.len() <= MOST_BYTES);
+    .encode(9);
+    assert!(broadcast.len() <= MAX_DATAGRAM_BYTES);
     // The check lets through what was written and nothing else.
     rounds(5, &[token.clone().into_bytes()], |bytes| {
         let text = String::from_utf8_lossy(bytes);
-        assert_eq!(Token::read(&text, 9).is_ok(), *text == *token);
+        assert_eq!(Token::decode(&text, 9).is_ok(), *text == *token);
     });
-    rounds(6, std::slice::from_ref(&told), |bytes| {
-        assert_eq!(Bulletin::read(bytes, 9).is_ok(), *bytes == *told)
+    rounds(6, std::slice::from_ref(&broadcast), |bytes| {
+        assert_eq!(WatermarkBroadcast::decode(bytes, 9).is_ok(), *bytes == *broadcast)
     });
 }
 
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -9,7 +9,7 @@
 use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionRef, Ticket};
 use petrelgauge::operator::Operator;
 use petrelgauge::*;
-use petrelgauge_sessions::{Bulletin, Keeper, Mark, Token};
+use petrelgauge_sessions::{SessionTracker, Token, Watermark, WatermarkBroadcast};
 use stage::{insert, kinds, select, Say, Stage};
 use std::future::Future;
 use std::pin::pin;
@@ -37,10 +37,10 @@
 
 impl Play {
     fn new(sessions: petrelgauge_sessions::Settings) -> Play {
-        let keeper = Keeper::new(sessions, START).expect("sound settings");
+        let tracker = SessionTracker::new(sessions, START).expect("sound settings");
         let set = Settings { may_probe: false, hold: 30 * MS, ..settings() };
         let facade =
-            Facade::with_sessions(set, 11, Some((keeper, vec![READ, WRITE]))).expect("sound settings");
+            Facade::with_sessions(set, 11, Some((tracker, vec![READ, WRITE]))).expect("sound settings");
         facade.list(true, (1..=3).map(|member| entry(member, Standing::Up, member == 1, 0)).collect());
         let mut play = Play { facade, now: START };
         play.step();
@@ -52,12 +52,12 @@
         self.facade.tick(self.now);
     }
 
-    fn visit(&self, tokens: &[&str]) -> SessionRef {
-        self.facade.visit(self.now, G, "one", tokens).expect("sound tokens").expect("sessions are kept")
+    fn session_ref(&self, tokens: &[&str]) -> SessionRef {
+        self.facade.session_ref(self.now, G, "one", tokens).expect("sound tokens").expect("sessions are kept")
     }
 
     fn admit(&mut self, class: usize, tokens: &[&str]) -> Ticket {
-        let (at, until, session) = (self.now, self.now + 900 * MS, Some(self.visit(tokens)));
+        let (at, until, session) = (self.now, self.now + 900 * MS, Some(self.session_ref(tokens)));
         self.facade.admit(Request { class, group: G, until, repeat: false, at, after: None, session })
     }
 
@@ -82,7 +82,7 @@
         let mut ticket = self.admit(WRITE, &[]);
         let attempt = self.send(&mut ticket);
         assert!(attempt.report(self.now, self.served(commit, Role::Primary)));
-        self.facade.token(self.now, self.visit(&[]).key).expect("tokens are on")
+        self.facade.token(self.now, self.session_ref(&[]).key).expect("tokens are on")
     }
 }
 
@@ -137,23 +137,23 @@
 }
 
 #[test]
-fn bulletins_lower_what_a_waiting_read_needs() {
+fn broadcasts_lower_what_a_waiting_read_needs() {
     let set = petrelgauge_sessions::Settings { instances: 2, tokens: false, ..Default::default() };
     let mut play = Play::new(set);
     let told = |from: Time, until: Time| {
-        Bulletin {
+        WatermarkBroadcast {
             instance: 1,
             group: G,
             epoch: START - 9_000 * MS,
             from,
             until,
-            base: 0,
-            lines: vec![(7, Mark { wrote: until, read: 0 })],
+            omitted_bound: 0,
+            entries: vec![(7, Watermark { written: until, read: 0 })],
         }
-        .write(0)
+        .encode(0)
     };
     let (start, then) = (START - 9_000 * MS, START + 10 * MS);
-    play.facade.hear(play.now, &told(start, START)).expect("sound");
+    play.facade.receive_broadcast(play.now, &told(start, START)).expect("sound");
     let mut ticket = play.admit(READ, &[]);
     let arrived = play.now;
     let attempt = play.send(&mut ticket);
@@ -164,12 +164,12 @@
     // The other has told all that it made before the read came, and nothing of this session.
     (0..10).for_each(|_| play.step());
     assert!(arrived < then);
-    play.facade.hear(play.now, &told(START, then)).expect("sound");
+    play.facade.receive_broadcast(play.now, &told(START, then)).expect("sound");
     let attempt = play.send(&mut ticket);
     assert!(attempt.report(play.now, play.served(arrived - MS, Role::Replica)), "nothing stands against it");
     let (counts, _) = play.facade.session_counts().expect("sessions are kept");
-    assert_eq!((counts.settled, counts.heard), (1, 2));
-    assert!(play.facade.hear(play.now, b"garbage").is_err());
+    assert_eq!((counts.settled, counts.received), (1, 2));
+    assert!(play.facade.receive_broadcast(play.now, b"garbage").is_err());
 }
 
 const OPERATOR: &str = "sessions: {classes: [\"view\", \"post\"], secret: \"77\"}\n";
@@ -204,19 +204,20 @@
         let (written, token) = mark(insert("a", 5000)).await;
         assert!(matches!(written.expect("a row")[..], [.., SimpleQueryMessage::CommandComplete(1)]));
         let token = token.expect("a token is told");
-        let known = Token::read(&token, 0x77).expect("it is sound");
-        assert_eq!((known.key.group, known.mark.wrote), (2, commit as Time * 1000));
+        let known = Token::decode(&token, 0x77).expect("it is sound");
+        assert_eq!((known.key.group, known.watermark.written), (2, commit as Time * 1000));
         let with =
             |mark: &str| select("a", "view", 5000).replace("cluster=2", &format!("cluster=2,mark={mark}"));
         let (read, newer) = mark(with(&token)).await;
         assert!(read.is_ok());
         let newer = newer.expect("a token is told");
-        assert!(Token::read(&newer, 0x77).expect("it is sound").mark.read > known.mark.wrote);
+        assert!(Token::decode(&newer, 0x77).expect("it is sound").watermark.read > known.watermark.written);
         let code = |answer: Result<Vec<SimpleQueryMessage>, tokio_postgres::Error>| {
             answer.err().and_then(|cause| cause.code().cloned())
         };
-        let other = Token { key: petrelgauge_sessions::Key { group: 3, ..known.key }, ..known }.write(0x77);
-        for bad in ["x", &token[1..], &other, &Token { ..known }.write(0x78)] {
+        let other =
+            Token { key: petrelgauge_sessions::SessionKey { group: 3, ..known.key }, ..known }.encode(0x77);
+        for bad in ["x", &token[1..], &other, &Token { ..known }.encode(0x78)] {
             assert_eq!(code(mark(with(bad)).await.0), Some(SqlState::INVALID_PARAMETER_VALUE), "{bad}");
         }
         // Set once for the connection, it goes with all that follow.
