--- a/crates/lab/src/large.rs
+++ b/crates/lab/src/large.rs
@@ -9,8 +9,8 @@
 use crate::Options;
 use petrelgauge::{Role, Time};
 use petrelgauge_sessions::{
-    overestimate_rate, Counts, MinimumPosition, SessionKey, SessionMemory, SessionTracker, Settings, Token,
-    Watermark,
+    overestimate_rate, AnswerEvidence, Counts, MinimumPosition, SessionKey, SessionMemory, SessionTracker,
+    Settings, Token, Watermark,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -178,9 +178,12 @@
             let position = now - LAG;
             oracle += u64::from(position >= *mark);
             let good = petrelgauge_sessions::Verdict::Proven;
-            let shown = if instance.tracker.verify_answer(&floor, Some(position), None, Some(Role::Replica))
-                == good
-            {
+            let replica = AnswerEvidence {
+                position: Some(position),
+                position_at_send: None,
+                role: Some(Role::Replica),
+            };
+            let shown = if instance.tracker.verify_answer(&floor, &replica) == good {
                 at_replicas += 1;
                 position
             } else {
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -1,7 +1,7 @@
 //! Reports and withdrawals: the one end of each request.
 
 use super::*;
-use petrelgauge_sessions::Verdict;
+use petrelgauge_sessions::{AnswerEvidence, Verdict};
 
 impl RequestTable {
     /// The client no longer waits. Whether the request was still open.
@@ -99,7 +99,9 @@
         let watch = self.open.get(request).and_then(|open| open.watch.as_ref());
         // What a write has made was recorded by the tracker.
         let Some(SessionWatch { key, floor: Some(floor), before, .. }) = watch else { return true };
-        if tracker.verify_answer(floor, outcome.position, *before, outcome.role) == Verdict::Unproven {
+        let answer =
+            AnswerEvidence { position: outcome.position, position_at_send: *before, role: outcome.role };
+        if tracker.verify_answer(floor, &answer) == Verdict::Unproven {
             return false;
         }
         tracker.record_read(now, *key, floor, outcome.position.unwrap_or(0));
--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -24,7 +24,8 @@
         tokens.set(text, tracker.settings().secret)
     }
 
-    /// The session that a request belongs to, with the tokens that its client sent joined into one. An unusable token is an error.
+    /// The session that a request belongs to, with the tokens that its client sent joined into one. An
+    /// unusable token is an error.
     pub fn session_ref(
         &self,
         at: Time,
--- a/crates/models/src/marks.rs
+++ b/crates/models/src/marks.rs
@@ -4,7 +4,9 @@
 use crate::check::{check, Report, World};
 use crate::Size;
 use petrelgauge_policy::{Role, Time};
-use petrelgauge_sessions::{MinimumPosition, Promise, SessionKey, SessionTracker, Settings, Verdict};
+use petrelgauge_sessions::{
+    AnswerEvidence, MinimumPosition, Promise, SessionKey, SessionTracker, Settings, Verdict,
+};
 
 const START: Time = 1_000_000_000;
 /// Time that each event takes.
@@ -72,6 +74,11 @@
     tracker
 }
 
+/// What a host of this role reports with an answer.
+fn evidence(position: Time, role: Role) -> AnswerEvidence {
+    AnswerEvidence { position: Some(position), position_at_send: None, role: Some(role) }
+}
+
 impl World for Pair {
     type Move = Move;
 
@@ -121,14 +128,12 @@
                 let ages = (0..30).rev().map(|steps| now - steps * STEP / 2);
                 let mut shown = None;
                 for position in ages {
-                    if tracker.verify_answer(&floor, Some(position), None, Some(Role::Replica))
-                        == Verdict::Proven
-                    {
+                    if tracker.verify_answer(&floor, &evidence(position, Role::Replica)) == Verdict::Proven {
                         shown = Some(position);
                         break;
                     }
                 }
-                if tracker.verify_answer(&floor, Some(now), None, Some(Role::Primary)) != Verdict::Proven {
+                if tracker.verify_answer(&floor, &evidence(now, Role::Primary)) != Verdict::Proven {
                     self.broken = Some(LET);
                 }
                 let shown = shown.unwrap_or(now);
--- a/crates/sessions/src/known_range.rs
+++ b/crates/sessions/src/known_range.rs
@@ -1,68 +1,80 @@
-//! How far another instance's watermarks are known here: up to when without a gap, and what lies in the gaps.
+//! How far the watermarks of another instance are known here: up to when without a gap, and what may lie in
+//! the gaps.
 
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Intervals that wait for a missing one before them.
+/// Intervals that may wait for a missing one before them.
 const MAX_PENDING: usize = 4;
 
-/// What is known of the watermarks that one instance makes in one group. Times are that instance's clock.
+/// An interval that a broadcast covers. Times in microseconds of the sender's clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeerInterval {
+    /// When the sender started.
+    pub epoch: Time,
+    /// Start of the interval, exclusive.
+    pub from: Time,
+    /// End of the interval, inclusive.
+    pub until: Time,
+    /// No watermark that the sender omitted lies above this.
+    pub omitted_bound: Time,
+}
+
+/// An interval received ahead of the one before it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct PendingInterval {
+    from: Time,
+    until: Time,
+}
+
+/// What is known of the watermarks that one instance records in one group. Times in microseconds of that
+/// instance's clock, but for the time since when an interval is missing.
 ///
-/// States: never heard (`until` 0); whole (nothing pending); waiting (later intervals are here, one before them
-/// is not). A gap that stays open is closed by a blanket: whatever was made in it was committed before it ended.
+/// States: nothing received (`known_until` is 0); contiguous (nothing pending); waiting (later intervals are
+/// pending, one before them is missing). A gap that stays open is closed with an upper bound: whatever was
+/// recorded in it was committed before the gap ended.
 #[derive(Clone, Debug, Default)]
 pub struct KnownRange {
-    /// Start of the run that was heard last.
+    /// Start of the latest run that was received from.
     epoch: Time,
-    /// Every watermark made up to then is known, bounded by the base or under the blanket.
+    /// Every watermark recorded up to then is known, or bounded by `omitted_bound` or `gap_end`.
     known_until: Time,
-    /// Marks that were never told were made up to then, at the latest; 0 for none.
+    /// Watermarks that were never received were recorded up to then at the latest; 0 for none.
     gap_end: Time,
-    /// No watermark that it left out of what it told lies above this.
     omitted_bound: Time,
-    pending: Vec<(Time, Time)>,
-    /// Local time since when something is missing.
+    pending: Vec<PendingInterval>,
+    /// Local time since when an interval is missing.
     gap_since: Time,
-    /// Gaps that were closed by a blanket.
+    /// Gaps closed so far.
     gaps: u64,
 }
 
 impl KnownRange {
-    /// An interval was told. Repeated and late ones change nothing that they should not.
-    pub fn record_interval(&mut self, now: Time, epoch: Time, from: Time, until: Time, omitted_bound: Time) {
-        self.omitted_bound = self.omitted_bound.max(omitted_bound);
-        if epoch < self.epoch {
+    /// Records a received interval at the local time `now`. Repeated and late ones never reduce what is
+    /// known.
+    pub fn record_interval(&mut self, now: Time, interval: PeerInterval) {
+        self.omitted_bound = self.omitted_bound.max(interval.omitted_bound);
+        if interval.epoch < self.epoch {
             return;
         }
-        if epoch > self.epoch {
-            // A new run. What the last one made and did not tell is gone for good.
-            self.pending.clear();
-            self.epoch = epoch;
-            self.close_gap(from);
+        if interval.epoch > self.epoch {
+            self.begin_epoch(interval);
         }
-        if from > self.known_until {
-            if self.pending.is_empty() {
-                self.gap_since = now;
-            }
-            if !self.pending.contains(&(from, until)) {
-                self.pending.push((from, until));
-            }
-            if self.pending.len() > MAX_PENDING {
-                self.skip_gap();
-            }
+        if interval.from > self.known_until {
+            self.add_pending(now, PendingInterval { from: interval.from, until: interval.until });
         } else {
-            self.known_until = self.known_until.max(until);
+            self.known_until = self.known_until.max(interval.until);
         }
         self.absorb_pending();
     }
 
-    /// Closes a gap that has been open for longer than `timeout`.
+    /// Closes gaps that have been open for longer than `timeout` (microseconds).
     pub fn expire_gaps(&mut self, now: Time, timeout: Time) {
         while !self.pending.is_empty() && now - self.gap_since > timeout {
             self.skip_gap();
         }
     }
 
-    /// Every watermark made up to this time is known here; 0 if it was never heard.
+    /// Every watermark recorded up to this time is known here; 0 if nothing was received.
     pub fn known_until(&self) -> Time {
         self.known_until
     }
@@ -72,38 +84,58 @@
         self.gap_end
     }
 
-    /// Bound of what it left out.
+    /// Upper bound of the watermarks that the instance omitted.
     pub fn omitted_bound(&self) -> Time {
         self.omitted_bound
     }
 
-    /// Gaps that were closed by a blanket, its first one included.
+    /// Gaps closed with an upper bound, including the one before the first interval.
     pub fn gaps(&self) -> u64 {
         self.gaps
     }
 
-    /// The earliest interval that waits goes on, over a gap.
+    /// The instance has restarted: what its last run recorded and did not send is lost.
+    fn begin_epoch(&mut self, interval: PeerInterval) {
+        self.pending.clear();
+        self.epoch = interval.epoch;
+        self.close_gap(interval.from);
+    }
+
+    fn add_pending(&mut self, now: Time, interval: PendingInterval) {
+        if self.pending.is_empty() {
+            self.gap_since = now;
+        }
+        if !self.pending.contains(&interval) {
+            self.pending.push(interval);
+        }
+        if self.pending.len() > MAX_PENDING {
+            self.skip_gap();
+        }
+    }
+
+    /// Continues with the earliest pending interval, over the gap before it.
     fn skip_gap(&mut self) {
-        if let Some(from) = self.pending.iter().map(|(from, _)| *from).min() {
+        if let Some(from) = self.pending.iter().map(|interval| interval.from).min() {
             self.close_gap(from);
             self.absorb_pending();
         }
     }
 
-    fn close_gap(&mut self, by: Time) {
-        if by > self.known_until {
+    fn close_gap(&mut self, end: Time) {
+        if end > self.known_until {
             if !mutant(Mutant::GapPassed) {
-                self.gap_end = self.gap_end.max(by);
+                self.gap_end = self.gap_end.max(end);
             }
-            self.known_until = by;
+            self.known_until = end;
             self.gaps += 1;
         }
     }
 
+    /// Extends the known range by all pending intervals that now touch it.
     fn absorb_pending(&mut self) {
-        while let Some(place) = self.pending.iter().position(|(from, _)| *from <= self.known_until) {
-            let (_, until) = self.pending.swap_remove(place);
-            self.known_until = self.known_until.max(until);
+        while let Some(index) = self.pending.iter().position(|interval| interval.from <= self.known_until) {
+            let interval = self.pending.swap_remove(index);
+            self.known_until = self.known_until.max(interval.until);
         }
     }
 }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,57 +1,75 @@
-//! Sessions across instances: a session's reads see its writes, and never less than they saw before, through any
-//! instance and after any restart. What is not known is never guessed low.
+//! Session consistency across gateways: read-your-writes and monotonic reads for each session, through any
+//! gateway instance and after any restart. Where something is unknown, the required position is estimated too
+//! high, never too low.
 //!
-//! The crate decides what position a read must reach ([`SessionTracker::begin_read`]), whether that is less by now
-//! ([`SessionTracker::recheck_read`]), and whether an answer proves it ([`SessionTracker::verify_answer`]). It learns from answers
-//! ([`SessionTracker::record_read`], [`SessionTracker::record_write`], [`SessionTracker::record_unconfirmed_write`]), from tokens that clients carry, from broadcasts of the
-//! other instances, and from a snapshot. Which member gets the read is the decision module's affair: it is given the
-//! floor as the commit that must be seen. No clock and no I/O; every call is told the time.
+//! **What it decides.** Which log position the data of a read must have reached
+//! ([`SessionTracker::begin_read`]), whether less is enough by now ([`SessionTracker::recheck_read`]), and
+//! whether an answer proves that position ([`SessionTracker::verify_answer`]). It learns from answers
+//! ([`SessionTracker::record_read`], [`SessionTracker::record_write`],
+//! [`SessionTracker::record_unconfirmed_write`]), from the tokens that clients carry, from the broadcasts of
+//! other instances, and from a snapshot. The routing policy chooses the host; it is given the minimum
+//! position as a commit that must be visible. There is no clock and no I/O here: every call takes the current
+//! time.
 //!
-//! | file | concern |
+//! | module | concern |
 //! | --- | --- |
-//! | `watermark.rs` | a session's watermark and its merge, which never lowers |
-//! | `tracker.rs` | what a read needs, what an answer proves |
-//! | `session_memory.rs`, `sketch.rs` | watermarks of recent sessions exactly, of the others as a bound |
-//! | `token.rs`, `session_tokens.rs` | the client's copy of a watermark, and those set for a connection |
-//! | `watermark_broadcast.rs`, `outbox.rs`, `known_range.rs` | what instances tell each other, and where gaps are |
-//! | `snapshot.rs` | what survives a restart |
-//! | `settings.rs` | what an operator sets |
+//! | `session_key`, `watermark` | the name of a session and what it has seen |
+//! | `session_tracker` | the state of one instance: reads, writes, tokens, broadcasts |
+//! | `minimum_position`, `answer_check` | what a read needs, and whether an answer proves it |
+//! | `session_memory`, `sketch` | exact watermarks of recent sessions, an upper bound for all others |
+//! | `token`, `session_tokens` | the client's copy of a watermark, and the tokens set for a connection |
+//! | `peer_exchange`, `outbox`, `watermark_broadcast`, `known_range` | exchange of watermarks between instances |
+//! | `snapshot` | what is carried over a restart |
+//! | `settings`, `counts` | configuration and statistics |
 //!
-//! **States.** A read's floor is covered by a token, by this instance's memory or by all others' broadcasts, or it is
-//! open: then it asks for all that was committed before the read came. An open floor settles once the others have
-//! told that much.
+//! **States.** A read's minimum position rests on a [`PositionSource`]: the client's token, local memory, or
+//! the broadcasts of all other instances. Otherwise it is unknown, and the read needs everything committed
+//! before it arrived; a recheck lowers that once the broadcasts cover the time of its arrival.
 //!
-//! **Bounds.** Exact watermarks: [`Settings::exact`]; sketch_width: two rows of [`Settings::cells`]; groups whose watermarks are
-//! exchanged: [`MAX_GROUPS`]; for each of them 32 datagrams' worth of watermarks that wait, and four intervals for each
-//! other instance. A datagram has 256 bytes at most.
+//! **Bounds.** Exact watermarks: [`Settings::exact_sessions`]. Sketch: two rows of [`Settings::sketch_width`]
+//! cells. Groups whose watermarks are exchanged: [`MAX_GROUPS`]; each has 32 datagrams' worth of pending
+//! watermarks, and four pending intervals per other instance. A datagram has at most [`MAX_DATAGRAM_BYTES`]
+//! bytes, a token 48 characters.
 //!
-//! **Promise.** If clients hand back all tokens that no later answer has replaced, or none at all, no answer that [`SessionTracker::verify_answer`] lets
-//! pass is older than what the session was told before its read came: whatever messages are lost, late or repeated,
-//! whichever instances restart, and while no two clocks differ by more than [`Settings::clock_error`]. The design
-//! note `docs/design/sessions.md` has the proof, source by source.
+//! **Promise.** If clients return every token that no later answer has replaced, or none at all, then no
+//! answer accepted by [`SessionTracker::verify_answer`] is older than what its session had seen when the read
+//! arrived: whichever datagrams are lost, delayed or repeated and whichever instances restart, as long as no
+//! two clocks differ by more than [`Settings::clock_error`]. `docs/design/sessions.md` has the proof for each
+//! source.
 //!
 //! ```
-//! use petrelgauge_sessions::{SessionTracker, Settings, PositionSource, Verdict};
+//! use petrelgauge_sessions::{AnswerEvidence, PositionSource, SessionTracker, Settings, Verdict};
 //!
 //! let settings = Settings { secret: 7, ..Settings::default() };
-//! let mut here = SessionTracker::new(settings.clone(), 1_000_000).expect("sound settings");
-//! let mut there = SessionTracker::new(settings, 1_000_000).expect("sound settings");
-//! // A payment is served here: committed at 5.004 s, answered at 5.010 s. Its token goes with the answer.
-//! let key = here.session_key(2, "member-17");
-//! here.record_write(5_010_000, key, 5_000_000, Some(5_004_000));
-//! let token = here.issue_token(5_010_000, key).expect("tokens are on");
-//! // The balance view reaches the other instance 2 ms later, and needs just that commit.
-//! let token = there.parse_token(5_012_000, &token, key).expect("it is sound");
-//! let floor = there.begin_read(5_012_000, key, Some(&token));
-//! assert_eq!((floor.source, floor.position()), (PositionSource::Token, 5_004_000));
-//! assert_eq!(there.verify_answer(&floor, Some(5_003_000), None, None), Verdict::Unproven);
-//! assert_eq!(there.verify_answer(&floor, Some(5_004_000), None, None), Verdict::Proven);
-//! // Without the token nobody there knows: all that was committed before it came.
-//! assert_eq!(there.begin_read(5_012_000, there.session_key(2, "member-18"), None).position(), 5_012_000);
+//! let mut first = SessionTracker::new(settings.clone(), 1_000_000)?;
+//! let mut second = SessionTracker::new(settings, 1_000_000)?;
+//! // The first gateway serves a payment: committed at 5.004 s, answered at 5.010 s with a token.
+//! let key = first.session_key(2, "member-17");
+//! first.record_write(5_010_000, key, 5_000_000, Some(5_004_000));
+//! let token = first.issue_token(5_010_000, key).expect("tokens are enabled");
+//! // A read reaches the second gateway 2 ms later and needs exactly that commit.
+//! let token = second.parse_token(5_012_000, &token, key)?;
+//! let minimum = second.begin_read(5_012_000, key, Some(&token));
+//! assert_eq!((minimum.source, minimum.position()), (PositionSource::Token, 5_004_000));
+//! let mut answer_at = |position| {
+//!     second.verify_answer(&minimum, &AnswerEvidence { position: Some(position), ..AnswerEvidence::default() })
+//! };
+//! assert_eq!(answer_at(5_003_000), Verdict::Unproven);
+//! assert_eq!(answer_at(5_004_000), Verdict::Proven);
+//! // Another session without a token needs everything that was committed before its read arrived.
+//! let other = second.session_key(2, "member-18");
+//! assert_eq!(second.begin_read(5_012_000, other, None).position(), 5_012_000);
+//! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+mod answer_check;
+mod counts;
+mod encoding;
 mod known_range;
+mod minimum_position;
 mod outbox;
+mod peer_exchange;
+mod session_key;
 mod session_memory;
 mod session_tokens;
 mod session_tracker;
@@ -62,16 +80,23 @@
 mod watermark;
 mod watermark_broadcast;
 
-pub use known_range::KnownRange;
+pub use answer_check::{AnswerEvidence, Verdict};
+pub use counts::Counts;
+pub use known_range::{KnownRange, PeerInterval};
+pub use minimum_position::{MinimumPosition, PositionSource};
 pub use outbox::Outbox;
+pub use peer_exchange::MAX_GROUPS;
+pub use session_key::{SessionKey, NAME_HASH_BITS};
 pub use session_memory::{SessionEntry, SessionMemory};
 pub use session_tokens::{SessionTokens, MAX_TOKENS};
-pub use session_tracker::{Counts, MinimumPosition, PositionSource, SessionTracker, Verdict, MAX_GROUPS};
+pub use session_tracker::SessionTracker;
 pub use settings::{
     PositionScope, Promise, Settings, SettingsError, MAX_CLOCK_ERROR, MAX_EXACT_SESSIONS, MAX_INSTANCES,
 };
 pub use sketch::{overestimate_rate, MaxSketch, ROWS};
 pub use snapshot::Snapshot;
 pub use token::{Token, TokenError, NEW_SESSION};
-pub use watermark::{SessionKey, Watermark, NAME_HASH_BITS};
-pub use watermark_broadcast::{BroadcastError, WatermarkBroadcast, MAX_DATAGRAM_BYTES, MAX_ENTRIES};
+pub use watermark::Watermark;
+pub use watermark_broadcast::{
+    BroadcastEntry, BroadcastError, BroadcastSender, WatermarkBroadcast, MAX_DATAGRAM_BYTES, MAX_ENTRIES,
+};
--- a/crates/sessions/src/outbox.rs
+++ b/crates/sessions/src/outbox.rs
@@ -1,81 +1,106 @@
-//! What this instance has to tell the others, and in how few words.
+//! The watermarks of one group that this instance has yet to send to the others.
 
 use crate::settings::Promise;
 use crate::watermark::Watermark;
-use crate::watermark_broadcast::{WatermarkBroadcast, MAX_ENTRIES};
-use petrelgauge_policy::{GroupId, Time};
+use crate::watermark_broadcast::{BroadcastEntry, BroadcastSender, WatermarkBroadcast, MAX_ENTRIES};
+use petrelgauge_policy::Time;
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Marks of one group that wait to be told, for one datagram at a time.
+/// Pending watermarks at most: two intervals' worth at many times what a datagram holds.
+const MAX_PENDING: usize = 32 * MAX_ENTRIES;
+
+const MICROSECONDS_PER_MILLISECOND: Time = 1_000;
+
+/// Watermarks of one group that wait to be sent, one datagram per interval.
 ///
-/// Each datagram repeats the interval of the one before, so that one lost datagram leaves no gap. What does not
-/// fit is left out, the lowest watermarks first, and bounded by the base: the receivers ask that much of every
-/// session then, which costs nothing once replicas have passed it.
+/// Each datagram covers the interval of the one before as well, so that one lost datagram leaves no gap. What
+/// does not fit is omitted, the lowest watermarks first, and bounded by `omitted_bound`: receivers then
+/// require that much of every session, which costs nothing once the replicas have passed it.
 #[derive(Clone, Debug)]
 pub struct Outbox {
-    group: GroupId,
-    /// Ends of the last two intervals that were told, the older one first.
-    sent_until: [Time; 2],
-    pending: VecDeque<(Time, u64, Watermark)>,
+    sender: BroadcastSender,
+    promise: Promise,
+    /// End of the interval before the last one.
+    previous_until: Time,
+    /// End of the last interval.
+    last_until: Time,
+    pending: VecDeque<PendingWatermark>,
     omitted_bound: Time,
 }
 
-/// Marks that wait, at most: two intervals' worth at many times what a datagram holds.
-const MAX_PENDING: usize = 32 * MAX_ENTRIES;
+#[derive(Clone, Copy, Debug)]
+struct PendingWatermark {
+    recorded_at: Time,
+    entry: BroadcastEntry,
+}
 
 impl Outbox {
-    /// Nothing made since `start`.
-    pub fn new(group: GroupId, start: Time) -> Outbox {
-        Outbox { group, sent_until: [start; 2], pending: VecDeque::new(), omitted_bound: 0 }
+    /// An empty outbox: nothing was recorded since the sender's epoch.
+    pub fn new(sender: BroadcastSender, promise: Promise) -> Outbox {
+        Outbox {
+            sender,
+            promise,
+            previous_until: sender.epoch,
+            last_until: sender.epoch,
+            pending: VecDeque::new(),
+            omitted_bound: 0,
+        }
     }
 
-    /// A watermark was made.
-    pub fn push(&mut self, now: Time, name: u64, watermark: Watermark, promise: Promise) {
-        self.pending.push_back((now, name, watermark));
+    /// Adds a watermark recorded `now` (microseconds).
+    pub fn push(&mut self, now: Time, entry: BroadcastEntry) {
+        self.pending.push_back(PendingWatermark { recorded_at: now, entry });
         if self.pending.len() > MAX_PENDING {
-            if let Some((_, _, watermark)) = self.pending.pop_front() {
-                self.omitted_bound = self.omitted_bound.max(watermark.required_position(promise));
+            if let Some(dropped) = self.pending.pop_front() {
+                self.omit(&dropped.entry);
             }
         }
     }
 
-    /// The next datagram: all that was made up to now since the interval before the last.
-    pub fn next_broadcast(
-        &mut self,
-        now: Time,
-        instance: u16,
-        epoch: Time,
-        promise: Promise,
-    ) -> WatermarkBroadcast {
-        // What is made later in this same microsecond must belong to the next interval.
-        let until = ((now - 1) / 1000 * 1000).max(self.sent_until[1]);
-        let from = self.sent_until[0];
-        self.pending.retain(|(at, _, _)| *at > from);
-        let mut watermarks: BTreeMap<u64, Watermark> = BTreeMap::new();
-        for (_, name, watermark) in self.pending.iter().filter(|(at, _, _)| *at <= until) {
-            let known = watermarks.entry(*name).or_default();
-            *known = known.join(*watermark);
-        }
-        let mut lines: Vec<(u64, Watermark)> = watermarks.into_iter().collect();
-        lines.sort_by_key(|(name, watermark)| {
-            (std::cmp::Reverse(watermark.required_position(promise)), *name)
-        });
-        let untold = |(_, watermark): &(u64, Watermark)| !WatermarkBroadcast::can_encode(*watermark, until);
-        let far = lines.iter().filter(|line| untold(line)).chain(lines.iter().skip(MAX_ENTRIES));
-        self.omitted_bound = far
-            .map(|(_, watermark)| watermark.required_position(promise))
-            .fold(self.omitted_bound, Time::max);
-        lines.truncate(MAX_ENTRIES);
-        lines.retain(|line| !untold(line));
-        self.sent_until = [self.sent_until[1], until];
-        WatermarkBroadcast {
-            instance,
-            group: self.group,
-            epoch,
-            from,
-            until,
-            omitted_bound: self.omitted_bound,
-            entries: lines,
+    /// The next datagram: everything recorded up to `now` (microseconds) since the interval before the last
+    /// one.
+    pub fn next_broadcast(&mut self, now: Time) -> WatermarkBroadcast {
+        // What is recorded later in this same microsecond must belong to the next interval.
+        let until = whole_milliseconds(now - 1).max(self.last_until);
+        let from = self.previous_until;
+        self.pending.retain(|pending| pending.recorded_at > from);
+        let entries = self.take_encodable(until);
+        self.previous_until = self.last_until;
+        self.last_until = until;
+        WatermarkBroadcast { sender: self.sender, from, until, omitted_bound: self.omitted_bound, entries }
+    }
+
+    /// The highest entries up to `until` that fit into a datagram; the others raise the bound of what is
+    /// omitted.
+    fn take_encodable(&mut self, until: Time) -> Vec<BroadcastEntry> {
+        let mut entries = self.entries_until(until);
+        let omitted = entries.split_off(entries.len().min(MAX_ENTRIES));
+        let (entries, too_far_ahead): (Vec<_>, Vec<_>) =
+            entries.into_iter().partition(|entry| WatermarkBroadcast::can_encode(entry.watermark, until));
+        omitted.iter().chain(&too_far_ahead).for_each(|entry| self.omit(entry));
+        entries
+    }
+
+    /// One joined entry per session recorded up to `until`, the highest first.
+    fn entries_until(&self, until: Time) -> Vec<BroadcastEntry> {
+        let mut by_name: BTreeMap<u64, Watermark> = BTreeMap::new();
+        for pending in self.pending.iter().filter(|pending| pending.recorded_at <= until) {
+            let known = by_name.entry(pending.entry.name_hash).or_default();
+            *known = known.join(pending.entry.watermark);
         }
+        let entry = |(name_hash, watermark)| BroadcastEntry { name_hash, watermark };
+        let mut entries: Vec<BroadcastEntry> = by_name.into_iter().map(entry).collect();
+        entries
+            .sort_by_key(|entry| (Reverse(entry.watermark.required_position(self.promise)), entry.name_hash));
+        entries
     }
+
+    fn omit(&mut self, entry: &BroadcastEntry) {
+        self.omitted_bound = self.omitted_bound.max(entry.watermark.required_position(self.promise));
+    }
+}
+
+fn whole_milliseconds(time: Time) -> Time {
+    time / MICROSECONDS_PER_MILLISECOND * MICROSECONDS_PER_MILLISECOND
 }
--- /dev/null
+++ b/crates/sessions/src/peer_exchange.rs
@@ -0,0 +1,113 @@
+//! The exchange of watermarks with the other instances, for all groups.
+
+use crate::known_range::{KnownRange, PeerInterval};
+use crate::outbox::Outbox;
+use crate::settings::{Promise, Settings};
+use crate::watermark::Watermark;
+use crate::watermark_broadcast::{BroadcastEntry, BroadcastSender, WatermarkBroadcast};
+use petrelgauge_policy::{GroupId, Time};
+use std::collections::BTreeMap;
+
+/// Groups whose watermarks are exchanged, at most. A read of a further group needs everything committed
+/// before it arrived.
+pub const MAX_GROUPS: usize = 1024;
+
+/// What this instance sends to the others, and what it has received from them.
+#[derive(Clone, Debug)]
+pub(crate) struct PeerExchange {
+    instance: u16,
+    instances: u16,
+    epoch: Time,
+    promise: Promise,
+    groups: BTreeMap<GroupId, GroupExchange>,
+}
+
+/// The exchange for one group.
+#[derive(Clone, Debug)]
+struct GroupExchange {
+    outbox: Outbox,
+    /// By the number of the instance; this instance's own place stays empty.
+    received: Vec<KnownRange>,
+}
+
+impl PeerExchange {
+    /// An exchange that starts at `epoch` (microseconds).
+    pub(crate) fn new(settings: &Settings, epoch: Time) -> PeerExchange {
+        PeerExchange {
+            instance: settings.instance,
+            instances: settings.instances,
+            epoch,
+            promise: settings.promise,
+            groups: BTreeMap::new(),
+        }
+    }
+
+    /// Sends broadcasts of this group from now on, unless there are [`MAX_GROUPS`] already.
+    pub(crate) fn track(&mut self, group: GroupId) {
+        self.group(group);
+    }
+
+    /// Adds a watermark recorded `now` to the next broadcast of its group.
+    pub(crate) fn push(&mut self, now: Time, group: GroupId, name_hash: u64, watermark: Watermark) {
+        if let Some(exchange) = self.group(group) {
+            exchange.outbox.push(now, BroadcastEntry { name_hash, watermark });
+        }
+    }
+
+    /// The next broadcast of every group.
+    pub(crate) fn next_broadcasts(&mut self, now: Time) -> impl Iterator<Item = WatermarkBroadcast> + '_ {
+        self.groups.values_mut().map(move |exchange| exchange.outbox.next_broadcast(now))
+    }
+
+    /// Records the interval that a broadcast of another instance covers.
+    pub(crate) fn record_broadcast(&mut self, now: Time, broadcast: &WatermarkBroadcast) {
+        let BroadcastSender { instance, group, epoch } = broadcast.sender;
+        let interval = PeerInterval {
+            epoch,
+            from: broadcast.from,
+            until: broadcast.until,
+            omitted_bound: broadcast.omitted_bound,
+        };
+        let received =
+            self.group(group).and_then(|exchange| exchange.received.get_mut(usize::from(instance)));
+        if let Some(range) = received {
+            range.record_interval(now, interval);
+        }
+    }
+
+    /// Closes gaps that have been open for longer than `timeout` (microseconds).
+    pub(crate) fn expire_gaps(&mut self, now: Time, timeout: Time) {
+        for range in self.groups.values_mut().flat_map(|exchange| &mut exchange.received) {
+            range.expire_gaps(now, timeout);
+        }
+    }
+
+    /// What is known of each other instance in this group, if anything is exchanged there.
+    pub(crate) fn others(&self, group: GroupId) -> Option<impl Iterator<Item = &KnownRange>> {
+        let own = usize::from(self.instance);
+        let received = &self.groups.get(&group)?.received;
+        Some(received.iter().enumerate().filter(move |(place, _)| *place != own).map(|(_, range)| range))
+    }
+
+    /// Gaps closed with an upper bound, over all groups and instances.
+    pub(crate) fn gaps(&self) -> u64 {
+        self.groups.values().flat_map(|exchange| &exchange.received).map(KnownRange::gaps).sum()
+    }
+
+    /// Number of known ranges held, over all groups.
+    pub(crate) fn range_count(&self) -> usize {
+        self.groups.values().map(|exchange| exchange.received.len()).sum()
+    }
+
+    fn group(&mut self, group: GroupId) -> Option<&mut GroupExchange> {
+        if self.groups.len() >= MAX_GROUPS && !self.groups.contains_key(&group) {
+            return None;
+        }
+        let sender = BroadcastSender { instance: self.instance, group, epoch: self.epoch };
+        let empty = || GroupExchange {
+            outbox: Outbox::new(sender, self.promise),
+            received: vec![KnownRange::default(); usize::from(self.instances)],
+        };
+        Some(self.groups.entry(group).or_insert_with(empty))
+    }
+}
--- a/crates/sessions/src/session_memory.rs
+++ b/crates/sessions/src/session_memory.rs
@@ -1,7 +1,8 @@
-//! The watermarks that this instance remembers: exactly for the recent sessions, in a summary for the rest.
+//! The watermarks that this instance remembers: exact for recent sessions, an upper bound for all others.
 
+use crate::session_key::SessionKey;
 use crate::sketch::MaxSketch;
-use crate::watermark::{SessionKey, Watermark};
+use crate::watermark::Watermark;
 use lru::LruCache;
 use petrelgauge_policy::Time;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -12,11 +13,15 @@
 pub struct SessionEntry {
     /// Its watermark.
     pub watermark: Watermark,
-    /// The watermark covers all that the session did before this clock time, at whatever instance.
+    /// The watermark covers everything that the session did before this time (microseconds), at any instance.
     pub complete_until: Time,
 }
 
-/// Keys are hashes already, of a secret seed; mixing them once more is for the group.
+/// Multiplier of the golden ratio (Knuth), as used by Fibonacci hashing.
+const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+const HASH_ROTATION: u32 = 25;
+
+/// Mixes a key's fields. Names are keyed hashes already, so this only has to mix in the group.
 #[derive(Clone, Default)]
 pub struct KeyHasher(u64);
 
@@ -32,12 +37,12 @@
     }
 
     fn write_u64(&mut self, word: u64) {
-        self.0 = (self.0.rotate_left(25) ^ word).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        self.0 = (self.0.rotate_left(HASH_ROTATION) ^ word).wrapping_mul(HASH_MULTIPLIER);
     }
 }
 
-/// Marks by session. Holds `exact` entries; the one that was used longest ago gives way to the summary, which
-/// keeps its watermark (an upper bound of it) and forgets how far that covers.
+/// Watermarks by session. When the exact entries are full, the least recently used one is evicted into a
+/// sketch, which keeps an upper bound of its watermark and forgets how far that is complete.
 #[derive(Clone)]
 pub struct SessionMemory {
     exact: LruCache<SessionKey, SessionEntry, BuildHasherDefault<KeyHasher>>,
@@ -54,10 +59,11 @@
 }
 
 impl SessionMemory {
-    /// An empty memory for so many sessions, at least one, and a summary with rows of so many cells.
+    /// An empty memory for `exact_sessions` sessions, at least one, and a sketch with rows of `sketch_width`
+    /// cells.
     pub fn new(exact_sessions: usize, sketch_width: usize, secret: u64) -> SessionMemory {
         let capacity = NonZeroUsize::new(exact_sessions).unwrap_or(NonZeroUsize::MIN);
-        // Grown as it fills: most instances never see so many.
+        // Grown as it fills: most instances never see that many sessions.
         let mut exact = LruCache::unbounded_with_hasher(BuildHasherDefault::default());
         exact.resize(capacity);
         SessionMemory {
@@ -68,8 +74,8 @@
         }
     }
 
-    /// What is known of a session. Of one that is not kept exactly the summary tells a bound, which covers
-    /// nothing that other instances did.
+    /// What is known of a session. Without an exact entry it is the sketch's upper bound, which says nothing
+    /// of other instances.
     pub fn get(&self, key: SessionKey) -> SessionEntry {
         match self.exact.peek(&key) {
             Some(entry) => *entry,
@@ -77,53 +83,58 @@
         }
     }
 
-    /// Joins what was learned into what is known. `seen` may be 0 where nothing is said of what it covers.
+    /// Joins a watermark into what is known and gives the result. `complete_until` is 0 where nothing is
+    /// known of what the watermark covers.
     pub fn join(&mut self, key: SessionKey, watermark: Watermark, complete_until: Time) -> Watermark {
         let known = self.get(key);
         let entry = SessionEntry {
             watermark: known.watermark.join(watermark),
             complete_until: known.complete_until.max(complete_until),
         };
-        if let Some((gone, old)) = self.exact.push(key, entry) {
-            if gone != key {
-                self.sketch.insert(gone, old.watermark);
-                self.highest_evicted = self.highest_evicted.join(old.watermark);
-                self.evicted += 1;
+        if let Some((replaced, old)) = self.exact.push(key, entry) {
+            if replaced != key {
+                self.record_eviction(replaced, old.watermark);
             }
         }
         entry.watermark
     }
 
-    /// All that is kept exactly, the latest used first.
+    /// All exact entries, the most recently used first.
     pub fn iter(&self) -> impl Iterator<Item = (SessionKey, SessionEntry)> + '_ {
         self.exact.iter().map(|(key, entry)| (*key, *entry))
     }
 
-    /// Sessions kept exactly.
+    /// Number of exact entries.
     pub fn len(&self) -> usize {
         self.exact.len()
     }
 
-    /// Nothing is kept exactly.
+    /// Whether there are no exact entries.
     pub fn is_empty(&self) -> bool {
         self.exact.is_empty()
     }
 
-    /// Sessions that went into the summary so far.
+    /// Sessions evicted into the sketch so far.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// No watermark that went into the summary lies above this.
+    /// The join of all evicted watermarks.
     pub fn highest_evicted(&self) -> Watermark {
         self.highest_evicted
     }
 
-    /// Bytes that it holds, reckoned: an entry with its links and its place in the table, and the summary.
+    /// Estimated size in bytes: entries with their list links and table slots, and the sketch.
     pub fn bytes(&self) -> usize {
         const LINKS: usize = 2 * std::mem::size_of::<usize>();
-        const TABLE: usize = 2 * (std::mem::size_of::<usize>() * 2 + 1);
-        self.exact.len() * (std::mem::size_of::<(SessionKey, SessionEntry)>() + LINKS + TABLE)
-            + self.sketch.bytes()
+        const TABLE_SLOT: usize = 2 * (std::mem::size_of::<usize>() * 2 + 1);
+        let entry = std::mem::size_of::<(SessionKey, SessionEntry)>() + LINKS + TABLE_SLOT;
+        self.exact.len() * entry + self.sketch.bytes()
+    }
+
+    fn record_eviction(&mut self, key: SessionKey, watermark: Watermark) {
+        self.sketch.insert(key, watermark);
+        self.highest_evicted = self.highest_evicted.join(watermark);
+        self.evicted += 1;
     }
 }
--- a/crates/sessions/src/session_tokens.rs
+++ b/crates/sessions/src/session_tokens.rs
@@ -3,38 +3,62 @@
 use crate::token::{Token, TokenError};
 use petrelgauge_policy::GroupId;
 
-/// Tokens that a connection may have set. One more is refused: dropping one would lower a floor unseen.
+/// Tokens that a connection may hold. One more is rejected: dropping one silently would let a read go back in
+/// time.
 pub const MAX_TOKENS: usize = 16;
 
-/// Tokens by group, as they were set.
+const SEPARATOR: char = '+';
+
+/// The tokens of a connection, in the order in which they were set.
 #[derive(Clone, Debug, Default)]
 pub struct SessionTokens {
-    tokens: Vec<(GroupId, String)>,
+    tokens: Vec<ConnectionToken>,
+}
+
+/// A token that passed its checksum.
+#[derive(Clone, Debug)]
+struct ConnectionToken {
+    group: GroupId,
+    text: String,
 }
 
 impl SessionTokens {
-    /// Takes what a client set: tokens parted by `+`. They take the place of all that were set for the groups they
-    /// name. One that cannot be used changes nothing.
+    /// Sets the tokens of a client, separated by `+`. They replace all tokens of the groups that they belong
+    /// to.
+    ///
+    /// # Errors
+    ///
+    /// The error of the first token that cannot be decoded, or [`TokenError::TooMany`]; nothing changes then.
     pub fn set(&mut self, text: &str, secret: u64) -> Result<(), TokenError> {
-        let texts = text.split('+').filter(|token| !token.is_empty());
-        let read = |text: &str| Token::decode(text, secret).map(|token| (token.key.group, text.to_string()));
-        let new: Vec<(GroupId, String)> = texts.map(read).collect::<Result<_, _>>()?;
-        let kept = self.tokens.iter().filter(|(group, _)| new.iter().all(|(other, _)| other != group));
-        let all: Vec<(GroupId, String)> = kept.chain(&new).cloned().collect();
-        if all.len() > MAX_TOKENS {
+        let new = parse(text, secret)?;
+        let replaced = |group| new.iter().any(|token| token.group == group);
+        let mut tokens: Vec<ConnectionToken> =
+            self.tokens.iter().filter(|token| !replaced(token.group)).cloned().collect();
+        tokens.extend(new);
+        if tokens.len() > MAX_TOKENS {
             return Err(TokenError::TooMany);
         }
-        self.tokens = all;
+        self.tokens = tokens;
         Ok(())
     }
 
-    /// Those of a group.
+    /// The tokens of a group.
     pub fn for_group(&self, group: GroupId) -> impl Iterator<Item = &str> {
-        self.tokens.iter().filter(move |(other, _)| *other == group).map(|(_, text)| text.as_str())
+        self.tokens.iter().filter(move |token| token.group == group).map(|token| token.text.as_str())
     }
 
-    /// Forgets all.
+    /// Removes all tokens.
     pub fn clear(&mut self) {
         self.tokens.clear();
     }
 }
+
+fn parse(text: &str, secret: u64) -> Result<Vec<ConnectionToken>, TokenError> {
+    let texts = text.split(SEPARATOR).filter(|token| !token.is_empty());
+    texts
+        .map(|text| {
+            let token = Token::decode(text, secret)?;
+            Ok(ConnectionToken { group: token.key.group, text: text.to_string() })
+        })
+        .collect()
+}
--- a/crates/sessions/src/session_tracker.rs
+++ b/crates/sessions/src/session_tracker.rs
@@ -1,180 +1,93 @@
-//! The tracker of all sessions of one instance: what a read needs, what an answer proves, what others are told.
-
-use crate::known_range::KnownRange;
-use crate::outbox::Outbox;
-use crate::session_memory::SessionMemory;
-#[cfg(doc)]
-use crate::settings::MAX_CLOCK_ERROR;
-use crate::settings::{PositionScope, Promise, Settings, SettingsError};
+//! The state of session consistency at one instance.
+
+use crate::answer_check::{verify, AnswerEvidence, Verdict};
+use crate::counts::Counts;
+use crate::minimum_position::{MinimumPosition, PositionSource};
+use crate::peer_exchange::PeerExchange;
+use crate::session_key::SessionKey;
+use crate::session_memory::{SessionEntry, SessionMemory};
+use crate::settings::{Promise, Settings, SettingsError};
 use crate::snapshot::Snapshot;
 use crate::token::{Token, TokenError, NEW_SESSION};
-use crate::watermark::{SessionKey, Watermark};
+use crate::watermark::Watermark;
 use crate::watermark_broadcast::{BroadcastError, WatermarkBroadcast};
-use petrelgauge_policy::{mutant, GroupId, Mutant, Role, Time};
-use std::collections::BTreeMap;
+use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
 
-/// Groups whose watermarks are exchanged, at most. A read of a further group is asked for all before its arrival.
-pub const MAX_GROUPS: usize = 1024;
-/// Paces that a missing interval is waited for.
+/// Broadcast intervals after which a missing broadcast is given up.
 const GAP_TIMEOUT_INTERVALS: Time = 3;
 
-/// What a read of a session needs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MinimumPosition {
-    /// When the read came.
-    pub arrived: Time,
-    /// What is known: the session's watermarks from all sources, and what bounds those that are not known one by one.
-    pub known: Time,
-    /// Set where something may have been acknowledged that is not known: all that was committed before this.
-    pub unknown_until: Option<Time>,
-    /// What a write of the session may have made that is under way, or 0.
-    pub pending_write: Time,
-    /// What the need rests on.
-    pub source: PositionSource,
-}
-
-/// What a floor rests on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PositionSource {
-    /// The client's token.
-    Token,
-    /// This instance's memory: the session was nowhere else.
-    LocalMemory,
-    /// The other instances: they have told all that they made before the read came.
-    Peers,
-    /// Nothing that covers the session: all that was committed before the read came.
-    Unknown,
-}
-
-impl MinimumPosition {
-    /// The position that the data read must have reached.
-    pub fn position(&self) -> Time {
-        self.known.max(self.unknown_until.unwrap_or(0)).max(self.pending_write)
-    }
-
-    /// The same, with a write under way that may have been committed up to then.
-    pub fn with_pending_write(self, up_to: Time) -> MinimumPosition {
-        MinimumPosition { pending_write: self.pending_write.max(up_to), ..self }
-    }
-}
-
-/// What an answer proves of a floor.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// The data holds all that the session must see.
-    Proven,
-    /// It may not: the answer must not be given.
-    Unproven,
-}
-
-/// How often what happened. Plain counts since the start.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Reads asked for with a token that covered them.
-    pub by_token: u64,
-    /// Reads that this instance's memory covered.
-    pub by_memory: u64,
-    /// Reads that the others' bulletins covered at once.
-    pub by_peers: u64,
-    /// Reads asked for all that was committed before they came.
-    pub open: u64,
-    /// Of these, lowered while they waited.
-    pub settled: u64,
-    /// Answers that did not prove their floor and were not given.
-    pub behind: u64,
-    /// Tokens too old to stand for all that their session did.
-    pub old_tokens: u64,
-    /// Tokens with watermarks ahead of the clock.
-    pub early_tokens: u64,
-    /// Broadcasts written.
-    pub sent: u64,
-    /// Broadcasts read.
-    pub received: u64,
-    /// Datagrams that could not be used.
-    pub rejected: u64,
-}
-
-impl std::fmt::Display for Counts {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Counts { by_token, by_memory, by_peers, open, settled, behind, .. } = self;
-        let Counts { old_tokens, early_tokens, sent, received, rejected, .. } = self;
-        write!(f, "sessions: by_token={by_token} by_memory={by_memory} by_peers={by_peers} open={open} ")?;
-        write!(f, "settled={settled} behind={behind} old_tokens={old_tokens} early_tokens={early_tokens} ")?;
-        write!(f, "broadcasts_sent={sent} broadcasts_received={received} broadcasts_rejected={rejected}")
-    }
-}
-
-/// All that one instance knows of sessions. Has no clock: every call is told the time. A time that lies a little
-/// before the last one does no harm.
+/// Everything that one instance knows of sessions. It has no clock: every call takes the current time `now`
+/// in microseconds. A time slightly before that of the previous call does no harm.
 #[derive(Clone, Debug)]
 pub struct SessionTracker {
     settings: Settings,
-    epoch: Time,
-    /// Marks made here up to then may be lost; 0 if none are.
+    /// Watermarks recorded here up to then may be lost; 0 if none are.
     lost_until: Time,
-    /// Bound of watermarks that a clean snapshot left out.
+    /// Upper bound of watermarks that a clean snapshot omitted.
     omitted_bound: Time,
     memory: SessionMemory,
-    groups: BTreeMap<GroupId, GroupState>,
-    sent_at: Time,
-    /// Latest time that it was told.
+    peers: PeerExchange,
+    /// When broadcasts were last sent.
+    broadcast_at: Time,
+    /// Latest time of any call that recorded or sent watermarks.
     latest: Time,
     counts: Counts,
 }
 
-#[derive(Clone, Debug)]
-struct GroupState {
-    outbox: Outbox,
-    /// By the number of the instance; this one's own place is never used.
-    others: Vec<KnownRange>,
-}
-
 impl SessionTracker {
     /// A tracker that starts now and knows nothing: whatever was acknowledged before is taken to be lost.
+    ///
+    /// # Errors
+    ///
+    /// Settings that are out of range.
     pub fn new(settings: Settings, now: Time) -> Result<SessionTracker, SettingsError> {
         settings.check()?;
         Ok(SessionTracker {
             memory: SessionMemory::new(settings.exact_sessions, settings.sketch_width, settings.secret),
+            peers: PeerExchange::new(&settings, now),
             settings,
-            epoch: now,
             lost_until: if mutant(Mutant::LossForgotten) { 0 } else { now },
             omitted_bound: 0,
-            groups: BTreeMap::new(),
-            sent_at: now,
+            broadcast_at: now,
             latest: now,
             counts: Counts::default(),
         })
     }
 
-    /// A tracker that starts now with what a snapshot kept. Its watermarks hold whatever its age; what was made after it
-    /// is lost unless it is clean. One from the future was made by another clock and is left alone.
+    /// A tracker that starts now from a snapshot. Its watermarks hold at any age; what was recorded after it
+    /// is lost unless it is clean. A snapshot from the future was taken by another clock and is ignored.
+    ///
+    /// # Errors
+    ///
+    /// Settings that are out of range.
     pub fn restore(
         settings: Settings,
         now: Time,
         snapshot: &Snapshot,
     ) -> Result<SessionTracker, SettingsError> {
         let mut tracker = SessionTracker::new(settings, now)?;
-        if snapshot.taken_at <= now {
-            for (key, entry) in snapshot.entries.iter().rev() {
-                tracker.memory.join(*key, entry.watermark, entry.complete_until.min(snapshot.taken_at));
-            }
-            if snapshot.clean {
-                (tracker.lost_until, tracker.omitted_bound) =
-                    (snapshot.lost_until.min(now), snapshot.omitted_bound);
-            }
+        if snapshot.taken_at > now {
+            return Ok(tracker);
+        }
+        for (key, entry) in snapshot.entries.iter().rev() {
+            let complete_until = entry.complete_until.min(snapshot.taken_at);
+            tracker.memory.join(*key, entry.watermark, complete_until);
+        }
+        if snapshot.clean {
+            tracker.lost_until = snapshot.lost_until.min(now);
+            tracker.omitted_bound = snapshot.omitted_bound;
         }
         Ok(tracker)
     }
 
-    /// The watermarks of this moment. `clean` says that nothing is answered any more.
+    /// The watermarks of this moment. `clean` states that nothing will be answered any more.
     pub fn snapshot(&self, now: Time, clean: bool) -> Snapshot {
-        let omitted_bound =
-            self.omitted_bound.max(self.memory.highest_evicted().required_position(self.settings.promise));
+        let highest_evicted = self.memory.highest_evicted().required_position(self.settings.promise);
         Snapshot {
             taken_at: now,
             clean,
             lost_until: self.lost_until,
-            omitted_bound,
+            omitted_bound: self.omitted_bound.max(highest_evicted),
             entries: self.memory.iter().collect(),
         }
     }
@@ -189,25 +102,21 @@
         self.counts
     }
 
-    /// What is remembered here.
+    /// The watermarks remembered here.
     pub fn memory(&self) -> &SessionMemory {
         &self.memory
     }
 
-    /// A group is served here: from now on the others are told of it, also that nothing was made. Without that an
-    /// instance that is quiet in a group would keep all others from ever knowing enough of it.
-    pub fn track_group(&mut self, group: GroupId) {
-        if self.next_broadcast_at().is_some() {
-            self.group_state(group);
-        }
-    }
-
     /// The key of a session by its name.
     pub fn session_key(&self, group: GroupId, name: &str) -> SessionKey {
         SessionKey::new(self.settings.secret, group, name)
     }
 
-    /// Reads a client's token for this session. What cannot be used is an error, never a low floor.
+    /// Decodes a client's token for this session.
+    ///
+    /// # Errors
+    ///
+    /// A token that cannot be used: it never lowers what a read needs.
     pub fn parse_token(&self, now: Time, text: &str, key: SessionKey) -> Result<Token, TokenError> {
         if !self.settings.tokens {
             return Err(TokenError::Disabled);
@@ -216,295 +125,259 @@
             return Ok(Token::new_session(key, now));
         }
         let token = Token::decode(text, self.settings.secret)?;
-        token.check_session(key).map(|()| token)
+        token.check_session(key)?;
+        Ok(token)
     }
 
-    /// The token that goes with an answer of this session.
+    /// The token to send with an answer of this session, if tokens are enabled.
     pub fn issue_token(&self, now: Time, key: SessionKey) -> Option<String> {
+        if !self.settings.tokens {
+            return None;
+        }
         let watermark = self.memory.get(key).watermark;
-        self.settings.tokens.then(|| Token { key, watermark, issued_at: now }.encode(self.settings.secret))
+        Some(Token { key, watermark, issued_at: now }.encode(self.settings.secret))
     }
 
-    /// A client brought a token, with a read or a write: the answer's token takes its place. A forged one raises
-    /// what its own session must see, to this moment at most, and nothing else.
+    /// Merges the token of a request: the token of its answer will replace it. A forged one raises what its
+    /// own session must see, up to the current time at most, and affects no other session.
     pub fn merge_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Watermark {
-        let ceiling = self.ceiling(now);
-        let watermark = token.watermark.capped_at(ceiling);
-        self.counts.early_tokens += u64::from(watermark != token.watermark || token.issued_at > ceiling);
+        let latest_clock = self.latest_clock(now);
+        let watermark = token.watermark.capped_at(latest_clock);
+        if watermark != token.watermark || token.issued_at > latest_clock {
+            self.counts.early_tokens += 1;
+        }
         self.memory.join(key, watermark, 0)
     }
 
-    /// What a read needs that has just come.
+    /// What a read that has just arrived needs.
     pub fn begin_read(&mut self, now: Time, key: SessionKey, token: Option<&Token>) -> MinimumPosition {
-        if let Some(token) = token {
-            let known = self.merge_token(now, key, token).required_position(self.settings.promise);
-            if now - token.issued_at <= self.settings.token_age && token.issued_at <= self.ceiling(now) {
-                self.counts.by_token += 1;
-                return MinimumPosition {
-                    arrived: now,
-                    known,
-                    unknown_until: None,
-                    pending_write: 0,
-                    source: PositionSource::Token,
-                };
-            }
-            self.counts.old_tokens += 1;
+        if let Some(minimum) = token.and_then(|token| self.minimum_by_token(now, key, token)) {
+            return minimum;
         }
-        let floor = self.current_minimum(now, key);
-        match floor.source {
+        let minimum = self.current_minimum(now, key);
+        match minimum.source {
             PositionSource::Token => {}
             PositionSource::LocalMemory => self.counts.by_memory += 1,
             PositionSource::Peers => self.counts.by_peers += 1,
             PositionSource::Unknown => self.counts.open += 1,
         }
-        floor
+        minimum
     }
 
-    /// Looks again at a read that waits: what it needs if that is less by now.
+    /// What a waiting read needs, if that is less by now.
     pub fn recheck_read(
         &mut self,
         now: Time,
         key: SessionKey,
-        floor: &MinimumPosition,
+        minimum: &MinimumPosition,
     ) -> Option<MinimumPosition> {
-        if floor.source != PositionSource::Unknown {
+        if minimum.source != PositionSource::Unknown {
             return None;
         }
         self.expire_gaps(now);
-        let again = self.current_minimum(floor.arrived, key).with_pending_write(floor.pending_write);
-        (again.position() < floor.position()).then(|| {
-            self.counts.settled += 1;
-            again
-        })
+        let current = self.current_minimum(minimum.arrived_at, key).with_pending_write(minimum.pending_write);
+        if current.position() >= minimum.position() {
+            return None;
+        }
+        self.counts.settled += 1;
+        Some(current)
     }
 
-    /// What an answer with this position proves. A primary's position is read a moment before its answer, by a
-    /// clock that may differ, and so it is given that much. One that was deposed stands where its log ended, and
-    /// whatever it lacks was committed after the take-over: later by more than [`MAX_CLOCK_ERROR`] allows. `before` is the highest position that the host had told when
-    /// the read was sent: positions never go back.
-    pub fn verify_answer(
-        &mut self,
-        floor: &MinimumPosition,
-        position: Option<Time>,
-        before: Option<Time>,
-        role: Option<Role>,
-    ) -> Verdict {
-        let position = match (self.settings.position_scope, role) {
-            (PositionScope::DataRead, _) | (_, Some(Role::Primary)) => position,
-            (PositionScope::HostAtAnswer, _) => before,
-        };
-        let slack = match role {
-            Some(Role::Primary) => 2 * self.settings.clock_error + self.settings.position_granularity,
-            _ => 0,
-        };
-        let untold = position.is_none() && !self.settings.hosts_report_positions;
-        match position {
-            Some(position) if position + slack >= floor.position() => Verdict::Proven,
-            _ if floor.position() == 0 => Verdict::Proven,
-            _ if untold && (self.settings.hosts_enforce_positions || role == Some(Role::Primary)) => {
-                Verdict::Proven
-            }
-            _ if mutant(Mutant::BehindGiven) => Verdict::Proven,
-            _ => {
-                self.counts.behind += 1;
-                Verdict::Unproven
-            }
+    /// What an answer proves of a read's minimum position.
+    pub fn verify_answer(&mut self, minimum: &MinimumPosition, answer: &AnswerEvidence) -> Verdict {
+        let verdict = verify(&self.settings, minimum, answer);
+        if verdict == Verdict::Unproven {
+            self.counts.behind += 1;
         }
+        verdict
     }
 
-    /// A read of the session is answered from data that proved its floor.
-    pub fn record_read(&mut self, now: Time, key: SessionKey, floor: &MinimumPosition, position: Time) {
+    /// Records that a read was answered from data that proved its minimum position.
+    pub fn record_read(&mut self, now: Time, key: SessionKey, minimum: &MinimumPosition, position: Time) {
+        // The position was rounded down: what was read may be newer by one step.
+        let newest = position + self.settings.position_granularity;
         let watermark = match self.settings.promise {
-            // What it must see of its own writes is in what it read.
-            Promise::Writes => Watermark {
-                written: floor.position().min(position + self.settings.position_granularity),
-                read: 0,
-            },
-            // The position was rounded down: what was read may be newer by a step.
-            Promise::WritesAndReads => Watermark {
-                written: 0,
-                read: (position + self.settings.position_granularity)
-                    .min(self.ceiling(now) + self.settings.position_granularity),
-            },
+            // Everything that the session must see of its own writes is in the data read.
+            Promise::Writes => Watermark { written: minimum.position().min(newest), read: 0 },
+            Promise::WritesAndReads => Watermark { written: 0, read: newest.min(self.latest_position(now)) },
         };
-        self.record(now, key, watermark, floor.arrived);
+        self.record(now, key, watermark, minimum.arrived_at);
     }
 
-    /// A write that came at `arrived` is answered as served with this commit, if it was told.
-    pub fn record_write(&mut self, now: Time, key: SessionKey, arrived: Time, commit: Option<Time>) {
-        let wrote =
-            commit.unwrap_or(self.ceiling(now)).min(self.ceiling(now) + self.settings.position_granularity);
-        // The log goes on from what the session did before, and so does its clock, if there is but one.
-        let complete_until = if self.settings.clock_error == 0 { arrived } else { 0 };
-        self.record(now, key, Watermark { written: wrote, read: 0 }, complete_until);
+    /// Records that a write which arrived at `arrived_at` was answered as served, with its commit if the host
+    /// reported it. Times in microseconds.
+    pub fn record_write(&mut self, now: Time, key: SessionKey, arrived_at: Time, commit: Option<Time>) {
+        let commit = commit.unwrap_or(self.latest_clock(now));
+        let watermark = Watermark { written: commit.min(self.latest_position(now)), read: 0 };
+        // The commit follows everything that the session did before; with a single clock, so does its time.
+        let complete_until = if self.settings.clock_error == 0 { arrived_at } else { 0 };
+        self.record(now, key, watermark, complete_until);
     }
 
-    /// An attempt of a write ended without an answer that its client can trust. If it has run, it was committed
-    /// before now; if it runs later, nobody was told of it.
+    /// Records that an attempt of a write ended without an answer that can be trusted. If it has run, it was
+    /// committed before now; if it runs later, nobody has been told of it.
     pub fn record_unconfirmed_write(&mut self, now: Time, key: SessionKey) {
-        let wrote = self.ceiling(now);
-        self.record(now, key, Watermark { written: wrote, read: 0 }, 0);
+        let watermark = Watermark { written: self.latest_clock(now), read: 0 };
+        self.record(now, key, watermark, 0);
     }
 
-    /// A datagram came.
+    /// Sends broadcasts of this group from now on, even while nothing is recorded in it: otherwise an
+    /// instance that is idle in a group would keep all others from ever knowing enough of it.
+    pub fn track_group(&mut self, group: GroupId) {
+        if self.exchanges() {
+            self.peers.track(group);
+        }
+    }
+
+    /// Applies a datagram of another instance.
+    ///
+    /// # Errors
+    ///
+    /// A datagram that cannot be used; nothing changes then but the count of rejected ones.
     pub fn receive(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
-        let heard = self.apply_broadcast(now, bytes);
-        match heard {
+        let applied = self.apply_broadcast(now, bytes);
+        match applied {
             Ok(()) => self.counts.received += 1,
             Err(_) => self.counts.rejected += 1,
         }
-        heard
+        applied
     }
 
-    /// Datagrams that are due now, each for every other instance. Call again at [`SessionTracker::next_broadcast_at`].
+    /// Datagrams due now, each to be sent to every other instance. Call again at
+    /// [`SessionTracker::next_broadcast_at`].
     pub fn due_broadcasts(&mut self, now: Time) -> Vec<Vec<u8>> {
         if self.next_broadcast_at().is_none_or(|due| now < due) {
             return Vec::new();
         }
-        (self.sent_at, self.latest) = (now, self.latest.max(now));
+        self.broadcast_at = now;
+        self.latest = self.latest.max(now);
         self.expire_gaps(now);
-        let Settings { instance, promise, secret, .. } = self.settings;
-        let epoch = self.epoch;
-        let told =
-            self.groups.values_mut().map(|group| group.outbox.next_broadcast(now, instance, epoch, promise));
-        let told: Vec<Vec<u8>> = told.map(|broadcast| broadcast.encode(secret)).collect();
-        self.counts.sent += told.len() as u64;
-        told
+        let secret = self.settings.secret;
+        let datagrams: Vec<Vec<u8>> =
+            self.peers.next_broadcasts(now).map(|broadcast| broadcast.encode(secret)).collect();
+        self.counts.sent += datagrams.len() as u64;
+        datagrams
     }
 
-    /// When the next datagrams are due, if there are others to tell.
+    /// When the next datagrams are due, if there are other instances to send them to.
     pub fn next_broadcast_at(&self) -> Option<Time> {
-        (self.settings.roams && self.settings.instances > 1)
-            .then(|| self.sent_at + self.settings.broadcast_interval)
+        self.exchanges().then(|| self.broadcast_at + self.settings.broadcast_interval)
     }
 
-    /// Gaps in what others told, closed by a blanket, in all groups.
+    /// Gaps in the broadcasts of other instances that were closed with an upper bound, over all groups.
     pub fn gaps(&self) -> u64 {
-        self.groups.values().flat_map(|group| &group.others).map(KnownRange::gaps).sum()
+        self.peers.gaps()
     }
 
-    /// Entries about other instances, over all groups.
+    /// Entries held about other instances, over all groups.
     pub fn peer_entries(&self) -> usize {
-        self.groups.values().map(|group| group.others.len()).sum()
+        self.peers.range_count()
     }
 
-    fn ceiling(&self, now: Time) -> Time {
+    /// Whether watermarks are exchanged with other instances.
+    fn exchanges(&self) -> bool {
+        self.settings.roams && self.settings.instances > 1
+    }
+
+    /// The latest time that any clock may show now.
+    fn latest_clock(&self, now: Time) -> Time {
         now + self.settings.clock_error
     }
 
-    fn record(&mut self, now: Time, key: SessionKey, watermark: Watermark, complete_until: Time) {
-        // A watermark must not fall into an interval that was told already.
-        self.latest = self.latest.max(now);
-        let (now, watermark) = (self.latest, self.memory.join(key, watermark, complete_until));
-        let promise = self.settings.promise;
-        if self.next_broadcast_at().is_some() {
-            if let Some(group) = self.group_state(key.group) {
-                group.outbox.push(now, key.name_hash, watermark, promise);
-            }
-        }
+    /// The highest position that a host may report now.
+    fn latest_position(&self, now: Time) -> Time {
+        self.latest_clock(now) + self.settings.position_granularity
     }
 
-    fn group_state(&mut self, id: GroupId) -> Option<&mut GroupState> {
-        let (start, others) = (self.epoch, usize::from(self.settings.instances));
-        if self.groups.len() >= MAX_GROUPS && !self.groups.contains_key(&id) {
-            return None;
+    fn record(&mut self, now: Time, key: SessionKey, watermark: Watermark, complete_until: Time) {
+        // A watermark must not fall into an interval that was sent already.
+        self.latest = self.latest.max(now);
+        let watermark = self.memory.join(key, watermark, complete_until);
+        if self.exchanges() {
+            self.peers.push(self.latest, key.group, key.name_hash, watermark);
         }
-        let blank =
-            || GroupState { outbox: Outbox::new(id, start), others: vec![KnownRange::default(); others] };
-        Some(self.groups.entry(id).or_insert_with(blank))
     }
 
     fn apply_broadcast(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
         let broadcast = WatermarkBroadcast::decode(bytes, self.settings.secret)?;
-        // What claims to know the future would pass for knowledge of what has not happened yet.
-        if broadcast.until > self.ceiling(now) {
+        // An interval that ends in the future would pass for knowledge of what has not happened yet.
+        if broadcast.until > self.latest_clock(now) {
             return Err(BroadcastError::InvalidInterval);
         }
-        if broadcast.instance >= self.settings.instances || broadcast.instance == self.settings.instance {
+        let instance = broadcast.sender.instance;
+        if instance >= self.settings.instances || instance == self.settings.instance {
             return Err(BroadcastError::UnknownInstance);
         }
-        let ceiling = self.ceiling(self.ceiling(now)) + self.settings.position_granularity;
-        for (name, watermark) in &broadcast.entries {
-            self.memory.join(
-                SessionKey { group: broadcast.group, name_hash: *name },
-                watermark.capped_at(ceiling),
-                0,
-            );
-        }
-        let place = usize::from(broadcast.instance);
-        if let Some(range) = self.group_state(broadcast.group).and_then(|group| group.others.get_mut(place)) {
-            range.record_interval(
-                now,
-                broadcast.epoch,
-                broadcast.from,
-                broadcast.until,
-                broadcast.omitted_bound,
-            );
+        // The sender's clock may be ahead of this one, and a host's clock ahead of the sender's.
+        let latest_position = self.latest_position(self.latest_clock(now));
+        for entry in &broadcast.entries {
+            let key = SessionKey { group: broadcast.sender.group, name_hash: entry.name_hash };
+            self.memory.join(key, entry.watermark.capped_at(latest_position), 0);
         }
+        self.peers.record_broadcast(now, &broadcast);
         Ok(())
     }
 
     fn expire_gaps(&mut self, now: Time) {
-        let patience = GAP_TIMEOUT_INTERVALS * self.settings.broadcast_interval;
-        let all = self.groups.values_mut().flat_map(|group| &mut group.others);
-        all.for_each(|range| range.expire_gaps(now, patience));
+        self.peers.expire_gaps(now, GAP_TIMEOUT_INTERVALS * self.settings.broadcast_interval);
     }
 
-    /// The floor of a read without a token that came at `arrived`, by what is known now.
-    fn current_minimum(&self, arrived: Time, key: SessionKey) -> MinimumPosition {
+    /// What a read needs by its token, if that covers everything that the session did.
+    fn minimum_by_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Option<MinimumPosition> {
+        let known = self.merge_token(now, key, token).required_position(self.settings.promise);
+        let recent = now - token.issued_at <= self.settings.token_age;
+        if !recent || token.issued_at > self.latest_clock(now) {
+            self.counts.old_tokens += 1;
+            return None;
+        }
+        self.counts.by_token += 1;
+        Some(MinimumPosition::from_known(now, known, PositionSource::Token))
+    }
+
+    /// What a read without a token that arrived at `arrived_at` needs by what is known now.
+    fn current_minimum(&self, arrived_at: Time, key: SessionKey) -> MinimumPosition {
         let entry = self.memory.get(key);
-        let error = self.settings.clock_error;
-        let mut known = entry.watermark.required_position(self.settings.promise).max(self.omitted_bound);
+        let remembered = entry.watermark.required_position(self.settings.promise).max(self.omitted_bound);
         if !self.settings.conservative {
-            return MinimumPosition {
-                arrived,
-                known,
-                unknown_until: None,
-                pending_write: 0,
-                source: PositionSource::LocalMemory,
-            };
-        }
-        // What was made here and is lost was committed before this run began.
-        if entry.complete_until < self.lost_until {
-            known = known.max(self.ceiling(self.lost_until));
+            return MinimumPosition::from_known(arrived_at, remembered, PositionSource::LocalMemory);
         }
+        let known = remembered.max(self.lost_bound(&entry));
         if !self.settings.roams {
-            return MinimumPosition {
-                arrived,
-                known,
-                unknown_until: None,
-                pending_write: 0,
-                source: PositionSource::LocalMemory,
-            };
+            return MinimumPosition::from_known(arrived_at, known, PositionSource::LocalMemory);
         }
-        let open = MinimumPosition {
-            arrived,
-            known,
-            unknown_until: Some(self.ceiling(arrived)),
-            pending_write: 0,
-            source: PositionSource::Unknown,
-        };
-        let Some(group) = self.groups.get(&key.group) else { return open };
+        match self.bound_by_peers(arrived_at, key.group, &entry) {
+            Some(bound) => MinimumPosition::from_known(arrived_at, known.max(bound), PositionSource::Peers),
+            None => MinimumPosition::from_unknown(arrived_at, known, self.latest_clock(arrived_at)),
+        }
+    }
+
+    /// Upper bound of what was recorded here for a session and is lost; 0 for nothing. It was committed
+    /// before this run began.
+    fn lost_bound(&self, entry: &SessionEntry) -> Time {
+        if entry.complete_until < self.lost_until {
+            self.latest_clock(self.lost_until)
+        } else {
+            0
+        }
+    }
+
+    /// Upper bound of what other instances may have recorded for a session and this one does not know, if
+    /// their broadcasts cover the time `arrived_at`. Their clocks may be ahead of this one.
+    fn bound_by_peers(&self, arrived_at: Time, group: GroupId, entry: &SessionEntry) -> Option<Time> {
         if self.settings.instances < 2 {
-            return open;
+            return None;
         }
-        let instance = usize::from(self.settings.instance);
-        for (_, other) in group.others.iter().enumerate().filter(|(place, _)| *place != instance) {
-            // Its clock may be ahead of this one.
-            if other.known_until() - error < arrived {
-                return open;
+        let clock_error = self.settings.clock_error;
+        let mut bound = 0;
+        for range in self.peers.others(group)? {
+            if range.known_until() - clock_error < arrived_at {
+                return None;
             }
-            known = known.max(other.omitted_bound());
-            if entry.complete_until - error < other.gap_end() {
-                known = known.max(other.gap_end() + error);
+            bound = bound.max(range.omitted_bound());
+            if entry.complete_until - clock_error < range.gap_end() {
+                bound = bound.max(range.gap_end() + clock_error);
             }
         }
-        MinimumPosition {
-            arrived,
-            known,
-            unknown_until: None,
-            pending_write: 0,
-            source: PositionSource::Peers,
-        }
+        Some(bound)
     }
 }
--- a/crates/sessions/src/settings.rs
+++ b/crates/sessions/src/settings.rs
@@ -1,71 +1,83 @@
-//! What an operator sets, and which settings make no sense.
+//! Configuration of session consistency, and its validation.
 
 use petrelgauge_policy::Time;
+use std::ops::RangeInclusive;
 use thiserror::Error;
 
+/// Instances that exchange watermarks, at most: each costs some state per group.
+pub const MAX_INSTANCES: u16 = 1024;
+/// Largest difference of clocks, in microseconds. Twice that is less than any change of primary takes.
+pub const MAX_CLOCK_ERROR: Time = 100_000;
+/// Sessions whose watermarks are kept exactly, at most.
+pub const MAX_EXACT_SESSIONS: usize = 16 * 1024 * 1024;
+
+const MAX_SKETCH_WIDTH: usize = 1 << 24;
+const POSITION_GRANULARITIES: RangeInclusive<Time> = 1..=10_000;
+const BROADCAST_INTERVALS: RangeInclusive<Time> = 1_000..=10_000_000;
+const READ_WAITS: RangeInclusive<Time> = 0..=1_000_000;
+
 /// What is promised to a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Promise {
-    /// Its reads see its writes.
+    /// Read-your-writes: its reads see its writes.
     Writes,
-    /// And no read sees less than an earlier one did.
+    /// Read-your-writes and monotonic reads: no read sees less than an earlier one did.
     WritesAndReads,
 }
 
-/// What the position that comes with an answer is the position of.
+/// What the position reported with an answer refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionScope {
-    /// Of the data that was read.
+    /// The data that were read.
     DataRead,
-    /// Of the host when it answered; the data may be older. Then only what the host told before counts.
+    /// The host when it answered; the data may be older. Then only positions reported before the read was
+    /// sent count.
     HostAtAnswer,
 }
 
-/// How sessions are kept. Spans in microseconds.
+/// How sessions are tracked. Durations in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// What is promised.
     pub promise: Promise,
-    /// What a told position is the position of.
+    /// What a reported position refers to.
     pub position_scope: PositionScope,
-    /// Hosts tell positions. Where they do not, a primary's answer proves what a read needs.
+    /// Hosts report positions. Where they do not, a primary's answer proves what a read needs.
     pub hosts_report_positions: bool,
-    /// Hosts that are too far behind for a session's read do not answer it. Where they tell no positions, any answer then
-    /// proves what the read needs.
+    /// Hosts reject reads for which they lag too far. Where they report no positions, any answer then proves
+    /// what the read needs.
     pub hosts_enforce_positions: bool,
-    /// What is not known is asked for; else only what is known is, and a session can see less than it should
-    /// after a restart or at another instance.
+    /// Require everything that may have been acknowledged. Otherwise only what is known is required, and a
+    /// session can see less than it should after a restart or at another instance.
     pub conservative: bool,
     /// A session may reach more than one instance.
     pub roams: bool,
-    /// Clients carry tokens: they hand back the newest one with every request.
+    /// Clients carry tokens: they return the newest one with every request.
     pub tokens: bool,
-    /// Instances that exchange watermarks, this one included; 0 where none do.
+    /// Instances that exchange watermarks, including this one; 0 where none do.
     pub instances: u16,
     /// Number of this instance among them, from 0.
     pub instance: u16,
-    /// Sessions whose watermarks are kept exactly. The older ones share the cells of a summary.
+    /// Sessions whose watermarks are kept exactly; the older ones share the cells of a sketch.
     pub exact_sessions: usize,
-    /// Cells of each of the summary's rows; a power of two.
+    /// Cells in each row of the sketch; a power of two.
     pub sketch_width: usize,
-    /// Age after which a token no longer stands for all that its session did.
+    /// Age after which a token no longer covers everything that its session did.
     pub token_age: Time,
-    /// Most that two clocks, of instances or hosts, differ.
+    /// Largest difference of two clocks, of instances or hosts.
     pub clock_error: Time,
-    /// Step in which hosts round positions down and commits up.
+    /// Step to which hosts round positions down and commits up.
     pub position_granularity: Time,
-    /// Span between two broadcasts to the other instances.
+    /// Time between two broadcasts of a group.
     pub broadcast_interval: Time,
-    /// Bulletins sent for a group in one broadcast_interval at most.
-    pub broadcast_burst: usize,
-    /// Longest that a read waits for a replica that is about to pass its floor.
+    /// Longest that a read waits for a replica that is about to reach its minimum position.
     pub max_read_wait: Time,
-    /// Seeds hashes and checks; the same at all instances.
+    /// Seeds hashes and checksums; the same at all instances.
     pub secret: u64,
 }
 
 impl Default for Settings {
-    /// Exact watermarks take some 100 bytes each, the summary 16 bytes a cell: 27 MB and 1 MB.
+    /// Exact watermarks take some 100 bytes each, the sketch 16 bytes per cell: 27 MB and 2 MB.
     fn default() -> Settings {
         Settings {
             promise: Promise::WritesAndReads,
@@ -83,20 +95,40 @@
             clock_error: 0,
             position_granularity: 1_000,
             broadcast_interval: 100_000,
-            broadcast_burst: 4,
             max_read_wait: 30_000,
             secret: 0,
         }
     }
 }
 
-/// Settings that cannot be used.
-#[derive(Clone, Debug, Error, PartialEq)]
+/// Settings that cannot be used. The texts are shown with the line of the operator's file.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A figure that is out of its range.
-    #[error("{0}")]
-    Figure(&'static str),
-    /// This instance has no place among the others.
+    /// [`Settings::exact_sessions`] is out of range.
+    #[error("exact watermarks are from 1 to {MAX_EXACT_SESSIONS}, not {0}")]
+    ExactSessions(usize),
+    /// [`Settings::sketch_width`] is out of range.
+    #[error("the summary has a power of two of cells, {MAX_SKETCH_WIDTH} at most, not {0}")]
+    SketchWidth(usize),
+    /// [`Settings::token_age`] is not positive.
+    #[error("the age of a token is over 0, not {0} us")]
+    TokenAge(Time),
+    /// [`Settings::clock_error`] is out of range.
+    #[error("clocks differ by 0 to 100 ms, not by {0} us")]
+    ClockError(Time),
+    /// [`Settings::position_granularity`] is out of range.
+    #[error("positions are rounded to 1 us to 10 ms, not to {0} us")]
+    PositionGranularity(Time),
+    /// [`Settings::broadcast_interval`] is out of range.
+    #[error("broadcasts go out every 1 ms to 10 s, not every {0} us")]
+    BroadcastInterval(Time),
+    /// [`Settings::max_read_wait`] is out of range.
+    #[error("a read is held for 0 to 1 s, not for {0} us")]
+    ReadWait(Time),
+    /// [`Settings::instances`] is out of range.
+    #[error("at most {MAX_INSTANCES} instances exchange watermarks, not {0}")]
+    TooManyInstances(u16),
+    /// [`Settings::instance`] is no number among the instances.
     #[error("instance {instance} is none of {instances}")]
     Instance {
         /// Number of this instance.
@@ -106,35 +138,50 @@
     },
 }
 
-/// Most instances that exchange watermarks: each costs some state for every group.
-pub const MAX_INSTANCES: u16 = 1024;
-/// Most that clocks may differ (microseconds). Twice that is less than any change of primary takes.
-pub const MAX_CLOCK_ERROR: Time = 100_000;
-/// Most sessions kept exactly.
-pub const MAX_EXACT_SESSIONS: usize = 16 * 1024 * 1024;
-
 impl Settings {
-    /// Whether the figures make sense.
+    /// Validates all values.
+    ///
+    /// # Errors
+    ///
+    /// The first value that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let figures = [
-            (
-                (1..=MAX_EXACT_SESSIONS).contains(&self.exact_sessions),
-                "exact watermarks are from 1 to 16777216",
-            ),
-            (
-                self.sketch_width.is_power_of_two() && self.sketch_width <= 1 << 24,
-                "the summary has a power of two of cells, 16777216 at most",
-            ),
-            (self.token_age > 0, "the age of a token is over 0"),
-            ((0..=MAX_CLOCK_ERROR).contains(&self.clock_error), "clocks differ by 0 to 100 ms"),
-            ((1..=10_000).contains(&self.position_granularity), "positions are rounded to 1 us to 10 ms"),
-            ((1_000..=10_000_000).contains(&self.broadcast_interval), "broadcasts go out every 1 ms to 10 s"),
-            ((1..=64).contains(&self.broadcast_burst), "1 to 64 broadcasts go out at a time"),
-            ((0..=1_000_000).contains(&self.max_read_wait), "a read is held for 0 to 1 s"),
-            (self.instances <= MAX_INSTANCES, "at most 1024 instances exchange watermarks"),
-        ];
-        if let Some((_, cause)) = figures.iter().find(|(sound, _)| !sound) {
-            return Err(SettingsError::Figure(cause));
+        self.check_sizes()?;
+        self.check_durations()?;
+        self.check_instances()
+    }
+
+    fn check_sizes(&self) -> Result<(), SettingsError> {
+        if !(1..=MAX_EXACT_SESSIONS).contains(&self.exact_sessions) {
+            return Err(SettingsError::ExactSessions(self.exact_sessions));
+        }
+        if !self.sketch_width.is_power_of_two() || self.sketch_width > MAX_SKETCH_WIDTH {
+            return Err(SettingsError::SketchWidth(self.sketch_width));
+        }
+        Ok(())
+    }
+
+    fn check_durations(&self) -> Result<(), SettingsError> {
+        if self.token_age <= 0 {
+            return Err(SettingsError::TokenAge(self.token_age));
+        }
+        if !(0..=MAX_CLOCK_ERROR).contains(&self.clock_error) {
+            return Err(SettingsError::ClockError(self.clock_error));
+        }
+        if !POSITION_GRANULARITIES.contains(&self.position_granularity) {
+            return Err(SettingsError::PositionGranularity(self.position_granularity));
+        }
+        if !BROADCAST_INTERVALS.contains(&self.broadcast_interval) {
+            return Err(SettingsError::BroadcastInterval(self.broadcast_interval));
+        }
+        if !READ_WAITS.contains(&self.max_read_wait) {
+            return Err(SettingsError::ReadWait(self.max_read_wait));
+        }
+        Ok(())
+    }
+
+    fn check_instances(&self) -> Result<(), SettingsError> {
+        if self.instances > MAX_INSTANCES {
+            return Err(SettingsError::TooManyInstances(self.instances));
         }
         if self.instances > 0 && self.instance >= self.instances {
             return Err(SettingsError::Instance { instance: self.instance, instances: self.instances });
--- a/crates/sessions/src/sketch.rs
+++ b/crates/sessions/src/sketch.rs
@@ -1,15 +1,18 @@
-//! A summary of many watermarks that may only err upward: a max-sketch.
+//! A max-sketch: a fixed-size summary of many watermarks that only errs upward. It is the count-min sketch of
+//! Cormode and Muthukrishnan (2005) with maxima in place of sums.
 
-use crate::watermark::{SessionKey, Watermark};
+use crate::session_key::SessionKey;
+use crate::watermark::Watermark;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rows, each with a hash of its own. A key's bound is the least of its cells.
+/// Rows of the sketch, each with a hash of its own.
 pub const ROWS: usize = 2;
 
-/// Cells that hold the highest watermark of the keys that fall on them. What a key is given is never below the
-/// highest watermark that was put in for it; it is above where in each of its rows another key's higher watermark fell on
-/// the same cell. With `n` keys put in and `w` cells a row, of which a share `p` has watermarks above the one asked
-/// for, that happens to [`overestimate_rate`]`(p * n, w)` of the keys.
+/// Cells that hold the highest watermark of all keys hashed onto them. The bound of a key is the least of its
+/// cells.
+///
+/// It is never below the highest watermark inserted for the key. It lies above where, in every row, another
+/// key with a higher watermark shares the key's cell: [`overestimate_rate`] gives how often.
 #[derive(Clone)]
 pub struct MaxSketch {
     cells: Vec<Watermark>,
@@ -18,6 +21,7 @@
 }
 
 impl std::fmt::Debug for MaxSketch {
+    /// Only the cells in use, by their index.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let used = self.cells.iter().enumerate().filter(|(_, watermark)| **watermark != Watermark::NONE);
         f.debug_map().entries(used).finish()
@@ -25,7 +29,7 @@
 }
 
 impl MaxSketch {
-    /// An empty summary with so many cells in each row, a power of two.
+    /// An empty sketch with rows of `width` cells, a power of two.
     pub fn new(width: usize, seed: u64) -> MaxSketch {
         debug_assert!(width.is_power_of_two());
         MaxSketch { cells: vec![Watermark::NONE; ROWS * width], width, seed }
@@ -33,19 +37,19 @@
 
     /// Joins a watermark into the cells of its key.
     pub fn insert(&mut self, key: SessionKey, watermark: Watermark) {
-        for place in self.cell_indices(key) {
-            self.cells[place] = self.cells[place].join(watermark);
+        for index in self.cell_indices(key) {
+            self.cells[index] = self.cells[index].join(watermark);
         }
         debug_assert!(self.upper_bound(key).covers(watermark));
     }
 
-    /// At least the join of all that was put in for this key.
+    /// At least the join of all watermarks inserted for this key.
     pub fn upper_bound(&self, key: SessionKey) -> Watermark {
-        let [first, second] = self.cell_indices(key).map(|place| self.cells[place]);
+        let [first, second] = self.cell_indices(key).map(|index| self.cells[index]);
         Watermark { written: first.written.min(second.written), read: first.read.min(second.read) }
     }
 
-    /// Bytes of its cells.
+    /// Size of the cells in bytes.
     pub fn bytes(&self) -> usize {
         self.cells.len() * std::mem::size_of::<Watermark>()
     }
@@ -56,13 +60,15 @@
         bytes[8..].copy_from_slice(&key.name_hash.to_le_bytes());
         let hash = xxh3_64_with_seed(&bytes, self.seed);
         let mask = self.width - 1;
-        [hash as usize & mask, self.width + ((hash >> 32) as usize & mask)]
+        let first = hash as usize & mask;
+        let second = (hash >> 32) as usize & mask;
+        [first, self.width + second]
     }
 }
 
-/// Share of keys whose bound is above their own watermark, where `higher` other keys with higher watermarks were put into
-/// rows of `width` sketch_width: every row must have at least one of them on the key's cell.
+/// Share of keys whose bound lies above their own watermark, if `higher` other keys with higher watermarks
+/// were inserted into rows of `width` cells: every row must have at least one of them in the key's cell.
 pub fn overestimate_rate(higher: f64, width: usize) -> f64 {
-    let hit = 1.0 - (-higher / width as f64).exp();
-    hit.powi(ROWS as i32)
+    let collision = 1.0 - (-higher / width as f64).exp();
+    collision.powi(ROWS as i32)
 }
--- a/crates/sessions/src/token.rs
+++ b/crates/sessions/src/token.rs
@@ -1,44 +1,52 @@
-//! The token that a client carries: a session's watermark in one group, opaque, versioned and checked.
+//! The token that a client carries: a session's watermark in one group, opaque, versioned and checksummed.
 
-use crate::watermark::{SessionKey, Watermark, NAME_HASH_BITS};
+use crate::encoding::{
+    checksum, milliseconds_down, milliseconds_up, push_milliseconds, push_name_hash, FieldReader,
+    CHECKSUM_BYTES, NAME_HASH_BYTES, TIME_BYTES,
+};
+use crate::session_key::SessionKey;
+use crate::watermark::Watermark;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use petrelgauge_policy::{GroupId, Time};
 use thiserror::Error;
-use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The version written. Tokens of other versions are refused by name.
+/// The version written, the only one read.
 pub const VERSION: u8 = 1;
-/// Bytes before they are written in letters: version, group, name, wrote, read, issued_at, check.
-const BYTES: usize = 1 + 8 + 5 + 6 + 6 + 6 + 4;
-/// Letters of a token.
-pub const TEXT_LENGTH: usize = BYTES.div_ceil(3) * 4 - (3 - BYTES % 3) % 3;
 
-/// What a client brings in place of a token with the first request of a session.
+/// What a client sends in place of a token with the first request of a session.
 pub const NEW_SESSION: &str = "new";
 
-/// A token that was read. Times in microseconds, whole milliseconds on the wire: watermarks rounded up, the time of
-/// issue down, so that it says less rather than more.
+const VERSION_BYTES: usize = 1;
+const GROUP_BYTES: usize = 8;
+/// Version, group, name, `written`, `read`, `issued_at`.
+const BODY_BYTES: usize = VERSION_BYTES + GROUP_BYTES + NAME_HASH_BYTES + 3 * TIME_BYTES;
+const BYTES: usize = BODY_BYTES + CHECKSUM_BYTES;
+/// Characters of a token: its bytes in base64 without padding.
+const TEXT_LENGTH: usize = BYTES.div_ceil(3) * 4 - (3 - BYTES % 3) % 3;
+
+/// A decoded token. Times in microseconds, whole milliseconds when encoded: the watermark is rounded up and
+/// the time of issue down, so that rounding never claims that more is covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
     /// Session and group.
     pub key: SessionKey,
     /// The session's watermark.
     pub watermark: Watermark,
-    /// When it was handed out: the watermark covers what the session did before.
+    /// When it was issued: the watermark covers what the session did before.
     pub issued_at: Time,
 }
 
-/// Why a token cannot be used.
+/// Why a token cannot be used. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
-    /// Not a token's letters, or not so many.
+    /// Wrong length or characters.
     #[error("the session token is not one of this gateway")]
     Malformed,
-    /// Written by a version that is not known here.
+    /// A version that this program does not know.
     #[error("the session token has a version that is not known here")]
     UnsupportedVersion,
-    /// The check does not fit: it was altered, or made with another secret.
+    /// The checksum does not match: it was altered, or made with another secret.
     #[error("the session token does not pass its check")]
     InvalidChecksum,
     /// It belongs to another session.
@@ -50,35 +58,36 @@
     /// More than may be set for a connection.
     #[error("more session tokens are set than a connection may hold")]
     TooMany,
-    /// Tokens are not taken here.
+    /// Tokens are disabled by the settings.
     #[error("session tokens are not taken here")]
     Disabled,
 }
 
 impl Token {
-    /// What a client says with [`NEW_SESSION`]: its session has been told of nothing yet.
+    /// The token of a session that has seen nothing yet, which a client claims with [`NEW_SESSION`].
     pub fn new_session(key: SessionKey, now: Time) -> Token {
         Token { key, watermark: Watermark::NONE, issued_at: now }
     }
 
-    /// The token in letters that need no quoting in a statement's comment.
+    /// The token as text that needs no quoting in a statement's comment.
     pub fn encode(&self, secret: u64) -> String {
         let mut bytes = Vec::with_capacity(BYTES);
         bytes.push(VERSION);
         bytes.extend_from_slice(&self.key.group.to_be_bytes());
-        bytes.extend_from_slice(&self.key.name_hash.to_be_bytes()[3..]);
-        for ms in [
-            milliseconds_up(self.watermark.written),
-            milliseconds_up(self.watermark.read),
-            self.issued_at.max(0) as u64 / 1000,
-        ] {
-            bytes.extend_from_slice(&ms.min((1 << 48) - 1).to_be_bytes()[2..]);
-        }
-        bytes.extend_from_slice(&checksum(&bytes, secret));
+        push_name_hash(&mut bytes, self.key.name_hash);
+        push_milliseconds(&mut bytes, milliseconds_up(self.watermark.written));
+        push_milliseconds(&mut bytes, milliseconds_up(self.watermark.read));
+        push_milliseconds(&mut bytes, milliseconds_down(self.issued_at));
+        let checksum = checksum(&bytes, checksum_seed(secret));
+        bytes.extend_from_slice(&checksum);
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads a token. Nothing of one that fails its check is used.
+    /// Decodes a token.
+    ///
+    /// # Errors
+    ///
+    /// [`TokenError::Malformed`], [`TokenError::UnsupportedVersion`] or [`TokenError::InvalidChecksum`].
     pub fn decode(text: &str, secret: u64) -> Result<Token, TokenError> {
         if text.len() != TEXT_LENGTH {
             return Err(TokenError::Malformed);
@@ -88,24 +97,15 @@
         if bytes[0] != VERSION {
             return Err(TokenError::UnsupportedVersion);
         }
-        let (body, tail) = bytes.split_at(BYTES - 4);
-        if checksum(body, secret) != tail {
+        let (body, tail) = bytes.split_at(BODY_BYTES);
+        if checksum(body, checksum_seed(secret)) != tail {
             return Err(TokenError::InvalidChecksum);
         }
-        let number = |from: usize, to: usize| body[from..to].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
-        let time = |from: usize| number(from, from + 6) as Time * 1000;
-        Ok(Token {
-            key: SessionKey {
-                group: number(1, 9) as GroupId,
-                name_hash: number(9, 14) & ((1 << NAME_HASH_BITS) - 1),
-            },
-            watermark: Watermark { written: time(14), read: time(20) },
-            issued_at: time(26),
-        })
+        Ok(decode_fields(&body[VERSION_BYTES..]))
     }
 
-    /// What this and another token of the same session tell together: the watermarks of both, as of the newer one. A
-    /// client with several requests open holds several; the token of an answer takes the place of those that came
+    /// What two tokens of the same session say together: the join of both watermarks, as of the later issue.
+    /// A client with several requests in flight holds several; the token of an answer replaces those sent
     /// with its request.
     #[must_use]
     pub fn join(self, other: Token) -> Token {
@@ -113,21 +113,32 @@
         Token { watermark: self.watermark.join(other.watermark), ..newer }
     }
 
-    /// Whether it belongs to this session in this group.
+    /// Checks that the token belongs to this session in this group.
+    ///
+    /// # Errors
+    ///
+    /// [`TokenError::WrongGroup`] or [`TokenError::WrongSession`].
     pub fn check_session(&self, key: SessionKey) -> Result<(), TokenError> {
-        match (self.key.group == key.group, self.key.name_hash == key.name_hash) {
-            (false, _) => Err(TokenError::WrongGroup),
-            (_, false) => Err(TokenError::WrongSession),
-            _ => Ok(()),
+        if self.key.group != key.group {
+            return Err(TokenError::WrongGroup);
+        }
+        if self.key.name_hash != key.name_hash {
+            return Err(TokenError::WrongSession);
         }
+        Ok(())
     }
 }
 
-fn milliseconds_up(time: Time) -> u64 {
-    (time.max(0) as u64).div_ceil(1000)
+fn decode_fields(fields: &[u8]) -> Token {
+    let mut reader = FieldReader::new(fields);
+    let group = reader.integer(GROUP_BYTES) as GroupId;
+    let name_hash = reader.name_hash();
+    let written = reader.time();
+    let read = reader.time();
+    let issued_at = reader.time();
+    Token { key: SessionKey { group, name_hash }, watermark: Watermark { written, read }, issued_at }
 }
 
-fn checksum(bytes: &[u8], secret: u64) -> [u8; 4] {
-    let hash = xxh3_64_with_seed(bytes, secret ^ u64::from(VERSION));
-    ((hash >> 32) as u32).to_be_bytes()
+fn checksum_seed(secret: u64) -> u64 {
+    secret ^ u64::from(VERSION)
 }
--- a/crates/sessions/src/watermark_broadcast.rs
+++ b/crates/sessions/src/watermark_broadcast.rs
@@ -1,161 +1,199 @@
-//! What instances tell each other: datagrams of at most 256 bytes, which may be lost, late, repeated or out of
-//! order. Each tells every watermark of one group that its instance made in one interval, or bounds what it leaves out.
+//! Watermark broadcasts: datagrams of at most 256 bytes in which an instance sends the watermarks of one
+//! group to the others. They may be lost, delayed, repeated or reordered. Each holds every watermark that its
+//! instance recorded in one interval, or an upper bound of those that it omits.
 
-use crate::watermark::{Watermark, NAME_HASH_BITS};
+use crate::encoding::{
+    checksum, milliseconds_down, milliseconds_up, push_milliseconds, push_name_hash, time_of, FieldReader,
+    CHECKSUM_BYTES, NAME_HASH_BYTES, TIME_BYTES,
+};
+use crate::watermark::Watermark;
 use petrelgauge_policy::{GroupId, Time};
 use thiserror::Error;
-use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Longest datagram.
+/// Longest datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The version written. Others are refused by name: a later version may mean other things by the same bytes.
+/// The version written. Others are rejected: a later version may give the same bytes another meaning.
 pub const VERSION: u8 = 1;
-const HEADER_BYTES: usize = 1 + 2 + 8 + 4 * 6 + 1;
-const ENTRY_BYTES: usize = 5 + 2 + 2;
-const CHECKSUM_BYTES: usize = 4;
-/// Marks that one datagram can tell.
+
+const VERSION_BYTES: usize = 1;
+const INSTANCE_BYTES: usize = 2;
+const GROUP_BYTES: usize = 8;
+const COUNT_BYTES: usize = 1;
+/// Version, instance, group, `epoch`, `from`, `until`, `omitted_bound`, number of entries.
+const HEADER_BYTES: usize = VERSION_BYTES + INSTANCE_BYTES + GROUP_BYTES + 4 * TIME_BYTES + COUNT_BYTES;
+const AGE_BYTES: usize = 2;
+/// Name, age of `written`, age of `read`.
+const ENTRY_BYTES: usize = NAME_HASH_BYTES + 2 * AGE_BYTES;
+/// Entries that one datagram can hold.
 pub const MAX_ENTRIES: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / ENTRY_BYTES;
-/// A watermark is told as milliseconds before a point so far behind the interval's end.
-const MAX_AHEAD_MS: u64 = 2_000;
-/// A part of a watermark that is not there.
+
+/// A watermark is encoded as its age in milliseconds before a reference this far after the end of the
+/// interval.
+const REFERENCE_AHEAD_MS: u64 = 2_000;
+/// Encodes a missing component of a watermark.
 const ABSENT: u16 = u16::MAX;
+/// The greatest age; older watermarks are encoded as this old, which only raises them.
+const MAX_AGE: u64 = ABSENT as u64 - 1;
+/// Distinguishes the checksum from a token's under the same secret.
+const CHECKSUM_SEED: u64 = 0xB111_E714;
 
-/// One datagram. Times in microseconds, whole milliseconds on the wire.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WatermarkBroadcast {
-    /// Number of the instance that tells.
+/// Who sends a broadcast.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BroadcastSender {
+    /// Number of the instance.
     pub instance: u16,
-    /// The group.
+    /// The group that its broadcasts are about.
     pub group: GroupId,
-    /// When the instance started.
+    /// When the instance started, in microseconds.
     pub epoch: Time,
-    /// The interval's open start.
+}
+
+/// The watermark of one session.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BroadcastEntry {
+    /// Hash of the session's name.
+    pub name_hash: u64,
+    /// Its watermark in the broadcast's group.
+    pub watermark: Watermark,
+}
+
+/// One datagram. Times in microseconds, whole milliseconds when encoded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WatermarkBroadcast {
+    /// Who sends it.
+    pub sender: BroadcastSender,
+    /// Start of the interval, exclusive.
     pub from: Time,
-    /// The interval's end, which belongs to it.
+    /// End of the interval, inclusive.
     pub until: Time,
-    /// No watermark that was left out, now or before, lies above this.
+    /// No watermark that was omitted, here or in an earlier broadcast, lies above this.
     pub omitted_bound: Time,
-    /// Names of sessions and their watermarks.
-    pub entries: Vec<(u64, Watermark)>,
+    /// Watermarks recorded in the interval, [`MAX_ENTRIES`] at most.
+    pub entries: Vec<BroadcastEntry>,
 }
 
 /// Why a datagram cannot be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BroadcastError {
-    /// Too short, too long, or its parts do not add up.
-    #[error("the datagram has a length that is none")]
+    /// Too short, too long, or of another length than its number of entries needs.
+    #[error("the datagram has an invalid length")]
     Malformed,
-    /// A version that is not known here.
-    #[error("the datagram has a version that is not known here")]
+    /// A version that this program does not know.
+    #[error("the datagram has an unsupported version")]
     UnsupportedVersion,
-    /// It does not pass its check: garbage, or another secret.
-    #[error("the datagram does not pass its check")]
+    /// The checksum does not match: garbage, or another secret.
+    #[error("the datagram has an invalid checksum")]
     InvalidChecksum,
-    /// Its interval ends before it starts, or in the future.
-    #[error("the datagram tells of an interval that cannot be")]
+    /// The interval ends before it starts, or in the future.
+    #[error("the datagram has an invalid interval")]
     InvalidInterval,
-    /// From an instance that is none of those that exchange watermarks, or from this one.
-    #[error("the datagram comes from no other instance")]
+    /// Sent by an instance that does not exchange watermarks, or by this one.
+    #[error("the datagram was not sent by another instance")]
     UnknownInstance,
 }
 
 impl WatermarkBroadcast {
-    /// Its bytes. Marks are rounded up; lines past [`MAX_ENTRIES`] must have gone into the base before.
+    /// Encodes the broadcast. Watermarks are rounded up; entries beyond [`MAX_ENTRIES`] are left out, and the
+    /// caller must have included them in `omitted_bound`.
     pub fn encode(&self, secret: u64) -> Vec<u8> {
         debug_assert!(self.entries.len() <= MAX_ENTRIES);
+        let entries = &self.entries[..self.entries.len().min(MAX_ENTRIES)];
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
-        bytes.push(VERSION);
-        bytes.extend_from_slice(&self.instance.to_be_bytes());
-        bytes.extend_from_slice(&self.group.to_be_bytes());
-        for time in [self.epoch, self.from, self.until] {
-            push_milliseconds(&mut bytes, time.max(0) as u64 / 1000);
+        self.push_header(&mut bytes, entries.len());
+        let reference = reference_milliseconds(self.until);
+        for entry in entries {
+            push_name_hash(&mut bytes, entry.name_hash);
+            push_age(&mut bytes, entry.watermark.written, reference);
+            push_age(&mut bytes, entry.watermark.read, reference);
         }
-        push_milliseconds(&mut bytes, milliseconds_up(self.omitted_bound));
-        let lines = &self.entries[..self.entries.len().min(MAX_ENTRIES)];
-        bytes.push(lines.len() as u8);
-        let top = reference_milliseconds(self.until);
-        for (name, watermark) in lines {
-            bytes.extend_from_slice(&name.to_be_bytes()[3..]);
-            for part in [watermark.written, watermark.read] {
-                let before = match part {
-                    part if part <= 0 => ABSENT,
-                    // Older than can be told is told as newer; above the top nothing is ever put in.
-                    part => top.saturating_sub(milliseconds_up(part)).min(u64::from(ABSENT) - 1) as u16,
-                };
-                bytes.extend_from_slice(&before.to_be_bytes());
-            }
-        }
-        let check = checksum(&bytes, secret);
-        bytes.extend_from_slice(&check);
+        let checksum = checksum(&bytes, secret ^ CHECKSUM_SEED);
+        bytes.extend_from_slice(&checksum);
         debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         bytes
     }
 
-    /// Reads a datagram. Of one that cannot be used nothing is.
+    /// Decodes a datagram.
+    ///
+    /// # Errors
+    ///
+    /// All errors but [`BroadcastError::UnknownInstance`]: who may send is for the receiver to know.
     pub fn decode(bytes: &[u8], secret: u64) -> Result<WatermarkBroadcast, BroadcastError> {
-        if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(BroadcastError::Malformed);
-        }
-        if bytes[0] != VERSION {
-            return Err(BroadcastError::UnsupportedVersion);
-        }
-        let (body, tail) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
-        if checksum(body, secret) != tail {
-            return Err(BroadcastError::InvalidChecksum);
-        }
-        let number = |from: usize, to: usize| body[from..to].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
-        let time = |from: usize| number(from, from + 6) as Time * 1000;
-        let (epoch, from, until, base) = (time(11), time(17), time(23), time(29));
-        let count = usize::from(body[35]);
+        let body = verified_body(bytes, secret)?;
+        let mut reader = FieldReader::new(&body[VERSION_BYTES..]);
+        let instance = reader.integer(INSTANCE_BYTES) as u16;
+        let group = reader.integer(GROUP_BYTES) as GroupId;
+        let epoch = reader.time();
+        let from = reader.time();
+        let until = reader.time();
+        let omitted_bound = reader.time();
+        let count = reader.integer(COUNT_BYTES) as usize;
         if body.len() != HEADER_BYTES + count * ENTRY_BYTES {
             return Err(BroadcastError::Malformed);
         }
         if from > until || epoch > from {
             return Err(BroadcastError::InvalidInterval);
         }
-        let top = reference_milliseconds(until);
-        let part = |from: usize| match number(from, from + 2) {
-            absent if absent == u64::from(ABSENT) => 0,
-            before => top.saturating_sub(before) as Time * 1000,
-        };
-        let line = |place: usize| {
-            let at = HEADER_BYTES + place * ENTRY_BYTES;
-            (
-                number(at, at + 5) & ((1 << NAME_HASH_BITS) - 1),
-                Watermark { written: part(at + 5), read: part(at + 7) },
-            )
-        };
-        Ok(WatermarkBroadcast {
-            instance: number(1, 3) as u16,
-            group: number(3, 11) as GroupId,
-            epoch,
-            from,
-            until,
-            omitted_bound: base,
-            entries: (0..count).map(line).collect(),
-        })
+        let reference = reference_milliseconds(until);
+        let entries = (0..count).map(|_| read_entry(&mut reader, reference)).collect();
+        let sender = BroadcastSender { instance, group, epoch };
+        Ok(WatermarkBroadcast { sender, from, until, omitted_bound, entries })
     }
 
-    /// Whether a watermark can be told beside an interval that ends then. One that lies further ahead cannot.
+    /// Whether a watermark can be encoded in an interval with this end. One that lies too far ahead of it
+    /// cannot.
     pub fn can_encode(watermark: Watermark, until: Time) -> bool {
         milliseconds_up(watermark.written.max(watermark.read)) <= reference_milliseconds(until)
     }
+
+    fn push_header(&self, bytes: &mut Vec<u8>, entries: usize) {
+        bytes.push(VERSION);
+        bytes.extend_from_slice(&self.sender.instance.to_be_bytes());
+        bytes.extend_from_slice(&self.sender.group.to_be_bytes());
+        for time in [self.sender.epoch, self.from, self.until] {
+            push_milliseconds(bytes, milliseconds_down(time));
+        }
+        push_milliseconds(bytes, milliseconds_up(self.omitted_bound));
+        bytes.push(entries as u8);
+    }
+}
+
+/// The datagram without its checksum, if length, version and checksum are valid.
+fn verified_body(bytes: &[u8], secret: u64) -> Result<&[u8], BroadcastError> {
+    if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(BroadcastError::Malformed);
+    }
+    if bytes[0] != VERSION {
+        return Err(BroadcastError::UnsupportedVersion);
+    }
+    let (body, tail) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
+    if checksum(body, secret ^ CHECKSUM_SEED) != tail {
+        return Err(BroadcastError::InvalidChecksum);
+    }
+    Ok(body)
 }
 
-fn push_milliseconds(bytes: &mut Vec<u8>, ms: u64) {
-    bytes.extend_from_slice(&ms.min((1 << 48) - 1).to_be_bytes()[2..]);
+fn push_age(bytes: &mut Vec<u8>, position: Time, reference: u64) {
+    let age = match position {
+        ..=0 => ABSENT,
+        position => reference.saturating_sub(milliseconds_up(position)).min(MAX_AGE) as u16,
+    };
+    bytes.extend_from_slice(&age.to_be_bytes());
 }
 
-fn reference_milliseconds(until: Time) -> u64 {
-    until.max(0) as u64 / 1000 + MAX_AHEAD_MS
+fn read_entry(reader: &mut FieldReader, reference: u64) -> BroadcastEntry {
+    let name_hash = reader.name_hash();
+    let written = read_position(reader, reference);
+    let read = read_position(reader, reference);
+    BroadcastEntry { name_hash, watermark: Watermark { written, read } }
 }
 
-fn milliseconds_up(time: Time) -> u64 {
-    (time.max(0) as u64).div_ceil(1000)
+fn read_position(reader: &mut FieldReader, reference: u64) -> Time {
+    match reader.integer(AGE_BYTES) {
+        age if age == u64::from(ABSENT) => 0,
+        age => time_of(reference.saturating_sub(age)),
+    }
 }
 
-fn checksum(bytes: &[u8], secret: u64) -> [u8; CHECKSUM_BYTES] {
-    // Another seed than a token's: neither passes for the other.
-    let hash = xxh3_64_with_seed(bytes, secret ^ 0xB111_E714);
-    ((hash >> 32) as u32).to_be_bytes()
+fn reference_milliseconds(until: Time) -> u64 {
+    milliseconds_down(until) + REFERENCE_AHEAD_MS
 }
--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small simulation with an oracle: instances whose clocks differ, messages that get lost, restarts, clients with and
-//! without tokens, and replicas that show the oldest data they may.
+//! A small simulation with an oracle: instances whose clocks differ, messages that get lost, restarts,
+//! clients with and without tokens, and replicas that show the oldest data they may.
 #![allow(dead_code)]
 
 use petrelgauge_policy::{Role, Time};
@@ -120,7 +120,8 @@
             for bytes in instances[place].tracker.due_broadcasts(local) {
                 let bytes = match WatermarkBroadcast::decode(&bytes, scenario.settings.secret) {
                     Ok(sent) if scenario.fault == InjectedFault::GapIgnored => {
-                        WatermarkBroadcast { from: sent.epoch, ..sent }.encode(scenario.settings.secret)
+                        WatermarkBroadcast { from: sent.sender.epoch, ..sent }
+                            .encode(scenario.settings.secret)
                     }
                     _ => bytes,
                 };
@@ -224,6 +225,11 @@
     known.extend(token);
 }
 
+/// What a host of this role reports that has reached `position`: whole milliseconds.
+fn evidence(position: Time, role: Role) -> AnswerEvidence {
+    AnswerEvidence { position: Some(position / MS * MS), position_at_send: None, role: Some(role) }
+}
+
 /// Answers a read from a replica that shows little, or else from the primary; gives the position shown.
 fn serve(
     tracker: &mut SessionTracker,
@@ -241,12 +247,10 @@
     let hidden = |position: Time| position < seen_before.written || position < seen_before.read;
     // No primary takes writes for 300 ms after one was deposed.
     let old = now - rng.random_range(1_000 * MS..4_000 * MS);
-    let led = |tracker: &mut SessionTracker, at: Time| {
-        tracker.verify_answer(&floor, Some(at / MS * MS), None, Some(Role::Primary))
-    };
+    let led =
+        |tracker: &mut SessionTracker, at: Time| tracker.verify_answer(&floor, &evidence(at, Role::Primary));
     findings.deposed += usize::from(led(tracker, old) == Verdict::Proven && hidden(old + 300 * MS));
-    let by_replica =
-        tracker.verify_answer(&floor, Some(position / MS * MS), None, Some(Role::Replica)) == Verdict::Proven;
+    let by_replica = tracker.verify_answer(&floor, &evidence(position, Role::Replica)) == Verdict::Proven;
     findings.by_replicas += usize::from(by_replica);
     findings.by_replicas_known_from_peers += usize::from(by_replica && floor.source == PositionSource::Peers);
     if !by_replica {
--- a/crates/sessions/tests/fixtures.rs
+++ b/crates/sessions/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Compatibility of what outlives a process: session tokens that clients hold and datagrams of other versions of the
-//! program. The fixtures were written by commit a97f0e8, before the crate's types were renamed.
+//! Compatibility of what outlives a process: session tokens that clients hold and datagrams of other versions
+//! of the program. The fixtures were written by commit a97f0e8, before the crate's types were renamed.
 
 use petrelgauge_policy::Time;
 use petrelgauge_sessions::*;
@@ -56,26 +56,32 @@
     ]
 }
 
-fn datagram(lines: Vec<(u64, Watermark)>) -> WatermarkBroadcast {
+fn entry(name_hash: u64, watermark: Watermark) -> BroadcastEntry {
+    BroadcastEntry { name_hash, watermark }
+}
+
+fn sender(epoch: Time) -> BroadcastSender {
+    BroadcastSender { instance: 513, group: 0x0102_0304_0506_0708, epoch }
+}
+
+fn datagram(entries: Vec<BroadcastEntry>) -> WatermarkBroadcast {
     WatermarkBroadcast {
-        instance: 513,
-        group: 0x0102_0304_0506_0708,
-        epoch: NOW - 60_000 * MS,
+        sender: sender(NOW - 60_000 * MS),
         from: NOW - 200 * MS,
         until: NOW,
         omitted_bound: 0,
-        entries: lines,
+        entries,
     }
 }
 
 /// Datagrams by the name of their fixture, with what is read back.
 fn datagrams() -> Vec<(&'static str, WatermarkBroadcast, WatermarkBroadcast)> {
-    let full: Vec<(u64, Watermark)> =
-        (0..MAX_ENTRIES as u64).map(|n| (n << 32 | n, watermark(NOW - n as Time * MS, 0))).collect();
+    let full: Vec<BroadcastEntry> =
+        (0..MAX_ENTRIES as u64).map(|n| entry(n << 32 | n, watermark(NOW - n as Time * MS, 0))).collect();
     let three = vec![
-        (7, watermark(NOW - 5 * MS, 0)),
-        (8, watermark(0, NOW - 7 * MS)),
-        (0xFF_FFFF_FFFF, watermark(NOW, NOW + 2_000 * MS)),
+        entry(7, watermark(NOW - 5 * MS, 0)),
+        entry(8, watermark(0, NOW - 7 * MS)),
+        entry(0xFF_FFFF_FFFF, watermark(NOW, NOW + 2_000 * MS)),
     ];
     // Further back than a line can say, it is brought forward to the oldest that it can.
     let oldest = NOW + 2_000 * MS - (Time::from(u16::MAX) - 1) * MS;
@@ -86,19 +92,19 @@
         (
             "bound-and-watermarks-round-up",
             WatermarkBroadcast {
-                epoch: NOW - 60_000 * MS + 999,
+                sender: sender(NOW - 60_000 * MS + 999),
                 omitted_bound: NOW - 90 * MS + 1,
-                ..datagram(vec![(7, watermark(NOW - 5 * MS + 1, NOW - 600_000 * MS))])
+                ..datagram(vec![entry(7, watermark(NOW - 5 * MS + 1, NOW - 600_000 * MS))])
             },
             WatermarkBroadcast {
                 omitted_bound: NOW - 89 * MS,
-                ..datagram(vec![(7, watermark(NOW - 4 * MS, oldest))])
+                ..datagram(vec![entry(7, watermark(NOW - 4 * MS, oldest))])
             },
         ),
         (
             "first-interval-of-a-run",
-            WatermarkBroadcast { epoch: NOW, from: NOW, ..datagram(Vec::new()) },
-            WatermarkBroadcast { epoch: NOW, from: NOW, ..datagram(Vec::new()) },
+            WatermarkBroadcast { sender: sender(NOW), from: NOW, ..datagram(Vec::new()) },
+            WatermarkBroadcast { sender: sender(NOW), from: NOW, ..datagram(Vec::new()) },
         ),
     ]
 }
@@ -138,7 +144,8 @@
     }
 }
 
-// Both checks stand on the secret and on a constant of each form: neither passes for the other, nor under another secret.
+// Both checks stand on the secret and on a constant of each form: neither passes for the other, nor under
+// another secret.
 #[test]
 fn fixtures_of_another_secret_are_rejected() {
     for text in fixtures(TOKENS).values() {
@@ -152,7 +159,8 @@
     }
 }
 
-// The names of sessions in tokens and datagrams are hashes: another hash would make all known watermarks another session's.
+// The names of sessions in tokens and datagrams are hashes: another hash would make all known watermarks
+// another session's.
 #[test]
 fn session_names_hash_as_before() {
     let names = ["", "member-17", "9b1f6e2c-2f3d-4c55-9d0c-0a4f6a1f0d11"];
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -23,16 +23,12 @@
     (0..4u64, 0..300u64).prop_map(|(group, name)| SessionKey { group, name_hash: name })
 }
 
-fn broadcast(lines: Vec<(u64, Watermark)>, until: Time) -> WatermarkBroadcast {
-    WatermarkBroadcast {
-        instance: 1,
-        group: G,
-        epoch: MS,
-        from: until - 20 * MS,
-        until,
-        omitted_bound: 0,
-        entries: lines,
-    }
+fn sender(instance: u16) -> BroadcastSender {
+    BroadcastSender { instance, group: G, epoch: MS }
+}
+
+fn broadcast(entries: Vec<BroadcastEntry>, until: Time) -> WatermarkBroadcast {
+    WatermarkBroadcast { sender: sender(1), from: until - 20 * MS, until, omitted_bound: 0, entries }
 }
 
 proptest! {
@@ -82,7 +78,7 @@
     fn garbage_is_rejected_as_token_and_broadcast(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 0..256usize) {
         prop_assert!(Token::decode(&String::from_utf8_lossy(&bytes), 9).is_err());
         prop_assert!(WatermarkBroadcast::decode(&bytes, 9).is_err());
-        let complete = broadcast(vec![(7, Watermark { written: 990 * MS, read: 0 })], 1_000 * MS).encode(9);
+        let complete = broadcast(vec![BroadcastEntry { name_hash: 7, watermark: Watermark { written: 990 * MS, read: 0 } }], 1_000 * MS).encode(9);
         prop_assert!(WatermarkBroadcast::decode(&complete[..cut.min(complete.len() - 1)], 9).is_err());
         let mut altered = complete.clone();
         altered[cut % complete.len()] ^= 1 << (cut % 8);
@@ -94,35 +90,39 @@
         ages in prop::collection::vec((0..1u64 << 40, -900..200_000i64, 0..3_000i64), 0..=MAX_ENTRIES),
     ) {
         let until = 5_000_000 * MS;
-        let lines: Vec<(u64, Watermark)> = ages.iter()
-            .map(|(name, wrote, read)| (*name, Watermark { written: until - wrote * MS - 1, read: until - read * MS }))
+        let entries: Vec<BroadcastEntry> = ages.iter()
+            .map(|(name, wrote, read)| BroadcastEntry { name_hash: *name, watermark: Watermark { written: until - wrote * MS - 1, read: until - read * MS } })
             .collect();
-        let sent = broadcast(lines.clone(), until);
+        let sent = broadcast(entries.clone(), until);
         let bytes = sent.encode(9);
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let received = WatermarkBroadcast::decode(&bytes, 9).expect("its own broadcast");
-        prop_assert_eq!((received.instance, received.group, received.from, received.until), (1, G, sent.from, sent.until));
-        for ((name, watermark), (other, back)) in lines.iter().zip(&received.entries) {
-            prop_assert_eq!(name, other);
-            prop_assert!(back.covers(*watermark), "{:?} came back as {:?}", watermark, back);
+        prop_assert_eq!((received.sender, received.from, received.until), (sender(1), sent.from, sent.until));
+        for (sent, back) in entries.iter().zip(&received.entries) {
+            prop_assert_eq!(sent.name_hash, back.name_hash);
+            prop_assert!(back.watermark.covers(sent.watermark), "{:?} came back as {:?}", sent, back);
         }
     }
 
     #[test]
     fn what_an_outbox_omits_is_bounded(made in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
-        let (mut outbox, start) = (Outbox::new(G, 1_000 * MS), 1_000 * MS);
+        let start = 1_000 * MS;
+        let sender = BroadcastSender { instance: 0, group: G, epoch: start };
+        let mut outbox = Outbox::new(sender, Promise::Writes);
         let mut now = start;
         for (name, age) in &made {
             now += MS / 2;
-            outbox.push(now, *name, Watermark { written: now - age * MS, read: 0 }, Promise::Writes);
+            let watermark = Watermark { written: now - age * MS, read: 0 };
+            outbox.push(now, BroadcastEntry { name_hash: *name, watermark });
         }
-        let sent = outbox.next_broadcast(now + 2 * MS, 0, start, Promise::Writes);
+        let sent = outbox.next_broadcast(now + 2 * MS);
         prop_assert!(sent.until >= now && sent.from <= start);
         now = start;
         for (name, age) in &made {
             now += MS / 2;
             let watermark = now - age * MS;
-            let line = sent.entries.iter().find(|(other, _)| other == name).map_or(0, |(_, watermark)| watermark.written);
+            let entry = sent.entries.iter().find(|entry| entry.name_hash == *name);
+            let line = entry.map_or(0, |entry| entry.watermark.written);
             prop_assert!(watermark <= line.max(sent.omitted_bound), "{watermark} is neither sent nor bounded");
         }
     }
@@ -145,23 +145,24 @@
 
 #[test]
 fn a_gap_is_awaited_then_closed_with_an_upper_bound() {
+    let interval = |epoch, from, until| PeerInterval { epoch, from, until, omitted_bound: 0 };
     let mut range = KnownRange::default();
-    range.record_interval(0, 10, 10, 20, 0);
+    range.record_interval(0, interval(10, 10, 20));
     assert_eq!((range.known_until(), range.gap_end()), (20, 10), "what was before the first one is unknown");
-    range.record_interval(1, 10, 30, 40, 0);
-    range.record_interval(1, 10, 30, 40, 0);
+    range.record_interval(1, interval(10, 30, 40));
+    range.record_interval(1, interval(10, 30, 40));
     assert_eq!((range.known_until(), range.gap_end()), (20, 10), "the one between may yet come");
-    range.record_interval(2, 10, 18, 30, 0);
+    range.record_interval(2, interval(10, 18, 30));
     assert_eq!((range.known_until(), range.gap_end()), (40, 10), "it came");
-    range.record_interval(3, 10, 50, 60, 0);
+    range.record_interval(3, interval(10, 50, 60));
     range.expire_gaps(100, 50);
     assert_eq!((range.known_until(), range.gap_end()), (60, 50));
-    range.record_interval(101, 10, 40, 50, 0);
+    range.record_interval(101, interval(10, 40, 50));
     assert_eq!((range.known_until(), range.gap_end()), (60, 50), "too late: nothing is taken back");
     // A new run: what the old one made last is lost at once.
-    range.record_interval(102, 70, 70, 80, 0);
+    range.record_interval(102, interval(70, 70, 80));
     assert_eq!((range.known_until(), range.gap_end(), range.gaps()), (80, 70, 3));
-    range.record_interval(103, 10, 60, 200, 0);
+    range.record_interval(103, interval(10, 60, 200));
     assert_eq!(range.known_until(), 80, "the old run has nothing more to say");
 }
 
@@ -201,7 +202,9 @@
 fn broadcasts_from_the_future_or_unknown_instances_are_rejected() {
     let now = 1_000 * MS;
     let mut tracker = SessionTracker::new(settings(3, 0), now).expect("sound");
-    let say = |instance, until| WatermarkBroadcast { instance, ..broadcast(Vec::new(), until) }.encode(99);
+    let say = |instance, until| {
+        WatermarkBroadcast { sender: sender(instance), ..broadcast(Vec::new(), until) }.encode(99)
+    };
     assert_eq!(tracker.receive(now, &say(1, now + MS)).err(), Some(BroadcastError::InvalidInterval));
     assert_eq!(tracker.receive(now, &say(0, now)).err(), Some(BroadcastError::UnknownInstance));
     assert_eq!(tracker.receive(now, &say(3, now)).err(), Some(BroadcastError::UnknownInstance));
@@ -253,8 +256,8 @@
     assert!(held(&tokens, 2).is_empty());
 }
 
-// A customer whose hosts report no positions: every answer to a session's read was held for one that proves nothing, and no
-// such read was ever served.
+// A customer whose hosts report no positions: every answer to a session's read was held for one that proves
+// nothing, and no such read was ever served.
 #[test]
 fn without_reported_positions_an_answer_proves_what_its_host_enforces_or_a_primary_implies() {
     let reporting = Settings { roams: false, tokens: false, ..Default::default() };
@@ -264,7 +267,10 @@
         tracker.record_write(now, key, now - MS, Some(now - MS));
         let floor = tracker.begin_read(now, key, None);
         let roles = [Some(Role::Primary), Some(Role::Replica), None];
-        roles.map(|role| tracker.verify_answer(&floor, position, None, role) == Verdict::Proven)
+        roles.map(|role| {
+            tracker.verify_answer(&floor, &AnswerEvidence { position, position_at_send: None, role })
+                == Verdict::Proven
+        })
     };
     let silent = Settings { hosts_report_positions: false, ..reporting.clone() };
     assert_eq!(verdicts(silent.clone(), None), [true, false, false]);
@@ -281,9 +287,10 @@
     let mut tracker = SessionTracker::new(settings, 0).expect("sound");
     let key = tracker.session_key(G, "member-1");
     let floor = tracker.begin_read(9_000 * MS, key, None);
-    assert_eq!(tracker.verify_answer(&floor, None, None, Some(Role::Replica)), Verdict::Proven);
+    let replica = AnswerEvidence { role: Some(Role::Replica), ..AnswerEvidence::default() };
+    assert_eq!(tracker.verify_answer(&floor, &replica), Verdict::Proven);
     // A write that is under way may have been answered, and the answer been lost.
     let floor = floor.with_pending_write(8_900 * MS);
     assert_eq!((floor.position(), floor.with_pending_write(1).position()), (8_900 * MS, 8_900 * MS));
-    assert_eq!(tracker.verify_answer(&floor, None, None, Some(Role::Replica)), Verdict::Unproven);
+    assert_eq!(tracker.verify_answer(&floor, &replica), Verdict::Unproven);
 }
--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -1,4 +1,5 @@
-//! No loss, restart or clock error leads to a stale read; and the oracle that checks it detects injected faults.
+//! No loss, restart or clock error leads to a stale read; and the oracle that checks it detects injected
+//! faults.
 
 mod common;
 use common::*;
@@ -18,7 +19,8 @@
     }
 }
 
-/// Without tokens and with one clock, sessions that stay with one instance: the weakest knowledge of restarts.
+/// Without tokens and with one clock, sessions that stay with one instance: the weakest knowledge of
+/// restarts.
 fn pinned() -> Scenario {
     scenario(Settings { roams: false, tokens: false, ..settings(0, 0) }, false)
 }
--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -1,5 +1,5 @@
-//! A seeded run of several instances whose outputs are compared, as one digest, with those of commit a97f0e8: renaming and
-//! moving code must change no token, no datagram, no decision and no count.
+//! A seeded run of several instances whose outputs are compared, as one digest, with those of commit a97f0e8:
+//! renaming and moving code must change no token, no datagram, no decision and no count.
 
 use petrelgauge_policy::{Role, Time};
 use petrelgauge_sessions::*;
@@ -34,7 +34,7 @@
             PositionSource::Unknown => 3,
         };
         for number in [
-            floor.arrived,
+            floor.arrived_at,
             floor.known,
             floor.unknown_until.unwrap_or(-1),
             floor.pending_write,
@@ -248,8 +248,10 @@
         let before = self.rng.random_bool(0.5).then_some(position - MS);
         let tracker = &mut self.instances[place];
         for role in [Some(Role::Replica), None, Some(Role::Primary)] {
-            self.digest.verdict(tracker.verify_answer(&floor, None, before, role));
-            self.digest.verdict(tracker.verify_answer(&floor, Some(position), before, role));
+            for position in [None, Some(position)] {
+                let answer = AnswerEvidence { position, position_at_send: before, role };
+                self.digest.verdict(tracker.verify_answer(&floor, &answer));
+            }
         }
         tracker.record_read(self.now, key, &floor, position.max(floor.position()));
         self.hand_out(place, key);
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -163,7 +163,8 @@
         self.0.table.borrow().set_tokens(tokens, text)
     }
 
-    /// The session that a request belongs to, with the tokens that its client sent joined into one. An unusable token is an error.
+    /// The session that a request belongs to, with the tokens that its client sent joined into one.
+    /// An unusable token is an error.
     pub fn session_ref(
         &self,
         at: Time,
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -206,7 +206,7 @@
     Ok(Some(Duties::new(office, shares, plan, facade, clock, counters, names)))
 }
 
-/// The session tracker with the classes that carry them, and where the watermark broadcasts of others are received.
+/// The session tracker with the classes that carry sessions, and where broadcasts of others are received.
 type TrackedSessions = (Option<(SessionTracker, Vec<usize>)>, Option<SocketAddr>);
 
 /// The sessions that the operator has switched on, or else what the deployment asks for by itself: watermarks of this
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -7,7 +7,9 @@
 use petrelgauge::net::set;
 use petrelgauge::net::statement::Statement;
 use petrelgauge::operator::Operator;
-use petrelgauge_sessions::{SessionKey, Token, Watermark, WatermarkBroadcast, MAX_DATAGRAM_BYTES};
+use petrelgauge_sessions::{
+    BroadcastEntry, BroadcastSender, SessionKey, Token, Watermark, WatermarkBroadcast, MAX_DATAGRAM_BYTES,
+};
 
 /// Mutations of each sample.
 const ROUNDS: u32 = 4_000;
@@ -192,13 +194,14 @@
     let watermark = Watermark { written: 1_767_225_600_123_000, read: 1_767_225_600_150_000 };
     let token = Token { key, watermark, issued_at: 1_767_225_600_200_000 }.encode(9);
     let broadcast = WatermarkBroadcast {
-        instance: 1,
-        group: 2,
-        epoch: 1_767_225_000_000_000,
+        sender: BroadcastSender { instance: 1, group: 2, epoch: 1_767_225_000_000_000 },
         from: 1_767_225_600_000_000,
         until: 1_767_225_600_100_000,
         omitted_bound: 0,
-        entries: vec![(77, watermark), (78, Watermark::NONE)],
+        entries: vec![
+            BroadcastEntry { name_hash: 77, watermark },
+            BroadcastEntry { name_hash: 78, watermark: Watermark::NONE },
+        ],
     }
     .encode(9);
     assert!(broadcast.len() <= MAX_DATAGRAM_BYTES);
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -9,7 +9,9 @@
 use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionRef, Ticket};
 use petrelgauge::operator::Operator;
 use petrelgauge::*;
-use petrelgauge_sessions::{SessionTracker, Token, Watermark, WatermarkBroadcast};
+use petrelgauge_sessions::{
+    BroadcastEntry, BroadcastSender, SessionTracker, Token, Watermark, WatermarkBroadcast,
+};
 use stage::{insert, kinds, select, Say, Stage};
 use std::future::Future;
 use std::pin::pin;
@@ -142,13 +144,11 @@
     let mut play = Play::new(set);
     let told = |from: Time, until: Time| {
         WatermarkBroadcast {
-            instance: 1,
-            group: G,
-            epoch: START - 9_000 * MS,
+            sender: BroadcastSender { instance: 1, group: G, epoch: START - 9_000 * MS },
             from,
             until,
             omitted_bound: 0,
-            entries: vec![(7, Watermark { written: until, read: 0 })],
+            entries: vec![BroadcastEntry { name_hash: 7, watermark: Watermark { written: until, read: 0 } }],
         }
         .encode(0)
     };
