--- a/crates/lifecycle/src/backoff.rs
+++ b/crates/lifecycle/src/backoff.rs
@@ -10,10 +10,10 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Mean pause after a watch that fell silent, broke or never came up (microseconds), and most doublings of any mean
-/// (count). Two silences of 3 s, with the pauses after them, then fit into the 8 s in which news counts as told (6 s)
-/// and has to be heeded (2 s).
-const FIRST: Time = 200_000;
+/// Mean pause after a watch that fell silent, broke or never came up (microseconds). Two silences of 3 s, with the
+/// pauses after them, then fit into the 8 s in which news counts as told (6 s) and has to be heeded (2 s).
+pub const FIRST: Time = 200_000;
+/// Most doublings of any mean (count).
 const DOUBLINGS: u32 = 2;
 /// The longest mean while nobody answers (microseconds): what the agent gets when discovery returns counts at once and
 /// binds 2 s later, and a return may fall into the beginning of a pause.
@@ -21,7 +21,7 @@
 /// After a refusal, the part of the mean for each gateway (microseconds): together they call so many times a second.
 const EACH: Time = 25_000;
 /// The longest mean after a refusal (microseconds), so that no pause is over twice that.
-const LONGEST: Time = 4_000_000;
+pub const LONGEST: Time = 4_000_000;
 
 /// Why the last call or watch is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,84 +63,3 @@
         (self.dice.next_u64() % (2 * mean) as u64) as Time
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Plays gateways that all start at 0 before a service that takes 60 ms for a call, in turn, and turns away what has
-    /// waited for 2 s, which takes its time all the same; gives when the last one got through (microseconds), if all
-    /// did within 20 s.
-    fn all_through(gateways: u32, pauses: impl Fn(&mut Backoff) -> Time) -> Option<Time> {
-        let starts = (0..gateways).map(|n| Backoff::new(gateways, 77 + u64::from(n)));
-        let mut calls: Vec<(Time, Backoff)> = starts.map(|one| (0, one)).collect();
-        let (mut free_at, mut last) = (0, 0);
-        while !calls.is_empty() {
-            let next = (0..calls.len()).min_by_key(|n| calls[*n].0).unwrap_or_default();
-            let (at, mut backoff) = calls.swap_remove(next);
-            free_at = Time::max(free_at, at) + 60_000;
-            if free_at - at <= 2_000_000 {
-                last = last.max(free_at);
-            } else {
-                calls.push((at + 2_000_000 + pauses(&mut backoff), backoff));
-            }
-            if at > 20_000_000 {
-                return None;
-            }
-        }
-        Some(last)
-    }
-
-    #[test]
-    fn a_hundred_gateways_get_through_to_a_service_that_a_fixed_pause_keeps_overbooked() {
-        let fixed = |_: &mut Backoff| FIRST;
-        assert_eq!(all_through(100, fixed), None, "all of them at once, each time");
-        let jittered = |one: &mut Backoff| one.pause(Cause::Refused);
-        let last = all_through(100, jittered).expect("all get through");
-        assert!(last <= 18_000_000, "the last one after {last} us");
-        assert!(all_through(70, jittered).is_some_and(|last| last <= 12_000_000));
-    }
-
-    // News counts as told 6 s after it happened and binds 2 s later. A watch is found silent after 3 s.
-    #[test]
-    fn two_silent_watches_in_a_row_are_over_before_news_binds_in_a_fleet_of_any_size() {
-        let worst = |gateways, seed| {
-            let mut one = Backoff::new(gateways, seed);
-            2 * 3_000_000 + one.pause(Cause::Lost) + one.pause(Cause::Lost)
-        };
-        for gateways in [1, 8, 300, 10_000, u32::MAX] {
-            assert!((0..200).all(|seed| worst(gateways, seed) < 8_000_000), "{gateways} gateways");
-        }
-    }
-
-    // With a pause of up to 1.6 s, 0.4 s were left for the way and the first line.
-    #[test]
-    fn however_long_nobody_answered_a_pause_leaves_time_to_heed_what_comes_with_the_return() {
-        for seed in 0..50 {
-            let mut one = Backoff::new(300, seed);
-            let pauses: Vec<Time> = (0..40).map(|_| one.pause(Cause::Lost)).collect();
-            assert!(pauses.iter().all(|pause| *pause < 800_000), "{pauses:?}");
-            assert!(pauses.iter().any(|pause| *pause > 400_000), "they do grow");
-        }
-    }
-
-    #[test]
-    fn pauses_are_bounded_and_differ_between_gateways() {
-        for gateways in [1, 5, 100, u32::MAX] {
-            let (mut one, mut other) = (Backoff::new(gateways, 1), Backoff::new(gateways, 2));
-            let pauses: Vec<Time> = (0..200).map(|_| one.pause(Cause::Refused)).collect();
-            assert!(pauses.iter().all(|pause| (0..2 * LONGEST).contains(pause)));
-            assert!((0..200).any(|n| other.pause(Cause::Refused) != pauses[n]));
-        }
-    }
-
-    #[test]
-    fn a_success_begins_anew() {
-        let mut backoff = Backoff::new(1, 3);
-        for _ in 0..20 {
-            backoff.pause(Cause::Lost);
-        }
-        backoff.worked();
-        assert!(backoff.pause(Cause::Lost) < 2 * FIRST);
-    }
-}
