--- /dev/null
+++ b/crates/lifecycle/src/connect_timeout.rs
@@ -0,0 +1,56 @@
+//! The timeout for establishing a connection to a host, estimated from recent connections.
+//!
+//! The settings give a generous upper limit. Where connections are established within a millisecond, one that
+//! takes forty leads to a machine that is gone, and the waiting request could be answered by another host in
+//! that time. When a zone is lost, each gateway of a fleet finds that out host by host, by its own requests.
+
+use petrelgauge_policy::Time;
+
+/// The timeout is this many times the longest recent connect time.
+const MARGIN: Time = 16;
+/// The shortest timeout (microseconds): longer than a process estimately waits to be scheduled.
+pub const MIN_TIMEOUT: Time = 40_000;
+/// Established connections before an estimate is made.
+pub const MIN_SAMPLES: u32 = 8;
+/// With each established connection the longest connect time decays by one part in this many.
+const DECAY: Time = 64;
+
+/// The estimate over all hosts; of fixed size.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectTimeout {
+    /// Upper limit from the settings, in microseconds.
+    limit: Time,
+    /// Longest recent connect time, in microseconds.
+    longest: Time,
+    samples: u32,
+}
+
+impl ConnectTimeout {
+    /// Without samples: the timeout is the limit (microseconds).
+    pub fn new(limit: Time) -> ConnectTimeout {
+        ConnectTimeout { limit, longest: 0, samples: 0 }
+    }
+
+    /// The same estimate under another limit (microseconds).
+    pub fn with_limit(self, limit: Time) -> ConnectTimeout {
+        ConnectTimeout { limit, ..self }
+    }
+
+    /// Records a connection that was established, with a ready host, after `took` microseconds.
+    pub fn record_connected(&mut self, took: Time) {
+        self.longest = took.clamp(self.longest - self.longest / DECAY, self.limit.max(0));
+        self.samples = self.samples.saturating_add(1);
+    }
+
+    /// The timeout (microseconds) for a host with so many consecutive connect failures. Each doubles it: the
+    /// host may be far away, or this gateway slow.
+    pub fn timeout(&self, failures: u32) -> Time {
+        let estimate = (self.longest.saturating_mul(MARGIN)).max(MIN_TIMEOUT);
+        let doubled = estimate.saturating_mul(1 << failures.min(16));
+        if self.samples < MIN_SAMPLES {
+            self.limit
+        } else {
+            doubled.min(self.limit)
+        }
+    }
+}
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -11,15 +11,15 @@
 //! the row on: the request has its answer.
 //!
 //! A reused connection begins in Writing. Whatever the state, an attempt ends once, by [`Exchange::on`], and its
-//! connection is put away (rested or closed) before the end may be told: [`Exchange::put_away`] says how, and only
-//! what it gives has the end. A second copy could else go out beside a connection that still carries the first.
+//! connection is disposed of (kept idle or closed) before the end may be reported: [`Exchange::finish`] says how, and
+//! only its result holds the end. A second copy could else go out beside a connection that still carries the first.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
 /// Span in which an answer that has begun must be whole (microseconds): hosts write it in one go. One that claims to
 /// go on and does not would else keep its request until its time is over.
-pub const ANSWER: Time = 300_000;
+pub const ANSWER_TIMEOUT: Time = 300_000;
 
 /// Where an attempt stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -88,15 +88,15 @@
     Due,
 }
 
-/// What becomes of the connection.
+/// What happens to the connection of a finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Away {
-    /// It may carry another request.
-    Rest,
-    /// It goes to the client's session with the row that has begun on it.
+pub enum ConnectionDisposition {
+    /// It is kept idle and may carry another request.
+    Reuse,
+    /// It is handed to the client's session with the row that has begun on it.
     Lend,
     /// It is closed: more came than belonged to the answer, and more of it may follow.
-    Surplus,
+    CloseSurplus,
     /// It is closed, as the attempt's own end says.
     Close,
 }
@@ -113,9 +113,9 @@
     ready: bool,
 }
 
-/// An attempt whose connection has been put away: now it may be told.
+/// A finished attempt: its end may be reported once the connection has been disposed of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct FinishedAttempt {
     /// How it ended.
     pub end: End,
 }
@@ -194,13 +194,13 @@
             (Connecting { by } | Greeting { by }, Event::Due) if now >= by => Ended(End::ConnectSilent),
             (Writing, Event::Unwanted) => Ended(End::NotWanted),
 
-            (Writing, Event::Written) if mutant(Mutant::EarlyStall) => Answering { by: now + ANSWER },
+            (Writing, Event::Written) if mutant(Mutant::EarlyStall) => Answering { by: now + ANSWER_TIMEOUT },
             (Writing, Event::Written) => Waiting,
             (Writing, Event::Broke) => Ended(End::BrokenUnsent),
             // Not written whole: it never ran.
             (Writing, Event::Due) if now >= self.write_by => Ended(End::ConnectSilent),
 
-            (Waiting, Event::Began) => Answering { by: now + ANSWER },
+            (Waiting, Event::Began) => Answering { by: now + ANSWER_TIMEOUT },
             (Waiting | Answering { .. }, Event::Answered { copy: true, .. }) => {
                 // Whose answer this is nobody knows, and whether the request has run neither.
                 Ended(if mutant(Mutant::CopyTaken) { End::Served } else { End::HostRepeated })
@@ -225,19 +225,26 @@
 
     /// What becomes of the connection, once the attempt has ended: it rests only if the host gave a whole answer of
     /// its own and is ready for more. `unread`: bytes of it lie there that belong to no answer.
-    pub fn put_away(self, unread: bool) -> Option<(Away, Told)> {
+    pub fn finish(self, unread: bool) -> Option<(ConnectionDisposition, FinishedAttempt)> {
         let end = self.ended()?;
         if end == End::Flows {
-            return Some((if mutant(Mutant::LentRests) { Away::Rest } else { Away::Lend }, Told { end }));
+            return Some((
+                if mutant(Mutant::LentRests) {
+                    ConnectionDisposition::Reuse
+                } else {
+                    ConnectionDisposition::Lend
+                },
+                FinishedAttempt { end },
+            ));
         }
         // Nothing was written on one that was not wanted: it is as fresh as it was.
         let fit = end.is_answer() && self.ready || end == End::NotWanted;
-        let away = match (fit, unread && !mutant(Mutant::UnreadRests)) {
-            (true, false) => Away::Rest,
-            (true, true) => Away::Surplus,
-            (false, _) if mutant(Mutant::ToldBeforeClosed) => Away::Rest,
-            (false, _) => Away::Close,
+        let disposition = match (fit, unread && !mutant(Mutant::UnreadRests)) {
+            (true, false) => ConnectionDisposition::Reuse,
+            (true, true) => ConnectionDisposition::CloseSurplus,
+            (false, _) if mutant(Mutant::ToldBeforeClosed) => ConnectionDisposition::Reuse,
+            (false, _) => ConnectionDisposition::Close,
         };
-        Some((away, Told { end }))
+        Some((disposition, FinishedAttempt { end }))
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -9,7 +9,8 @@
 //! | `request.rs` | a client's request at the front | waiting, out, ended |
 //! | `exchange.rs` | an attempt on a connection | connecting, greeting, writing, waiting, answering, ended |
 //! | `rules.rs` | the classes, while settings change under open requests | |
-//! | `rest.rs` | a connection between requests | resting, in use, ended |
+//! | `idle_connection.rs` | a connection between requests | idle, in use, ended |
+//! | `connect_timeout.rs` | how long a connection may take to come up | |
 //! | `gateway.rs` | the gateway | serving, turning, empty, last clients, closing, ended |
 //! | `ops.rs` | calls of the staff, and what is answered | |
 //! | `verdict.rs` | what a host's answer says of an attempt | |
@@ -24,30 +25,30 @@
 //! machines are of fixed size.
 //!
 //! ```
-//! use petrelgauge_lifecycle::exchange::{Away, Event, Exchange};
+//! use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange};
 //! use petrelgauge_lifecycle::ending::End;
 //!
-//! // On a connection that rested: written, and then the host goes silent.
+//! // On a reused connection: written, and then the host goes silent.
 //! let mut attempt = Exchange::new(true, 0, 0, 500_000);
 //! attempt.on(1_000, Event::Written);
 //! assert!(attempt.may_have_run());
 //! attempt.on(500_000, Event::Due);
-//! // First the connection is closed; only that gives the end to tell.
-//! let (away, told) = attempt.put_away(false).expect("it has ended");
-//! assert_eq!((away, told.end), (Away::Close, End::NoAnswer));
+//! // The connection is closed first; only then is the end known to the caller.
+//! let (disposition, finished) = attempt.finish(false).expect("it has ended");
+//! assert_eq!((disposition, finished.end), (ConnectionDisposition::Close, End::NoAnswer));
 //! ```
 
 pub mod backoff;
 pub mod client;
+pub mod connect_timeout;
 pub mod ending;
 pub mod exchange;
 pub mod gateway;
+pub mod idle_connection;
 pub mod ops;
-pub mod patience;
 pub mod read_ahead;
 pub mod request;
 pub mod request_table;
-pub mod rest;
 pub mod rules;
 pub mod verdict;
 pub mod watch;
--- a/crates/models/src/attempts.rs
+++ b/crates/models/src/attempts.rs
@@ -261,7 +261,7 @@
         self.out[place].life.on(now, event);
         let Some(end) = self.out[place].life.ended() else { return };
         // Closed first, told then: there is no other way to the end.
-        let Some((_, told)) = self.out[place].life.clone().put_away(false) else { return };
+        let Some((_, told)) = self.out[place].life.clone().finish(false) else { return };
         if matches!(end, End::TurnedAway | End::Full) {
             self.out[place].may_have_run = false;
         }
--- a/crates/models/src/connection.rs
+++ b/crates/models/src/connection.rs
@@ -6,8 +6,10 @@
 use crate::coverage::took;
 use crate::Size;
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::exchange::{Away, Event, Exchange, Stage};
-use petrelgauge_lifecycle::rest::{is_copy, Keep, Look, Resting, RECENT, REST};
+use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange, Stage};
+use petrelgauge_lifecycle::idle_connection::{
+    is_copy, IdleConnection, IdlePolicy, SocketState, COPY_WINDOW, SETTLE,
+};
 use petrelgauge_policy::Time;
 
 /// What a host has written and the gateway has not read.
@@ -104,7 +106,7 @@
     broken: Option<&'static str>,
 }
 
-const KEEP: Keep = Keep { span: 22_000_000 };
+const IDLE_POLICY: IdlePolicy = IdlePolicy { span: 22_000_000 };
 const UNTIL: Time = 2_000_000;
 const CONNECT: Time = 250_000;
 
@@ -128,21 +130,21 @@
 
     fn reuse(&mut self) -> Option<Line> {
         let (since, mut line) = self.resting.take()?;
-        let one = Resting { since, tells_copies: line.last.is_some() };
-        if KEEP.choose(self.now, [one].into_iter()).is_none() {
+        let one = IdleConnection { since, detects_copies: line.last.is_some() };
+        if IDLE_POLICY.choose(self.now, [one].into_iter()).is_none() {
             self.resting = Some((since, line));
             return None;
         }
         let look = match (line.unread.first(), line.closed_by_host) {
-            (Some(Bytes::End), _) | (None, true) => Look::Closed,
-            (Some(_), _) => Look::Spoke,
-            (None, false) => Look::Quiet,
+            (Some(Bytes::End), _) | (None, true) => SocketState::Closed,
+            (Some(_), _) => SocketState::UnexpectedBytes,
+            (None, false) => SocketState::Quiet,
         };
-        line.recent = KEEP.may_use(self.now, one, look).ok()?;
+        line.recent = IDLE_POLICY.may_use(self.now, one, look).ok()?;
         if !line.unread.is_empty() {
             self.broken = Some(UNREAD);
         }
-        if self.now - since > KEEP.span {
+        if self.now - since > IDLE_POLICY.span {
             self.broken = Some(OLD);
         }
         Some(line)
@@ -165,7 +167,7 @@
             // What came in the same read as the answer lies in the framer; a copy or noise may.
             line.unread.first().is_some_and(|bytes| *bytes != Bytes::End)
         });
-        let Some((away, told)) = life.put_away(unread) else {
+        let Some((away, told)) = life.finish(unread) else {
             self.broken = Some(ONCE);
             return;
         };
@@ -178,10 +180,13 @@
             self.broken = Some(EARLY);
         }
         let owes = line.as_ref().is_some_and(|line| line.owed.contains(&request));
-        if !told.end.is_answer() && away == Away::Rest && (owes || told.end != End::NotWanted) {
+        if !told.end.is_answer()
+            && away == ConnectionDisposition::Reuse
+            && (owes || told.end != End::NotWanted)
+        {
             self.broken = Some(CLOSED);
         }
-        if let (Away::Rest, Some(line)) = (away, line) {
+        if let (ConnectionDisposition::Reuse, Some(line)) = (away, line) {
             if unread {
                 self.broken = Some(UNREAD);
             }
@@ -225,7 +230,7 @@
             None => {
                 if self.next < self.most {
                     moves.push(Move::Send);
-                    let spans = [REST / 2, REST, RECENT, KEEP.span + 1];
+                    let spans = [SETTLE / 2, SETTLE, COPY_WINDOW, IDLE_POLICY.span + 1];
                     let rests = self.resting.iter().filter(|_| !self.waited);
                     moves.extend(rests.flat_map(|_| spans).map(Move::Waits));
                 }
@@ -265,11 +270,11 @@
                 }
                 if let Some((_, tells, at)) = line.wrote {
                     // What comes behind an answer comes within the rest; a copy that can be told may be later.
-                    let within = if tells { RECENT } else { REST };
+                    let within = if tells { COPY_WINDOW } else { SETTLE };
                     if self.now - at < within {
                         moves.push(Move::Copies);
                     }
-                    if self.now - at < REST && line.owed.is_empty() {
+                    if self.now - at < SETTLE && line.owed.is_empty() {
                         moves.push(Move::Noise);
                     }
                 }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -12,8 +12,8 @@
 use crate::{settings, MemberId, Report, Role, Time};
 use bytes::Buf;
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::exchange::{Away, Event, Exchange, Stage};
-use petrelgauge_lifecycle::rest::{is_copy, is_unlike_others};
+use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange, Stage};
+use petrelgauge_lifecycle::idle_connection::{is_copy, is_distinguishable};
 use petrelgauge_lifecycle::verdict;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::Hasher;
@@ -35,7 +35,7 @@
         let now = self.clock.now();
         let (began, reused, mut written) = (now, line.connection.is_some(), None);
         let mut life =
-            Exchange::new(reused, now, now + self.patience(host), until).written_by(attempt.write_by);
+            Exchange::new(reused, now, now + self.connect_timeout(host), until).written_by(attempt.write_by);
         // One timer for as long as the limit is the same.
         let mut due = life.due();
         let mut timer = pin!(self.clock.sleep_until(due));
@@ -74,36 +74,38 @@
             life.host_is_ready();
         }
         let unread = connection.as_ref().is_some_and(|connection| !connection.framer.is_empty());
-        let (away, told) = life.put_away(unread)?;
+        let (disposition, finished) = life.finish(unread)?;
         let mut flow = None;
-        match (connection, away) {
-            (Some(connection), Away::Rest) => self.put_back(host, connection),
-            (Some(connection), Away::Lend) => flow = Some(Flow::new(self.clone(), host, connection, gather)),
-            (connection, away) => {
+        match (connection, disposition) {
+            (Some(connection), ConnectionDisposition::Reuse) => self.put_back(host, connection),
+            (Some(connection), ConnectionDisposition::Lend) => {
+                flow = Some(Flow::new(self.clone(), host, connection, gather))
+            }
+            (connection, disposition) => {
                 drop(connection);
-                if away == Away::Surplus {
+                if disposition == ConnectionDisposition::CloseSurplus {
                     self.counters.ended(End::HostSurplus);
                 }
             }
         }
-        self.counters.ended(told.end);
-        if told.end == End::ConnectSilent {
+        self.counters.ended(finished.end);
+        if finished.end == End::ConnectSilent {
             self.count_missed(host, |missed| missed.saturating_add(1));
         }
         log::debug!(
             "attempt host={host} class={} cluster={} end={:?} took={} written={} reused={reused}",
             statement.class,
             statement.cluster,
-            told.end,
+            finished.end,
             now - began,
             written.map_or(-1, |at| at - began),
         );
         // What a host said counts only if that is how the attempt ended.
-        let reply = reply.filter(|_| told.end.is_answer());
+        let reply = reply.filter(|_| finished.end.is_answer());
         let outcome = match (&reply, &flow) {
-            (Some(reply), _) => outcome(told.end, &reply.told, now, &self.counters),
-            (None, Some(flow)) => outcome(told.end, flow.told(), now, &self.counters),
-            (None, None) => Outcome::silent(told.end.for_decisions()),
+            (Some(reply), _) => outcome(finished.end, &reply.told, now, &self.counters),
+            (None, Some(flow)) => outcome(finished.end, flow.told(), now, &self.counters),
+            (None, None) => Outcome::silent(finished.end.for_decisions()),
         };
         let owed = attempt.report(now, outcome);
         let answer = match (reply, flow) {
@@ -205,7 +207,7 @@
                     Ok(Some(reply)) => {
                         let row = matches!(reply.answer, Answer::Row(_));
                         let tells = reply.told.iter().any(|(name, _)| name == "log_position");
-                        let this = is_unlike_others(row, tells).then(|| line.hash.finish());
+                        let this = is_distinguishable(row, tells).then(|| line.hash.finish());
                         let last = std::mem::replace(&mut connection.last, this);
                         let (end, copy) = (judge(&reply), is_copy(connection.recent, last, this));
                         line.reply = Some(reply);
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -7,10 +7,10 @@
 use crate::net::pg::{self, Framer};
 use crate::net::read_buffer::ReadBuffer;
 use crate::{MemberId, Time};
+use petrelgauge_lifecycle::connect_timeout::ConnectTimeout;
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::Event;
-use petrelgauge_lifecycle::patience::Patience;
-use petrelgauge_lifecycle::rest::Keep;
+use petrelgauge_lifecycle::idle_connection::IdlePolicy;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -50,8 +50,8 @@
     pub(super) budget: Rc<Budget>,
     pub(super) counters: Rc<Counters>,
     pub(super) read_buffer: Rc<ReadBuffer>,
-    patience: Cell<Patience>,
-    keep: Cell<Keep>,
+    connect_timeout: Cell<ConnectTimeout>,
+    idle_policy: Cell<IdlePolicy>,
     pub(super) out: Gauge,
 }
 
@@ -72,16 +72,16 @@
             budget,
             counters,
             read_buffer,
-            patience: Cell::new(Patience::new(connect_span)),
-            keep: Cell::new(Keep::for_hosts(idle_span)),
+            connect_timeout: Cell::new(ConnectTimeout::new(connect_span)),
+            idle_policy: Cell::new(IdlePolicy::for_hosts(idle_span)),
             out: Gauge::default(),
         })
     }
 
     /// New settings: a connection must come up within `connect_span`; hosts close idle ones after `idle_span`.
     pub fn follow(&self, connect_span: Time, idle_span: Time) {
-        self.patience.set(self.patience.get().at_most(connect_span));
-        self.keep.set(Keep::for_hosts(idle_span));
+        self.connect_timeout.set(self.connect_timeout.get().with_limit(connect_span));
+        self.idle_policy.set(IdlePolicy::for_hosts(idle_span));
     }
 
     /// Discovery told where a host is.
@@ -121,7 +121,8 @@
         let now = self.clock.now();
         for host in self.hosts.borrow_mut().values_mut() {
             host.idle.retain(|(since, connection)| {
-                let end = self.keep.get().sweep(now, connection.resting(*since), connection.look());
+                let end =
+                    self.idle_policy.get().expire(now, connection.resting(*since), connection.socket_state());
                 end.into_iter().for_each(|end| self.counters.ended(end));
                 end.is_none()
             });
@@ -180,9 +181,10 @@
         let mut hosts = self.hosts.borrow_mut();
         let idle = &mut hosts.get_mut(&id)?.idle;
         loop {
-            let place = self.keep.get().choose(now, idle.iter().map(|(since, one)| one.resting(*since)))?;
+            let place =
+                self.idle_policy.get().choose(now, idle.iter().map(|(since, one)| one.resting(*since)))?;
             let (since, mut connection) = idle.remove(place);
-            match self.keep.get().may_use(now, connection.resting(since), connection.look()) {
+            match self.idle_policy.get().may_use(now, connection.resting(since), connection.socket_state()) {
                 Ok(recent) => {
                     connection.recent = recent;
                     return Some(connection);
@@ -200,22 +202,22 @@
     pub(super) fn put_back(&self, id: MemberId, connection: Connection) {
         let mut hosts = self.hosts.borrow_mut();
         let home = hosts.get_mut(&id).filter(|host| host.site == connection.site && host.site.up);
-        match (self.keep.get().come_to_rest(home.is_some()), home) {
+        match (self.idle_policy.get().may_keep(home.is_some()), home) {
             (Ok(()), Some(host)) => host.idle.push((self.clock.now(), connection)),
             (end, _) => self.counters.ended(end.err().unwrap_or(End::Retired)),
         }
     }
 
     /// The span that a new connection to this host is given to come up.
-    pub(super) fn patience(&self, id: MemberId) -> Time {
+    pub(super) fn connect_timeout(&self, id: MemberId) -> Time {
         let missed = self.hosts.borrow().get(&id).map_or(0, |host| host.missed);
-        self.patience.get().span(missed)
+        self.connect_timeout.get().timeout(missed)
     }
 
     pub(super) fn came_up(&self, id: MemberId, took: Time) {
-        let mut patience = self.patience.get();
-        patience.came_up(took);
-        self.patience.set(patience);
+        let mut timeout = self.connect_timeout.get();
+        timeout.record_connected(took);
+        self.connect_timeout.set(timeout);
         self.count_missed(id, |_| 0);
     }
 
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -6,7 +6,7 @@
 use crate::net::read_buffer::ReadBuffer;
 use crate::Time;
 use petrelgauge_lifecycle::exchange::Event;
-use petrelgauge_lifecycle::rest::{Look, Resting};
+use petrelgauge_lifecycle::idle_connection::{IdleConnection, SocketState};
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
@@ -32,8 +32,8 @@
         }
     }
 
-    pub(super) fn resting(&self, since: Time) -> Resting {
-        Resting { since, tells_copies: self.last.is_some() }
+    pub(super) fn resting(&self, since: Time) -> IdleConnection {
+        IdleConnection { since, detects_copies: self.last.is_some() }
     }
 
     /// Reads once, so many bytes at most. The framer bounds what is kept: no message is longer than `pg::MOST`.
@@ -51,11 +51,11 @@
 
     /// What the kernel says of it while it rests. The kernel is asked itself: the reactor has not yet heard of what
     /// came a moment ago.
-    pub(super) fn look(&self) -> Look {
+    pub(super) fn socket_state(&self) -> SocketState {
         match SockRef::from(&self.stream).peek(&mut [std::mem::MaybeUninit::uninit()]) {
-            Err(cause) if cause.kind() == std::io::ErrorKind::WouldBlock => Look::Quiet,
-            Ok(0) | Err(_) => Look::Closed,
-            Ok(_) => Look::Spoke,
+            Err(cause) if cause.kind() == std::io::ErrorKind::WouldBlock => SocketState::Quiet,
+            Ok(0) | Err(_) => SocketState::Closed,
+            Ok(_) => SocketState::UnexpectedBytes,
         }
     }
 }
