--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -12,7 +12,7 @@
 //! | `idle_connection.rs` | a connection between requests | idle, in use, ended |
 //! | `connect_timeout.rs` | how long a connection may take to come up | |
 //! | `gateway.rs` | the gateway | serving, turning, empty, last clients, closing, ended |
-//! | `ops.rs` | calls of the staff, and what is answered | |
+//! | `ops.rs` | operators' commands and their replies | |
 //! | `verdict.rs` | what a host's answer says of an attempt | |
 //! | `watch.rs` | what is held of discovery's list, and what is still owed by it | |
 //! | `ending.rs` | every way in which a connection or an attempt can end | |
--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -1,81 +1,79 @@
-//! The calls of the staff's second address: what a line asks for, and what is answered to it.
+//! Commands of the operators' address: what a line asks for, and the reply.
 //!
-//! One line to a connection, one line back: `YES` or `NO` and a short reason. A call changes the gateway's life through
-//! [`Event`] alone; the same call twice is no mistake and is answered as if it had been said once.
+//! One line per connection, one line back: `YES` or `NO` and a short reason. Commands change the gateway only through
+//! [`Event`]; they are idempotent, and a repeated one gets the reply that suits the state it finds.
 
 use crate::gateway::{Action, Event, Gateway, Stage};
 use petrelgauge_policy::Time;
 use std::fmt;
+use thiserror::Error;
 
-/// Longest line of a caller (bytes), its end not counted.
-pub const MOST_LINE: usize = 64;
-/// Span in which a caller's line must be whole (microseconds).
-pub const LINE: Time = 3_000_000;
-/// Callers at a time (count). A further one takes the place of the one that has waited for longest.
-pub const MOST_CALLERS: usize = 16;
+/// Longest line of a caller in bytes, without its end.
+pub const MAX_LINE_BYTES: usize = 64;
+/// Time within which a caller's line must be complete (microseconds).
+pub const LINE_TIMEOUT: Time = 3_000_000;
+/// Concurrent callers. A further one replaces the one that has waited longest.
+pub const MAX_CALLERS: usize = 16;
 
 /// What a caller asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Call {
-    /// Whether it can serve.
+pub enum Command {
+    /// Readiness check: whether the gateway can serve.
     Ready,
-    /// To be emptied.
+    /// Drain all clients.
     Drain,
-    /// To go back to work.
+    /// Serve again.
     Resume,
 }
 
-/// Why a caller's line is no call.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
-    /// It is none of the calls.
+/// Why a caller's line is no command. The texts are sent to the caller.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum CommandError {
+    /// It is none of the commands.
+    #[error("the calls are ready, drain and resume")]
     Unknown,
-    /// It is too long to be one.
-    Long,
-    /// It did not end in time.
-    Late,
+    /// It is longer than [`MAX_LINE_BYTES`].
+    #[error("the line is too long for a call")]
+    TooLong,
+    /// It did not end within [`LINE_TIMEOUT`].
+    #[error("the line did not end in time")]
+    TimedOut,
 }
 
-impl fmt::Display for Flaw {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Flaw::Unknown => "the calls are ready, drain and resume",
-            Flaw::Long => "the line is too long for a call",
-            Flaw::Late => "the line did not end in time",
-        })
-    }
-}
-
-/// Reads a line, without the byte that ends it.
-pub fn read(line: &[u8]) -> Result<Call, Flaw> {
+/// Parses a line without its end.
+///
+/// # Errors
+///
+/// A line that is too long or no command.
+pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
     match line.trim_ascii() {
-        _ if line.len() > MOST_LINE => Err(Flaw::Long),
-        b"ready" => Ok(Call::Ready),
-        b"drain" => Ok(Call::Drain),
-        b"resume" => Ok(Call::Resume),
-        _ => Err(Flaw::Unknown),
+        _ if line.len() > MAX_LINE_BYTES => Err(CommandError::TooLong),
+        b"ready" => Ok(Command::Ready),
+        b"drain" => Ok(Command::Drain),
+        b"resume" => Ok(Command::Resume),
+        _ => Err(CommandError::Unknown),
     }
 }
 
-/// What is known that a gateway needs to serve.
+/// What is known of the conditions for serving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Known {
-    /// Hosts that the list names.
+pub struct KnownState {
+    /// Hosts in the endpoint list.
     pub hosts: usize,
-    /// Discovery has spoken since the start.
-    pub told: bool,
-    /// Clock time from which on the list that it started with will do, when discovery stays silent.
-    pub patience_until: Time,
-    /// Settings in force: 1 for those of the start, one more for each file taken since.
+    /// A list was received from discovery since the start.
+    pub list_received: bool,
+    /// Clock time (microseconds) from which the initial list is good enough, if discovery sends none.
+    pub accept_initial_list_at: Time,
+    /// Version of the settings in force: 1 at the start, one more for each file applied since.
     pub version: u64,
 }
 
-/// What is answered.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// `YES`.
     pub yes: bool,
-    /// A short reason, for staff.
+    /// A short reason for the operator.
     pub reason: String,
 }
 
@@ -85,39 +83,39 @@
     }
 }
 
-impl From<Flaw> for Reply {
-    fn from(flaw: Flaw) -> Reply {
-        Reply { yes: false, reason: flaw.to_string() }
+impl From<CommandError> for Reply {
+    fn from(error: CommandError) -> Reply {
+        Reply { yes: false, reason: error.to_string() }
     }
 }
 
-/// Carries a call out on the gateway's life: what is answered, and what is to be done.
-pub fn call(life: &mut Gateway, now: Time, call: Call, known: Known) -> (Reply, Action) {
-    let before = life.stage();
-    let to_do = match call {
-        Call::Ready => Action::Wait,
-        Call::Drain => life.on(now, Event::Drain),
-        Call::Resume => life.on(now, Event::Resume),
+/// Executes a command on the gateway: the reply, and what the caller has to do.
+pub fn execute(gateway: &mut Gateway, now: Time, command: Command, known: KnownState) -> (Reply, Action) {
+    let before = gateway.stage();
+    let action = match command {
+        Command::Ready => Action::Wait,
+        Command::Drain => gateway.on(now, Event::Drain),
+        Command::Resume => gateway.on(now, Event::Resume),
     };
     let stopping = matches!(before, Stage::LastClients { .. } | Stage::Closing | Stage::Ended);
-    let (yes, reason) = match (call, before) {
+    let (yes, reason) = match (command, before) {
         _ if stopping => (false, "stopping, it ends by itself".to_string()),
-        (Call::Ready, Stage::Serving) => ready(now, known),
-        (Call::Ready, _) => (false, format!("drained; call resume, settings {}", known.version)),
-        (Call::Drain, Stage::Serving) => (true, "draining, clients are gone within 4 s".into()),
-        (Call::Drain, _) => (true, "drained already".into()),
-        (Call::Resume, Stage::Serving) => (true, "at work already".into()),
-        (Call::Resume, _) => (true, "back at work".into()),
+        (Command::Ready, Stage::Serving) => ready(now, known),
+        (Command::Ready, _) => (false, format!("drained; call resume, settings {}", known.version)),
+        (Command::Drain, Stage::Serving) => (true, "draining, clients are gone within 4 s".into()),
+        (Command::Drain, _) => (true, "drained already".into()),
+        (Command::Resume, Stage::Serving) => (true, "at work already".into()),
+        (Command::Resume, _) => (true, "back at work".into()),
     };
-    (Reply { yes, reason }, to_do)
+    (Reply { yes, reason }, action)
 }
 
-/// Whether a gateway at work can serve: it has hosts to send to, and their list is not older than need be.
-fn ready(now: Time, known: Known) -> (bool, String) {
-    let Known { hosts, told, patience_until, version } = known;
-    match (hosts, told) {
+/// Whether a serving gateway is ready: it has hosts, and their list is no older than necessary.
+fn ready(now: Time, known: KnownState) -> (bool, String) {
+    let KnownState { hosts, list_received, accept_initial_list_at, version } = known;
+    match (hosts, list_received) {
         (0, _) => (false, "the list names no host yet".into()),
-        (_, false) if now < patience_until => {
+        (_, false) if now < accept_initial_list_at => {
             (false, format!("waiting for discovery's first word, settings {version}"))
         }
         (_, false) => {
--- a/crates/lifecycle/tests/ops.rs
+++ b/crates/lifecycle/tests/ops.rs
@@ -4,66 +4,72 @@
 use petrelgauge_lifecycle::ops::*;
 use petrelgauge_policy::Time;
 
-const KNOWN: Known = Known { hosts: 3, told: true, patience_until: 0, version: 1 };
+const KNOWN: KnownState = KnownState { hosts: 3, list_received: true, accept_initial_list_at: 0, version: 1 };
 
-fn say(life: &mut Gateway, now: Time, word: Call) -> bool {
-    call(life, now, word, KNOWN).0.yes
+fn accepted(gateway: &mut Gateway, now: Time, command: Command) -> bool {
+    execute(gateway, now, command, KNOWN).0.yes
 }
 
 #[test]
-fn calls_are_read_with_any_space_round_them_and_nothing_else_is() {
-    assert_eq!(read(b"ready"), Ok(Call::Ready));
-    assert_eq!(read(b" drain \r"), Ok(Call::Drain));
-    assert_eq!(read(b"resume"), Ok(Call::Resume));
+fn commands_are_parsed_with_surrounding_space_and_nothing_else_is() {
+    assert_eq!(parse(b"ready"), Ok(Command::Ready));
+    assert_eq!(parse(b" drain \r"), Ok(Command::Drain));
+    assert_eq!(parse(b"resume"), Ok(Command::Resume));
     for line in [&b""[..], b"READY", b"ready now", b"rea", b"\xff\xfe"] {
-        assert_eq!(read(line), Err(Flaw::Unknown));
+        assert_eq!(parse(line), Err(CommandError::Unknown));
     }
-    assert_eq!(read(&[b' '; MOST_LINE + 1]), Err(Flaw::Long));
+    assert_eq!(parse(&[b' '; MAX_LINE_BYTES + 1]), Err(CommandError::TooLong));
 }
 
 #[test]
-fn it_is_emptied_and_comes_back_and_calls_may_be_said_twice() {
-    let mut life = Gateway::default();
-    assert!(say(&mut life, 0, Call::Resume), "at work already");
-    assert!(say(&mut life, 0, Call::Drain) && !say(&mut life, 1, Call::Ready));
-    assert_eq!((life.door(), life.due()), (ServingState::Unready, Some(LAST_CLIENTS)));
-    // The second call does not put off the first one's end.
-    assert!(say(&mut life, LAST_CLIENTS / 2, Call::Drain));
-    assert_eq!(life.due(), Some(LAST_CLIENTS));
-    assert_eq!(life.on(LAST_CLIENTS, Event::Due), Action::Doors);
-    assert_eq!((life.door(), life.due()), (ServingState::Draining, None));
-    assert!(say(&mut life, LAST_CLIENTS, Call::Drain) && !say(&mut life, LAST_CLIENTS, Call::Ready));
-    assert!(say(&mut life, 9_000_000, Call::Resume) && say(&mut life, 9_000_000, Call::Ready));
-    assert_eq!(life.door(), ServingState::Serving);
+fn draining_and_resuming_are_idempotent() {
+    let mut gateway = Gateway::default();
+    assert!(accepted(&mut gateway, 0, Command::Resume), "at work already");
+    assert!(accepted(&mut gateway, 0, Command::Drain) && !accepted(&mut gateway, 1, Command::Ready));
+    assert_eq!((gateway.door(), gateway.due()), (ServingState::Unready, Some(LAST_CLIENTS)));
+    // The second command does not put off the first one's end.
+    assert!(accepted(&mut gateway, LAST_CLIENTS / 2, Command::Drain));
+    assert_eq!(gateway.due(), Some(LAST_CLIENTS));
+    assert_eq!(gateway.on(LAST_CLIENTS, Event::Due), Action::Doors);
+    assert_eq!((gateway.door(), gateway.due()), (ServingState::Draining, None));
+    assert!(
+        accepted(&mut gateway, LAST_CLIENTS, Command::Drain)
+            && !accepted(&mut gateway, LAST_CLIENTS, Command::Ready)
+    );
+    assert!(
+        accepted(&mut gateway, 9_000_000, Command::Resume)
+            && accepted(&mut gateway, 9_000_000, Command::Ready)
+    );
+    assert_eq!(gateway.door(), ServingState::Serving);
 }
 
 #[test]
-fn a_stopping_gateway_says_no_to_every_call_and_goes_on_stopping() {
-    let mut life = Gateway::default();
-    life.on(0, Event::Drain);
-    life.on(0, Event::Stop);
-    for word in [Call::Ready, Call::Drain, Call::Resume] {
-        assert!(!say(&mut life, 1, word));
+fn a_stopping_gateway_rejects_every_command_and_keeps_stopping() {
+    let mut gateway = Gateway::default();
+    gateway.on(0, Event::Drain);
+    gateway.on(0, Event::Stop);
+    for command in [Command::Ready, Command::Drain, Command::Resume] {
+        assert!(!accepted(&mut gateway, 1, command));
     }
-    assert!(matches!(life.stage(), Stage::LastClients { .. }));
+    assert!(matches!(gateway.stage(), Stage::LastClients { .. }));
 }
 
 #[test]
-fn it_is_ready_with_hosts_that_discovery_named_or_after_a_wait_with_those_of_the_start() {
-    let says = |now, hosts, told| {
-        let known = Known { hosts, told, patience_until: 100, version: 1 };
-        call(&mut Gateway::default(), now, Call::Ready, known).0.yes
+fn it_is_ready_with_listed_hosts_or_after_a_wait_with_the_initial_list() {
+    let ready = |now, hosts, list_received| {
+        let known = KnownState { hosts, list_received, accept_initial_list_at: 100, version: 1 };
+        execute(&mut Gateway::default(), now, Command::Ready, known).0.yes
     };
-    assert!(!says(0, 0, true) && !says(200, 0, false), "nobody to send to");
-    assert!(says(0, 1, true));
-    assert!(!says(99, 1, false) && says(100, 1, false));
+    assert!(!ready(0, 0, true) && !ready(200, 0, false), "nobody to send to");
+    assert!(ready(0, 1, true));
+    assert!(!ready(99, 1, false) && ready(100, 1, false));
 }
 
 #[test]
-fn a_reload_is_taken_while_drained() {
-    let mut life = Gateway::default();
-    life.on(0, Event::Drain);
-    assert_eq!(life.on(0, Event::Reload { usable: true }), Action::Take);
-    assert_eq!(life.on(0, Event::Reload { usable: false }), Action::Keep);
-    assert_eq!(life.door(), ServingState::Unready);
+fn a_reload_is_applied_while_drained() {
+    let mut gateway = Gateway::default();
+    gateway.on(0, Event::Drain);
+    assert_eq!(gateway.on(0, Event::Reload { usable: true }), Action::Take);
+    assert_eq!(gateway.on(0, Event::Reload { usable: false }), Action::Keep);
+    assert_eq!(gateway.door(), ServingState::Unready);
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -17,7 +17,7 @@
 use petrelgauge::Time;
 use petrelgauge_handover::company::Held;
 use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage};
-use petrelgauge_lifecycle::ops::{self, Known, MOST_CALLERS};
+use petrelgauge_lifecycle::ops::{self, KnownState, MAX_CALLERS};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -94,7 +94,7 @@
     let (doors, door) = watch::channel(ServingState::Serving);
     let listener = inherited.map_or_else(|| listen(config.listen), TcpListener::from_std);
     let listener = listener.map_err(|cause| format!("cannot listen: {cause}"))?;
-    let (desk, mut asked) = mpsc::channel(MOST_CALLERS);
+    let (desk, mut asked) = mpsc::channel(MAX_CALLERS);
     let (discovery, moved) = watch::channel(config.discovery);
 
     let mut tasks = JoinSet::new();
@@ -159,8 +159,8 @@
                 Told::Stop => Event::Stop,
             },
             Some((call, answer)) = asked.recv() => {
-                let known = Known { hosts: hosts.named(), told: told.get(), patience_until, version: facade.version() };
-                let (reply, to_do) = ops::call(&mut life, clock.now(), call, known);
+                let known = KnownState { hosts: hosts.named(), list_received: told.get(), accept_initial_list_at: patience_until, version: facade.version() };
+                let (reply, to_do) = ops::execute(&mut life, clock.now(), call, known);
                 if to_do == Action::Doors {
                     log::info!("{call:?}: {}", reply.reason);
                 }
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -5,7 +5,9 @@
 use crate::net::counters::Counters;
 use crate::net::hosts::Hosts;
 use crate::Time;
-use petrelgauge_lifecycle::ops::{self, Call, Flaw, Reply, LINE, MOST_CALLERS, MOST_LINE};
+use petrelgauge_lifecycle::ops::{
+    self, Command, CommandError, Reply, LINE_TIMEOUT, MAX_CALLERS, MAX_LINE_BYTES,
+};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,12 +21,12 @@
 const PAUSE: Time = 10_000;
 
 /// A call, and where its answer goes.
-pub type Asked = (Call, oneshot::Sender<Reply>);
+pub type CommandRequest = (Command, oneshot::Sender<Reply>);
 
 /// The second address.
 pub struct Ops {
     /// Who carries calls out.
-    pub desk: mpsc::Sender<Asked>,
+    pub desk: mpsc::Sender<CommandRequest>,
     /// What can be spared when there is no descriptor left.
     pub hosts: Rc<Hosts>,
     /// The clock.
@@ -45,7 +47,7 @@
                 continue;
             };
             callers.retain(|caller| !caller.is_finished());
-            if callers.len() >= MOST_CALLERS {
+            if callers.len() >= MAX_CALLERS {
                 callers.pop_front().into_iter().for_each(|caller| caller.abort());
                 // Its descriptor is free once it was dropped.
                 tokio::task::yield_now().await;
@@ -59,14 +61,14 @@
         self.counters.calls.add();
         let line = tokio::select! {
             line = line(&mut stream) => line,
-            () = clock.sleep_until(clock.now() + LINE) => Err(Some(Flaw::Late)),
+            () = clock.sleep_until(clock.now() + LINE_TIMEOUT) => Err(Some(CommandError::TimedOut)),
         };
         let reply = match line {
-            Ok(line) => match ops::read(&line) {
+            Ok(line) => match ops::parse(&line) {
                 Ok(call) => self.ask(call).await,
-                Err(flaw) => flaw.into(),
+                Err(error) => error.into(),
             },
-            Err(Some(flaw)) => flaw.into(),
+            Err(Some(error)) => error.into(),
             Err(None) => return,
         };
         if !reply.yes {
@@ -76,7 +78,7 @@
             stream.write_all(reply.to_string().as_bytes()).await?;
             stream.shutdown().await?;
             // Closed with bytes unread, the connection would be reset and the answer lost.
-            let mut rest = [0; MOST_LINE];
+            let mut rest = [0; MAX_LINE_BYTES];
             while stream.read(&mut rest).await? > 0 {}
             Ok::<(), std::io::Error>(())
         };
@@ -86,7 +88,7 @@
         }
     }
 
-    async fn ask(&self, call: Call) -> Reply {
+    async fn ask(&self, call: Command) -> Reply {
         let (answer, answered) = oneshot::channel();
         let sent = self.desk.send((call, answer)).await;
         let reply = match sent {
@@ -98,8 +100,8 @@
 }
 
 /// A caller's line, without its end. Nothing if the caller left before it had said anything.
-async fn line(stream: &mut TcpStream) -> Result<Vec<u8>, Option<Flaw>> {
-    let (mut line, mut bytes) = (Vec::new(), [0; MOST_LINE]);
+async fn line(stream: &mut TcpStream) -> Result<Vec<u8>, Option<CommandError>> {
+    let (mut line, mut bytes) = (Vec::new(), [0; MAX_LINE_BYTES]);
     loop {
         let count = stream.read(&mut bytes).await.map_err(|_| None)?;
         if let Some(end) = bytes[..count].iter().position(|byte| *byte == b'\n') {
@@ -107,8 +109,8 @@
             return Ok(line);
         }
         line.extend_from_slice(&bytes[..count]);
-        if line.len() > MOST_LINE {
-            return Err(Some(Flaw::Long));
+        if line.len() > MAX_LINE_BYTES {
+            return Err(Some(CommandError::TooLong));
         }
         if count == 0 {
             return if line.is_empty() { Err(None) } else { Ok(line) };
