--- a/crates/lifecycle/src/backoff.rs
+++ b/crates/lifecycle/src/backoff.rs
@@ -3,7 +3,7 @@
 //! The address of discovery is that of an agent on the gateway's own machine, which answers at once. A first call
 //! costs nobody anything and goes out at once, however many gateways there are: what the agent holds counts as told,
 //! and a gateway that starts again with an old list must not wait. Only a call that is answered with a refusal tells of
-//! a service that all gateways crowd. Then the number of gateways sets the pause: with a fixed one of 200 ms a hundred
+//! a service that all gateways overload. Then the number of gateways sets the pause: with a fixed one of 200 ms a hundred
 //! of them call 500 times a second, and a service that can answer fewer turns nearly all of them away, for good.
 
 use petrelgauge_policy::Time;
@@ -12,54 +12,54 @@
 
 /// Mean pause after a watch that fell silent, broke or never came up (microseconds). Two silences of 3 s, with the
 /// pauses after them, then fit into the 8 s in which news counts as told (6 s) and has to be heeded (2 s).
-pub const FIRST: Time = 200_000;
+pub const FIRST_MEAN: Time = 200_000;
 /// Most doublings of any mean (count).
-const DOUBLINGS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 /// The longest mean while nobody answers (microseconds): what the agent gets when discovery returns counts at once and
 /// binds 2 s later, and a return may fall into the beginning of a pause.
-const UNANSWERED: Time = 400_000;
+const MAX_MEAN_UNANSWERED: Time = 400_000;
 /// After a refusal, the part of the mean for each gateway (microseconds): together they call so many times a second.
-const EACH: Time = 25_000;
+const MEAN_PER_GATEWAY: Time = 25_000;
 /// The longest mean after a refusal (microseconds), so that no pause is over twice that.
-pub const LONGEST: Time = 4_000_000;
+pub const MAX_MEAN: Time = 4_000_000;
 
-/// Why the last call or watch is over.
+/// Why the last call or watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It was answered, with a status that says: not now.
+    /// It was rejected with a status that means: retry later.
     Refused,
-    /// It broke, fell silent or never came up.
+    /// It broke, timed out or was never established.
     Lost,
 }
 
-/// The pauses of one gateway.
+/// Backoff state of one gateway; of fixed size.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    crowded: Time,
+    mean_after_refusal: Time,
     failures: u32,
-    dice: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 impl Backoff {
-    /// For one of so many gateways. The seed is its only source of chance.
+    /// For one of so many gateways. The jitter is seeded by `seed`.
     pub fn new(gateways: u32, seed: u64) -> Backoff {
-        let crowded = EACH.saturating_mul(gateways.into()).clamp(FIRST, LONGEST);
-        Backoff { crowded, failures: 0, dice: Pcg64Mcg::seed_from_u64(seed) }
+        let mean_after_refusal = MEAN_PER_GATEWAY.saturating_mul(gateways.into()).clamp(FIRST_MEAN, MAX_MEAN);
+        Backoff { mean_after_refusal, failures: 0, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// It worked: the next pause is a first one again.
-    pub fn worked(&mut self) {
+    /// A call succeeded: the next pause is a first one again.
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The pause after a failure: any span up to twice the mean, the mean doubling with each failure in a row.
+    /// The pause (microseconds) after a failure: uniform up to twice the mean, which doubles with each consecutive failure.
     pub fn pause(&mut self, cause: Cause) -> Time {
-        let (mean, most) = match cause {
-            Cause::Refused => (self.crowded, LONGEST),
-            Cause::Lost => (FIRST, UNANSWERED),
+        let (mean, max_mean) = match cause {
+            Cause::Refused => (self.mean_after_refusal, MAX_MEAN),
+            Cause::Lost => (FIRST_MEAN, MAX_MEAN_UNANSWERED),
         };
-        let mean = mean.saturating_mul(1 << self.failures.min(DOUBLINGS)).min(most);
+        let mean = mean.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS)).min(max_mean);
         self.failures = self.failures.saturating_add(1);
-        (self.dice.next_u64() % (2 * mean) as u64) as Time
+        (self.rng.next_u64() % (2 * mean) as u64) as Time
     }
 }
--- a/crates/lifecycle/tests/backoff.rs
+++ b/crates/lifecycle/tests/backoff.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_hundred_gateways_get_through_to_a_service_that_a_fixed_pause_keeps_overbooked() {
-    let fixed = |_: &mut Backoff| FIRST;
+    let fixed = |_: &mut Backoff| FIRST_MEAN;
     assert_eq!(all_through(100, fixed), None, "all of them at once, each time");
     let jittered = |one: &mut Backoff| one.pause(Cause::Refused);
     let last = all_through(100, jittered).expect("all get through");
@@ -64,7 +64,7 @@
     for gateways in [1, 5, 100, u32::MAX] {
         let (mut one, mut other) = (Backoff::new(gateways, 1), Backoff::new(gateways, 2));
         let pauses: Vec<Time> = (0..200).map(|_| one.pause(Cause::Refused)).collect();
-        assert!(pauses.iter().all(|pause| (0..2 * LONGEST).contains(pause)));
+        assert!(pauses.iter().all(|pause| (0..2 * MAX_MEAN).contains(pause)));
         assert!((0..200).any(|n| other.pause(Cause::Refused) != pauses[n]));
     }
 }
@@ -75,6 +75,6 @@
     for _ in 0..20 {
         backoff.pause(Cause::Lost);
     }
-    backoff.worked();
-    assert!(backoff.pause(Cause::Lost) < 2 * FIRST);
+    backoff.reset();
+    assert!(backoff.pause(Cause::Lost) < 2 * FIRST_MEAN);
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -219,7 +219,7 @@
             };
             self.counters.list_bytes.add_many(std::mem::take(&mut answer.bytes));
             if answer.lines.began() {
-                self.backoff.worked();
+                self.backoff.reset();
             }
             let texts = std::mem::take(&mut answer.texts);
             if texts.into_iter().filter(|text| !self.text(text)).count() > 0 && call.is_none() {
