--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -53,7 +53,7 @@
     run: u32,
     name: u64,
     key: SessionKey,
-    floor: MinimumPosition,
+    minimum: MinimumPosition,
     /// Tokens that it brought.
     held: Vec<String>,
     /// What its session had seen when it came.
@@ -201,7 +201,7 @@
             }
         } else {
             findings.reads += 1;
-            let floor = instance.tracker.begin_read(local, key, token.as_ref());
+            let minimum = instance.tracker.begin_read(local, key, token.as_ref());
             let due = now + rng.random_range(10..90 * MS);
             waiting.push(Read {
                 due,
@@ -209,7 +209,7 @@
                 run: instance.runs,
                 name,
                 key,
-                floor,
+                minimum,
                 seen_before: *known,
                 held,
             });
@@ -240,25 +240,27 @@
     findings: &mut Findings,
 ) -> Time {
     let Read { key, seen_before, .. } = read;
-    let floor = tracker.recheck_read(now + clock_offset, *key, &read.floor).unwrap_or(read.floor);
-    // A replica somewhere behind, often just where the floor asks for; an old primary far behind.
-    let least = ((floor.position() + MS - 1) / MS * MS).clamp(now - 3_000 * MS, now);
+    let minimum = tracker.recheck_read(now + clock_offset, *key, &read.minimum).unwrap_or(read.minimum);
+    // A replica somewhere behind, often just where the minimum asks for; an old primary far behind.
+    let least = ((minimum.position() + MS - 1) / MS * MS).clamp(now - 3_000 * MS, now);
     let position = if rng.random_bool(0.5) { least } else { now - rng.random_range(0..80 * MS) };
     let hidden = |position: Time| position < seen_before.written || position < seen_before.read;
     // No primary takes writes for 300 ms after one was deposed.
     let old = now - rng.random_range(1_000 * MS..4_000 * MS);
-    let led =
-        |tracker: &mut SessionTracker, at: Time| tracker.verify_answer(&floor, &evidence(at, Role::Primary));
+    let led = |tracker: &mut SessionTracker, at: Time| {
+        tracker.verify_answer(&minimum, &evidence(at, Role::Primary))
+    };
     findings.deposed += usize::from(led(tracker, old) == Verdict::Proven && hidden(old + 300 * MS));
-    let by_replica = tracker.verify_answer(&floor, &evidence(position, Role::Replica)) == Verdict::Proven;
+    let by_replica = tracker.verify_answer(&minimum, &evidence(position, Role::Replica)) == Verdict::Proven;
     findings.by_replicas += usize::from(by_replica);
-    findings.by_replicas_known_from_peers += usize::from(by_replica && floor.source == PositionSource::Peers);
+    findings.by_replicas_known_from_peers +=
+        usize::from(by_replica && minimum.source == PositionSource::Peers);
     if !by_replica {
         findings.blocked += usize::from(led(tracker, now) == Verdict::Unproven);
     }
     let shown = if by_replica { position } else { now };
     findings.stale += usize::from(hidden(shown));
-    tracker.record_read(now + clock_offset, *key, &floor, shown / MS * MS);
+    tracker.record_read(now + clock_offset, *key, &minimum, shown / MS * MS);
     shown
 }
 
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -182,8 +182,8 @@
     // Far ahead of the clock: held down to it, and never taken to be complete.
     let ahead = Watermark { written: now + 1_000_000 * MS, read: 0 };
     let ahead = tracker.parse_token(now, &write(key, ahead, now + 10 * MS), key).expect("sound");
-    let floor = tracker.begin_read(now, key, Some(&ahead));
-    assert_eq!((floor.position(), floor.source), (now, PositionSource::Unknown));
+    let minimum = tracker.begin_read(now, key, Some(&ahead));
+    assert_eq!((minimum.position(), minimum.source), (now, PositionSource::Unknown));
     assert_eq!(
         tracker.begin_read(now, other, None).position(),
         now,
@@ -265,10 +265,10 @@
         let mut tracker = SessionTracker::new(settings, 0).expect("sound");
         let (key, now) = (tracker.session_key(G, "member-1"), 9_000 * MS);
         tracker.record_write(now, key, now - MS, Some(now - MS));
-        let floor = tracker.begin_read(now, key, None);
+        let minimum = tracker.begin_read(now, key, None);
         let roles = [Some(Role::Primary), Some(Role::Replica), None];
         roles.map(|role| {
-            tracker.verify_answer(&floor, &AnswerEvidence { position, position_at_send: None, role })
+            tracker.verify_answer(&minimum, &AnswerEvidence { position, position_at_send: None, role })
                 == Verdict::Proven
         })
     };
@@ -286,11 +286,11 @@
         Settings { roams: false, tokens: false, hosts_report_positions: false, ..Default::default() };
     let mut tracker = SessionTracker::new(settings, 0).expect("sound");
     let key = tracker.session_key(G, "member-1");
-    let floor = tracker.begin_read(9_000 * MS, key, None);
+    let minimum = tracker.begin_read(9_000 * MS, key, None);
     let replica = AnswerEvidence { role: Some(Role::Replica), ..AnswerEvidence::default() };
-    assert_eq!(tracker.verify_answer(&floor, &replica), Verdict::Proven);
+    assert_eq!(tracker.verify_answer(&minimum, &replica), Verdict::Proven);
     // A write that is under way may have been answered, and the answer been lost.
-    let floor = floor.with_pending_write(8_900 * MS);
-    assert_eq!((floor.position(), floor.with_pending_write(1).position()), (8_900 * MS, 8_900 * MS));
-    assert_eq!(tracker.verify_answer(&floor, &replica), Verdict::Unproven);
+    let minimum = minimum.with_pending_write(8_900 * MS);
+    assert_eq!((minimum.position(), minimum.with_pending_write(1).position()), (8_900 * MS, 8_900 * MS));
+    assert_eq!(tracker.verify_answer(&minimum, &replica), Verdict::Unproven);
 }
--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -26,19 +26,19 @@
         self.0.update(&number.to_le_bytes());
     }
 
-    fn floor(&mut self, floor: &MinimumPosition) {
-        let source = match floor.source {
+    fn minimum(&mut self, minimum: &MinimumPosition) {
+        let source = match minimum.source {
             PositionSource::Token => 0,
             PositionSource::LocalMemory => 1,
             PositionSource::Peers => 2,
             PositionSource::Unknown => 3,
         };
         for number in [
-            floor.arrived_at,
-            floor.known,
-            floor.unknown_until.unwrap_or(-1),
-            floor.pending_write,
-            floor.position(),
+            minimum.arrived_at,
+            minimum.known,
+            minimum.unknown_until.unwrap_or(-1),
+            minimum.pending_write,
+            minimum.position(),
             source,
         ] {
             self.number(number);
@@ -102,7 +102,7 @@
 struct OpenRead {
     place: usize,
     key: SessionKey,
-    floor: MinimumPosition,
+    minimum: MinimumPosition,
 }
 
 struct Run {
@@ -223,13 +223,13 @@
     fn read(&mut self, place: usize) {
         let key = self.key(place);
         let token = self.token(place, key);
-        let floor = self.instances[place].begin_read(self.now, key, token.as_ref());
-        let floor = match self.rng.random_range(0..10) {
-            0 => floor.with_pending_write(self.now - 3 * MS),
-            _ => floor,
+        let minimum = self.instances[place].begin_read(self.now, key, token.as_ref());
+        let minimum = match self.rng.random_range(0..10) {
+            0 => minimum.with_pending_write(self.now - 3 * MS),
+            _ => minimum,
         };
-        self.digest.floor(&floor);
-        self.reads.push(OpenRead { place, key, floor });
+        self.digest.minimum(&minimum);
+        self.reads.push(OpenRead { place, key, minimum });
     }
 
     /// One of the open reads is answered by hosts that are more or less behind.
@@ -238,10 +238,10 @@
             return;
         }
         let at = self.rng.random_range(0..self.reads.len());
-        let OpenRead { place, key, mut floor } = self.reads.swap_remove(at);
-        if let Some(lower) = self.instances[place].recheck_read(self.now, key, &floor) {
-            self.digest.floor(&lower);
-            floor = lower;
+        let OpenRead { place, key, mut minimum } = self.reads.swap_remove(at);
+        if let Some(lower) = self.instances[place].recheck_read(self.now, key, &minimum) {
+            self.digest.minimum(&lower);
+            minimum = lower;
         }
         let behind = self.rng.random_range(0..80 * MS);
         let position = (self.now - behind) / MS * MS;
@@ -250,10 +250,10 @@
         for role in [Some(Role::Replica), None, Some(Role::Primary)] {
             for position in [None, Some(position)] {
                 let answer = AnswerEvidence { position, position_at_send: before, role };
-                self.digest.verdict(tracker.verify_answer(&floor, &answer));
+                self.digest.verdict(tracker.verify_answer(&minimum, &answer));
             }
         }
-        tracker.record_read(self.now, key, &floor, position.max(floor.position()));
+        tracker.record_read(self.now, key, &minimum, position.max(minimum.position()));
         self.hand_out(place, key);
     }
 
