--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -1,7 +1,7 @@
 //! Reports and withdrawals: the one end of each request.
 
 use super::*;
-use petrelgauge_sessions::Verdict;
+use petrelgauge_sessions::{AnswerEvidence, Verdict};
 
 impl RequestTable {
     /// The client no longer waits. Whether the request was still open.
@@ -23,14 +23,14 @@
         // Reported already? A second word would count the attempt out twice.
         let Some(errand) = self.out.remove(&(send.request.clone(), send.attempt)) else { return false };
         let hosts_now = self.hosts_now(now);
-        if let (Some(keeper), Some((key, arrived))) = (&mut self.keeper, errand.writes) {
+        if let (Some(tracker), Some((key, arrived))) = (&mut self.session_tracker, errand.writes) {
             let arrived = hosts_now - (now - arrived);
             match outcome.ending {
                 // Also if its client has left: the session's next read may come by another connection.
-                Ending::Served => keeper.wrote(hosts_now, key, arrived, outcome.position),
+                Ending::Served => tracker.record_write(hosts_now, key, arrived, outcome.position),
                 // Its answer may have been lost on the way.
                 Ending::ConnectionLost | Ending::TimedOut | Ending::Cancelled => {
-                    keeper.unsure(hosts_now, key)
+                    tracker.record_unconfirmed_write(hosts_now, key)
                 }
                 _ => {}
             }
@@ -41,7 +41,7 @@
             outcome.ending = Ending::Rejected;
         }
         // A late word of a member that is gone must not keep a place for it.
-        let kept = self.keeper.is_some() && self.listed.contains(&send.host);
+        let kept = self.session_tracker.is_some() && self.listed.contains(&send.host);
         if let (Some(position), Some(Role::Replica), true) = (outcome.position, outcome.role, kept) {
             let told = self.told.entry(send.host).or_default();
             *told = position.max(*told);
@@ -70,17 +70,19 @@
     /// Learns the time: what was given up before it, and may have run, was committed before it.
     pub(super) fn look(&mut self, now: Time) {
         let hosts_now = self.hosts_now(now);
-        let Some(keeper) = &mut self.keeper else { return };
-        self.unsure.drain(..).for_each(|key| keeper.unsure(hosts_now, key));
+        let Some(tracker) = &mut self.session_tracker else { return };
+        self.unsure.drain(..).for_each(|key| tracker.record_unconfirmed_write(hosts_now, key));
     }
 
     /// A request ends without having been served.
     pub(super) fn end(&mut self, now: Time, request: &RequestId) -> Option<Open> {
         let open = self.open.remove(request)?;
         let hosts_now = self.hosts_now(now);
-        if let (Some(keeper), Some(SessionWatch { key, floor: None, .. })) = (&mut self.keeper, &open.watch) {
+        if let (Some(tracker), Some(SessionWatch { key, floor: None, .. })) =
+            (&mut self.session_tracker, &open.watch)
+        {
             if open.attempts > 0 {
-                keeper.unsure(hosts_now, *key);
+                tracker.record_unconfirmed_write(hosts_now, *key);
             }
         }
         Some(open)
@@ -98,14 +100,16 @@
     /// A member served an open request. Whether that is the answer: for a session's read it must prove its floor.
     pub(super) fn served(&mut self, now: Time, request: &RequestId, outcome: &Outcome) -> bool {
         let hosts_now = self.hosts_now(now);
-        let Some(keeper) = &mut self.keeper else { return true };
+        let Some(tracker) = &mut self.session_tracker else { return true };
         let watch = self.open.get(request).and_then(|open| open.watch.as_ref());
-        // What a write has made was told to the keeper.
+        // What a write has made was recorded by the tracker.
         let Some(SessionWatch { key, floor: Some(floor), before, .. }) = watch else { return true };
-        if keeper.judge(floor, outcome.position, *before, outcome.role) == Verdict::Behind {
+        let answer =
+            AnswerEvidence { position: outcome.position, position_at_send: *before, role: outcome.role };
+        if tracker.verify_answer(floor, &answer) == Verdict::Unproven {
             return false;
         }
-        keeper.read(hosts_now, *key, floor, outcome.position.unwrap_or(0));
+        tracker.record_read(hosts_now, *key, floor, outcome.position.unwrap_or(0));
         true
     }
 }
--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A change of the estimate after which the sessions' times start over (microseconds).
-const KEEPER_STEP: Time = 1_000_000;
+const TRACKER_STEP: Time = 1_000_000;
 
 impl RequestTable {
     /// Takes what an answer tells of the hosts' clock, as of its arrival, and drops what lies in the hosts' future: that
@@ -17,7 +17,7 @@
         if !sound {
             outcome.report = Report::default();
         }
-        self.restart_keeper(now);
+        self.restart_tracker(now);
         sound
     }
 
@@ -38,14 +38,14 @@
 
     /// The hosts' clock turned out to differ from what the sessions' times were taken for: those that are known are of no
     /// use.
-    fn restart_keeper(&mut self, now: Time) {
+    fn restart_tracker(&mut self, now: Time) {
         let offset = self.hosts_now(now) - now;
-        if (offset - self.keeper_offset).abs() <= KEEPER_STEP {
+        if (offset - self.tracker_offset).abs() <= TRACKER_STEP {
             return;
         }
-        self.keeper_offset = offset;
-        if let Some(keeper) = &mut self.keeper {
-            keeper.restart(now + offset);
+        self.tracker_offset = offset;
+        if let Some(tracker) = &mut self.session_tracker {
+            tracker.restart(now + offset);
         }
     }
 
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::rules::Rules;
 use petrelgauge_policy::*;
-use petrelgauge_sessions::{Floor, Keeper, Key};
+use petrelgauge_sessions::{MinimumPosition, SessionKey, SessionTracker};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All requests and attempts of a gateway. Bounded by what clients may hold open; an attempt stays until its report.
@@ -52,11 +52,11 @@
     settings: Settings,
     /// Places of classes that carry sessions.
     carrying: BTreeSet<usize>,
-    keeper: Option<Keeper>,
-    /// How far the hosts' clock was taken to be ahead of the own one when the keeper last started over.
-    keeper_offset: Time,
+    session_tracker: Option<SessionTracker>,
+    /// How far the hosts' clock was taken to be ahead of the own one when the session tracker last started over.
+    tracker_offset: Time,
     /// Sessions whose writes were given up by their clients since the last look at the clock.
-    unsure: Vec<Key>,
+    unsure: Vec<SessionKey>,
     /// Highest position that each listed member told.
     told: BTreeMap<MemberId, Time>,
     /// Requests that came for each listed group so far.
@@ -84,16 +84,16 @@
     /// The first attempt of a request that is no client's repeat.
     first: bool,
     /// The session that it writes for, and when its request came.
-    writes: Option<(Key, Time)>,
+    writes: Option<(SessionKey, Time)>,
 }
 
 /// What is owed to the session of an open request.
 #[derive(Clone, Debug)]
 struct SessionWatch {
-    key: Key,
+    key: SessionKey,
     arrived: Time,
     /// What a read must prove; none for a write.
-    floor: Option<Floor>,
+    floor: Option<MinimumPosition>,
     /// What the member had told when the last attempt went out.
     before: Option<Time>,
 }
@@ -104,9 +104,9 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        sessions: Option<(Keeper, Vec<usize>)>,
+        sessions: Option<(SessionTracker, Vec<usize>)>,
     ) -> Result<RequestTable, SettingsError> {
-        let (keeper, places) = sessions.unzip();
+        let (session_tracker, places) = sessions.unzip();
         let places = places.unwrap_or_default();
         Ok(RequestTable {
             granularity: settings.granularity,
@@ -122,8 +122,8 @@
             out: BTreeMap::new(),
             groups: BTreeSet::new(),
             listed: BTreeSet::new(),
-            keeper,
-            keeper_offset: 0,
+            session_tracker,
+            tracker_offset: 0,
             unsure: Vec::new(),
             told: BTreeMap::new(),
             asked: BTreeMap::new(),
--- a/crates/lifecycle/tests/outage.rs
+++ b/crates/lifecycle/tests/outage.rs
@@ -34,7 +34,7 @@
                 let (late, _) = pause_at_return(gateways, seed, SILENCE, returns);
                 assert!(late < SILENCE + HEEDED / 2, "{gateways} gateways, seed {seed}: {late} us late");
                 // The outage has left no mark: the next fault is met with a short pause.
-                backoff.worked();
+                backoff.reset();
                 assert!(backoff.pause(Cause::Lost) < SECOND / 2);
             }
         }
--- a/crates/sessions/src/sketch.rs
+++ b/crates/sessions/src/sketch.rs
@@ -1,74 +1,80 @@
-//! A summary of many marks that may only err upward: a max-sketch.
+//! A max-sketch: a fixed-size summary of many watermarks that only errs upward. It is the count-min sketch of
+//! Cormode and Muthukrishnan (2005) with maxima in place of sums.
 
-use crate::mark::{Key, Mark};
+use crate::session_key::SessionKey;
+use crate::watermark::Watermark;
 use petrelgauge_policy::Time;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rows, each with a hash of its own. A key's bound is the least of its cells.
+/// Rows of the sketch, each with a hash of its own.
 pub const ROWS: usize = 2;
 
-/// Cells that hold the highest mark of the keys that fall on them. What a key is given is never below the
-/// highest mark that was put in for it; it is above where in each of its rows another key's higher mark fell on
-/// the same cell. With `n` keys put in and `w` cells a row, of which a share `p` has marks above the one asked
-/// for, that happens to [`false_share`]`(p * n, w)` of the keys.
+/// Cells that hold the highest watermark of all keys hashed onto them. The bound of a key is the least of its
+/// cells.
+///
+/// It is never below the highest watermark inserted for the key. It lies above where, in every row, another
+/// key with a higher watermark shares the key's cell: [`overestimate_rate`] gives how often.
 #[derive(Clone)]
-pub struct Sketch {
-    cells: Vec<Mark>,
+pub struct MaxSketch {
+    cells: Vec<Watermark>,
     width: usize,
     seed: u64,
 }
 
-impl std::fmt::Debug for Sketch {
+impl std::fmt::Debug for MaxSketch {
+    /// Only the cells in use, by their index.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let used = self.cells.iter().enumerate().filter(|(_, mark)| **mark != Mark::NONE);
+        let used = self.cells.iter().enumerate().filter(|(_, watermark)| **watermark != Watermark::NONE);
         f.debug_map().entries(used).finish()
     }
 }
 
-impl Sketch {
-    /// An empty summary with so many cells in each row, a power of two.
-    pub fn new(width: usize, seed: u64) -> Sketch {
+impl MaxSketch {
+    /// An empty sketch with rows of `width` cells, a power of two.
+    pub fn new(width: usize, seed: u64) -> MaxSketch {
         debug_assert!(width.is_power_of_two());
-        Sketch { cells: vec![Mark::NONE; ROWS * width], width, seed }
+        MaxSketch { cells: vec![Watermark::NONE; ROWS * width], width, seed }
     }
 
-    /// Joins a mark into the cells of its key.
-    pub fn put(&mut self, key: Key, mark: Mark) {
-        for place in self.places(key) {
-            self.cells[place] = self.cells[place].join(mark);
+    /// Joins a watermark into the cells of its key.
+    pub fn insert(&mut self, key: SessionKey, watermark: Watermark) {
+        for index in self.cell_indices(key) {
+            self.cells[index] = self.cells[index].join(watermark);
         }
-        debug_assert!(self.bound(key).covers(mark));
+        debug_assert!(self.upper_bound(key).covers(watermark));
     }
 
-    /// At least the join of all that was put in for this key.
-    pub fn bound(&self, key: Key) -> Mark {
-        let [first, second] = self.places(key).map(|place| self.cells[place]);
-        Mark { wrote: first.wrote.min(second.wrote), read: first.read.min(second.read) }
+    /// Caps every cell: no watermark that was inserted was really above this.
+    pub fn cap(&mut self, ceiling: Time) {
+        self.cells.iter_mut().for_each(|cell| *cell = cell.capped_at(ceiling));
     }
 
-    /// No mark that was put in was really above this.
-    pub fn lower(&mut self, ceiling: Time) {
-        self.cells.iter_mut().for_each(|cell| *cell = cell.at_most(ceiling));
+    /// At least the join of all watermarks inserted for this key.
+    pub fn upper_bound(&self, key: SessionKey) -> Watermark {
+        let [first, second] = self.cell_indices(key).map(|index| self.cells[index]);
+        Watermark { written: first.written.min(second.written), read: first.read.min(second.read) }
     }
 
-    /// Bytes of its cells.
+    /// Size of the cells in bytes.
     pub fn bytes(&self) -> usize {
-        self.cells.len() * std::mem::size_of::<Mark>()
+        self.cells.len() * std::mem::size_of::<Watermark>()
     }
 
-    fn places(&self, key: Key) -> [usize; ROWS] {
+    fn cell_indices(&self, key: SessionKey) -> [usize; ROWS] {
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&key.group.to_le_bytes());
-        bytes[8..].copy_from_slice(&key.name.to_le_bytes());
+        bytes[8..].copy_from_slice(&key.name_hash.to_le_bytes());
         let hash = xxh3_64_with_seed(&bytes, self.seed);
         let mask = self.width - 1;
-        [hash as usize & mask, self.width + ((hash >> 32) as usize & mask)]
+        let first = hash as usize & mask;
+        let second = (hash >> 32) as usize & mask;
+        [first, self.width + second]
     }
 }
 
-/// Share of keys whose bound is above their own mark, where `higher` other keys with higher marks were put into
-/// rows of `width` cells: every row must have at least one of them on the key's cell.
-pub fn false_share(higher: f64, width: usize) -> f64 {
-    let hit = 1.0 - (-higher / width as f64).exp();
-    hit.powi(ROWS as i32)
+/// Share of keys whose bound lies above their own watermark, if `higher` other keys with higher watermarks
+/// were inserted into rows of `width` cells: every row must have at least one of them in the key's cell.
+pub fn overestimate_rate(higher: f64, width: usize) -> f64 {
+    let collision = 1.0 - (-higher / width as f64).exp();
+    collision.powi(ROWS as i32)
 }
--- /dev/null
+++ b/crates/sessions/src/watermark.rs
@@ -0,0 +1,52 @@
+//! What a session has seen of a group: its highest commit and its highest position read.
+
+use crate::settings::Promise;
+use petrelgauge_policy::{mutant, Mutant, Time};
+
+/// The watermark of a session in one group. Clock times of the group's log in microseconds; 0 where there is
+/// none.
+///
+/// Watermarks form a join-semilattice under [`Watermark::join`]: commutative, associative, idempotent, never
+/// lower. They may be merged from any source in any order and any number of times with the same result.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct Watermark {
+    /// Highest commit of a served write of the session, or an upper bound of it.
+    pub written: Time,
+    /// Position that a later read must reach so as not to go back in time, or an upper bound of it.
+    pub read: Time,
+}
+
+impl Watermark {
+    /// The watermark of a session that has seen nothing.
+    pub const NONE: Watermark = Watermark { written: 0, read: 0 };
+
+    /// The least upper bound of both.
+    #[must_use]
+    pub fn join(self, other: Watermark) -> Watermark {
+        if mutant(Mutant::MergeLowers) && other != Watermark::NONE {
+            return other;
+        }
+        let joined = Watermark { written: self.written.max(other.written), read: self.read.max(other.read) };
+        debug_assert!(joined.covers(self) && joined.covers(other), "a merge never lowers");
+        joined
+    }
+
+    /// Whether this watermark is at least `other` in both components.
+    pub fn covers(self, other: Watermark) -> bool {
+        self.written >= other.written && self.read >= other.read
+    }
+
+    /// The position (microseconds) that a read of the session needs under this promise.
+    pub fn required_position(self, promise: Promise) -> Time {
+        match promise {
+            Promise::Writes => self.written,
+            Promise::WritesAndReads => self.written.max(self.read),
+        }
+    }
+
+    /// The same watermark with both components limited to `ceiling` (microseconds).
+    #[must_use]
+    pub fn capped_at(self, ceiling: Time) -> Watermark {
+        Watermark { written: self.written.min(ceiling), read: self.read.min(ceiling) }
+    }
+}
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -7,7 +7,7 @@
 use crate::net::socket::{self, SocketError, Unread};
 use crate::Time;
 use petrelgauge_lifecycle::exchange::Event;
-use petrelgauge_lifecycle::rest::{Look, Resting};
+use petrelgauge_lifecycle::idle_connection::{IdleConnection, SocketState};
 use tokio::net::TcpStream;
 
 /// A connection that is up.
@@ -32,8 +32,8 @@
         }
     }
 
-    pub(super) fn resting(&self, since: Time) -> Resting {
-        Resting { since, tells_copies: self.last.is_some() }
+    pub(super) fn resting(&self, since: Time) -> IdleConnection {
+        IdleConnection { since, detects_copies: self.last.is_some() }
     }
 
     /// Reads once, so many bytes at most. The framer bounds what is kept: no message is longer than `pg::MOST`.
@@ -51,11 +51,11 @@
     }
 
     /// What the kernel says of it while it rests.
-    pub(super) fn look(&self) -> Look {
+    pub(super) fn socket_state(&self) -> SocketState {
         match socket::unread_on(&self.stream) {
-            Unread::Nothing => Look::Quiet,
-            Unread::End => Look::Closed,
-            Unread::Bytes => Look::Spoke,
+            Unread::Nothing => SocketState::Quiet,
+            Unread::End => SocketState::Closed,
+            Unread::Bytes => SocketState::UnexpectedBytes,
         }
     }
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use common::{entry, settings, G, MS};
 use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, Ticket};
 use petrelgauge::*;
-use petrelgauge_sessions::Keeper;
+use petrelgauge_sessions::SessionTracker;
 use stage::*;
 use std::future::Future;
 use std::pin::pin;
@@ -104,8 +104,9 @@
         let offset = shift_ms * MS;
         let now = NOON - offset;
         let set = Settings { may_probe: false, clock_may_be_wrong: true, ..settings() };
-        let keeper = sessions.map(|set| (Keeper::new(set, now).expect("sound settings"), vec![READ, WRITE]));
-        let facade = Facade::with_sessions(set, 11, keeper).expect("sound settings");
+        let tracker =
+            sessions.map(|set| (SessionTracker::new(set, now).expect("sound settings"), vec![READ, WRITE]));
+        let facade = Facade::with_sessions(set, 11, tracker).expect("sound settings");
         facade.list(true, (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect());
         let mut shifted = Shifted { facade, now, offset };
         shifted.step();
@@ -124,7 +125,7 @@
     /// A request of session `one`, and its first attempt.
     fn send(&mut self, class: usize) -> (Ticket, Attempt) {
         let (at, until) = (self.now, self.now + 900 * MS);
-        let session = self.facade.visit(at, G, "one", &[]).expect("no token");
+        let session = self.facade.session_ref(at, G, "one", &[]).expect("no token");
         let request = Request { class, group: G, until, repeat: false, at, after: None, session };
         let mut ticket = self.facade.admit(request);
         self.step();
