--- /dev/null
+++ b/crates/handover/tests/stored_form.rs
@@ -0,0 +1,193 @@
+//! The stored form of a record must not change: `fixtures/record-version-2.bin` was written by the program as it was
+//! before this test existed (commit a97f0e8).
+
+use petrelgauge_handover::company::Held;
+use petrelgauge_handover::Letter;
+use serde::Deserialize;
+
+const STORED: &[u8] = include_bytes!("fixtures/record-version-2.bin");
+/// Six bytes of magic and the version.
+const HEADER_BYTES: usize = 7;
+const CHECKSUM_BYTES: usize = 4;
+
+type Samples<T> = Vec<(i64, T)>;
+
+/// The body as it is stored, field by field and in order, apart from the types of the program.
+#[derive(Debug, PartialEq, Deserialize)]
+struct StoredRecord {
+    owner: String,
+    settings: u64,
+    writer: u64,
+    written: i64,
+    /// Sockets, memory, open requests.
+    reservation: (usize, usize, usize),
+    numbers: Vec<(String, u32)>,
+    beliefs: StoredBeliefs,
+}
+
+#[derive(Debug, PartialEq, Deserialize)]
+struct StoredBeliefs {
+    members: Vec<(u32, StoredMember)>,
+    groups: Vec<(u64, StoredGroup)>,
+    sojourns: Samples<f64>,
+    rate: f64,
+    rated_at: i64,
+    work: [f64; 2],
+    shed: f64,
+}
+
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+struct StoredMember {
+    group: u64,
+    zone: String,
+    weight: f64,
+    standing: u32,
+    drained: bool,
+    started: i64,
+    revived: i64,
+    primary_at: i64,
+    replica_at: i64,
+    position: i64,
+    lags: Samples<i64>,
+    sojourns: Samples<f64>,
+    load: f64,
+    limit: f64,
+    paced_until: i64,
+    out: u32,
+    lost: u32,
+    quiet: (f64, i64),
+    named: i64,
+    heard: i64,
+    lost_at: i64,
+    suspect: bool,
+    down: bool,
+    strikes: u32,
+    barred_until: i64,
+    probe_out: bool,
+    probed_at: i64,
+    credit: f64,
+    credited_at: i64,
+}
+
+#[derive(Debug, PartialEq, Deserialize)]
+struct StoredGroup {
+    members: Vec<u32>,
+    waiting: Vec<u64>,
+    commits: Vec<i64>,
+    scout_at: i64,
+    /// Extra, and until when.
+    share: (f64, i64),
+}
+
+fn primary() -> StoredMember {
+    let early = [1_370_000, 1_420_000, 1_470_000, 1_520_000, 1_570_000].map(|at| (at, 0.1));
+    let late = [2_670_000, 2_710_000, 2_750_000, 2_790_000, 2_870_000, 2_910_000, 2_950_000];
+    StoredMember {
+        group: 9,
+        zone: "here".into(),
+        weight: 1.0,
+        standing: 0,
+        drained: false,
+        started: 0,
+        revived: 0,
+        primary_at: 2_950_000,
+        replica_at: 0,
+        position: 2_920_000,
+        lags: vec![],
+        sojourns: early.into_iter().chain(late.map(|at| (at, 0.15))).collect(),
+        load: 0.1265460369623311,
+        limit: 6.0,
+        paced_until: 2_950_000,
+        out: 0,
+        lost: 0,
+        quiet: (0.0, 0),
+        named: 2_950_000,
+        heard: 2_950_000,
+        lost_at: 0,
+        suspect: false,
+        down: false,
+        strikes: 0,
+        barred_until: 2_670_000,
+        probe_out: false,
+        probed_at: 0,
+        credit: 9.807948470645663,
+        credited_at: 2_920_000,
+    }
+}
+
+fn replica() -> StoredMember {
+    let late = [2_470_000, 2_510_000, 2_550_000, 2_590_000];
+    StoredMember {
+        primary_at: 0,
+        replica_at: 2_590_000,
+        position: 2_560_000,
+        lags: [(1_120_000, 20_000)].into_iter().chain(late.map(|at| (at, 30_000))).collect(),
+        sojourns: [(1_120_000, 0.1)].into_iter().chain(late.map(|at| (at, 0.15))).collect(),
+        load: 0.07952915625,
+        paced_until: 2_830_000,
+        heard: 2_590_000,
+        suspect: true,
+        strikes: 6,
+        barred_until: 3_150_000,
+        credit: 12.196232206243419,
+        credited_at: 2_800_000,
+        ..primary()
+    }
+}
+
+fn group() -> StoredGroup {
+    StoredGroup { members: vec![1, 2], waiting: vec![], commits: vec![], scout_at: 0, share: (0.0, 0) }
+}
+
+fn beliefs() -> StoredBeliefs {
+    let late = [2_470_000, 2_510_000, 2_550_000, 2_590_000, 2_670_000, 2_710_000, 2_750_000, 2_790_000];
+    let last = [2_870_000, 2_910_000, 2_950_000];
+    let late = late.into_iter().chain(last).map(|at| (at, 0.15));
+    StoredBeliefs {
+        members: vec![(1, primary()), (2, replica())],
+        groups: vec![(9, group())],
+        sojourns: [(1_570_000, 0.1)].into_iter().chain(late).collect(),
+        rate: 4.264272860550044,
+        rated_at: 2_950_000,
+        work: [485206.00929876644, 0.0],
+        shed: 0.0,
+    }
+}
+
+fn numbers() -> Vec<(String, u32)> {
+    [("s-1", 1), ("s-2", 2), ("s-ü-3", 70_003)].map(|(name, number)| (name.to_string(), number)).to_vec()
+}
+
+#[test]
+fn the_stored_record_holds_these_fields_in_this_order() {
+    let (head, checksum) = STORED.split_at(STORED.len() - CHECKSUM_BYTES);
+    let (header, body) = head.split_at(HEADER_BYTES);
+    assert_eq!(header, b"petrel\x02");
+    assert_eq!(checksum, crc32c::crc32c(head).to_be_bytes());
+    let (stored, rest) = postcard::take_from_bytes::<StoredRecord>(body).expect("the fields of version 2");
+    assert!(rest.is_empty());
+    let expected = StoredRecord {
+        owner: "10.0.0.5:5433 n1".into(),
+        settings: 0x1234_5678_9abc_def0,
+        writer: 0xfeed_beef_0000_0007,
+        written: 1_764_670_000_123_456,
+        reservation: (123, 4_567_890, 45),
+        numbers: numbers(),
+        beliefs: beliefs(),
+    };
+    assert_eq!(stored, expected);
+}
+
+#[test]
+fn the_program_reads_the_stored_record_and_writes_the_same_bytes_again() {
+    let record = Letter::decode(STORED).expect("a record of version 2");
+    assert_eq!(record.owner, "10.0.0.5:5433 n1");
+    assert_eq!(record.settings, 0x1234_5678_9abc_def0);
+    assert_eq!(record.writer, 0xfeed_beef_0000_0007);
+    assert_eq!(record.written, 1_764_670_000_123_456);
+    assert_eq!(record.held, Held { sockets: 123, memory: 4_567_890, open: 45 });
+    assert_eq!(record.numbers, numbers());
+    let stored = postcard::to_allocvec(&record.beliefs).expect("plain data");
+    assert_eq!(postcard::from_bytes::<StoredBeliefs>(&stored).expect("the stored fields"), beliefs());
+    assert_eq!(record.encode(), STORED);
+}
