--- a/crates/handover/tests/letters.rs
+++ b/crates/handover/tests/records.rs
@@ -1,6 +1,6 @@
-//! Letters that are cut, changed, old or of another build.
+//! Records that are cut, changed, old or of another build.
 
-use petrelgauge_handover::{Letter, LetterError, MOST_BYTES};
+use petrelgauge_handover::{HandoverRecord, RecordError, MAX_RECORD_BYTES};
 use petrelgauge_policy::*;
 use proptest::prelude::*;
 
@@ -64,71 +64,80 @@
     router
 }
 
-fn letter() -> Letter {
+fn record() -> HandoverRecord {
     let numbers = vec![("s-1".to_string(), 1), ("s-2".to_string(), 2)];
-    Letter { writer: 5, written: 1_700_000, numbers, beliefs: learned().beliefs(), ..Letter::default() }
+    HandoverRecord {
+        process: 5,
+        written: 1_700_000,
+        numbers,
+        beliefs: learned().beliefs(),
+        ..HandoverRecord::default()
+    }
 }
 
 #[test]
-fn what_was_learned_comes_back_as_it_was_and_nothing_that_was_out() {
-    let read = Letter::decode(&letter().encode()).expect("whole");
-    assert_eq!(format!("{:?}", read.beliefs), format!("{:?}", letter().beliefs));
-    assert_eq!((read.writer, read.numbers.len()), (5, 2));
+fn beliefs_are_restored_without_attempts_in_flight() {
+    let read = HandoverRecord::decode(&record().encode()).expect("whole");
+    assert_eq!(format!("{:?}", read.beliefs), format!("{:?}", record().beliefs));
+    assert_eq!((read.process, read.numbers.len()), (5, 2));
     let text = format!("{:?}", read.beliefs);
     assert!(text.contains("out: 0") && !text.contains("out: 1"), "{text}");
 }
 
 #[test]
-fn an_old_letter_and_one_of_a_time_to_come_are_told_apart() {
-    let letter = letter();
-    assert_eq!(letter.age(1_700_500, 1_000), Ok(500));
-    assert_eq!(letter.age(1_701_001, 1_000), Err(LetterError::Old(1_001)));
-    assert_eq!(letter.age(1_699_999, 1_000), Err(LetterError::Ahead));
+fn an_old_record_and_one_from_the_future_are_told_apart() {
+    let record = record();
+    assert_eq!(record.check_age(1_700_500, 1_000), Ok(500));
+    assert_eq!(record.check_age(1_701_001, 1_000), Err(RecordError::TooOld(1_001)));
+    assert_eq!(record.check_age(1_699_999, 1_000), Err(RecordError::InFuture));
 }
 
 #[test]
-fn another_build_is_named_and_a_long_letter_is_refused_unread() {
-    let mut bytes = letter().encode();
+fn an_unknown_version_is_named_and_an_oversized_record_is_rejected_unread() {
+    let mut bytes = record().encode();
     bytes[6] = 9;
     let end = bytes.len() - 4;
     let check = crc32c::crc32c(&bytes[..end]).to_be_bytes();
     bytes[end..].copy_from_slice(&check);
-    assert_eq!(Letter::decode(&bytes).err(), Some(LetterError::Version(9)));
-    assert_eq!(Letter::decode(&vec![0; MOST_BYTES + 1]).err(), Some(LetterError::Long));
+    assert_eq!(HandoverRecord::decode(&bytes).err(), Some(RecordError::UnknownVersion(9)));
+    assert_eq!(HandoverRecord::decode(&vec![0; MAX_RECORD_BYTES + 1]).err(), Some(RecordError::TooLong));
 }
 
 #[test]
-fn one_that_would_be_too_long_still_tells_that_its_writer_runs() {
+fn an_oversized_record_is_written_without_beliefs() {
     let numbers = (0..100_000).map(|number| (format!("member-{number:020}"), number)).collect();
-    let bytes = Letter { numbers, ..letter() }.encode();
-    assert!(bytes.len() <= MOST_BYTES);
-    assert_eq!(Letter::decode(&bytes).map(|letter| (letter.writer, letter.numbers.len())), Ok((5, 0)));
+    let bytes = HandoverRecord { numbers, ..record() }.encode();
+    assert!(bytes.len() <= MAX_RECORD_BYTES);
+    assert_eq!(
+        HandoverRecord::decode(&bytes).map(|record| (record.process, record.numbers.len())),
+        Ok((5, 0))
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..Default::default() })]
 
     #[test]
-    fn a_cut_or_changed_letter_is_refused(cut in 0usize..4000, place in 0usize..4000, bit in 0u8..8) {
-        let whole = letter().encode();
+    fn a_cut_or_changed_record_is_rejected(cut in 0usize..4000, place in 0usize..4000, bit in 0u8..8) {
+        let whole = record().encode();
         let short = &whole[..cut % whole.len()];
-        prop_assert_eq!(Letter::decode(short).err(), Some(LetterError::Torn));
+        prop_assert_eq!(HandoverRecord::decode(short).err(), Some(RecordError::Damaged));
         let mut changed = whole.clone();
         let place = place % whole.len();
         changed[place] ^= 1 << bit;
-        prop_assert!(Letter::decode(&changed).is_err());
+        prop_assert!(HandoverRecord::decode(&changed).is_err());
     }
 }
 
 #[test]
-fn what_was_learned_by_other_settings_does_not_fit_and_a_long_name_is_cut() {
-    let letter = Letter { settings: 7, ..letter() };
-    let read = Letter::decode(&letter.encode()).expect("whole");
-    assert_eq!((read.fits(7), read.fits(8)), (Ok(()), Err(LetterError::Settings)));
-    let owner = petrelgauge_handover::owner(&"ü".repeat(4000), "127.0.0.1:5433");
-    assert!(owner.len() <= 256 && owner.starts_with("127.0.0.1:5433 ü"));
+fn beliefs_of_other_settings_are_rejected_and_a_long_name_is_cut() {
+    let record = HandoverRecord { settings: 7, ..record() };
+    let read = HandoverRecord::decode(&record.encode()).expect("whole");
+    assert_eq!((read.check_settings(7), read.check_settings(8)), (Ok(()), Err(RecordError::OtherSettings)));
+    let gateway = petrelgauge_handover::gateway_identity(&"ü".repeat(4000), "127.0.0.1:5433");
+    assert!(gateway.len() <= 256 && gateway.starts_with("127.0.0.1:5433 ü"));
     assert_ne!(
-        petrelgauge_handover::owner("n1", "127.0.0.1:5433"),
-        petrelgauge_handover::owner("n1", "127.0.0.1:5434")
+        petrelgauge_handover::gateway_identity("n1", "127.0.0.1:5433"),
+        petrelgauge_handover::gateway_identity("n1", "127.0.0.1:5434")
     );
 }
--- a/crates/handover/tests/stored_form.rs
+++ b/crates/handover/tests/stored_form.rs
@@ -1,8 +1,8 @@
 //! The stored form of a record must not change: `fixtures/record-version-2.bin` was written by the program as it was
 //! before this test existed (commit a97f0e8).
 
-use petrelgauge_handover::company::Held;
-use petrelgauge_handover::Letter;
+use petrelgauge_handover::siblings::Reservation;
+use petrelgauge_handover::HandoverRecord;
 use serde::Deserialize;
 
 const STORED: &[u8] = include_bytes!("fixtures/record-version-2.bin");
@@ -15,9 +15,9 @@
 /// The body as it is stored, field by field and in order, apart from the types of the program.
 #[derive(Debug, PartialEq, Deserialize)]
 struct StoredRecord {
-    owner: String,
+    gateway: String,
     settings: u64,
-    writer: u64,
+    process: u64,
     written: i64,
     /// Sockets, memory, open requests.
     reservation: (usize, usize, usize),
@@ -167,9 +167,9 @@
     let (stored, rest) = postcard::take_from_bytes::<StoredRecord>(body).expect("the fields of version 2");
     assert!(rest.is_empty());
     let expected = StoredRecord {
-        owner: "10.0.0.5:5433 n1".into(),
+        gateway: "10.0.0.5:5433 n1".into(),
         settings: 0x1234_5678_9abc_def0,
-        writer: 0xfeed_beef_0000_0007,
+        process: 0xfeed_beef_0000_0007,
         written: 1_764_670_000_123_456,
         reservation: (123, 4_567_890, 45),
         numbers: numbers(),
@@ -180,12 +180,12 @@
 
 #[test]
 fn the_program_reads_the_stored_record_and_writes_the_same_bytes_again() {
-    let record = Letter::decode(STORED).expect("a record of version 2");
-    assert_eq!(record.owner, "10.0.0.5:5433 n1");
+    let record = HandoverRecord::decode(STORED).expect("a record of version 2");
+    assert_eq!(record.gateway, "10.0.0.5:5433 n1");
     assert_eq!(record.settings, 0x1234_5678_9abc_def0);
-    assert_eq!(record.writer, 0xfeed_beef_0000_0007);
+    assert_eq!(record.process, 0xfeed_beef_0000_0007);
     assert_eq!(record.written, 1_764_670_000_123_456);
-    assert_eq!(record.held, Held { sockets: 123, memory: 4_567_890, open: 45 });
+    assert_eq!(record.reservation, Reservation { sockets: 123, memory: 4_567_890, open: 45 });
     assert_eq!(record.numbers, numbers());
     let stored = postcard::to_allocvec(&record.beliefs).expect("plain data");
     assert_eq!(postcard::from_bytes::<StoredBeliefs>(&stored).expect("the stored fields"), beliefs());
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,7 +15,7 @@
 use petrelgauge::net::read_buffer::ReadBuffer;
 use petrelgauge::net::signals::{Signals, Told};
 use petrelgauge::Time;
-use petrelgauge_handover::company::Held;
+use petrelgauge_handover::siblings::Reservation;
 use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage};
 use petrelgauge_lifecycle::ops::{self, Known, MOST_CALLERS};
 use std::cell::{Cell, RefCell};
@@ -68,10 +68,10 @@
     let (folder, name) = (std::env::temp_dir(), &config.name);
     let handover = shared.then(|| Rc::new(Handover::new(folder, name, config.listen, writer, config.digest)));
     let inherit = handover.as_ref().and_then(|handover| handover.inherit(clock.now()));
-    let given = inherit.map_or_else(Vec::new, |(letter, age)| {
-        log::info!("starting from what was learned {} ms ago of {} hosts", age / 1000, letter.numbers.len());
-        facade.believe(letter.beliefs);
-        letter.numbers
+    let given = inherit.map_or_else(Vec::new, |(record, age)| {
+        log::info!("starting from what was learned {} ms ago of {} hosts", age / 1000, record.numbers.len());
+        facade.believe(record.beliefs);
+        record.numbers
     });
     let counters = Rc::new(Counters::default());
     let budget = Budget::new(config.sockets, config.memory);
@@ -194,7 +194,7 @@
                         counters.reloads.add();
                         let (at, version) = (new.discovery, facade.version());
                         log::info!("configuration read again, discovery is at {at}, settings {version} hold");
-                        whole.set(Held { open: open as usize, ..whole.get() });
+                        whole.set(Reservation { open: open as usize, ..whole.get() });
                         handover.iter().for_each(|handover| handover.follow(new.digest));
                         discovery.send_if_modified(|known| std::mem::replace(known, at) != at);
                         config = new;
@@ -225,8 +225,8 @@
 }
 
 /// What this process may hold while it is the gateway's only one.
-fn whole(config: &Config, most_open: u32) -> Held {
-    Held { sockets: config.sockets, memory: config.memory, open: most_open as usize }
+fn whole(config: &Config, most_open: u32) -> Reservation {
+    Reservation { sockets: config.sockets, memory: config.memory, open: most_open as usize }
 }
 
 /// Whether a gateway that shares its socket should leave clients to the other process for now.
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -3,7 +3,7 @@
 
 use crate::net::pg;
 use crate::Time;
-use petrelgauge_handover::company::Held;
+use petrelgauge_handover::siblings::Reservation;
 pub use petrelgauge_lifecycle::client::Idleness;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -72,8 +72,8 @@
     }
 
     /// What is held now: descriptors, also those that are neither a client's nor a host's, and bytes.
-    pub fn held(&self) -> Held {
-        Held { sockets: self.open.get() + OWN, memory: self.bytes.get(), open: 0 }
+    pub fn held(&self) -> Reservation {
+        Reservation { sockets: self.open.get() + OWN, memory: self.bytes.get(), open: 0 }
     }
 
     /// Counts a connection to a host for as long as the slot lives.
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -32,10 +32,10 @@
     let _ = std::fs::remove_file(&path);
 }
 
-// Where two gateways of a machine share a folder, each read the other's letters: it started from what the other had
+// Where two gateways of a machine share a folder, each read the other's handover records: it started from what the other had
 // learned, and kept to what the other left of its own limits.
 #[test]
-fn letters_of_another_gateway_are_left_alone() {
+fn records_of_another_gateway_are_ignored() {
     let (mut one, mut other) = (Stage::new(206).shared(), Stage::new(207).shared());
     let hosts = [one.host(rows()), other.host(rows())];
     one = one.list(&[(&hosts[0], "up", "primary")]);
@@ -44,15 +44,15 @@
     let first = one.beside();
     first.call_until(b"ready\n", "YES");
     assert_eq!(kinds(&first.client().ask(&select("a", "view", 20_000))), "TDCZ");
-    let letters = || std::fs::read_dir(one.folder()).expect("a folder").count();
-    // Its letter is there, and it is one that tells something, before the other starts.
+    let records = || std::fs::read_dir(one.folder()).expect("a folder").count();
+    // Its record is there, and it is one that tells something, before the other starts.
     let begun = std::time::Instant::now();
-    while letters() == 0 && begun.elapsed().as_secs() < 60 {
+    while records() == 0 && begun.elapsed().as_secs() < 60 {
         first.rest();
     }
     let second = other.start_env(&other.config(), &[]);
-    let line = second.line_with("left alone");
-    assert!(line.contains("1 letters of other gateways") && line.contains(&one.listen), "{line}");
+    let line = second.line_with("are ignored");
+    assert!(line.contains("1 handover records of other gateways") && line.contains(&one.listen), "{line}");
     second.line_with("serves at");
     let mut client = second.client();
     assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ");
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -67,7 +67,7 @@
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 4);
     load.goes_on();
-    // Its letter tells what it has learned by now.
+    // Its record tells what it has learned by now.
     thread::sleep(Duration::from_millis(600));
     let new = stage.beside();
     new.call_until(b"ready\n", "YES");
@@ -78,7 +78,7 @@
     load.end();
     new.wait_for("requests=", |count| count > 0);
     let left = std::fs::read_dir(stage.folder()).expect("a folder").count();
-    assert_eq!(left, 1, "the old one took its letter away");
+    assert_eq!(left, 1, "the old one removed its record");
 }
 
 #[test]
@@ -154,13 +154,13 @@
 }
 
 #[test]
-fn a_torn_letter_is_left_aside_with_a_line_and_a_third_process_is_one_more() {
+fn a_damaged_record_is_logged_and_a_third_process_is_counted() {
     let (mut stage, _host) = shared(75, 1000);
     for (name, bytes) in [("1", &b"petrel\x01torn"[..]), ("2", b""), ("3", &[7; 5000])] {
         std::fs::write(format!("{}/petrelgauge-{name}.letter", stage.folder()), bytes).expect("written");
     }
     let free = stage.start_with(&stage.config());
-    assert!(free.line_with("a letter is left aside").contains("it is not whole"));
+    assert!(free.line_with("a handover record is not used").contains("it is incomplete or damaged"));
     free.line_with("serves at");
     let processes = [stage.beside(), stage.beside()];
     free.line_with("2 other processes of this gateway run");
