--- a/crates/handover/src/record.rs
+++ b/crates/handover/src/record.rs
@@ -1,85 +1,91 @@
-//! A record and its bytes.
+//! The handover record and its stored form.
 //!
-//! `petrel`, a byte of version, the body as `postcard` writes it, and the CRC-32C of all before it (4 bytes, big end
-//! first).
+//! Six bytes of magic (`petrel`), a byte of version, the body as `postcard` writes it, and the CRC-32C of all before it
+//! (4 bytes, big-endian).
 
-use crate::siblings::Reservation;
+use crate::reservation::Reservation;
 use petrelgauge_policy::{Beliefs, MemberId, Time};
 use serde::{Deserialize, Serialize};
 
 /// Longest record (bytes): some hundred members with all their samples.
 pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 const MAGIC: &[u8; 6] = b"petrel";
-/// Raised with every change of what a record holds: a process of another build starts cold.
+/// Raised with every change of the stored form; a process of another version starts without beliefs.
 const VERSION: u8 = 2;
-/// Longest name of a gateway in a record (bytes); what is longer is cut.
-const MAX_GATEWAY_BYTES: usize = 256;
+/// Longest identity of a gateway in a record (bytes); what is longer is cut.
+const MAX_IDENTITY_BYTES: usize = 256;
 const CHECKSUM_BYTES: usize = 4;
+/// A file may be modified so long after its record was stamped (microseconds): the write waits for a thread and the disk.
+const MAX_WRITE_DELAY: Time = 1_000_000;
+/// A file system may stamp a file with a time that lies so far back (microseconds).
+const FILE_TIME_GRANULARITY: Time = 20_000;
 
-/// What a process leaves for the next.
+/// What a process leaves for its siblings and its successor. The order of the fields is the stored form.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HandoverRecord {
-    /// The gateway that its writer is a process of: gateways that share a machine may share a directory.
+    /// The identity of the gateway that the writer is a process of: gateways of a machine may share a directory. See
+    /// [`gateway_identity`].
     pub gateway: String,
-    /// A digest of the settings that its process goes by.
+    /// A digest of the settings that the writer goes by.
     pub settings: u64,
-    /// The process that wrote it, by a number that no other process has.
+    /// The process that wrote it, by a number that no other process of the gateway has.
     pub process: u64,
-    /// When it was written, by the clock of the machine that both run on.
+    /// When it was written (microseconds of Unix time, on the writer's clock).
     pub written: Time,
-    /// What its process holds.
+    /// What the writer has in flight or reserved.
     pub reservation: Reservation,
-    /// What the decisions call each member that the list names.
+    /// The number that the decisions use for each member, by the member's name on the endpoint list.
     pub numbers: Vec<(String, MemberId)>,
-    /// What its process has learned.
+    /// What the writer has learned; times in it are of the writer's clock.
     pub beliefs: Beliefs,
 }
 
 /// Why a record cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Cut off, or changed on the way.
+    /// Cut off or changed, or its file could not be read.
     #[error("it is incomplete or damaged")]
     Damaged,
-    /// Of another build.
+    /// Of another stored form.
     #[error("it is of version {0}, and this program reads version {VERSION}")]
     UnknownVersion(u8),
     /// Longer than any that is written.
     #[error("it is longer than {MAX_RECORD_BYTES} bytes")]
     TooLong,
-    /// Older than what it tells is good for.
+    /// Older than its beliefs are valid for (microseconds).
     #[error("it is {0} us old")]
     TooOld(Time),
-    /// Written at a time that has not come: the clock was set back.
+    /// Written later than now: a clock was set back since.
     #[error("it was written in the future")]
     InFuture,
-    /// Learned by other settings: what a class's answers told of a member means something else.
+    /// Learned by other settings: what a class's answers said of a member means something else.
     #[error("it was written by other settings")]
     OtherSettings,
 }
 
-/// A gateway, as its records name it.
+/// The identity of the gateway of this name that listens at this address, as its records state it: 256 bytes at most.
 pub fn gateway_identity(name: &str, listen: &str) -> String {
-    let mut gateway = format!("{listen} {name}");
-    while gateway.len() > MAX_GATEWAY_BYTES {
-        gateway.pop();
+    let mut identity = format!("{listen} {name}");
+    while identity.len() > MAX_IDENTITY_BYTES {
+        identity.pop();
     }
-    gateway
+    identity
 }
 
-/// A number of a gateway for the names of its files. Two may share one: what a record says of its gateway decides.
-pub fn gateway_hash(gateway: &str) -> u32 {
-    crc32c::crc32c(gateway.as_bytes())
+/// A hash of a gateway's identity for the names of its files. Two gateways may share one: the identity in a record decides
+/// whose it is.
+pub fn gateway_hash(identity: &str) -> u32 {
+    crc32c::crc32c(identity.as_bytes())
 }
 
 impl HandoverRecord {
-    /// Its bytes.
+    /// The stored form: [`MAX_RECORD_BYTES`] at most, without numbers and beliefs if these would make it longer.
     pub fn encode(&self) -> Vec<u8> {
         let bytes = self.bytes();
         if bytes.len() <= MAX_RECORD_BYTES {
             return bytes;
         }
-        // That it runs must be told whatever it knows.
+        // That the writer runs has to be stated in any case.
         let (gateway, numbers, beliefs) = (self.gateway.clone(), Vec::new(), Beliefs::default());
         HandoverRecord { gateway, numbers, beliefs, ..*self }.bytes()
     }
@@ -87,14 +93,15 @@
     fn bytes(&self) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
         bytes.push(VERSION);
-        // Plain data into memory: there is nothing in it that cannot be written.
+        // Plain data written to memory: nothing in it can fail.
         bytes = postcard::to_extend(self, bytes).unwrap_or_default();
         let checksum = crc32c::crc32c(&bytes);
         bytes.extend_from_slice(&checksum.to_be_bytes());
         bytes
     }
 
-    /// Reads a record. Whether it is fresh enough is another question: see [`HandoverRecord::check_age`].
+    /// Reads the stored form. Fails if it is too long, damaged or of another version; whether the record is recent enough is
+    /// left to [`HandoverRecord::check_age`].
     pub fn decode(bytes: &[u8]) -> Result<HandoverRecord, RecordError> {
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(RecordError::TooLong);
@@ -112,7 +119,7 @@
         }
     }
 
-    /// Whether what it tells was learned by these settings.
+    /// Fails if the beliefs were learned by settings with another digest.
     pub fn check_settings(&self, settings: u64) -> Result<(), RecordError> {
         if self.settings == settings {
             Ok(())
@@ -121,7 +128,22 @@
         }
     }
 
-    /// How old it is, if that is no more than `max_age`.
+    /// The record with its times moved to the reader's clock, on which its file was modified at `modified` (microseconds).
+    ///
+    /// Both clocks are taken to agree if the file was modified within a second after the record's own time. Otherwise the
+    /// difference is what they differ by: the times of the beliefs move by it, and lags of replicas, which were measured
+    /// against the writer's clock, are dropped.
+    #[must_use]
+    pub fn on_reader_clock(mut self, modified: Time) -> HandoverRecord {
+        let offset = modified.saturating_sub(self.written);
+        if !(-FILE_TIME_GRANULARITY..=MAX_WRITE_DELAY).contains(&offset) {
+            self.written = modified;
+            self.beliefs.shift_clock(offset);
+        }
+        self
+    }
+
+    /// The age of a record whose times are on the reader's clock (microseconds). Fails if that is over `max_age`, or negative.
     pub fn check_age(&self, now: Time, max_age: Time) -> Result<Time, RecordError> {
         match now.saturating_sub(self.written) {
             age if age < 0 => Err(RecordError::InFuture),
--- a/crates/handover/tests/stored_form.rs
+++ b/crates/handover/tests/stored_form.rs
@@ -1,8 +1,7 @@
 //! The stored form of a record must not change: `fixtures/record-version-2.bin` was written by the program as it was
 //! before this test existed (commit a97f0e8).
 
-use petrelgauge_handover::siblings::Reservation;
-use petrelgauge_handover::HandoverRecord;
+use petrelgauge_handover::{HandoverRecord, Reservation};
 use serde::Deserialize;
 
 const STORED: &[u8] = include_bytes!("fixtures/record-version-2.bin");
--- a/crates/policy/src/beliefs.rs
+++ b/crates/policy/src/beliefs.rs
@@ -1,7 +1,7 @@
 //! What a router has learned of the members, as plain data that one process of a gateway can leave to the next. Nothing
 //! here decides anything.
 //!
-//! All of it is told with its time, on the clock that both read: samples grow old by themselves, and what a member says
+//! All of it is stated with its time, on the clock of the router that learned it (see [`Beliefs::shift_clock`]): samples grow old by themselves, and what a member says
 //! outweighs all of it. What was out or waiting belongs to requests of the other process, and stays behind.
 
 use crate::interface::{GroupId, MemberId, Time};
@@ -27,6 +27,48 @@
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
+
+    /// Moves all times of the learning router's clock by `offset` (microseconds), for a reader whose clock differs. What
+    /// was never seen stays so, and times of others (starts, positions, commits) stay as they were told. Lags were
+    /// measured against the other clock and are dropped.
+    pub fn shift_clock(&mut self, offset: Time) {
+        self.members.values_mut().for_each(|member| shift_member(member, offset));
+        for group in self.groups.values_mut() {
+            shift(&mut group.scout_at, offset);
+            shift(&mut group.share.until, offset);
+        }
+        shift_samples(&mut self.sojourns, offset);
+        shift(&mut self.rated_at, offset);
+    }
+}
+
+/// The times 0 and 1 stand for "never" and "by the list's word alone".
+fn shift(time: &mut Time, offset: Time) {
+    if *time > 1 {
+        *time = time.saturating_add(offset).max(2);
+    }
+}
+
+fn shift_samples<T>(samples: &mut Samples<T>, offset: Time) {
+    samples.iter_mut().for_each(|(at, _)| shift(at, offset));
+}
+
+fn shift_member(member: &mut Member, offset: Time) {
+    member.lags.clear();
+    shift_samples(&mut member.sojourns, offset);
+    let times = [
+        &mut member.revived,
+        &mut member.primary_at,
+        &mut member.replica_at,
+        &mut member.paced_until,
+        &mut member.named,
+        &mut member.heard,
+        &mut member.lost_at,
+        &mut member.barred_until,
+        &mut member.probed_at,
+        &mut member.credited_at,
+    ];
+    times.into_iter().for_each(|time| shift(time, offset));
 }
 
 impl Router {
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,7 +15,7 @@
 use petrelgauge::net::read_buffer::ReadBuffer;
 use petrelgauge::net::signals::{Signals, Told};
 use petrelgauge::Time;
-use petrelgauge_handover::siblings::Reservation;
+use petrelgauge_handover::Reservation;
 use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage};
 use petrelgauge_lifecycle::ops::{self, Known, MOST_CALLERS};
 use std::cell::{Cell, RefCell};
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -3,7 +3,7 @@
 
 use crate::net::pg;
 use crate::Time;
-use petrelgauge_handover::siblings::Reservation;
+use petrelgauge_handover::Reservation;
 pub use petrelgauge_lifecycle::client::Idleness;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,210 +1,330 @@
-//! Records between the processes of one gateway, as files in the folder that both can write. What they say, and what
-//! follows from it, stands in `petrelgauge_handover`.
+//! Keeps this process's handover record up to date, reads those of its siblings, and holds the process to what they leave
+//! of the gateway's limits. What follows from a record is decided in `petrelgauge_handover`.
+//!
+//! One heartbeat writes and reads; it may take long or fail. [`Handover::begin`] makes one, [`Heartbeat::run`] blocks for
+//! it, and [`Handover::finish`] learns from it. [`Handover::limit`] may be asked at any time, also while one is out.
 
 use crate::facade::Facade;
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
 use crate::net::host_names::HostNames;
-use crate::Time;
-use petrelgauge_handover::siblings::{Reservation, SiblingRegistry, HEARTBEAT_INTERVAL};
-use petrelgauge_handover::{gateway_hash, gateway_identity, HandoverRecord, RecordError, MAX_RECORD_BYTES};
+use crate::net::record_directory::{DiskDirectory, RecordDirectory};
+use crate::net::record_store::{PublishError, RecordStore, Scan};
+use crate::{MemberId, Time};
+use petrelgauge_handover::publication::Publication;
+use petrelgauge_handover::retention::RetentionTracker;
+use petrelgauge_handover::siblings::{RecordStamp, SiblingRegistry, HEARTBEAT_INTERVAL};
+use petrelgauge_handover::{gateway_identity, HandoverRecord, Reservation};
+use petrelgauge_policy::Beliefs;
 use std::cell::{Cell, RefCell};
-use std::fs;
-use std::io::Read;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
+use std::sync::Arc;
 
-/// What a process has learned is of use to the next for so long (microseconds): samples are of the last seconds, roles
-/// may have changed since.
+/// Beliefs are of use to another process for so long (microseconds): samples are of the last seconds, roles may have
+/// changed since.
 const BELIEFS_VALID_FOR: Time = 10_000_000;
-/// A record that nobody has renewed for so long is removed (microseconds).
-const RECORD_RETENTION: Time = 60_000_000;
-/// Records of this gateway, and of others, that are read at most (count). There are two processes, three by mistake.
-const MAX_RECORDS: usize = 8;
-const PREFIX: &str = "petrelgauge-";
-const SUFFIX: &str = ".letter";
-
-/// This process's records, and those of the others.
+
+/// This process's record, and what is known of its siblings.
 pub struct Handover {
-    directory: RecordDirectory,
+    store: RecordStore,
+    /// Where the records lie, for the log.
+    place: String,
     /// A digest of the settings in force.
     settings: Cell<u64>,
-    siblings: RefCell<SiblingRegistry>,
+    state: RefCell<State>,
+}
+
+#[derive(Default)]
+struct State {
+    siblings: SiblingRegistry,
+    publication: Publication,
+    retention: RetentionTracker,
+    /// When the directory was last read.
+    scanned_at: Option<Time>,
+    /// The last attempt to read it failed.
+    scan_failing: bool,
+    /// Some record there could not be read.
+    unreadable: bool,
+    /// Files that the next heartbeat removes.
+    abandoned: Vec<String>,
+}
+
+/// What a record passes on of what its writer knows.
+#[derive(Clone, Debug, Default)]
+pub struct Knowledge {
+    /// The number of each member, by its name.
+    pub numbers: Vec<(String, MemberId)>,
+    /// What the decisions have learned.
+    pub beliefs: Beliefs,
+}
+
+/// A heartbeat to make, on a thread that may block.
+pub struct Heartbeat {
+    store: RecordStore,
+    begun: Time,
+    reservation: Reservation,
+    bytes: Vec<u8>,
+    abandoned: Vec<String>,
+}
+
+/// What came of a heartbeat.
+pub struct HeartbeatResult {
+    begun: Time,
+    reservation: Reservation,
+    published: Result<(), PublishError>,
+    /// The record was not replaced, but shows that this process runs.
+    refreshed: bool,
+    scan: io::Result<Scan>,
 }
 
-/// Where records lie, and who writes here.
-#[derive(Clone)]
-struct RecordDirectory {
-    folder: PathBuf,
-    /// The gateway.
-    gateway: String,
-    /// A number that no other process of the gateway has.
-    process: u64,
+impl Heartbeat {
+    /// Replaces the record, removes what is abandoned and reads what is there. Blocks.
+    pub fn run(self) -> HeartbeatResult {
+        let Heartbeat { store, begun, reservation, bytes, abandoned } = self;
+        let published = store.publish(&bytes);
+        let refreshed = published.is_err() && store.refresh().is_ok();
+        abandoned.iter().for_each(|name| store.remove_abandoned(name));
+        HeartbeatResult { begun, reservation, published, refreshed, scan: store.scan() }
+    }
 }
 
 impl Handover {
-    /// Records in this folder, of the gateway of this name that listens there, by a process that goes by settings with
-    /// this digest.
+    /// For a process with this number, of the gateway of this name that listens there, whose settings have this digest;
+    /// records lie in `folder`.
     pub fn new(folder: PathBuf, name: &str, listen: SocketAddr, process: u64, settings: u64) -> Handover {
-        let directory =
-            RecordDirectory { folder, gateway: gateway_identity(name, &listen.to_string()), process };
-        Handover { directory, settings: Cell::new(settings), siblings: RefCell::default() }
+        let place = folder.display().to_string();
+        let gateway = gateway_identity(name, &listen.to_string());
+        let directory = Arc::new(DiskDirectory(folder));
+        Handover { place, ..Handover::in_directory(directory, gateway, process, settings) }
+    }
+
+    /// The same with records in any directory, for the gateway of this identity.
+    pub fn in_directory(
+        directory: Arc<dyn RecordDirectory>,
+        gateway: String,
+        process: u64,
+        settings: u64,
+    ) -> Handover {
+        let store = RecordStore::new(directory, gateway, process);
+        let (place, settings) = ("its directory".to_string(), Cell::new(settings));
+        Handover { store, place, settings, state: RefCell::default() }
     }
 
-    /// Settings with this digest hold from now on.
+    /// Settings with this digest are in force from now on.
     pub fn follow(&self, settings: u64) {
         self.settings.set(settings);
     }
 
-    /// The record of the process that served last, if it is of use, and how old it is.
+    /// The newest record of another process whose beliefs are of use here, on this process's clock, and its age
+    /// (microseconds). Blocks; for the start.
     pub fn inherit(&self, now: Time) -> Option<(HandoverRecord, Time)> {
-        let records = self.others(now).into_iter().filter_map(|record| {
-            let age = record
-                .check_settings(self.settings.get())
-                .and_then(|()| record.check_age(now, BELIEFS_VALID_FOR));
+        let scan = self.store.scan();
+        self.scanned(now, &scan);
+        let scan = scan.ok()?;
+        if let Some(gateway) = scan.foreign.first() {
+            let count = scan.foreign.len();
+            log::warn!("{count} handover records of other gateways are ignored, the first of {gateway}");
+        }
+        let usable = scan.records.into_iter().filter_map(|found| {
+            let record = found.record.on_reader_clock(now.saturating_sub(found.age));
+            let age = record.check_settings(self.settings.get());
+            let age = age.and_then(|()| record.check_age(now, BELIEFS_VALID_FOR));
             age.map(|age| (record, age))
                 .map_err(|cause| log::warn!("a handover record is not used: {cause}"))
                 .ok()
         });
-        records.filter(|(record, _)| !record.beliefs.is_empty()).min_by_key(|(_, age)| *age)
+        usable.filter(|(record, _)| !record.beliefs.is_empty()).min_by_key(|(_, age)| *age)
+    }
+
+    /// Removes this process's record: the process ends.
+    pub fn withdraw(&self) {
+        self.store.withdraw();
+    }
+
+    /// Makes the next heartbeat, with what this process has in flight or reserved now.
+    pub fn begin(&self, now: Time, reservation: Reservation, knowledge: Knowledge) -> Heartbeat {
+        let mut state = self.state.borrow_mut();
+        state.publication.begin(now);
+        let Knowledge { numbers, beliefs } = knowledge;
+        let record = HandoverRecord {
+            gateway: self.store.gateway().to_string(),
+            settings: self.settings.get(),
+            process: self.store.process(),
+            written: now,
+            reservation,
+            numbers,
+            beliefs,
+        };
+        let abandoned = std::mem::take(&mut state.abandoned);
+        Heartbeat { store: self.store.clone(), begun: now, reservation, bytes: record.encode(), abandoned }
     }
 
-    /// Records of the others that can be read. Also remembers who runs.
-    fn others(&self, now: Time) -> Vec<HandoverRecord> {
-        let (records, torn, foreign) = self.directory.others(now);
-        if let Some(gateway) = foreign.first() {
-            log::warn!(
-                "{} handover records of other gateways are ignored, the first of {gateway}",
-                foreign.len()
-            );
+    /// Learns from a heartbeat that has ended now.
+    pub fn finish(&self, now: Time, result: HeartbeatResult) {
+        let HeartbeatResult { begun, reservation, published, refreshed, scan } = result;
+        let blind = published.is_err();
+        self.published(begun, reservation, published, refreshed);
+        self.scanned(now, &scan);
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        if let Ok(scan) = scan {
+            let abandoned = state.retention.abandoned(now, &scan.files);
+            // Where this process cannot write, its siblings may not be able to either: their files are all that is left
+            // of them.
+            state.abandoned = if blind { Vec::new() } else { abandoned };
         }
-        torn.iter().for_each(|cause| log::warn!("a handover record is not used: {cause}"));
-        self.record_seen(&records);
-        records
     }
 
-    fn record_seen(&self, records: &[HandoverRecord]) {
-        let mut siblings = self.siblings.borrow_mut();
-        siblings.retain(&records.iter().map(|record| record.process).collect::<Vec<_>>());
-        records
-            .iter()
-            .for_each(|record| siblings.record_seen(record.process, record.written, record.reservation));
+    fn published(
+        &self,
+        begun: Time,
+        reservation: Reservation,
+        published: Result<(), PublishError>,
+        refreshed: bool,
+    ) {
+        let publication = &mut self.state.borrow_mut().publication;
+        match published {
+            Ok(()) if publication.succeeded(begun, reservation) => {
+                log::info!("the handover record in {} is written again", self.place);
+            }
+            Ok(()) => {}
+            Err(cause) if publication.failed(begun, refreshed) => {
+                log::warn!("cannot write the handover record in {}: {cause}", self.place);
+            }
+            Err(_) => {}
+        }
     }
 
-    /// Takes this process's record away: it is over.
-    pub fn withdraw(&self) {
-        let _ = fs::remove_file(self.directory.own());
+    fn scanned(&self, now: Time, scan: &io::Result<Scan>) {
+        let mut state = self.state.borrow_mut();
+        match scan {
+            Ok(scan) => state.observe(now, scan, &self.place),
+            Err(cause) => {
+                if !std::mem::replace(&mut state.scan_failing, true) {
+                    log::warn!("cannot read the handover records in {}: {cause}", self.place);
+                }
+            }
+        }
+    }
+
+    /// Siblings that are alive (count), as of the last heartbeat.
+    pub fn live_siblings(&self, now: Time) -> usize {
+        let state = self.state.borrow();
+        state.siblings.live_count(state.scanned_at.unwrap_or(now))
+    }
+
+    /// What this process may use of the gateway's limits now.
+    pub fn limit(&self, now: Time, limits: Reservation) -> Reservation {
+        let state = self.state.borrow();
+        if state.siblings.is_empty() {
+            return limits;
+        }
+        let available = state.siblings.available(state.scanned_at.unwrap_or(now), limits);
+        if state.scan_failing {
+            state.publication.limit_unobserved(now, limits, available)
+        } else {
+            state.publication.limit(now, limits, available)
+        }
     }
 
-    /// Writes and reads records for as long as the gateway runs, and keeps to what the others leave of the whole.
+    /// Makes heartbeats for as long as the gateway runs, and keeps the process to its limit.
     pub async fn keep(
         self: Rc<Self>,
         clock: Clock,
         facade: Facade,
         budget: Rc<Budget>,
         names: Rc<HostNames>,
-        whole: Rc<Cell<Reservation>>,
+        limits: Rc<Cell<Reservation>>,
     ) {
-        let (mut before, mut most, mut failing) = (0, whole.get(), false);
+        let mut enforcer = Enforcer { handover: self.clone(), clock, facade, budget, limits, enforced: None };
+        let mut siblings = 0;
         loop {
-            let now = clock.now();
-            let numbers = names.all();
-            let reservation = Reservation { open: facade.open(), ..budget.held() };
-            let (directory, settings, beliefs) =
-                (self.directory.clone(), self.settings.get(), facade.beliefs());
-            let (gateway, process) = (directory.gateway.clone(), directory.process);
-            let bytes =
-                HandoverRecord { gateway, settings, process, written: now, reservation, numbers, beliefs }
-                    .encode();
+            let knowledge = Knowledge { numbers: names.all(), beliefs: enforcer.facade.beliefs() };
+            let heartbeat = self.begin(clock.now(), enforcer.in_use(), knowledge);
             // On a thread of its own: a write takes up to 0.4 s here where the disk is busy, and nobody who is served
             // may wait for it.
-            let exchanged = tokio::task::spawn_blocking(move || {
-                let written = directory.write(&bytes);
-                (written, directory.others(now))
-            });
-            let Ok((written, (records, ..))) = exchanged.await else { continue };
-            self.record_seen(&records);
-            match written {
-                Ok(()) => failing = false,
-                Err(cause) if !std::mem::replace(&mut failing, true) => {
-                    log::warn!(
-                        "cannot write the handover record in {}: {cause}",
-                        self.directory.folder.display()
-                    );
+            let mut running = tokio::task::spawn_blocking(move || heartbeat.run());
+            let result = loop {
+                tokio::select! {
+                    result = &mut running => break result,
+                    () = clock.sleep_until(clock.now() + HEARTBEAT_INTERVAL) => enforcer.enforce(),
                 }
-                Err(_) => {}
-            }
-            let now = clock.now();
-            let others = self.siblings.borrow_mut().live_count(now);
-            if others != std::mem::replace(&mut before, others) {
-                log::info!(
-                    "{others} other processes of this gateway run; their reservations are left to them"
-                );
+            };
+            // Without a result nothing was learned, and the publication grows old.
+            if let Ok(result) = result {
+                self.finish(clock.now(), result);
             }
-            let left = self.siblings.borrow_mut().available(now, whole.get());
-            if left != std::mem::replace(&mut most, left) {
-                budget.limit(left.sockets, left.memory);
-                facade.allow_open(left.open as u32);
+            let live = self.live_siblings(clock.now());
+            if live != std::mem::replace(&mut siblings, live) {
+                log::info!("{live} other processes of this gateway run; their reservations are left to them");
             }
-            clock.sleep_until(now + HEARTBEAT_INTERVAL).await;
+            enforcer.enforce();
+            clock.sleep_until(clock.now() + HEARTBEAT_INTERVAL).await;
         }
     }
 }
 
-impl RecordDirectory {
-    /// Records that other processes of this gateway left, why some cannot be read, and whose the others are. Old ones of
-    /// this gateway are removed.
-    fn others(&self, now: Time) -> (Vec<HandoverRecord>, Vec<RecordError>, Vec<String>) {
-        let (mut records, mut torn, mut foreign) = (Vec::new(), Vec::new(), Vec::new());
-        for path in self.paths() {
-            match read(&path) {
-                Ok(record) if record.gateway != self.gateway => foreign.push(record.gateway),
-                Ok(record) if record.process == self.process => {}
-                Ok(record) if now.saturating_sub(record.written) > RECORD_RETENTION => {
-                    drop(fs::remove_file(&path))
-                }
-                Ok(record) => records.push(record),
-                Err(cause) => torn.push(cause),
-            }
+impl State {
+    fn observe(&mut self, now: Time, scan: &Scan, place: &str) {
+        if std::mem::take(&mut self.scan_failing) {
+            log::info!("the handover records in {place} can be read again");
+            let span = now - self.scanned_at.unwrap_or(now);
+            self.siblings.unobserved_for(span);
         }
-        (records, torn, foreign)
-    }
-
-    /// The names that records of this gateway begin with: so many others as there may be, they are found.
-    fn prefix(&self) -> String {
-        format!("{PREFIX}{:08x}-", gateway_hash(&self.gateway))
+        self.scanned_at = Some(now);
+        if scan.unreadable.is_empty() {
+            self.unreadable = false;
+        } else if !std::mem::replace(&mut self.unreadable, true) {
+            let causes = scan.unreadable.iter().map(|record| record.cause);
+            causes.for_each(|cause| log::warn!("a handover record is not used: {cause}"));
+        }
+        self.observe_siblings(now, scan);
     }
 
-    fn paths(&self) -> Vec<PathBuf> {
-        let (mut own, mut rest, prefix) = (Vec::new(), Vec::new(), self.prefix());
-        for path in fs::read_dir(&self.folder).into_iter().flatten().flatten().map(|entry| entry.path()) {
-            let name = path.file_name().and_then(|name| name.to_str()).filter(|name| name.ends_with(SUFFIX));
-            match name {
-                Some(name) if name.starts_with(&prefix) && own.len() < MAX_RECORDS => own.push(path),
-                Some(name) if name.starts_with(PREFIX) && rest.len() < MAX_RECORDS => rest.push(path),
-                _ => {}
-            }
+    fn observe_siblings(&mut self, now: Time, scan: &Scan) {
+        let unreadable = scan.unreadable.iter().filter_map(|found| Some((found.process?, found.fingerprint)));
+        let unreadable: Vec<(u64, u64)> = unreadable.collect();
+        let readable = scan.records.iter().map(|found| found.record.process);
+        let begun = unreadable.iter().chain(&scan.unfinished).map(|(process, _)| *process);
+        self.siblings.retain(&readable.chain(begun).collect::<Vec<_>>());
+        for found in &scan.records {
+            let stamp = RecordStamp { written: found.record.written, fingerprint: found.fingerprint };
+            self.siblings.record_seen(now, found.record.process, stamp, found.record.reservation);
+        }
+        for (process, fingerprint) in unreadable {
+            self.siblings.unreadable_record_seen(now, process, fingerprint);
+        }
+        for (process, fingerprint) in &scan.unfinished {
+            self.siblings.unfinished_record_seen(now, *process, *fingerprint);
         }
-        own.extend(rest);
-        own
     }
+}
 
-    fn own(&self) -> PathBuf {
-        self.folder.join(format!("{}{:016x}{SUFFIX}", self.prefix(), self.process))
-    }
+/// Holds the process to its limit.
+struct Enforcer {
+    handover: Rc<Handover>,
+    clock: Clock,
+    facade: Facade,
+    budget: Rc<Budget>,
+    /// The gateway's limits.
+    limits: Rc<Cell<Reservation>>,
+    /// The limit in force; at first the gateway's.
+    enforced: Option<Reservation>,
+}
 
-    /// Writes a record, whole or not at all.
-    fn write(&self, bytes: &[u8]) -> std::io::Result<()> {
-        let half = self.own().with_extension("half");
-        fs::write(&half, bytes)?;
-        fs::rename(&half, self.own())
+impl Enforcer {
+    fn in_use(&self) -> Reservation {
+        Reservation { open: self.facade.open(), ..self.budget.held() }
     }
-}
 
-fn read(path: &std::path::Path) -> Result<HandoverRecord, RecordError> {
-    let mut bytes = Vec::new();
-    let file = fs::File::open(path).map_err(|_| RecordError::Damaged)?;
-    file.take(MAX_RECORD_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(|_| RecordError::Damaged)?;
-    HandoverRecord::decode(&bytes)
+    fn enforce(&mut self) {
+        let limit = self.handover.limit(self.clock.now(), self.limits.get());
+        if limit != self.enforced.replace(limit).unwrap_or(self.limits.get()) {
+            self.budget.limit(limit.sockets, limit.memory);
+            self.facade.allow_open(limit.open as u32);
+        }
+    }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -27,6 +27,8 @@
 pub mod peers;
 pub mod pg;
 pub mod read_buffer;
+pub mod record_directory;
+pub mod record_store;
 pub mod set;
 pub mod share_out;
 pub mod signals;
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -170,6 +170,72 @@
     assert_eq!(kinds(&free.client().ask(&select("a", "view", 20000))), "TDCZ");
 }
 
+/// Two processes whose wall clocks were this far apart when they started: the later one starts from what the other
+/// learned, and each counts the other for as long as both run.
+fn clocks_apart(number: u8, old_shift: &str, new_shift: &str) {
+    let (stage, _host) = shared(number, 200_000);
+    let mut stage = stage.operator(&format!("clock_shift: {old_shift}"));
+    let mut old = stage.beside();
+    old.call_until(b"ready\n", "YES");
+    let load = Load::start(&old, 1);
+    load.goes_on();
+    thread::sleep(Duration::from_millis(600));
+    let stage = stage.operator(&format!("clock_shift: {new_shift}"));
+    let free = std::net::TcpListener::bind(format!("127.77.{number}.3:0")).expect("a free port");
+    let ops = free.local_addr().expect("an address").to_string();
+    drop(free);
+    let mut new = stage.start_env(&stage.config(), &[("GW_OPS", &ops)]);
+    assert!(new.line_with("starting from what was learned").contains("of 1 hosts"));
+    new.line_with("1 other processes of this gateway run");
+    old.line_with("1 other processes of this gateway run");
+    // Longer than a record may stay unchanged.
+    thread::sleep(Duration::from_millis(3_500));
+    load.goes_on();
+    load.end();
+    let records = std::fs::read_dir(stage.folder()).expect("a folder").count();
+    assert_eq!(records, 2, "both run");
+    new.signal("TERM");
+    let (code, log) = new.ended();
+    assert_eq!(code, Some(0));
+    assert!(!log.contains("other processes of this gateway run"), "the old one was lost sight of: {log}");
+    // What is left of its log begins with the end of the new one.
+    old.signal("TERM");
+    let (code, log) = old.ended();
+    assert_eq!(code, Some(0));
+    assert!(log.matches("other processes of this gateway run").count() <= 1, "{log}");
+}
+
+#[test]
+fn clocks_three_seconds_apart_change_nothing_between_processes() {
+    clocks_apart(77, "0", "3s");
+    clocks_apart(78, "3s", "0");
+}
+
+#[test]
+fn clocks_a_minute_apart_change_nothing_between_processes() {
+    clocks_apart(79, "0", "60s");
+    clocks_apart(80, "60s", "0");
+}
+
+#[test]
+fn clocks_an_hour_apart_change_nothing_between_processes() {
+    clocks_apart(81, "0", "60m");
+    clocks_apart(82, "60m", "0");
+}
+
+#[test]
+fn a_directory_that_vanishes_for_a_while_is_logged_once_and_the_process_goes_on() {
+    let (mut stage, _host) = shared(83, 1_000);
+    let gateway = stage.beside();
+    gateway.call_until(b"ready\n", "YES");
+    std::fs::remove_dir_all(stage.folder()).expect("it was there");
+    gateway.line_with("cannot write the handover record");
+    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
+    std::fs::create_dir_all(stage.folder()).expect("a place to write");
+    gateway.line_with("is written again");
+    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
+}
+
 #[test]
 fn a_descriptor_that_is_no_socket_is_named() {
     let stage = Stage::new(76);
