--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -67,7 +67,7 @@
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 4);
     load.goes_on();
-    // Its letter tells what it has learned by now.
+    // Its record tells what it has learned by now.
     thread::sleep(Duration::from_millis(600));
     let new = stage.beside();
     new.call_until(b"ready\n", "YES");
@@ -78,7 +78,7 @@
     load.end();
     new.wait_for("requests=", |count| count > 0);
     let left = std::fs::read_dir(stage.folder()).expect("a folder").count();
-    assert_eq!(left, 1, "the old one took its letter away");
+    assert_eq!(left, 1, "the old one removed its record");
 }
 
 #[test]
@@ -154,13 +154,13 @@
 }
 
 #[test]
-fn a_torn_letter_is_left_aside_with_a_line_and_a_third_process_is_one_more() {
+fn a_damaged_record_is_logged_and_a_third_process_is_counted() {
     let (mut stage, _host) = shared(75, 1000);
     for (name, bytes) in [("1", &b"petrel\x01torn"[..]), ("2", b""), ("3", &[7; 5000])] {
         std::fs::write(format!("{}/petrelgauge-{name}.letter", stage.folder()), bytes).expect("written");
     }
     let free = stage.start_with(&stage.config());
-    assert!(free.line_with("a letter is left aside").contains("it is not whole"));
+    assert!(free.line_with("a handover record is not used").contains("it is incomplete or damaged"));
     free.line_with("serves at");
     let processes = [stage.beside(), stage.beside()];
     free.line_with("2 other processes of this gateway run");
@@ -170,6 +170,74 @@
     assert_eq!(kinds(&free.client().ask(&select("a", "view", 20000))), "TDCZ");
 }
 
+/// Two processes whose wall clocks were this far apart when they started: the later one starts from what the other
+/// learned, and each counts the other for as long as both run.
+fn clocks_apart(number: u8, old_shift: &str, new_shift: &str) {
+    let (stage, _host) = shared(number, 200_000);
+    let mut stage = stage.operator(&format!("clock_shift: {old_shift}"));
+    let mut old = stage.beside();
+    old.call_until(b"ready\n", "YES");
+    let load = Load::start(&old, 1);
+    load.goes_on();
+    thread::sleep(Duration::from_millis(600));
+    let stage = stage.operator(&format!("clock_shift: {new_shift}"));
+    let free = std::net::TcpListener::bind(format!("127.77.{number}.3:0")).expect("a free port");
+    let ops = free.local_addr().expect("an address").to_string();
+    drop(free);
+    let mut new = stage.start_env(&stage.config(), &[("GW_OPS", &ops)]);
+    // Longer than a record may stay unchanged, and no wait for a line that never comes.
+    thread::sleep(Duration::from_secs(6));
+    load.goes_on();
+    load.end();
+    // A record that is being replaced has the beginning of the next one beside it.
+    let names = std::fs::read_dir(stage.folder()).expect("a folder").flatten().map(|entry| entry.file_name());
+    let records = names.filter(|name| name.to_string_lossy().ends_with(".letter")).count();
+    assert_eq!(records, 2, "both run");
+    new.signal("TERM");
+    let (code, log) = new.ended();
+    assert_eq!(code, Some(0));
+    let learned = log.lines().find(|line| line.contains("starting from what was learned"));
+    assert!(learned.is_some_and(|line| line.contains("of 1 hosts")), "{log}");
+    assert!(log.contains("1 other processes of this gateway run"), "{log}");
+    assert!(!log.contains("0 other processes of this gateway run"), "the old one was lost sight of: {log}");
+    old.signal("TERM");
+    let (code, log) = old.ended();
+    assert_eq!(code, Some(0));
+    assert_eq!(log.matches("1 other processes of this gateway run").count(), 1, "{log}");
+    assert!(log.matches("0 other processes of this gateway run").count() <= 1, "{log}");
+}
+
+#[test]
+fn clocks_three_seconds_apart_change_nothing_between_processes() {
+    clocks_apart(77, "0", "3s");
+    clocks_apart(78, "3s", "0");
+}
+
+#[test]
+fn clocks_a_minute_apart_change_nothing_between_processes() {
+    clocks_apart(79, "0", "60s");
+    clocks_apart(80, "60s", "0");
+}
+
+#[test]
+fn clocks_an_hour_apart_change_nothing_between_processes() {
+    clocks_apart(81, "0", "60m");
+    clocks_apart(82, "60m", "0");
+}
+
+#[test]
+fn a_directory_that_vanishes_for_a_while_is_logged_once_and_the_process_goes_on() {
+    let (mut stage, _host) = shared(83, 1_000);
+    let gateway = stage.beside();
+    gateway.call_until(b"ready\n", "YES");
+    std::fs::remove_dir_all(stage.folder()).expect("it was there");
+    gateway.line_with("cannot write the handover record");
+    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
+    std::fs::create_dir_all(stage.folder()).expect("a place to write");
+    gateway.line_with("is written again");
+    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
+}
+
 #[test]
 fn a_descriptor_that_is_no_socket_is_named() {
     let stage = Stage::new(76);
