--- /dev/null
+++ b/crates/ownership/tests/common/mod.rs
@@ -0,0 +1,3 @@
+//! What several test files of this crate use.
+
+pub mod digest;
