--- a/crates/lab/src/ownership.rs
+++ b/crates/lab/src/ownership.rs
@@ -6,7 +6,7 @@
 use crate::stage::{Plan, Stage};
 use crate::Options;
 use petrelgauge::Time;
-use petrelgauge_ownership::{Duty, Fence, Message, Settings, Term, Word};
+use petrelgauge_ownership::{Fence, LeadershipRole, Message, Notification, Settings, Term};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
@@ -17,9 +17,9 @@
 pub const PLANTS: [&str; 3] = ["impostor", "fenceless", "deserted"];
 
 const GATEWAYS: usize = 7;
-const ELECTORS: [u16; 3] = [0, 2, 5];
+const ACCEPTORS: [u16; 3] = [0, 2, 5];
 const SECRET: u64 = 0x0a;
-const SCOUT: Duty = Duty { kind: 1, group: 0 };
+const SCOUT: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
 const OPERATOR: &str =
     "ownership: {\n  secret: \"a\"\n  electors: 3\n  lease: 1200ms\n  delay: 150ms\n  drift_percent: 2\n}\n";
 /// What the machine that all of it shares may add to a take-over (microseconds): timers, eight processes, the relay's
@@ -40,11 +40,11 @@
 
 impl Ledger {
     fn hear(&mut self, now: Time, from: u16, message: Message) {
-        let Message::Word(duty, term, _) = message else { return };
-        if duty != SCOUT {
+        let Message::Notification(role, term, _) = message else { return };
+        if role != SCOUT {
             return;
         }
-        if self.fenced && self.fence.pass(duty, term).is_err() {
+        if self.fenced && self.fence.admit(role, term).is_err() {
             self.turned += 1;
             return;
         }
@@ -129,14 +129,14 @@
         witness: true,
     };
     let settings = Settings {
-        me: GATEWAYS as u16,
+        self_id: GATEWAYS as u16,
         gateways: GATEWAYS as u16 + 1,
-        electors: ELECTORS.to_vec(),
+        acceptors: ACCEPTORS.to_vec(),
         lease: 1_200_000,
-        delay: 150_000,
-        drift: 0.02,
+        max_delay: 150_000,
+        drift_bound: 0.02,
     };
-    let limit = settings.takeover() + SLACK;
+    let limit = settings.takeover_bound() + SLACK;
     let planted = |fault: &str| options.plant.as_deref() == Some(fault);
     let ledger = Ledger {
         fence: Fence::default(),
@@ -169,7 +169,7 @@
             }
         }
         if planted("deserted") {
-            ELECTORS.iter().for_each(|place| stage.gateways.borrow_mut()[*place as usize].kill());
+            ACCEPTORS.iter().for_each(|place| stage.gateways.borrow_mut()[*place as usize].kill());
         }
         let next = play.successor(term, limit).await;
         play.took.push(stage.farm.clock.now() - begun);
@@ -190,12 +190,12 @@
             words.for_each(|word| play.ledger.hear(stage.farm.clock.now(), who, word));
         }
         if let (true, Some((owner, term))) = (planted("impostor"), play.ledger.owner()) {
-            let word = Message::Word(SCOUT, term, Word::Owns { left: 1 });
+            let word = Message::Notification(SCOUT, term, Notification::LeaseHeld { remaining: 1 });
             play.ledger.hear(stage.farm.clock.now(), (owner + 1) % GATEWAYS as u16, word);
         }
         (who, term) = next.or(play.ledger.owner()).unwrap_or_default();
         // An elector that was killed is silent for a lease: with another one gone there would be no majority.
-        play.read(play.settings.silence() + 300_000).await;
+        play.read(play.settings.startup_silence() + 300_000).await;
         (who, term) = play.ledger.owner().unwrap_or((who, term));
     }
     stage.stop().await;
@@ -205,7 +205,7 @@
 fn judge(options: &Options, play: &Play, owned: bool, late: u64, limit: Time) -> Verdict {
     let mut verdict = Verdict::new("ownership", options.seed);
     let Ledger { faults, taken, turned, odd, .. } = &play.ledger;
-    verdict.promise("somebody comes to own the duty", owned);
+    verdict.promise("somebody comes to own the role", owned);
     verdict
         .promise("no two owners whose effects are taken, and no older term after a newer", faults.is_empty());
     verdict.promise(format!("a new owner within {} ms of the last one's end", limit / 1000), late == 0);
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -12,9 +12,9 @@
 //! | `stop.rs` | SIGTERM, drain, resume and reload with requests open: model `stop` |
 //! | `marks.rs` | sessions' marks between two instances: model `marks` |
 //! | `rules.rs` | settings that change under open requests: model `rules` |
-//! | `ownership.rs` | electors, candidates and a fence: model `ownership` |
-//! | `placement.rs` | which elector should own which shard: model `placement` |
-//! | `shares.rs` | parts of limits lent and given: model `shares` |
+//! | `ownership.rs` | acceptors, candidates and a fence: model `ownership` |
+//! | `placement.rs` | which acceptor should hold which shard: model `placement` |
+//! | `quota.rs` | quotas lent and granted: model `shares` |
 //! | `coverage.rs` | the transitions that the models take, against those that there are |
 //! | `check.rs` | the checker, its report, and how a run is told and replayed |
 //!
@@ -27,8 +27,8 @@
 pub mod marks;
 pub mod ownership;
 pub mod placement;
+pub mod quota;
 pub mod rules;
-pub mod shares;
 pub mod stop;
 
 use check::Report;
@@ -93,7 +93,7 @@
     Named {
         name: "shares",
         plays: "two owners of the share-out, a lender to both, two that ask; answers and grants lost or late, one restart",
-        run: shares::run,
+        run: quota::run,
     },
     Named {
         name: "placement",
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -1,18 +1,20 @@
-//! Model `ownership`: three electors, two candidates, one duty; messages lost, late and doubled, one restart of an
-//! elector, an owner that stands still. Elector, candidate and fence are the gateway's. Time passes only where the
+//! Model `ownership`: three acceptors, two candidates, one role; messages lost, late and doubled, one restart of an
+//! acceptor, a lease holder that stands still. Acceptor, candidate and fence are the gateway's. Time passes only where the
 //! world says so: whoever is due and is not told stands still.
 
 use crate::check::{check, Report, World};
 use crate::Size;
-use petrelgauge_ownership::{Answer, Ask, Candidate, Duty, Elector, Fence, Settings, Step, Term};
+use petrelgauge_ownership::{
+    Acceptor, Action, Candidate, Fence, LeadershipRole, LeaseRequest, LeaseResponse, Settings, Term,
+};
 use petrelgauge_policy::Time;
 
-const ONE: &str = "no two may act on a duty at one instant";
+const ONE: &str = "no two may act on a role at one instant";
 const RISES: &str = "each owner has a higher term than the one before";
 const FENCED: &str =
     "no effect under an older term is taken after one under a newer, and none under a newer is turned away";
 
-const DUTY: Duty = Duty { kind: 1, group: 0 };
+const ROLE: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
 const LEASE: Time = 8_000;
 const ELECTORS: u16 = 3;
 
@@ -23,19 +25,19 @@
     Trouble(usize),
     /// What a candidate waits for is due, and it runs.
     Due(usize),
-    /// What a candidate asks comes to two electors, in this order, and their answers come back.
+    /// What a candidate asks comes to two acceptors, in this order, and their answers come back.
     Reaches(usize, [u16; 2]),
-    /// The same; the third elector's answer is late, and so is a copy of the first one's.
+    /// The same; the third acceptor's answer is late, and so is a copy of the first one's.
     Doubled(usize, [u16; 2]),
-    /// The first elector's answer comes back; the second one's is late.
+    /// The first acceptor's answer comes back; the second one's is late.
     Halved(usize, [u16; 2]),
-    /// What is asked comes to no elector now, and to this one late.
+    /// What is asked comes to no acceptor now, and to this one late.
     Delayed(usize, u16),
     /// Something late arrives.
     Arrives(usize),
-    /// An elector starts again.
+    /// An acceptor starts again.
     Restarts(u16),
-    /// An owner acts; what it does is on its way.
+    /// A lease holder acts; what it does is on its way.
     Acts(usize),
     /// Such an effect arrives.
     Taken(usize),
@@ -45,18 +47,18 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Late {
-    Ask(usize, u16, Ask),
-    Answer(usize, u16, Answer),
+    LeaseRequest(usize, u16, LeaseRequest),
+    LeaseResponse(usize, u16, LeaseResponse),
 }
 
 #[derive(Clone, Debug)]
 struct Fleet {
     now: Time,
     settings: Settings,
-    electors: Vec<Elector>,
+    acceptors: Vec<Acceptor>,
     candidates: Vec<Candidate>,
     /// What each candidate asks, until it has come to somebody.
-    asks: Vec<Option<Ask>>,
+    asks: Vec<Option<LeaseRequest>>,
     dues: Vec<u8>,
     late: Vec<Late>,
     may_be_late: u8,
@@ -80,7 +82,7 @@
     dues: [u8; 2],
     /// Something is late.
     late: u8,
-    /// An elector starts again.
+    /// An acceptor starts again.
     restarts: u8,
     /// Time passes.
     waits: u8,
@@ -104,33 +106,37 @@
 ];
 
 impl Fleet {
-    fn step(&mut self, who: usize, step: Step) {
+    fn step(&mut self, who: usize, step: Action) {
         match step {
-            Step::Ask(ask) => self.asks[who] = Some(ask),
-            Step::Own(term) => {
+            Action::Send(ask) => self.asks[who] = Some(ask),
+            Action::Acquired(term) => {
                 if self.last.is_some_and(|(other, last)| other != who && term <= last) {
                     self.broken = Some(RISES);
                 }
                 self.last = Some((who, term));
             }
-            Step::Keep(_) | Step::Lose(_) | Step::Wait => {}
+            Action::Renewed(_) | Action::Lost(_) | Action::Wait => {}
         }
     }
 
-    fn ask(&mut self, who: usize, elector: u16, ask: Ask) -> Option<Answer> {
-        self.electors[elector as usize].on(self.now, who as u16, DUTY, ask)
+    fn ask(&mut self, who: usize, acceptor: u16, ask: LeaseRequest) -> Option<LeaseResponse> {
+        self.acceptors[acceptor as usize].on(self.now, who as u16, ROLE, ask)
     }
 
-    fn answer(&mut self, who: usize, elector: u16, answer: Option<Answer>) {
+    fn answer(&mut self, who: usize, acceptor: u16, answer: Option<LeaseResponse>) {
         let Some(answer) = answer else { return };
-        let step = self.candidates[who].on(self.now, elector, answer);
+        let step = self.candidates[who].on(self.now, acceptor, answer);
         self.step(who, step);
     }
 
-    /// Comes to these electors; gives their answers.
-    fn reaches(&mut self, who: usize, electors: [u16; 2]) -> (Option<Ask>, [Option<Answer>; 2]) {
+    /// Comes to these acceptors; gives their answers.
+    fn reaches(
+        &mut self,
+        who: usize,
+        acceptors: [u16; 2],
+    ) -> (Option<LeaseRequest>, [Option<LeaseResponse>; 2]) {
         let ask = self.asks[who].take();
-        (ask, electors.map(|elector| self.ask(who, elector, ask?)))
+        (ask, acceptors.map(|acceptor| self.ask(who, acceptor, ask?)))
     }
 }
 
@@ -145,7 +151,7 @@
         }
         let mut moves = Vec::new();
         for who in 0..self.candidates.len() {
-            if self.dues[who] > 0 && self.now >= self.candidates[who].due_at() {
+            if self.dues[who] > 0 && self.now >= self.candidates[who].next_deadline() {
                 moves.push(Move::Due(who));
             }
             if self.asks[who].is_some() {
@@ -156,10 +162,10 @@
                     }
                 }
                 if self.may_be_late > 0 {
-                    moves.extend((0..ELECTORS).map(|elector| Move::Delayed(who, elector)));
+                    moves.extend((0..ELECTORS).map(|acceptor| Move::Delayed(who, acceptor)));
                 }
             }
-            if self.acts[who] > 0 && self.candidates[who].may(self.now).is_some() {
+            if self.acts[who] > 0 && self.candidates[who].held_term(self.now).is_some() {
                 moves.push(Move::Acts(who));
             }
         }
@@ -186,7 +192,7 @@
             }
             Move::Due(who) => {
                 self.dues[who] -= 1;
-                let step = self.candidates[who].due(self.now);
+                let step = self.candidates[who].on_deadline(self.now);
                 self.step(who, step);
             }
             Move::Reaches(who, pair) => {
@@ -201,39 +207,39 @@
                 let late = [(third, answer), (pair[0], answers[0])];
                 let late = late
                     .into_iter()
-                    .filter_map(|(elector, answer)| Some(Late::Answer(who, elector, answer?)));
+                    .filter_map(|(acceptor, answer)| Some(Late::LeaseResponse(who, acceptor, answer?)));
                 self.late.extend(late);
                 (0..2).for_each(|place| self.answer(who, pair[place], answers[place]));
             }
             Move::Halved(who, pair) => {
                 self.may_be_late -= 1;
                 let (_, [first, second]) = self.reaches(who, pair);
-                self.late.extend(second.map(|answer| Late::Answer(who, pair[1], answer)));
+                self.late.extend(second.map(|answer| Late::LeaseResponse(who, pair[1], answer)));
                 self.answer(who, pair[0], first);
             }
-            Move::Delayed(who, elector) => {
+            Move::Delayed(who, acceptor) => {
                 self.may_be_late -= 1;
                 let ask = self.asks[who].take();
-                self.late.extend(ask.map(|ask| Late::Ask(who, elector, ask)));
+                self.late.extend(ask.map(|ask| Late::LeaseRequest(who, acceptor, ask)));
             }
             Move::Arrives(place) => match self.late.remove(place) {
-                Late::Ask(who, elector, ask) => {
-                    let answer = self.ask(who, elector, ask);
-                    self.answer(who, elector, answer);
+                Late::LeaseRequest(who, acceptor, ask) => {
+                    let answer = self.ask(who, acceptor, ask);
+                    self.answer(who, acceptor, answer);
                 }
-                Late::Answer(who, elector, answer) => self.answer(who, elector, Some(answer)),
+                Late::LeaseResponse(who, acceptor, answer) => self.answer(who, acceptor, Some(answer)),
             },
-            Move::Restarts(elector) => {
+            Move::Restarts(acceptor) => {
                 self.restarts -= 1;
-                self.electors[elector as usize] = Elector::new(&self.settings, self.now);
+                self.acceptors[acceptor as usize] = Acceptor::new(&self.settings, self.now);
             }
             Move::Acts(who) => {
                 self.acts[who] -= 1;
-                self.effects.extend(self.candidates[who].may(self.now));
+                self.effects.extend(self.candidates[who].held_term(self.now));
             }
             Move::Taken(place) => {
                 let term = self.effects.remove(place);
-                let passed = self.fence.pass(DUTY, term).is_ok();
+                let passed = self.fence.admit(ROLE, term).is_ok();
                 if passed != (term >= self.took) {
                     self.broken = Some(FENCED);
                 }
@@ -244,7 +250,7 @@
                 self.now += span;
             }
         }
-        if self.candidates.iter().filter(|one| one.may(self.now).is_some()).count() > 1 {
+        if self.candidates.iter().filter(|one| one.held_term(self.now).is_some()).count() > 1 {
             self.broken = Some(ONE);
         }
     }
@@ -254,7 +260,7 @@
             Move::Trouble(which) => format!("of troubles there may be: {:?}", TROUBLES[*which]),
             Move::Due(who) => format!("candidate {who} runs, for something is due"),
             Move::Reaches(who, [a, b]) => {
-                format!("candidate {who} asks electors {a} and {b} and is answered")
+                format!("candidate {who} asks acceptors {a} and {b} and is answered")
             }
             Move::Doubled(who, [a, b]) => {
                 format!(
@@ -262,11 +268,11 @@
                 )
             }
             Move::Halved(who, [a, b]) => format!("candidate {who} asks {a} and {b}; {a} answers, {b} late"),
-            Move::Delayed(who, elector) => {
-                format!("what candidate {who} asks is late, and comes to {elector}")
+            Move::Delayed(who, acceptor) => {
+                format!("what candidate {who} asks is late, and comes to {acceptor}")
             }
             Move::Arrives(place) => format!("what was late arrives: {:?}", self.late.get(*place)),
-            Move::Restarts(elector) => format!("elector {elector} starts again"),
+            Move::Restarts(acceptor) => format!("acceptor {acceptor} starts again"),
             Move::Acts(who) => format!("candidate {who} acts as owner"),
             Move::Taken(place) => format!("an effect arrives, term {:?}", self.effects.get(*place)),
             Move::Waits(span) => format!("{span} pass"),
@@ -281,15 +287,21 @@
 
 /// Plays it.
 pub fn run(size: Size, path: &[String]) -> Report {
-    let settings =
-        |me| Settings { me, gateways: 3, electors: vec![0, 1, 2], lease: LEASE, drift: 0.0, delay: 1_000 };
+    let settings = |me| Settings {
+        self_id: me,
+        gateways: 3,
+        acceptors: vec![0, 1, 2],
+        lease: LEASE,
+        drift_bound: 0.0,
+        max_delay: 1_000,
+    };
     // Electors that have run for long, and candidates that may ask at once.
     let now = 100_000;
-    let silence = settings(0).silence();
+    let silence = settings(0).startup_silence();
     let start = Fleet {
         now,
         settings: settings(0),
-        electors: (0..ELECTORS).map(|_| Elector::new(&settings(0), now - silence)).collect(),
+        acceptors: (0..ELECTORS).map(|_| Acceptor::new(&settings(0), now - silence)).collect(),
         candidates: (0..2).map(|me| Candidate::new(settings(me), now - 4_000, 10, u64::from(me))).collect(),
         asks: vec![None, None],
         dues: Vec::new(),
--- a/crates/models/src/placement.rs
+++ b/crates/models/src/placement.rs
@@ -1,5 +1,5 @@
-//! Model `placement`: three electors and three shards of a duty; electors go and come back, heartbeats are lost, time
-//! passes. Each elector's placement is the gateway's; who owns a shard is kept by the world as leases would have it: one at
+//! Model `placement`: three acceptors and three shards of a role; acceptors go and come back, heartbeats are lost, time
+//! passes. Each acceptor's placement is the gateway's; who owns a shard is kept by the world as leases would have it: one at
 //! a time, and one that yields or goes leaves it free.
 
 use crate::check::{check, Report, World};
@@ -8,7 +8,7 @@
 use petrelgauge_policy::Time;
 
 const ORPHANED: &str = "a shard whose owner is gone for good has another one";
-const RETURNED: &str = "once all electors have been up for long each shard has its first choice";
+const RETURNED: &str = "once all acceptors have been up for long each shard has its first choice";
 const STEADY: &str = "a shard is given up only for one that has stayed";
 
 const ELECTORS: usize = 3;
@@ -22,9 +22,9 @@
 /// An event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Move {
-    /// An elector stops, or starts anew.
+    /// An acceptor stops, or starts anew.
     Toggle(usize),
-    /// Half a lease passes; the heartbeats of this elector are lost meanwhile, of nobody's if it is none.
+    /// Half a lease passes; the heartbeats of this acceptor are lost meanwhile, of nobody's if it is none.
     Pass(Option<usize>),
 }
 
@@ -34,7 +34,7 @@
     placements: Vec<Option<Placement>>,
     /// Who owns each shard.
     owners: Vec<Option<usize>>,
-    /// Half leases that this elector has been up for, or was when it stopped.
+    /// Half leases that this acceptor has been up for, or was when it stopped.
     steady: Vec<u8>,
     /// Half leases since it stopped.
     gone: Vec<u8>,
@@ -47,33 +47,33 @@
 }
 
 fn settings(me: usize) -> Settings {
-    let electors = (0..ELECTORS as u16).collect();
-    Settings { me: me as u16, gateways: 9, electors, lease: LEASE, drift: 0.0, delay: 10 }
+    let acceptors = (0..ELECTORS as u16).collect();
+    Settings { self_id: me as u16, gateways: 9, acceptors, lease: LEASE, drift_bound: 0.0, max_delay: 10 }
 }
 
 impl Electors {
-    fn pass(&mut self, unheard: Option<usize>) {
+    fn admit(&mut self, unheard: Option<usize>) {
         self.now += LEASE / 2;
         for from in 0..ELECTORS {
             let Some(placement) = &mut self.placements[from] else { continue };
-            let to = placement.heartbeat(self.now);
+            let to = placement.due_heartbeats(self.now);
             if unheard == Some(from) {
                 continue;
             }
             for to in to {
                 if let Some(other) = &mut self.placements[usize::from(to)] {
-                    other.heard(self.now, from as u16);
+                    other.on_heartbeat(self.now, from as u16);
                 }
             }
         }
         for shard in 0..usize::from(SHARDS) {
-            self.give_up(shard);
+            self.release(shard);
             self.take(shard);
         }
     }
 
-    /// An owner that yields gives its shard up.
-    fn give_up(&mut self, shard: usize) {
+    /// A lease holder that yields gives its shard up.
+    fn release(&mut self, shard: usize) {
         let Some(owner) = self.owners[shard] else { return };
         let Some(placement) = &self.placements[owner] else { return };
         if placement.yields(self.now, shard as u16) {
@@ -142,7 +142,7 @@
                 self.steps -= 1;
                 self.losses -= u8::from(unheard.is_some());
                 self.quiet = if unheard.is_some() { 0 } else { self.quiet + 1 };
-                self.pass(unheard);
+                self.admit(unheard);
                 for one in 0..ELECTORS {
                     let counter = if self.placements[one].is_some() {
                         &mut self.steady[one]
@@ -157,10 +157,10 @@
 
     fn told(&self, event: &Move) -> String {
         match event {
-            Move::Toggle(one) if self.placements[*one].is_some() => format!("elector {one} stops"),
-            Move::Toggle(one) => format!("elector {one} starts anew"),
+            Move::Toggle(one) if self.placements[*one].is_some() => format!("acceptor {one} stops"),
+            Move::Toggle(one) => format!("acceptor {one} starts anew"),
             Move::Pass(None) => "half a lease passes".into(),
-            Move::Pass(Some(one)) => format!("half a lease passes, and nobody hears elector {one}"),
+            Move::Pass(Some(one)) => format!("half a lease passes, and nobody hears acceptor {one}"),
         }
     }
 
--- a/crates/models/src/shares.rs
+++ b/crates/models/src/quota.rs
@@ -1,15 +1,15 @@
-//! Model `shares`: two gateways that both take themselves for the owner of the share-out, each with one gateway that asks
-//! of it, and one gateway that lends to both; answers and grants lost or late, the lender started again. Part and pool
+//! Model `shares`: two gateways that both take themselves for the lease holder of the share-out, each with one gateway that asks
+//! of it, and one gateway that lends to both; answers and grants lost or late, the lender started again. Quota and pool
 //! are the gateway's. Time passes only where the world says so.
 
 use crate::check::{check, Report, World};
 use crate::Size;
-use petrelgauge_ownership::shares::{Answer, Line, Milli, Part, Pool};
+use petrelgauge_ownership::quota::{GroupDemand, Milli, Quota, QuotaPool, QuotaReport};
 use petrelgauge_ownership::{Settings, Term};
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
-const SUM: &str = "all parts in force are never above the even ones together";
+const SUM: &str = "all quotas in force are never above the even ones together";
 
 const GROUP: GroupId = 1;
 const LEASE: Time = 8_000;
@@ -32,7 +32,7 @@
 pub enum Move {
     /// Which troubles may come: all of them at a time would be more states than can be seen.
     Trouble(usize),
-    /// This owner opens a round; what becomes of the lender's answer, and of the grant to whoever asks.
+    /// This lease holder opens a round; what becomes of the lender's answer, and of the grant to whoever requested.
     Round(usize, Way, Way),
     /// Something late arrives.
     Arrives(usize),
@@ -44,15 +44,15 @@
 
 #[derive(Clone, Debug)]
 enum Late {
-    Answer(usize, Answer),
+    QuotaReport(usize, QuotaReport),
     Grant(usize, u32, Vec<(GroupId, Milli)>),
 }
 
 #[derive(Clone, Debug)]
 struct Fleet {
     now: Time,
-    parts: Vec<Part>,
-    pools: Vec<Pool>,
+    quotas: Vec<Quota>,
+    pools: Vec<QuotaPool>,
     rounds: [u8; 2],
     late: Vec<Late>,
     may_be_late: u8,
@@ -65,7 +65,7 @@
 /// How often what may happen.
 #[derive(Clone, Copy, Debug)]
 struct Trouble {
-    /// Each owner opens a round.
+    /// Each lease holder opens a round.
     rounds: [u8; 2],
     late: u8,
     restarts: u8,
@@ -79,7 +79,14 @@
 ];
 
 fn settings() -> Settings {
-    Settings { me: 0, gateways: 3, electors: vec![0, 1, 2], lease: LEASE, drift: 0.0, delay: 1_000 }
+    Settings {
+        self_id: 0,
+        gateways: 3,
+        acceptors: vec![0, 1, 2],
+        lease: LEASE,
+        drift_bound: 0.0,
+        max_delay: 1_000,
+    }
 }
 
 fn rates(who: usize) -> BTreeMap<GroupId, u32> {
@@ -87,13 +94,13 @@
 }
 
 impl Fleet {
-    fn grant(&mut self, who: usize, number: u32, given: &[(GroupId, Milli)]) {
-        self.parts[who].hear_grant(self.now, number, given);
+    fn grant(&mut self, who: usize, number: u32, granted: &[(GroupId, Milli)]) {
+        self.quotas[who].on_grant(self.now, number, granted);
     }
 
-    /// An answer comes to an owner; gives what that gives.
-    fn answer(&mut self, owner: usize, who: usize, answer: &Answer) -> Vec<(GroupId, Milli)> {
-        self.pools[owner].hear(self.now, who as u16, answer.round, &answer.lines)
+    /// An answer comes to a lease holder; grants_for what that grants_for.
+    fn answer(&mut self, owner: usize, who: usize, answer: &QuotaReport) -> Vec<(GroupId, Milli)> {
+        self.pools[owner].on_report(self.now, who as u16, answer.round, &answer.lines)
     }
 }
 
@@ -109,10 +116,10 @@
         let mut moves = Vec::new();
         for owner in (0..2).filter(|owner| self.rounds[*owner] > 0) {
             for lends in [Way::Lost, Way::Now, Way::Late] {
-                for given in [Way::Lost, Way::Now, Way::Late] {
-                    let late = [lends, given].iter().filter(|way| **way == Way::Late).count();
+                for granted in [Way::Lost, Way::Now, Way::Late] {
+                    let late = [lends, granted].iter().filter(|way| **way == Way::Late).count();
                     if late <= usize::from(self.may_be_late) {
-                        moves.push(Move::Round(owner, lends, given));
+                        moves.push(Move::Round(owner, lends, granted));
                     }
                 }
             }
@@ -134,27 +141,27 @@
                 (self.rounds, self.may_be_late) = (rounds, late);
                 (self.restarts, self.waits) = (restarts, waits + more);
             }
-            Move::Round(owner, lends, given) => {
+            Move::Round(owner, lends, granted) => {
                 self.rounds[owner] -= 1;
                 let (now, asker) = (self.now, 1 + owner);
-                let (round, pieces) = self.pools[owner].open(now);
+                let (round, pieces) = self.pools[owner].open_round(now);
                 let term = self.pools[owner].term();
                 let means = pieces.first().cloned().unwrap_or_default();
                 if lends != Way::Lost {
-                    self.parts[LENDER].hear_round(now, term, round, &means);
-                    for answer in self.parts[LENDER].due(now, &rates(LENDER)) {
+                    self.quotas[LENDER].on_round(now, term, round, &means);
+                    for answer in self.quotas[LENDER].due_reports(now, &rates(LENDER)) {
                         if lends == Way::Late {
                             self.may_be_late -= 1;
-                            self.late.push(Late::Answer(owner, answer));
+                            self.late.push(Late::QuotaReport(owner, answer));
                         } else {
                             self.answer(owner, LENDER, &answer);
                         }
                     }
                 }
-                self.parts[asker].hear_round(now, term, round, &means);
-                for answer in self.parts[asker].due(now, &rates(asker)) {
+                self.quotas[asker].on_round(now, term, round, &means);
+                for answer in self.quotas[asker].due_reports(now, &rates(asker)) {
                     let gift = self.answer(owner, asker, &answer);
-                    match given {
+                    match granted {
                         Way::Lost => {}
                         Way::Now => self.grant(asker, answer.number, &gift),
                         Way::Late => {
@@ -165,14 +172,14 @@
                 }
             }
             Move::Arrives(place) => match self.late.remove(place) {
-                Late::Answer(owner, answer) => {
+                Late::QuotaReport(owner, answer) => {
                     self.answer(owner, LENDER, &answer);
                 }
-                Late::Grant(who, number, given) => self.grant(who, number, &given),
+                Late::Grant(who, number, granted) => self.grant(who, number, &granted),
             },
             Move::Restarts => {
                 self.restarts -= 1;
-                self.parts[LENDER] = Part::new(settings(), self.now, 1_000);
+                self.quotas[LENDER] = Quota::new(settings(), self.now, 1_000);
             }
             Move::Waits(span) => {
                 self.waits -= 1;
@@ -184,8 +191,8 @@
     fn told(&self, event: &Move) -> String {
         let what = match event {
             Move::Trouble(which) => format!("of troubles there may be: {:?}", TROUBLES[*which]),
-            Move::Round(owner, lends, given) => {
-                format!("owner {owner} opens a round; the lender's answer: {lends:?}, the grant: {given:?}")
+            Move::Round(owner, lends, granted) => {
+                format!("owner {owner} opens a round; the lender's answer: {lends:?}, the grant: {granted:?}")
             }
             Move::Arrives(place) => format!("what was late arrives: {:?}", self.late.get(*place)),
             Move::Restarts => "the lender starts again".to_string(),
@@ -195,26 +202,31 @@
     }
 
     fn broken(&self) -> Option<&'static str> {
-        let extra = |part: &Part| part.share(self.now, GROUP).at(self.now) - 1.0;
-        (self.parts.iter().map(extra).sum::<f64>() > 1e-6).then_some(SUM)
+        let extra = |quota: &Quota| quota.current(self.now, GROUP).at(self.now) - 1.0;
+        (self.quotas.iter().map(extra).sum::<f64>() > 1e-6).then_some(SUM)
     }
 }
 
 /// Plays it.
 pub fn run(size: Size, path: &[String]) -> Report {
     let now = 100_000;
-    let mut pools: Vec<Pool> = [5, 6].map(|term: Term| Pool::new(settings(), term)).into();
+    let mut pools: Vec<QuotaPool> = [5, 6].map(|term: Term| QuotaPool::new(settings(), term)).into();
     for (owner, pool) in pools.iter_mut().enumerate() {
         // Both have heard rates, so that the means are known from the first round on, and what is asked for.
-        let (round, _) = pool.open(now - 1);
+        let (round, _) = pool.open_round(now - 1);
         for who in [LENDER, 1 + owner] {
-            let asks = if who == LENDER { 0 } else { 500 };
-            pool.hear(now - 1, who as u16, round, &[Line { group: GROUP, rate: RATES[who], asks }]);
+            let requested = if who == LENDER { 0 } else { 500 };
+            pool.on_report(
+                now - 1,
+                who as u16,
+                round,
+                &[GroupDemand { group: GROUP, rate: RATES[who], requested }],
+            );
         }
     }
     let start = Fleet {
         now,
-        parts: (0..3).map(|who| Part::new(settings(), now - 4 * LEASE, who * 100)).collect(),
+        quotas: (0..3).map(|who| Quota::new(settings(), now - 4 * LEASE, who * 100)).collect(),
         pools,
         rounds: [0, 0],
         late: Vec::new(),
--- a/crates/ownership/src/candidate.rs
+++ b/crates/ownership/src/candidate.rs
@@ -1,18 +1,18 @@
-//! Asking for a duty, owning it, renewing it and giving it up.
+//! Preparing for a role, owning it, renewing it and giving it up.
 //!
 //! ```text
 //!         Due              majority promised          majority accepted
-//! Idle ---------> Asking ---------------------> Bidding ----------------> Owning --Due--> Owning (renewing)
+//! Idle ---------> Preparing ---------------------> Proposing ----------------> Holding --Due--> Holding (renewing)
 //!   ^               |                              |                          |
 //!   +---- denied, another owns it, too late -------+------- lease over -------+
 //! ```
 //!
-//! The lease is reckoned from the moment at which the bid was **sent**, by the candidate's own clock: each elector
+//! The lease is reckoned from the moment at which the bid was **sent**, by the candidate's own clock: each acceptor
 //! reckons from when it came, which is later. Each bid has a number of its own, so that a late answer to an earlier one
 //! renews nothing.
 
-use crate::message::{Answer, Ask};
-use crate::{Ballot, Gateway, Settings, Term, WHO_BITS};
+use crate::message::{LeaseRequest, LeaseResponse};
+use crate::{Ballot, GatewayId, Settings, Term, PROPOSER_BITS};
 use petrelgauge_policy::{mutant, Mutant, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -20,248 +20,251 @@
 
 /// Where it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Stage {
+enum State {
     /// It does not ask before this time.
-    Idle { ask_at: Time },
+    Idle { retry_at: Time },
     /// It asked for promises.
-    Asking { by: Time, promised: BTreeSet<Gateway> },
+    Preparing { deadline: Time, promised: BTreeSet<GatewayId> },
     /// It bids, since this time.
-    Bidding { sent_at: Time, by: Time, accepted: BTreeSet<Gateway> },
-    /// It owns the duty up to `until`. `renewal`: a bid to renew it is out since then, and who accepted it.
-    Owning { until: Time, renewal: Option<(Time, BTreeSet<Gateway>)> },
+    Proposing { sent_at: Time, deadline: Time, accepted: BTreeSet<GatewayId> },
+    /// It owns the role up to `expires_at`. `renewal`: a bid to renew it is out since then, and who accepted it.
+    Holding { expires_at: Time, renewal: Option<(Time, BTreeSet<GatewayId>)> },
 }
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum Action {
     /// Nothing.
     Wait,
-    /// Ask all electors this.
-    Ask(Ask),
-    /// It owns the duty from now on, under this term; all may be told.
-    Own(Term),
-    /// It goes on to own the duty, under the same term; all may be told.
-    Keep(Term),
-    /// It does not own the duty any more.
-    Lose(Term),
+    /// Send this to all acceptors.
+    Send(LeaseRequest),
+    /// It owns the role from now on, under this term; all may be told.
+    Acquired(Term),
+    /// It goes on to own the role, under the same term; all may be told.
+    Renewed(Term),
+    /// It does not own the role any more.
+    Lost(Term),
 }
 
-/// One gateway that wants a duty.
+/// One gateway that wants a role.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     settings: Settings,
-    stage: Stage,
+    state: State,
     ballot: Ballot,
     /// The highest term that it has heard of.
     highest: Term,
     round: u32,
     /// Attempts in a row without success.
-    failed: u32,
-    dice: Pcg64Mcg,
+    failed_attempts: u32,
+    rng: Pcg64Mcg,
 }
 
 impl Candidate {
     /// One that starts now. `base`: the highest term that is known.
     pub fn new(settings: Settings, now: Time, base: Term, seed: u64) -> Candidate {
-        let ballot = Ballot { term: 0, who: settings.me };
-        let dice = Pcg64Mcg::seed_from_u64(seed);
-        let stage = Stage::Idle { ask_at: now };
-        let mut one = Candidate { settings, stage, ballot, highest: base, round: 0, failed: 0, dice };
-        one.rest(now);
+        let ballot = Ballot { term: 0, proposer: settings.self_id };
+        let rng = Pcg64Mcg::seed_from_u64(seed);
+        let state = State::Idle { retry_at: now };
+        let mut one = Candidate { settings, state, ballot, highest: base, round: 0, failed_attempts: 0, rng };
+        one.back_off(now);
         one
     }
 
     /// The term under which it may act now. To be asked with the time read right before each effect.
-    pub fn may(&self, now: Time) -> Option<Term> {
-        match &self.stage {
-            Stage::Owning { until, .. } if now < *until => Some(self.ballot.term),
-            Stage::Owning { until, .. } if now == *until && mutant(Mutant::LeaseEndIncluded) => {
+    pub fn held_term(&self, now: Time) -> Option<Term> {
+        match &self.state {
+            State::Holding { expires_at, .. } if now < *expires_at => Some(self.ballot.term),
+            State::Holding { expires_at, .. } if now == *expires_at && mutant(Mutant::LeaseEndIncluded) => {
                 Some(self.ballot.term)
             }
             _ => None,
         }
     }
 
-    /// What is left of its lease.
-    pub fn left(&self, now: Time) -> Time {
-        match &self.stage {
-            Stage::Owning { until, .. } => (until - now).max(0),
+    /// What is remaining of its lease.
+    pub fn remaining(&self, now: Time) -> Time {
+        match &self.state {
+            State::Holding { expires_at, .. } => (expires_at - now).max(0),
             _ => 0,
         }
     }
 
-    /// When [`Candidate::due`] is to be called.
-    pub fn due_at(&self) -> Time {
-        match &self.stage {
-            Stage::Idle { ask_at } => *ask_at,
-            Stage::Asking { by, .. } | Stage::Bidding { by, .. } => *by,
-            Stage::Owning { until, renewal: None } => until - self.settings.renew(),
-            Stage::Owning { until, renewal: Some((sent, _)) } => {
-                (sent + self.settings.patience()).min(*until)
+    /// When [`Candidate::on_deadline`] is to be called.
+    pub fn next_deadline(&self) -> Time {
+        match &self.state {
+            State::Idle { retry_at } => *retry_at,
+            State::Preparing { deadline, .. } | State::Proposing { deadline, .. } => *deadline,
+            State::Holding { expires_at, renewal: None } => expires_at - self.settings.renew_before_expiry(),
+            State::Holding { expires_at, renewal: Some((sent, _)) } => {
+                (sent + self.settings.response_timeout()).min(*expires_at)
             }
         }
     }
 
-    /// Somebody owns the duty under this term for so long at most: no use in asking before.
-    pub fn heard(&mut self, now: Time, term: Term, left: Time) {
+    /// Somebody owns the role under this term for so long at most: no use in asking before.
+    pub fn observe_lease(&mut self, now: Time, term: Term, remaining: Time) {
         self.highest = self.highest.max(term);
         if term < self.ballot.term {
             return;
         }
-        self.failed = 0;
-        let turn = self.turn();
-        if let Stage::Idle { ask_at } = &mut self.stage {
-            *ask_at = (*ask_at).max(now + left.clamp(0, self.settings.held()) + turn);
+        self.failed_attempts = 0;
+        let turn = self.stagger();
+        if let State::Idle { retry_at } = &mut self.state {
+            *retry_at = (*retry_at).max(now + remaining.clamp(0, self.settings.acceptance_duration()) + turn);
         }
     }
 
     /// Its turn among candidates that all wait for the same grant to run out: each leaves the one before it the time to
-    /// win. One that is no elector draws its turn.
-    fn turn(&mut self) -> Time {
-        let Settings { electors, me, delay, .. } = &self.settings;
-        let drawn = (self.dice.next_u64() >> 1) as Time;
-        let place = electors.iter().position(|elector| elector == me);
-        let place = place.unwrap_or(drawn as usize % electors.len().max(1));
-        place as Time * self.settings.patience() + drawn % (*delay).max(1)
+    /// win. One that is no acceptor draws its turn.
+    fn stagger(&mut self) -> Time {
+        let Settings { acceptors, self_id, max_delay, .. } = &self.settings;
+        let drawn = (self.rng.next_u64() >> 1) as Time;
+        let place = acceptors.iter().position(|acceptor| acceptor == self_id);
+        let place = place.unwrap_or(drawn as usize % acceptors.len().max(1));
+        place as Time * self.settings.response_timeout() + drawn % (*max_delay).max(1)
     }
 
-    /// A higher term is about: it was seen by somebody who turned something of this one away.
-    pub fn outbid(&mut self, term: Term) {
+    /// A higher term is about: it was seen by somebody who rejected something of this one away.
+    pub fn observe_term(&mut self, term: Term) {
         self.highest = self.highest.max(term);
     }
 
-    /// The time that [`Candidate::due_at`] named has come.
-    pub fn due(&mut self, now: Time) -> Step {
-        if now < self.due_at() {
-            return Step::Wait;
+    /// The time that [`Candidate::next_deadline`] named has come.
+    pub fn on_deadline(&mut self, now: Time) -> Action {
+        if now < self.next_deadline() {
+            return Action::Wait;
         }
-        match &self.stage {
-            Stage::Idle { .. } => {
-                // The time, too: an elector that started again may have forgotten the last owner's term. It is silent
+        match &self.state {
+            State::Idle { .. } => {
+                // The time, too: an acceptor that started again may have forgotten the last lease holder's term. It is silent
                 // for longer than a lease after that, so a bid that it promises is later by as much.
-                let timed = ((now / 1000).max(0) as Term) << WHO_BITS;
+                let timed = ((now / 1000).max(0) as Term) << PROPOSER_BITS;
                 let heard = self.highest.max(self.ballot.term);
                 let highest = if mutant(Mutant::TermNotRaised) { heard } else { heard.max(timed) };
-                let next = next_term(highest, self.settings.me);
+                let next = next_term(highest, self.settings.self_id);
                 self.ballot.term = if mutant(Mutant::TermNotRaised) { highest } else { next };
                 self.highest = self.ballot.term;
-                self.stage = Stage::Asking { by: now + self.settings.patience(), promised: BTreeSet::new() };
-                Step::Ask(Ask::Prepare { ballot: self.ballot })
+                self.state = State::Preparing {
+                    deadline: now + self.settings.response_timeout(),
+                    promised: BTreeSet::new(),
+                };
+                Action::Send(LeaseRequest::Prepare { ballot: self.ballot })
             }
-            Stage::Asking { .. } | Stage::Bidding { .. } => {
-                self.failed += 1;
-                self.rest(now);
-                Step::Wait
+            State::Preparing { .. } | State::Proposing { .. } => {
+                self.failed_attempts += 1;
+                self.back_off(now);
+                Action::Wait
             }
-            Stage::Owning { until, .. } if now >= *until => {
-                self.rest(now);
-                Step::Lose(self.ballot.term)
+            State::Holding { expires_at, .. } if now >= *expires_at => {
+                self.back_off(now);
+                Action::Lost(self.ballot.term)
             }
-            Stage::Owning { until, .. } => {
-                let until = *until;
+            State::Holding { expires_at, .. } => {
+                let expires_at = *expires_at;
                 self.round += 1;
-                self.stage = Stage::Owning { until, renewal: Some((now, BTreeSet::new())) };
-                Step::Ask(Ask::Propose { ballot: self.ballot, round: self.round })
+                self.state = State::Holding { expires_at, renewal: Some((now, BTreeSet::new())) };
+                Action::Send(LeaseRequest::Propose { ballot: self.ballot, round: self.round })
             }
         }
     }
 
-    /// An elector answers.
-    pub fn on(&mut self, now: Time, from: Gateway, answer: Answer) -> Step {
-        if !self.settings.electors.contains(&from) || answer.ballot() != self.ballot {
-            return Step::Wait;
+    /// An acceptor answers.
+    pub fn on(&mut self, now: Time, from: GatewayId, answer: LeaseResponse) -> Action {
+        if !self.settings.acceptors.contains(&from) || answer.ballot() != self.ballot {
+            return Action::Wait;
         }
-        if let Stage::Asking { by, .. } | Stage::Bidding { by, .. } = &self.stage {
-            // So late that a term from then may lie under that of an owner whom an elector has forgotten since.
-            if now >= *by && !mutant(Mutant::LateAnswerCounts) {
-                return Step::Wait;
+        if let State::Preparing { deadline, .. } | State::Proposing { deadline, .. } = &self.state {
+            // So late that a term from then may lie under that of a lease holder whom an acceptor has forgotten since.
+            if now >= *deadline && !mutant(Mutant::LateAnswerCounts) {
+                return Action::Wait;
             }
         }
         let majority = self.settings.majority();
         let enough =
-            |who: &BTreeSet<Gateway>| who.len() >= majority - usize::from(mutant(Mutant::MinorityEnough));
-        match (&mut self.stage, answer) {
-            (Stage::Asking { promised, .. }, Answer::Promised { other: None, .. }) => {
+            |who: &BTreeSet<GatewayId>| who.len() >= majority - usize::from(mutant(Mutant::MinorityEnough));
+        match (&mut self.state, answer) {
+            (State::Preparing { promised, .. }, LeaseResponse::Promised { granted: None, .. }) => {
                 promised.insert(from);
                 if !enough(promised) {
-                    return Step::Wait;
+                    return Action::Wait;
                 }
                 self.round += 1;
-                let by = now + self.settings.patience();
-                self.stage = Stage::Bidding { sent_at: now, by, accepted: BTreeSet::new() };
-                Step::Ask(Ask::Propose { ballot: self.ballot, round: self.round })
+                let deadline = now + self.settings.response_timeout();
+                self.state = State::Proposing { sent_at: now, deadline, accepted: BTreeSet::new() };
+                Action::Send(LeaseRequest::Propose { ballot: self.ballot, round: self.round })
             }
-            (Stage::Asking { .. }, Answer::Promised { other: Some((owner, left)), .. }) => {
-                self.highest = self.highest.max(owner.term);
-                self.rest(now);
-                self.heard(now, self.ballot.term, left);
-                Step::Wait
+            (State::Preparing { .. }, LeaseResponse::Promised { granted: Some((holder, remaining)), .. }) => {
+                self.highest = self.highest.max(holder.term);
+                self.back_off(now);
+                self.observe_lease(now, self.ballot.term, remaining);
+                Action::Wait
             }
-            (Stage::Bidding { sent_at, accepted, .. }, Answer::Accepted { round, .. })
+            (State::Proposing { sent_at, accepted, .. }, LeaseResponse::Accepted { round, .. })
                 if round == self.round =>
             {
                 accepted.insert(from);
                 if !enough(accepted) {
-                    return Step::Wait;
+                    return Action::Wait;
                 }
-                let begun = if mutant(Mutant::LeaseFromAnswer) { now } else { *sent_at };
-                let until = begun + self.settings.lease;
-                if now >= until {
-                    // So long ago that nothing of the lease is left.
-                    self.rest(now);
-                    return Step::Wait;
+                let started_at = if mutant(Mutant::LeaseFromAnswer) { now } else { *sent_at };
+                let expires_at = started_at + self.settings.lease;
+                if now >= expires_at {
+                    // So long ago that nothing of the lease is remaining.
+                    self.back_off(now);
+                    return Action::Wait;
                 }
-                self.failed = 0;
-                self.stage = Stage::Owning { until, renewal: None };
-                Step::Own(self.ballot.term)
+                self.failed_attempts = 0;
+                self.state = State::Holding { expires_at, renewal: None };
+                Action::Acquired(self.ballot.term)
             }
-            (Stage::Owning { until, renewal }, Answer::Accepted { round, .. })
+            (State::Holding { expires_at, renewal }, LeaseResponse::Accepted { round, .. })
                 if round == self.round || mutant(Mutant::OldRoundRenews) =>
             {
                 // Over is over, also if a majority has just said yes.
-                if let Some((sent_at, accepted)) = renewal.as_mut().filter(|_| now < *until) {
+                if let Some((sent_at, accepted)) = renewal.as_mut().filter(|_| now < *expires_at) {
                     accepted.insert(from);
                     if enough(accepted) {
-                        *until = (*until).max(*sent_at + self.settings.lease);
+                        *expires_at = (*expires_at).max(*sent_at + self.settings.lease);
                         *renewal = None;
-                        return Step::Keep(self.ballot.term);
+                        return Action::Renewed(self.ballot.term);
                     }
                 }
-                Step::Wait
+                Action::Wait
             }
-            // A copy of what it asked came to an elector.
-            (_, Answer::Denied { highest, .. }) if highest == self.ballot => Step::Wait,
-            (_, Answer::Denied { highest, .. }) => {
+            // A copy of what it asked came to an acceptor.
+            (_, LeaseResponse::Rejected { highest, .. }) if highest == self.ballot => Action::Wait,
+            (_, LeaseResponse::Rejected { highest, .. }) => {
                 self.highest = self.highest.max(highest.term);
-                if matches!(self.stage, Stage::Owning { .. }) {
+                if matches!(self.state, State::Holding { .. }) {
                     // Others may still renew it; if not, it runs out.
-                    return Step::Wait;
+                    return Action::Wait;
                 }
-                self.failed += 1;
-                self.rest(now);
-                Step::Wait
+                self.failed_attempts += 1;
+                self.back_off(now);
+                Action::Wait
             }
-            _ => Step::Wait,
+            _ => Action::Wait,
         }
     }
 
-    /// Gives the duty up before its time.
-    pub fn give_up(&mut self, now: Time) -> Option<Ask> {
-        self.may(now)?;
-        self.rest(now);
-        Some(Ask::Release { ballot: self.ballot })
+    /// Gives the role up before its time.
+    pub fn release(&mut self, now: Time) -> Option<LeaseRequest> {
+        self.held_term(now)?;
+        self.back_off(now);
+        Some(LeaseRequest::Release { ballot: self.ballot })
     }
 
     /// Waits before it asks again: a draw from ever longer spans, so that of many one comes first.
-    fn rest(&mut self, now: Time) {
-        let longest = self.settings.patience() << self.failed.min(3);
-        let wait = (self.dice.next_u64() >> 1) as Time;
-        self.stage = Stage::Idle { ask_at: now + wait % longest.max(1) };
+    fn back_off(&mut self, now: Time) {
+        let longest = self.settings.response_timeout() << self.failed_attempts.min(3);
+        let wait = (self.rng.next_u64() >> 1) as Time;
+        self.state = State::Idle { retry_at: now + wait % longest.max(1) };
     }
 }
 
 /// The next term above this one: a count, and the bidder's number in its lowest bits. Two bidders that heard of the same
-/// term ask for two, and each owner's is its own.
-fn next_term(highest: Term, me: Gateway) -> Term {
-    ((highest >> WHO_BITS).saturating_add(1) << WHO_BITS) | Term::from(me)
+/// term ask for two, and each lease holder's is its own.
+fn next_term(highest: Term, me: GatewayId) -> Term {
+    ((highest >> PROPOSER_BITS).saturating_add(1) << PROPOSER_BITS) | Term::from(me)
 }
--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -1,29 +1,29 @@
 //! Datagrams: a mark, a version, the fleet's fingerprint, the body as `postcard` writes it, and CRC-32C keyed by the
 //! fleet's secret, 4 bytes.
 
-use crate::shares::{Line, Milli};
-use crate::{Ballot, Duty, Gateway, Term};
+use crate::quota::{GroupDemand, Milli};
+use crate::{Ballot, GatewayId, LeadershipRole, Term};
 use petrelgauge_policy::{GroupId, Time};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 /// Longest datagram (bytes).
-pub const MOST_BYTES: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Told apart from the bulletins of sessions, which begin with their version.
 const MARK: u8 = 0xA7;
 const VERSION: u8 = 1;
 const HEAD: usize = 2 + 4;
 const CHECK: usize = 4;
 
-/// What is asked of electors.
+/// What is asked of acceptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ask {
+pub enum LeaseRequest {
     /// To promise that no lower bid will be granted.
     Prepare {
         /// The bid.
         ballot: Ballot,
     },
-    /// To grant the duty.
+    /// To grant the role.
     Propose {
         /// The bid.
         ballot: Ballot,
@@ -37,24 +37,26 @@
     },
 }
 
-impl Ask {
+impl LeaseRequest {
     /// The bid.
     pub fn ballot(&self) -> Ballot {
         match self {
-            Ask::Prepare { ballot } | Ask::Propose { ballot, .. } | Ask::Release { ballot } => *ballot,
+            LeaseRequest::Prepare { ballot }
+            | LeaseRequest::Propose { ballot, .. }
+            | LeaseRequest::Release { ballot } => *ballot,
         }
     }
 }
 
-/// What an elector answers.
+/// What an acceptor answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
-    /// Promised; `other`: who has it, and for how long yet.
+pub enum LeaseResponse {
+    /// Promised; `granted`: who has it, and for how long yet.
     Promised {
         /// The bid.
         ballot: Ballot,
         /// Another's grant and what is left of it.
-        other: Option<(Ballot, Time)>,
+        granted: Option<(Ballot, Time)>,
     },
     /// Granted.
     Accepted {
@@ -64,7 +66,7 @@
         round: u32,
     },
     /// A higher bid was promised, or another has it.
-    Denied {
+    Rejected {
         /// The bid.
         ballot: Ballot,
         /// The higher one.
@@ -72,24 +74,24 @@
     },
 }
 
-impl Answer {
+impl LeaseResponse {
     /// The bid that is answered.
     pub fn ballot(&self) -> Ballot {
         match self {
-            Answer::Promised { ballot, .. }
-            | Answer::Accepted { ballot, .. }
-            | Answer::Denied { ballot, .. } => *ballot,
+            LeaseResponse::Promised { ballot, .. }
+            | LeaseResponse::Accepted { ballot, .. }
+            | LeaseResponse::Rejected { ballot, .. } => *ballot,
         }
     }
 }
 
-/// What an owner tells: the effect of its duty, as far as others are concerned.
+/// What a lease holder tells: the effect of its role, as far as others are concerned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Word {
-    /// It owns the duty, for so long yet at most.
-    Owns {
+pub enum Notification {
+    /// It owns the role, for so long yet at most.
+    LeaseHeld {
         /// What is left (microseconds).
-        left: Time,
+        remaining: Time,
     },
     /// A member answered as its group's primary.
     Primary {
@@ -99,29 +101,29 @@
         position: Time,
     },
     /// A round of the share-out: all are to answer it.
-    Round {
+    QuotaRound {
         /// Its number.
         round: u32,
         /// Mean rates of all who were heard (thousandths of a request a second), or a part of them.
-        means: Vec<(GroupId, u32)>,
+        mean_rates: Vec<(GroupId, u32)>,
     },
     /// What one gateway is given beside its even part.
-    Grant {
+    QuotaGrant {
         /// The number of its answer.
         number: u32,
         /// Thousandths of an even part.
-        given: Vec<(GroupId, Milli)>,
+        granted: Vec<(GroupId, Milli)>,
     },
     /// Members answered as their groups' primaries.
     Primaries {
-        /// The members; [`MOST_LEADERS`] at most.
-        leaders: Vec<Leader>,
+        /// The members; [`MAX_ANNOUNCEMENTS`] at most.
+        primaries: Vec<PrimaryAnnouncement>,
     },
 }
 
 /// A member that answered as its group's primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Leader {
+pub struct PrimaryAnnouncement {
     /// The member, by the hash of its name on the list.
     pub member: u64,
     /// When it answered.
@@ -129,44 +131,44 @@
 }
 
 /// Leaders of one datagram (count): 10 bytes for each number at most.
-pub const MOST_LEADERS: usize = 10;
+pub const MAX_ANNOUNCEMENTS: usize = 10;
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A candidate to an elector.
-    Ask(Duty, Ask),
-    /// An elector to a candidate.
-    Answer(Duty, Answer),
-    /// An owner to all.
-    Word(Duty, Term, Word),
-    /// A gateway to a scout: this member answered it as its group's primary. It is evidence and no effect of a duty; the
+    /// A candidate to an acceptor.
+    LeaseRequest(LeadershipRole, LeaseRequest),
+    /// An acceptor to a candidate.
+    LeaseResponse(LeadershipRole, LeaseResponse),
+    /// A lease holder to all.
+    Notification(LeadershipRole, Term, Notification),
+    /// A gateway to a scout: this member answered it as its group's primary. It is evidence and no effect of a role; the
     /// scout tells it on under its own term.
-    Found {
+    PrimaryReport {
         /// The member, by the hash of its name on the list.
         member: u64,
         /// When it answered.
         position: Time,
     },
-    /// A receiver to an owner whose word was turned away: a higher term is about.
-    Turned(Duty, Term),
-    /// A gateway to the owner of the share-out: what it lends or asks for.
-    Lines {
-        /// The owner's term.
+    /// A receiver to a lease holder whose word was rejected: a higher term is about.
+    StaleTerm(LeadershipRole, Term),
+    /// A gateway to the lease holder of the share-out: what it lends or asks for.
+    QuotaReport {
+        /// The lease holder's term.
         term: Term,
         /// The round that is answered.
         round: u32,
         /// Counts this gateway's answers.
         number: u32,
         /// What it says, for each group.
-        lines: Vec<Line>,
+        lines: Vec<GroupDemand>,
     },
-    /// A gateway to the owner of a shard: these members answered it as their groups' primaries.
-    FoundAll {
-        /// The members; [`MOST_LEADERS`] at most.
-        leaders: Vec<Leader>,
+    /// A gateway to the lease holder of a shard: these members answered it as their groups' primaries.
+    PrimaryReports {
+        /// The members; [`MAX_ANNOUNCEMENTS`] at most.
+        primaries: Vec<PrimaryAnnouncement>,
     },
-    /// An elector to the others: it is there.
+    /// An acceptor to the others: it is there.
     Heartbeat,
 }
 
@@ -179,8 +181,8 @@
     /// Of a later version.
     #[error("the datagram has a version that is not known here")]
     Version,
-    /// Its electors or spans are others than here: two files are about.
-    #[error("the datagram is of a fleet with other electors or spans")]
+    /// Its acceptors or spans are others than here: two files are about.
+    #[error("the datagram is of a fleet with other acceptors or spans")]
     Fleet,
     /// Garbage, altered, or under another secret.
     #[error("the datagram does not pass its check")]
@@ -194,19 +196,19 @@
     }
 
     /// Its bytes, from this gateway. `fleet`: the fingerprint of the settings that all must have alike.
-    pub fn write(&self, from: Gateway, fleet: u32, secret: u64) -> Vec<u8> {
+    pub fn write(&self, from: GatewayId, fleet: u32, secret: u64) -> Vec<u8> {
         let mut bytes = vec![MARK, VERSION];
         bytes.extend_from_slice(&fleet.to_be_bytes());
         bytes = postcard::to_extend(&(from, self), bytes).unwrap_or_default();
         let check = check(&bytes, secret);
         bytes.extend_from_slice(&check);
-        debug_assert!(bytes.len() <= MOST_BYTES);
+        debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         bytes
     }
 
     /// Reads a datagram: who it says to be from, and what it says.
-    pub fn read(bytes: &[u8], fleet: u32, secret: u64) -> Result<(Gateway, Message), MessageError> {
-        if !(HEAD + CHECK..=MOST_BYTES).contains(&bytes.len()) || !Message::is_one(bytes) {
+    pub fn read(bytes: &[u8], fleet: u32, secret: u64) -> Result<(GatewayId, Message), MessageError> {
+        if !(HEAD + CHECK..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) || !Message::is_one(bytes) {
             return Err(MessageError::Shape);
         }
         let (body, tail) = bytes.split_at(bytes.len() - CHECK);
@@ -219,7 +221,7 @@
         if body[2..HEAD] != fleet.to_be_bytes() {
             return Err(MessageError::Fleet);
         }
-        match postcard::take_from_bytes::<(Gateway, Message)>(&body[HEAD..]) {
+        match postcard::take_from_bytes::<(GatewayId, Message)>(&body[HEAD..]) {
             Ok((read, [])) => Ok(read),
             _ => Err(MessageError::Shape),
         }
--- a/crates/ownership/src/placement.rs
+++ b/crates/ownership/src/placement.rs
@@ -1,28 +1,28 @@
-//! Which elector should own which shard of a duty, so that the work of owners is spread evenly over all electors and
-//! every shard of one that is gone has another owner.
+//! Which acceptor should own which shard of a role, so that the work of lease holders is spread evenly over all acceptors and
+//! every shard of one that is gone has another lease holder.
 //!
-//! Groups fall into shards by a hash that all gateways reckon alike. For each shard the electors stand in an order of
-//! preference, each first for as many shards as any other. An elector wants a shard while every one before it in that
+//! Groups fall into shards by a hash that all gateways reckon alike. For each shard the acceptors stand in an order of
+//! preference, each first for as many shards as any other. An acceptor wants a shard while every one before it in that
 //! order is absent, and yields one that it owns as soon as an earlier one has been present for a while. Heartbeats tell
 //! who is present.
 //!
 //! ```text
-//! absent --heartbeat--> present --[`Placement::settled_after`] without a gap--> settled
+//! absent --heartbeat--> present --[`Placement::settling_time`] without a gap--> settled
 //!   ^                      |                                                      |
-//!   +---- no heartbeat for [`Placement::absent_after`] ---------------------------+
+//!   +---- no heartbeat for [`Placement::absence_timeout`] ---------------------------+
 //! ```
 //!
-//! **This decides nothing about safety.** Who may act is decided by leases alone; two electors that want one shard cost a
+//! **This decides nothing about safety.** Who may act is decided by leases alone; two acceptors that want one shard cost a
 //! few denied bids, none that wants it costs the even parts until one does.
 //!
-//! Bounds: [`MOST_SHARDS`] shards, one entry for each elector. Spans in microseconds, all from the lease.
+//! Bounds: [`MAX_SHARDS`] shards, one entry for each acceptor. Spans in microseconds, all from the lease.
 
-use crate::{Gateway, Settings};
+use crate::{GatewayId, Settings};
 use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
 use std::collections::BTreeMap;
 
-/// Shards of a duty at most (count): with two sharded duties these are all that gateways remember.
-pub const MOST_SHARDS: u16 = 32;
+/// Shards of a role at most (count): with two sharded roles these are all that gateways remember.
+pub const MAX_SHARDS: u16 = 32;
 
 /// The shard that a group falls into, from 0.
 pub fn shard_of(group: GroupId, shards: u16) -> u16 {
@@ -38,108 +38,108 @@
     last: Time,
 }
 
-/// One elector's view of who should own what.
+/// One acceptor's view of who should own what.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Placement {
-    me: Gateway,
-    electors: Vec<Gateway>,
+    self_id: GatewayId,
+    acceptors: Vec<GatewayId>,
     lease: Time,
     shards: u16,
     started: Time,
-    present: BTreeMap<Gateway, Presence>,
+    present: BTreeMap<GatewayId, Presence>,
     heartbeat_at: Time,
 }
 
 impl Placement {
-    /// The view of an elector that starts now: it takes the others for present until it knows better.
+    /// The view of an acceptor that starts now: it takes the others for present until it knows better.
     pub fn new(settings: &Settings, shards: u16, now: Time) -> Placement {
         Placement {
-            me: settings.me,
-            electors: settings.electors.clone(),
+            self_id: settings.self_id,
+            acceptors: settings.acceptors.clone(),
             lease: settings.lease,
-            shards: shards.clamp(1, MOST_SHARDS),
+            shards: shards.clamp(1, MAX_SHARDS),
             started: now,
             present: BTreeMap::new(),
             heartbeat_at: now,
         }
     }
 
-    /// Between two heartbeats of one elector.
-    pub fn heartbeat_every(&self) -> Time {
+    /// Between two heartbeats of one acceptor.
+    pub fn heartbeat_interval(&self) -> Time {
         self.lease / 2
     }
 
-    /// An elector that was not heard for so long is absent: four heartbeats.
-    pub fn absent_after(&self) -> Time {
+    /// An acceptor that was not heard for so long is absent: four heartbeats.
+    pub fn absence_timeout(&self) -> Time {
         2 * self.lease
     }
 
     /// One that was heard for so long is settled, and is yielded to.
-    pub fn settled_after(&self) -> Time {
+    pub fn settling_time(&self) -> Time {
         2 * self.lease
     }
 
-    /// When [`Placement::heartbeat`] is due.
-    pub fn due_at(&self) -> Time {
+    /// When [`Placement::due_heartbeats`] is due.
+    pub fn next_deadline(&self) -> Time {
         self.heartbeat_at
     }
 
     /// Electors that are to get a heartbeat now, if it is time.
-    pub fn heartbeat(&mut self, now: Time) -> Vec<Gateway> {
+    pub fn due_heartbeats(&mut self, now: Time) -> Vec<GatewayId> {
         if now < self.heartbeat_at {
             return Vec::new();
         }
-        self.heartbeat_at = now + self.heartbeat_every();
-        self.electors.iter().copied().filter(|elector| *elector != self.me).collect()
+        self.heartbeat_at = now + self.heartbeat_interval();
+        self.acceptors.iter().copied().filter(|acceptor| *acceptor != self.self_id).collect()
     }
 
-    /// An elector was heard.
-    pub fn heard(&mut self, now: Time, from: Gateway) {
-        if from == self.me || !self.electors.contains(&from) {
+    /// An acceptor was heard.
+    pub fn on_heartbeat(&mut self, now: Time, from: GatewayId) {
+        if from == self.self_id || !self.acceptors.contains(&from) {
             return;
         }
-        let absent_after = self.absent_after();
+        let absence_timeout = self.absence_timeout();
         let presence = self.present.entry(from).or_insert(Presence { first: now, last: now });
-        if now - presence.last > absent_after && !mutant(Mutant::PresenceKept) {
+        if now - presence.last > absence_timeout && !mutant(Mutant::PresenceKept) {
             presence.first = now;
         }
         presence.last = now;
     }
 
-    /// This elector should own the shard, or try to.
+    /// This acceptor should own the shard, or try to.
     pub fn wants(&self, now: Time, shard: u16) -> bool {
-        self.before_me(shard).all(|elector| !self.is_present(now, elector))
+        self.preferred_over_self(shard).all(|acceptor| !self.is_present(now, acceptor))
     }
 
-    /// This elector should give up the shard, if it owns it.
+    /// This acceptor should give up the shard, if it owns it.
     pub fn yields(&self, now: Time, shard: u16) -> bool {
         if mutant(Mutant::ShardKept) {
             return false;
         }
-        self.before_me(shard).any(|elector| self.is_settled(now, elector))
+        self.preferred_over_self(shard).any(|acceptor| self.is_settled(now, acceptor))
     }
 
     /// Electors that the shard prefers to this one, the most preferred first.
-    fn before_me(&self, shard: u16) -> impl Iterator<Item = Gateway> + '_ {
-        let count = self.electors.len();
+    fn preferred_over_self(&self, shard: u16) -> impl Iterator<Item = GatewayId> + '_ {
+        let count = self.acceptors.len();
         let first = if mutant(Mutant::PreferenceOwn) {
             // Each begins the order at itself.
-            self.electors.iter().position(|elector| *elector == self.me).unwrap_or(0)
+            self.acceptors.iter().position(|acceptor| *acceptor == self.self_id).unwrap_or(0)
         } else {
             usize::from(shard) % count.max(1)
         };
-        let ordered = (0..count).map(move |place| self.electors[(first + place) % count]);
-        ordered.take_while(|elector| *elector != self.me)
+        let ordered = (0..count).map(move |place| self.acceptors[(first + place) % count]);
+        ordered.take_while(|acceptor| *acceptor != self.self_id)
     }
 
-    fn is_present(&self, now: Time, elector: Gateway) -> bool {
-        let last = self.present.get(&elector).map_or(self.started, |presence| presence.last);
-        mutant(Mutant::AbsenceIgnored) || now - last <= self.absent_after()
+    fn is_present(&self, now: Time, acceptor: GatewayId) -> bool {
+        let last = self.present.get(&acceptor).map_or(self.started, |presence| presence.last);
+        mutant(Mutant::AbsenceIgnored) || now - last <= self.absence_timeout()
     }
 
-    fn is_settled(&self, now: Time, elector: Gateway) -> bool {
-        let Some(Presence { first, last }) = self.present.get(&elector) else { return false };
-        let settled = now - first >= self.settled_after() || mutant(Mutant::SettledAtOnce);
-        settled && now - last <= self.absent_after() / 2
+    fn is_settled(&self, now: Time, acceptor: GatewayId) -> bool {
+        let Some(Presence { first, last }) = self.present.get(&acceptor) else { return false };
+        let settled = now - first >= self.settling_time() || mutant(Mutant::SettledAtOnce);
+        settled && now - last <= self.absence_timeout() / 2
     }
 }
--- a/crates/ownership/src/shares/rates.rs
+++ b/crates/ownership/src/quota/rates.rs
@@ -1,6 +1,6 @@
 //! How much work a gateway gets for each group: counts, seen from time to time, as rates that fade.
 
-use super::MOST_RATE;
+use super::MAX_RATE;
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
@@ -9,19 +9,19 @@
 /// Shortest span between two looks that tells anything (microseconds).
 const SHORTEST: Time = 10_000;
 
-/// Rates of one gateway. It holds the groups that it was told last, and no others.
+/// RequestRates of one gateway. It holds the groups that it was told last, and no others.
 #[derive(Clone, Debug, Default)]
-pub struct Rates {
+pub struct RequestRates {
     seen: Option<Time>,
     /// Count when last seen, and requests a second.
     groups: BTreeMap<GroupId, (u64, f64)>,
-    /// Which part of the mean is made up of what was seen (fraction): a gateway that starts has seen little.
+    /// Which quota of the mean is made up of what was seen (fraction): a gateway that starts has seen little.
     whole: f64,
 }
 
-impl Rates {
+impl RequestRates {
     /// The counts of all groups by now.
-    pub fn see(&mut self, now: Time, counts: &BTreeMap<GroupId, u64>) {
+    pub fn observe(&mut self, now: Time, counts: &BTreeMap<GroupId, u64>) {
         let Some(seen) = self.seen.filter(|seen| now - seen >= SHORTEST) else {
             if self.seen.is_none() {
                 self.groups = counts.iter().map(|(group, count)| (*group, (*count, 0.0))).collect();
@@ -43,10 +43,10 @@
         self.seen = Some(now);
     }
 
-    /// Rates (thousandths of a request a second).
-    pub fn told(&self) -> BTreeMap<GroupId, u32> {
+    /// RequestRates (thousandths of a request a second).
+    pub fn per_group(&self) -> BTreeMap<GroupId, u32> {
         let whole = self.whole.max(1e-3);
-        let told = |rate: f64| ((rate / whole * 1000.0) as u32).min(MOST_RATE);
+        let told = |rate: f64| ((rate / whole * 1000.0) as u32).min(MAX_RATE);
         self.groups.iter().map(|(group, (_, rate))| (*group, told(*rate))).collect()
     }
 }
@@ -56,21 +56,21 @@
     use super::*;
 
     #[test]
-    fn a_steady_rate_is_told_early_and_one_that_ends_fades() {
-        let mut rates = Rates::default();
+    fn a_steady_rate_is_reported_early_and_an_ended_one_fades() {
+        let mut rates = RequestRates::default();
         let at = |second: i64, count: u64| (second * 1_000_000, BTreeMap::from([(7, count)]));
         for second in 0..=2 {
             let (now, counts) = at(second, 100 + 50 * second as u64);
-            rates.see(now, &counts);
+            rates.observe(now, &counts);
         }
-        let early = rates.told()[&7];
+        let early = rates.per_group()[&7];
         assert!((49_000..=51_000).contains(&early), "{early}");
         for second in 3..=20 {
             let (now, counts) = at(second, 200);
-            rates.see(now, &counts);
+            rates.observe(now, &counts);
         }
-        assert!(rates.told()[&7] < 1_000, "{:?}", rates.told());
-        rates.see(21_000_000, &BTreeMap::new());
-        assert!(rates.told().is_empty(), "groups that are gone are forgotten");
+        assert!(rates.per_group()[&7] < 1_000, "{:?}", rates.per_group());
+        rates.observe(21_000_000, &BTreeMap::new());
+        assert!(rates.per_group().is_empty(), "groups that are gone are forgotten");
     }
 }
--- a/crates/ownership/tests/datagrams.rs
+++ b/crates/ownership/tests/datagrams.rs
@@ -7,27 +7,27 @@
 const SECRET: u64 = 5;
 
 fn word(term: Term) -> Message {
-    Message::Word(
-        Duty { kind: 2, group: u64::MAX },
+    Message::Notification(
+        LeadershipRole { kind: 2, shard: u64::MAX },
         term,
-        Word::Primary { member: u64::MAX, position: i64::MAX },
+        Notification::Primary { member: u64::MAX, position: i64::MAX },
     )
 }
 
-fn office() -> Office {
-    let settings = Settings { me: 0, gateways: 4, electors: vec![0, 1, 2], ..Settings::default() };
-    Office::new(settings, 0, 1).expect("sound settings")
+fn manager() -> LeaseManager {
+    let settings = Settings { self_id: 0, gateways: 4, acceptors: vec![0, 1, 2], ..Settings::default() };
+    LeaseManager::new(settings, 0, 1).expect("sound settings")
 }
 
 #[test]
-fn the_longest_ones_fit_and_come_back_as_they_were() {
+fn the_longest_datagrams_fit_and_round_trip() {
     let bytes = word(Term::MAX).write(u16::MAX, FLEET, SECRET);
-    assert!(bytes.len() <= MOST_BYTES, "{}", bytes.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
     assert_eq!(Message::read(&bytes, FLEET, SECRET), Ok((u16::MAX, word(Term::MAX))));
 }
 
 #[test]
-fn another_fleet_version_or_secret_is_named_and_a_bulletin_is_none_of_these() {
+fn another_fleet_version_or_secret_is_a_typed_error() {
     let mut bytes = word(1).write(3, FLEET, SECRET);
     assert_eq!(Message::read(&bytes, FLEET + 1, SECRET), Err(MessageError::Fleet));
     assert_eq!(Message::read(&bytes, FLEET, SECRET + 1), Err(MessageError::Check));
@@ -37,53 +37,53 @@
 }
 
 #[test]
-fn terms_near_the_end_of_their_range_lock_nobody_out() {
-    let mut office = office();
+fn implausibly_high_terms_are_rejected_and_not_remembered() {
+    let mut manager = manager();
     for term in [Term::MAX, Term::MAX - 1, 1 << 62] {
-        assert!(!office.takes(Duty { kind: 2, group: u64::MAX }, term));
-        let answers = office.hear(1, 1, word(term));
-        assert!(matches!(answers[..], [(1, Message::Turned(_, 0))]), "{answers:?}");
+        assert!(!manager.would_admit(LeadershipRole { kind: 2, shard: u64::MAX }, term));
+        let answers = manager.on_message(1, 1, word(term));
+        assert!(matches!(answers[..], [(1, Message::StaleTerm(_, 0))]), "{answers:?}");
     }
-    assert!(office.takes(Duty { kind: 2, group: u64::MAX }, 5));
-    assert_eq!(office.counts().turned, 3);
+    assert!(manager.would_admit(LeadershipRole { kind: 2, shard: u64::MAX }, 5));
+    assert_eq!(manager.counts().rejected, 3);
 }
 
 #[test]
-fn words_from_nowhere_are_counted_and_replayed_ones_take_nothing_back() {
-    let mut office = office();
-    let duty = Duty { kind: 2, group: u64::MAX };
-    assert!(office.hear(1, 9, word(5)).is_empty());
-    assert_eq!(office.counts().odd, 1);
-    office.hear(1, 1, word(5));
-    office.hear(2, 2, word(6));
-    assert!(!office.takes(duty, 5) && office.takes(duty, 6));
-    assert!(matches!(office.hear(3, 1, word(5))[..], [(1, Message::Turned(_, 6))]));
+fn unknown_senders_are_counted_and_replayed_notifications_rejected() {
+    let mut manager = manager();
+    let role = LeadershipRole { kind: 2, shard: u64::MAX };
+    assert!(manager.on_message(1, 9, word(5)).is_empty());
+    assert_eq!(manager.counts().unknown_senders, 1);
+    manager.on_message(1, 1, word(5));
+    manager.on_message(2, 2, word(6));
+    assert!(!manager.would_admit(role, 5) && manager.would_admit(role, 6));
+    assert!(matches!(manager.on_message(3, 1, word(5))[..], [(1, Message::StaleTerm(_, 6))]));
 }
 
 #[test]
-fn settings_that_cannot_be_are_named() {
-    let base = Settings { me: 0, gateways: 5, electors: vec![0, 1, 2], ..Settings::default() };
+fn invalid_settings_are_typed_errors() {
+    let base = Settings { self_id: 0, gateways: 5, acceptors: vec![0, 1, 2], ..Settings::default() };
     let check = |change: fn(&mut Settings)| {
         let mut settings = base.clone();
         change(&mut settings);
         settings.check()
     };
     assert_eq!(check(|_| ()), Ok(()));
-    assert_eq!(check(|s| s.electors = vec![0, 1]), Err(SettingsError::Electors(2)));
-    assert_eq!(check(|s| s.electors.clear()), Err(SettingsError::Electors(0)));
-    assert_eq!(check(|s| s.electors = vec![0, 1, 1]), Err(SettingsError::Twice(1)));
-    assert_eq!(check(|s| s.electors = vec![0, 1, 9]), Err(SettingsError::Unknown(9)));
-    assert_eq!(check(|s| s.delay = s.lease / 4), Err(SettingsError::Lease));
-    assert_eq!(check(|s| s.delay = 0), Err(SettingsError::Lease));
-    assert_eq!(check(|s| s.drift = 0.5), Err(SettingsError::Drift));
-    assert_eq!(check(|s| s.drift = f64::NAN), Err(SettingsError::Drift));
+    assert_eq!(check(|s| s.acceptors = vec![0, 1]), Err(SettingsError::AcceptorCount(2)));
+    assert_eq!(check(|s| s.acceptors.clear()), Err(SettingsError::AcceptorCount(0)));
+    assert_eq!(check(|s| s.acceptors = vec![0, 1, 1]), Err(SettingsError::DuplicateAcceptor(1)));
+    assert_eq!(check(|s| s.acceptors = vec![0, 1, 9]), Err(SettingsError::UnknownAcceptor(9)));
+    assert_eq!(check(|s| s.max_delay = s.lease / 4), Err(SettingsError::Lease));
+    assert_eq!(check(|s| s.max_delay = 0), Err(SettingsError::Lease));
+    assert_eq!(check(|s| s.drift_bound = 0.5), Err(SettingsError::Drift));
+    assert_eq!(check(|s| s.drift_bound = f64::NAN), Err(SettingsError::Drift));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: proptest::test_runner::RngSeed::Fixed(4), ..Default::default() })]
 
     #[test]
-    fn cut_altered_and_random_bytes_are_never_taken(
+    fn truncated_altered_and_random_bytes_are_rejected(
         cut in 0usize..200, place in 0usize..200, bit in 0u8..8,
         garbage in proptest::collection::vec(any::<u8>(), 0..300),
     ) {
--- a/crates/ownership/tests/golden_datagrams.rs
+++ b/crates/ownership/tests/golden_datagrams.rs
@@ -1,94 +1,101 @@
 //! Bytes of one datagram of each kind, recorded from commit a97f0e8. Gateways of different versions run side by side
 //! during a rolling upgrade, so neither the layout nor the order of the variants may change.
 
-use petrelgauge_ownership::shares::Line;
+use petrelgauge_ownership::quota::GroupDemand;
 use petrelgauge_ownership::*;
 
 const FLEET: u32 = 0x1234_5678;
 const SECRET: u64 = 0x5e;
-const FROM: Gateway = 300;
-const SCOUT: Duty = Duty { kind: 1, group: 3 };
-const SHARES: Duty = Duty { kind: 2, group: 200 };
-const BALLOT: Ballot = Ballot { term: 0x1_0000_012c, who: 300 };
-const OTHER: Ballot = Ballot { term: 0x1_0000_0007, who: 7 };
-const LEADER: Leader = Leader { member: 0xfeed_beef_dead_cafe, position: 1_700_000_000_000_000 };
-const SECOND_LEADER: Leader = Leader { member: 1, position: -5 };
+const FROM: GatewayId = 300;
+const SCOUT: LeadershipRole = LeadershipRole { kind: 1, shard: 3 };
+const SHARES: LeadershipRole = LeadershipRole { kind: 2, shard: 200 };
+const BALLOT: Ballot = Ballot { term: 0x1_0000_012c, proposer: 300 };
+const OTHER: Ballot = Ballot { term: 0x1_0000_0007, proposer: 7 };
+const LEADER: PrimaryAnnouncement =
+    PrimaryAnnouncement { member: 0xfeed_beef_dead_cafe, position: 1_700_000_000_000_000 };
+const SECOND_LEADER: PrimaryAnnouncement = PrimaryAnnouncement { member: 1, position: -5 };
 
-fn ask(ask: Ask) -> Message {
-    Message::Ask(SCOUT, ask)
+fn ask(ask: LeaseRequest) -> Message {
+    Message::LeaseRequest(SCOUT, ask)
 }
 
-fn answer(answer: Answer) -> Message {
-    Message::Answer(SCOUT, answer)
+fn answer(answer: LeaseResponse) -> Message {
+    Message::LeaseResponse(SCOUT, answer)
 }
 
-fn word(duty: Duty, word: Word) -> Message {
-    Message::Word(duty, BALLOT.term, word)
+fn word(role: LeadershipRole, word: Notification) -> Message {
+    Message::Notification(role, BALLOT.term, word)
 }
 
-/// Datagrams between candidates and electors.
+/// Datagrams between candidates and acceptors.
 fn lease_datagrams() -> Vec<(Message, &'static str)> {
     vec![
-        (ask(Ask::Prepare { ballot: BALLOT }), "a70112345678ac0200010300ac82808010ac025ed3be48"),
+        (ask(LeaseRequest::Prepare { ballot: BALLOT }), "a70112345678ac0200010300ac82808010ac025ed3be48"),
         (
-            ask(Ask::Propose { ballot: BALLOT, round: 129 }),
+            ask(LeaseRequest::Propose { ballot: BALLOT, round: 129 }),
             "a70112345678ac0200010301ac82808010ac0281015c537b7b",
         ),
-        (ask(Ask::Release { ballot: BALLOT }), "a70112345678ac0200010302ac82808010ac02ccab4406"),
+        (ask(LeaseRequest::Release { ballot: BALLOT }), "a70112345678ac0200010302ac82808010ac02ccab4406"),
         (
-            answer(Answer::Promised { ballot: BALLOT, other: None }),
+            answer(LeaseResponse::Promised { ballot: BALLOT, granted: None }),
             "a70112345678ac0201010300ac82808010ac0200a8f011ac",
         ),
         (
-            answer(Answer::Promised { ballot: BALLOT, other: Some((OTHER, 1_234_567)) }),
+            answer(LeaseResponse::Promised { ballot: BALLOT, granted: Some((OTHER, 1_234_567)) }),
             "a70112345678ac0201010300ac82808010ac02018780808010078eda9601af1decbe",
         ),
         (
-            answer(Answer::Accepted { ballot: BALLOT, round: 129 }),
+            answer(LeaseResponse::Accepted { ballot: BALLOT, round: 129 }),
             "a70112345678ac0201010301ac82808010ac0281016c81431e",
         ),
         (
-            answer(Answer::Denied { ballot: OTHER, highest: BALLOT }),
+            answer(LeaseResponse::Rejected { ballot: OTHER, highest: BALLOT }),
             "a70112345678ac0201010302878080801007ac82808010ac029502f740",
         ),
-        (Message::Turned(SCOUT, BALLOT.term), "a70112345678ac02040103ac828080105b4c38f4"),
+        (Message::StaleTerm(SCOUT, BALLOT.term), "a70112345678ac02040103ac828080105b4c38f4"),
         (Message::Heartbeat, "a70112345678ac020791074d60"),
     ]
 }
 
-/// Datagrams of the two duties.
+/// Datagrams of the two roles.
 fn duty_datagrams() -> Vec<(Message, &'static str)> {
-    let Leader { member, position } = LEADER;
+    let PrimaryAnnouncement { member, position } = LEADER;
     let leaders = vec![LEADER, SECOND_LEADER];
-    let lines = vec![Line { group: 7, rate: 4_500, asks: -500 }, Line { group: 900, rate: 0, asks: 1_250 }];
+    let lines = vec![
+        GroupDemand { group: 7, rate: 4_500, requested: -500 },
+        GroupDemand { group: 900, rate: 0, requested: 1_250 },
+    ];
     vec![
-        (word(SCOUT, Word::Owns { left: 1_999_999 }), "a70112345678ac02020103ac8280801000fe91f4015995a4b3"),
         (
-            word(SCOUT, Word::Primary { member, position }),
+            word(SCOUT, Notification::LeaseHeld { remaining: 1_999_999 }),
+            "a70112345678ac02020103ac8280801000fe91f4015995a4b3",
+        ),
+        (
+            word(SCOUT, Notification::Primary { member, position }),
             "a70112345678ac02020103ac8280801001fe95b7f5fdddeff6fe018080f2818389850606b0ce2e",
         ),
         (
-            word(SCOUT, Word::Primaries { leaders: leaders.clone() }),
+            word(SCOUT, Notification::Primaries { primaries: leaders.clone() }),
             "a70112345678ac02020103ac828080100402fe95b7f5fdddeff6fe018080f28183898506010989ee2972",
         ),
         (
-            word(SHARES, Word::Round { round: 77, means: vec![(7, 4_500), (900, 12)] }),
+            word(SHARES, Notification::QuotaRound { round: 77, mean_rates: vec![(7, 4_500), (900, 12)] }),
             "a70112345678ac020202c801ac82808010024d0207942384070c7ea5af77",
         ),
         (
-            word(SHARES, Word::Grant { number: u32::MAX, given: vec![(7, 500), (900, -3)] }),
+            word(SHARES, Notification::QuotaGrant { number: u32::MAX, granted: vec![(7, 500), (900, -3)] }),
             "a70112345678ac020202c801ac8280801003ffffffff0f0207e8078407054ef1a47e",
         ),
         (
-            Message::Found { member, position },
+            Message::PrimaryReport { member, position },
             "a70112345678ac0203fe95b7f5fdddeff6fe018080f28183898506bb97f211",
         ),
         (
-            Message::FoundAll { leaders },
+            Message::PrimaryReports { primaries: leaders },
             "a70112345678ac020602fe95b7f5fdddeff6fe018080f281838985060109330eaf2f",
         ),
         (
-            Message::Lines { term: BALLOT.term, round: 77, number: 4_000_000_000, lines },
+            Message::QuotaReport { term: BALLOT.term, round: 77, number: 4_000_000_000, lines },
             "a70112345678ac0205ac828080104d80d0acf30e02079423e707840700c4136a47958c",
         ),
     ]
@@ -115,13 +122,13 @@
 }
 
 #[test]
-fn duty_datagrams_keep_their_bytes() {
+fn notification_and_report_datagrams_keep_their_bytes() {
     assert_unchanged(duty_datagrams());
 }
 
 #[test]
 fn fingerprints_of_fleets_stay_the_same() {
-    let settings = Settings { me: 3, gateways: 9, electors: vec![0, 3, 6], ..Settings::default() };
+    let settings = Settings { self_id: 3, gateways: 9, acceptors: vec![0, 3, 6], ..Settings::default() };
     let fingerprints = [0, 1, 2, 27].map(|shards| settings.sharded_fingerprint(shards));
     assert_eq!(fingerprints, [1_240_460_079, 1_240_460_079, 4_061_242_388, 2_600_319_159]);
     assert_eq!(settings.fingerprint(), fingerprints[0]);
--- a/crates/ownership/tests/fleet.rs
+++ b/crates/ownership/tests/lease_fleet.rs
@@ -1,19 +1,19 @@
 //! Hundreds of offices in simulated time, with clocks that drift, datagrams that are lost, late, doubled and out of
 //! order, links cut one way or both, stalls, crashes and restarts, all from a seed. The world reads true time; each
-//! office its own clock.
+//! manager its own clock.
 
-use petrelgauge_ownership::{Duty, Message, Office, Settings, Term, Word};
+use petrelgauge_ownership::{LeadershipRole, LeaseManager, Message, Notification, Settings, Term};
 use petrelgauge_policy::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-const DUTY: Duty = Duty { kind: 1, group: 0 };
+const ROLE: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
 const LEASE: Time = 400_000;
 const DELAY: Time = 20_000;
 
 struct Machine {
-    office: Option<Office>,
+    manager: Option<LeaseManager>,
     /// Where its clock is in its turn between fast and slow, and what it is wrong by beside.
     shift: Time,
     skew: Time,
@@ -28,7 +28,7 @@
 struct World {
     now: Time,
     machines: Vec<Machine>,
-    electors: Vec<u16>,
+    acceptors: Vec<u16>,
     candidates: BTreeSet<u16>,
     /// By the time of arrival and a number.
     flying: BTreeMap<(Time, u64), (u16, u16, Message)>,
@@ -38,17 +38,17 @@
     cut: BTreeSet<(u16, u16)>,
     sent: u64,
     owned_at: Time,
-    /// Owner and term at each change.
+    /// Lease holder and term at each change.
     reigns: Vec<(Time, u16, Term)>,
 }
 
 impl World {
     fn new(count: u16, seed: u64) -> World {
-        let electors: Vec<u16> = (0..5).map(|place| place * (count / 5)).collect();
+        let acceptors: Vec<u16> = (0..5).map(|place| place * (count / 5)).collect();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let machines = (0..count)
             .map(|_| Machine {
-                office: None,
+                manager: None,
                 shift: (rng.next_u64() % 8_000_000) as Time,
                 skew: 0,
                 stalled_until: 0,
@@ -58,11 +58,11 @@
             })
             .collect();
         let (cut, flying, reigns) = (BTreeSet::new(), BTreeMap::new(), Vec::new());
-        let candidates = electors.iter().copied().collect();
+        let candidates = acceptors.iter().copied().collect();
         let mut world = World {
             now: 1_000_000,
             machines,
-            electors,
+            acceptors,
             candidates,
             flying,
             next: 0,
@@ -91,16 +91,17 @@
 
     fn start(&mut self, me: u16) {
         let (clock, gateways) = (self.clock(me), self.machines.len() as u16);
-        let electors = self.electors.clone();
-        let settings = Settings { me, gateways, electors, lease: LEASE, drift: 0.05, delay: DELAY };
+        let acceptors = self.acceptors.clone();
+        let settings =
+            Settings { self_id: me, gateways, acceptors, lease: LEASE, drift_bound: 0.05, max_delay: DELAY };
         let seed = self.rng.next_u64();
-        let mut office = Office::new(settings, clock, seed).expect("sound settings");
+        let mut manager = LeaseManager::new(settings, clock, seed).expect("sound settings");
         if self.candidates.contains(&me) {
-            office.want(clock, DUTY);
+            manager.campaign(clock, ROLE);
         }
         let machine = &mut self.machines[me as usize];
         machine.starts += 1;
-        (machine.office, machine.inbox, machine.stalled_until) = (Some(office), Vec::new(), 0);
+        (machine.manager, machine.inbox, machine.stalled_until) = (Some(manager), Vec::new(), 0);
         machine.took = 0;
     }
 
@@ -134,14 +135,14 @@
             }
             return;
         }
-        let Some(office) = &mut machine.office else { return };
-        if let Message::Word(DUTY, term, _) = message {
-            if office.takes(DUTY, term) {
+        let Some(manager) = &mut machine.manager else { return };
+        if let Message::Notification(ROLE, term, _) = message {
+            if manager.would_admit(ROLE, term) {
                 assert!(term >= machine.took, "an effect under term {term} after one under {}", machine.took);
                 machine.took = term;
             }
         }
-        let answers = office.hear(clock, from, message);
+        let answers = manager.on_message(clock, from, message);
         self.send(to, answers);
     }
 
@@ -149,8 +150,8 @@
     fn owners(&self) -> Vec<(u16, Term)> {
         let candidates = self.candidates.iter().copied();
         let may = |me: u16| {
-            let office = self.machines[me as usize].office.as_ref()?;
-            Some((me, office.may(self.clock(me), DUTY)?))
+            let manager = self.machines[me as usize].manager.as_ref()?;
+            Some((me, manager.held_term(self.clock(me), ROLE)?))
         };
         candidates.filter_map(may).collect()
     }
@@ -195,11 +196,13 @@
             self.arrive(from, me, message);
         }
         let clock = self.clock(me);
-        let Some(office) = &mut self.machines[me as usize].office else { return };
-        let mut sent = office.due(clock);
+        let Some(manager) = &mut self.machines[me as usize].manager else { return };
+        let mut sent = manager.on_deadline(clock);
         if self.candidates.contains(&me) && self.now % 50_000 == 0 {
-            // The owner's work: an effect that everybody hears of.
-            if let Some(word) = office.word(clock, DUTY, Word::Primary { member: 7, position: clock }) {
+            // The lease holder's work: an effect that everybody hears of.
+            if let Some(word) =
+                manager.notification(clock, ROLE, Notification::Primary { member: 7, position: clock })
+            {
                 sent.extend(
                     (0..self.machines.len() as u16).filter(|to| *to != me).map(|to| (to, word.clone())),
                 );
@@ -215,7 +218,7 @@
             }
             self.run(5_000);
         }
-        panic!("nobody owns the duty");
+        panic!("nobody owns the role");
     }
 
     fn terms_rise(&self) {
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn one_owns_the_duty_and_keeps_it_while_nothing_happens() {
+fn one_gateway_holds_the_lease_while_nothing_fails() {
     let mut world = World::new(30, 1);
     world.run(6_000_000);
     assert_eq!(world.reigns.len(), 1, "{:?}", world.reigns);
@@ -233,13 +236,13 @@
 }
 
 #[test]
-fn whatever_happens_there_are_never_two_and_terms_rise() {
+fn there_are_never_two_lease_holders_and_terms_increase() {
     for seed in 0..12 {
         let mut world = World::new(25, seed);
         for _ in 0..60 {
             let (me, other) = (world.draw(25) as u16, world.draw(25) as u16);
             match world.draw(9) {
-                0 => world.machines[me as usize].office = None,
+                0 => world.machines[me as usize].manager = None,
                 1 | 2 => world.start(me),
                 3 => {
                     let span = world.draw(4 * LEASE as u64) as Time;
@@ -252,7 +255,7 @@
                 6 => world.cut.clear(),
                 7 => world.loss = world.draw(300),
                 _ => {
-                    // Half of the electors within one lease.
+                    // Half of the acceptors within one lease.
                     for place in [0, 10] {
                         world.start(place);
                     }
@@ -272,30 +275,30 @@
 }
 
 #[test]
-fn a_duty_whose_owner_dies_has_a_new_one_within_the_stated_span() {
+fn a_crashed_lease_holder_is_replaced_within_the_takeover_bound() {
     for seed in 0..20 {
         let mut world = World::new(20, 100 + seed);
         // Nothing is lost here: what the bound is stated for.
         world.loss = 0;
         let owner = world.owner();
-        let settings = world.machines[0].office.as_ref().expect("it runs").settings().clone();
-        world.machines[owner as usize].office = None;
-        // A dead elector among five leaves a majority.
+        let settings = world.machines[0].manager.as_ref().expect("it runs").settings().clone();
+        world.machines[owner as usize].manager = None;
+        // A dead acceptor among five leaves a majority.
         let (died, before) = (world.now, world.reigns.len());
         while world.reigns.len() == before {
             world.run(5_000);
             let took = world.now - died;
             assert!(
-                took <= settings.takeover() + 30 * DELAY,
+                took <= settings.takeover_bound() + 30 * DELAY,
                 "seed {seed}: {took} of {}",
-                settings.takeover()
+                settings.takeover_bound()
             );
         }
     }
 }
 
 #[test]
-fn a_minority_has_no_owner_and_the_majority_gets_one() {
+fn a_minority_has_no_lease_holder_and_the_majority_elects_one() {
     let mut world = World::new(25, 9);
     let owner = world.owner();
     let away: Vec<u16> = vec![owner, (owner + 5) % 25];
@@ -313,28 +316,30 @@
 }
 
 #[test]
-fn an_owner_stalled_for_three_leases_wakes_up_powerless() {
+fn a_lease_holder_stalled_for_three_leases_has_lost_its_lease() {
     let mut world = World::new(20, 5);
     let owner = world.owner();
     let clock = world.clock(owner);
     // A word made before the stall, and sent after it.
-    let office = world.machines[owner as usize].office.as_mut().expect("it runs");
-    let word = office.word(clock, DUTY, Word::Primary { member: 1, position: 5 }).expect("it owns the duty");
-    let Message::Word(_, term, _) = word else { panic!("a word") };
+    let manager = world.machines[owner as usize].manager.as_mut().expect("it runs");
+    let word = manager
+        .notification(clock, ROLE, Notification::Primary { member: 1, position: 5 })
+        .expect("it owns the role");
+    let Message::Notification(_, term, _) = word else { panic!("a word") };
     world.machines[owner as usize].stalled_until = world.now + 3 * LEASE;
     world.run(3 * LEASE + 5_000);
     let clock = world.clock(owner);
-    let office = world.machines[owner as usize].office.as_ref().expect("it runs");
-    assert!(!office.still(clock, DUTY, term), "asked right before the send, it says no");
-    // One that did not ask: whoever heard of the next owner turns it away.
+    let manager = world.machines[owner as usize].manager.as_ref().expect("it runs");
+    assert!(!manager.still_holds(clock, ROLE, term), "asked right before the send, it says no");
+    // One that did not ask: whoever heard of the next lease holder turns it away.
     let other = world.owner();
     assert_ne!(other, owner);
-    let office = world.machines[other as usize].office.as_ref().expect("it runs");
-    assert!(!office.takes(DUTY, term));
+    let manager = world.machines[other as usize].manager.as_ref().expect("it runs");
+    assert!(!manager.would_admit(ROLE, term));
 }
 
 #[test]
-fn all_electors_restart_and_terms_rise_all_the_same() {
+fn terms_increase_when_all_acceptors_restart() {
     let mut world = World::new(20, 6);
     world.owner();
     for _ in 0..3 {
@@ -347,11 +352,11 @@
 }
 
 #[test]
-fn a_clock_that_is_set_back_brings_two_owners_and_the_checker_sees_it() {
+fn the_checker_detects_two_lease_holders_after_a_clock_is_set_back() {
     let two = (0..20).any(|seed| {
         let mut world = World::new(20, 1000 + seed);
         let owner = world.owner();
-        // Its clock is set back by two leases while it owns the duty.
+        // Its clock is set back by two leases while it owns the role.
         world.machines[owner as usize].skew = -2 * LEASE;
         world.machines[owner as usize].stalled_until = Time::MAX;
         (0..400).any(|_| {
@@ -364,7 +369,7 @@
 }
 
 #[test]
-fn a_thousand_gateways_ask_a_few_and_the_cost_of_each_is_flat() {
+fn the_cost_per_gateway_is_flat_up_to_a_thousand_gateways() {
     let rate = |count: u16| {
         let mut world = World::new(count, 3);
         world.run(3_000_000);
--- a/crates/ownership/tests/placement.rs
+++ b/crates/ownership/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Who should own which shard: spread evenly, taken over from one that is gone, given back to one that has come to stay.
 
-use petrelgauge_ownership::{shard_of, Placement, Settings, MOST_SHARDS};
+use petrelgauge_ownership::{shard_of, Placement, Settings, MAX_SHARDS};
 use petrelgauge_policy::Time;
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 const SHARDS: u16 = 27;
 
 fn settings(me: u16) -> Settings {
-    let electors = (0..ELECTORS).map(|place| place * 166).collect();
-    Settings { me: me * 166, gateways: 1_500, electors, lease: LEASE, ..Settings::default() }
+    let acceptors = (0..ELECTORS).map(|place| place * 166).collect();
+    Settings { self_id: me * 166, gateways: 1_500, acceptors, lease: LEASE, ..Settings::default() }
 }
 
 /// Electors that hear each other's heartbeats, some of them gone.
@@ -31,9 +31,9 @@
         while self.now < until {
             self.now += LEASE / 8;
             for from in (0..self.placements.len()).filter(|from| self.up[*from]).collect::<Vec<_>>() {
-                let to = self.placements[from].heartbeat(self.now);
+                let to = self.placements[from].due_heartbeats(self.now);
                 for to in to {
-                    self.placements[usize::from(to / 166)].heard(self.now, from as u16 * 166);
+                    self.placements[usize::from(to / 166)].on_heartbeat(self.now, from as u16 * 166);
                 }
             }
         }
@@ -50,18 +50,18 @@
 }
 
 #[test]
-fn every_shard_is_wanted_by_one_elector_and_all_want_as_many() {
+fn shards_are_spread_evenly_over_acceptors() {
     let mut world = World::new();
     world.run(5 * LEASE);
     let wanted = world.wanted();
     assert!(wanted.values().all(|who| who.len() == 1), "{wanted:?}");
-    for elector in 0..usize::from(ELECTORS) {
-        assert_eq!(wanted.values().filter(|who| who[0] == elector).count(), 3, "{elector}");
+    for acceptor in 0..usize::from(ELECTORS) {
+        assert_eq!(wanted.values().filter(|who| who[0] == acceptor).count(), 3, "{acceptor}");
     }
 }
 
 #[test]
-fn shards_of_one_that_is_gone_are_wanted_by_another_and_given_back_when_it_has_come_to_stay() {
+fn shards_of_an_absent_acceptor_fail_over_and_return_once_it_has_settled() {
     let mut world = World::new();
     world.run(5 * LEASE);
     world.up[4] = false;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn one_that_flaps_is_not_yielded_to() {
+fn shards_are_not_yielded_to_a_flapping_acceptor() {
     let mut world = World::new();
     world.run(5 * LEASE);
     world.up[4] = false;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_elector_that_starts_leaves_the_others_the_time_to_be_heard() {
+fn a_starting_acceptor_waits_for_the_heartbeats_of_others() {
     let placement = Placement::new(&settings(3), SHARDS, 0);
     assert!(placement.wants(0, 3), "its own first shards are wanted at once");
     assert!(!placement.wants(0, 2));
@@ -125,14 +125,14 @@
     assert_eq!(shard_of(7, 0), 0);
     let far = Placement::new(&settings(0), u16::MAX, 0);
     assert!(far.wants(0, 0));
-    assert!(u32::from(MOST_SHARDS) * 2 <= petrelgauge_ownership::MOST_DUTIES as u32);
+    assert!(u32::from(MAX_SHARDS) * 2 <= petrelgauge_ownership::MAX_ROLES as u32);
 }
 
 #[test]
-fn strangers_are_not_heard() {
+fn heartbeats_of_other_gateways_are_ignored() {
     let mut placement = Placement::new(&settings(3), SHARDS, 0);
-    // A gateway that is no elector, and this one itself.
-    placement.heard(3 * LEASE, 17);
-    placement.heard(3 * LEASE, 3 * 166);
+    // A gateway that is no acceptor, and this one itself.
+    placement.on_heartbeat(3 * LEASE, 17);
+    placement.on_heartbeat(3 * LEASE, 3 * 166);
     assert!(placement.wants(3 * LEASE, 2));
 }
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -4,51 +4,52 @@
 mod common;
 use common::fleet::*;
 use common::*;
-use petrelgauge_ownership::shares::{Part, Pool, Rates};
+use petrelgauge_ownership::quota::{Quota, QuotaPool, RequestRates};
 use petrelgauge_ownership::Settings as Spans;
 use petrelgauge_policy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// The share-out of one group among all routers of a fleet; the first one owns the duty.
+/// The share-out of one group among all routers of a fleet; the first one owns the role.
 struct Out {
-    parts: Vec<Part>,
-    rates: Vec<Rates>,
+    quotas: Vec<Quota>,
+    rates: Vec<RequestRates>,
     asked: Vec<u64>,
-    pool: Pool,
+    pool: QuotaPool,
 }
 
 impl Out {
     fn new(count: usize) -> Out {
-        let spans = |me| Spans { me, gateways: count as u16, electors: vec![0], ..Spans::default() };
+        let spans =
+            |me| Spans { self_id: me, gateways: count as u16, acceptors: vec![0], ..Spans::default() };
         Out {
-            parts: (0..count as u16).map(|me| Part::new(spans(me), START, 1)).collect(),
-            rates: vec![Rates::default(); count],
+            quotas: (0..count as u16).map(|me| Quota::new(spans(me), START, 1)).collect(),
+            rates: vec![RequestRates::default(); count],
             asked: vec![0; count],
-            pool: Pool::new(spans(0), 1),
+            pool: QuotaPool::new(spans(0), 1),
         }
     }
 
     fn step(&mut self, fleet: &mut Fleet) {
         let now = fleet.now;
-        if now >= self.pool.due_at() {
-            let (round, pieces) = self.pool.open(now);
-            for part in &mut self.parts {
-                pieces.iter().for_each(|means| part.hear_round(now, 1, round, means));
+        if now >= self.pool.next_deadline() {
+            let (round, pieces) = self.pool.open_round(now);
+            for quota in &mut self.quotas {
+                pieces.iter().for_each(|means| quota.on_round(now, 1, round, means));
             }
         }
-        for (me, part) in self.parts.iter_mut().enumerate() {
+        for (me, quota) in self.quotas.iter_mut().enumerate() {
             let rates = &mut self.rates[me];
-            rates.see(now, &BTreeMap::from([(G, self.asked[me])]));
-            if part.due_at().is_none_or(|due| now < due) {
+            rates.observe(now, &BTreeMap::from([(G, self.asked[me])]));
+            if quota.next_deadline().is_none_or(|due| now < due) {
                 continue;
             }
-            for answer in part.due(now, &rates.told()) {
-                let given = self.pool.hear(now, me as u16, answer.round, &answer.lines);
-                part.hear_grant(now, answer.number, &given);
+            for answer in quota.due_reports(now, &rates.per_group()) {
+                let granted = self.pool.on_report(now, me as u16, answer.round, &answer.lines);
+                quota.on_grant(now, answer.number, &granted);
             }
-            fleet.inbox[me].push(Event::Share(G, part.share(now, G)));
+            fleet.inbox[me].push(Event::Share(G, quota.current(now, G)));
         }
     }
 }
@@ -59,9 +60,9 @@
     let entries: Vec<Entry> = (1..=3).map(|id| entry(id, Standing::Up, id == 1, 0)).collect();
     let mut fleet = Fleet::new(routers, &entries, (1..=3).map(|id| (id, id == 1, 5, 60 * MS)).collect());
     let mut out = Out::new(routers);
-    let mut dice = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     for tick in 0..6_400 {
-        let draw = dice.next_u64();
+        let draw = rng.next_u64();
         let (arrives, heavy, place) = (draw >> 59, draw >> 58 & 1, (draw >> 20) as usize);
         // Two in thirty-two ticks of 5 ms bring four: 50 a second.
         // The last 2 s bring nothing new, so that all has its end.
@@ -84,11 +85,11 @@
         let (mut held, mut held_shared) = (0.0, 0.0);
         for seed in 1..=4 {
             let (alone, shared) = (uneven_writes(routers, false, seed), uneven_writes(routers, true, seed));
-            println!("{routers}, seed {seed}: {alone:.3} served with even parts, {shared:.3} with shares");
+            println!("{routers}, seed {seed}: {alone:.3} served with even quotas, {shared:.3} with shares");
             (held, held_shared) = (held + 1.0 - alone, held_shared + 1.0 - shared);
         }
         println!("{routers}: {held:.3} not served in four runs, {held_shared:.3} with shares");
-        // Of what even parts hold back, less than half is, where parts are small.
+        // Of what even quotas hold back, less than half is, where quotas are small.
         let most = if routers < 100 { held } else { held / 2.0 };
         assert!(held_shared < most, "{routers}: {held_shared:.3} of {held:.3}");
     }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -16,7 +16,7 @@
 use crate::net::share_out::{Demand, ShareOut};
 use crate::{Class, MemberId, Need, Settings, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
-use petrelgauge_ownership::Office;
+use petrelgauge_ownership::LeaseManager;
 use petrelgauge_sessions::{Keeper, SettingsError};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -197,7 +197,8 @@
     let me = config.place().ok_or("ownership: this gateway is none of the peers")?;
     let settings = set.settings(me, config.peers.len())?;
     let now = clock.now();
-    let office = Office::new(settings, now, config.seed).map_err(|cause| format!("ownership: {cause}"))?;
+    let office =
+        LeaseManager::new(settings, now, config.seed).map_err(|cause| format!("ownership: {cause}"))?;
     // A process that starts again must not take what was given to the one before it.
     let drawn = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
     let shares = set.shares.then(|| ShareOut::new(&office, set.shards, drawn, facade.clone(), clock, demand));
--- a/src/net/duties.rs
+++ b/src/net/duties.rs
@@ -15,7 +15,8 @@
 use crate::net::share_out::{ShareOut, SHARES};
 use crate::{GroupId, MemberId, Time};
 use petrelgauge_ownership::{
-    shard_of, Duty, Gateway, Leader, Message, Office, Placement, Term, Word, MOST_LEADERS,
+    shard_of, GatewayId, LeadershipRole, LeaseManager, Message, Notification, Placement, PrimaryAnnouncement,
+    Term, MAX_ANNOUNCEMENTS,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -31,9 +32,9 @@
 const MOST_TOLD: usize = 64;
 
 /// Bytes for a gateway, by its place among the peers.
-pub type Parcel = (Gateway, Vec<u8>);
+pub type Parcel = (GatewayId, Vec<u8>);
 /// Messages, each with whom it is for.
-type Sent = Vec<(Gateway, Message)>;
+type Sent = Vec<(GatewayId, Message)>;
 /// A leader as the decisions know it: its group, the member, and when it answered.
 type Answered = (GroupId, MemberId, Time);
 
@@ -50,7 +51,7 @@
 
 /// This gateway's part.
 pub struct Duties {
-    office: RefCell<Office>,
+    office: RefCell<LeaseManager>,
     shares: Option<RefCell<ShareOut>>,
     /// Which shards this gateway should own: of an elector, where there are several.
     placement: Option<RefCell<Placement>>,
@@ -58,7 +59,7 @@
     /// Told apart from fleets with other electors, spans or shards.
     fleet: u32,
     /// All duties of this fleet.
-    duties: Vec<Duty>,
+    duties: Vec<LeadershipRole>,
     facade: Facade,
     clock: Clock,
     counters: Rc<Counters>,
@@ -67,19 +68,19 @@
     leaders: RefCell<Leaders>,
     look_at: Cell<Time>,
     /// Who was known to scout, for each shard.
-    scouts: RefCell<Vec<Option<(Gateway, Term)>>>,
+    scouts: RefCell<Vec<Option<(GatewayId, Term)>>>,
     failing: Cell<bool>,
     leaving: Cell<bool>,
 }
 
-fn scout(shard: u16) -> Duty {
-    Duty { kind: SCOUT, group: u64::from(shard) }
+fn scout(shard: u16) -> LeadershipRole {
+    LeadershipRole { kind: SCOUT, shard: u64::from(shard) }
 }
 
 impl Duties {
     /// A part for this office.
     pub fn new(
-        mut office: Office,
+        mut office: LeaseManager,
         shares: Option<ShareOut>,
         plan: Plan,
         facade: Facade,
@@ -90,15 +91,16 @@
         let fleet = office.settings().sharded_fingerprint(plan.shards);
         let kinds = [(plan.scout, SCOUT), (shares.is_some(), SHARES)];
         let kinds = kinds.into_iter().filter(|(on, _)| *on);
-        let of_kind = |(_, kind)| (0..u64::from(plan.shards)).map(move |group| Duty { kind, group });
-        let duties: Vec<Duty> = kinds.flat_map(of_kind).collect();
+        let of_kind =
+            |(_, kind)| (0..u64::from(plan.shards)).map(move |shard| LeadershipRole { kind, shard });
+        let duties: Vec<LeadershipRole> = kinds.flat_map(of_kind).collect();
         let now = clock.now();
         let settings = office.settings().clone();
-        let elects = settings.electors.contains(&settings.me);
+        let elects = settings.acceptors.contains(&settings.self_id);
         let placement = (elects && plan.shards > 1).then(|| Placement::new(&settings, plan.shards, now));
         if elects && placement.is_none() {
             // Electors are candidates too, and nobody else: so few ask, however many there are.
-            duties.iter().for_each(|duty| office.want(now, *duty));
+            duties.iter().for_each(|duty| office.campaign(now, *duty));
         }
         Rc::new(Duties {
             office: RefCell::new(office),
@@ -127,8 +129,8 @@
     /// When [`Duties::due`] is to be called at the latest.
     pub fn due_at(&self) -> Time {
         let shares = self.shares.as_ref().and_then(|shares| shares.borrow().due_at());
-        let heartbeat = self.placement.as_ref().map(|placement| placement.borrow().due_at());
-        let due = self.office.borrow().due_at().into_iter().chain(shares).chain(heartbeat).min();
+        let heartbeat = self.placement.as_ref().map(|placement| placement.borrow().next_deadline());
+        let due = self.office.borrow().next_deadline().into_iter().chain(shares).chain(heartbeat).min();
         due.map_or(self.look_at.get(), |due| due.min(self.look_at.get()))
     }
 
@@ -137,11 +139,11 @@
         let now = self.clock.now();
         if self.leaving.get() {
             self.look_at.set(now + LOOK);
-            let sent = self.office.borrow_mut().give_up(now);
+            let sent = self.office.borrow_mut().release(now);
             return self.post(sent);
         }
         let mut sent = self.place(now);
-        sent.extend(self.office.borrow_mut().due(now));
+        sent.extend(self.office.borrow_mut().on_deadline(now));
         let mut parcels = self.post(sent);
         if now >= self.look_at.get() {
             self.look_at.set(now + LOOK);
@@ -160,15 +162,15 @@
         let Some(placement) = &self.placement else { return Vec::new() };
         let (mut placement, mut office) = (placement.borrow_mut(), self.office.borrow_mut());
         let mut sent: Sent =
-            placement.heartbeat(now).into_iter().map(|to| (to, Message::Heartbeat)).collect();
+            placement.due_heartbeats(now).into_iter().map(|to| (to, Message::Heartbeat)).collect();
         for duty in &self.duties {
-            let shard = duty.group as u16;
+            let shard = duty.shard as u16;
             let (wants, yields) = (placement.wants(now, shard), placement.yields(now, shard));
-            match (office.is_wanted(*duty), office.may(now, *duty).is_some()) {
-                (false, _) if wants && !yields => office.want(now, *duty),
+            match (office.is_campaigning(*duty), office.held_term(now, *duty).is_some()) {
+                (false, _) if wants && !yields => office.campaign(now, *duty),
                 // One that it owns it keeps until an earlier one has come to stay.
-                (true, true) if yields => sent.extend(office.unwant(now, *duty)),
-                (true, false) if !wants => sent.extend(office.unwant(now, *duty)),
+                (true, true) if yields => sent.extend(office.withdraw(now, *duty)),
+                (true, false) if !wants => sent.extend(office.withdraw(now, *duty)),
                 _ => {}
             }
         }
@@ -181,7 +183,7 @@
             Ok((from, message)) => {
                 self.failing.set(false);
                 if let Some(placement) = &self.placement {
-                    placement.borrow_mut().heard(self.clock.now(), from);
+                    placement.borrow_mut().on_heartbeat(self.clock.now(), from);
                 }
                 let sent = self.take(from, message);
                 self.post(sent)
@@ -205,14 +207,14 @@
     pub fn owned(&self) -> usize {
         let now = self.clock.now();
         let office = self.office.borrow();
-        self.duties.iter().filter(|duty| office.may(now, **duty).is_some()).count()
+        self.duties.iter().filter(|duty| office.held_term(now, **duty).is_some()).count()
     }
 
     /// Duties whose owner it knows.
     pub fn known_owners(&self) -> usize {
         let now = self.clock.now();
         let office = self.office.borrow();
-        self.duties.iter().filter(|duty| office.owner(now, **duty).is_some()).count()
+        self.duties.iter().filter(|duty| office.lease_holder(now, **duty).is_some()).count()
     }
 
     /// Entries of state, those of the share-out included.
@@ -223,7 +225,7 @@
     /// Counters, and who scouts.
     pub fn counts(&self) -> String {
         let (office, now) = (self.office.borrow(), self.clock.now());
-        let owner = match office.owner(now, scout(0)) {
+        let owner = match office.lease_holder(now, scout(0)) {
             Some((who, term)) => format!("{who} term={term}"),
             None => "nobody".to_string(),
         };
@@ -235,25 +237,35 @@
         format!("{counts} duties_owned={owned} duties_known={known} duties={of} scout={owner}{shares}")
     }
 
-    fn take(&self, from: Gateway, message: Message) -> Sent {
+    fn take(&self, from: GatewayId, message: Message) -> Sent {
         let now = self.clock.now();
         let taken = match &message {
-            Message::Word(duty, term, _) => self.office.borrow().takes(*duty, *term),
+            Message::Notification(duty, term, _) => self.office.borrow().would_admit(*duty, *term),
             _ => true,
         };
         let mut sent = Vec::new();
         match &message {
-            Message::Word(Duty { kind: SCOUT, .. }, _, Word::Primary { member, position }) if taken => {
-                self.primary(now, Leader { member: *member, position: *position })
-            }
-            Message::Word(Duty { kind: SCOUT, .. }, _, Word::Primaries { leaders }) if taken => {
+            Message::Notification(
+                LeadershipRole { kind: SCOUT, .. },
+                _,
+                Notification::Primary { member, position },
+            ) if taken => self.primary(now, PrimaryAnnouncement { member: *member, position: *position }),
+            Message::Notification(
+                LeadershipRole { kind: SCOUT, .. },
+                _,
+                Notification::Primaries { primaries: leaders },
+            ) if taken => {
                 leaders.iter().for_each(|leader| self.primary(now, *leader));
             }
-            Message::Found { member, position } => {
-                self.primary(now, Leader { member: *member, position: *position })
+            Message::PrimaryReport { member, position } => {
+                self.primary(now, PrimaryAnnouncement { member: *member, position: *position })
+            }
+            Message::PrimaryReports { primaries: leaders } => {
+                leaders.iter().for_each(|leader| self.primary(now, *leader))
             }
-            Message::FoundAll { leaders } => leaders.iter().for_each(|leader| self.primary(now, *leader)),
-            Message::Word(Duty { kind: SHARES, .. }, ..) | Message::Lines { .. } if taken => {
+            Message::Notification(LeadershipRole { kind: SHARES, .. }, ..) | Message::QuotaReport { .. }
+                if taken =>
+            {
                 let mut office = self.office.borrow_mut();
                 let shares = self.shares.as_ref().filter(|_| from < office.settings().gateways);
                 sent.extend(
@@ -262,12 +274,12 @@
             }
             _ => {}
         }
-        sent.extend(self.office.borrow_mut().hear(now, from, message));
+        sent.extend(self.office.borrow_mut().on_message(now, from, message));
         sent
     }
 
     /// Somebody says who leads. A member that the own list does not name is nobody.
-    fn primary(&self, now: Time, leader: Leader) {
+    fn primary(&self, now: Time, leader: PrimaryAnnouncement) {
         if let Some(id) = self.names.by_hash(leader.member) {
             self.counters.words.add();
             // It need not be told back.
@@ -280,7 +292,7 @@
 
     /// Messages as datagrams. What is for this gateway itself is heard at once.
     fn post(&self, sent: Sent) -> Vec<Parcel> {
-        let me = self.office.borrow().settings().me;
+        let me = self.office.borrow().settings().self_id;
         let (mut left, mut parcels) = (sent, Vec::new());
         while let Some((to, message)) = left.pop() {
             if to == me {
@@ -295,8 +307,8 @@
     /// Looks who scouts, and scouts rarely if others do for all groups.
     fn look(&self, now: Time) {
         let office = self.office.borrow();
-        let known: Vec<Option<(Gateway, Term)>> =
-            (0..self.plan.shards).map(|shard| office.owner(now, scout(shard))).collect();
+        let known: Vec<Option<(GatewayId, Term)>> =
+            (0..self.plan.shards).map(|shard| office.lease_holder(now, scout(shard))).collect();
         let before = self.scouts.replace(known.clone());
         if known == before {
             return;
@@ -304,7 +316,7 @@
         // Whoever owns a shard next has to be told anew.
         let has_none = |group| known[usize::from(shard_of(group, self.plan.shards))].is_none();
         self.leaders.borrow_mut().forget(has_none);
-        let me = office.settings().me;
+        let me = office.settings().self_id;
         let others = known.iter().all(|owner| owner.is_some_and(|(who, _)| who != me || known.len() > 1));
         let gateways = Time::from(office.settings().gateways);
         self.facade.scout_every(if others { (gateways / 2).clamp(1, RAREST) } else { 1 });
@@ -324,7 +336,7 @@
         let leaders = self.facade.leaders();
         let mut parcels = Vec::new();
         for shard in 0..self.plan.shards {
-            let Some((owner, _)) = self.office.borrow().owner(now, scout(shard)) else { continue };
+            let Some((owner, _)) = self.office.borrow().lease_holder(now, scout(shard)) else { continue };
             let in_shard = leaders.iter().filter(|(group, ..)| shard_of(*group, self.plan.shards) == shard);
             let due = self.due_leaders(now, in_shard, owner);
             parcels.extend(self.write_leaders(shard, owner, &due));
@@ -337,9 +349,9 @@
         &self,
         now: Time,
         leaders: impl Iterator<Item = &'a Answered>,
-        owner: Gateway,
-    ) -> Vec<Leader> {
-        let again = owner == self.office.borrow().settings().me;
+        owner: GatewayId,
+    ) -> Vec<PrimaryAnnouncement> {
+        let again = owner == self.office.borrow().settings().self_id;
         let most = if self.plan.shards == 1 { MOST_TOLD } else { usize::MAX };
         let mut told = self.leaders.borrow_mut();
         let mut due = Vec::new();
@@ -347,33 +359,33 @@
             let Some(hash) = self.names.hash(*member) else { continue };
             if told.is_due(now, *group, *member, again) {
                 told.insert(now, *group, *member);
-                due.push(Leader { member: hash, position: *position });
+                due.push(PrimaryAnnouncement { member: hash, position: *position });
             }
         }
         due
     }
 
-    fn write_leaders(&self, shard: u16, owner: Gateway, leaders: &[Leader]) -> Vec<Parcel> {
+    fn write_leaders(&self, shard: u16, owner: GatewayId, leaders: &[PrimaryAnnouncement]) -> Vec<Parcel> {
         let mut office = self.office.borrow_mut();
-        let (me, gateways) = (office.settings().me, office.settings().gateways);
+        let (me, gateways) = (office.settings().self_id, office.settings().gateways);
         let single = self.plan.shards == 1;
         let mut parcels = Vec::new();
-        for piece in leaders.chunks(if single { 1 } else { MOST_LEADERS }) {
-            let Leader { member, position } = piece[0];
+        for piece in leaders.chunks(if single { 1 } else { MAX_ANNOUNCEMENTS }) {
+            let PrimaryAnnouncement { member, position } = piece[0];
             if owner != me {
                 let found = match single {
-                    true => Message::Found { member, position },
-                    false => Message::FoundAll { leaders: piece.to_vec() },
+                    true => Message::PrimaryReport { member, position },
+                    false => Message::PrimaryReports { primaries: piece.to_vec() },
                 };
                 parcels.push((owner, found.write(me, self.fleet, self.plan.secret)));
                 continue;
             }
             let word = match single {
-                true => Word::Primary { member, position },
-                false => Word::Primaries { leaders: piece.to_vec() },
+                true => Notification::Primary { member, position },
+                false => Notification::Primaries { primaries: piece.to_vec() },
             };
             // Asked right before it goes out, for each of them.
-            let Some(message) = office.word(self.clock.now(), scout(shard), word) else { break };
+            let Some(message) = office.notification(self.clock.now(), scout(shard), word) else { break };
             let bytes = message.write(me, self.fleet, self.plan.secret);
             parcels.extend((0..gateways).filter(|to| *to != me).map(|to| (to, bytes.clone())));
         }
--- a/src/net/share_out.rs
+++ b/src/net/share_out.rs
@@ -1,11 +1,11 @@
 //! The share-out of limits, as one gateway carries it: what its part and its pool of each shard say goes out, and the
-//! decisions are told of it first. What is lent, given and back in time stands in `petrelgauge_ownership::shares`.
+//! decisions are told of it first. What is lent, given and back in time stands in `petrelgauge_ownership::quota`.
 
 use crate::facade::Facade;
 use crate::net::clock::Clock;
 use crate::{GroupId, Share, Time};
-use petrelgauge_ownership::shares::{Answer, Line, Part, Pool, Rates};
-use petrelgauge_ownership::{shard_of, Duty, Gateway, Message, Office, Term, Word};
+use petrelgauge_ownership::quota::{GroupDemand, Quota, QuotaPool, QuotaReport, RequestRates};
+use petrelgauge_ownership::{shard_of, GatewayId, LeadershipRole, LeaseManager, Message, Notification, Term};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -13,21 +13,21 @@
 pub const SHARES: u8 = 2;
 
 /// Messages, each with whom it is for.
-type Sent = Vec<(Gateway, Message)>;
+type Sent = Vec<(GatewayId, Message)>;
 
 /// Requests that came for each group so far.
 pub type Demand = Rc<dyn Fn() -> BTreeMap<GroupId, u64>>;
 
 /// One shard: this gateway's part in its groups and, while it owns the shard, what it has to give.
 struct Shard {
-    part: Part,
-    pool: Option<Pool>,
+    part: Quota,
+    pool: Option<QuotaPool>,
 }
 
 /// What this gateway lends and is given, and, while it owns shards of the duty, what it has to give.
 pub struct ShareOut {
     shards: Vec<Shard>,
-    rates: Rates,
+    rates: RequestRates,
     /// What the decisions were told, where that is not the even part.
     told: BTreeMap<GroupId, Share>,
     facade: Facade,
@@ -35,23 +35,23 @@
     demand: Demand,
 }
 
-fn duty(shard: usize) -> Duty {
-    Duty { kind: SHARES, group: shard as u64 }
+fn duty(shard: usize) -> LeadershipRole {
+    LeadershipRole { kind: SHARES, shard: shard as u64 }
 }
 
 impl ShareOut {
-    /// For a gateway that starts now, with so many shards. `number`: drawn, see [`Part::new`].
+    /// For a gateway that starts now, with so many shards. `number`: drawn, see [`Quota::new`].
     pub fn new(
-        office: &Office,
+        office: &LeaseManager,
         shards: u16,
         number: u32,
         facade: Facade,
         clock: Clock,
         demand: Demand,
     ) -> ShareOut {
-        let part = || Part::new(office.settings().clone(), clock.now(), number);
+        let part = || Quota::new(office.settings().clone(), clock.now(), number);
         let shards = (0..shards.max(1)).map(|_| Shard { part: part(), pool: None }).collect();
-        ShareOut { shards, rates: Rates::default(), told: BTreeMap::new(), facade, clock, demand }
+        ShareOut { shards, rates: RequestRates::default(), told: BTreeMap::new(), facade, clock, demand }
     }
 
     fn shard_of(&self, group: GroupId) -> usize {
@@ -60,11 +60,11 @@
 
     /// When [`ShareOut::due`] is to be called at the latest, beside the looks of the duties.
     pub fn due_at(&self) -> Option<Time> {
-        self.shards.iter().filter_map(|shard| shard.part.due_at()).min()
+        self.shards.iter().filter_map(|shard| shard.part.next_deadline()).min()
     }
 
     /// What is to be sent now.
-    pub fn due(&mut self, office: &mut Office) -> Sent {
+    pub fn due(&mut self, office: &mut LeaseManager) -> Sent {
         let now = self.clock.now();
         let mut sent = Vec::new();
         for shard in 0..self.shards.len() {
@@ -74,43 +74,47 @@
             return sent;
         }
         let asked = (self.demand)();
-        self.rates.see(now, &asked);
+        self.rates.observe(now, &asked);
         let mut rates: Vec<BTreeMap<GroupId, u32>> = vec![BTreeMap::new(); self.shards.len()];
-        for (group, rate) in self.rates.told() {
+        for (group, rate) in self.rates.per_group() {
             rates[self.shard_of(group)].insert(group, rate);
         }
-        let mut answers: Vec<(usize, Answer)> = Vec::new();
+        let mut answers: Vec<(usize, QuotaReport)> = Vec::new();
         for (place, (shard, rates)) in self.shards.iter_mut().zip(&rates).enumerate() {
-            answers.extend(shard.part.due(now, rates).into_iter().map(|answer| (place, answer)));
+            answers.extend(shard.part.due_reports(now, rates).into_iter().map(|answer| (place, answer)));
         }
         // What was promised holds from here on, before anybody hears of it.
         self.tell(now, asked.keys().copied());
         for (shard, answer) in answers {
             // An owner that is none any more counts on nothing. What was promised to it holds all the same.
-            let owner = office.owner(now, duty(shard)).filter(|(_, term)| *term == answer.term);
-            let Answer { term, round, number, lines } = answer;
-            sent.extend(owner.map(|(owner, _)| (owner, Message::Lines { term, round, number, lines })));
+            let owner = office.lease_holder(now, duty(shard)).filter(|(_, term)| *term == answer.term);
+            let QuotaReport { term, round, number, lines } = answer;
+            sent.extend(owner.map(|(owner, _)| (owner, Message::QuotaReport { term, round, number, lines })));
         }
         sent
     }
 
     /// A round of this shard is due, where this gateway owns it.
-    fn open(&mut self, now: Time, shard: usize, office: &mut Office) -> Sent {
+    fn open(&mut self, now: Time, shard: usize, office: &mut LeaseManager) -> Sent {
         let pool = &mut self.shards[shard].pool;
-        let Some(term) = office.may(now, duty(shard)) else {
+        let Some(term) = office.held_term(now, duty(shard)) else {
             *pool = None;
             return Vec::new();
         };
         let settings = office.settings().clone();
         if pool.as_ref().is_none_or(|pool| pool.term() != term) {
-            *pool = Some(Pool::new(settings.clone(), term));
+            *pool = Some(QuotaPool::new(settings.clone(), term));
         }
-        let Some(pool) = pool.as_mut().filter(|pool| now >= pool.due_at()) else { return Vec::new() };
-        let (round, pieces) = pool.open(now);
+        let Some(pool) = pool.as_mut().filter(|pool| now >= pool.next_deadline()) else { return Vec::new() };
+        let (round, pieces) = pool.open_round(now);
         let mut sent = Vec::new();
         for means in pieces {
             // Asked right before it goes out, for each of them.
-            let word = office.word(self.clock.now(), duty(shard), Word::Round { round, means });
+            let word = office.notification(
+                self.clock.now(),
+                duty(shard),
+                Notification::QuotaRound { round, mean_rates: means },
+            );
             let Some(word) = word else { break };
             sent.extend((0..settings.gateways).map(|to| (to, word.clone())));
         }
@@ -118,23 +122,31 @@
     }
 
     /// A message came that the office lets through.
-    pub fn hear(&mut self, from: Gateway, message: &Message, office: &mut Office) -> Sent {
+    pub fn hear(&mut self, from: GatewayId, message: &Message, office: &mut LeaseManager) -> Sent {
         let now = self.clock.now();
         match message {
-            Message::Word(Duty { kind: SHARES, group }, term, Word::Round { round, means }) => {
-                if let Some(shard) = self.shards.get_mut(*group as usize) {
-                    shard.part.hear_round(now, *term, *round, means);
+            Message::Notification(
+                LeadershipRole { kind: SHARES, shard },
+                term,
+                Notification::QuotaRound { round, mean_rates: means },
+            ) => {
+                if let Some(state) = self.shards.get_mut(*shard as usize) {
+                    state.part.on_round(now, *term, *round, means);
                 }
                 Vec::new()
             }
-            Message::Word(Duty { kind: SHARES, group }, _, Word::Grant { number, given }) => {
-                if let Some(shard) = self.shards.get_mut(*group as usize) {
-                    shard.part.hear_grant(now, *number, given);
+            Message::Notification(
+                LeadershipRole { kind: SHARES, shard },
+                _,
+                Notification::QuotaGrant { number, granted: given },
+            ) => {
+                if let Some(state) = self.shards.get_mut(*shard as usize) {
+                    state.part.on_grant(now, *number, given);
                 }
                 self.tell(now, given.iter().map(|(group, _)| *group));
                 Vec::new()
             }
-            Message::Lines { term, round, number, lines } => {
+            Message::QuotaReport { term, round, number, lines } => {
                 self.give(now, from, (*term, *round, *number), lines, office)
             }
             _ => Vec::new(),
@@ -145,28 +157,34 @@
     fn give(
         &mut self,
         now: Time,
-        from: Gateway,
+        from: GatewayId,
         (term, round, number): (Term, u32, u32),
-        lines: &[Line],
-        office: &mut Office,
+        lines: &[GroupDemand],
+        office: &mut LeaseManager,
     ) -> Sent {
         let Some(shard) = lines.first().map(|line| self.shard_of(line.group)) else { return Vec::new() };
-        let lines: Vec<Line> =
+        let lines: Vec<GroupDemand> =
             lines.iter().copied().filter(|line| self.shard_of(line.group) == shard).collect();
         let pool = self.shards[shard].pool.as_mut().filter(|pool| pool.term() == term);
-        let Some(pool) = pool.filter(|_| office.still(now, duty(shard), term)) else { return Vec::new() };
-        let given = pool.hear(now, from, round, &lines);
+        let Some(pool) = pool.filter(|_| office.still_holds(now, duty(shard), term)) else {
+            return Vec::new();
+        };
+        let given = pool.on_report(now, from, round, &lines);
         if given.is_empty() {
             return Vec::new();
         }
-        let word = office.word(self.clock.now(), duty(shard), Word::Grant { number, given });
+        let word = office.notification(
+            self.clock.now(),
+            duty(shard),
+            Notification::QuotaGrant { number, granted: given },
+        );
         word.into_iter().map(|word| (from, word)).collect()
     }
 
     /// Tells the decisions what may be used of these groups, where that is new.
     fn tell(&mut self, now: Time, groups: impl Iterator<Item = GroupId>) {
         for group in groups {
-            let share = self.shards[self.shard_of(group)].part.share(now, group);
+            let share = self.shards[self.shard_of(group)].part.current(now, group);
             let known = self.told.get(&group).copied().unwrap_or_default();
             if share == known {
                 continue;
@@ -184,14 +202,14 @@
     pub fn entries(&self) -> usize {
         let pools = self.shards.iter().filter_map(|shard| shard.pool.as_ref());
         let parts = self.shards.iter().map(|shard| shard.part.groups().count());
-        parts.sum::<usize>() + pools.map(Pool::entries).sum::<usize>()
+        parts.sum::<usize>() + pools.map(QuotaPool::entries).sum::<usize>()
     }
 
     /// What there is to show: parts lent and given here, and, of the owner, lent to it and given by it, in thousandths of
     /// even parts.
     pub fn counts(&self) -> String {
         let now = self.clock.now();
-        let extra = |shard: &Shard, group| (shard.part.share(now, group).extra * 1000.0).round() as i64;
+        let extra = |shard: &Shard, group| (shard.part.current(now, group).extra * 1000.0).round() as i64;
         let extras = || {
             let shards = self.shards.iter();
             shards.flat_map(move |shard| shard.part.groups().map(move |group| extra(shard, group)))
@@ -199,7 +217,7 @@
         let lent = -extras().filter(|extra| *extra < 0).sum::<i64>();
         let given: i64 = extras().filter(|extra| *extra > 0).sum();
         let sums: Vec<(i64, i64)> =
-            self.shards.iter().filter_map(|shard| Some(shard.pool.as_ref()?.sums(now))).collect();
+            self.shards.iter().filter_map(|shard| Some(shard.pool.as_ref()?.totals(now))).collect();
         let pool_lent: i64 = sums.iter().map(|(lent, _)| lent).sum();
         let pool_given: i64 = sums.iter().map(|(_, given)| given).sum();
         let pool = match sums.is_empty() {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: what is switched on beside the platform's settings. Without one nothing is.
 
 use crate::{Class, Need, Time};
-use petrelgauge_ownership::{Settings as Spans, MOST_SHARDS};
+use petrelgauge_ownership::{Settings as Spans, MAX_SHARDS};
 use petrelgauge_records::{Record, RecordError};
 use petrelgauge_sessions::{Promise, Settings, Told};
 
@@ -30,17 +30,17 @@
 /// The record `ownership`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ownership {
-    /// How many electors there are, spread over the configuration's peers.
-    pub electors: usize,
+    /// How many acceptors there are, spread over the configuration's peers.
+    pub acceptors: usize,
     /// Lease, drift and delay; who and how many is known with the configuration alone.
     pub spans: Spans,
     /// The same at all gateways.
     pub secret: u64,
-    /// Electors bid for the scout's duty.
+    /// Acceptors are candidates for primary discovery.
     pub scout: bool,
     /// Shards that each duty falls into, so that many owners share its work.
     pub shards: u16,
-    /// This gateway takes part in the share-out of limits, and electors bid for that duty.
+    /// This gateway takes part in the share-out of limits, and acceptors are candidates for that role.
     pub shares: bool,
 }
 
@@ -66,10 +66,10 @@
 impl Ownership {
     /// What the gateway `me` of so many is told. The cause of a failure is one plain sentence.
     pub fn settings(&self, me: usize, gateways: usize) -> Result<Spans, String> {
-        let count = self.electors.min(gateways);
-        let electors = (0..count).map(|place| (place * gateways / count) as u16).collect();
+        let count = self.acceptors.min(gateways);
+        let acceptors = (0..count).map(|place| (place * gateways / count) as u16).collect();
         let (me, gateways) = (me as u16, gateways.min(u16::MAX.into()) as u16);
-        let settings = Spans { me, gateways, electors, ..self.spans.clone() };
+        let settings = Spans { self_id: me, gateways, acceptors, ..self.spans.clone() };
         settings.check().map(|()| settings).map_err(|cause| format!("ownership: {cause}"))
     }
 }
@@ -141,30 +141,30 @@
             record.error("ownership: a secret of up to 16 hexadecimal digits, the same at all gateways")
         );
     };
-    let electors = record.count("electors")?.unwrap_or(3) as usize;
-    let drift = record.count("drift_percent")?.map_or(base.drift, |percent| percent as f64 / 100.0);
+    let acceptors = record.count("electors")?.unwrap_or(3) as usize;
+    let drift = record.count("drift_percent")?.map_or(base.drift_bound, |percent| percent as f64 / 100.0);
     let lease = record.span("lease")?.unwrap_or(base.lease);
-    let delay = record.span("delay")?.unwrap_or(base.delay);
-    let spans = Spans { lease, drift, delay, ..base };
-    // With as many gateways as electors it can be checked here, where the file and the place are known.
+    let delay = record.span("delay")?.unwrap_or(base.max_delay);
+    let spans = Spans { lease, drift_bound: drift, max_delay: delay, ..base };
+    // With as many gateways as acceptors it can be checked here, where the file and the place are known.
     let stand_in = Spans {
-        gateways: electors.min(1000) as u16,
-        electors: (0..electors.min(1000) as u16).collect(),
+        gateways: acceptors.min(1000) as u16,
+        acceptors: (0..acceptors.min(1000) as u16).collect(),
         ..spans.clone()
     };
     stand_in.check().map_err(|cause| record.error(format!("ownership: {cause}")))?;
     let shards = record.count("shards")?.unwrap_or(1);
-    if !(1..=u64::from(MOST_SHARDS)).contains(&shards) {
-        return Err(record.error(format!("ownership: shards are from 1 to {MOST_SHARDS}")));
+    if !(1..=u64::from(MAX_SHARDS)).contains(&shards) {
+        return Err(record.error(format!("ownership: shards are from 1 to {MAX_SHARDS}")));
     }
     let duties = record.texts("duties")?.unwrap_or_else(|| vec!["scout".into()]);
     if let Some(other) = duties.iter().find(|name| !["scout", "shares"].contains(&name.as_str())) {
         return Err(record.error(format!("duties are \"scout\" and \"shares\", not {other:?}")));
     }
     let [scout, shares] = ["scout", "shares"].map(|one| duties.iter().any(|name| name == one));
-    if shares && !spans.shares_last() {
+    if shares && !spans.loans_outlast_grants() {
         return Err(record.error("ownership: shares need a lower drift, or a lease of more delays"));
     }
     record.end()?;
-    Ok(Ownership { electors, spans, secret, scout, shards: shards as u16, shares })
+    Ok(Ownership { acceptors, spans, secret, scout, shards: shards as u16, shares })
 }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,8 +2,8 @@
 //! again. What they do is read outside of them, by a sixth address among their peers.
 
 mod stage;
-use petrelgauge_ownership::shares::{Line, Milli};
-use petrelgauge_ownership::{Duty, Fence, Message, Settings, Term, Word};
+use petrelgauge_ownership::quota::{GroupDemand, Milli};
+use petrelgauge_ownership::{Fence, LeadershipRole, Message, Notification, Settings, Term};
 use stage::*;
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
@@ -11,8 +11,8 @@
 
 const GATEWAYS: usize = 5;
 const SECRET: u64 = 0x5e;
-const SCOUT: Duty = Duty { kind: 1, group: 0 };
-const SHARES: Duty = Duty { kind: 2, group: 0 };
+const SCOUT: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
+const SHARES: LeadershipRole = LeadershipRole { kind: 2, shard: 0 };
 const FILE: &str =
     "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n}\n";
 
@@ -22,7 +22,7 @@
     settings: Settings,
     fence: Fence,
     /// Sender, term and word of all that was taken, with when.
-    taken: Vec<(Instant, u16, Term, Word)>,
+    taken: Vec<(Instant, u16, Term, Notification)>,
 }
 
 impl Ledger {
@@ -31,12 +31,12 @@
         socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a limit");
         // As the file has it for six gateways.
         let settings = Settings {
-            me: 5,
+            self_id: 5,
             gateways: 6,
-            electors: vec![0, 2, 4],
+            acceptors: vec![0, 2, 4],
             lease: 800_000,
-            delay: 40_000,
-            drift: 0.01,
+            max_delay: 40_000,
+            drift_bound: 0.01,
         };
         Ledger { socket, settings, fence: Fence::default(), taken: Vec::new() }
     }
@@ -49,8 +49,8 @@
             let Ok((count, _)) = self.socket.recv_from(&mut bytes) else { continue };
             let read = Message::read(&bytes[..count], self.settings.fingerprint(), SECRET);
             let (from, message) = read.expect("the gateways of this fleet write so");
-            let Message::Word(duty, term, word) = message else { continue };
-            if self.fence.pass(duty, term).is_ok() {
+            let Message::Notification(duty, term, word) = message else { continue };
+            if self.fence.admit(duty, term).is_ok() {
                 let other = self.taken.iter().find(|(_, who, known, _)| *known == term && *who != from);
                 assert!(other.is_none(), "two owners under term {term}: {other:?} and {from}");
                 self.taken.push((Instant::now(), from, term, word));
@@ -75,7 +75,7 @@
         let begun = Instant::now();
         loop {
             let told = self.taken.iter().rev().find_map(|(_, _, _, word)| match word {
-                Word::Primary { member, .. } => Some(*member),
+                Notification::Primary { member, .. } => Some(*member),
                 _ => None,
             });
             if let Some(member) = told {
@@ -157,7 +157,7 @@
         fleet.gateways[who as usize] = None;
         let (next, higher) = fleet.ledger.owner_after(term);
         assert!(higher > term);
-        let limit = Duration::from_micros(fleet.ledger.settings.takeover() as u64);
+        let limit = Duration::from_micros(fleet.ledger.settings.takeover_bound() as u64);
         // A machine that is busy with other tests is given twice the span.
         assert!(died.elapsed() < 2 * limit, "{:?} of {limit:?}", died.elapsed());
         // Back under its old name it has forgotten all, and may only ask.
@@ -213,14 +213,15 @@
     let mut fleet = fleet(104);
     let (who, term) = fleet.ledger.owner_after(0);
     let target = fleet.address(1);
-    let word = Message::Word(SCOUT, term + 5, Word::Owns { left: 1_000_000 });
+    let word = Message::Notification(SCOUT, term + 5, Notification::LeaseHeld { remaining: 1_000_000 });
     let fleet_of = fleet.ledger.settings.fingerprint();
     let whole = word.write(3, fleet_of, SECRET);
     let bad = [
         whole[..whole.len() - 1].to_vec(),
         word.write(3, fleet_of ^ 1, SECRET),
         word.write(3, fleet_of, SECRET ^ 1),
-        Message::Word(SCOUT, Term::MAX, Word::Owns { left: 1 }).write(3, fleet_of, SECRET),
+        Message::Notification(SCOUT, Term::MAX, Notification::LeaseHeld { remaining: 1 })
+            .write(3, fleet_of, SECRET),
     ];
     for bytes in &bad {
         fleet.ledger.socket.send_to(bytes, &target).expect("sent");
@@ -276,21 +277,21 @@
             let Ok((count, _)) = fleet.ledger.socket.recv_from(&mut bytes) else { continue };
             let read = Message::read(&bytes[..count], fleet.ledger.settings.fingerprint(), SECRET);
             let (from, message) = read.expect("the gateways of this fleet write so");
-            let Message::Word(SHARES, term, word) = message else { continue };
-            if fleet.ledger.fence.pass(SHARES, term).is_err() {
+            let Message::Notification(SHARES, term, word) = message else { continue };
+            if fleet.ledger.fence.admit(SHARES, term).is_err() {
                 continue;
             }
             match word {
-                Word::Round { round, .. } => {
+                Notification::QuotaRound { round, .. } => {
                     self.next += 1;
                     self.asked.insert(self.next, Instant::now());
-                    let lines = vec![Line { group: 2, rate: 4_000_000, asks: 4_000 }];
-                    let answer = Message::Lines { term, round, number: self.next, lines };
+                    let lines = vec![GroupDemand { group: 2, rate: 4_000_000, requested: 4_000 }];
+                    let answer = Message::QuotaReport { term, round, number: self.next, lines };
                     let bytes = answer.write(5, fleet.ledger.settings.fingerprint(), SECRET);
                     fleet.ledger.socket.send_to(&bytes, fleet.address(from)).expect("sent");
                 }
-                Word::Grant { number, given } => {
-                    let life = Duration::from_micros(fleet.ledger.settings.grant_life() as u64);
+                Notification::QuotaGrant { number, granted: given } => {
+                    let life = Duration::from_micros(fleet.ledger.settings.grant_duration() as u64);
                     let until = self.asked[&number] + life;
                     let amounts = given.iter().map(|(group, amount)| {
                         assert_eq!(*group, 2);
@@ -386,10 +387,17 @@
     // As number 1 of three electors it asks the other two.
     let (mut bytes, fleet) = (
         [0; 300],
-        Settings { me: 1, gateways: 3, electors: vec![0, 1, 2], lease: 800_000, delay: 40_000, drift: 0.01 },
+        Settings {
+            self_id: 1,
+            gateways: 3,
+            acceptors: vec![0, 1, 2],
+            lease: 800_000,
+            max_delay: 40_000,
+            drift_bound: 0.01,
+        },
     );
     let (count, _) = heard.recv_from(&mut bytes).expect("it asks");
     let (from, message) =
         Message::read(&bytes[..count], fleet.fingerprint(), SECRET).expect("it is of this fleet");
-    assert!(from == 1 && matches!(message, Message::Ask(SCOUT, _)), "{from}: {message:?}");
+    assert!(from == 1 && matches!(message, Message::LeaseRequest(SCOUT, _)), "{from}: {message:?}");
 }
