--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,7 +2,7 @@
 //! again. What they do is read outside of them, by a sixth address among their peers.
 
 mod stage;
-use petrelgauge_ownership::quota::{GroupDemand, Milli};
+use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, QuotaReport, Thousandths};
 use petrelgauge_ownership::{Fence, LeadershipRole, Message, Notification, Settings, Term};
 use stage::*;
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
             let Ok((count, _)) = self.socket.recv_from(&mut bytes) else { continue };
             let read = Message::read(&bytes[..count], self.settings.fingerprint(), SECRET);
             let (from, message) = read.expect("the gateways of this fleet write so");
-            let Message::Notification(duty, term, word) = message else { continue };
+            let Message::Notification { role: duty, term, notification: word } = message else { continue };
             if self.fence.admit(duty, term).is_ok() {
                 let other = self.taken.iter().find(|(_, who, known, _)| *known == term && *who != from);
                 assert!(other.is_none(), "two owners under term {term}: {other:?} and {from}");
@@ -75,7 +75,7 @@
         let begun = Instant::now();
         loop {
             let told = self.taken.iter().rev().find_map(|(_, _, _, word)| match word {
-                Notification::Primary { member, .. } => Some(*member),
+                Notification::Primary(primary) => Some(primary.member),
                 _ => None,
             });
             if let Some(member) = told {
@@ -213,15 +213,23 @@
     let mut fleet = fleet(104);
     let (who, term) = fleet.ledger.owner_after(0);
     let target = fleet.address(1);
-    let word = Message::Notification(SCOUT, term + 5, Notification::LeaseHeld { remaining: 1_000_000 });
+    let word = Message::Notification {
+        role: SCOUT,
+        term: term + 5,
+        notification: Notification::LeaseHeld { remaining: 1_000_000 },
+    };
     let fleet_of = fleet.ledger.settings.fingerprint();
     let whole = word.write(3, fleet_of, SECRET);
     let bad = [
         whole[..whole.len() - 1].to_vec(),
         word.write(3, fleet_of ^ 1, SECRET),
         word.write(3, fleet_of, SECRET ^ 1),
-        Message::Notification(SCOUT, Term::MAX, Notification::LeaseHeld { remaining: 1 })
-            .write(3, fleet_of, SECRET),
+        Message::Notification {
+            role: SCOUT,
+            term: Term::MAX,
+            notification: Notification::LeaseHeld { remaining: 1 },
+        }
+        .write(3, fleet_of, SECRET),
     ];
     for bytes in &bad {
         fleet.ledger.socket.send_to(bytes, &target).expect("sent");
@@ -263,7 +271,7 @@
     asked: BTreeMap<u32, Instant>,
     next: u32,
     /// By term: what was given and until when, as a gateway reckons it.
-    given: BTreeMap<Term, Vec<(Milli, Instant)>>,
+    given: BTreeMap<Term, Vec<(Thousandths, Instant)>>,
     /// The most that was in force at once, over all terms, and the owners that gave something.
     most: i64,
     owners: Vec<(u16, Term)>,
@@ -277,7 +285,7 @@
             let Ok((count, _)) = fleet.ledger.socket.recv_from(&mut bytes) else { continue };
             let read = Message::read(&bytes[..count], fleet.ledger.settings.fingerprint(), SECRET);
             let (from, message) = read.expect("the gateways of this fleet write so");
-            let Message::Notification(SHARES, term, word) = message else { continue };
+            let Message::Notification { role: SHARES, term, notification: word } = message else { continue };
             if fleet.ledger.fence.admit(SHARES, term).is_err() {
                 continue;
             }
@@ -286,14 +294,15 @@
                     self.next += 1;
                     self.asked.insert(self.next, Instant::now());
                     let lines = vec![GroupDemand { group: 2, rate: 4_000_000, requested: 4_000 }];
-                    let answer = Message::QuotaReport { term, round, number: self.next, lines };
+                    let answer =
+                        Message::QuotaReport(QuotaReport { term, round, number: self.next, demands: lines });
                     let bytes = answer.write(5, fleet.ledger.settings.fingerprint(), SECRET);
                     fleet.ledger.socket.send_to(&bytes, fleet.address(from)).expect("sent");
                 }
                 Notification::QuotaGrant { number, granted: given } => {
                     let life = Duration::from_micros(fleet.ledger.settings.grant_duration() as u64);
                     let until = self.asked[&number] + life;
-                    let amounts = given.iter().map(|(group, amount)| {
+                    let amounts = given.iter().map(|GroupGrant { group, amount }| {
                         assert_eq!(*group, 2);
                         (*amount, until)
                     });
@@ -310,7 +319,7 @@
 
     fn look(&mut self) {
         let now = Instant::now();
-        let alive = |given: &Vec<(Milli, Instant)>| {
+        let alive = |given: &Vec<(Thousandths, Instant)>| {
             given.iter().filter(|(_, until)| now < *until).map(|(amount, _)| i64::from(*amount)).max()
         };
         let sum = self.given.values().filter_map(alive).sum();
@@ -399,5 +408,5 @@
     let (count, _) = heard.recv_from(&mut bytes).expect("it asks");
     let (from, message) =
         Message::read(&bytes[..count], fleet.fingerprint(), SECRET).expect("it is of this fleet");
-    assert!(from == 1 && matches!(message, Message::LeaseRequest(SCOUT, _)), "{from}: {message:?}");
+    assert!(from == 1 && matches!(message, Message::LeaseRequest { role: SCOUT, .. }), "{from}: {message:?}");
 }
