--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -159,7 +159,7 @@
 
     fn stats(&self) -> GatewayStats {
         let Counters { told, told_bytes, heard, heard_bytes, list_bytes, .. } = &*self.counters;
-        let duties = self.control.duties.as_ref();
+        let duties = self.control.leadership.as_ref();
         GatewayStats {
             number: self.number,
             up: true,
--- a/src/main.rs
+++ b/src/main.rs
@@ -86,7 +86,7 @@
         given,
     };
     let mut control = Control::new(&mut config, decisions, environment, bind_datagrams).await?;
-    let (hosts, duties) = (control.hosts.clone(), control.duties.clone());
+    let (hosts, leadership) = (control.hosts.clone(), control.leadership.clone());
     let (told, names) = (control.told.clone(), control.names.clone());
     let heard = told.clone();
     let patience_until = clock.now() + LIST_PATIENCE;
@@ -112,11 +112,11 @@
         let keep = handover.clone().keep(clock, facade.clone(), budget.clone(), names, whole.clone());
         tasks.spawn_local(keep);
     }
-    let leaving = duties.clone();
+    let leaving = leadership.clone();
     let print = move |counters: &Counters| {
         let sessions = seen.session_counts().map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
-        let duties = duties.as_ref().map(|duties| format!(" {}", duties.counts()));
-        log::info!("{counters}{}{}", sessions.unwrap_or_default(), duties.unwrap_or_default());
+        let leadership = leadership.as_ref().map(|leadership| format!(" {}", leadership.counts()));
+        log::info!("{counters}{}{}", sessions.unwrap_or_default(), leadership.unwrap_or_default());
     };
     let front = Rc::new(Front {
         facade: facade.clone(),
@@ -184,7 +184,7 @@
                 front.last.set(life.answers_by(longest));
                 front.last_reads.set(life.last_reads(longest));
                 facade.answer_by(front.last.get());
-                leaving.iter().for_each(|duties| duties.leave());
+                leaving.iter().for_each(|leadership| leadership.stop());
             }
             Action::Doors | Action::Wait => {}
             Action::Take | Action::Keep => {
--- a/src/net/leaders.rs
+++ b/src/net/announced_primaries.rs
@@ -6,16 +6,16 @@
 
 /// A leader that was told is told again after this span at the earliest (microseconds): datagrams get lost, gateways start.
 const AGAIN: Time = 1_000_000;
-/// Leaders told again in a second at most (count): 2 KB a second for each gateway that hears them.
+/// AnnouncedPrimaries told again in a second at most (count): 2 KB a second for each gateway that hears them.
 const AGAIN_A_SECOND: Time = 100;
 
-/// Leaders by group. Holds those of groups that the decisions know, and forgets the others.
+/// AnnouncedPrimaries by group. Holds those of groups that the decisions know, and forgets the others.
 #[derive(Default)]
-pub struct Leaders {
+pub struct AnnouncedPrimaries {
     told: BTreeMap<GroupId, (MemberId, Time)>,
 }
 
-impl Leaders {
+impl AnnouncedPrimaries {
     /// A gateway was told of a leader, by this one or another.
     pub fn insert(&mut self, now: Time, group: GroupId, member: MemberId) {
         self.told.insert(group, (member, now));
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -8,12 +8,12 @@
 use crate::net::config::Config;
 use crate::net::counters::Counters;
 use crate::net::discovery::Follower;
-use crate::net::duties::{Duties, Plan};
 use crate::net::host_names::HostNames;
 use crate::net::hosts::Hosts;
+use crate::net::leadership::{FleetLeadership, LeadershipConfig};
 use crate::net::peers::{DatagramSocket, Peers};
+use crate::net::quota_lending::{Demand, QuotaLending};
 use crate::net::read_buffer::ReadBuffer;
-use crate::net::share_out::{Demand, ShareOut};
 use crate::{Class, MemberId, Need, Settings, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
 use petrelgauge_ownership::LeaseManager;
@@ -87,7 +87,7 @@
     /// The database hosts.
     pub hosts: Rc<Hosts>,
     /// This gateway's part in the fleet's duties, if they are switched on.
-    pub duties: Option<Rc<Duties>>,
+    pub leadership: Option<Rc<FleetLeadership>>,
     /// The names and numbers of the hosts.
     pub names: Rc<HostNames>,
     /// Discovery has spoken since the start.
@@ -117,8 +117,8 @@
         let follower =
             Follower::new(facade.clone(), hosts.clone(), counters.clone(), clock, known, backoff, given);
         let (told, names, revision) = (follower.told(), follower.names(), follower.revision());
-        let duties = duties(config, &facade, clock, &counters, &names, demand)?;
-        let listen = exchange.or(config.peer_listen.filter(|_| duties.is_some()));
+        let leadership = leadership(config, &facade, clock, &counters, &names, demand)?;
+        let listen = exchange.or(config.peer_listen.filter(|_| leadership.is_some()));
         let mut peers = None;
         if let Some(listen) = listen {
             let place = config.place().ok_or("peers: this gateway is none of them")?;
@@ -128,7 +128,7 @@
             peers = Some(Peers::new(socket, place, config.peers.clone()));
         }
         let follower = Some(follower);
-        Ok(Control { facade, hosts, duties, names, told, revision, clock, counters, follower, peers })
+        Ok(Control { facade, hosts, leadership, names, told, revision, clock, counters, follower, peers })
     }
 
     /// Starts its tasks, none of which ends by itself. The watch is kept at the address that `discovery` names last.
@@ -140,14 +140,14 @@
         tasks.spawn_local(keep_clean(self.hosts.clone(), self.clock));
         if let Some(peers) = self.peers.take() {
             let (facade, counters) = (self.facade.clone(), self.counters.clone());
-            tasks.spawn_local(peers.talk(facade, self.clock, counters, self.duties.clone()));
+            tasks.spawn_local(peers.talk(facade, self.clock, counters, self.leadership.clone()));
         }
     }
 
     /// Entries of state that grow with the fleet: hosts, parts of limits, marks of other gateways.
     pub fn entries(&self) -> usize {
-        let duties = self.duties.as_ref().map_or(0, |duties| duties.entries());
-        self.names.len() + duties + self.facade.session_entries()
+        let leadership = self.leadership.as_ref().map_or(0, |leadership| leadership.entries());
+        self.names.len() + leadership + self.facade.session_entries()
     }
 }
 
@@ -182,14 +182,14 @@
 }
 
 /// This gateway's part in the fleet's duties, if the operator has switched them on.
-fn duties(
+fn leadership(
     config: &Config,
     facade: &Facade,
     clock: Clock,
     counters: &Rc<Counters>,
     names: &Rc<HostNames>,
     demand: Demand,
-) -> Result<Option<Rc<Duties>>, String> {
+) -> Result<Option<Rc<FleetLeadership>>, String> {
     let Some(set) = &config.operator.ownership else { return Ok(None) };
     if config.peer_listen.is_none() {
         return Err("ownership: the configuration names no peer_listen".into());
@@ -201,10 +201,12 @@
         LeaseManager::new(settings, now, config.seed).map_err(|cause| format!("ownership: {cause}"))?;
     // A process that starts again must not take what was given to the one before it.
     let drawn = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
-    let shares = set.shares.then(|| ShareOut::new(&office, set.shards, drawn, facade.clone(), clock, demand));
+    let shares = set
+        .quota_lending
+        .then(|| QuotaLending::new(&office, set.shards, drawn, facade.clone(), clock, demand));
     let (facade, counters, names) = (facade.clone(), counters.clone(), names.clone());
-    let plan = Plan { scout: set.scout, shards: set.shards, secret: set.secret };
-    Ok(Some(Duties::new(office, shares, plan, facade, clock, counters, names)))
+    let plan = LeadershipConfig { scout: set.primary_discovery, shards: set.shards, secret: set.secret };
+    Ok(Some(FleetLeadership::new(office, shares, plan, facade, clock, counters, names)))
 }
 
 /// A keeper of sessions with the classes that carry them, and where marks of others are heard.
--- a/src/net/duties.rs
+++ b/src/net/leadership.rs
@@ -4,15 +4,15 @@
 //! The **scout** tells all others which member answered as its group's primary; whoever has such an
 //! answer tells the scout. While one is known, all others try members of a group without a primary more rarely, the more
 //! gateways there are: together they try about as often as one alone would. The **share-out** is carried by
-//! `share_out.rs`. Each duty can fall into **shards**, one owner for each; then electors tell each other by heartbeats
+//! `quota_lending.rs`. Each duty can fall into **shards**, one owner for each; then electors tell each other by heartbeats
 //! who is there, and leaders are told many at a time.
 
 use crate::facade::Facade;
+use crate::net::announced_primaries::AnnouncedPrimaries;
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
 use crate::net::host_names::HostNames;
-use crate::net::leaders::Leaders;
-use crate::net::share_out::{ShareOut, SHARES};
+use crate::net::quota_lending::{QuotaLending, QUOTA_LENDING};
 use crate::{GroupId, MemberId, Time};
 use petrelgauge_ownership::{
     shard_of, GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification, Outgoing,
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 
 /// The kind of the scout's duty; each shard is a duty of its own.
-pub const SCOUT: u8 = 1;
+pub const PRIMARY_DISCOVERY: u8 = 1;
 /// While another scouts, attempts of this gateway's own are half as many times as rare as there are gateways, and so many at
 /// most: with none of the others' words arriving, a write still finds its primary within seconds.
 const RAREST: Time = 64;
@@ -32,7 +32,7 @@
 const MOST_TOLD: usize = 64;
 
 /// Bytes for a gateway, by its place among the peers.
-pub type Parcel = (GatewayId, Vec<u8>);
+pub type OutgoingDatagram = (GatewayId, Vec<u8>);
 /// Messages, each with whom it is for.
 type Sent = Vec<Outgoing>;
 /// A leader as the decisions know it: its group, the member, and when it answered.
@@ -40,7 +40,7 @@
 
 /// Which duties there are.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct LeadershipConfig {
     /// Somebody scouts.
     pub scout: bool,
     /// Shards of each duty.
@@ -50,12 +50,12 @@
 }
 
 /// This gateway's part.
-pub struct Duties {
+pub struct FleetLeadership {
     office: RefCell<LeaseManager>,
-    shares: Option<RefCell<ShareOut>>,
+    shares: Option<RefCell<QuotaLending>>,
     /// Which shards this gateway should own: of an elector, where there are several.
     placement: Option<RefCell<Placement>>,
-    plan: Plan,
+    plan: LeadershipConfig,
     /// Told apart from fleets with other electors, spans or shards.
     fleet: u32,
     /// All duties of this fleet.
@@ -65,7 +65,7 @@
     counters: Rc<Counters>,
     /// The list's names and the decisions' numbers for them.
     names: Rc<HostNames>,
-    leaders: RefCell<Leaders>,
+    leaders: RefCell<AnnouncedPrimaries>,
     look_at: Cell<Time>,
     /// Who was known to scout, for each shard.
     scouts: RefCell<Vec<Option<LeaseHolder>>>,
@@ -74,22 +74,22 @@
 }
 
 fn scout(shard: u16) -> LeadershipRole {
-    LeadershipRole { kind: SCOUT, shard: u64::from(shard) }
+    LeadershipRole { kind: PRIMARY_DISCOVERY, shard: u64::from(shard) }
 }
 
-impl Duties {
+impl FleetLeadership {
     /// A part for this office.
     pub fn new(
         mut office: LeaseManager,
-        shares: Option<ShareOut>,
-        plan: Plan,
+        shares: Option<QuotaLending>,
+        plan: LeadershipConfig,
         facade: Facade,
         clock: Clock,
         counters: Rc<Counters>,
         names: Rc<HostNames>,
-    ) -> Rc<Duties> {
+    ) -> Rc<FleetLeadership> {
         let fleet = office.settings().sharded_fingerprint(plan.shards);
-        let kinds = [(plan.scout, SCOUT), (shares.is_some(), SHARES)];
+        let kinds = [(plan.scout, PRIMARY_DISCOVERY), (shares.is_some(), QUOTA_LENDING)];
         let kinds = kinds.into_iter().filter(|(on, _)| *on);
         let of_kind =
             |(_, kind)| (0..u64::from(plan.shards)).map(move |shard| LeadershipRole { kind, shard });
@@ -102,7 +102,7 @@
             // Electors are candidates too, and nobody else: so few ask, however many there are.
             duties.iter().for_each(|duty| office.campaign(now, *duty));
         }
-        Rc::new(Duties {
+        Rc::new(FleetLeadership {
             office: RefCell::new(office),
             shares: shares.map(RefCell::new),
             placement: placement.map(RefCell::new),
@@ -126,7 +126,7 @@
         Message::has_mark(bytes)
     }
 
-    /// When [`Duties::due`] is to be called at the latest.
+    /// When [`FleetLeadership::due`] is to be called at the latest.
     pub fn due_at(&self) -> Time {
         let shares = self.shares.as_ref().and_then(|shares| shares.borrow().due_at());
         let heartbeat = self.placement.as_ref().map(|placement| placement.borrow().next_deadline());
@@ -135,7 +135,7 @@
     }
 
     /// What is to be sent now.
-    pub fn due(&self) -> Vec<Parcel> {
+    pub fn due(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         if self.leaving.get() {
             self.look_at.set(now + LOOK);
@@ -181,7 +181,7 @@
     }
 
     /// A datagram came; gives what is to be sent in answer.
-    pub fn hear(&self, bytes: &[u8]) -> Vec<Parcel> {
+    pub fn hear(&self, bytes: &[u8]) -> Vec<OutgoingDatagram> {
         match Message::read(bytes, self.fleet, self.plan.secret) {
             Ok((from, message)) => {
                 self.failing.set(false);
@@ -202,18 +202,18 @@
     }
 
     /// This gateway stops: what it owns is given up, and it asks for nothing more.
-    pub fn leave(&self) {
+    pub fn stop(&self) {
         self.leaving.set(true);
     }
 
-    /// Duties that this gateway owns now.
+    /// FleetLeadership that this gateway owns now.
     pub fn owned(&self) -> usize {
         let now = self.clock.now();
         let office = self.office.borrow();
         self.duties.iter().filter(|duty| office.held_term(now, **duty).is_some()).count()
     }
 
-    /// Duties whose owner it knows.
+    /// FleetLeadership whose owner it knows.
     pub fn known_owners(&self) -> usize {
         let now = self.clock.now();
         let office = self.office.borrow();
@@ -249,12 +249,12 @@
         let mut sent = Vec::new();
         match &message {
             Message::Notification {
-                role: LeadershipRole { kind: SCOUT, .. },
+                role: LeadershipRole { kind: PRIMARY_DISCOVERY, .. },
                 notification: Notification::Primary(primary),
                 ..
             } if taken => self.primary(now, *primary),
             Message::Notification {
-                role: LeadershipRole { kind: SCOUT, .. },
+                role: LeadershipRole { kind: PRIMARY_DISCOVERY, .. },
                 notification: Notification::Primaries { primaries: leaders },
                 ..
             } if taken => {
@@ -264,7 +264,7 @@
             Message::PrimaryReports { primaries: leaders } => {
                 leaders.iter().for_each(|leader| self.primary(now, *leader))
             }
-            Message::Notification { role: LeadershipRole { kind: SHARES, .. }, .. }
+            Message::Notification { role: LeadershipRole { kind: QUOTA_LENDING, .. }, .. }
             | Message::QuotaReport(_)
                 if taken =>
             {
@@ -293,7 +293,7 @@
     }
 
     /// Messages as datagrams. What is for this gateway itself is heard at once.
-    fn post(&self, sent: Sent) -> Vec<Parcel> {
+    fn post(&self, sent: Sent) -> Vec<OutgoingDatagram> {
         let me = self.office.borrow().settings().self_id;
         let (mut left, mut parcels) = (sent, Vec::new());
         while let Some(Outgoing { to, message }) = left.pop() {
@@ -337,7 +337,7 @@
 
     /// What there is to say of who leads: the scout to all, what is new and what was told a while ago; another to the
     /// scout, what is new.
-    fn tell(&self, now: Time) -> Vec<Parcel> {
+    fn tell(&self, now: Time) -> Vec<OutgoingDatagram> {
         let leaders = self.facade.leaders();
         let mut parcels = Vec::new();
         for shard in 0..self.plan.shards {
@@ -350,7 +350,7 @@
         parcels
     }
 
-    /// Leaders that the scout of their shard has to tell, or has to be told of. They count as told from now on.
+    /// AnnouncedPrimaries that the scout of their shard has to tell, or has to be told of. They count as told from now on.
     fn due_leaders<'a>(
         &self,
         now: Time,
@@ -371,7 +371,12 @@
         due
     }
 
-    fn write_leaders(&self, shard: u16, owner: GatewayId, leaders: &[PrimaryAnnouncement]) -> Vec<Parcel> {
+    fn write_leaders(
+        &self,
+        shard: u16,
+        owner: GatewayId,
+        leaders: &[PrimaryAnnouncement],
+    ) -> Vec<OutgoingDatagram> {
         let mut office = self.office.borrow_mut();
         let (me, gateways) = (office.settings().self_id, office.settings().gateways);
         let single = self.plan.shards == 1;
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,10 +1,10 @@
 //! Datagrams between instances: bulletins out at their pace, bulletins in as they come. What is in them, and what
-//! follows from it, the sessions decide; and datagrams about duties, of which `duties.rs` sees to.
+//! follows from it, the sessions decide; and datagrams about duties, of which `leadership.rs` sees to.
 
 use crate::facade::Facade;
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
-use crate::net::duties::{Duties, Parcel};
+use crate::net::leadership::{FleetLeadership, OutgoingDatagram};
 use crate::Time;
 use petrelgauge_sessions::MOST_BYTES;
 use std::future::Future;
@@ -52,7 +52,7 @@
         facade: Facade,
         clock: Clock,
         counters: Rc<Counters>,
-        duties: Option<Rc<Duties>>,
+        duties: Option<Rc<FleetLeadership>>,
     ) {
         // One byte more than any that can be used, to tell those that are cut.
         let mut bytes = [0; MOST_BYTES + 1];
@@ -79,7 +79,7 @@
                     counters.heard.add();
                     counters.heard_bytes.add_many(length);
                     let cause = match &duties {
-                        Some(duties) if Duties::is_for(&bytes[..length]) => {
+                        Some(duties) if FleetLeadership::is_for(&bytes[..length]) => {
                             let parcels = duties.hear(&bytes[..length]);
                             self.send(parcels, &counters);
                             None
@@ -101,13 +101,13 @@
     }
 
     /// What the duties have to say by now. It goes out at once: nothing of it waits for another turn.
-    fn act(&self, duties: &Option<Rc<Duties>>, now: Time, counters: &Counters) {
+    fn act(&self, duties: &Option<Rc<FleetLeadership>>, now: Time, counters: &Counters) {
         if let Some(duties) = duties.as_ref().filter(|duties| now >= duties.due_at()) {
             self.send(duties.due(), counters);
         }
     }
 
-    fn send(&self, parcels: Vec<Parcel>, counters: &Counters) {
+    fn send(&self, parcels: Vec<OutgoingDatagram>, counters: &Counters) {
         for (to, bytes) in parcels {
             // Only addresses of the configuration, and none that a datagram named.
             if let Some(address) = self.all.get(usize::from(to)) {
--- a/src/net/share_out.rs
+++ b/src/net/quota_lending.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// The kind of its duty; each shard is a duty of its own.
-pub const SHARES: u8 = 2;
+pub const QUOTA_LENDING: u8 = 2;
 
 /// Messages, each with whom it is for.
 type Sent = Vec<Outgoing>;
@@ -29,7 +29,7 @@
 }
 
 /// What this gateway lends and is given, and, while it owns shards of the duty, what it has to give.
-pub struct ShareOut {
+pub struct QuotaLending {
     shards: Vec<Shard>,
     rates: RequestRates,
     /// What the decisions were told, where that is not the even part.
@@ -40,10 +40,10 @@
 }
 
 fn duty(shard: usize) -> LeadershipRole {
-    LeadershipRole { kind: SHARES, shard: shard as u64 }
+    LeadershipRole { kind: QUOTA_LENDING, shard: shard as u64 }
 }
 
-impl ShareOut {
+impl QuotaLending {
     /// For a gateway that starts now, with so many shards. `number`: drawn, see [`Quota::new`].
     pub fn new(
         office: &LeaseManager,
@@ -52,17 +52,17 @@
         facade: Facade,
         clock: Clock,
         demand: Demand,
-    ) -> ShareOut {
+    ) -> QuotaLending {
         let part = || Quota::new(office.settings().clone(), clock.now(), number);
         let shards = (0..shards.max(1)).map(|_| Shard { part: part(), pool: None }).collect();
-        ShareOut { shards, rates: RequestRates::default(), told: BTreeMap::new(), facade, clock, demand }
+        QuotaLending { shards, rates: RequestRates::default(), told: BTreeMap::new(), facade, clock, demand }
     }
 
     fn shard_of(&self, group: GroupId) -> usize {
         usize::from(shard_of(group, self.shards.len() as u16))
     }
 
-    /// When [`ShareOut::due`] is to be called at the latest, beside the looks of the duties.
+    /// When [`QuotaLending::due`] is to be called at the latest, beside the looks of the duties.
     pub fn due_at(&self) -> Option<Time> {
         self.shards.iter().filter_map(|shard| shard.part.next_deadline()).min()
     }
@@ -131,7 +131,7 @@
         let now = self.clock.now();
         match message {
             Message::Notification {
-                role: LeadershipRole { kind: SHARES, shard },
+                role: LeadershipRole { kind: QUOTA_LENDING, shard },
                 term,
                 notification: Notification::QuotaRound { round, mean_rates: means },
             } => {
@@ -141,7 +141,7 @@
                 Vec::new()
             }
             Message::Notification {
-                role: LeadershipRole { kind: SHARES, shard },
+                role: LeadershipRole { kind: QUOTA_LENDING, shard },
                 notification: Notification::QuotaGrant { number, granted: given },
                 ..
             } => {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -37,11 +37,11 @@
     /// The same at all gateways.
     pub secret: u64,
     /// Acceptors are candidates for primary discovery.
-    pub scout: bool,
+    pub primary_discovery: bool,
     /// Shards that each duty falls into, so that many owners share its work.
     pub shards: u16,
     /// This gateway takes part in the share-out of limits, and acceptors are candidates for that role.
-    pub shares: bool,
+    pub quota_lending: bool,
 }
 
 impl Operator {
@@ -161,10 +161,11 @@
     if let Some(other) = duties.iter().find(|name| !["scout", "shares"].contains(&name.as_str())) {
         return Err(record.error(format!("duties are \"scout\" and \"shares\", not {other:?}")));
     }
-    let [scout, shares] = ["scout", "shares"].map(|one| duties.iter().any(|name| name == one));
-    if shares && !spans.loans_outlast_grants() {
+    let [primary_discovery, quota_lending] =
+        ["scout", "shares"].map(|one| duties.iter().any(|name| name == one));
+    if quota_lending && !spans.loans_outlast_grants() {
         return Err(record.error("ownership: shares need a lower drift, or a lease of more delays"));
     }
     record.end()?;
-    Ok(Ownership { acceptors, spans, secret, scout, shards: shards as u16, shares })
+    Ok(Ownership { acceptors, spans, secret, primary_discovery, shards: shards as u16, quota_lending })
 }
