--- a/src/net/announced_primaries.rs
+++ b/src/net/announced_primaries.rs
@@ -1,43 +1,51 @@
-//! What this gateway has told, or was told, of members that answered as their groups' primaries; and what of it is to be
-//! told again.
+//! Primaries that this gateway has announced, or that were announced to it, and which of them are due for repetition.
 
 use crate::{GroupId, MemberId, Time};
 use std::collections::BTreeMap;
 
-/// A leader that was told is told again after this span at the earliest (microseconds): datagrams get lost, gateways start.
-const AGAIN: Time = 1_000_000;
-/// AnnouncedPrimaries told again in a second at most (count): 2 KB a second for each gateway that hears them.
-const AGAIN_A_SECOND: Time = 100;
+/// Shortest time until an announcement is repeated (microseconds): datagrams get lost, gateways start.
+const MIN_REPEAT_INTERVAL: Time = 1_000_000;
+/// Maximum number of repetitions per second: 2 KB a second for each receiver.
+const MAX_REPEATS_PER_SECOND: Time = 100;
+/// Microseconds in a second.
+const SECOND: Time = 1_000_000;
+
+#[derive(Clone, Copy)]
+struct Announcement {
+    member: MemberId,
+    at: Time,
+}
 
-/// AnnouncedPrimaries by group. Holds those of groups that the decisions know, and forgets the others.
+/// The announced primary of each group, with an entry for each group that the list names and that has a primary.
 #[derive(Default)]
 pub struct AnnouncedPrimaries {
-    told: BTreeMap<GroupId, (MemberId, Time)>,
+    groups: BTreeMap<GroupId, Announcement>,
 }
 
 impl AnnouncedPrimaries {
-    /// A gateway was told of a leader, by this one or another.
+    /// A primary was announced, by this gateway or by another one.
     pub fn insert(&mut self, now: Time, group: GroupId, member: MemberId) {
-        self.told.insert(group, (member, now));
+        self.groups.insert(group, Announcement { member, at: now });
     }
 
-    /// Forgets the leaders of these groups: whoever owns their duty next has to be told anew.
-    pub fn forget(&mut self, is_one: impl Fn(GroupId) -> bool) {
-        self.told.retain(|group, _| !is_one(*group));
+    /// Forgets groups: the next leader of their shard has to be sent everything.
+    pub fn forget(&mut self, is_forgotten: impl Fn(GroupId) -> bool) {
+        self.groups.retain(|group, _| !is_forgotten(*group));
     }
 
-    /// Whether this leader is to be told now: it is new or, `again`, was told a while ago.
-    pub fn is_due(&self, now: Time, group: GroupId, member: MemberId, again: bool) -> bool {
-        let Some((known, at)) = self.told.get(&group) else { return true };
-        *known != member || (again && now - at >= self.again())
+    /// Whether this primary is to be announced now: it is new or, if announcements are repeated, it was announced a
+    /// while ago.
+    pub fn is_due(&self, now: Time, group: GroupId, member: MemberId, repeats: bool) -> bool {
+        let Some(last) = self.groups.get(&group) else { return true };
+        last.member != member || (repeats && now - last.at >= self.repeat_interval())
     }
 
-    /// How many there are.
+    /// Number of groups.
     pub fn len(&self) -> usize {
-        self.told.len()
+        self.groups.len()
     }
 
-    fn again(&self) -> Time {
-        AGAIN.max(self.told.len() as Time * 1_000_000 / AGAIN_A_SECOND)
+    fn repeat_interval(&self) -> Time {
+        MIN_REPEAT_INTERVAL.max(self.groups.len() as Time * SECOND / MAX_REPEATS_PER_SECOND)
     }
 }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -12,6 +12,7 @@
 use crate::net::hosts::Hosts;
 use crate::net::leadership::{FleetLeadership, LeadershipConfig};
 use crate::net::peers::{DatagramSocket, Peers};
+use crate::net::primary_discovery::PrimaryDiscovery;
 use crate::net::quota_lending::{Demand, QuotaLending};
 use crate::net::read_buffer::ReadBuffer;
 use crate::{Class, MemberId, Need, Settings, Time};
@@ -86,7 +87,7 @@
     pub facade: Facade,
     /// The database hosts.
     pub hosts: Rc<Hosts>,
-    /// This gateway's part in the fleet's duties, if they are switched on.
+    /// This gateway's part in the fleet's leadership roles, if they are switched on.
     pub leadership: Option<Rc<FleetLeadership>>,
     /// The names and numbers of the hosts.
     pub names: Rc<HostNames>,
@@ -181,7 +182,7 @@
     Ok((old.with(new), open))
 }
 
-/// This gateway's part in the fleet's duties, if the operator has switched them on.
+/// This gateway's part in the fleet's leadership roles, if the operator has switched them on.
 fn leadership(
     config: &Config,
     facade: &Facade,
@@ -197,16 +198,18 @@
     let me = config.place().ok_or("ownership: this gateway is none of the peers")?;
     let settings = set.settings(me, config.peers.len())?;
     let now = clock.now();
-    let office =
+    let lease_manager =
         LeaseManager::new(settings, now, config.seed).map_err(|cause| format!("ownership: {cause}"))?;
-    // A process that starts again must not take what was given to the one before it.
-    let drawn = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
-    let shares = set
+    // A restarted process must not accept what was granted to the one before it.
+    let number = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
+    let quota_lending = set
         .quota_lending
-        .then(|| QuotaLending::new(&office, set.shards, drawn, facade.clone(), clock, demand));
+        .then(|| QuotaLending::new(&lease_manager, set.shards, number, facade.clone(), clock, demand));
     let (facade, counters, names) = (facade.clone(), counters.clone(), names.clone());
-    let plan = LeadershipConfig { scout: set.primary_discovery, shards: set.shards, secret: set.secret };
-    Ok(Some(FleetLeadership::new(office, shares, plan, facade, clock, counters, names)))
+    let config =
+        LeadershipConfig { primary_discovery: set.primary_discovery, shards: set.shards, secret: set.secret };
+    let discovery = PrimaryDiscovery::new(set.shards, facade, clock, counters.clone(), names);
+    Ok(Some(FleetLeadership::new(lease_manager, discovery, quota_lending, config, clock, counters)))
 }
 
 /// A keeper of sessions with the classes that carry them, and where marks of others are heard.
--- a/src/net/leadership.rs
+++ b/src/net/leadership.rs
@@ -1,404 +1,285 @@
-//! This gateway's part in the fleet's duties, carried by datagrams. Who owns what, and whether a word is taken, stands in
-//! `petrelgauge_ownership`; what follows from a word the decisions see to.
+//! This gateway's part in the fleet's leadership roles: carries messages between the lease manager, primary discovery,
+//! quota lending and the other gateways. Who leads, and whether a notification is admitted, `petrelgauge_ownership`
+//! decides; what follows from a notification, the decisions.
 //!
-//! The **scout** tells all others which member answered as its group's primary; whoever has such an
-//! answer tells the scout. While one is known, all others try members of a group without a primary more rarely, the more
-//! gateways there are: together they try about as often as one alone would. The **share-out** is carried by
-//! `quota_lending.rs`. Each duty can fall into **shards**, one owner for each; then electors tell each other by heartbeats
-//! who is there, and leaders are told many at a time.
+//! Each role can have several shards with a leader each. Acceptors then place the shards among themselves, and know by
+//! heartbeats which of them are present.
 
-use crate::facade::Facade;
-use crate::net::announced_primaries::AnnouncedPrimaries;
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
-use crate::net::host_names::HostNames;
+use crate::net::fleet_codec::{FleetCodec, OutgoingDatagram};
+use crate::net::primary_discovery::{discovery_role, PrimaryDiscovery, PRIMARY_DISCOVERY};
 use crate::net::quota_lending::{QuotaLending, QUOTA_LENDING};
-use crate::{GroupId, MemberId, Time};
+use crate::Time;
 use petrelgauge_ownership::{
-    shard_of, GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification, Outgoing,
-    Placement, PrimaryAnnouncement, MAX_ANNOUNCEMENTS,
+    GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification, Outgoing, Placement,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The kind of the scout's duty; each shard is a duty of its own.
-pub const PRIMARY_DISCOVERY: u8 = 1;
-/// While another scouts, attempts of this gateway's own are half as many times as rare as there are gateways, and so many at
-/// most: with none of the others' words arriving, a write still finds its primary within seconds.
-const RAREST: Time = 64;
-/// Between two looks at who leads (microseconds).
-const LOOK: Time = 50_000;
-/// Groups whose leaders are told at a time (count), where each is told by itself.
-const MOST_TOLD: usize = 64;
+/// Time between two checks of who leads and what is to be announced (microseconds).
+const CHECK_INTERVAL: Time = 50_000;
 
-/// Bytes for a gateway, by its place among the peers.
-pub type OutgoingDatagram = (GatewayId, Vec<u8>);
-/// Messages, each with whom it is for.
-type Sent = Vec<Outgoing>;
-/// A leader as the decisions know it: its group, the member, and when it answered.
-type Answered = (GroupId, MemberId, Time);
-
-/// Which duties there are.
+/// Which roles there are; the same at all gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct LeadershipConfig {
-    /// Somebody scouts.
-    pub scout: bool,
-    /// Shards of each duty.
+    /// Whether primary discovery has a leader.
+    pub primary_discovery: bool,
+    /// Shards of each role.
     pub shards: u16,
-    /// The same at all gateways.
+    /// The fleet's secret.
     pub secret: u64,
 }
 
-/// This gateway's part.
+/// This gateway's part in the fleet's leadership roles.
 pub struct FleetLeadership {
-    office: RefCell<LeaseManager>,
-    shares: Option<RefCell<QuotaLending>>,
-    /// Which shards this gateway should own: of an elector, where there are several.
+    lease_manager: RefCell<LeaseManager>,
+    discovery: RefCell<PrimaryDiscovery>,
+    quota_lending: Option<RefCell<QuotaLending>>,
+    /// Of an acceptor, if there are several shards.
     placement: Option<RefCell<Placement>>,
-    plan: LeadershipConfig,
-    /// Told apart from fleets with other electors, spans or shards.
-    fleet: u32,
-    /// All duties of this fleet.
-    duties: Vec<LeadershipRole>,
-    facade: Facade,
+    /// All roles of this fleet.
+    roles: Vec<LeadershipRole>,
+    codec: FleetCodec,
     clock: Clock,
     counters: Rc<Counters>,
-    /// The list's names and the decisions' numbers for them.
-    names: Rc<HostNames>,
-    leaders: RefCell<AnnouncedPrimaries>,
-    look_at: Cell<Time>,
-    /// Who was known to scout, for each shard.
-    scouts: RefCell<Vec<Option<LeaseHolder>>>,
-    failing: Cell<bool>,
-    leaving: Cell<bool>,
-}
-
-fn scout(shard: u16) -> LeadershipRole {
-    LeadershipRole { kind: PRIMARY_DISCOVERY, shard: u64::from(shard) }
+    next_check_at: Cell<Time>,
+    /// The last datagram could not be used: such datagrams are logged once in a row.
+    is_failing: Cell<bool>,
+    is_stopping: Cell<bool>,
 }
 
 impl FleetLeadership {
-    /// A part for this office.
+    /// A part in these roles.
     pub fn new(
-        mut office: LeaseManager,
-        shares: Option<QuotaLending>,
-        plan: LeadershipConfig,
-        facade: Facade,
+        mut lease_manager: LeaseManager,
+        discovery: PrimaryDiscovery,
+        quota_lending: Option<QuotaLending>,
+        config: LeadershipConfig,
         clock: Clock,
         counters: Rc<Counters>,
-        names: Rc<HostNames>,
     ) -> Rc<FleetLeadership> {
-        let fleet = office.settings().sharded_fingerprint(plan.shards);
-        let kinds = [(plan.scout, PRIMARY_DISCOVERY), (shares.is_some(), QUOTA_LENDING)];
-        let kinds = kinds.into_iter().filter(|(on, _)| *on);
-        let of_kind =
-            |(_, kind)| (0..u64::from(plan.shards)).map(move |shard| LeadershipRole { kind, shard });
-        let duties: Vec<LeadershipRole> = kinds.flat_map(of_kind).collect();
         let now = clock.now();
-        let settings = office.settings().clone();
-        let elects = settings.acceptors.contains(&settings.self_id);
-        let placement = (elects && plan.shards > 1).then(|| Placement::new(&settings, plan.shards, now));
-        if elects && placement.is_none() {
-            // Electors are candidates too, and nobody else: so few ask, however many there are.
-            duties.iter().for_each(|duty| office.campaign(now, *duty));
+        let settings = lease_manager.settings().clone();
+        let roles = roles(config, quota_lending.is_some());
+        let is_placed = settings.is_acceptor() && config.shards > 1;
+        let placement = is_placed.then(|| Placement::new(&settings, config.shards, now));
+        if settings.is_acceptor() && !is_placed {
+            // Only acceptors are candidates, however many gateways there are.
+            roles.iter().for_each(|role| lease_manager.campaign(now, *role));
         }
         Rc::new(FleetLeadership {
-            office: RefCell::new(office),
-            shares: shares.map(RefCell::new),
+            lease_manager: RefCell::new(lease_manager),
+            discovery: RefCell::new(discovery),
+            quota_lending: quota_lending.map(RefCell::new),
             placement: placement.map(RefCell::new),
-            plan,
-            fleet,
-            duties,
-            facade,
+            roles,
+            codec: FleetCodec::new(&settings, config.shards, config.secret),
             clock,
             counters,
-            names,
-            leaders: RefCell::default(),
-            look_at: Cell::new(0),
-            scouts: RefCell::new(vec![None; usize::from(plan.shards)]),
-            failing: Cell::new(false),
-            leaving: Cell::new(false),
+            next_check_at: Cell::new(0),
+            is_failing: Cell::new(false),
+            is_stopping: Cell::new(false),
         })
     }
 
-    /// Whether these bytes are about duties.
+    /// Whether these bytes are about leadership roles.
     pub fn is_for(bytes: &[u8]) -> bool {
         Message::has_mark(bytes)
     }
 
-    /// When [`FleetLeadership::due`] is to be called at the latest.
-    pub fn due_at(&self) -> Time {
-        let shares = self.shares.as_ref().and_then(|shares| shares.borrow().due_at());
+    /// When [`FleetLeadership::on_deadline`] is to be called at the latest.
+    pub fn next_deadline(&self) -> Time {
+        let leases = self.lease_manager.borrow().next_deadline();
+        let reports = self.quota_lending.as_ref().and_then(|lending| lending.borrow().next_deadline());
         let heartbeat = self.placement.as_ref().map(|placement| placement.borrow().next_deadline());
-        let due = self.office.borrow().next_deadline().into_iter().chain(shares).chain(heartbeat).min();
-        due.map_or(self.look_at.get(), |due| due.min(self.look_at.get()))
+        let deadlines = [leases, reports, heartbeat].into_iter().flatten();
+        deadlines.fold(self.next_check_at.get(), Time::min)
     }
 
-    /// What is to be sent now.
-    pub fn due(&self) -> Vec<OutgoingDatagram> {
+    /// The datagrams to send now.
+    pub fn on_deadline(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
-        if self.leaving.get() {
-            self.look_at.set(now + LOOK);
-            let sent = self.office.borrow_mut().release_all(now);
-            return self.post(sent);
+        if self.is_stopping.get() {
+            self.next_check_at.set(now + CHECK_INTERVAL);
+            let releases = self.lease_manager.borrow_mut().release_all(now);
+            return self.encode(releases);
         }
-        let mut sent = self.place(now);
-        sent.extend(self.office.borrow_mut().on_deadline(now));
-        let mut parcels = self.post(sent);
-        if now >= self.look_at.get() {
-            self.look_at.set(now + LOOK);
-            self.look(now);
-            parcels.extend(self.tell(now));
+        let mut outgoing = self.place_shards(now);
+        outgoing.extend(self.lease_manager.borrow_mut().on_deadline(now));
+        let mut datagrams = self.encode(outgoing);
+        if now >= self.next_check_at.get() {
+            self.next_check_at.set(now + CHECK_INTERVAL);
+            datagrams.extend(self.discover_primaries(now));
         }
-        if let Some(shares) = &self.shares {
-            let sent = shares.borrow_mut().due(&mut self.office.borrow_mut());
-            parcels.extend(self.post(sent));
-        }
-        parcels
-    }
-
-    /// Heartbeats, and what this elector wants from now on or gives up.
-    fn place(&self, now: Time) -> Sent {
-        let Some(placement) = &self.placement else { return Vec::new() };
-        let (mut placement, mut office) = (placement.borrow_mut(), self.office.borrow_mut());
-        let mut sent: Sent = placement
-            .due_heartbeats(now)
-            .into_iter()
-            .map(|to| Outgoing { to, message: Message::Heartbeat })
-            .collect();
-        for duty in &self.duties {
-            let shard = duty.shard as u16;
-            let (wants, yields) = (placement.should_campaign(now, shard), placement.should_yield(now, shard));
-            match (office.is_campaigning(*duty), office.held_term(now, *duty).is_some()) {
-                (false, _) if wants && !yields => office.campaign(now, *duty),
-                // One that it owns it keeps until an earlier one has come to stay.
-                (true, true) if yields => sent.extend(office.withdraw(now, *duty)),
-                (true, false) if !wants => sent.extend(office.withdraw(now, *duty)),
-                _ => {}
-            }
+        if let Some(lending) = &self.quota_lending {
+            let outgoing = lending.borrow_mut().on_deadline(&mut self.lease_manager.borrow_mut());
+            datagrams.extend(self.encode(outgoing));
         }
-        sent
+        datagrams
     }
 
-    /// A datagram came; gives what is to be sent in answer.
-    pub fn hear(&self, bytes: &[u8]) -> Vec<OutgoingDatagram> {
-        match Message::read(bytes, self.fleet, self.plan.secret) {
-            Ok((from, message)) => {
-                self.failing.set(false);
-                if let Some(placement) = &self.placement {
-                    placement.borrow_mut().on_heartbeat(self.clock.now(), from);
-                }
-                let sent = self.take(from, message);
-                self.post(sent)
-            }
+    /// A datagram arrived: the datagrams to send in response.
+    pub fn on_datagram(&self, bytes: &[u8]) -> Vec<OutgoingDatagram> {
+        let (from, message) = match self.codec.decode(bytes) {
+            Ok(decoded) => decoded,
             Err(cause) => {
                 self.counters.bad_words.add();
-                if !self.failing.replace(true) {
+                if !self.is_failing.replace(true) {
                     log::warn!("a datagram of another gateway cannot be used: {cause}");
                 }
-                Vec::new()
+                return Vec::new();
             }
+        };
+        self.is_failing.set(false);
+        if let Some(placement) = &self.placement {
+            placement.borrow_mut().on_heartbeat(self.clock.now(), from);
         }
+        let outgoing = self.on_message(from, message);
+        self.encode(outgoing)
     }
 
-    /// This gateway stops: what it owns is given up, and it asks for nothing more.
+    /// The gateway stops: it releases its leases and is no candidate any more.
     pub fn stop(&self) {
-        self.leaving.set(true);
+        self.is_stopping.set(true);
     }
 
-    /// FleetLeadership that this gateway owns now.
+    /// Number of leases that this gateway holds now.
     pub fn owned(&self) -> usize {
         let now = self.clock.now();
-        let office = self.office.borrow();
-        self.duties.iter().filter(|duty| office.held_term(now, **duty).is_some()).count()
+        let lease_manager = self.lease_manager.borrow();
+        self.roles.iter().filter(|role| lease_manager.held_term(now, **role).is_some()).count()
     }
 
-    /// FleetLeadership whose owner it knows.
+    /// Number of roles whose leader it knows.
     pub fn known_owners(&self) -> usize {
         let now = self.clock.now();
-        let office = self.office.borrow();
-        self.duties.iter().filter(|duty| office.lease_holder(now, **duty).is_some()).count()
+        let lease_manager = self.lease_manager.borrow();
+        self.roles.iter().filter(|role| lease_manager.lease_holder(now, **role).is_some()).count()
     }
 
-    /// Entries of state, those of the share-out included.
+    /// Number of entries of state.
     pub fn entries(&self) -> usize {
-        self.leaders.borrow().len() + self.shares.as_ref().map_or(0, |shares| shares.borrow().entries())
+        let quotas = self.quota_lending.as_ref().map_or(0, |lending| lending.borrow().entries());
+        self.discovery.borrow().entries() + quotas
     }
 
-    /// Counters, and who scouts.
+    /// The counters as text. Their names are an interface to operators.
     pub fn counts(&self) -> String {
-        let (office, now) = (self.office.borrow(), self.clock.now());
-        let owner = match office.lease_holder(now, scout(0)) {
+        let holder = self.lease_manager.borrow().lease_holder(self.clock.now(), discovery_role(0));
+        let leader = match holder {
             Some(LeaseHolder { gateway, term }) => format!("{gateway} term={term}"),
             None => "nobody".to_string(),
         };
-        let shares = self.shares.as_ref().map(|shares| format!(" {}", shares.borrow().counts()));
-        let (owned, known) = (self.owned(), self.known_owners());
-        let of = self.duties.len();
-        let counts = office.counts();
-        let shares = shares.unwrap_or_default();
-        format!("{counts} duties_owned={owned} duties_known={known} duties={of} scout={owner}{shares}")
+        let lending = self.quota_lending.as_ref().map(|lending| format!(" {}", lending.borrow().counts()));
+        let lending = lending.unwrap_or_default();
+        let (owned, known, roles) = (self.owned(), self.known_owners(), self.roles.len());
+        let counts = self.lease_manager.borrow().counts();
+        format!("{counts} duties_owned={owned} duties_known={known} duties={roles} scout={leader}{lending}")
     }
 
-    fn take(&self, from: GatewayId, message: Message) -> Sent {
-        let now = self.clock.now();
-        let taken = match &message {
-            Message::Notification { role: duty, term, .. } => self.office.borrow().would_admit(*duty, *term),
-            _ => true,
-        };
-        let mut sent = Vec::new();
-        match &message {
-            Message::Notification {
-                role: LeadershipRole { kind: PRIMARY_DISCOVERY, .. },
-                notification: Notification::Primary(primary),
-                ..
-            } if taken => self.primary(now, *primary),
-            Message::Notification {
-                role: LeadershipRole { kind: PRIMARY_DISCOVERY, .. },
-                notification: Notification::Primaries { primaries: leaders },
-                ..
-            } if taken => {
-                leaders.iter().for_each(|leader| self.primary(now, *leader));
-            }
-            Message::PrimaryReport(primary) => self.primary(now, *primary),
-            Message::PrimaryReports { primaries: leaders } => {
-                leaders.iter().for_each(|leader| self.primary(now, *leader))
-            }
-            Message::Notification { role: LeadershipRole { kind: QUOTA_LENDING, .. }, .. }
-            | Message::QuotaReport(_)
-                if taken =>
-            {
-                let mut office = self.office.borrow_mut();
-                let shares = self.shares.as_ref().filter(|_| from < office.settings().gateways);
-                sent.extend(
-                    shares.into_iter().flat_map(|one| one.borrow_mut().hear(from, &message, &mut office)),
-                );
+    /// Heartbeats, and the shards that this acceptor campaigns for or withdraws from.
+    fn place_shards(&self, now: Time) -> Vec<Outgoing> {
+        let Some(placement) = &self.placement else { return Vec::new() };
+        let mut placement = placement.borrow_mut();
+        let mut lease_manager = self.lease_manager.borrow_mut();
+        let heartbeats = placement.due_heartbeats(now).into_iter();
+        let mut outgoing: Vec<Outgoing> =
+            heartbeats.map(|to| Outgoing { to, message: Message::Heartbeat }).collect();
+        for role in &self.roles {
+            let shard = role.shard as u16;
+            let should_campaign = placement.should_campaign(now, shard);
+            let should_yield = placement.should_yield(now, shard);
+            let is_holding = lease_manager.held_term(now, *role).is_some();
+            if !lease_manager.is_campaigning(*role) {
+                if should_campaign && !should_yield {
+                    lease_manager.campaign(now, *role);
+                }
+            // A lease that is held is kept until a preferred acceptor has settled.
+            } else if (is_holding && should_yield) || (!is_holding && !should_campaign) {
+                outgoing.extend(lease_manager.withdraw(now, *role));
             }
-            _ => {}
         }
-        sent.extend(self.office.borrow_mut().on_message(now, from, message));
-        sent
+        outgoing
     }
 
-    /// Somebody says who leads. A member that the own list does not name is nobody.
-    fn primary(&self, now: Time, leader: PrimaryAnnouncement) {
-        if let Some(id) = self.names.by_hash(leader.member) {
-            self.counters.words.add();
-            // It need not be told back.
-            if let Some(group) = self.facade.group(id) {
-                self.leaders.borrow_mut().insert(now, group, id);
-            }
-            self.facade.hearsay(now, id, leader.position);
-        }
+    fn discover_primaries(&self, now: Time) -> Vec<OutgoingDatagram> {
+        let mut lease_manager = self.lease_manager.borrow_mut();
+        let mut discovery = self.discovery.borrow_mut();
+        discovery.check_leaders(now, &lease_manager);
+        discovery.announce(now, &mut lease_manager, &self.codec)
     }
 
-    /// Messages as datagrams. What is for this gateway itself is heard at once.
-    fn post(&self, sent: Sent) -> Vec<OutgoingDatagram> {
-        let me = self.office.borrow().settings().self_id;
-        let (mut left, mut parcels) = (sent, Vec::new());
-        while let Some(Outgoing { to, message }) = left.pop() {
-            if to == me {
-                left.extend(self.take(me, message));
-            } else {
-                parcels.push((to, message.write(me, self.fleet, self.plan.secret)));
-            }
+    /// Handles a message; the effects of a notification only if it is admitted.
+    fn on_message(&self, from: GatewayId, message: Message) -> Vec<Outgoing> {
+        let now = self.clock.now();
+        let mut outgoing = Vec::new();
+        if self.is_admitted(&message) {
+            self.on_primaries(now, &message);
+            outgoing.extend(self.on_quotas(from, &message));
         }
-        parcels
+        outgoing.extend(self.lease_manager.borrow_mut().on_message(now, from, message));
+        outgoing
     }
 
-    /// Looks who scouts, and scouts rarely if others do for all groups.
-    fn look(&self, now: Time) {
-        let office = self.office.borrow();
-        let known: Vec<Option<LeaseHolder>> =
-            (0..self.plan.shards).map(|shard| office.lease_holder(now, scout(shard))).collect();
-        let before = self.scouts.replace(known.clone());
-        if known == before {
-            return;
-        }
-        // Whoever owns a shard next has to be told anew.
-        let has_none = |group| known[usize::from(shard_of(group, self.plan.shards))].is_none();
-        self.leaders.borrow_mut().forget(has_none);
-        let me = office.settings().self_id;
-        let others =
-            known.iter().all(|owner| owner.is_some_and(|holder| holder.gateway != me || known.len() > 1));
-        let gateways = Time::from(office.settings().gateways);
-        self.facade.scout_every(if others { (gateways / 2).clamp(1, RAREST) } else { 1 });
-        match known.iter().flatten().next() {
-            Some(LeaseHolder { gateway, term }) if known.len() == 1 => {
-                log::info!("gateway {gateway} scouts under term {term}")
-            }
-            Some(_) if known.iter().all(Option::is_some) => {
-                log::info!("all {} shards have a scout", known.len())
-            }
-            Some(_) => log::info!("some shards have no scout; each tries members by itself"),
-            None => log::info!("nobody is known to scout; each tries members by itself"),
+    fn is_admitted(&self, message: &Message) -> bool {
+        match message {
+            Message::Notification { role, term, .. } => self.lease_manager.borrow().would_admit(*role, *term),
+            _ => true,
         }
     }
 
-    /// What there is to say of who leads: the scout to all, what is new and what was told a while ago; another to the
-    /// scout, what is new.
-    fn tell(&self, now: Time) -> Vec<OutgoingDatagram> {
-        let leaders = self.facade.leaders();
-        let mut parcels = Vec::new();
-        for shard in 0..self.plan.shards {
-            let holder = self.office.borrow().lease_holder(now, scout(shard));
-            let Some(LeaseHolder { gateway: owner, .. }) = holder else { continue };
-            let in_shard = leaders.iter().filter(|(group, ..)| shard_of(*group, self.plan.shards) == shard);
-            let due = self.due_leaders(now, in_shard, owner);
-            parcels.extend(self.write_leaders(shard, owner, &due));
-        }
-        parcels
+    fn on_primaries(&self, now: Time, message: &Message) {
+        let primaries = match message {
+            Message::PrimaryReport(primary) => std::slice::from_ref(primary),
+            Message::PrimaryReports { primaries } => primaries,
+            Message::Notification { role, notification, .. } if role.kind == PRIMARY_DISCOVERY => {
+                match notification {
+                    Notification::Primary(primary) => std::slice::from_ref(primary),
+                    Notification::Primaries { primaries } => primaries,
+                    _ => return,
+                }
+            }
+            _ => return,
+        };
+        let mut discovery = self.discovery.borrow_mut();
+        primaries.iter().for_each(|primary| discovery.on_announcement(now, *primary));
     }
 
-    /// AnnouncedPrimaries that the scout of their shard has to tell, or has to be told of. They count as told from now on.
-    fn due_leaders<'a>(
-        &self,
-        now: Time,
-        leaders: impl Iterator<Item = &'a Answered>,
-        owner: GatewayId,
-    ) -> Vec<PrimaryAnnouncement> {
-        let again = owner == self.office.borrow().settings().self_id;
-        let most = if self.plan.shards == 1 { MOST_TOLD } else { usize::MAX };
-        let mut told = self.leaders.borrow_mut();
-        let mut due = Vec::new();
-        for (group, member, position) in leaders.take(most) {
-            let Some(hash) = self.names.hash(*member) else { continue };
-            if told.is_due(now, *group, *member, again) {
-                told.insert(now, *group, *member);
-                due.push(PrimaryAnnouncement { member: hash, position: *position });
-            }
-        }
-        due
+    fn on_quotas(&self, from: GatewayId, message: &Message) -> Vec<Outgoing> {
+        let is_about_quotas = match message {
+            Message::QuotaReport(_) => true,
+            Message::Notification { role, .. } => role.kind == QUOTA_LENDING,
+            _ => false,
+        };
+        let mut lease_manager = self.lease_manager.borrow_mut();
+        let is_gateway = from < lease_manager.settings().gateways;
+        let lending = self.quota_lending.as_ref().filter(|_| is_about_quotas && is_gateway);
+        lending.map_or_else(Vec::new, |lending| {
+            lending.borrow_mut().on_message(from, message, &mut lease_manager)
+        })
     }
 
-    fn write_leaders(
-        &self,
-        shard: u16,
-        owner: GatewayId,
-        leaders: &[PrimaryAnnouncement],
-    ) -> Vec<OutgoingDatagram> {
-        let mut office = self.office.borrow_mut();
-        let (me, gateways) = (office.settings().self_id, office.settings().gateways);
-        let single = self.plan.shards == 1;
-        let mut parcels = Vec::new();
-        for piece in leaders.chunks(if single { 1 } else { MAX_ANNOUNCEMENTS }) {
-            if owner != me {
-                let found = match single {
-                    true => Message::PrimaryReport(piece[0]),
-                    false => Message::PrimaryReports { primaries: piece.to_vec() },
-                };
-                parcels.push((owner, found.write(me, self.fleet, self.plan.secret)));
-                continue;
+    /// Encodes messages. What is for this gateway itself is handled at once.
+    fn encode(&self, outgoing: Vec<Outgoing>) -> Vec<OutgoingDatagram> {
+        let self_id = self.lease_manager.borrow().settings().self_id;
+        let mut pending = outgoing;
+        let mut datagrams = Vec::new();
+        while let Some(Outgoing { to, message }) = pending.pop() {
+            if to == self_id {
+                pending.extend(self.on_message(self_id, message));
+            } else {
+                datagrams.push(OutgoingDatagram { to, bytes: self.codec.encode(&message) });
             }
-            let word = match single {
-                true => Notification::Primary(piece[0]),
-                false => Notification::Primaries { primaries: piece.to_vec() },
-            };
-            // Asked right before it goes out, for each of them.
-            let Some(message) = office.notification(self.clock.now(), scout(shard), word) else { break };
-            let bytes = message.write(me, self.fleet, self.plan.secret);
-            parcels.extend((0..gateways).filter(|to| *to != me).map(|to| (to, bytes.clone())));
         }
-        parcels
+        datagrams
     }
 }
+
+/// All roles of a fleet: each shard of each kind.
+fn roles(config: LeadershipConfig, lends_quota: bool) -> Vec<LeadershipRole> {
+    let kinds = [(config.primary_discovery, PRIMARY_DISCOVERY), (lends_quota, QUOTA_LENDING)];
+    let kinds = kinds.into_iter().filter(|(is_on, _)| *is_on).map(|(_, kind)| kind);
+    let shards = 0..u64::from(config.shards);
+    kinds.flat_map(|kind| shards.clone().map(move |shard| LeadershipRole { kind, shard })).collect()
+}
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,10 +1,11 @@
-//! Datagrams between instances: bulletins out at their pace, bulletins in as they come. What is in them, and what
-//! follows from it, the sessions decide; and datagrams about duties, of which `leadership.rs` sees to.
+//! Datagrams between instances: session bulletins are sent at their pace and handled as they arrive; their content is for
+//! the sessions. Datagrams about leadership roles are handled by `leadership.rs`.
 
 use crate::facade::Facade;
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
-use crate::net::leadership::{FleetLeadership, OutgoingDatagram};
+use crate::net::fleet_codec::OutgoingDatagram;
+use crate::net::leadership::FleetLeadership;
 use crate::Time;
 use petrelgauge_sessions::MOST_BYTES;
 use std::future::Future;
@@ -52,7 +53,7 @@
         facade: Facade,
         clock: Clock,
         counters: Rc<Counters>,
-        duties: Option<Rc<FleetLeadership>>,
+        leadership: Option<Rc<FleetLeadership>>,
     ) {
         // One byte more than any that can be used, to tell those that are cut.
         let mut bytes = [0; MOST_BYTES + 1];
@@ -66,7 +67,7 @@
                     self.socket.send(datagram, *other);
                 }
             }
-            let due = duties.iter().map(|duties| duties.due_at());
+            let due = leadership.iter().map(|leadership| leadership.next_deadline());
             let Some(next) = next.into_iter().chain(due).min() else { return std::future::pending().await };
             tokio::select! {
                 biased;
@@ -78,10 +79,10 @@
                     };
                     counters.heard.add();
                     counters.heard_bytes.add_many(length);
-                    let cause = match &duties {
-                        Some(duties) if FleetLeadership::is_for(&bytes[..length]) => {
-                            let parcels = duties.hear(&bytes[..length]);
-                            self.send(parcels, &counters);
+                    let cause = match &leadership {
+                        Some(leadership) if FleetLeadership::is_for(&bytes[..length]) => {
+                            let datagrams = leadership.on_datagram(&bytes[..length]);
+                            self.send(datagrams, &counters);
                             None
                         }
                         _ => facade.hear(clock.now(), &bytes[..length]).err(),
@@ -96,19 +97,19 @@
                     }
                 }
             }
-            self.act(&duties, clock.now(), &counters);
+            self.act(&leadership, clock.now(), &counters);
         }
     }
 
-    /// What the duties have to say by now. It goes out at once: nothing of it waits for another turn.
-    fn act(&self, duties: &Option<Rc<FleetLeadership>>, now: Time, counters: &Counters) {
-        if let Some(duties) = duties.as_ref().filter(|duties| now >= duties.due_at()) {
-            self.send(duties.due(), counters);
+    /// Sends what the leadership roles have to send by now, at once: nothing of it waits for another turn.
+    fn act(&self, leadership: &Option<Rc<FleetLeadership>>, now: Time, counters: &Counters) {
+        if let Some(leadership) = leadership.as_ref().filter(|leadership| now >= leadership.next_deadline()) {
+            self.send(leadership.on_deadline(), counters);
         }
     }
 
-    fn send(&self, parcels: Vec<OutgoingDatagram>, counters: &Counters) {
-        for (to, bytes) in parcels {
+    fn send(&self, datagrams: Vec<OutgoingDatagram>, counters: &Counters) {
+        for OutgoingDatagram { to, bytes } in datagrams {
             // Only addresses of the configuration, and none that a datagram named.
             if let Some(address) = self.all.get(usize::from(to)) {
                 counters.told.add();
--- a/src/net/quota_lending.rs
+++ b/src/net/quota_lending.rs
@@ -1,226 +1,263 @@
-//! The share-out of limits, as one gateway carries it: what its part and its pool of each shard say goes out, and the
-//! decisions are told of it first. What is lent, given and back in time stands in `petrelgauge_ownership::quota`.
+//! Quota lending, as one gateway carries it: reports, rounds and grants of each shard as messages, and the quotas in force
+//! for the decisions. What is lent and granted, and until when, `petrelgauge_ownership::quota` decides.
 
 use crate::facade::Facade;
 use crate::net::clock::Clock;
 use crate::{GroupId, Share, Time};
 use petrelgauge_ownership::quota::{
-    GroupDemand, Quota, QuotaPool, QuotaReport, QuotaRound, QuotaTotals, RequestRates,
+    GroupDemand, GroupGrant, MeanRate, Quota, QuotaPool, QuotaReport, QuotaTotals, RequestRates,
 };
 use petrelgauge_ownership::{
-    shard_of, GatewayId, LeadershipRole, LeaseManager, Message, Notification, Outgoing,
+    shard_of, GatewayId, LeadershipRole, LeaseManager, Message, Notification, Outgoing, Term,
 };
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The kind of its duty; each shard is a duty of its own.
+/// The kind of the role of quota lending; each shard has a lease of its own.
 pub const QUOTA_LENDING: u8 = 2;
+/// Thousandths in one even quota.
+const EVEN_QUOTA: f64 = 1000.0;
 
-/// Messages, each with whom it is for.
-type Sent = Vec<Outgoing>;
-
-/// Requests that came for each group so far.
+/// Requests that arrived for each group so far.
 pub type Demand = Rc<dyn Fn() -> BTreeMap<GroupId, u64>>;
 
-/// One shard: this gateway's part in its groups and, while it owns the shard, what it has to give.
+/// One shard.
 struct Shard {
-    part: Quota,
+    /// This gateway's quotas of the shard's groups.
+    quota: Quota,
+    /// While this gateway holds the lease of the shard.
     pool: Option<QuotaPool>,
 }
 
-/// What this gateway lends and is given, and, while it owns shards of the duty, what it has to give.
+/// This gateway's quotas and, for the shards whose lease it holds, the pools.
 pub struct QuotaLending {
     shards: Vec<Shard>,
     rates: RequestRates,
-    /// What the decisions were told, where that is not the even part.
-    told: BTreeMap<GroupId, Share>,
+    /// What the decisions apply now, of groups whose quota is not the even one.
+    applied: BTreeMap<GroupId, Share>,
     facade: Facade,
     clock: Clock,
     demand: Demand,
 }
 
-fn duty(shard: usize) -> LeadershipRole {
+fn lending_role(shard: usize) -> LeadershipRole {
     LeadershipRole { kind: QUOTA_LENDING, shard: shard as u64 }
 }
 
 impl QuotaLending {
-    /// For a gateway that starts now, with so many shards. `number`: drawn, see [`Quota::new`].
+    /// For a gateway that starts now, with this many shards. `number` is random, see [`Quota::new`].
     pub fn new(
-        office: &LeaseManager,
+        lease_manager: &LeaseManager,
         shards: u16,
         number: u32,
         facade: Facade,
         clock: Clock,
         demand: Demand,
     ) -> QuotaLending {
-        let part = || Quota::new(office.settings().clone(), clock.now(), number);
-        let shards = (0..shards.max(1)).map(|_| Shard { part: part(), pool: None }).collect();
-        QuotaLending { shards, rates: RequestRates::default(), told: BTreeMap::new(), facade, clock, demand }
-    }
-
-    fn shard_of(&self, group: GroupId) -> usize {
-        usize::from(shard_of(group, self.shards.len() as u16))
+        let new_quota = || Quota::new(lease_manager.settings().clone(), clock.now(), number);
+        let shards = (0..shards.max(1)).map(|_| Shard { quota: new_quota(), pool: None }).collect();
+        let (rates, applied) = (RequestRates::default(), BTreeMap::new());
+        QuotaLending { shards, rates, applied, facade, clock, demand }
     }
 
-    /// When [`QuotaLending::due`] is to be called at the latest, beside the looks of the duties.
-    pub fn due_at(&self) -> Option<Time> {
-        self.shards.iter().filter_map(|shard| shard.part.next_deadline()).min()
+    /// When [`QuotaLending::on_deadline`] is to be called at the latest; rounds are opened at any call.
+    pub fn next_deadline(&self) -> Option<Time> {
+        self.shards.iter().filter_map(|shard| shard.quota.next_deadline()).min()
     }
 
-    /// What is to be sent now.
-    pub fn due(&mut self, office: &mut LeaseManager) -> Sent {
+    /// The messages to send now.
+    pub fn on_deadline(&mut self, lease_manager: &mut LeaseManager) -> Vec<Outgoing> {
         let now = self.clock.now();
-        let mut sent = Vec::new();
+        let mut outgoing = Vec::new();
         for shard in 0..self.shards.len() {
-            sent.extend(self.open(now, shard, office));
-        }
-        if self.due_at().is_none_or(|due| now < due) {
-            return sent;
+            outgoing.extend(self.open_round(now, shard, lease_manager));
         }
-        let asked = (self.demand)();
-        self.rates.observe(now, &asked);
-        let mut rates: Vec<BTreeMap<GroupId, u32>> = vec![BTreeMap::new(); self.shards.len()];
-        for (group, rate) in self.rates.per_group() {
-            rates[self.shard_of(group)].insert(group, rate);
+        if self.next_deadline().is_some_and(|deadline| now >= deadline) {
+            outgoing.extend(self.report(now, lease_manager));
         }
-        let mut answers: Vec<(usize, QuotaReport)> = Vec::new();
-        for (place, (shard, rates)) in self.shards.iter_mut().zip(&rates).enumerate() {
-            answers.extend(shard.part.due_reports(now, rates).into_iter().map(|answer| (place, answer)));
+        outgoing
+    }
+
+    /// A message arrived whose term the lease manager admits.
+    pub fn on_message(
+        &mut self,
+        from: GatewayId,
+        message: &Message,
+        lease_manager: &mut LeaseManager,
+    ) -> Vec<Outgoing> {
+        let now = self.clock.now();
+        match message {
+            Message::Notification { role, term, notification } if role.kind == QUOTA_LENDING => {
+                self.on_notification(now, role.shard as usize, *term, notification);
+                Vec::new()
+            }
+            Message::QuotaReport(report) => {
+                self.grant(now, from, report, lease_manager).into_iter().collect()
+            }
+            _ => Vec::new(),
         }
-        // What was promised holds from here on, before anybody hears of it.
-        self.tell(now, asked.keys().copied());
-        for (shard, answer) in answers {
-            // An owner that is none any more counts on nothing. What was promised to it holds all the same.
-            let owner = office.lease_holder(now, duty(shard)).filter(|holder| holder.term == answer.term);
-            sent.extend(
-                owner.map(|owner| Outgoing { to: owner.gateway, message: Message::QuotaReport(answer) }),
-            );
+    }
+
+    /// Number of entries of state.
+    pub fn entries(&self) -> usize {
+        let pools = self.shards.iter().filter_map(|shard| shard.pool.as_ref());
+        let groups = self.shards.iter().map(|shard| shard.quota.groups().count());
+        groups.sum::<usize>() + pools.map(QuotaPool::entries).sum::<usize>()
+    }
+
+    /// The counters as text, in thousandths of an even quota. Their names are an interface to operators.
+    pub fn counts(&self) -> String {
+        let now = self.clock.now();
+        let extras = self.shards.iter().flat_map(|shard| shard_extras(now, shard));
+        let (lent, granted) = extras.fold((0, 0), |(lent, granted), extra| match extra < 0 {
+            true => (lent - extra, granted),
+            false => (lent, granted + extra),
+        });
+        let pools = self.shards.iter().filter_map(|shard| shard.pool.as_ref());
+        let totals: Vec<QuotaTotals> = pools.map(|pool| pool.totals(now)).collect();
+        let own = format!("share_lent={lent} share_given={granted}");
+        if totals.is_empty() {
+            return own;
         }
-        sent
+        let pool_lent: i64 = totals.iter().map(|totals| totals.lent).sum();
+        let pool_granted: i64 = totals.iter().map(|totals| totals.granted).sum();
+        format!("{own} pool_lent={pool_lent} pool_given={pool_granted}")
+    }
+
+    fn shard_of(&self, group: GroupId) -> usize {
+        usize::from(shard_of(group, self.shards.len() as u16))
     }
 
-    /// A round of this shard is due, where this gateway owns it.
-    fn open(&mut self, now: Time, shard: usize, office: &mut LeaseManager) -> Sent {
+    /// Opens a round of a shard if it is time and this gateway holds the lease. Without the lease there is no pool.
+    fn open_round(&mut self, now: Time, shard: usize, lease_manager: &mut LeaseManager) -> Vec<Outgoing> {
         let pool = &mut self.shards[shard].pool;
-        let Some(term) = office.held_term(now, duty(shard)) else {
+        let Some(term) = lease_manager.held_term(now, lending_role(shard)) else {
             *pool = None;
             return Vec::new();
         };
-        let settings = office.settings().clone();
         if pool.as_ref().is_none_or(|pool| pool.term() != term) {
-            *pool = Some(QuotaPool::new(settings.clone(), term));
+            *pool = Some(QuotaPool::new(lease_manager.settings().clone(), term));
         }
         let Some(pool) = pool.as_mut().filter(|pool| now >= pool.next_deadline()) else { return Vec::new() };
-        let QuotaRound { number: round, parts } = pool.open_round(now);
-        let mut sent = Vec::new();
-        for mean_rates in parts {
-            // Asked right before it goes out, for each of them.
-            let word = office.notification(
-                self.clock.now(),
-                duty(shard),
-                Notification::QuotaRound { round, mean_rates },
-            );
-            let Some(word) = word else { break };
-            sent.extend((0..settings.gateways).map(|to| Outgoing { to, message: word.clone() }));
+        let round = pool.open_round(now);
+        let mut outgoing = Vec::new();
+        for mean_rates in round.parts {
+            let Some(part) = self.round_part(shard, round.number, mean_rates, lease_manager) else { break };
+            outgoing.extend(part);
         }
-        sent
+        outgoing
     }
 
-    /// A message came that the office lets through.
-    pub fn hear(&mut self, from: GatewayId, message: &Message, office: &mut LeaseManager) -> Sent {
-        let now = self.clock.now();
-        match message {
-            Message::Notification {
-                role: LeadershipRole { kind: QUOTA_LENDING, shard },
-                term,
-                notification: Notification::QuotaRound { round, mean_rates: means },
-            } => {
-                if let Some(state) = self.shards.get_mut(*shard as usize) {
-                    state.part.on_round(now, *term, *round, means);
+    /// A part of a round for all gateways, this one included. The lease is checked right before each part is sent.
+    fn round_part(
+        &self,
+        shard: usize,
+        round: u32,
+        mean_rates: Vec<MeanRate>,
+        lease_manager: &mut LeaseManager,
+    ) -> Option<Vec<Outgoing>> {
+        let notification = Notification::QuotaRound { round, mean_rates };
+        let message = lease_manager.notification(self.clock.now(), lending_role(shard), notification)?;
+        let gateways = 0..lease_manager.settings().gateways;
+        Some(gateways.map(|to| Outgoing { to, message: message.clone() }).collect())
+    }
+
+    /// The reports that are due. What they lend is applied before anybody learns of it.
+    fn report(&mut self, now: Time, lease_manager: &LeaseManager) -> Vec<Outgoing> {
+        let counts = (self.demand)();
+        self.rates.observe(now, &counts);
+        let mut rates: Vec<BTreeMap<GroupId, u32>> = vec![BTreeMap::new(); self.shards.len()];
+        for (group, rate) in self.rates.per_group() {
+            rates[self.shard_of(group)].insert(group, rate);
+        }
+        let mut outgoing = Vec::new();
+        for (index, (shard, rates)) in self.shards.iter_mut().zip(&rates).enumerate() {
+            for report in shard.quota.due_reports(now, rates) {
+                outgoing.extend(to_lease_holder(now, index, report, lease_manager));
+            }
+        }
+        self.apply(now, counts.keys().copied());
+        outgoing
+    }
+
+    fn on_notification(&mut self, now: Time, shard: usize, term: Term, notification: &Notification) {
+        let quota = self.shards.get_mut(shard).map(|shard| &mut shard.quota);
+        match notification {
+            Notification::QuotaRound { round, mean_rates } => {
+                if let Some(quota) = quota {
+                    quota.on_round(now, term, *round, mean_rates);
                 }
-                Vec::new()
             }
-            Message::Notification {
-                role: LeadershipRole { kind: QUOTA_LENDING, shard },
-                notification: Notification::QuotaGrant { number, granted: given },
-                ..
-            } => {
-                if let Some(state) = self.shards.get_mut(*shard as usize) {
-                    state.part.on_grant(now, *number, given);
+            Notification::QuotaGrant { number, granted } => {
+                if let Some(quota) = quota {
+                    quota.on_grant(now, *number, granted);
                 }
-                self.tell(now, given.iter().map(|grant| grant.group));
-                Vec::new()
+                self.apply(now, granted.iter().map(|grant| grant.group));
             }
-            Message::QuotaReport(report) => self.give(now, from, report, office),
-            _ => Vec::new(),
+            _ => {}
         }
     }
 
-    /// What a gateway is given for these lines, all of which are of one shard.
-    fn give(&mut self, now: Time, from: GatewayId, report: &QuotaReport, office: &mut LeaseManager) -> Sent {
-        let QuotaReport { term, round, number, demands } = report;
-        let Some(shard) = demands.first().map(|line| self.shard_of(line.group)) else { return Vec::new() };
-        let lines: Vec<GroupDemand> =
-            demands.iter().copied().filter(|line| self.shard_of(line.group) == shard).collect();
-        let pool = self.shards[shard].pool.as_mut().filter(|pool| pool.term() == *term);
-        let Some(pool) = pool.filter(|_| office.still_holds(now, duty(shard), *term)) else {
-            return Vec::new();
-        };
-        let given = pool.on_report(now, from, *round, &lines);
-        if given.is_empty() {
-            return Vec::new();
+    /// The grant for a report, all of whose groups are of one shard.
+    fn grant(
+        &mut self,
+        now: Time,
+        from: GatewayId,
+        report: &QuotaReport,
+        lease_manager: &mut LeaseManager,
+    ) -> Option<Outgoing> {
+        let shard = self.shard_of(report.demands.first()?.group);
+        let is_in_shard = |demand: &&GroupDemand| self.shard_of(demand.group) == shard;
+        let demands: Vec<GroupDemand> = report.demands.iter().filter(is_in_shard).copied().collect();
+        let pool = self.shards[shard].pool.as_mut().filter(|pool| pool.term() == report.term)?;
+        if !lease_manager.still_holds(now, lending_role(shard), report.term) {
+            return None;
+        }
+        let granted: Vec<GroupGrant> = pool.on_report(now, from, report.round, &demands);
+        if granted.is_empty() {
+            return None;
         }
-        let word = office.notification(
-            self.clock.now(),
-            duty(shard),
-            Notification::QuotaGrant { number: *number, granted: given },
-        );
-        word.into_iter().map(|message| Outgoing { to: from, message }).collect()
+        let notification = Notification::QuotaGrant { number: report.number, granted };
+        let message = lease_manager.notification(self.clock.now(), lending_role(shard), notification)?;
+        Some(Outgoing { to: from, message })
     }
 
-    /// Tells the decisions what may be used of these groups, where that is new.
-    fn tell(&mut self, now: Time, groups: impl Iterator<Item = GroupId>) {
+    /// Passes the quotas of these groups to the decisions, where they have changed.
+    fn apply(&mut self, now: Time, groups: impl Iterator<Item = GroupId>) {
         for group in groups {
-            let share = self.shards[self.shard_of(group)].part.current(now, group);
-            let known = self.told.get(&group).copied().unwrap_or_default();
-            if share == known {
+            let share = self.shards[self.shard_of(group)].quota.current(now, group);
+            let before = self.applied.get(&group).copied().unwrap_or_default();
+            if share == before {
                 continue;
             }
             self.facade.share(group, share);
-            match share == Share::default() {
-                true => self.told.remove(&group),
-                false => self.told.insert(group, share),
-            };
+            if share == Share::default() {
+                self.applied.remove(&group);
+            } else {
+                self.applied.insert(group, share);
+            }
         }
-        self.told.retain(|_, share| now < share.until);
+        self.applied.retain(|_, share| now < share.until);
     }
+}
 
-    /// Entries of state: of this gateway's parts, and of what it has to give.
-    pub fn entries(&self) -> usize {
-        let pools = self.shards.iter().filter_map(|shard| shard.pool.as_ref());
-        let parts = self.shards.iter().map(|shard| shard.part.groups().count());
-        parts.sum::<usize>() + pools.map(QuotaPool::entries).sum::<usize>()
+/// A report goes to the holder of the lease that its round was opened under. A later holder could not count on it; what
+/// it lends binds all the same.
+fn to_lease_holder(
+    now: Time,
+    shard: usize,
+    report: QuotaReport,
+    lease_manager: &LeaseManager,
+) -> Option<Outgoing> {
+    let holder = lease_manager.lease_holder(now, lending_role(shard))?;
+    if holder.term != report.term {
+        return None;
     }
+    Some(Outgoing { to: holder.gateway, message: Message::QuotaReport(report) })
+}
 
-    /// What there is to show: parts lent and given here, and, of the owner, lent to it and given by it, in thousandths of
-    /// even parts.
-    pub fn counts(&self) -> String {
-        let now = self.clock.now();
-        let extra = |shard: &Shard, group| (shard.part.current(now, group).extra * 1000.0).round() as i64;
-        let extras = || {
-            let shards = self.shards.iter();
-            shards.flat_map(move |shard| shard.part.groups().map(move |group| extra(shard, group)))
-        };
-        let lent = -extras().filter(|extra| *extra < 0).sum::<i64>();
-        let given: i64 = extras().filter(|extra| *extra > 0).sum();
-        let totals: Vec<QuotaTotals> =
-            self.shards.iter().filter_map(|shard| Some(shard.pool.as_ref()?.totals(now))).collect();
-        let pool_lent: i64 = totals.iter().map(|totals| totals.lent).sum();
-        let pool_given: i64 = totals.iter().map(|totals| totals.granted).sum();
-        let pool = match totals.is_empty() {
-            true => String::new(),
-            false => format!(" pool_lent={pool_lent} pool_given={pool_given}"),
-        };
-        format!("share_lent={lent} share_given={given}{pool}")
-    }
+/// What a gateway uses of each group of a shard beside its even quota, in thousandths; negative if it lends.
+fn shard_extras(now: Time, shard: &Shard) -> impl Iterator<Item = i64> + '_ {
+    let extra = move |group| (shard.quota.current(now, group).extra * EVEN_QUOTA).round() as i64;
+    shard.quota.groups().map(extra)
 }
