--- a/crates/lab/src/ownership.rs
+++ b/crates/lab/src/ownership.rs
@@ -1,19 +1,19 @@
-//! Experiment `ownership`: seven gateways, three of them electors, and a relay between them that loses, doubles, delays
-//! and cuts; the scout is killed, stalled and cut off from the seed. What each does is read by a witness among their
-//! peers, never from a gateway's own counters.
+//! Experiment `ownership`: seven gateways, three of them acceptors, and a relay between them that loses, duplicates,
+//! delays and cuts; the leader of primary discovery is killed, stalled and cut off, all from the seed. Effects are read by
+//! a witness among their peers, never from a gateway's own counters.
 
 use crate::report::Verdict;
 use crate::stage::{Plan, Stage};
 use crate::Options;
 use petrelgauge::Time;
-use petrelgauge_ownership::{Fence, LeadershipRole, Message, Notification, Settings, Term};
+use petrelgauge_ownership::{Fence, LeadershipRole, LeaseHolder, Message, Notification, Settings, Term};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
 use std::rc::Rc;
 
-/// Faults that must make the experiment fail: a second owner under the same term; a witness without a fence that is
-/// told an old word again; electors that stay away.
+/// Faults that must make the experiment fail: a second lease holder under the same term; a witness without a fence that
+/// receives an old notification again; acceptors that stay away.
 pub const PLANTS: [&str; 3] = ["impostor", "fenceless", "deserted"];
 
 const GATEWAYS: usize = 7;
@@ -26,40 +26,50 @@
 /// own wait.
 const SLACK: Time = 1_500_000;
 
-/// What the witness took.
+/// What the witness admitted.
 struct Ledger {
     fence: Fence,
     fenced: bool,
-    /// Time, sender and term of each word that was taken.
-    taken: Vec<(Time, u16, Term)>,
-    turned: u64,
+    /// Sender and term of each notification that was admitted.
+    admitted: Vec<LeaseHolder>,
+    rejected: u64,
     faults: Vec<String>,
-    odd: u64,
+    undecodable: u64,
     last: Option<Message>,
 }
 
 impl Ledger {
-    fn hear(&mut self, now: Time, from: u16, message: Message) {
+    fn hear(&mut self, from: u16, message: Message) {
         let Message::Notification { role, term, .. } = message else { return };
         if role != DISCOVERY {
             return;
         }
         if self.fenced && self.fence.admit(role, term).is_err() {
-            self.turned += 1;
+            self.rejected += 1;
             return;
         }
-        if let Some((_, _, last)) = self.taken.last().filter(|(_, _, last)| term < *last) {
-            self.faults.push(format!("an effect under term {term} was taken after one under {last}"));
+        let holder = LeaseHolder { gateway: from, term };
+        self.check(holder);
+        self.admitted.push(holder);
+        self.last = Some(message);
+    }
+
+    /// Records what is wrong with an effect of this holder after all that were admitted before.
+    fn check(&mut self, holder: LeaseHolder) {
+        let LeaseHolder { gateway, term } = holder;
+        if let Some(last) = self.holder().filter(|last| term < last.term) {
+            let last = last.term;
+            self.faults.push(format!("an effect under term {term} was admitted after one under {last}"));
         }
-        if let Some((_, who, _)) = self.taken.iter().find(|(_, who, known)| *known == term && *who != from) {
-            self.faults.push(format!("gateways {who} and {from} both own term {term}"));
+        let mut others = self.admitted.iter().filter(|other| other.term == term && other.gateway != gateway);
+        if let Some(LeaseHolder { gateway: other, .. }) = others.next() {
+            self.faults.push(format!("gateways {other} and {gateway} both hold term {term}"));
         }
-        self.taken.push((now, from, term));
-        self.last = Some(message);
     }
 
-    fn owner(&self) -> Option<(u16, Term)> {
-        self.taken.last().map(|(_, who, term)| (*who, *term))
+    /// The last holder whose effect was admitted.
+    fn holder(&self) -> Option<LeaseHolder> {
+        self.admitted.last().copied()
     }
 }
 
@@ -67,8 +77,8 @@
     stage: Rc<Stage>,
     settings: Settings,
     ledger: Ledger,
-    /// How long each take-over took.
-    took: Vec<Time>,
+    /// Duration of each takeover.
+    takeovers: Vec<Time>,
     minority: u64,
 }
 
@@ -84,9 +94,9 @@
                 heard = socket.recv(&mut bytes) => {
                     let Ok(count) = heard else { continue };
                     match Message::read(&bytes[..count], self.settings.fingerprint(), SECRET) {
-                        Ok((from, message)) => self.ledger.hear(clock.now(), from, message),
+                        Ok((from, message)) => self.ledger.hear(from, message),
                         // The relay alters some.
-                        Err(_) => self.ledger.odd += 1,
+                        Err(_) => self.ledger.undecodable += 1,
                     }
                 }
                 () = clock.sleep_until(until) => {}
@@ -94,13 +104,13 @@
         }
     }
 
-    /// Waits for an owner under a higher term, for so long at most.
-    async fn successor(&mut self, term: Term, most: Time) -> Option<(u16, Term)> {
+    /// Waits for a lease holder with a higher term, for this long at most.
+    async fn successor(&mut self, term: Term, most: Time) -> Option<LeaseHolder> {
         let clock = self.stage.farm.clock;
         let begun = clock.now();
         while clock.now() - begun < most {
-            if let Some(owner) = self.ledger.owner().filter(|(_, found)| *found > term) {
-                return Some(owner);
+            if let Some(holder) = self.ledger.holder().filter(|holder| holder.term > term) {
+                return Some(holder);
             }
             self.read(20_000).await;
         }
@@ -141,18 +151,19 @@
     let ledger = Ledger {
         fence: Fence::default(),
         fenced: !planted("fenceless"),
-        taken: Vec::new(),
-        turned: 0,
+        admitted: Vec::new(),
+        rejected: 0,
         faults: Vec::new(),
-        odd: 0,
+        undecodable: 0,
         last: None,
     };
     let stage = Stage::start(plan).await?;
-    let mut play = Play { stage: stage.clone(), settings, ledger, took: Vec::new(), minority: 0 };
+    let mut play = Play { stage: stage.clone(), settings, ledger, takeovers: Vec::new(), minority: 0 };
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     let mut late = 0;
     let first = play.successor(0, 4 * limit).await;
-    let (mut who, mut term) = first.unwrap_or_default();
+    let nobody = LeaseHolder { gateway: 0, term: 0 };
+    let LeaseHolder { gateway: mut who, mut term } = first.unwrap_or(nobody);
     for turn in 0..if options.short { 5 } else { 24 } {
         if first.is_none() {
             break;
@@ -172,14 +183,15 @@
             ACCEPTORS.iter().for_each(|place| stage.gateways.borrow_mut()[*place as usize].kill());
         }
         let next = play.successor(term, limit).await;
-        play.took.push(stage.farm.clock.now() - begun);
+        play.takeovers.push(stage.farm.clock.now() - begun);
         late += u64::from(next.is_none());
-        // Those cut off may say what they like: under their old term nothing of it is taken.
-        let before = play.ledger.taken.len();
+        // Whatever those that are cut off send under their old term is rejected.
+        let before = play.ledger.admitted.len();
         play.read(rng.random_range(100_000..600_000)).await;
-        play.minority +=
-            play.ledger.taken[before..].iter().filter(|(_, from, _)| next.is_some() && *from == who).count()
-                as u64;
+        play.minority += play.ledger.admitted[before..]
+            .iter()
+            .filter(|admitted| next.is_some() && admitted.gateway == who)
+            .count() as u64;
         stage.paths.cut.borrow_mut().clear();
         stage.gateways.borrow()[who as usize].signal("CONT");
         if stage.gateways.borrow()[who as usize].id().is_none() {
@@ -187,20 +199,21 @@
         }
         if planted("fenceless") {
             let words = old.into_iter().filter(|_| next.is_some());
-            words.for_each(|word| play.ledger.hear(stage.farm.clock.now(), who, word));
+            words.for_each(|word| play.ledger.hear(who, word));
         }
-        if let (true, Some((owner, term))) = (planted("impostor"), play.ledger.owner()) {
+        if let (true, Some(LeaseHolder { gateway, term })) = (planted("impostor"), play.ledger.holder()) {
             let word = Message::Notification {
                 role: DISCOVERY,
                 term,
                 notification: Notification::LeaseHeld { remaining: 1 },
             };
-            play.ledger.hear(stage.farm.clock.now(), (owner + 1) % GATEWAYS as u16, word);
+            play.ledger.hear((gateway + 1) % GATEWAYS as u16, word);
         }
-        (who, term) = next.or(play.ledger.owner()).unwrap_or_default();
+        LeaseHolder { gateway: who, term } = next.or(play.ledger.holder()).unwrap_or(nobody);
         // An elector that was killed is silent for a lease: with another one gone there would be no majority.
         play.read(play.settings.startup_silence() + 300_000).await;
-        (who, term) = play.ledger.owner().unwrap_or((who, term));
+        LeaseHolder { gateway: who, term } =
+            play.ledger.holder().unwrap_or(LeaseHolder { gateway: who, term });
     }
     stage.stop().await;
     Ok(judge(options, &play, first.is_some(), late, limit))
@@ -208,7 +221,7 @@
 
 fn judge(options: &Options, play: &Play, owned: bool, late: u64, limit: Time) -> Verdict {
     let mut verdict = Verdict::new("ownership", options.seed);
-    let Ledger { faults, taken, turned, odd, .. } = &play.ledger;
+    let Ledger { faults, admitted, rejected, undecodable, .. } = &play.ledger;
     verdict.promise("somebody comes to own the role", owned);
     verdict
         .promise("no two owners whose effects are taken, and no older term after a newer", faults.is_empty());
@@ -217,15 +230,15 @@
         "nothing is taken from the side that was cut off, once there is a new owner",
         play.minority == 0,
     );
-    let mut took: Vec<Time> = play.took.iter().map(|took| took / 1000).collect();
-    took.sort_unstable();
-    for (place, took) in took.iter().enumerate() {
-        verdict.bar("take-overs, from the shortest (ms)", "ms", &place.to_string(), *took as f64);
+    let mut takeovers: Vec<Time> = play.takeovers.iter().map(|duration| duration / 1000).collect();
+    takeovers.sort_unstable();
+    for (place, duration) in takeovers.iter().enumerate() {
+        verdict.bar("take-overs, from the shortest (ms)", "ms", &place.to_string(), *duration as f64);
     }
     verdict.figures = json!({
-        "takeovers": took.len(), "median_ms": took.get(took.len() / 2), "longest_ms": took.last(),
-        "limit_ms": limit / 1000, "late": late, "words_taken": taken.len(), "words_turned": turned,
-        "altered": odd, "faults": faults, "from_the_cut_side": play.minority,
+        "takeovers": takeovers.len(), "median_ms": takeovers.get(takeovers.len() / 2), "longest_ms": takeovers.last(),
+        "limit_ms": limit / 1000, "late": late, "words_taken": admitted.len(), "words_turned": rejected,
+        "altered": undecodable, "faults": faults, "from_the_cut_side": play.minority,
     });
     verdict
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -159,7 +159,7 @@
 
     fn stats(&self) -> GatewayStats {
         let Counters { told, told_bytes, heard, heard_bytes, list_bytes, .. } = &*self.counters;
-        let duties = self.control.leadership.as_ref();
+        let leadership = self.control.leadership.as_ref();
         GatewayStats {
             number: self.number,
             up: true,
@@ -171,8 +171,8 @@
             revision: self.control.revision.get(),
             version: self.control.facade.version(),
             entries: self.control.entries() as u64,
-            owned: duties.map_or(0, |duties| duties.owned() as u64),
-            known_owners: duties.map_or(0, |duties| duties.known_owners() as u64),
+            owned: leadership.map_or(0, |leadership| leadership.held_leases() as u64),
+            known_owners: leadership.map_or(0, |leadership| leadership.known_lease_holders() as u64),
         }
     }
 
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -16,7 +16,7 @@
 
 const ROLE: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
 const LEASE: Time = 8_000;
-const ELECTORS: u16 = 3;
+const ACCEPTORS: u16 = 3;
 
 /// An event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -40,7 +40,7 @@
     /// A lease holder acts; the effect is on its way.
     Acts(usize),
     /// Such an effect arrives.
-    Taken(usize),
+    Admitted(usize),
     /// Time passes.
     Waits(Time),
 }
@@ -138,6 +138,50 @@
         let request = self.requests[who].take();
         (request, acceptors.map(|acceptor| self.request(who, acceptor, request?)))
     }
+
+    fn begin(&mut self, faults: Faults) {
+        let more = u8::from(self.large);
+        self.begun = true;
+        self.spans = faults.spans;
+        self.deadlines = faults.deadlines.map(|deadlines| deadlines + more).to_vec();
+        self.acts = faults.acts.to_vec();
+        self.may_be_late = faults.late;
+        self.restarts = faults.restarts;
+        self.waits = faults.waits + more;
+    }
+
+    /// All acceptors receive the request; two responses arrive, the third one and a duplicate of the first are late.
+    fn double(&mut self, who: usize, pair: [u16; 2]) {
+        self.may_be_late -= 1;
+        let (request, responses) = self.reaches(who, pair);
+        let third = ACCEPTORS - pair[0] - pair[1];
+        let response = request.and_then(|request| self.request(who, third, request));
+        let late = [(third, response), (pair[0], responses[0])].into_iter();
+        let late = late.filter_map(|(acceptor, response)| Some(Late::Response(who, acceptor, response?)));
+        self.late.extend(late);
+        (0..2).for_each(|place| self.respond(who, pair[place], responses[place]));
+    }
+
+    /// A late message arrives.
+    fn arrive(&mut self, place: usize) {
+        match self.late.remove(place) {
+            Late::Request(who, acceptor, request) => {
+                let response = self.request(who, acceptor, request);
+                self.respond(who, acceptor, response);
+            }
+            Late::Response(who, acceptor, response) => self.respond(who, acceptor, Some(response)),
+        }
+    }
+
+    /// An effect arrives at a receiver, whose fence admits or rejects it.
+    fn take_effect(&mut self, place: usize) {
+        let term = self.effects.remove(place);
+        let passed = self.fence.admit(ROLE, term).is_ok();
+        if passed != (term >= self.admitted) {
+            self.broken = Some(FENCED);
+        }
+        self.admitted = self.admitted.max(term);
+    }
 }
 
 impl World for Fleet {
@@ -162,7 +206,7 @@
                     }
                 }
                 if self.may_be_late > 0 {
-                    moves.extend((0..ELECTORS).map(|acceptor| Move::Delayed(who, acceptor)));
+                    moves.extend((0..ACCEPTORS).map(|acceptor| Move::Delayed(who, acceptor)));
                 }
             }
             if self.acts[who] > 0 && self.candidates[who].held_term(self.now).is_some() {
@@ -170,9 +214,9 @@
             }
         }
         moves.extend((0..self.late.len()).map(Move::Arrives));
-        moves.extend((0..self.effects.len()).map(Move::Taken));
+        moves.extend((0..self.effects.len()).map(Move::Admitted));
         if self.restarts > 0 {
-            moves.extend((0..ELECTORS).map(Move::Restarts));
+            moves.extend((0..ACCEPTORS).map(Move::Restarts));
         }
         if self.waits > 0 {
             moves.extend(self.spans.iter().copied().map(Move::Waits));
@@ -182,15 +226,7 @@
 
     fn play(&mut self, event: &Move) {
         match *event {
-            Move::Faults(which) => {
-                let Faults { deadlines, late, restarts, waits, spans, acts } = FAULTS[which];
-                self.spans = spans;
-                let more = u8::from(self.large);
-                self.begun = true;
-                (self.deadlines, self.acts) =
-                    (deadlines.map(|deadlines| deadlines + more).to_vec(), acts.to_vec());
-                (self.may_be_late, self.restarts, self.waits) = (late, restarts, waits + more);
-            }
+            Move::Faults(which) => self.begin(FAULTS[which]),
             Move::Deadline(who) => {
                 self.deadlines[who] -= 1;
                 let action = self.candidates[who].on_deadline(self.now);
@@ -200,18 +236,7 @@
                 let (_, responses) = self.reaches(who, pair);
                 (0..2).for_each(|place| self.respond(who, pair[place], responses[place]));
             }
-            Move::Doubled(who, pair) => {
-                self.may_be_late -= 1;
-                let (request, responses) = self.reaches(who, pair);
-                let third = ELECTORS - pair[0] - pair[1];
-                let response = request.and_then(|request| self.request(who, third, request));
-                let late = [(third, response), (pair[0], responses[0])];
-                let late = late
-                    .into_iter()
-                    .filter_map(|(acceptor, response)| Some(Late::Response(who, acceptor, response?)));
-                self.late.extend(late);
-                (0..2).for_each(|place| self.respond(who, pair[place], responses[place]));
-            }
+            Move::Doubled(who, pair) => self.double(who, pair),
             Move::Halved(who, pair) => {
                 self.may_be_late -= 1;
                 let (_, [first, second]) = self.reaches(who, pair);
@@ -223,13 +248,7 @@
                 let request = self.requests[who].take();
                 self.late.extend(request.map(|request| Late::Request(who, acceptor, request)));
             }
-            Move::Arrives(place) => match self.late.remove(place) {
-                Late::Request(who, acceptor, request) => {
-                    let response = self.request(who, acceptor, request);
-                    self.respond(who, acceptor, response);
-                }
-                Late::Response(who, acceptor, response) => self.respond(who, acceptor, Some(response)),
-            },
+            Move::Arrives(place) => self.arrive(place),
             Move::Restarts(acceptor) => {
                 self.restarts -= 1;
                 self.acceptors[acceptor as usize] = Acceptor::new(&self.settings, self.now);
@@ -238,14 +257,7 @@
                 self.acts[who] -= 1;
                 self.effects.extend(self.candidates[who].held_term(self.now));
             }
-            Move::Taken(place) => {
-                let term = self.effects.remove(place);
-                let passed = self.fence.admit(ROLE, term).is_ok();
-                if passed != (term >= self.admitted) {
-                    self.broken = Some(FENCED);
-                }
-                self.admitted = self.admitted.max(term);
-            }
+            Move::Admitted(place) => self.take_effect(place),
             Move::Waits(span) => {
                 self.waits -= 1;
                 self.now += span;
@@ -277,7 +289,7 @@
             Move::Arrives(place) => format!("a late message arrives: {:?}", self.late.get(*place)),
             Move::Restarts(acceptor) => format!("acceptor {acceptor} restarts"),
             Move::Acts(who) => format!("candidate {who} acts as lease holder"),
-            Move::Taken(place) => format!("an effect arrives, term {:?}", self.effects.get(*place)),
+            Move::Admitted(place) => format!("an effect arrives, term {:?}", self.effects.get(*place)),
             Move::Waits(span) => format!("{span} pass"),
         };
         format!("at {} {what}", self.now)
@@ -304,7 +316,7 @@
     let start = Fleet {
         now,
         settings: settings(0),
-        acceptors: (0..ELECTORS).map(|_| Acceptor::new(&settings(0), now - silence)).collect(),
+        acceptors: (0..ACCEPTORS).map(|_| Acceptor::new(&settings(0), now - silence)).collect(),
         candidates: (0..2).map(|me| Candidate::new(settings(me), now - 4_000, 10, u64::from(me))).collect(),
         requests: vec![None, None],
         deadlines: Vec::new(),
--- a/crates/ownership/tests/lease_fleet.rs
+++ b/crates/ownership/tests/lease_fleet.rs
@@ -114,7 +114,7 @@
     let clock = fleet.clock(holder);
     let manager = fleet.gateway(holder).manager.as_ref().expect("it runs");
     assert!(!manager.still_holds(clock, ROLE, term), "asked right before the send, it says no");
-    // One that did not ask: whoever heard of the next lease holder turns it minority.
+    // Sent without that check: whoever knows of the next lease holder rejects it.
     let next = fleet.holder();
     assert_ne!(next, holder);
     let manager = fleet.gateway(next).manager.as_ref().expect("it runs");
--- a/crates/ownership/tests/placement.rs
+++ b/crates/ownership/tests/placement.rs
@@ -1,29 +1,31 @@
-//! Who should own which shard: spread evenly, taken over from one that is gone, given back to one that has come to stay.
+//! Placement of shards: even, with failover from an absent acceptor and return to one that has settled.
 
 use petrelgauge_ownership::{shard_of, Placement, Settings, MAX_SHARDS};
 use petrelgauge_policy::Time;
 use std::collections::BTreeMap;
 
 const LEASE: Time = 2_000_000;
-const ELECTORS: u16 = 9;
+const ACCEPTORS: u16 = 9;
 const SHARDS: u16 = 27;
+/// The acceptors are every so many gateways.
+const ID_STEP: u16 = 166;
 
-fn settings(me: u16) -> Settings {
-    let acceptors = (0..ELECTORS).map(|place| place * 166).collect();
-    Settings { self_id: me * 166, gateways: 1_500, acceptors, lease: LEASE, ..Settings::default() }
+fn settings(index: u16) -> Settings {
+    let acceptors = (0..ACCEPTORS).map(|index| index * ID_STEP).collect();
+    Settings { self_id: index * ID_STEP, gateways: 1_500, acceptors, lease: LEASE, ..Settings::default() }
 }
 
-/// Electors that hear each other's heartbeats, some of them gone.
-struct World {
+/// Acceptors that receive each other's heartbeats, some of them absent.
+struct SimulatedAcceptors {
     now: Time,
     placements: Vec<Placement>,
     up: Vec<bool>,
 }
 
-impl World {
-    fn new() -> World {
-        let placements = (0..ELECTORS).map(|me| Placement::new(&settings(me), SHARDS, 0)).collect();
-        World { now: 0, placements, up: vec![true; usize::from(ELECTORS)] }
+impl SimulatedAcceptors {
+    fn new() -> SimulatedAcceptors {
+        let placements = (0..ACCEPTORS).map(|index| Placement::new(&settings(index), SHARDS, 0)).collect();
+        SimulatedAcceptors { now: 0, placements, up: vec![true; usize::from(ACCEPTORS)] }
     }
 
     fn run(&mut self, span: Time) {
@@ -33,86 +35,87 @@
             for from in (0..self.placements.len()).filter(|from| self.up[*from]).collect::<Vec<_>>() {
                 let to = self.placements[from].due_heartbeats(self.now);
                 for to in to {
-                    self.placements[usize::from(to / 166)].on_heartbeat(self.now, from as u16 * 166);
+                    self.placements[usize::from(to / ID_STEP)].on_heartbeat(self.now, from as u16 * ID_STEP);
                 }
             }
         }
     }
 
-    /// For each shard, who of those that are up wants it.
-    fn wanted(&self) -> BTreeMap<u16, Vec<usize>> {
-        let wants = |shard: u16| {
+    /// The present acceptors that campaign for each shard.
+    fn campaigns(&self) -> BTreeMap<u16, Vec<usize>> {
+        let campaign_for = |shard: u16| {
             let up = (0..self.placements.len()).filter(|one| self.up[*one]);
             up.filter(|one| self.placements[*one].should_campaign(self.now, shard)).collect::<Vec<_>>()
         };
-        (0..SHARDS).map(|shard| (shard, wants(shard))).collect()
+        (0..SHARDS).map(|shard| (shard, campaign_for(shard))).collect()
     }
 }
 
 #[test]
 fn shards_are_spread_evenly_over_acceptors() {
-    let mut world = World::new();
-    world.run(5 * LEASE);
-    let wanted = world.wanted();
-    assert!(wanted.values().all(|who| who.len() == 1), "{wanted:?}");
-    for acceptor in 0..usize::from(ELECTORS) {
-        assert_eq!(wanted.values().filter(|who| who[0] == acceptor).count(), 3, "{acceptor}");
+    let mut acceptors = SimulatedAcceptors::new();
+    acceptors.run(5 * LEASE);
+    let campaigns = acceptors.campaigns();
+    assert!(campaigns.values().all(|ids| ids.len() == 1), "{campaigns:?}");
+    for acceptor in 0..usize::from(ACCEPTORS) {
+        assert_eq!(campaigns.values().filter(|ids| ids[0] == acceptor).count(), 3, "{acceptor}");
     }
 }
 
 #[test]
 fn shards_of_an_absent_acceptor_fail_over_and_return_once_it_has_settled() {
-    let mut world = World::new();
-    world.run(5 * LEASE);
-    world.up[4] = false;
-    world.run(LEASE);
-    // A short silence moves nothing.
-    assert!(world.wanted().values().all(|who| who.len() <= 1));
-    world.run(3 * LEASE);
-    let wanted = world.wanted();
-    assert!(wanted.values().all(|who| who.len() == 1 && who[0] != 4), "{wanted:?}");
-    // Two next to each other: the one behind both has the shards of both.
-    world.up[5] = false;
-    world.run(4 * LEASE);
-    let wanted = world.wanted();
-    let taken: Vec<u16> = wanted.iter().filter(|(_, who)| **who == [6]).map(|(shard, _)| *shard).collect();
-    assert_eq!(taken.len(), 9, "{wanted:?}");
-    (world.up[4], world.up[5]) = (true, true);
-    world.run(LEASE / 2);
-    let yields = |world: &World| {
-        let shards = taken.iter().filter(|shard| world.placements[6].should_yield(world.now, **shard));
+    let mut acceptors = SimulatedAcceptors::new();
+    acceptors.run(5 * LEASE);
+    acceptors.up[4] = false;
+    acceptors.run(LEASE);
+    // A short gap in the heartbeats moves nothing.
+    assert!(acceptors.campaigns().values().all(|ids| ids.len() <= 1));
+    acceptors.run(3 * LEASE);
+    let campaigns = acceptors.campaigns();
+    assert!(campaigns.values().all(|ids| ids.len() == 1 && ids[0] != 4), "{campaigns:?}");
+    // Two consecutive ones are absent: the next one takes the shards of both.
+    acceptors.up[5] = false;
+    acceptors.run(4 * LEASE);
+    let campaigns = acceptors.campaigns();
+    let taken: Vec<u16> = campaigns.iter().filter(|(_, ids)| **ids == [6]).map(|(shard, _)| *shard).collect();
+    assert_eq!(taken.len(), 9, "{campaigns:?}");
+    (acceptors.up[4], acceptors.up[5]) = (true, true);
+    acceptors.run(LEASE / 2);
+    let yielded = |acceptors: &SimulatedAcceptors| {
+        let shards =
+            taken.iter().filter(|shard| acceptors.placements[6].should_yield(acceptors.now, **shard));
         shards.copied().collect::<Vec<_>>()
     };
-    assert_eq!(yields(&world), Vec::<u16>::new(), "not to one that may go again");
-    world.run(3 * LEASE);
-    assert_eq!(yields(&world).len(), 6, "all but its own three");
-    assert!(world.wanted().values().all(|who| who.len() == 1));
+    assert_eq!(yielded(&acceptors), Vec::<u16>::new(), "an acceptor that has not settled gets nothing back");
+    acceptors.run(3 * LEASE);
+    assert_eq!(yielded(&acceptors).len(), 6, "all but its own three");
+    assert!(acceptors.campaigns().values().all(|ids| ids.len() == 1));
 }
 
 #[test]
 fn shards_are_not_yielded_to_a_flapping_acceptor() {
-    let mut world = World::new();
-    world.run(5 * LEASE);
-    world.up[4] = false;
-    world.run(4 * LEASE);
+    let mut acceptors = SimulatedAcceptors::new();
+    acceptors.run(5 * LEASE);
+    acceptors.up[4] = false;
+    acceptors.run(4 * LEASE);
     for _ in 0..6 {
-        world.up[4] = true;
-        world.run(LEASE);
-        world.up[4] = false;
-        world.run(4 * LEASE);
-        // Shard 4 is the absent one's first.
-        assert!(!world.placements[5].should_yield(world.now, 4));
-        assert!(world.placements[5].should_campaign(world.now, 4));
+        acceptors.up[4] = true;
+        acceptors.run(LEASE);
+        acceptors.up[4] = false;
+        acceptors.run(4 * LEASE);
+        // Shard 4 prefers the absent acceptor.
+        assert!(!acceptors.placements[5].should_yield(acceptors.now, 4));
+        assert!(acceptors.placements[5].should_campaign(acceptors.now, 4));
     }
 }
 
 #[test]
 fn a_starting_acceptor_waits_for_the_heartbeats_of_others() {
     let placement = Placement::new(&settings(3), SHARDS, 0);
-    assert!(placement.should_campaign(0, 3), "its own first shards are wanted at once");
+    assert!(placement.should_campaign(0, 3), "its own first shards are campaigns at once");
     assert!(!placement.should_campaign(0, 2));
     assert!(!placement.should_campaign(LEASE, 2));
-    assert!(placement.should_campaign(3 * LEASE, 2), "nobody was heard");
+    assert!(placement.should_campaign(3 * LEASE, 2), "no heartbeat has arrived");
 }
 
 #[test]
@@ -131,8 +134,8 @@
 #[test]
 fn heartbeats_of_other_gateways_are_ignored() {
     let mut placement = Placement::new(&settings(3), SHARDS, 0);
-    // A gateway that is no acceptor, and this one itself.
+    // From a gateway that is no acceptor, and from itself.
     placement.on_heartbeat(3 * LEASE, 17);
-    placement.on_heartbeat(3 * LEASE, 3 * 166);
+    placement.on_heartbeat(3 * LEASE, 3 * ID_STEP);
     assert!(placement.should_campaign(3 * LEASE, 2));
 }
--- a/src/net/leadership.rs
+++ b/src/net/leadership.rs
@@ -145,14 +145,14 @@
     }
 
     /// Number of leases that this gateway holds now.
-    pub fn owned(&self) -> usize {
+    pub fn held_leases(&self) -> usize {
         let now = self.clock.now();
         let lease_manager = self.lease_manager.borrow();
         self.roles.iter().filter(|role| lease_manager.held_term(now, **role).is_some()).count()
     }
 
     /// Number of roles whose leader it knows.
-    pub fn known_owners(&self) -> usize {
+    pub fn known_lease_holders(&self) -> usize {
         let now = self.clock.now();
         let lease_manager = self.lease_manager.borrow();
         self.roles.iter().filter(|role| lease_manager.lease_holder(now, **role).is_some()).count()
@@ -173,7 +173,7 @@
         };
         let lending = self.quota_lending.as_ref().map(|lending| format!(" {}", lending.borrow().counts()));
         let lending = lending.unwrap_or_default();
-        let (owned, known, roles) = (self.owned(), self.known_owners(), self.roles.len());
+        let (owned, known, roles) = (self.held_leases(), self.known_lease_holders(), self.roles.len());
         let counts = self.lease_manager.borrow().counts();
         format!("{counts} duties_owned={owned} duties_known={known} duties={roles} scout={leader}{lending}")
     }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,9 +1,9 @@
-//! Duties of a fleet: five processes of the program, three of them electors, that are stopped, woken, killed and started
-//! again. What they do is read outside of them, by a sixth address among their peers.
+//! Leadership roles of a fleet: five processes of the program, three of them acceptors, that are stalled, resumed, killed
+//! and restarted. Their effects are read outside of them, by a sixth address among their peers.
 
 mod stage;
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, QuotaReport, Thousandths};
-use petrelgauge_ownership::{Fence, LeadershipRole, Message, Notification, Settings, Term};
+use petrelgauge_ownership::{Fence, LeadershipRole, LeaseHolder, Message, Notification, Settings, Term};
 use stage::*;
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
@@ -11,18 +11,23 @@
 
 const GATEWAYS: usize = 5;
 const SECRET: u64 = 0x5e;
-const SCOUT: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
-const SHARES: LeadershipRole = LeadershipRole { kind: 2, shard: 0 };
+const DISCOVERY: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
+const QUOTAS: LeadershipRole = LeadershipRole { kind: 2, shard: 0 };
 const FILE: &str =
     "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n}\n";
 
-/// What came to the sixth address, as any gateway would take it.
+/// What arrived at the sixth address, as any gateway would admit it.
 struct Ledger {
     socket: UdpSocket,
     settings: Settings,
     fence: Fence,
-    /// Sender, term and word of all that was taken, with when.
-    taken: Vec<(Instant, u16, Term, Notification)>,
+    admitted: Vec<Admitted>,
+}
+
+/// A notification that was admitted.
+struct Admitted {
+    holder: LeaseHolder,
+    notification: Notification,
 }
 
 impl Ledger {
@@ -38,10 +43,10 @@
             max_delay: 40_000,
             drift_bound: 0.01,
         };
-        Ledger { socket, settings, fence: Fence::default(), taken: Vec::new() }
+        Ledger { socket, settings, fence: Fence::default(), admitted: Vec::new() }
     }
 
-    /// Reads what has come; whatever is taken is told apart by nothing but its term.
+    /// Reads what arrives for so long. No two gateways may send under the same term.
     fn read(&mut self, span: Duration) {
         let until = Instant::now() + span;
         let mut bytes = [0; 300];
@@ -49,39 +54,42 @@
             let Ok((count, _)) = self.socket.recv_from(&mut bytes) else { continue };
             let read = Message::read(&bytes[..count], self.settings.fingerprint(), SECRET);
             let (from, message) = read.expect("the gateways of this fleet write so");
-            let Message::Notification { role: duty, term, notification: word } = message else { continue };
-            if self.fence.admit(duty, term).is_ok() {
-                let other = self.taken.iter().find(|(_, who, known, _)| *known == term && *who != from);
-                assert!(other.is_none(), "two owners under term {term}: {other:?} and {from}");
-                self.taken.push((Instant::now(), from, term, word));
+            let Message::Notification { role, term, notification } = message else { continue };
+            if self.fence.admit(role, term).is_ok() {
+                let holder = LeaseHolder { gateway: from, term };
+                let mut holders = self.admitted.iter().map(|admitted| admitted.holder);
+                let other = holders.find(|other| other.term == term && other.gateway != from);
+                assert!(other.is_none(), "two lease holders under term {term}: {other:?} and {from}");
+                self.admitted.push(Admitted { holder, notification });
             }
         }
     }
 
-    /// Reads until somebody owns the duty under a higher term than this: who, and under which.
-    fn owner_after(&mut self, term: Term) -> (u16, Term) {
+    /// Reads until a gateway holds a lease under a higher term than this.
+    fn holder_after(&mut self, term: Term) -> LeaseHolder {
         let begun = Instant::now();
         loop {
             self.read(Duration::from_millis(50));
-            if let Some((_, who, found, _)) = self.taken.iter().rev().find(|(_, _, found, _)| *found > term) {
-                return (*who, *found);
+            let mut holders = self.admitted.iter().rev().map(|admitted| admitted.holder);
+            if let Some(holder) = holders.find(|holder| holder.term > term) {
+                return holder;
             }
-            assert!(begun.elapsed() < Duration::from_secs(30), "nobody owns the duty");
+            assert!(begun.elapsed() < Duration::from_secs(30), "nobody holds the lease");
         }
     }
 
-    /// The leader that a scout told of.
-    fn leader(&mut self) -> u64 {
+    /// The primary that was announced last.
+    fn primary(&mut self) -> u64 {
         let begun = Instant::now();
         loop {
-            let told = self.taken.iter().rev().find_map(|(_, _, _, word)| match word {
+            let announced = self.admitted.iter().rev().find_map(|admitted| match &admitted.notification {
                 Notification::Primary(primary) => Some(primary.member),
                 _ => None,
             });
-            if let Some(member) = told {
+            if let Some(member) = announced {
                 return member;
             }
-            assert!(begun.elapsed() < Duration::from_secs(30), "no leader was told");
+            assert!(begun.elapsed() < Duration::from_secs(30), "no primary was announced");
             self.read(Duration::from_millis(50));
         }
     }
@@ -148,84 +156,83 @@
 }
 
 #[test]
-fn a_scout_that_is_killed_has_a_successor_within_the_stated_span_and_terms_rise() {
+fn a_killed_leader_is_replaced_within_the_takeover_bound_and_terms_increase() {
     let mut fleet = fleet(80);
-    let (mut who, mut term) = fleet.ledger.owner_after(0);
+    let mut holder = fleet.ledger.holder_after(0);
     for _ in 0..3 {
-        assert!([0, 2, 4].contains(&who), "electors are the candidates");
-        let died = Instant::now();
-        fleet.gateways[who as usize] = None;
-        let (next, higher) = fleet.ledger.owner_after(term);
-        assert!(higher > term);
+        assert!([0, 2, 4].contains(&holder.gateway), "acceptors are the candidates");
+        let killed_at = Instant::now();
+        fleet.gateways[usize::from(holder.gateway)] = None;
+        let next = fleet.ledger.holder_after(holder.term);
+        assert!(next.term > holder.term);
         let limit = Duration::from_micros(fleet.ledger.settings.takeover_bound() as u64);
         // A machine that is busy with other tests is given twice the span.
-        assert!(died.elapsed() < 2 * limit, "{:?} of {limit:?}", died.elapsed());
-        // Back under its old name it has forgotten all, and may only ask.
-        fleet.start(who as usize);
-        (who, term) = (next, higher);
+        assert!(killed_at.elapsed() < 2 * limit, "{:?} of {limit:?}", killed_at.elapsed());
+        // Restarted, it has forgotten everything.
+        fleet.start(usize::from(holder.gateway));
+        holder = next;
     }
 }
 
 #[test]
-fn a_scout_that_stands_still_for_three_leases_wakes_up_powerless() {
+fn a_leader_stalled_for_three_leases_has_lost_its_lease() {
     let mut fleet = fleet(86);
-    let (who, term) = fleet.ledger.owner_after(0);
-    fleet.gateway(who).signal("STOP");
-    let (next, higher) = fleet.ledger.owner_after(term);
-    assert_ne!(next, who);
+    let LeaseHolder { gateway: stalled, term } = fleet.ledger.holder_after(0);
+    fleet.gateway(stalled).signal("STOP");
+    let next = fleet.ledger.holder_after(term);
+    assert_ne!(next.gateway, stalled);
     fleet.ledger.read(Duration::from_millis(1600));
-    fleet.gateway(who).signal("CONT");
-    let before = fleet.ledger.taken.len();
+    fleet.gateway(stalled).signal("CONT");
+    let before = fleet.ledger.admitted.len();
     fleet.ledger.read(Duration::from_millis(1600));
-    let late =
-        fleet.ledger.taken[before..].iter().filter(|(_, from, found, _)| *from == who && *found <= higher);
-    assert_eq!(late.count(), 0, "nothing of the old owner is taken");
-    fleet.gateway(who).wait_for("duties_lost=", |count| count >= 1);
+    let late = fleet.ledger.admitted[before..].iter().map(|admitted| admitted.holder);
+    let late = late.filter(|holder| holder.gateway == stalled && holder.term <= next.term);
+    assert_eq!(late.count(), 0, "nothing of the old lease holder is admitted");
+    fleet.gateway(stalled).wait_for("duties_lost=", |count| count >= 1);
 }
 
 #[test]
-fn a_scout_that_stops_gives_the_duty_up_before_its_lease_is_over() {
+fn a_leader_that_stops_releases_its_lease_early() {
     let mut fleet = fleet(92);
-    let (who, term) = fleet.ledger.owner_after(0);
-    let mut gateway = fleet.gateways[who as usize].take().expect("it runs");
+    let LeaseHolder { gateway: leader, term } = fleet.ledger.holder_after(0);
+    let mut gateway = fleet.gateways[usize::from(leader)].take().expect("it runs");
     gateway.signal("TERM");
     assert_eq!(gateway.ended().0, Some(0));
-    let (_, higher) = fleet.ledger.owner_after(term);
-    assert!(higher > term);
+    assert!(fleet.ledger.holder_after(term).term > term);
 }
 
 #[test]
-fn the_scouts_word_on_a_primary_reaches_all_and_names_only_what_the_list_names() {
+fn an_announced_primary_reaches_all_and_is_on_the_list() {
     let mut fleet = fleet(98);
-    fleet.ledger.owner_after(0);
+    fleet.ledger.holder_after(0);
     for place in 0..GATEWAYS as u16 {
         assert_eq!(kinds(&fleet.gateway(place).client().ask(&select("a", "view", 20000))), "TDCZ");
     }
-    let member = fleet.ledger.leader();
+    let member = fleet.ledger.primary();
     assert_eq!(member, xxhash_rust::xxh3::xxh3_64(b"s-0"));
-    let (who, _) = fleet.ledger.owner_after(0);
-    let other = (0..GATEWAYS as u16).find(|place| *place != who).expect("four others");
+    let leader = fleet.ledger.holder_after(0).gateway;
+    let other = (0..GATEWAYS as u16).find(|place| *place != leader).expect("four others");
     fleet.gateway(other).wait_for("words=", |count| count >= 1);
 }
 
 #[test]
-fn datagrams_that_make_no_sense_are_counted_and_change_nothing() {
+fn unusable_datagrams_are_counted_and_change_nothing() {
     let mut fleet = fleet(104);
-    let (who, term) = fleet.ledger.owner_after(0);
+    let holder = fleet.ledger.holder_after(0);
     let target = fleet.address(1);
-    let word = Message::Notification {
-        role: SCOUT,
-        term: term + 5,
+    let notification = Message::Notification {
+        role: DISCOVERY,
+        term: holder.term + 5,
         notification: Notification::LeaseHeld { remaining: 1_000_000 },
     };
     let fleet_of = fleet.ledger.settings.fingerprint();
-    let whole = word.write(3, fleet_of, SECRET);
+    let complete = notification.write(3, fleet_of, SECRET);
     let bad = [
-        whole[..whole.len() - 1].to_vec(),
-        word.write(3, fleet_of ^ 1, SECRET),
-        word.write(3, fleet_of, SECRET ^ 1),
+        complete[..complete.len() - 1].to_vec(),
+        notification.write(3, fleet_of ^ 1, SECRET),
+        notification.write(3, fleet_of, SECRET ^ 1),
         Message::Notification {
-            role: SCOUT,
+            role: DISCOVERY,
             term: Term::MAX,
             notification: Notification::LeaseHeld { remaining: 1 },
         }
@@ -237,12 +244,11 @@
     fleet.gateway(1).wait_for("bad_words=", |count| count >= 3);
     fleet.gateway(1).wait_for("words_turned=", |count| count >= 1);
     fleet.ledger.read(Duration::from_millis(1200));
-    let (still, same) = fleet.ledger.owner_after(0);
-    assert_eq!((still, same), (who, term), "the owner goes on");
+    assert_eq!(fleet.ledger.holder_after(0), holder, "the lease holder goes on");
 }
 
 #[test]
-fn a_record_that_cannot_be_is_one_sentence_with_its_place() {
+fn an_invalid_record_is_one_sentence_with_its_place() {
     let cases = [
         ("electors: 2", "an odd number"),
         ("lease: 100ms", "8 times the datagrams' delay"),
@@ -266,83 +272,98 @@
     }
 }
 
-/// The sixth address as a gateway with all of the work: it answers each round by asking for four parts.
-struct Asker {
-    asked: BTreeMap<u32, Instant>,
-    next: u32,
-    /// By term: what was given and until when, as a gateway reckons it.
-    given: BTreeMap<Term, Vec<(Thousandths, Instant)>>,
-    /// The most that was in force at once, over all terms, and the owners that gave something.
+/// An amount that was granted.
+struct Granted {
+    amount: Thousandths,
+    expires_at: Instant,
+}
+
+/// The sixth address as a gateway with all of the load: in each round it requests four even quotas.
+struct Borrower {
+    /// When each report was sent, by number.
+    reported_at: BTreeMap<u32, Instant>,
+    number: u32,
+    /// By term, until when as a gateway counts it.
+    granted: BTreeMap<Term, Vec<Granted>>,
+    /// The highest sum in force at once, over all terms.
     most: i64,
-    owners: Vec<(u16, Term)>,
+    /// The lease holders that granted something.
+    holders: Vec<LeaseHolder>,
 }
 
-impl Asker {
-    fn ask(&mut self, fleet: &mut Fleet, span: Duration) {
+impl Borrower {
+    fn borrow(&mut self, fleet: &mut Fleet, span: Duration) {
         let until = Instant::now() + span;
         let mut bytes = [0; 300];
         while Instant::now() < until {
             let Ok((count, _)) = fleet.ledger.socket.recv_from(&mut bytes) else { continue };
             let read = Message::read(&bytes[..count], fleet.ledger.settings.fingerprint(), SECRET);
             let (from, message) = read.expect("the gateways of this fleet write so");
-            let Message::Notification { role: SHARES, term, notification: word } = message else { continue };
-            if fleet.ledger.fence.admit(SHARES, term).is_err() {
+            let Message::Notification { role: QUOTAS, term, notification } = message else { continue };
+            if fleet.ledger.fence.admit(QUOTAS, term).is_err() {
                 continue;
             }
-            match word {
+            match notification {
                 Notification::QuotaRound { round, .. } => {
-                    self.next += 1;
-                    self.asked.insert(self.next, Instant::now());
-                    let lines = vec![GroupDemand { group: 2, rate: 4_000_000, requested: 4_000 }];
-                    let answer =
-                        Message::QuotaReport(QuotaReport { term, round, number: self.next, demands: lines });
-                    let bytes = answer.write(5, fleet.ledger.settings.fingerprint(), SECRET);
+                    self.number += 1;
+                    self.reported_at.insert(self.number, Instant::now());
+                    let demands = vec![GroupDemand { group: 2, rate: 4_000_000, requested: 4_000 }];
+                    let report =
+                        Message::QuotaReport(QuotaReport { term, round, number: self.number, demands });
+                    let bytes = report.write(5, fleet.ledger.settings.fingerprint(), SECRET);
                     fleet.ledger.socket.send_to(&bytes, fleet.address(from)).expect("sent");
                 }
-                Notification::QuotaGrant { number, granted: given } => {
+                Notification::QuotaGrant { number, granted } => {
                     let life = Duration::from_micros(fleet.ledger.settings.grant_duration() as u64);
-                    let until = self.asked[&number] + life;
-                    let amounts = given.iter().map(|GroupGrant { group, amount }| {
+                    let expires_at = self.reported_at[&number] + life;
+                    let amounts = granted.iter().map(|GroupGrant { group, amount }| {
                         assert_eq!(*group, 2);
-                        (*amount, until)
+                        Granted { amount: *amount, expires_at }
                     });
-                    self.given.entry(term).or_default().extend(amounts);
-                    if !self.owners.contains(&(from, term)) {
-                        self.owners.push((from, term));
+                    self.granted.entry(term).or_default().extend(amounts);
+                    let holder = LeaseHolder { gateway: from, term };
+                    if !self.holders.contains(&holder) {
+                        self.holders.push(holder);
                     }
-                    self.look();
+                    self.sum_up();
                 }
                 _ => {}
             }
         }
     }
 
-    fn look(&mut self) {
+    fn sum_up(&mut self) {
         let now = Instant::now();
-        let alive = |given: &Vec<(Thousandths, Instant)>| {
-            given.iter().filter(|(_, until)| now < *until).map(|(amount, _)| i64::from(*amount)).max()
+        let in_force = |granted: &Vec<Granted>| {
+            let granted = granted.iter().filter(|granted| now < granted.expires_at);
+            granted.map(|granted| i64::from(granted.amount)).max()
         };
-        let sum = self.given.values().filter_map(alive).sum();
+        let sum = self.granted.values().filter_map(in_force).sum();
         self.most = self.most.max(sum);
     }
 }
 
-// Five idle gateways lend half of their part at most: 2500 thousandths in all. No owner gives more, and after one that was
-// killed or stood still another gives again. That nothing is lent to two owners at once does not show here, for pledges run
-// out while a new owner is found: the model and the fleets in simulated time are for that.
+// Five idle gateways lend half of their quota at most: 2500 thousandths in all. No lease holder grants more, and after one
+// that was killed or stalled another grants again. That nothing is lent to two lease holders at once does not show here,
+// for loans expire while a new one is elected: the model and the fleets in simulated time are for that.
 #[test]
-fn no_owner_gives_more_than_idle_gateways_lend_and_the_next_one_gives_again() {
+fn no_lease_holder_grants_more_than_idle_gateways_lend_and_the_next_one_grants_again() {
     let file = FILE.replacen("  electors", "  duties: [\"scout\", \"shares\"]\n  electors", 1);
     let mut fleet = fleet_with(116, &file);
-    let mut asker =
-        Asker { asked: BTreeMap::new(), next: 0, given: BTreeMap::new(), most: 0, owners: Vec::new() };
+    let mut borrower = Borrower {
+        reported_at: BTreeMap::new(),
+        number: 0,
+        granted: BTreeMap::new(),
+        most: 0,
+        holders: Vec::new(),
+    };
     let begun = Instant::now();
-    while asker.most < 2_000 {
-        asker.ask(&mut fleet, Duration::from_millis(100));
-        assert!(begun.elapsed() < Duration::from_secs(30), "{} was given at most", asker.most);
+    while borrower.most < 2_000 {
+        borrower.borrow(&mut fleet, Duration::from_millis(100));
+        assert!(begun.elapsed() < Duration::from_secs(30), "{} was granted at most", borrower.most);
     }
     for kill in [true, false] {
-        let (who, term) = *asker.owners.last().expect("somebody gives");
+        let LeaseHolder { gateway: who, term } = *borrower.holders.last().expect("somebody grants");
         fleet.gateway(who).wait_for("pool_lent=", |lent| lent >= 2_000);
         if kill {
             fleet.gateways[who as usize] = None;
@@ -350,20 +371,20 @@
             fleet.gateway(who).signal("STOP");
         }
         let begun = Instant::now();
-        while !asker.owners.iter().any(|(_, other)| *other > term) {
-            asker.ask(&mut fleet, Duration::from_millis(100));
-            assert!(begun.elapsed() < Duration::from_secs(30), "nobody else gives");
+        while !borrower.holders.iter().any(|holder| holder.term > term) {
+            borrower.borrow(&mut fleet, Duration::from_millis(100));
+            assert!(begun.elapsed() < Duration::from_secs(30), "nobody else grants");
         }
         if kill {
             fleet.start(who as usize);
         } else {
             fleet.gateway(who).signal("CONT");
         }
-        asker.ask(&mut fleet, Duration::from_millis(1500));
+        borrower.borrow(&mut fleet, Duration::from_millis(1500));
     }
-    assert!(asker.most <= 2_500, "{} thousandths of a part in force, of 2500 lent", asker.most);
-    // With all work gone from it, a gateway has its even part again; one that gets work asks for nothing of its own.
-    let (who, _) = *asker.owners.last().expect("somebody gives");
+    assert!(borrower.most <= 2_500, "{} thousandths of a quota in force, of 2500 lent", borrower.most);
+    // Without a lease holder a gateway returns to its even quota.
+    let who = borrower.holders.last().expect("somebody grants").gateway;
     let other = (0..GATEWAYS as u16).find(|place| *place != who).expect("four others");
     fleet.gateway(other).wait_for("share_lent=", |lent| lent == 500);
     let both: Vec<u16> = vec![0, 2, 4];
@@ -375,7 +396,7 @@
 // On the platform each gateway reaches the others by paths of their own, so that none of `peers` is the address at which it
 // listens: its number says which of them it is.
 #[test]
-fn a_gateway_that_is_listed_under_another_address_is_told_by_its_number() {
+fn a_gateway_listed_under_another_address_is_known_by_its_number() {
     let stage = Stage::new(124).operator(FILE);
     let heard = UdpSocket::bind("127.77.124.7:0").expect("a free port");
     let other = UdpSocket::bind("127.77.124.7:0").expect("a free port");
@@ -393,7 +414,7 @@
     let config = config.replacen("\"settings\":{", "\"settings\":{\"my_number\":1,", 1);
     let gateway = stage.start_with(&config);
     gateway.line_with("serves at");
-    // As number 1 of three electors it asks the other two.
+    // As number 1 of three acceptors it sends requests to the other two.
     let (mut bytes, fleet) = (
         [0; 300],
         Settings {
@@ -405,8 +426,11 @@
             drift_bound: 0.01,
         },
     );
-    let (count, _) = heard.recv_from(&mut bytes).expect("it asks");
+    let (count, _) = heard.recv_from(&mut bytes).expect("it sends a request");
     let (from, message) =
         Message::read(&bytes[..count], fleet.fingerprint(), SECRET).expect("it is of this fleet");
-    assert!(from == 1 && matches!(message, Message::LeaseRequest { role: SCOUT, .. }), "{from}: {message:?}");
+    assert!(
+        from == 1 && matches!(message, Message::LeaseRequest { role: DISCOVERY, .. }),
+        "{from}: {message:?}"
+    );
 }
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_duties.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn shards_are_spread_evenly_and_those_of_one_that_is_killed_pass_on_and_come_back() {
+fn shards_are_spread_evenly_and_those_of_a_killed_acceptor_fail_over_and_return() {
     let mut fleet = fleet(140);
     fleet.wait_until_even();
     fleet.gateways[1] = None;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn shards_of_one_that_stands_still_pass_on_and_it_wakes_up_powerless() {
+fn shards_of_a_stalled_acceptor_fail_over_and_it_has_lost_its_leases() {
     let fleet = fleet(146);
     fleet.wait_until_even();
     fleet.gateway(3).signal("STOP");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn while_regions_are_cut_the_one_with_most_electors_owns_all_and_the_other_serves_by_itself() {
+fn in_a_partition_the_side_with_most_acceptors_leads_all_shards_and_the_other_serves_by_itself() {
     let fleet = fleet(152);
     fleet.wait_until_even();
     let (most, rest) = ([0, 1, 2], [3, 4]);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_elector_that_nobody_hears_loses_its_shards_though_it_hears_all_others() {
+fn an_acceptor_that_can_only_receive_loses_its_shards() {
     let fleet = fleet(158);
     fleet.wait_until_even();
     fleet.links.cut(&[1], &[0, 2, 3, 4]);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn with_a_fifth_of_all_datagrams_lost_shards_stay_with_their_owners_most_of_the_time() {
+fn with_a_fifth_of_datagrams_lost_shards_mostly_stay_with_their_leaders() {
     let fleet = fleet(164);
     fleet.wait_until_even();
     fleet.links.lost.store(200, Ordering::Relaxed);
