--- a/crates/ownership/tests/quota_fleet.rs
+++ b/crates/ownership/tests/quota_fleet.rs
@@ -32,6 +32,61 @@
     assert!(costs.iter().all(|cost| *cost < 8.0), "{costs:?} datagrams per gateway and second");
 }
 
+/// One of six kinds of faults, by turn and seed.
+fn inject_fault(fleet: &mut SimulatedFleet, turn: u64, seed: u64) {
+    let count = fleet.gateways.len() as u16;
+    match (turn + seed) % 6 {
+        // The lease holder stalls for three leases, another is elected, and the first one resumes beside it
+        // without knowing that its lease has expired.
+        0 => {
+            let holder = *fleet.pools.keys().next().expect("there is one");
+            fleet.stall(holder, 3 * LEASE);
+            fleet.run(LEASE);
+            fleet.elect((holder + 7) % count, 2 + turn);
+            fleet.run(2 * LEASE);
+            fleet.resume(holder);
+            fleet.run(LEASE);
+            fleet.pools.remove(&holder);
+        }
+        // Gateways restart, lenders as well as borrowers.
+        1 => {
+            for _ in 0..count / 4 {
+                let id = (fleet.rng.next_u64() % u64::from(count)) as u16;
+                let pool = fleet.pools.remove(&id);
+                fleet.restart(id);
+                fleet.pools.extend(pool.map(|pool| (id, pool)));
+                fleet.run(SECOND / 20);
+            }
+        }
+        // A partition cuts off a third.
+        2 => {
+            fleet.cut_off = (0..count / 3).collect();
+            fleet.run(2 * LEASE);
+            fleet.cut_off.clear();
+        }
+        // Heavy packet loss.
+        3 => {
+            fleet.loss = 400;
+            fleet.run(2 * LEASE);
+            fleet.loss = 20;
+        }
+        // Some stall, and resume with what arrived meanwhile.
+        4 => {
+            let stalled: Vec<u16> = (0..count).filter(|id| id % 9 == turn as u16 % 9).collect();
+            stalled.iter().for_each(|id| fleet.stall(*id, LEASE));
+            fleet.run(LEASE);
+            stalled.iter().for_each(|id| fleet.resume(*id));
+        }
+        // Two lease holders at once, and the load moves to other gateways.
+        _ => {
+            fleet.elect((3 + turn as u16) % count, 100 + turn);
+            fleet.run(SECOND);
+            let swapped = |rate| if rate > LOADED_ABOVE { 100 } else { 1_500 };
+            fleet.gateways.iter_mut().for_each(|gateway| gateway.rate = swapped(gateway.rate));
+        }
+    }
+}
+
 #[test]
 fn quotas_in_force_never_exceed_the_sum_of_even_quotas() {
     for (count, seed) in [(60, 1), (60, 2), (60, 3), (60, 4), (300, 5)] {
@@ -39,56 +94,7 @@
         fleet.elect(0, 1);
         fleet.run(5 * SECOND);
         for turn in 0..12u64 {
-            match (turn + seed) % 6 {
-                // The lease holder stalls for three leases, another is elected, and the first one resumes beside it
-                // without knowing that its lease has expired.
-                0 => {
-                    let holder = *fleet.pools.keys().next().expect("there is one");
-                    fleet.stall(holder, 3 * LEASE);
-                    fleet.run(LEASE);
-                    fleet.elect((holder + 7) % count, 2 + turn);
-                    fleet.run(2 * LEASE);
-                    fleet.resume(holder);
-                    fleet.run(LEASE);
-                    fleet.pools.remove(&holder);
-                }
-                // Gateways restart, lenders as well as borrowers.
-                1 => {
-                    for _ in 0..count / 4 {
-                        let id = (fleet.rng.next_u64() % u64::from(count)) as u16;
-                        let pool = fleet.pools.remove(&id);
-                        fleet.restart(id);
-                        fleet.pools.extend(pool.map(|pool| (id, pool)));
-                        fleet.run(SECOND / 20);
-                    }
-                }
-                // A partition cuts off a third.
-                2 => {
-                    fleet.cut_off = (0..count / 3).collect();
-                    fleet.run(2 * LEASE);
-                    fleet.cut_off.clear();
-                }
-                // Heavy packet loss.
-                3 => {
-                    fleet.loss = 400;
-                    fleet.run(2 * LEASE);
-                    fleet.loss = 20;
-                }
-                // Some stall, and resume with what arrived meanwhile.
-                4 => {
-                    let stalled: Vec<u16> = (0..count).filter(|id| id % 9 == turn as u16 % 9).collect();
-                    stalled.iter().for_each(|id| fleet.stall(*id, LEASE));
-                    fleet.run(LEASE);
-                    stalled.iter().for_each(|id| fleet.resume(*id));
-                }
-                // Two lease holders at once, and the load moves to other gateways.
-                _ => {
-                    fleet.elect((3 + turn as u16) % count, 100 + turn);
-                    fleet.run(SECOND);
-                    let swapped = |rate| if rate > LOADED_ABOVE { 100 } else { 1_500 };
-                    fleet.gateways.iter_mut().for_each(|gateway| gateway.rate = swapped(gateway.rate));
-                }
-            }
+            inject_fault(&mut fleet, turn, seed);
             fleet.run(2 * SECOND);
         }
         println!(
