--- /dev/null
+++ b/crates/models/src/quota.rs
@@ -0,0 +1,253 @@
+//! Model `shares`: two gateways that both take themselves for the lease holder of the share-out, each with one gateway that asks
+//! of it, and one gateway that lends to both; reports and grants lost or late, one restart of the lender. Quota and pool
+//! are the gateway's. Time passes only where the world says so.
+
+use crate::check::{check, Report, World};
+use crate::Size;
+use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, Quota, QuotaPool, QuotaReport};
+use petrelgauge_ownership::{Settings, Term};
+use petrelgauge_policy::{GroupId, Time};
+use std::collections::BTreeMap;
+
+const SUM: &str = "all quotas in force never exceed the even quotas together";
+
+const GROUP: GroupId = 1;
+const LEASE: Time = 8_000;
+const LENDER: usize = 0;
+const RATES: [u32; 3] = [100, 1_000, 1_000];
+
+/// What becomes of something on its way.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Way {
+    /// It is lost.
+    Lost,
+    /// It arrives.
+    Now,
+    /// It arrives at some time, or never.
+    Late,
+}
+
+/// An event.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Move {
+    /// Which faults may occur: all of them at once would be more states than can be explored.
+    Faults(usize),
+    /// This lease holder opens a round; what becomes of the lender's report, and of the grant to the borrower.
+    Round(usize, Way, Way),
+    /// A late message arrives.
+    Arrives(usize),
+    /// The lender restarts.
+    Restarts,
+    /// Time passes.
+    Waits(Time),
+}
+
+#[derive(Clone, Debug)]
+enum Late {
+    Report(usize, QuotaReport),
+    Grant(usize, u32, Vec<GroupGrant>),
+}
+
+#[derive(Clone, Debug)]
+struct Fleet {
+    now: Time,
+    quotas: Vec<Quota>,
+    pools: Vec<QuotaPool>,
+    rounds: [u8; 2],
+    late: Vec<Late>,
+    may_be_late: u8,
+    restarts: u8,
+    waits: u8,
+    begun: bool,
+    large: bool,
+}
+
+/// How often each fault may occur.
+#[derive(Clone, Copy, Debug)]
+struct Faults {
+    /// Each lease holder opens a round.
+    rounds: [u8; 2],
+    late: u8,
+    restarts: u8,
+    waits: u8,
+}
+
+const FAULTS: [Faults; 3] = [
+    Faults { rounds: [2, 2], late: 0, restarts: 0, waits: 2 },
+    Faults { rounds: [3, 0], late: 1, restarts: 0, waits: 4 },
+    Faults { rounds: [2, 2], late: 0, restarts: 1, waits: 1 },
+];
+
+fn settings() -> Settings {
+    Settings {
+        self_id: 0,
+        gateways: 3,
+        acceptors: vec![0, 1, 2],
+        lease: LEASE,
+        drift_bound: 0.0,
+        max_delay: 1_000,
+    }
+}
+
+fn rates(who: usize) -> BTreeMap<GroupId, u32> {
+    BTreeMap::from([(GROUP, RATES[who])])
+}
+
+impl Fleet {
+    fn grant(&mut self, who: usize, number: u32, granted: &[GroupGrant]) {
+        self.quotas[who].on_grant(self.now, number, granted);
+    }
+
+    /// A report arrives at a lease holder: what it grants.
+    fn report(&mut self, holder: usize, who: usize, report: &QuotaReport) -> Vec<GroupGrant> {
+        self.pools[holder].on_report(self.now, who as u16, report.round, &report.demands)
+    }
+
+    /// A lease holder opens a round, the lender reports for it, and then the borrower, which is granted something.
+    fn play_round(&mut self, holder: usize, loan: Way, grant: Way) {
+        self.rounds[holder] -= 1;
+        let term = self.pools[holder].term();
+        let round = self.pools[holder].open_round(self.now);
+        let mean_rates = round.parts.first().cloned().unwrap_or_default();
+        if loan != Way::Lost {
+            self.quotas[LENDER].on_round(self.now, term, round.number, &mean_rates);
+            self.lend(holder, loan);
+        }
+        let borrower = 1 + holder;
+        self.quotas[borrower].on_round(self.now, term, round.number, &mean_rates);
+        self.borrow(holder, borrower, grant);
+    }
+
+    fn lend(&mut self, holder: usize, way: Way) {
+        for report in self.quotas[LENDER].due_reports(self.now, &rates(LENDER)) {
+            if way == Way::Late {
+                self.may_be_late -= 1;
+                self.late.push(Late::Report(holder, report));
+            } else {
+                self.report(holder, LENDER, &report);
+            }
+        }
+    }
+
+    fn borrow(&mut self, holder: usize, borrower: usize, way: Way) {
+        for report in self.quotas[borrower].due_reports(self.now, &rates(borrower)) {
+            let granted = self.report(holder, borrower, &report);
+            match way {
+                Way::Lost => {}
+                Way::Now => self.grant(borrower, report.number, &granted),
+                Way::Late => {
+                    self.may_be_late = self.may_be_late.saturating_sub(1);
+                    self.late.push(Late::Grant(borrower, report.number, granted));
+                }
+            }
+        }
+    }
+}
+
+impl World for Fleet {
+    type Move = Move;
+
+    const PROPERTIES: &'static [&'static str] = &[SUM];
+
+    fn moves(&self) -> Vec<Move> {
+        if !self.begun {
+            return (0..FAULTS.len()).map(Move::Faults).collect();
+        }
+        let mut moves = Vec::new();
+        for holder in (0..2).filter(|holder| self.rounds[*holder] > 0) {
+            for lends in [Way::Lost, Way::Now, Way::Late] {
+                for granted in [Way::Lost, Way::Now, Way::Late] {
+                    let late = [lends, granted].iter().filter(|way| **way == Way::Late).count();
+                    if late <= usize::from(self.may_be_late) {
+                        moves.push(Move::Round(holder, lends, granted));
+                    }
+                }
+            }
+        }
+        moves.extend((0..self.late.len()).map(Move::Arrives));
+        moves.extend((self.restarts > 0).then_some(Move::Restarts));
+        if self.waits > 0 {
+            moves.extend([LEASE / 4, LEASE / 2, LEASE / 4 * 3].map(Move::Waits));
+        }
+        moves
+    }
+
+    fn play(&mut self, event: &Move) {
+        match *event {
+            Move::Faults(which) => {
+                let Faults { rounds, late, restarts, waits } = FAULTS[which];
+                let more = u8::from(self.large);
+                self.begun = true;
+                (self.rounds, self.may_be_late) = (rounds, late);
+                (self.restarts, self.waits) = (restarts, waits + more);
+            }
+            Move::Round(holder, loan, grant) => self.play_round(holder, loan, grant),
+            Move::Arrives(place) => match self.late.remove(place) {
+                Late::Report(holder, report) => {
+                    self.report(holder, LENDER, &report);
+                }
+                Late::Grant(who, number, granted) => self.grant(who, number, &granted),
+            },
+            Move::Restarts => {
+                self.restarts -= 1;
+                self.quotas[LENDER] = Quota::new(settings(), self.now, 1_000);
+            }
+            Move::Waits(span) => {
+                self.waits -= 1;
+                self.now += span;
+            }
+        }
+    }
+
+    fn told(&self, event: &Move) -> String {
+        let what = match event {
+            Move::Faults(which) => format!("faults that may occur: {:?}", FAULTS[*which]),
+            Move::Round(holder, lends, granted) => {
+                format!(
+                    "holder {holder} opens a round; the lender's report: {lends:?}, the grant: {granted:?}"
+                )
+            }
+            Move::Arrives(place) => format!("a late message arrives: {:?}", self.late.get(*place)),
+            Move::Restarts => "the lender restarts".to_string(),
+            Move::Waits(span) => format!("{span} pass"),
+        };
+        format!("at {} {what}", self.now)
+    }
+
+    fn broken(&self) -> Option<&'static str> {
+        let extra = |quota: &Quota| quota.current(self.now, GROUP).at(self.now) - 1.0;
+        (self.quotas.iter().map(extra).sum::<f64>() > 1e-6).then_some(SUM)
+    }
+}
+
+/// Plays it.
+pub fn run(size: Size, path: &[String]) -> Report {
+    let now = 100_000;
+    let mut pools: Vec<QuotaPool> = [5, 6].map(|term: Term| QuotaPool::new(settings(), term)).into();
+    for (holder, pool) in pools.iter_mut().enumerate() {
+        // Both have heard rates, so that the means are known from the first round on, and what is asked for.
+        let round = pool.open_round(now - 1).number;
+        for who in [LENDER, 1 + holder] {
+            let requested = if who == LENDER { 0 } else { 500 };
+            pool.on_report(
+                now - 1,
+                who as u16,
+                round,
+                &[GroupDemand { group: GROUP, rate: RATES[who], requested }],
+            );
+        }
+    }
+    let start = Fleet {
+        now,
+        quotas: (0..3).map(|who| Quota::new(settings(), now - 4 * LEASE, who * 100)).collect(),
+        pools,
+        rounds: [0, 0],
+        late: Vec::new(),
+        may_be_late: 0,
+        restarts: 0,
+        waits: 0,
+        begun: false,
+        large: size == Size::Large,
+    };
+    check(start, path)
+}
--- a/crates/ownership/src/candidate.rs
+++ b/crates/ownership/src/candidate.rs
@@ -1,267 +1,327 @@
-//! Asking for a duty, owning it, renewing it and giving it up.
+//! A candidate for one role: acquires the lease, renews it and releases it.
 //!
 //! ```text
-//!         Due              majority promised          majority accepted
-//! Idle ---------> Asking ---------------------> Bidding ----------------> Owning --Due--> Owning (renewing)
-//!   ^               |                              |                          |
-//!   +---- denied, another owns it, too late -------+------- lease over -------+
+//!         deadline         majority promised           majority accepted
+//! Idle ------------> Preparing ------------> Proposing ----------------> Holding --deadline--> Holding (renewing)
+//!   ^                    |                       |                          |
+//!   +-- rejected, another holds the lease, timeout --+------ lease expired -+
 //! ```
 //!
-//! The lease is reckoned from the moment at which the bid was **sent**, by the candidate's own clock: each elector
-//! reckons from when it came, which is later. Each bid has a number of its own, so that a late answer to an earlier one
+//! The lease is counted from the moment at which the proposal was **sent**, by the candidate's own clock; each acceptor
+//! counts from when it arrived, which is later. Proposals are numbered, so that a late response to an earlier one
 //! renews nothing.
 
-use crate::message::{Answer, Ask};
-use crate::{Ballot, Gateway, Settings, Term, WHO_BITS};
+use crate::message::{GrantedLease, LeaseRequest, LeaseResponse};
+use crate::{Ballot, GatewayId, Settings, Term, PROPOSER_BITS};
 use petrelgauge_policy::{mutant, Mutant, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// Where it stands.
+/// Failed attempts after which the backoff grows no further: it doubles with each.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// Terms carry the time in milliseconds (microseconds each).
+const TERM_TICK: Time = 1_000;
+
+/// A proposal to renew the lease, to which responses are awaited.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Renewal {
+    sent_at: Time,
+    accepted: BTreeSet<GatewayId>,
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Stage {
-    /// It does not ask before this time.
-    Idle { ask_at: Time },
-    /// It asked for promises.
-    Asking { by: Time, promised: BTreeSet<Gateway> },
-    /// It bids, since this time.
-    Bidding { sent_at: Time, by: Time, accepted: BTreeSet<Gateway> },
-    /// It owns the duty up to `until`. `renewal`: a bid to renew it is out since then, and who accepted it.
-    Owning { until: Time, renewal: Option<(Time, BTreeSet<Gateway>)> },
+enum State {
+    /// Sends nothing before `retry_at`.
+    Idle { retry_at: Time },
+    /// Awaits promises.
+    Preparing { deadline: Time, promised: BTreeSet<GatewayId> },
+    /// Awaits acceptance of the proposal.
+    Proposing { sent_at: Time, deadline: Time, accepted: BTreeSet<GatewayId> },
+    /// Holds the lease.
+    Holding { expires_at: Time, renewal: Option<Renewal> },
 }
 
-/// What is to be done.
+/// What the caller has to do after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum Action {
     /// Nothing.
     Wait,
-    /// Ask all electors this.
-    Ask(Ask),
-    /// It owns the duty from now on, under this term; all may be told.
-    Own(Term),
-    /// It goes on to own the duty, under the same term; all may be told.
-    Keep(Term),
-    /// It does not own the duty any more.
-    Lose(Term),
+    /// Send this request to all acceptors.
+    Send(LeaseRequest),
+    /// The candidate holds the lease from now on, under this term; other gateways may be notified.
+    Acquired(Term),
+    /// The lease was renewed under the same term; other gateways may be notified.
+    Renewed(Term),
+    /// The lease has expired.
+    Lost(Term),
 }
 
-/// One gateway that wants a duty.
+/// One gateway's candidacy for one role.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     settings: Settings,
-    stage: Stage,
+    state: State,
     ballot: Ballot,
     /// The highest term that it has heard of.
     highest: Term,
+    /// Number of its last proposal.
     round: u32,
-    /// Attempts in a row without success.
-    failed: u32,
-    dice: Pcg64Mcg,
+    /// Consecutive failed attempts.
+    failed_attempts: u32,
+    rng: Pcg64Mcg,
 }
 
 impl Candidate {
-    /// One that starts now. `base`: the highest term that is known.
-    pub fn new(settings: Settings, now: Time, base: Term, seed: u64) -> Candidate {
-        let ballot = Ballot { term: 0, who: settings.me };
-        let dice = Pcg64Mcg::seed_from_u64(seed);
-        let stage = Stage::Idle { ask_at: now };
-        let mut one = Candidate { settings, stage, ballot, highest: base, round: 0, failed: 0, dice };
-        one.rest(now);
-        one
+    /// A candidate that starts now. `highest` is the highest term known; `seed` determines its backoff.
+    pub fn new(settings: Settings, now: Time, highest: Term, seed: u64) -> Candidate {
+        let ballot = Ballot { term: 0, proposer: settings.self_id };
+        let rng = Pcg64Mcg::seed_from_u64(seed);
+        let state = State::Idle { retry_at: now };
+        let mut candidate = Candidate { settings, state, ballot, highest, round: 0, failed_attempts: 0, rng };
+        candidate.back_off(now);
+        candidate
     }
 
-    /// The term under which it may act now. To be asked with the time read right before each effect.
-    pub fn may(&self, now: Time) -> Option<Term> {
-        match &self.stage {
-            Stage::Owning { until, .. } if now < *until => Some(self.ballot.term),
-            Stage::Owning { until, .. } if now == *until && mutant(Mutant::LeaseEndIncluded) => {
-                Some(self.ballot.term)
-            }
-            _ => None,
-        }
+    /// The term of the lease if it is held now. Call it with the time read right before each effect.
+    pub fn held_term(&self, now: Time) -> Option<Term> {
+        let State::Holding { expires_at, .. } = &self.state else { return None };
+        let at_the_end = now == *expires_at && mutant(Mutant::LeaseEndIncluded);
+        (now < *expires_at || at_the_end).then_some(self.ballot.term)
     }
 
-    /// What is left of its lease.
-    pub fn left(&self, now: Time) -> Time {
-        match &self.stage {
-            Stage::Owning { until, .. } => (until - now).max(0),
+    /// Time until the lease expires (microseconds); 0 if it is not held.
+    pub fn remaining(&self, now: Time) -> Time {
+        match &self.state {
+            State::Holding { expires_at, .. } => (expires_at - now).max(0),
             _ => 0,
         }
     }
 
-    /// When [`Candidate::due`] is to be called.
-    pub fn due_at(&self) -> Time {
-        match &self.stage {
-            Stage::Idle { ask_at } => *ask_at,
-            Stage::Asking { by, .. } | Stage::Bidding { by, .. } => *by,
-            Stage::Owning { until, renewal: None } => until - self.settings.renew(),
-            Stage::Owning { until, renewal: Some((sent, _)) } => {
-                (sent + self.settings.patience()).min(*until)
+    /// When [`Candidate::on_deadline`] is to be called next.
+    pub fn next_deadline(&self) -> Time {
+        match &self.state {
+            State::Idle { retry_at } => *retry_at,
+            State::Preparing { deadline, .. } | State::Proposing { deadline, .. } => *deadline,
+            State::Holding { expires_at, renewal: None } => expires_at - self.settings.renew_before_expiry(),
+            State::Holding { expires_at, renewal: Some(renewal) } => {
+                (renewal.sent_at + self.settings.response_timeout()).min(*expires_at)
             }
         }
     }
 
-    /// Somebody owns the duty under this term for so long at most: no use in asking before.
-    pub fn heard(&mut self, now: Time, term: Term, left: Time) {
-        self.highest = self.highest.max(term);
+    /// Somebody holds the lease under this term for `remaining` at most: preparing before it expires is useless.
+    pub fn observe_lease(&mut self, now: Time, term: Term, remaining: Time) {
+        self.observe_term(term);
         if term < self.ballot.term {
             return;
         }
-        self.failed = 0;
-        let turn = self.turn();
-        if let Stage::Idle { ask_at } = &mut self.stage {
-            *ask_at = (*ask_at).max(now + left.clamp(0, self.settings.held()) + turn);
+        self.failed_attempts = 0;
+        let stagger = self.draw_stagger();
+        let remaining = remaining.clamp(0, self.settings.acceptance_duration());
+        if let State::Idle { retry_at } = &mut self.state {
+            *retry_at = (*retry_at).max(now + remaining + stagger);
         }
     }
 
-    /// Its turn among candidates that all wait for the same grant to run out: each leaves the one before it the time to
-    /// win. One that is no elector draws its turn.
-    fn turn(&mut self) -> Time {
-        let Settings { electors, me, delay, .. } = &self.settings;
-        let drawn = (self.dice.next_u64() >> 1) as Time;
-        let place = electors.iter().position(|elector| elector == me);
-        let place = place.unwrap_or(drawn as usize % electors.len().max(1));
-        place as Time * self.settings.patience() + drawn % (*delay).max(1)
-    }
-
-    /// A higher term is about: it was seen by somebody who turned something of this one away.
-    pub fn outbid(&mut self, term: Term) {
+    /// Somebody has seen this term: the next ballot will be higher.
+    pub fn observe_term(&mut self, term: Term) {
         self.highest = self.highest.max(term);
     }
 
-    /// The time that [`Candidate::due_at`] named has come.
-    pub fn due(&mut self, now: Time) -> Step {
-        if now < self.due_at() {
-            return Step::Wait;
+    /// The time that [`Candidate::next_deadline`] named has come.
+    pub fn on_deadline(&mut self, now: Time) -> Action {
+        if now < self.next_deadline() {
+            return Action::Wait;
         }
-        match &self.stage {
-            Stage::Idle { .. } => {
-                // The time, too: an elector that started again may have forgotten the last owner's term. It is silent
-                // for longer than a lease after that, so a bid that it promises is later by as much.
-                let timed = ((now / 1000).max(0) as Term) << WHO_BITS;
-                let heard = self.highest.max(self.ballot.term);
-                let highest = if mutant(Mutant::TermNotRaised) { heard } else { heard.max(timed) };
-                let next = next_term(highest, self.settings.me);
-                self.ballot.term = if mutant(Mutant::TermNotRaised) { highest } else { next };
-                self.highest = self.ballot.term;
-                self.stage = Stage::Asking { by: now + self.settings.patience(), promised: BTreeSet::new() };
-                Step::Ask(Ask::Prepare { ballot: self.ballot })
-            }
-            Stage::Asking { .. } | Stage::Bidding { .. } => {
-                self.failed += 1;
-                self.rest(now);
-                Step::Wait
+        match &self.state {
+            State::Idle { .. } => self.prepare(now),
+            State::Preparing { .. } | State::Proposing { .. } => self.fail_attempt(now),
+            State::Holding { expires_at, .. } if now >= *expires_at => {
+                self.back_off(now);
+                Action::Lost(self.ballot.term)
             }
-            Stage::Owning { until, .. } if now >= *until => {
-                self.rest(now);
-                Step::Lose(self.ballot.term)
-            }
-            Stage::Owning { until, .. } => {
-                let until = *until;
-                self.round += 1;
-                self.stage = Stage::Owning { until, renewal: Some((now, BTreeSet::new())) };
-                Step::Ask(Ask::Propose { ballot: self.ballot, round: self.round })
+            State::Holding { expires_at, .. } => {
+                let expires_at = *expires_at;
+                let renewal = Renewal { sent_at: now, accepted: BTreeSet::new() };
+                self.state = State::Holding { expires_at, renewal: Some(renewal) };
+                self.propose()
             }
         }
     }
 
-    /// An elector answers.
-    pub fn on(&mut self, now: Time, from: Gateway, answer: Answer) -> Step {
-        if !self.settings.electors.contains(&from) || answer.ballot() != self.ballot {
-            return Step::Wait;
+    /// An acceptor responds.
+    pub fn on_response(&mut self, now: Time, from: GatewayId, response: LeaseResponse) -> Action {
+        let is_acceptor = self.settings.acceptors.contains(&from);
+        if !is_acceptor || response.ballot() != self.ballot || self.is_late(now) {
+            return Action::Wait;
         }
-        if let Stage::Asking { by, .. } | Stage::Bidding { by, .. } = &self.stage {
-            // So late that a term from then may lie under that of an owner whom an elector has forgotten since.
-            if now >= *by && !mutant(Mutant::LateAnswerCounts) {
-                return Step::Wait;
-            }
+        match response {
+            LeaseResponse::Promised { granted: None, .. } => self.on_promise(now, from),
+            LeaseResponse::Promised { granted: Some(lease), .. } => self.on_granted_lease(now, lease),
+            LeaseResponse::Accepted { round, .. } => self.on_accepted(now, from, round),
+            LeaseResponse::Rejected { highest, .. } => self.on_rejected(now, highest),
         }
-        let majority = self.settings.majority();
-        let enough =
-            |who: &BTreeSet<Gateway>| who.len() >= majority - usize::from(mutant(Mutant::MinorityEnough));
-        match (&mut self.stage, answer) {
-            (Stage::Asking { promised, .. }, Answer::Promised { other: None, .. }) => {
-                promised.insert(from);
-                if !enough(promised) {
-                    return Step::Wait;
-                }
-                self.round += 1;
-                let by = now + self.settings.patience();
-                self.stage = Stage::Bidding { sent_at: now, by, accepted: BTreeSet::new() };
-                Step::Ask(Ask::Propose { ballot: self.ballot, round: self.round })
-            }
-            (Stage::Asking { .. }, Answer::Promised { other: Some((owner, left)), .. }) => {
-                self.highest = self.highest.max(owner.term);
-                self.rest(now);
-                self.heard(now, self.ballot.term, left);
-                Step::Wait
-            }
-            (Stage::Bidding { sent_at, accepted, .. }, Answer::Accepted { round, .. })
-                if round == self.round =>
-            {
-                accepted.insert(from);
-                if !enough(accepted) {
-                    return Step::Wait;
-                }
-                let begun = if mutant(Mutant::LeaseFromAnswer) { now } else { *sent_at };
-                let until = begun + self.settings.lease;
-                if now >= until {
-                    // So long ago that nothing of the lease is left.
-                    self.rest(now);
-                    return Step::Wait;
-                }
-                self.failed = 0;
-                self.stage = Stage::Owning { until, renewal: None };
-                Step::Own(self.ballot.term)
-            }
-            (Stage::Owning { until, renewal }, Answer::Accepted { round, .. })
-                if round == self.round || mutant(Mutant::OldRoundRenews) =>
-            {
-                // Over is over, also if a majority has just said yes.
-                if let Some((sent_at, accepted)) = renewal.as_mut().filter(|_| now < *until) {
-                    accepted.insert(from);
-                    if enough(accepted) {
-                        *until = (*until).max(*sent_at + self.settings.lease);
-                        *renewal = None;
-                        return Step::Keep(self.ballot.term);
-                    }
-                }
-                Step::Wait
+    }
+
+    /// Releases the lease before it expires: the request for the acceptors, if it is held.
+    pub fn release(&mut self, now: Time) -> Option<LeaseRequest> {
+        self.held_term(now)?;
+        self.back_off(now);
+        Some(LeaseRequest::Release { ballot: self.ballot })
+    }
+
+    /// Whether the attempt's deadline has passed. A term from before may be lower than that of a holder whom a
+    /// restarted acceptor has forgotten since.
+    fn is_late(&self, now: Time) -> bool {
+        match &self.state {
+            State::Preparing { deadline, .. } | State::Proposing { deadline, .. } => {
+                now >= *deadline && !mutant(Mutant::LateAnswerCounts)
             }
-            // A copy of what it asked came to an elector.
-            (_, Answer::Denied { highest, .. }) if highest == self.ballot => Step::Wait,
-            (_, Answer::Denied { highest, .. }) => {
-                self.highest = self.highest.max(highest.term);
-                if matches!(self.stage, Stage::Owning { .. }) {
-                    // Others may still renew it; if not, it runs out.
-                    return Step::Wait;
-                }
-                self.failed += 1;
-                self.rest(now);
-                Step::Wait
+            _ => false,
+        }
+    }
+
+    fn prepare(&mut self, now: Time) -> Action {
+        self.ballot.term = self.next_term(now);
+        self.highest = self.ballot.term;
+        let deadline = now + self.settings.response_timeout();
+        self.state = State::Preparing { deadline, promised: BTreeSet::new() };
+        Action::Send(LeaseRequest::Prepare { ballot: self.ballot })
+    }
+
+    fn propose(&mut self) -> Action {
+        self.round += 1;
+        Action::Send(LeaseRequest::Propose { ballot: self.ballot, round: self.round })
+    }
+
+    fn on_promise(&mut self, now: Time, from: GatewayId) -> Action {
+        let quorum = self.quorum();
+        let State::Preparing { promised, .. } = &mut self.state else { return Action::Wait };
+        promised.insert(from);
+        if promised.len() < quorum {
+            return Action::Wait;
+        }
+        let deadline = now + self.settings.response_timeout();
+        self.state = State::Proposing { sent_at: now, deadline, accepted: BTreeSet::new() };
+        self.propose()
+    }
+
+    /// An acceptor promised, but has accepted a lease that is in force.
+    fn on_granted_lease(&mut self, now: Time, lease: GrantedLease) -> Action {
+        if !matches!(self.state, State::Preparing { .. }) {
+            return Action::Wait;
+        }
+        self.observe_term(lease.ballot.term);
+        self.back_off(now);
+        self.observe_lease(now, self.ballot.term, lease.remaining);
+        Action::Wait
+    }
+
+    fn on_accepted(&mut self, now: Time, from: GatewayId, round: u32) -> Action {
+        let is_current = round == self.round;
+        match self.state {
+            State::Proposing { .. } if is_current => self.on_proposal_accepted(now, from),
+            State::Holding { .. } if is_current || mutant(Mutant::OldRoundRenews) => {
+                self.on_renewal_accepted(now, from)
             }
-            _ => Step::Wait,
+            _ => Action::Wait,
+        }
+    }
+
+    fn on_proposal_accepted(&mut self, now: Time, from: GatewayId) -> Action {
+        let quorum = self.quorum();
+        let State::Proposing { sent_at, accepted, .. } = &mut self.state else { return Action::Wait };
+        accepted.insert(from);
+        if accepted.len() < quorum {
+            return Action::Wait;
+        }
+        let started_at = if mutant(Mutant::LeaseFromAnswer) { now } else { *sent_at };
+        let expires_at = started_at + self.settings.lease;
+        if now >= expires_at {
+            self.back_off(now);
+            return Action::Wait;
+        }
+        self.failed_attempts = 0;
+        self.state = State::Holding { expires_at, renewal: None };
+        Action::Acquired(self.ballot.term)
+    }
+
+    fn on_renewal_accepted(&mut self, now: Time, from: GatewayId) -> Action {
+        let quorum = self.quorum();
+        let State::Holding { expires_at, renewal } = &mut self.state else { return Action::Wait };
+        // An expired lease stays expired, even if a majority has just accepted its renewal.
+        let Some(pending) = renewal.as_mut().filter(|_| now < *expires_at) else { return Action::Wait };
+        pending.accepted.insert(from);
+        if pending.accepted.len() < quorum {
+            return Action::Wait;
         }
+        *expires_at = (*expires_at).max(pending.sent_at + self.settings.lease);
+        *renewal = None;
+        Action::Renewed(self.ballot.term)
     }
 
-    /// Gives the duty up before its time.
-    pub fn give_up(&mut self, now: Time) -> Option<Ask> {
-        self.may(now)?;
-        self.rest(now);
-        Some(Ask::Release { ballot: self.ballot })
+    fn on_rejected(&mut self, now: Time, highest: Ballot) -> Action {
+        // An acceptor received a duplicate of this candidate's own request.
+        if highest == self.ballot {
+            return Action::Wait;
+        }
+        self.observe_term(highest.term);
+        // Other acceptors may still renew a lease that is held; if not, it expires.
+        if matches!(self.state, State::Holding { .. }) {
+            return Action::Wait;
+        }
+        self.fail_attempt(now)
+    }
+
+    fn fail_attempt(&mut self, now: Time) -> Action {
+        self.failed_attempts += 1;
+        self.back_off(now);
+        Action::Wait
     }
 
-    /// Waits before it asks again: a draw from ever longer spans, so that of many one comes first.
-    fn rest(&mut self, now: Time) {
-        let longest = self.settings.patience() << self.failed.min(3);
-        let wait = (self.dice.next_u64() >> 1) as Time;
-        self.stage = Stage::Idle { ask_at: now + wait % longest.max(1) };
+    /// Waits for a random part of a span that doubles with each failure, so that of many candidates one comes first.
+    fn back_off(&mut self, now: Time) {
+        let doublings = self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS);
+        let longest = self.settings.response_timeout() << doublings;
+        let wait = self.draw() % longest.max(1);
+        self.state = State::Idle { retry_at: now + wait };
+    }
+
+    /// Delay after a lease's expiry. Candidates that wait for the same lease retry in the order of the acceptors, each
+    /// leaving the one before it the time to succeed. One that is no acceptor draws its place.
+    fn draw_stagger(&mut self) -> Time {
+        let drawn = self.draw();
+        let Settings { acceptors, self_id, max_delay, .. } = &self.settings;
+        let own_place = acceptors.iter().position(|acceptor| acceptor == self_id);
+        let place = own_place.unwrap_or(drawn as usize % acceptors.len().max(1));
+        place as Time * self.settings.response_timeout() + drawn % (*max_delay).max(1)
+    }
+
+    /// A random number, not negative.
+    fn draw(&mut self) -> Time {
+        (self.rng.next_u64() >> 1) as Time
+    }
+
+    /// Responses that make a majority.
+    fn quorum(&self) -> usize {
+        self.settings.majority() - usize::from(mutant(Mutant::MinorityEnough))
+    }
+
+    /// A term above all that were heard of and above the time. A restarted acceptor may have forgotten the last
+    /// holder's term; since it was silent for longer than a lease, the time alone makes the new term higher.
+    fn next_term(&self, now: Time) -> Term {
+        let heard = self.highest.max(self.ballot.term);
+        if mutant(Mutant::TermNotRaised) {
+            return heard;
+        }
+        let timed = ((now / TERM_TICK).max(0) as Term) << PROPOSER_BITS;
+        term_above(heard.max(timed), self.settings.self_id)
     }
 }
 
-/// The next term above this one: a count, and the bidder's number in its lowest bits. Two bidders that heard of the same
-/// term ask for two, and each owner's is its own.
-fn next_term(highest: Term, me: Gateway) -> Term {
-    ((highest >> WHO_BITS).saturating_add(1) << WHO_BITS) | Term::from(me)
+/// The lowest term of this proposer whose counter is above that of `highest`.
+fn term_above(highest: Term, proposer: GatewayId) -> Term {
+    let counter = (highest >> PROPOSER_BITS).saturating_add(1);
+    (counter << PROPOSER_BITS) | Term::from(proposer)
 }
--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -1,231 +1,177 @@
-//! Datagrams: a mark, a version, the fleet's fingerprint, the body as `postcard` writes it, and CRC-32C keyed by the
-//! fleet's secret, 4 bytes.
+//! Messages between gateways. The order of the variants and of their fields is the wire format: `postcard` encodes
+//! variants by index and fields by position, so either may only be appended to.
 
-use crate::shares::{Line, Milli};
-use crate::{Ballot, Duty, Gateway, Term};
-use petrelgauge_policy::{GroupId, Time};
+use crate::quota::{GroupGrant, MeanRate, QuotaReport};
+use crate::{Ballot, LeadershipRole, Term};
+use petrelgauge_policy::Time;
 use serde::{Deserialize, Serialize};
-use thiserror::Error;
 
-/// Longest datagram (bytes).
-pub const MOST_BYTES: usize = 256;
-/// Told apart from the bulletins of sessions, which begin with their version.
-const MARK: u8 = 0xA7;
-const VERSION: u8 = 1;
-const HEAD: usize = 2 + 4;
-const CHECK: usize = 4;
+/// Maximum number of primaries in one datagram: each encodes to at most 10 bytes for either number.
+pub const MAX_ANNOUNCEMENTS: usize = 10;
 
-/// What is asked of electors.
+/// A request of a candidate to the acceptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ask {
-    /// To promise that no lower bid will be granted.
+pub enum LeaseRequest {
+    /// Promise to accept no lower ballot.
     Prepare {
-        /// The bid.
+        /// The candidate's ballot.
         ballot: Ballot,
     },
-    /// To grant the duty.
+    /// Accept the lease.
     Propose {
-        /// The bid.
+        /// The candidate's ballot.
         ballot: Ballot,
-        /// Counts the bidder's proposals.
+        /// Number of this proposal, so that a late response to an earlier one renews nothing.
         round: u32,
     },
-    /// To forget a grant that is of no more use.
+    /// Forget the accepted lease, which its holder gives up.
     Release {
-        /// The bid.
+        /// The holder's ballot.
         ballot: Ballot,
     },
 }
 
-impl Ask {
-    /// The bid.
+impl LeaseRequest {
+    /// The ballot of the request.
     pub fn ballot(&self) -> Ballot {
         match self {
-            Ask::Prepare { ballot } | Ask::Propose { ballot, .. } | Ask::Release { ballot } => *ballot,
+            LeaseRequest::Prepare { ballot }
+            | LeaseRequest::Propose { ballot, .. }
+            | LeaseRequest::Release { ballot } => *ballot,
         }
     }
 }
 
-/// What an elector answers.
+/// A lease that an acceptor has accepted, as it reports it to other candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
-    /// Promised; `other`: who has it, and for how long yet.
+pub struct GrantedLease {
+    /// The holder's ballot.
+    pub ballot: Ballot,
+    /// Time until the acceptor forgets the lease (microseconds).
+    pub remaining: Time,
+}
+
+/// An acceptor's response to a candidate.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub enum LeaseResponse {
+    /// The acceptor promises to accept no lower ballot.
     Promised {
-        /// The bid.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// Another's grant and what is left of it.
-        other: Option<(Ballot, Time)>,
+        /// The lease that the acceptor has accepted before and that has not expired yet.
+        granted: Option<GrantedLease>,
     },
-    /// Granted.
+    /// The acceptor has accepted the lease.
     Accepted {
-        /// The bid.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// Of this proposal.
+        /// The number of the proposal.
         round: u32,
     },
-    /// A higher bid was promised, or another has it.
-    Denied {
-        /// The bid.
+    /// The acceptor has promised a higher ballot.
+    Rejected {
+        /// The ballot of the request.
         ballot: Ballot,
-        /// The higher one.
+        /// The promised ballot.
         highest: Ballot,
     },
 }
 
-impl Answer {
-    /// The bid that is answered.
+impl LeaseResponse {
+    /// The ballot of the request that is responded to.
     pub fn ballot(&self) -> Ballot {
         match self {
-            Answer::Promised { ballot, .. }
-            | Answer::Accepted { ballot, .. }
-            | Answer::Denied { ballot, .. } => *ballot,
+            LeaseResponse::Promised { ballot, .. }
+            | LeaseResponse::Accepted { ballot, .. }
+            | LeaseResponse::Rejected { ballot, .. } => *ballot,
         }
     }
 }
 
-/// What an owner tells: the effect of its duty, as far as others are concerned.
+/// A member that answered as the primary of its group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct PrimaryAnnouncement {
+    /// The member, by the hash of its name on the list.
+    pub member: u64,
+    /// Time of that answer (microseconds).
+    pub position: Time,
+}
+
+/// What the holder of a lease sends to other gateways: the effects of its role. Receivers admit a notification only if
+/// its term passes their [`crate::Fence`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Word {
-    /// It owns the duty, for so long yet at most.
-    Owns {
-        /// What is left (microseconds).
-        left: Time,
+pub enum Notification {
+    /// The sender holds the lease.
+    LeaseHeld {
+        /// Time until the lease expires (microseconds).
+        remaining: Time,
     },
     /// A member answered as its group's primary.
-    Primary {
-        /// The member, by the hash of its name on the list.
-        member: u64,
-        /// The group's time up to which it had applied all commits.
-        position: Time,
-    },
-    /// A round of the share-out: all are to answer it.
-    Round {
-        /// Its number.
+    Primary(PrimaryAnnouncement),
+    /// A round of quota lending begins: every gateway reports its demand.
+    QuotaRound {
+        /// Number of the round.
         round: u32,
-        /// Mean rates of all who were heard (thousandths of a request a second), or a part of them.
-        means: Vec<(GroupId, u32)>,
+        /// Mean request rates over all gateways that have reported, or a part of them.
+        mean_rates: Vec<MeanRate>,
     },
-    /// What one gateway is given beside its even part.
-    Grant {
-        /// The number of its answer.
+    /// Quota that is granted to the receiver beside its even quota.
+    QuotaGrant {
+        /// Number of the report that asked for it.
         number: u32,
-        /// Thousandths of an even part.
-        given: Vec<(GroupId, Milli)>,
+        /// The amounts.
+        granted: Vec<GroupGrant>,
     },
     /// Members answered as their groups' primaries.
     Primaries {
-        /// The members; [`MOST_LEADERS`] at most.
-        leaders: Vec<Leader>,
+        /// The members, at most [`MAX_ANNOUNCEMENTS`].
+        primaries: Vec<PrimaryAnnouncement>,
     },
 }
 
-/// A member that answered as its group's primary.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Leader {
-    /// The member, by the hash of its name on the list.
-    pub member: u64,
-    /// When it answered.
-    pub position: Time,
-}
-
-/// Leaders of one datagram (count): 10 bytes for each number at most.
-pub const MOST_LEADERS: usize = 10;
-
-/// One datagram.
+/// The content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A candidate to an elector.
-    Ask(Duty, Ask),
-    /// An elector to a candidate.
-    Answer(Duty, Answer),
-    /// An owner to all.
-    Word(Duty, Term, Word),
-    /// A gateway to a scout: this member answered it as its group's primary. It is evidence and no effect of a duty; the
-    /// scout tells it on under its own term.
-    Found {
-        /// The member, by the hash of its name on the list.
-        member: u64,
-        /// When it answered.
-        position: Time,
+    /// From a candidate to an acceptor.
+    LeaseRequest {
+        /// The role whose lease is concerned.
+        role: LeadershipRole,
+        /// The request.
+        request: LeaseRequest,
     },
-    /// A receiver to an owner whose word was turned away: a higher term is about.
-    Turned(Duty, Term),
-    /// A gateway to the owner of the share-out: what it lends or asks for.
-    Lines {
-        /// The owner's term.
+    /// From an acceptor to a candidate.
+    LeaseResponse {
+        /// The role whose lease is concerned.
+        role: LeadershipRole,
+        /// The response.
+        response: LeaseResponse,
+    },
+    /// From the holder of a lease to other gateways.
+    Notification {
+        /// The role that the sender holds the lease of.
+        role: LeadershipRole,
+        /// The fencing term of the lease.
         term: Term,
-        /// The round that is answered.
-        round: u32,
-        /// Counts this gateway's answers.
-        number: u32,
-        /// What it says, for each group.
-        lines: Vec<Line>,
+        /// The effect.
+        notification: Notification,
+    },
+    /// From any gateway to the leader of primary discovery, which passes it on under its own term. A report is evidence
+    /// and no effect of a role, so it carries no term.
+    PrimaryReport(PrimaryAnnouncement),
+    /// From a receiver to the sender of a notification that the receiver's fence has rejected.
+    StaleTerm {
+        /// The role of the notification.
+        role: LeadershipRole,
+        /// The highest term that the receiver has seen.
+        highest: Term,
     },
-    /// A gateway to the owner of a shard: these members answered it as their groups' primaries.
-    FoundAll {
-        /// The members; [`MOST_LEADERS`] at most.
-        leaders: Vec<Leader>,
+    /// From any gateway to the holder of the quota lease: what it lends or requests.
+    QuotaReport(QuotaReport),
+    /// From any gateway to the leader of a shard of primary discovery.
+    PrimaryReports {
+        /// The members, at most [`MAX_ANNOUNCEMENTS`].
+        primaries: Vec<PrimaryAnnouncement>,
     },
-    /// An elector to the others: it is there.
+    /// From an acceptor to the other acceptors: it is alive.
     Heartbeat,
 }
-
-/// Why a datagram cannot be used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum MessageError {
-    /// Too short, too long, or not to be read.
-    #[error("the datagram has a form that is none")]
-    Shape,
-    /// Of a later version.
-    #[error("the datagram has a version that is not known here")]
-    Version,
-    /// Its electors or spans are others than here: two files are about.
-    #[error("the datagram is of a fleet with other electors or spans")]
-    Fleet,
-    /// Garbage, altered, or under another secret.
-    #[error("the datagram does not pass its check")]
-    Check,
-}
-
-impl Message {
-    /// Whether these bytes are meant for this room at all.
-    pub fn is_one(bytes: &[u8]) -> bool {
-        bytes.first() == Some(&MARK)
-    }
-
-    /// Its bytes, from this gateway. `fleet`: the fingerprint of the settings that all must have alike.
-    pub fn write(&self, from: Gateway, fleet: u32, secret: u64) -> Vec<u8> {
-        let mut bytes = vec![MARK, VERSION];
-        bytes.extend_from_slice(&fleet.to_be_bytes());
-        bytes = postcard::to_extend(&(from, self), bytes).unwrap_or_default();
-        let check = check(&bytes, secret);
-        bytes.extend_from_slice(&check);
-        debug_assert!(bytes.len() <= MOST_BYTES);
-        bytes
-    }
-
-    /// Reads a datagram: who it says to be from, and what it says.
-    pub fn read(bytes: &[u8], fleet: u32, secret: u64) -> Result<(Gateway, Message), MessageError> {
-        if !(HEAD + CHECK..=MOST_BYTES).contains(&bytes.len()) || !Message::is_one(bytes) {
-            return Err(MessageError::Shape);
-        }
-        let (body, tail) = bytes.split_at(bytes.len() - CHECK);
-        if check(body, secret) != tail {
-            return Err(MessageError::Check);
-        }
-        if body[1] != VERSION {
-            return Err(MessageError::Version);
-        }
-        if body[2..HEAD] != fleet.to_be_bytes() {
-            return Err(MessageError::Fleet);
-        }
-        match postcard::take_from_bytes::<(Gateway, Message)>(&body[HEAD..]) {
-            Ok((read, [])) => Ok(read),
-            _ => Err(MessageError::Shape),
-        }
-    }
-}
-
-fn check(body: &[u8], secret: u64) -> [u8; CHECK] {
-    crc32c::crc32c_append(crc32c::crc32c(&secret.to_be_bytes()), body).to_be_bytes()
-}
--- /dev/null
+++ b/crates/ownership/src/quota/pool.rs
@@ -0,0 +1,151 @@
+//! The lease holder's pool: what gateways have lent it and until when, and what it has granted.
+
+use super::demand::{
+    split_into_datagrams, GroupDemand, GroupGrant, MeanRate, Thousandths, MAX_DEMANDS, MAX_GRANTED,
+    MAX_GROUPS, MAX_ROUNDS,
+};
+use super::pool_group::PoolGroup;
+use crate::{GatewayId, Settings, Term};
+use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Rounds after which a gateway that has not reported no longer counts for the mean rates.
+const REPORTED_WITHIN_ROUNDS: Time = 3;
+
+/// A round that the pool has opened.
+#[derive(Clone, Copy, Debug)]
+struct OpenRound {
+    number: u32,
+    opened_at: Time,
+}
+
+/// What is to be sent for a round.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct QuotaRound {
+    /// Number of the round.
+    pub number: u32,
+    /// Mean rates of all gateways that have reported lately, in parts for one datagram each; at least one part.
+    pub parts: Vec<Vec<MeanRate>>,
+}
+
+/// Sums over all groups and gateways, in thousandths of an even quota.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct QuotaTotals {
+    /// What is lent.
+    pub lent: i64,
+    /// What may be in use beside even quotas.
+    pub granted: i64,
+}
+
+/// The pool of a lease holder under one term. Holds at most [`MAX_GROUPS`] groups, with an entry for each gateway that
+/// has reported lately; the caller drops reports of senders that are none of the gateways.
+#[derive(Clone, Debug)]
+pub struct QuotaPool {
+    settings: Settings,
+    term: Term,
+    round: u32,
+    rounds: VecDeque<OpenRound>,
+    groups: BTreeMap<GroupId, PoolGroup>,
+}
+
+impl QuotaPool {
+    /// An empty pool. What was lent to an earlier lease holder is not known here, and not counted.
+    pub fn new(settings: Settings, term: Term) -> QuotaPool {
+        QuotaPool { settings, term, round: 0, rounds: VecDeque::new(), groups: BTreeMap::new() }
+    }
+
+    /// The lease holder's term.
+    pub fn term(&self) -> Term {
+        self.term
+    }
+
+    /// When [`QuotaPool::open_round`] is to be called next.
+    pub fn next_deadline(&self) -> Time {
+        let interval = self.settings.round_interval();
+        self.rounds.back().map_or(Time::MIN, |last| last.opened_at + interval)
+    }
+
+    /// Opens a round.
+    pub fn open_round(&mut self, now: Time) -> QuotaRound {
+        self.round = self.round.wrapping_add(1);
+        self.rounds.push_back(OpenRound { number: self.round, opened_at: now });
+        if self.rounds.len() > MAX_ROUNDS {
+            self.rounds.pop_front();
+        }
+        let reported_since = now - REPORTED_WITHIN_ROUNDS * self.settings.round_interval();
+        let horizon = now + self.settings.counted_grant_duration();
+        let mut mean_rates = Vec::new();
+        for (group, state) in &mut self.groups {
+            let rate = state.start_round(now, reported_since, horizon);
+            mean_rates.push(MeanRate { group: *group, rate });
+        }
+        self.groups.retain(|_, group| !group.is_empty());
+        let mut parts = split_into_datagrams(&mean_rates);
+        if parts.is_empty() {
+            parts.push(Vec::new());
+        }
+        QuotaRound { number: self.round, parts }
+    }
+
+    /// A gateway reports for a round: counts what it lends, and returns what it is granted. A report for a round that is
+    /// not remembered counts for nothing.
+    pub fn on_report(
+        &mut self,
+        now: Time,
+        from: GatewayId,
+        round: u32,
+        demands: &[GroupDemand],
+    ) -> Vec<GroupGrant> {
+        let Some(round) = self.rounds.iter().find(|known| known.number == round) else { return Vec::new() };
+        let counted_from = if mutant(Mutant::PledgeFromAnswer) { now } else { round.opened_at };
+        let loans_expire_at = counted_from + self.settings.counted_loan_duration();
+        let mut granted = Vec::new();
+        for demand in demands.iter().take(MAX_DEMANDS) {
+            let Some(group) = self.group_mut(demand.group) else { continue };
+            group.record(now, from, demand);
+            if demand.requested < 0 {
+                group.add_loan(from, demand.requested.saturating_neg(), loans_expire_at);
+            } else if let Some(amount) = self.grant(now, from, demand) {
+                granted.push(GroupGrant { group: demand.group, amount });
+            }
+        }
+        granted
+    }
+
+    /// Number of entries: gateways, over all groups.
+    pub fn entries(&self) -> usize {
+        self.groups.values().map(PoolGroup::len).sum()
+    }
+
+    /// What is lent and granted now.
+    pub fn totals(&self, now: Time) -> QuotaTotals {
+        let lent = self.groups.values().map(|group| group.lent(now)).sum();
+        let granted = self.groups.values().map(|group| group.granted(now)).sum();
+        QuotaTotals { lent, granted }
+    }
+
+    /// The state of a group; `None` if it is new and there are too many.
+    fn group_mut(&mut self, group: GroupId) -> Option<&mut PoolGroup> {
+        if !self.groups.contains_key(&group) && self.groups.len() >= MAX_GROUPS {
+            return None;
+        }
+        Some(self.groups.entry(group).or_default())
+    }
+
+    fn grant(&mut self, now: Time, to: GatewayId, demand: &GroupDemand) -> Option<Thousandths> {
+        let uncounted = mutant(Mutant::GrantUncounted);
+        let duration = match uncounted {
+            true => self.settings.grant_duration() / 4,
+            false => self.settings.counted_grant_duration(),
+        };
+        let expires_at = now + duration;
+        let group = self.group_mut(demand.group)?;
+        let amount = group.grantable(to, demand.requested, expires_at).min(i64::from(MAX_GRANTED));
+        if amount <= 0 {
+            return None;
+        }
+        let amount = amount as Thousandths;
+        group.add_grant(to, amount, expires_at);
+        Some(amount)
+    }
+}
