--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -89,9 +89,7 @@
     let load = Load::start(&old, 2);
     load.goes_on();
     thread::sleep(Duration::from_millis(600));
-    let free = std::net::TcpListener::bind("127.77.71.3:0").expect("a free port");
-    let ops = free.local_addr().expect("an address").to_string();
-    drop(free);
+    let ops = stage.reserve_port();
     let mut new = stage.start_env(&stage.config(), &[("GW_OPS", &ops)]);
     assert!(new.line_with("starting from what was learned").contains("of 1 hosts"));
     new.line_with("serves at");
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -81,6 +81,9 @@
         host.left();
         assert_eq!(client.ask(&text.replace("5c0f", "5c10"))[1].1[6..], *b"two");
         assert_eq!(host.queries(), 2, "one for each request");
+        // It was told of as closed while idle, and no attempt was made on it: nothing counts against the host.
+        gateway.wait_for_counter(" HostClosedIdle=1");
+        gateway.wait_for_counter("attempts=2 sent=2 host_connects=2 ");
     }
 }
 
--- a/tests/stage/gateway.rs
+++ b/tests/stage/gateway.rs
@@ -1,10 +1,11 @@
 //! The program, as it runs, and its clients.
 
-use super::{config_path, query, read_message, startup, NEVER};
+use super::{config_path, query, read_message, startup, ReservedPort, NEVER};
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command};
+use std::rc::Rc;
 use std::sync::mpsc::{Receiver, Sender};
 use std::thread;
 use std::time::Duration;
@@ -17,6 +18,8 @@
     pub(super) ops: Option<String>,
     pub(super) watches: Receiver<String>,
     pub(super) end_watch: Sender<()>,
+    /// Its ports, which nobody else is given while it is there, also where it does not listen yet or no longer.
+    pub(super) _ports: Vec<Rc<ReservedPort>>,
 }
 
 impl Gateway {
--- a/tests/stage/host.rs
+++ b/tests/stage/host.rs
@@ -1,13 +1,13 @@
 //! A database host that takes one query after the other from its script.
 
-use super::{message, read_message, NEVER};
+use super::{message, read_message, ReservedPort, NEVER};
 use std::cell::Cell;
 use std::io::{Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What a scripted host does with a query.
 pub enum Say {
@@ -50,6 +50,8 @@
     pub(super) came: Receiver<()>,
     pub(super) go: Sender<()>,
     pub(super) count: Cell<usize>,
+    /// Of a host that does not listen: its port.
+    pub(super) _closed_port: Option<ReservedPort>,
 }
 
 impl Host {
@@ -75,7 +77,7 @@
                 });
             }
         });
-        Host { address, seen, ended, came, go, count: Cell::new(0) }
+        Host { address, seen, ended, came, go, count: Cell::new(0), _closed_port: None }
     }
 
     /// The next query that it got.
@@ -166,8 +168,7 @@
             Some(Say::ResetOnGo(value)) => {
                 let _ = stream.write_all(&[row(value), ready.clone()].concat());
                 go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
-                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
-                return;
+                return reset(stream);
             }
             Some(Say::WaitForGo(value)) => {
                 go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
@@ -195,6 +196,31 @@
     }
 }
 
+/// Resets a connection, and waits until the reset has reached the gateway's socket. It is sent only when the last copy
+/// of the descriptor is closed, and a child process that another thread of the tests starts has one until its `exec`.
+fn reset(stream: TcpStream) {
+    let (host, gateway) = (stream.local_addr().expect("an address"), stream.peer_addr().expect("an address"));
+    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
+    drop(stream);
+    let until = Instant::now() + NEVER;
+    while is_connected(gateway, host) {
+        assert!(Instant::now() < until, "the reset never arrives");
+        thread::sleep(Duration::from_millis(1));
+    }
+}
+
+/// Whether the kernel's table of TCP sockets has one from here to there. One that was reset is taken out of it.
+fn is_connected(from: SocketAddr, to: SocketAddr) -> bool {
+    let pair = [table_form(from), table_form(to)].join(" ");
+    std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&pair)
+}
+
+/// An IPv4 address as the kernel's table has it: its four bytes as a number of the machine's byte order.
+fn table_form(address: SocketAddr) -> String {
+    let SocketAddr::V4(address) = address else { panic!("hosts have IPv4 addresses") };
+    format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
+}
+
 /// A row at the machine's time, this much later (milliseconds).
 fn row_by_clock(value: &[u8], later: i64) -> Vec<u8> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -4,15 +4,18 @@
 
 mod gateway;
 mod host;
+mod port;
 mod source;
 pub use gateway::{Client, Gateway};
 pub use host::{row, Host, Say};
+pub use port::ReservedPort;
 pub use source::{chunk, Act, WatchScripts, HEAD};
 
 use std::cell::{Cell, RefCell};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
+use std::rc::Rc;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -84,6 +87,8 @@
     ip: String,
     /// Where the gateway is to listen.
     pub listen: String,
+    /// The ports of its gateways, for as long as the stage or one of them is there.
+    ports: Vec<Rc<ReservedPort>>,
     discovery: TcpListener,
     known: String,
     news: Vec<String>,
@@ -99,13 +104,12 @@
     pub fn new(number: u8) -> Stage {
         let ip = format!("127.77.{number}.1");
         let discovery = TcpListener::bind((ip.as_str(), 0)).expect("a free port");
-        // Free a moment ago, so that two runs of the tests side by side do not meet; at an address of its own, so
-        // that no peer of this test takes the port meanwhile.
-        let free = TcpListener::bind((format!("127.77.{number}.2"), 0)).expect("a free port");
-        let listen = free.local_addr().expect("an address").to_string();
+        let port = ReservedPort::at(&format!("127.77.{number}.2"));
+        let listen = port.address();
         Stage {
             ip,
             listen,
+            ports: vec![Rc::new(port)],
             discovery,
             known: String::new(),
             news: Vec::new(),
@@ -128,10 +132,10 @@
 
     /// A host at whose address nobody listens.
     pub fn closed_host(&self) -> Host {
-        let listener = TcpListener::bind((self.ip.as_str(), 0)).expect("a free port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let port = ReservedPort::at(&self.ip);
+        let address = port.address();
         let (seen, ended, came) = (channel().1, channel().1, channel().1);
-        Host { address, seen, ended, came, go: channel().0, count: Cell::new(0) }
+        Host { address, seen, ended, came, go: channel().0, count: Cell::new(0), _closed_port: Some(port) }
     }
 
     pub fn entries(&self, hosts: &[(&Host, &str, &str)]) -> String {
@@ -190,9 +194,7 @@
 
     /// Starts a process of the program beside another, with a second address of its own, and waits until it runs.
     pub fn beside(&mut self) -> Gateway {
-        let free = TcpListener::bind((self.ip.as_str(), 0)).expect("a free port");
-        self.ops = Some(free.local_addr().expect("an address").to_string());
-        drop(free);
+        self.ops = Some(self.reserve_port());
         let gateway = self.start_with(&self.config());
         gateway.line_with("serves at");
         gateway
@@ -214,11 +216,18 @@
 
     /// The gateway listens to its staff too.
     pub fn ops(mut self) -> Stage {
-        let free = TcpListener::bind((self.ip.as_str(), 0)).expect("a free port");
-        self.ops = Some(free.local_addr().expect("an address").to_string());
+        self.ops = Some(self.reserve_port());
         self
     }
 
+    /// A further port that is free for a gateway of this stage: its address.
+    pub fn reserve_port(&mut self) -> String {
+        let port = ReservedPort::at(&self.ip);
+        let address = port.address();
+        self.ports.push(Rc::new(port));
+        address
+    }
+
     pub fn sockets(mut self, sockets: usize) -> Stage {
         self.sockets = sockets;
         self
@@ -275,7 +284,8 @@
         let log = BufReader::new(child.stderr.take().expect("its log"));
         let (watches, end_watch) = (channel().1, channel().0);
         let (address, ops) = (self.listen.clone(), self.ops.clone());
-        Gateway { child, log: RefCell::new(log), address, ops, watches, end_watch }
+        let _ports = self.ports.clone();
+        Gateway { child, log: RefCell::new(log), address, ops, watches, end_watch, _ports }
     }
 
     /// Starts the program and waits until it serves.
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -13,15 +13,14 @@
 const AWAY: Duration = Duration::from_secs(8);
 
 /// An address at which nobody listens for now.
-fn nobody(number: u8) -> String {
-    let free = TcpListener::bind((format!("127.77.{number}.3"), 0)).expect("a free port");
-    free.local_addr().expect("an address").to_string()
+fn nobody(number: u8) -> ReservedPort {
+    ReservedPort::at(&format!("127.77.{number}.3"))
 }
 
 /// A gateway whose discovery refuses connections, with two hosts of which the first is about to drain.
 struct Refused {
     gateway: Gateway,
-    discovery: String,
+    discovery: ReservedPort,
     hosts: [Host; 2],
     drained: String,
 }
@@ -34,14 +33,14 @@
         let drained = stage.entries(&[(&hosts[0], "draining", "standby"), (&hosts[1], "up", "primary")]);
         let stage = stage.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
         let discovery = nobody(number);
-        let gateway = stage.start_env(&stage.config(), &[("GW_DISCOVERY", &discovery)]);
+        let gateway = stage.start_env(&stage.config(), &[("GW_DISCOVERY", &discovery.address())]);
         gateway.line_with("serves at");
         Refused { gateway, discovery, hosts, drained }
     }
 
     /// Discovery is back and tells of the drain. From then on nothing goes to the host that drains.
     fn back(&self) {
-        let listener = TcpListener::bind(&self.discovery).expect("the port is still free");
+        let listener = TcpListener::bind(self.discovery.address()).expect("the port is still free");
         let begun = Instant::now();
         let line = format!("{}\n", list(42, true, &self.drained));
         let script = vec![Act::Say(HEAD.to_vec()), Act::Say(chunk(&line)), Act::Beat];
@@ -93,7 +92,8 @@
             vec![],
         );
         let slow = silent.address().to_string();
-        let discovery = if refuses { nobody(number) } else { slow };
+        let closed = nobody(number);
+        let discovery = if refuses { closed.address() } else { slow };
         let begun = Instant::now();
         let gateway = stage.start_env(&stage.config(), &[("GW_DISCOVERY", &discovery)]);
         gateway.line_with("serves at");
