--- a/tests/stage/gateway.rs
+++ b/tests/stage/gateway.rs
@@ -1,6 +1,7 @@
 //! The program, as it runs, and its clients.
 
-use super::{config_path, query, read_message, startup, ReservedPort, NEVER};
+use super::{config_path, kinds, query, read_message, startup, ReservedPort, NEVER};
+use petrelgauge_lifecycle::client::{FIRST_PAUSE, LONGEST_PAUSE};
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,6 +11,9 @@
 use std::thread;
 use std::time::Duration;
 
+/// In a millisecond.
+const MICROSECONDS: u64 = 1_000;
+
 /// The program, as it runs.
 pub struct Gateway {
     pub(super) child: Child,
@@ -152,6 +156,26 @@
         panic!("its counters never say so");
     }
 
+    /// Waits for this span (milliseconds) on the gateway's own timers: a machine that keeps the gateway from its processor
+    /// makes it longer by as much. What was due on them sooner has happened then.
+    ///
+    /// The timers are the pauses that a client has behind statements that cannot be used, from one statement to the
+    /// next.
+    pub fn wait_by_its_timers(&self, span_ms: u64) {
+        let (first, longest) = (FIRST_PAUSE as u64 / MICROSECONDS, LONGEST_PAUSE as u64 / MICROSECONDS);
+        let (mut pause, mut paused, mut statements) = (first, 0, 1);
+        while paused < span_ms {
+            paused += pause;
+            pause = (2 * pause).min(longest);
+            statements += 1;
+        }
+        let mut client = self.client();
+        client.write(&query("unusable").repeat(statements));
+        for _ in 0..statements {
+            assert_eq!(kinds(&client.until_ready()), "EZ");
+        }
+    }
+
     /// The head of the next watch that it begins.
     pub fn next_watch(&self) -> String {
         self.watches.recv_timeout(NEVER).expect("it watches")
@@ -263,6 +287,16 @@
         std::iter::from_fn(|| read_message(&mut self.0)).collect()
     }
 
+    /// What has come by now, and whether the connection has ended.
+    pub fn come_by_now(&mut self) -> (Vec<(u8, Vec<u8>)>, bool) {
+        let mut bytes = Vec::new();
+        self.0.set_nonblocking(true).expect("an option");
+        let ended = self.0.read_to_end(&mut bytes).is_ok();
+        self.0.set_nonblocking(false).expect("an option");
+        let mut unread = &bytes[..];
+        (std::iter::from_fn(|| read_message(&mut unread)).collect(), ended)
+    }
+
     /// What comes until the connection ends, and whether it ended with a reset.
     pub fn rest_and_reset(&mut self) -> (Vec<(u8, Vec<u8>)>, bool) {
         let mut bytes = Vec::new();
