--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -8,7 +8,7 @@
 use petrelgauge::facade::{Facade, Outcome};
 use petrelgauge::net::budget::Budget;
 use petrelgauge::net::clock::Clock;
-use petrelgauge::net::config::Config;
+use petrelgauge::net::config::{Config, ConfigError};
 use petrelgauge::net::control::{reload, Control, Decisions, Environment};
 use petrelgauge::net::counters::Counters;
 use petrelgauge::net::host_names::HostNames;
@@ -99,7 +99,7 @@
     _discovery: watch::Sender<SocketAddr>,
 }
 
-fn read_config(folder: &Path, number: usize) -> Result<Config, String> {
+fn read_config(folder: &Path, number: usize) -> Result<Config, ConfigError> {
     let path = |name: String| folder.join(name).to_str().map(str::to_string);
     Config::read(|name| match name {
         "GW_CONFIG" => path(format!("config{number}")),
@@ -122,9 +122,9 @@
 
 impl Hollow {
     async fn start(shared: &Rc<Shared>, number: usize) -> Result<Hollow, String> {
-        let mut config = read_config(&shared.plan.folder, number)?;
+        let mut config = read_config(&shared.plan.folder, number).map_err(|cause| cause.to_string())?;
         let clock = Clock::start();
-        let decisions = Decisions::new(&config, clock.now())?;
+        let decisions = Decisions::new(&config, clock.now()).map_err(|cause| cause.to_string())?;
         let (facade, hold) = (decisions.facade.clone(), decisions.hold);
         let counters = Rc::new(Counters::default());
         let begun = clock.now();
@@ -146,7 +146,8 @@
         let bind = |listen: SocketAddr| async move {
             Ok(RegionSocket { socket: UdpSocket::bind(listen).await?, number, shared: bound })
         };
-        let mut control = Control::new(&mut config, decisions, environment, bind).await?;
+        let control = Control::new(&mut config, decisions, environment, bind).await;
+        let mut control = control.map_err(|cause| cause.to_string())?;
         let (discovery, moved) = watch::channel(config.discovery);
         let mut tasks = JoinSet::new();
         control.start(&mut tasks, moved);
@@ -182,9 +183,11 @@
             "GW_CONFIG" => path.to_str().map(str::to_string),
             "PETRELGAUGE_FILE" => folder.join("operator").to_str().map(str::to_string),
             _ => None,
-        })?;
+        });
+        let new = new.map_err(|cause| cause.to_string())?;
         let Control { facade, hosts, .. } = &self.control;
-        self.config = reload(new, &self.config, self.hold, self.clock.now(), facade, hosts)?.0;
+        let followed = reload(new, &self.config, self.hold, self.clock.now(), facade, hosts);
+        self.config = followed.map_err(|cause| cause.to_string())?.0;
         Ok(())
     }
 }
--- a/src/bin/petrelgauge-simulator-adapter/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -299,7 +299,7 @@
 }
 
 fn configure(seed: u64, info: &Info) -> Result<Instance, String> {
-    let settings = info.settings()?;
+    let settings = info.settings().map_err(|cause| cause.to_string())?;
     let needs: Vec<Need> = settings.classes.iter().map(|class| class.need).collect();
     Ok(Instance {
         sessions: Sessions::new(info, &needs),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,9 @@
 //! The gateway: wiring and signals. See the README for what it is and `net` for how it works.
 #![forbid(unsafe_code)]
 
+mod gateway_error;
+
+use gateway_error::{GatewayError, ReloadError};
 use petrelgauge::net::budget::Budget;
 use petrelgauge::net::cancel::CancelKeys;
 use petrelgauge::net::clock::Clock;
@@ -37,8 +40,7 @@
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|cause| format!("cannot start: {cause}"));
-    let ran = runtime.and_then(|runtime| {
+    let ran = runtime.map_err(GatewayError::Runtime).and_then(|runtime| {
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let signals = Signals::listen()?;
             let var = |name: &str| std::env::var(name).ok();
@@ -58,7 +60,7 @@
     mut config: Config,
     inherited: Option<std::net::TcpListener>,
     mut signals: Signals,
-) -> Result<(), String> {
+) -> Result<(), GatewayError> {
     let clock = Clock::start().ahead(config.operator.clock_shift);
     let decisions = Decisions::new(&config, clock.now())?;
     let (facade, hold) = (decisions.facade.clone(), decisions.hold);
@@ -91,13 +93,12 @@
     let (told, names) = (control.told.clone(), control.names.clone());
     let heard = told.clone();
     let patience_until = clock.now() + LIST_PATIENCE;
-    let mut reread: Result<Config, String> = Err(String::new());
+    let mut reread = None;
     let (doors, door) = watch::channel(ServingState::Serving);
     let listener = match inherited {
-        Some(listener) => TcpListener::from_std(listener).map_err(|cause| cause.to_string()),
-        None => listen(config.listen).await.map_err(|cause| cause.to_string()),
+        Some(listener) => TcpListener::from_std(listener).map_err(GatewayError::RegisterListener)?,
+        None => listen(config.listen).await.map_err(GatewayError::ListenForClients)?,
     };
-    let listener = listener.map_err(|cause| format!("cannot listen: {cause}"))?;
     let (desk, mut asked) = mpsc::channel(MOST_CALLERS);
     let (discovery, moved) = watch::channel(config.discovery);
 
@@ -107,8 +108,8 @@
     let ops = Ops { desk, hosts: hosts.clone(), clock, counters: counters.clone() };
     let _desk = ops.desk.clone();
     if let Some(address) = config.ops {
-        let listener =
-            listen(address).await.map_err(|cause| format!("ops: cannot listen at {address}: {cause}"))?;
+        let failed = |source| GatewayError::ListenForOperators { address, source };
+        let listener = listen(address).await.map_err(failed)?;
         tasks.spawn_local(ops.accept(listener));
     }
     let seen = facade.clone();
@@ -157,8 +158,10 @@
                     continue;
                 }
                 Told::Reread => {
-                    reread = config.reread(|name| std::env::var(name).ok());
-                    Event::Reload { usable: reread.is_ok() }
+                    let new = config.reread(|name| std::env::var(name).ok());
+                    let usable = new.is_ok();
+                    reread = Some(new);
+                    Event::Reload { usable }
                 }
                 Told::Stop => Event::Stop,
             },
@@ -178,7 +181,7 @@
             }
             // None of them ends by itself. Without one the gateway would go on and serve nobody.
             Some(ended) = tasks.join_next(), if life.stage() == Stage::Serving => {
-                return Err(format!("a task ended: {ended:?}"));
+                return Err(GatewayError::TaskEnded(ended));
             }
         };
         match life.on(clock.now(), event) {
@@ -192,8 +195,11 @@
             }
             Action::Doors | Action::Wait => {}
             Action::Take | Action::Keep => {
-                let new = std::mem::replace(&mut reread, Err(String::new()));
-                match new.and_then(|new| reload(new, &config, hold, clock.now(), &facade, &hosts)) {
+                let Some(new) = reread.take() else { continue };
+                let followed = new
+                    .map_err(ReloadError::from)
+                    .and_then(|new| Ok(reload(new, &config, hold, clock.now(), &facade, &hosts)?));
+                match followed {
                     Ok((new, open)) => {
                         counters.reloads.add();
                         let (at, version) = (new.discovery, facade.version());
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,14 +1,78 @@
 //! What a gateway is told at its start: the environment and the JSON file it names.
 
 use crate::net::discovery::List;
-use crate::operator::Operator;
-use crate::settings::Info;
+use crate::operator::{Operator, OperatorError};
+use crate::settings::{DeploymentError, Info};
+use crate::SettingsError;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
+use std::io;
 use std::net::SocketAddr;
+use thiserror::Error;
+
+/// Why there is no configuration to use.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The environment names no configuration file.
+    #[error("GW_CONFIG is not set: it names the configuration file")]
+    PathNotSet,
+    /// The file cannot be read.
+    #[error("cannot read {path}: {source}")]
+    Unreadable {
+        /// The path as the environment gives it.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The operator's file cannot be used.
+    #[error(transparent)]
+    Operator(#[from] OperatorError),
+    /// The file can be read, but not used.
+    #[error("{path}: {source}")]
+    InvalidFile {
+        /// The path as the environment gives it.
+        path: String,
+        /// What is wrong in it.
+        source: ConfigFileError,
+    },
+    /// A file that was read again lacks a key that the settings in force have.
+    #[error("settings: {0} is missing")]
+    MissingKey(String),
+    /// A value of the deployment's settings is missing or not known.
+    #[error("settings: {0}")]
+    Deployment(#[from] DeploymentError),
+    /// A figure of the deployment's settings is out of range.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
+}
+
+/// What is wrong in a configuration file.
+#[derive(Debug, Error)]
+pub enum ConfigFileError {
+    /// It is not JSON, or lacks a field.
+    #[error(transparent)]
+    InvalidJson(#[from] serde_json::Error),
+    /// Its `settings` lack a field, or one has a value of another type.
+    #[error("settings: {0}")]
+    InvalidSettings(#[source] serde_json::Error),
+    /// Neither the file nor this variable of the environment gives the value.
+    #[error("neither {0} nor the file says it")]
+    MissingValue(&'static str),
+    /// A value is not an IP address with a port.
+    #[error("{name}: {text:?} is not an address with a port")]
+    InvalidAddress {
+        /// Variable or key that holds it.
+        name: &'static str,
+        /// The value.
+        text: String,
+    },
+    /// The seed is not a hexadecimal number of up to 64 bits.
+    #[error("seed: {0:?} is not a hexadecimal number")]
+    InvalidSeed(String),
+}
 
 /// All that a gateway is told.
 #[derive(Debug)]
@@ -74,7 +138,7 @@
 
 /// Which goes first where both name a value.
 #[derive(Clone, Copy, PartialEq)]
-enum First {
+enum Precedence {
     Environment,
     File,
 }
@@ -88,21 +152,29 @@
     }
 
     /// Reads the environment through `var` and the file that `GW_CONFIG` names. What the environment sets
-    /// goes before the file. The cause of a failure is one plain sentence.
-    pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        Config::load(var, First::Environment)
+    /// goes before the file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if one of the files cannot be read or used.
+    pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        Config::load(var, Precedence::Environment)
     }
 
     /// Reads the file anew while the program runs. The environment still is that of the start, so that for
     /// discovery, which may move, the file goes first. Settings that lack a key which those in force have are taken
     /// for a part of a file: what is left out would quietly become a default.
-    pub fn reread(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let config = Config::load(var, First::File)?;
+    ///
+    /// # Errors
+    ///
+    /// Fails if one of the files cannot be read or used, or lacks a key that the settings in force have.
+    pub fn reread(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let config = Config::load(var, Precedence::File)?;
         if let Some(key) = self.keys.difference(&config.keys).next() {
-            return Err(format!("settings: {key} is missing"));
+            return Err(ConfigError::MissingKey(key.clone()));
         }
-        let sound = config.info.settings().and_then(|settings| settings.check().map_err(|e| e.to_string()));
-        sound.map(|()| config).map_err(|cause| format!("settings: {cause}"))
+        config.info.settings()?.check()?;
+        Ok(config)
     }
 
     /// What the new file says that only a start can follow.
@@ -125,55 +197,100 @@
         Config { name, peers, listen, ops, peer_listen, sockets, memory, seed, known: None, ..new }
     }
 
-    fn load(var: impl Fn(&str) -> Option<String>, first: First) -> Result<Config, String> {
-        let path = var("GW_CONFIG").ok_or("GW_CONFIG is not set: it names the configuration file")?;
-        let text = std::fs::read_to_string(&path).map_err(|cause| format!("cannot read {path}: {cause}"))?;
+    fn load(var: impl Fn(&str) -> Option<String>, precedence: Precedence) -> Result<Config, ConfigError> {
+        let path = var("GW_CONFIG").ok_or(ConfigError::PathNotSet)?;
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Unreadable { path, source }),
+        };
         let operator = Operator::load(var("PETRELGAUGE_FILE").as_deref())?;
-        let config = Config::parse(&text, var, first).map_err(|cause| format!("{path}: {cause}"))?;
-        Ok(Config { operator, ..config })
+        match Config::parse(&text, var, precedence) {
+            Ok(config) => Ok(Config { operator, ..config }),
+            Err(source) => Err(ConfigError::InvalidFile { path, source }),
+        }
     }
 
-    fn parse(text: &str, var: impl Fn(&str) -> Option<String>, first: First) -> Result<Config, String> {
-        let file: File = serde_json::from_str(text).map_err(|cause| cause.to_string())?;
+    fn parse(
+        text: &str,
+        var: impl Fn(&str) -> Option<String>,
+        precedence: Precedence,
+    ) -> Result<Config, ConfigFileError> {
+        let file: File = serde_json::from_str(text)?;
+        let values = Values { var };
         let mut keys = BTreeSet::new();
         list_keys("", &file.settings, &mut keys);
-        let mut hasher = DefaultHasher::new();
-        file.settings.to_string().hash(&mut hasher);
-        let mut unknown = Vec::new();
-        let info: Info = serde_ignored::deserialize(file.settings, |path| unknown.push(path.to_string()))
-            .map_err(|cause| format!("settings: {cause}"))?;
-        unknown.iter().for_each(|key| log::info!("settings: {key} is not known here and changes nothing"));
-        let either = |name: &str, value: Option<String>, first: First| {
-            let found = if first == First::File { value.or_else(|| var(name)) } else { var(name).or(value) };
-            found.ok_or(format!("neither {name} nor the file says it"))
-        };
-        let address = |name: &str, value: Option<String>, first: First| -> Result<SocketAddr, String> {
-            let text = either(name, value, first)?;
-            text.parse().map_err(|_| format!("{name}: {text:?} is not an address with a port"))
-        };
-        let listed = |name: &str, text: &str| -> Result<SocketAddr, String> {
-            text.parse().map_err(|_| format!("{name}: {text:?} is not an address with a port"))
-        };
+        let digest = digest(&file.settings);
+        let info = read_settings(file.settings)?;
+        let listen = values.required("GW_LISTEN", file.listen, Precedence::Environment)?;
+        let discovery = values.required("GW_DISCOVERY", file.discovery, precedence)?;
+        let ops = (values.var)("GW_OPS").or(file.ops);
+        let peer_listen = file.peer_listen;
+        let peers = file.peers.into_iter().map(|text| address("peers", text));
         Ok(Config {
-            listen: address("GW_LISTEN", file.listen, First::Environment)?,
-            discovery: address("GW_DISCOVERY", file.discovery, first)?,
-            ops: var("GW_OPS").or(file.ops).map(|text| listed("ops", &text)).transpose()?,
-            seed: u64::from_str_radix(&file.seed, 16)
-                .map_err(|_| format!("seed: {:?} is not a hexadecimal number", file.seed))?,
-            name: either("GW_NAME", file.name, First::Environment)?,
+            listen: address("GW_LISTEN", listen)?,
+            discovery: address("GW_DISCOVERY", discovery)?,
+            ops: ops.map(|text| address("ops", text)).transpose()?,
+            seed: seed(file.seed)?,
+            name: values.required("GW_NAME", file.name, Precedence::Environment)?,
             sockets: file.limits.sockets,
             memory: file.limits.memory_mb.saturating_mul(1024 * 1024),
             known: file.known,
             info,
-            digest: hasher.finish(),
+            digest,
             keys,
-            peer_listen: file.peer_listen.map(|text| listed("peer_listen", &text)).transpose()?,
-            peers: file.peers.iter().map(|text| listed("peers", text)).collect::<Result<_, _>>()?,
+            peer_listen: peer_listen.map(|text| address("peer_listen", text)).transpose()?,
+            peers: peers.collect::<Result<_, _>>()?,
             operator: Operator::default(),
         })
     }
 }
 
+/// Values that the environment or the file may give.
+struct Values<V> {
+    var: V,
+}
+
+impl<V: Fn(&str) -> Option<String>> Values<V> {
+    /// The value of a variable or, by precedence, that of the file.
+    fn required(
+        &self,
+        name: &'static str,
+        in_file: Option<String>,
+        precedence: Precedence,
+    ) -> Result<String, ConfigFileError> {
+        let found = match precedence {
+            Precedence::Environment => (self.var)(name).or(in_file),
+            Precedence::File => in_file.or_else(|| (self.var)(name)),
+        };
+        found.ok_or(ConfigFileError::MissingValue(name))
+    }
+}
+
+fn address(name: &'static str, text: String) -> Result<SocketAddr, ConfigFileError> {
+    text.parse().map_err(|_| ConfigFileError::InvalidAddress { name, text })
+}
+
+fn seed(text: String) -> Result<u64, ConfigFileError> {
+    u64::from_str_radix(&text, 16).map_err(|_| ConfigFileError::InvalidSeed(text))
+}
+
+fn digest(settings: &Value) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    settings.to_string().hash(&mut hasher);
+    hasher.finish()
+}
+
+/// Reads the deployment's settings. Keys that are not known are logged and skipped.
+fn read_settings(settings: Value) -> Result<Info, ConfigFileError> {
+    let mut unknown = Vec::new();
+    let info = serde_ignored::deserialize(settings, |path| unknown.push(path.to_string()))
+        .map_err(ConfigFileError::InvalidSettings)?;
+    for key in unknown {
+        log::info!("settings: {key} is not known here and changes nothing");
+    }
+    Ok(info)
+}
+
 /// The paths of all keys of a value, but for those within lists: what their entries need depends on what they are.
 fn list_keys(path: &str, value: &Value, keys: &mut BTreeSet<String>) {
     for (key, value) in value.as_object().into_iter().flatten() {
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -2,7 +2,7 @@
 //! other. It serves no client by itself. The program builds one and puts a front before it; the laboratory builds many
 //! in one process and gives each of them demand that nobody sent.
 
-use crate::facade::Facade;
+use crate::facade::{Facade, NotTaken};
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
 use crate::net::config::Config;
@@ -14,16 +14,20 @@
 use crate::net::peers::{DatagramSocket, Peers};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::share_out::{Demand, ShareOut};
-use crate::{Class, MemberId, Need, Settings, Time};
+use crate::operator::SessionClassesError;
+use crate::settings::DeploymentError;
+use crate::{Class, MemberId, Need, Settings, SettingsError, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
 use petrelgauge_ownership::Office;
-use petrelgauge_sessions::{Keeper, SettingsError};
+use petrelgauge_sessions::Keeper;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
 use std::future::Future;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -37,6 +41,52 @@
 /// is refused sooner has more time left than it is told to stay away, and comes back with nothing of it left.
 const WAY: Time = 3_000;
 
+/// Why the control part cannot start, or cannot follow a configuration that was read again.
+#[derive(Debug, Error)]
+pub enum ControlError {
+    /// A value of the deployment's settings is missing or not known.
+    #[error("settings: {0}")]
+    Deployment(#[from] DeploymentError),
+    /// A figure of the deployment's settings is out of range.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
+    /// The running gateway cannot take the settings.
+    #[error("settings: {0}")]
+    NotTaken(NotTaken),
+    /// Sessions cannot be kept for the classes that the operator names.
+    #[error(transparent)]
+    SessionClasses(#[from] SessionClassesError),
+    /// The settings of the sessions are out of range.
+    #[error("sessions: {0}")]
+    Sessions(#[from] petrelgauge_sessions::SettingsError),
+    /// The settings of the shared duties are out of range.
+    #[error("ownership: {0}")]
+    Ownership(#[from] petrelgauge_ownership::SettingsError),
+    /// The operator's record needs other instances, and the configuration does not say where they reach this one.
+    #[error("{record}: the configuration names no peer_listen")]
+    MissingPeerListen {
+        /// The record of the operator's file.
+        record: &'static str,
+    },
+    /// The operator's record needs other instances, and this gateway is not listed among them.
+    #[error("{record}: this gateway is none of the peers")]
+    NotListedFor {
+        /// The record of the operator's file.
+        record: &'static str,
+    },
+    /// This gateway is not listed among the peers.
+    #[error("peers: this gateway is none of them")]
+    NotListed,
+    /// The address for datagrams of other instances cannot be bound.
+    #[error("cannot listen to other instances at {address}: {source}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+}
+
 /// The decisions of one gateway, before the first list.
 pub struct Decisions {
     /// The decisions.
@@ -51,15 +101,18 @@
 }
 
 impl Decisions {
-    /// Those of this configuration. The cause of a failure is one plain sentence.
-    pub fn new(config: &Config, now: Time) -> Result<Decisions, String> {
+    /// Those of this configuration.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings, or what the operator has set of sessions, cannot be used.
+    pub fn new(config: &Config, now: Time) -> Result<Decisions, ControlError> {
         let mut settings = settings(config)?;
         let (sessions, exchange) = sessions(config, &settings.classes, now)?;
         let hold = sessions.as_ref().map_or(0, |(keeper, _)| keeper.settings().hold);
         settings.hold = hold;
         let (most_open, gateways) = (settings.most_open, settings.routers);
-        let facade = Facade::with_sessions(settings, config.seed, sessions)
-            .map_err(|cause| format!("settings: {cause}"))?;
+        let facade = Facade::with_sessions(settings, config.seed, sessions)?;
         Ok(Decisions { facade, most_open, hold, gateways, exchange })
     }
 }
@@ -107,7 +160,7 @@
         decisions: Decisions,
         environment: Environment,
         bind: impl FnOnce(SocketAddr) -> F,
-    ) -> Result<Control<S>, String> {
+    ) -> Result<Control<S>, ControlError> {
         let Environment { clock, budget, read_buffer, counters, demand, given } = environment;
         let Decisions { facade, gateways, exchange, .. } = decisions;
         let (connect, idle) = (config.info.connect_span(), config.info.idle_span());
@@ -121,10 +174,9 @@
         let listen = exchange.or(config.peer_listen.filter(|_| duties.is_some()));
         let mut peers = None;
         if let Some(listen) = listen {
-            let place = config.place().ok_or("peers: this gateway is none of them")?;
+            let place = config.place().ok_or(ControlError::NotListed)?;
             let socket = bind(listen).await;
-            let socket =
-                socket.map_err(|cause| format!("cannot listen to other instances at {listen}: {cause}"))?;
+            let socket = socket.map_err(|source| ControlError::Bind { address: listen, source })?;
             peers = Some(Peers::new(socket, place, config.peers.clone()));
         }
         let follower = Some(follower);
@@ -165,13 +217,13 @@
     now: Time,
     facade: &Facade,
     hosts: &Hosts,
-) -> Result<(Config, u32), String> {
+) -> Result<(Config, u32), ControlError> {
     let mut settings = settings(&new)?;
     let carrying = carrying(&new, &settings.classes)?;
     (settings.hold, settings.most_open) = (hold, settings.most_open.min(old.sockets as u32 / 3));
     let open = settings.most_open;
     let (connect, idle) = (new.info.connect_span(), new.info.idle_span());
-    facade.follow(now, settings, &carrying).map_err(|cause| format!("settings: {cause}"))?;
+    facade.follow(now, settings, &carrying).map_err(ControlError::NotTaken)?;
     hosts.follow(connect, idle);
     let unmoved = old.unmoved(&new);
     if !unmoved.is_empty() {
@@ -189,15 +241,15 @@
     counters: &Rc<Counters>,
     names: &Rc<HostNames>,
     demand: Demand,
-) -> Result<Option<Rc<Duties>>, String> {
+) -> Result<Option<Rc<Duties>>, ControlError> {
     let Some(set) = &config.operator.ownership else { return Ok(None) };
     if config.peer_listen.is_none() {
-        return Err("ownership: the configuration names no peer_listen".into());
+        return Err(ControlError::MissingPeerListen { record: "ownership" });
     }
-    let me = config.place().ok_or("ownership: this gateway is none of the peers")?;
+    let me = config.place().ok_or(ControlError::NotListedFor { record: "ownership" })?;
     let settings = set.settings(me, config.peers.len())?;
     let now = clock.now();
-    let office = Office::new(settings, now, config.seed).map_err(|cause| format!("ownership: {cause}"))?;
+    let office = Office::new(settings, now, config.seed)?;
     // A process that starts again must not take what was given to the one before it.
     let drawn = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
     let shares = set.shares.then(|| ShareOut::new(&office, set.shards, drawn, facade.clone(), clock, demand));
@@ -211,18 +263,17 @@
 
 /// The sessions that the operator has switched on, or else what the deployment asks for by itself: marks of this
 /// instance's own answers, since its start.
-fn sessions(config: &Config, classes: &[Class], now: Time) -> Result<Kept, String> {
-    let refused = |cause: SettingsError| format!("sessions: {cause}");
+fn sessions(config: &Config, classes: &[Class], now: Time) -> Result<Kept, ControlError> {
     if let Some(set) = &config.operator.sessions {
         let (places, mut settings) = (carrying(config, classes)?, set.settings.clone());
         let mut exchange = None;
         if set.peers {
-            let listen = config.peer_listen.ok_or("sessions: the configuration names no peer_listen")?;
-            let me = config.place().ok_or("sessions: this gateway is none of the peers")?;
+            let listen = config.peer_listen.ok_or(ControlError::MissingPeerListen { record: "sessions" })?;
+            let me = config.place().ok_or(ControlError::NotListedFor { record: "sessions" })?;
             (settings.me, settings.instances) = (me as u16, config.peers.len().min(u16::MAX.into()) as u16);
             exchange = Some(listen);
         }
-        return Ok((Some((Keeper::new(settings, now).map_err(refused)?, places)), exchange));
+        return Ok((Some((Keeper::new(settings, now)?, places)), exchange));
     }
     let places = carrying(config, classes)?;
     if places.is_empty() {
@@ -231,12 +282,12 @@
     let (positions, checks) = (config.info.tells_positions(), config.info.checks());
     let told = petrelgauge_sessions::Settings { positions, checks, ..Default::default() };
     let settings = petrelgauge_sessions::Settings { roams: false, tokens: false, ..told };
-    Ok((Some((Keeper::new(settings, 0).map_err(refused)?, places)), None))
+    Ok((Some((Keeper::new(settings, 0)?, places)), None))
 }
 
 /// Places of the classes that carry sessions: those that the operator names, or else those that the deployment asks
 /// for by itself.
-fn carrying(config: &Config, classes: &[Class]) -> Result<Vec<usize>, String> {
+fn carrying(config: &Config, classes: &[Class]) -> Result<Vec<usize>, SessionClassesError> {
     if let Some(set) = &config.operator.sessions {
         return set.places(classes);
     }
@@ -248,8 +299,8 @@
 }
 
 /// The settings of a configuration, as this gateway keeps them.
-fn settings(config: &Config) -> Result<Settings, String> {
-    let mut settings = config.info.settings().map_err(|cause| format!("settings: {cause}"))?;
+fn settings(config: &Config) -> Result<Settings, DeploymentError> {
+    let mut settings = config.info.settings()?;
     // The protocol has no probes, and the watch of discovery is always open.
     settings.may_probe = false;
     settings.list_on_request = false;
--- a/src/net/inherited.rs
+++ b/src/net/inherited.rs
@@ -3,26 +3,44 @@
 //! `$GW_ACCEPT_FD` names its descriptor. Adopting one takes code that is not safe, which stays in a library: it reads
 //! the names of systemd's protocol, which are set here before anything else runs.
 
+use std::io;
 use std::net::TcpListener;
+use thiserror::Error;
 
-/// Descriptors below it are the standard streams.
-const FIRST: i32 = 3;
+/// The first descriptor after the standard streams.
+const FIRST_DESCRIPTOR: i32 = 3;
 
-/// Adopts the socket that the environment names, if it names one. To be called once, before there are threads. The
-/// cause of a failure is one plain sentence.
-pub fn listener(var: impl Fn(&str) -> Option<String>) -> Result<Option<TcpListener>, String> {
+/// Why the inherited socket cannot be used.
+#[derive(Debug, Error)]
+pub enum InheritedSocketError {
+    /// The variable holds no number, or that of a standard stream.
+    #[error("GW_ACCEPT_FD: {0:?} is not the number of a descriptor")]
+    InvalidDescriptor(String),
+    /// No descriptor of this number is open.
+    #[error("GW_ACCEPT_FD: descriptor {0} is not there")]
+    Missing(String),
+    /// The descriptor is not a listening socket, or the system refuses its use.
+    #[error("GW_ACCEPT_FD: {0}")]
+    Unusable(#[from] io::Error),
+}
+
+/// Adopts the socket that the environment names, if it names one. To be called once, before there are threads.
+///
+/// # Errors
+///
+/// Fails if the variable names no descriptor, or one that is not a listening socket.
+pub fn listener(var: impl Fn(&str) -> Option<String>) -> Result<Option<TcpListener>, InheritedSocketError> {
     let Some(text) = var("GW_ACCEPT_FD") else { return Ok(None) };
-    let number = text.parse().ok().filter(|number: &i32| *number >= FIRST);
-    number.ok_or(format!("GW_ACCEPT_FD: {text:?} is not the number of a descriptor"))?;
+    let number = text.parse().ok().filter(|number: &i32| *number >= FIRST_DESCRIPTOR);
+    number.ok_or_else(|| InheritedSocketError::InvalidDescriptor(text.clone()))?;
     let names = [
         ("LISTEN_PID", std::process::id().to_string()),
         ("LISTEN_FDS", "1".to_string()),
         ("LISTEN_FDS_FIRST_FD", text.clone()),
     ];
     names.into_iter().for_each(|(name, value)| std::env::set_var(name, value));
-    let taken = listenfd::ListenFd::from_env().take_tcp_listener(0);
-    let listener = taken.map_err(|cause| format!("GW_ACCEPT_FD: {cause}"))?;
-    let listener = listener.ok_or(format!("GW_ACCEPT_FD: descriptor {text} is not there"))?;
-    listener.set_nonblocking(true).map_err(|cause| format!("GW_ACCEPT_FD: {cause}"))?;
+    let listener = listenfd::ListenFd::from_env().take_tcp_listener(0)?;
+    let listener = listener.ok_or(InheritedSocketError::Missing(text))?;
+    listener.set_nonblocking(true)?;
     Ok(Some(listener))
 }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,8 +1,15 @@
 //! What the platform tells the process by signals. Listened to before anything else is done: a signal that nobody listens
 //! to ends the process, and a configuration that is told of while the old one is being read must be read too.
 
+use std::io;
+use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
+/// The handler of a signal cannot be registered.
+#[derive(Debug, Error)]
+#[error("cannot listen to signals: {0}")]
+pub struct SignalError(#[from] io::Error);
+
 /// The signals that mean something here.
 pub struct Signals {
     term: Signal,
@@ -23,14 +30,17 @@
 }
 
 impl Signals {
-    /// Listens from now on.
-    pub fn listen() -> Result<Signals, String> {
-        let on = |kind| signal(kind).map_err(|cause| format!("cannot listen to signals: {cause}"));
+    /// Registers the handlers of all signals.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system refuses one of them.
+    pub fn listen() -> Result<Signals, SignalError> {
         Ok(Signals {
-            term: on(SignalKind::terminate())?,
-            interrupt: on(SignalKind::interrupt())?,
-            usr1: on(SignalKind::user_defined1())?,
-            hangup: on(SignalKind::hangup())?,
+            term: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            usr1: signal(SignalKind::user_defined1())?,
+            hangup: signal(SignalKind::hangup())?,
         })
     }
 
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -2,8 +2,37 @@
 
 use crate::{Class, Need, Time};
 use petrelgauge_config_language::{Record, RecordError};
-use petrelgauge_ownership::{Settings as Spans, MOST_SHARDS};
+use petrelgauge_ownership::{Settings as Spans, SettingsError as OwnershipError, MOST_SHARDS};
 use petrelgauge_sessions::{Promise, Settings, Told};
+use std::io;
+use thiserror::Error;
+
+/// Why the operator's file cannot be used.
+#[derive(Debug, Error)]
+pub enum OperatorError {
+    /// The file cannot be read.
+    #[error("cannot read {path}: {source}")]
+    Unreadable {
+        /// The path as the environment gives it.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file can be read, but a record or field of it is wrong.
+    #[error(transparent)]
+    Invalid(#[from] RecordError),
+}
+
+/// Why sessions cannot be kept for the classes that the operator names.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum SessionClassesError {
+    /// The deployment has no class of this name.
+    #[error("sessions: classes: the deployment has no class {0:?}")]
+    UnknownClass(String),
+    /// All classes read, or all write: there is nothing to keep.
+    #[error("sessions: classes: at least one class that writes and one that reads")]
+    ReadsAndWritesNeeded,
+}
 
 /// What an operator has set.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -45,11 +74,16 @@
 }
 
 impl Operator {
-    /// Reads the file of this name, if there is one to read. The cause of a failure is one plain sentence.
-    pub fn load(path: Option<&str>) -> Result<Operator, String> {
+    /// Reads the file at `path`; without a path, nothing is switched on.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file cannot be read or is not valid.
+    pub fn load(path: Option<&str>) -> Result<Operator, OperatorError> {
         let Some(path) = path else { return Ok(Operator::default()) };
-        let text = std::fs::read_to_string(path).map_err(|cause| format!("cannot read {path}: {cause}"))?;
-        Operator::read(path, &text).map_err(|cause| cause.to_string())
+        let unreadable = |source| OperatorError::Unreadable { path: path.to_string(), source };
+        let text = std::fs::read_to_string(path).map_err(unreadable)?;
+        Ok(Operator::read(path, &text)?)
     }
 
     /// Reads the text of a file.
@@ -64,28 +98,36 @@
 }
 
 impl Ownership {
-    /// What the gateway `me` of so many is told. The cause of a failure is one plain sentence.
-    pub fn settings(&self, me: usize, gateways: usize) -> Result<Spans, String> {
+    /// The ownership settings of the gateway number `me` among `gateways`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the lease, the drift or the electors cannot work with so many gateways.
+    pub fn settings(&self, me: usize, gateways: usize) -> Result<Spans, OwnershipError> {
         let count = self.electors.min(gateways);
         let electors = (0..count).map(|place| (place * gateways / count) as u16).collect();
         let (me, gateways) = (me as u16, gateways.min(u16::MAX.into()) as u16);
         let settings = Spans { me, gateways, electors, ..self.spans.clone() };
-        settings.check().map(|()| settings).map_err(|cause| format!("ownership: {cause}"))
+        settings.check()?;
+        Ok(settings)
     }
 }
 
 impl Sessions {
-    /// Places of the classes that carry sessions. One that the deployment lacks is an error, and so is a write's
-    /// class without reads or reads without a class that writes: then there is nothing to keep.
-    pub fn places(&self, classes: &[Class]) -> Result<Vec<usize>, String> {
+    /// Indices of the classes that carry sessions.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the deployment lacks one of the classes, or if not at least one reads and one writes.
+    pub fn places(&self, classes: &[Class]) -> Result<Vec<usize>, SessionClassesError> {
         let place = |name: &String| {
             let found = classes.iter().position(|class| class.name == *name);
-            found.ok_or(format!("sessions: classes: the deployment has no class {name:?}"))
+            found.ok_or_else(|| SessionClassesError::UnknownClass(name.clone()))
         };
         let places: Vec<usize> = self.classes.iter().map(place).collect::<Result<_, _>>()?;
         let writes = places.iter().filter(|place| classes[**place].need == Need::Write).count();
         if writes == 0 || writes == places.len() {
-            return Err("sessions: classes: at least one class that writes and one that reads".into());
+            return Err(SessionClassesError::ReadsAndWritesNeeded);
         }
         Ok(places)
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,6 +3,45 @@
 
 use petrelgauge_policy::*;
 use serde::Deserialize;
+use thiserror::Error;
+
+/// Why the settings of a deployment cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum DeploymentError {
+    /// A class has no read level, or one that is not known.
+    #[error("read_level: class {class:?} has unknown level {level:?}")]
+    UnknownReadLevel {
+        /// Name of the class.
+        class: String,
+        /// The level in the settings, if there is one.
+        level: Option<String>,
+    },
+    /// The value of `idempotency` is not known.
+    #[error("idempotency: class {class:?} has unknown effect {effect:?}")]
+    UnknownEffect {
+        /// Name of the class.
+        class: String,
+        /// The value in the settings.
+        effect: String,
+    },
+    /// The scope of a class's idempotency keys is not known.
+    #[error("group: class {class:?} has unknown scope {scope:?}")]
+    UnknownScope {
+        /// Name of the class.
+        class: String,
+        /// The value in the settings.
+        scope: String,
+    },
+    /// A class with idempotency keys does not say how long they are remembered.
+    #[error("class {class:?} is keyed and names no window_us")]
+    MissingWindow {
+        /// Name of the class.
+        class: String,
+    },
+    /// The value of `when_behind` is not known.
+    #[error("when_behind: unknown value {0:?}")]
+    UnknownWhenBehind(String),
+}
 
 /// The settings as the operators write them. Keys that are not known are skipped.
 #[derive(Debug, Deserialize)]
@@ -164,8 +203,12 @@
         self.bounds.conn_idle_us
     }
 
-    /// The settings in the words of the decisions. The cause of a failure is one plain sentence.
-    pub fn settings(&self) -> Result<Settings, String> {
+    /// The settings as the routing decisions take them.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a value is missing or is not one of those that are known.
+    pub fn settings(&self) -> Result<Settings, DeploymentError> {
         let family = &self.family_info;
         let mut classes = Vec::new();
         for (place, class) in self.classes.iter().enumerate() {
@@ -206,7 +249,7 @@
                 "off" => Behind::Serve,
                 "bounce" => Behind::Refuse,
                 "await" => Behind::Wait(family.catch_up_wait_us),
-                other => return Err(format!("when_behind: unknown value {other:?}")),
+                other => return Err(DeploymentError::UnknownWhenBehind(other.to_string())),
             },
             list_role: match family.shows_role.as_str() {
                 "trailing" => ListRole::Trailing,
@@ -224,32 +267,39 @@
     }
 }
 
-fn need(family: &Family, place: usize, class: &str) -> Result<Need, String> {
+fn need(family: &Family, place: usize, class: &str) -> Result<Need, DeploymentError> {
     Ok(match family.read_level.get(place).map(String::as_str) {
         Some("mutate") => Need::Write,
         Some("strong") => Need::Strong,
         Some("causal") => Need::Session,
         Some("lag_bound") => Need::Bounded(family.staleness_bound_us.get(place).copied().unwrap_or(-1)),
         Some("eventual") => Need::Eventual,
-        other => return Err(format!("read_level: class {class:?} has unknown level {other:?}")),
+        other => {
+            let (class, level) = (class.to_string(), other.map(str::to_string));
+            return Err(DeploymentError::UnknownReadLevel { class, level });
+        }
     })
 }
 
-fn effect(class: &WireClass) -> Result<Effect, String> {
-    let name = &class.name;
+fn effect(class: &WireClass) -> Result<Effect, DeploymentError> {
+    let name = || class.name.clone();
     Ok(match class.idempotency.as_str() {
         "safe" => Effect::Safe,
         "unsafe" => Effect::Unsafe,
         "keyed" => Effect::Keyed {
-            window: class.window_us.ok_or(format!("class {name:?} is keyed and names no window_us"))?,
+            window: class.window_us.ok_or_else(|| DeploymentError::MissingWindow { class: name() })?,
             scope: match class.group.as_str() {
                 "all" => Scope::All,
                 "zone" => Scope::Zone,
                 "cell" => Scope::Group,
-                other => return Err(format!("group: class {name:?} has unknown scope {other:?}")),
+                other => {
+                    return Err(DeploymentError::UnknownScope { class: name(), scope: other.to_string() })
+                }
             },
         },
-        other => return Err(format!("idempotency: class {name:?} has unknown effect {other:?}")),
+        other => {
+            return Err(DeploymentError::UnknownEffect { class: name(), effect: other.to_string() });
+        }
     })
 }
 
