--- a/src/main.rs
+++ b/src/main.rs
@@ -90,7 +90,7 @@
     };
     let mut control = Control::new(&mut config, decisions, environment, bind_datagrams).await?;
     let (hosts, duties) = (control.hosts.clone(), control.duties.clone());
-    let (told, names) = (control.told.clone(), control.names.clone());
+    let (told, names) = (control.has_spoken.clone(), control.names.clone());
     let heard = told.clone();
     let patience_until = clock.now() + LIST_PATIENCE;
     let mut reread = None;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told at its start: the environment and the JSON file it names.
 
-use crate::net::discovery::List;
+use crate::net::endpoint_list::List;
 use crate::operator::{Operator, OperatorError};
 use crate::settings::{DeploymentError, Info};
 use crate::SettingsError;
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -7,7 +7,7 @@
 use crate::net::clock::Clock;
 use crate::net::config::Config;
 use crate::net::counters::Counters;
-use crate::net::discovery::Follower;
+use crate::net::discovery::DiscoveryWatch;
 use crate::net::duties::{Duties, Plan};
 use crate::net::host_names::HostNames;
 use crate::net::hosts::Hosts;
@@ -143,13 +143,13 @@
     pub duties: Option<Rc<Duties>>,
     /// The names and numbers of the hosts.
     pub names: Rc<HostNames>,
-    /// Discovery has spoken since the start.
-    pub told: Rc<Cell<bool>>,
+    /// Discovery has sent a usable list since the start.
+    pub has_spoken: Rc<Cell<bool>>,
     /// The revision of the list that is held.
     pub revision: Rc<Cell<u64>>,
     clock: Clock,
     counters: Rc<Counters>,
-    follower: Option<Follower>,
+    discovery_watch: Option<DiscoveryWatch>,
     peers: Option<Peers<S>>,
 }
 
@@ -167,9 +167,17 @@
         let hosts = Hosts::new(clock, budget, counters.clone(), read_buffer, connect, idle);
         let backoff = Backoff::new(gateways, config.seed.rotate_left(32));
         let known = config.known.take();
-        let follower =
-            Follower::new(facade.clone(), hosts.clone(), counters.clone(), clock, known, backoff, given);
-        let (told, names, revision) = (follower.told(), follower.names(), follower.revision());
+        let discovery_watch = DiscoveryWatch::new(
+            facade.clone(),
+            hosts.clone(),
+            counters.clone(),
+            clock,
+            known,
+            backoff,
+            given,
+        );
+        let (has_spoken, names) = (discovery_watch.has_spoken(), discovery_watch.names());
+        let revision = discovery_watch.revision();
         let duties = duties(config, &facade, clock, &counters, &names, demand)?;
         let listen = exchange.or(config.peer_listen.filter(|_| duties.is_some()));
         let mut peers = None;
@@ -179,14 +187,25 @@
             let socket = socket.map_err(|source| ControlError::Bind { address: listen, source })?;
             peers = Some(Peers::new(socket, place, config.peers.clone()));
         }
-        let follower = Some(follower);
-        Ok(Control { facade, hosts, duties, names, told, revision, clock, counters, follower, peers })
+        let discovery_watch = Some(discovery_watch);
+        Ok(Control {
+            facade,
+            hosts,
+            duties,
+            names,
+            has_spoken,
+            revision,
+            clock,
+            counters,
+            discovery_watch,
+            peers,
+        })
     }
 
     /// Starts its tasks, none of which ends by itself. The watch is kept at the address that `discovery` names last.
     pub fn start(&mut self, tasks: &mut JoinSet<()>, discovery: watch::Receiver<SocketAddr>) {
-        if let Some(follower) = self.follower.take() {
-            tasks.spawn_local(follower.follow(discovery));
+        if let Some(watch) = self.discovery_watch.take() {
+            tasks.spawn_local(watch.follow(discovery));
         }
         tasks.spawn_local(keep_time(self.facade.clone(), self.clock));
         tasks.spawn_local(keep_clean(self.hosts.clone(), self.clock));
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,15 +3,16 @@
 use crate::facade::Facade;
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
+pub use crate::net::endpoint_list::List;
+use crate::net::endpoint_list::{Phase, Row};
 use crate::net::host_names::HostNames;
 use crate::net::hosts::{Hosts, Site};
 pub use crate::net::lines::Lines;
 use crate::net::lines::{Text, REFUSED};
 use crate::net::source::{call, open, Answer};
-use crate::{Entry, MemberId, MemberStatus, Time};
+use crate::{Entry, MemberId, Time};
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
 use petrelgauge_lifecycle::watch::{Holding, AGAIN};
-use serde::Deserialize;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -22,132 +23,82 @@
 
 /// Span in which a host that was removed keeps its number (microseconds). Nothing of it is out by then, and
 /// the decisions remember it no longer.
-const REMEMBERED: Time = 60_000_000;
+const REMOVED_HOST_RETENTION: Time = 60_000_000;
 
-/// A list as discovery writes it: whole, or what changed.
-#[derive(Debug, Clone, Deserialize)]
-pub struct List {
-    revision: u64,
-    complete: bool,
-    members: Vec<Row>,
-}
-
-#[derive(Debug, Clone, Deserialize)]
-struct Row {
-    id: String,
-    host_port: Option<SocketAddr>,
-    #[serde(default)]
-    locality: String,
-    #[serde(default)]
-    cell: u64,
-    phase: Phase,
-    #[serde(default = "one")]
-    size: f64,
-    #[serde(default)]
-    up_since_ms: Time,
-    #[serde(default)]
-    replication: Option<String>,
-}
-
-impl Row {
-    fn started(&self) -> Time {
-        self.up_since_ms.saturating_mul(1000).max(0)
-    }
-}
-
-impl List {
-    /// Half a list is none: nothing of it is used if a host that runs has no address. Gives the first such.
-    fn unusable(&self) -> Option<&str> {
-        let mut rows = self.members.iter();
-        rows.find(|row| row.phase != Phase::Removed && row.host_port.is_none()).map(|row| row.id.as_str())
-    }
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum Phase {
-    Up,
-    Draining,
-    Removed,
-}
-
-/// Follows discovery and tells the facade and the hosts.
-pub struct Follower {
+/// Follows the endpoint list of discovery and updates the decisions and the host connections.
+pub struct DiscoveryWatch {
     facade: Facade,
     hosts: Rc<Hosts>,
     counters: Rc<Counters>,
     clock: Clock,
     /// The decisions know hosts by number; discovery's names stay the same at every gateway and restart.
-    numbers: BTreeMap<String, Known>,
-    next: MemberId,
+    hosts_by_name: BTreeMap<String, KnownHost>,
+    next_id: MemberId,
     holding: Holding,
     backoff: Backoff,
-    /// It has spoken since the start.
-    told: Rc<Cell<bool>>,
+    /// Discovery has sent a usable list since the start.
+    has_spoken: Rc<Cell<bool>>,
     /// The names and numbers, for whoever else needs them.
     names: Rc<HostNames>,
     /// The revision that is held.
     revision: Rc<Cell<u64>>,
 }
 
-/// A host that discovery named.
-struct Known {
+/// A host that discovery has listed.
+struct KnownHost {
     id: MemberId,
-    /// When it last started: what is told of an earlier run is old.
+    /// When it last started (microseconds of Unix time). Rows about an earlier run are skipped.
     started: Time,
-    /// Since when it is named no more.
-    gone: Option<Time>,
+    /// When it was removed from the list (microseconds of the gateway's clock).
+    removed_at: Option<Time>,
 }
 
-impl Follower {
-    /// A follower that starts from the list as it was last known. `numbers` are those that another process of this
-    /// gateway has given.
+impl DiscoveryWatch {
+    /// A watch that starts from the list `initial`. `assigned` are the numbers that another process of this gateway has
+    /// assigned to hosts.
     pub fn new(
         facade: Facade,
         hosts: Rc<Hosts>,
         counters: Rc<Counters>,
         clock: Clock,
-        known: Option<List>,
+        initial: Option<List>,
         backoff: Backoff,
-        given: Vec<(String, MemberId)>,
-    ) -> Follower {
-        let next = given.iter().map(|(_, id)| id.wrapping_add(1)).max().unwrap_or(0);
-        let gone = Some(clock.now());
-        let numbers = given.into_iter().map(|(name, id)| (name, Known { id, started: 0, gone })).collect();
-        let (holding, names) = (Holding::default(), Rc::default());
-        let (told, revision) = (Rc::default(), Rc::default());
-        let mut follower = Follower {
+        assigned: Vec<(String, MemberId)>,
+    ) -> DiscoveryWatch {
+        let next_id = assigned.iter().map(|(_, id)| id.wrapping_add(1)).max().unwrap_or(0);
+        let names = Rc::new(HostNames::default());
+        let mut hosts_by_name = BTreeMap::new();
+        for (name, id) in assigned {
+            names.insert(&name, id);
+            hosts_by_name.insert(name, KnownHost { id, started: 0, removed_at: Some(clock.now()) });
+        }
+        let mut watch = DiscoveryWatch {
             facade,
             hosts,
             counters,
             clock,
-            numbers,
-            next,
-            holding,
+            hosts_by_name,
+            next_id,
+            holding: Holding::default(),
             backoff,
-            told,
+            has_spoken: Rc::default(),
             names,
-            revision,
+            revision: Rc::default(),
         };
-        follower.numbers.iter().for_each(|(name, known)| follower.names.insert(name, known.id));
-        if let Some(list) = known {
+        if let Some(list) = initial {
             // Whatever it says of itself, it is all that is known: there is no older list to change.
-            follower.start_from(List { complete: true, ..list });
+            watch.apply_initial_list(List { complete: true, ..list });
         }
-        follower
+        watch
     }
 
-    fn start_from(&mut self, list: List) {
-        if let Some(id) = list.unusable() {
+    fn apply_initial_list(&mut self, list: List) {
+        if let Some(id) = list.host_without_address() {
             self.counters.bad_lists.add();
             return log::warn!("the list of the configuration cannot be used: {id} has no address");
         }
         self.holding.news(list.revision, true);
-        self.take(list);
+        self.apply(list);
     }
 
     /// The names and numbers of the hosts, kept up.
@@ -160,9 +111,9 @@
         self.revision.clone()
     }
 
-    /// Turns true once discovery has spoken.
-    pub fn told(&self) -> Rc<Cell<bool>> {
-        self.told.clone()
+    /// Turns true once discovery has sent a usable list.
+    pub fn has_spoken(&self) -> Rc<Cell<bool>> {
+        self.has_spoken.clone()
     }
 
     /// Keeps a watch open for good, always at the address that was named last.
@@ -210,9 +161,9 @@
                 read = answer.read(&stream, clock) => read,
                 called = finished(&mut call) => {
                     call = None;
-                    if let Err(cause) = called.and_then(|list| self.called(list)) {
+                    if let Err(cause) = called.and_then(|list| self.apply_complete_list(list)) {
                         log::debug!("a call for the whole list: {cause}");
-                        call = self.call(address);
+                        call = self.request_complete_list(address);
                     }
                     continue;
                 }
@@ -222,8 +173,8 @@
                 self.backoff.worked();
             }
             let texts = std::mem::take(&mut answer.texts);
-            if texts.into_iter().filter(|text| !self.text(text)).count() > 0 && call.is_none() {
-                call = self.call(address);
+            if texts.into_iter().filter(|text| !self.apply_update(text)).count() > 0 && call.is_none() {
+                call = self.request_complete_list(address);
             }
             if let Err(cause) = read {
                 break cause;
@@ -236,41 +187,41 @@
     }
 
     /// A call for the whole list, after a pause, if it is owed.
-    fn call(&mut self, address: SocketAddr) -> Option<Call> {
+    fn request_complete_list(&mut self, address: SocketAddr) -> Option<Call> {
         let from = self.clock.now() + AGAIN;
         self.holding.owed().then(|| Box::pin(call(address, from, self.clock)) as Call)
     }
 
     /// Uses what a call brought, unless the watch has brought what is newer.
-    fn called(&mut self, list: List) -> Result<(), String> {
-        let usable = list.complete && list.unusable().is_none();
+    fn apply_complete_list(&mut self, list: List) -> Result<(), String> {
+        let usable = list.complete && list.host_without_address().is_none();
         if !usable || !self.holding.called(list.revision) {
             return Err(format!("revision {}, usable: {usable}", list.revision));
         }
-        self.take(list);
+        self.apply(list);
         Ok(())
     }
 
     /// Uses a list that came on the watch. False if it cannot be used: one bad line must not take the good list away,
     /// nor may what it carried be lost.
-    fn text(&mut self, text: &Text) -> bool {
+    fn apply_update(&mut self, text: &Text) -> bool {
         let read = match text {
             Text::Whole(text) => serde_json::from_slice::<List>(text).map_err(|cause| cause.to_string()),
             Text::Broken => Err("it breaks off".into()),
         };
-        let whole = read.and_then(|list| match list.unusable() {
+        let whole = read.and_then(|list| match list.host_without_address() {
             Some(id) => Err(format!("{id} has no address")),
             None => Ok(list),
         });
         let flaw = match whole {
             Ok(list) => {
-                self.told.set(true);
-                if self.holding.is_new() && !self.numbers.is_empty() {
+                self.has_spoken.set(true);
+                if self.holding.is_new() && !self.hosts_by_name.is_empty() {
                     let List { revision, complete, .. } = list;
                     log::info!("the new discovery begins with revision {revision}, whole: {complete}");
                 }
                 if self.holding.news(list.revision, list.complete) {
-                    self.take(list);
+                    self.apply(list);
                     return true;
                 }
                 format!("revision {} is older than the one before it", list.revision)
@@ -283,77 +234,90 @@
         false
     }
 
-    fn take(&mut self, mut list: List) {
+    /// Uses a list: connections, decisions and the table of names follow it.
+    fn apply(&mut self, mut list: List) {
         self.counters.lists.add();
-        // The decisions pass over what is told of an earlier run of a host, and so does whoever connects to it.
-        let known = |row: &Row| self.numbers.get(&row.id).map_or(0, |known| known.started);
-        let stale: BTreeSet<String> =
-            list.members.iter().filter(|row| row.started() < known(row)).map(|row| row.id.clone()).collect();
-        let named_still = list.members.iter().filter(|row| stale.contains(&row.id));
-        let still: BTreeSet<MemberId> = named_still.map(|row| self.numbers[&row.id].id).collect();
-        list.members.retain(|row| !stale.contains(&row.id));
-        let mut entries = Vec::new();
+        let skipped = self.skip_earlier_runs(&mut list);
         let now = self.clock.now();
+        let entries: Vec<Entry> =
+            list.members.iter().map(|row| self.apply_row(row, list.revision, now)).collect();
+        if list.complete {
+            let listed = entries.iter().map(|entry| entry.member).chain(skipped).collect();
+            self.remove_unlisted(&listed, now);
+        }
+        self.forget_removed(now);
+        self.revision.set(list.revision);
+        log::debug!("list {}, {} entries, whole: {}", list.revision, entries.len(), list.complete);
+        self.facade.list(list.complete, entries);
+    }
+
+    /// Takes out rows about an earlier run of a host: the decisions pass over them, and so does whoever connects to it.
+    /// Gives the numbers of these hosts, which are listed nonetheless.
+    fn skip_earlier_runs(&self, list: &mut List) -> BTreeSet<MemberId> {
+        let mut skipped_names = BTreeSet::new();
+        let mut skipped_ids = BTreeSet::new();
         for row in &list.members {
-            let next = self.next;
-            let known = self.numbers.entry(row.id.clone()).or_insert_with(|| Known {
-                id: next,
-                started: 0,
-                gone: None,
-            });
-            self.names.insert(&row.id, known.id);
-            let (id, started) = (known.id, row.started());
-            known.started = started;
-            self.next = next.max(id.wrapping_add(1));
-            known.gone = (row.phase == Phase::Removed).then_some(known.gone.unwrap_or(now));
-            log::debug!(
-                "list host={id} name={} cluster={} zone={} phase={:?} up_since_ms={} role={} revision={}",
-                row.id,
-                row.cell,
-                row.locality,
-                row.phase,
-                row.up_since_ms,
-                row.replication.as_deref().unwrap_or("-"),
-                list.revision,
-            );
-            match row.host_port {
-                Some(address) if row.phase != Phase::Removed => {
-                    self.hosts.place(id, Site { address, started, up: row.phase == Phase::Up });
-                }
-                _ => self.hosts.remove(id),
+            let Some(host) = self.hosts_by_name.get(&row.id) else { continue };
+            if row.started() < host.started {
+                skipped_names.insert(row.id.clone());
+                skipped_ids.insert(host.id);
             }
-            entries.push(Entry {
-                member: id,
-                group: row.cell,
-                zone: row.locality.clone(),
-                weight: row.size,
-                started,
-                standing: match row.phase {
-                    Phase::Up => MemberStatus::Up,
-                    Phase::Draining => MemberStatus::Draining,
-                    Phase::Removed => MemberStatus::Removed,
-                },
-                primary: row.replication.as_deref() == Some("primary"),
-            });
         }
-        if list.complete {
-            let named = entries.iter().map(|entry| entry.member).chain(still).collect::<BTreeSet<MemberId>>();
-            self.hosts.keep_only(&|id| named.contains(&id));
-            let unnamed = self.numbers.values_mut().filter(|known| !named.contains(&known.id));
-            unnamed.for_each(|known| known.gone = known.gone.or(Some(now)));
+        list.members.retain(|row| !skipped_names.contains(&row.id));
+        skipped_ids
+    }
+
+    /// Registers a host, or what changed of it, and gives its entry for the decisions.
+    fn apply_row(&mut self, row: &Row, revision: u64, now: Time) -> Entry {
+        let id = self.register(row, now);
+        log::debug!(
+            "list host={id} name={} cluster={} zone={} phase={:?} up_since_ms={} role={} revision={revision}",
+            row.id,
+            row.cell,
+            row.locality,
+            row.phase,
+            row.up_since_ms,
+            row.replication.as_deref().unwrap_or("-"),
+        );
+        match row.host_port {
+            Some(address) if row.phase != Phase::Removed => {
+                self.hosts.place(id, Site { address, started: row.started(), up: row.phase == Phase::Up });
+            }
+            _ => self.hosts.remove(id),
+        }
+        row.entry(id)
+    }
+
+    /// The number of a host; a host that is new gets the next one.
+    fn register(&mut self, row: &Row, now: Time) -> MemberId {
+        let new = KnownHost { id: self.next_id, started: 0, removed_at: None };
+        let host = self.hosts_by_name.entry(row.id.clone()).or_insert(new);
+        host.started = row.started();
+        host.removed_at = (row.phase == Phase::Removed).then_some(host.removed_at.unwrap_or(now));
+        self.next_id = self.next_id.max(host.id.wrapping_add(1));
+        self.names.insert(&row.id, host.id);
+        host.id
+    }
+
+    /// A complete list has come: hosts that it does not name are removed.
+    fn remove_unlisted(&mut self, listed: &BTreeSet<MemberId>, now: Time) {
+        self.hosts.keep_only(&|id| listed.contains(&id));
+        for host in self.hosts_by_name.values_mut().filter(|host| !listed.contains(&host.id)) {
+            host.removed_at.get_or_insert(now);
         }
-        // Hosts are replaced for as long as the gateway runs. One that comes back later is a new one.
+    }
+
+    /// Forgets hosts that were removed long ago: hosts are replaced for as long as the gateway runs. One that comes back
+    /// later is a new one.
+    fn forget_removed(&mut self, now: Time) {
         let names = &self.names;
-        self.numbers.retain(|name, known| {
-            let kept = known.gone.is_none_or(|gone| now - gone < REMEMBERED);
+        self.hosts_by_name.retain(|name, host| {
+            let kept = host.removed_at.is_none_or(|removed_at| now - removed_at < REMOVED_HOST_RETENTION);
             if !kept {
                 names.remove(name);
             }
             kept
         });
-        self.revision.set(list.revision);
-        log::debug!("list {}, {} entries, whole: {}", list.revision, entries.len(), list.complete);
-        self.facade.list(list.complete, entries);
     }
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -10,6 +10,7 @@
 pub mod control;
 pub mod counters;
 pub mod discovery;
+pub mod endpoint_list;
 pub use petrelgauge_lifecycle::ending;
 mod client_reader;
 mod client_request;
--- a/src/net/source.rs
+++ b/src/net/source.rs
@@ -1,7 +1,7 @@
 //! Calls to discovery: a connection, the question, and the answer as it is read.
 
 use crate::net::clock::Clock;
-use crate::net::discovery::List;
+use crate::net::endpoint_list::List;
 use crate::net::lines::{Lines, Text, Texts, OVER};
 use crate::net::socket::{self, ByteStream, SocketError};
 use crate::Time;
