--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -140,7 +140,7 @@
             read_buffer: ReadBuffer::new(),
             counters: counters.clone(),
             demand: Rc::new(demand),
-            given: Vec::new(),
+            assigned: Vec::new(),
         };
         let bound = shared.clone();
         let bind = |listen: SocketAddr| async move {
--- /dev/null
+++ b/src/gateway_process.rs
@@ -0,0 +1,198 @@
+//! The event loop of a running gateway: signals, operators' commands, and the steps of its lifecycle.
+
+use crate::gateway_error::{GatewayError, ReloadError};
+use petrelgauge::facade::Facade;
+use petrelgauge::net::clock::Clock;
+use petrelgauge::net::config::{Config, ConfigError};
+use petrelgauge::net::control::reload;
+use petrelgauge::net::counters::Counters;
+use petrelgauge::net::duties::Duties;
+use petrelgauge::net::front::Front;
+use petrelgauge::net::handover::Handover;
+use petrelgauge::net::hosts::Hosts;
+use petrelgauge::net::ops::Command;
+use petrelgauge::net::signals::{Signal, Signals};
+use petrelgauge::Time;
+use petrelgauge_handover::company::Held;
+use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage};
+use petrelgauge_lifecycle::ops::{self, Known};
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinSet;
+
+/// Between two looks at what is still open while the gateway closes (microseconds).
+const CLOSING_POLL_INTERVAL: Time = 10_000;
+
+/// A gateway whose tasks run.
+pub struct GatewayProcess {
+    /// The configuration in force.
+    pub config: Config,
+    /// The clock.
+    pub clock: Clock,
+    /// The routing decisions.
+    pub facade: Facade,
+    /// Counts since the start.
+    pub counters: Rc<Counters>,
+    /// The database hosts.
+    pub hosts: Rc<Hosts>,
+    /// This gateway's part in the fleet's duties, if they are switched on.
+    pub duties: Option<Rc<Duties>>,
+    /// What the client sessions share.
+    pub front: Rc<Front>,
+    /// Exchange with other processes of this gateway, where the platform holds the clients' socket.
+    pub handover: Option<Rc<Handover>>,
+    /// Discovery has sent a usable list since the start.
+    pub has_spoken: Rc<Cell<bool>>,
+    /// Clock time from which on the list of the configuration will do (microseconds).
+    pub list_deadline: Time,
+    /// Longest that a read is held for a replica (microseconds).
+    pub read_hold: Time,
+    /// The most that this process may reserve while it is the gateway's only one.
+    pub full_reservation: Rc<Cell<Held>>,
+    /// Where the gateway is between its start and its end.
+    pub lifecycle: Gateway,
+    /// Tells the client sessions how to treat clients.
+    pub serving_state: watch::Sender<ServingState>,
+    /// Tells the watch of discovery which address to use.
+    pub discovery_address: watch::Sender<SocketAddr>,
+    /// Commands of operators.
+    pub commands: mpsc::Receiver<Command>,
+    /// Keeps the channel of commands open where no address for operators is set.
+    pub _command_sender: mpsc::Sender<Command>,
+    /// Signals of the platform.
+    pub signals: Signals,
+    /// The tasks, none of which ends by itself.
+    pub tasks: JoinSet<()>,
+}
+
+/// What the event loop has to act on.
+enum Wakeup {
+    Signal(Signal),
+    Command(Command),
+    Lifecycle(Event),
+}
+
+impl GatewayProcess {
+    /// Runs until the gateway has stopped.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a task ends: without one the gateway would go on and serve nobody.
+    pub async fn run(mut self) -> Result<(), GatewayError> {
+        loop {
+            self.publish_serving_state();
+            match self.next_wakeup().await? {
+                Wakeup::Signal(signal) => self.handle_signal(signal),
+                Wakeup::Command(command) => self.execute(command),
+                Wakeup::Lifecycle(event) => {
+                    if self.lifecycle.on(self.clock.now(), event) == Action::End {
+                        break;
+                    }
+                }
+            }
+        }
+        if let Some(handover) = &self.handover {
+            handover.withdraw();
+        }
+        self.log_counters();
+        Ok(())
+    }
+
+    fn publish_serving_state(&self) {
+        let new = self.lifecycle.door();
+        self.serving_state.send_if_modified(|state| std::mem::replace(state, new) != new);
+    }
+
+    async fn next_wakeup(&mut self) -> Result<Wakeup, GatewayError> {
+        let clock = self.clock;
+        let due = self.lifecycle.due();
+        let stage = self.lifecycle.stage();
+        tokio::select! {
+            signal = self.signals.next() => Ok(Wakeup::Signal(signal)),
+            Some(command) = self.commands.recv() => Ok(Wakeup::Command(command)),
+            () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Due)),
+            () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if stage == Stage::Closing => {
+                let (clients, attempts) = (self.front.open.get(), self.hosts.out());
+                Ok(Wakeup::Lifecycle(Event::Held { clients, attempts }))
+            }
+            Some(ended) = self.tasks.join_next(), if stage == Stage::Serving => Err(GatewayError::TaskEnded(ended)),
+        }
+    }
+
+    fn handle_signal(&mut self, signal: Signal) {
+        match signal {
+            Signal::LogCounters => self.log_counters(),
+            Signal::Reload => self.reload(),
+            Signal::Stop => self.stop(),
+        }
+    }
+
+    /// Carries out an operator's command and answers it.
+    fn execute(&mut self, command: Command) {
+        let known = Known {
+            hosts: self.hosts.named(),
+            told: self.has_spoken.get(),
+            patience_until: self.list_deadline,
+            version: self.facade.version(),
+        };
+        let (reply, action) = ops::call(&mut self.lifecycle, self.clock.now(), command.call, known);
+        if action == Action::Doors {
+            log::info!("{:?}: {}", command.call, reply.reason);
+        }
+        // A caller that has left needs no answer.
+        let _ = command.answer.send(reply);
+    }
+
+    /// Begins a graceful shutdown.
+    fn stop(&mut self) {
+        let action = self.lifecycle.on(self.clock.now(), Event::Stop);
+        if action != Action::Doors {
+            return;
+        }
+        log::info!("stopping");
+        let longest = self.facade.longest(self.clock.now());
+        self.front.last.set(self.lifecycle.answers_by(longest));
+        self.front.last_reads.set(self.lifecycle.last_reads(longest));
+        self.facade.answer_by(self.front.last.get());
+        self.duties.iter().for_each(|duties| duties.leave());
+    }
+
+    /// Reads the configuration again and follows it, if it can be used.
+    fn reload(&mut self) {
+        let new = self.config.reread(|name| std::env::var(name).ok());
+        let event = Event::Reload { usable: new.is_ok() };
+        let action = self.lifecycle.on(self.clock.now(), event);
+        if !matches!(action, Action::Take | Action::Keep) {
+            return;
+        }
+        if let Err(cause) = self.follow(new) {
+            self.counters.bad_configs.add();
+            let version = self.facade.version();
+            log::warn!("the new configuration cannot be used, settings {version} hold on: {cause}");
+        }
+    }
+
+    fn follow(&mut self, new: Result<Config, ConfigError>) -> Result<(), ReloadError> {
+        let Self { config, facade, hosts, .. } = &*self;
+        let (new, open) = reload(new?, config, self.read_hold, self.clock.now(), facade, hosts)?;
+        self.counters.reloads.add();
+        let (address, version) = (new.discovery, self.facade.version());
+        log::info!("configuration read again, discovery is at {address}, settings {version} hold");
+        self.full_reservation.set(Held { open: open as usize, ..self.full_reservation.get() });
+        if let Some(handover) = &self.handover {
+            handover.follow(new.digest);
+        }
+        self.discovery_address.send_if_modified(|known| std::mem::replace(known, address) != address);
+        self.config = new;
+        Ok(())
+    }
+
+    fn log_counters(&self) {
+        let sessions =
+            self.facade.session_counts().map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
+        let duties = self.duties.as_ref().map(|duties| format!(" {}", duties.counts()));
+        log::info!("{}{}{}", self.counters, sessions.unwrap_or_default(), duties.unwrap_or_default());
+    }
+}
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -129,8 +129,8 @@
     pub counters: Rc<Counters>,
     /// Requests that came for each group so far.
     pub demand: Demand,
-    /// Numbers that another process of this gateway has given to hosts.
-    pub given: Vec<(String, MemberId)>,
+    /// Numbers that another process of this gateway has assigned to hosts.
+    pub assigned: Vec<(String, MemberId)>,
 }
 
 /// The control part of one gateway.
@@ -161,7 +161,7 @@
         environment: Environment,
         bind: impl FnOnce(SocketAddr) -> F,
     ) -> Result<Control<S>, ControlError> {
-        let Environment { clock, budget, read_buffer, counters, demand, given } = environment;
+        let Environment { clock, budget, read_buffer, counters, demand, assigned } = environment;
         let Decisions { facade, gateways, exchange, .. } = decisions;
         let (connect, idle) = (config.info.connect_span(), config.info.idle_span());
         let hosts = Hosts::new(clock, budget, counters.clone(), read_buffer, connect, idle);
@@ -174,7 +174,7 @@
             clock,
             known,
             backoff,
-            given,
+            assigned,
         );
         let (has_spoken, names) = (discovery_watch.has_spoken(), discovery_watch.names());
         let revision = discovery_watch.revision();
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -1,4 +1,4 @@
-//! The staff's second address: one line in, one line out. What a line means and what is answered to it stands in
+//! The address for operators' commands: one line in, one line out. What a line means and what is answered to it stands in
 //! `petrelgauge_lifecycle::ops`.
 
 use crate::net::clock::Clock;
@@ -19,13 +19,18 @@
 /// Pause after a caller could not be accepted (microseconds).
 const PAUSE: Time = 10_000;
 
-/// A call, and where its answer goes.
-pub type Asked = (Call, oneshot::Sender<Reply>);
+/// A command of an operator.
+pub struct Command {
+    /// What is asked for.
+    pub call: Call,
+    /// Where the answer goes.
+    pub answer: oneshot::Sender<Reply>,
+}
 
-/// The second address.
-pub struct Ops {
-    /// Who carries calls out.
-    pub desk: mpsc::Sender<Asked>,
+/// Takes operators' commands and hands them to the gateway's event loop.
+pub struct CommandListener {
+    /// Where commands are carried out.
+    pub commands: mpsc::Sender<Command>,
     /// What can be spared when there is no descriptor left.
     pub hosts: Rc<Hosts>,
     /// The clock.
@@ -34,10 +39,10 @@
     pub counters: Rc<Counters>,
 }
 
-impl Ops {
+impl CommandListener {
     /// Accepts callers for as long as the gateway runs.
     pub async fn accept(self, listener: TcpListener) {
-        let ops = Rc::new(self);
+        let command_listener = Rc::new(self);
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let stream = match socket::accept(&listener).await {
@@ -48,8 +53,9 @@
                     continue;
                 }
                 Err(_) => {
-                    ops.hosts.make_room();
-                    ops.clock.sleep_until(ops.clock.now() + PAUSE).await;
+                    command_listener.hosts.make_room();
+                    let clock = command_listener.clock;
+                    clock.sleep_until(clock.now() + PAUSE).await;
                     continue;
                 }
             };
@@ -59,7 +65,8 @@
                 // Its descriptor is free once it was dropped.
                 tokio::task::yield_now().await;
             }
-            callers.push_back(tokio::task::spawn_local(ops.clone().serve(stream)).abort_handle());
+            callers
+                .push_back(tokio::task::spawn_local(command_listener.clone().serve(stream)).abort_handle());
         }
     }
 
@@ -72,7 +79,7 @@
         };
         let reply = match line {
             Ok(line) => match ops::read(&line) {
-                Ok(call) => self.ask(call).await,
+                Ok(call) => self.execute(call).await,
                 Err(flaw) => flaw.into(),
             },
             Err(Some(flaw)) => flaw.into(),
@@ -81,7 +88,7 @@
         if !reply.yes {
             self.counters.calls_denied.add();
         }
-        let told = async {
+        let replied = async {
             socket::write_all(&stream, &mut reply.to_string().as_bytes()).await?;
             stream.shutdown().await.map_err(SocketError::Broken)?;
             // Closed with bytes unread, the connection would be reset and the answer lost.
@@ -90,14 +97,14 @@
             Ok::<(), SocketError>(())
         };
         tokio::select! {
-            _ = told => {}
+            _ = replied => {}
             () = clock.sleep_until(clock.now() + LINGER) => {}
         }
     }
 
-    async fn ask(&self, call: Call) -> Reply {
+    async fn execute(&self, call: Call) -> Reply {
         let (answer, answered) = oneshot::channel();
-        let sent = self.desk.send((call, answer)).await;
+        let sent = self.commands.send(Command { call, answer }).await;
         let reply = match sent {
             Ok(()) => answered.await.ok(),
             Err(_) => None,
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,9 +1,9 @@
-//! What the platform tells the process by signals. Listened to before anything else is done: a signal that nobody listens
-//! to ends the process, and a configuration that is told of while the old one is being read must be read too.
+//! The signals of the platform. Their handlers are registered before anything else is done: a signal without one ends the
+//! process, and a reload that is asked for while the configuration is being read must be done too.
 
 use std::io;
 use thiserror::Error;
-use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::signal::unix::{self, signal, SignalKind};
 
 /// The handler of a signal cannot be registered.
 #[derive(Debug, Error)]
@@ -12,21 +12,21 @@
 
 /// The signals that mean something here.
 pub struct Signals {
-    term: Signal,
-    interrupt: Signal,
-    usr1: Signal,
-    hangup: Signal,
+    terminate: unix::Signal,
+    interrupt: unix::Signal,
+    user_defined1: unix::Signal,
+    hangup: unix::Signal,
 }
 
-/// One that came.
+/// A signal that the gateway acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Signal {
     /// SIGTERM or SIGINT: stop.
     Stop,
     /// SIGHUP: read the configuration again.
-    Reread,
+    Reload,
     /// SIGUSR1: log the counters.
-    Count,
+    LogCounters,
 }
 
 impl Signals {
@@ -37,22 +37,22 @@
     /// Fails if the system refuses one of them.
     pub fn listen() -> Result<Signals, SignalError> {
         Ok(Signals {
-            term: signal(SignalKind::terminate())?,
+            terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
-            usr1: signal(SignalKind::user_defined1())?,
+            user_defined1: signal(SignalKind::user_defined1())?,
             hangup: signal(SignalKind::hangup())?,
         })
     }
 
     /// Waits for the next one. May be cancelled without loss.
-    pub async fn next(&mut self) -> Told {
+    pub async fn next(&mut self) -> Signal {
         tokio::select! {
             biased;
-            // A configuration that came before the stop is told of before it.
-            _ = self.hangup.recv() => Told::Reread,
-            _ = self.term.recv() => Told::Stop,
-            _ = self.interrupt.recv() => Told::Stop,
-            _ = self.usr1.recv() => Told::Count,
+            // A reload that was asked for before the stop is done before it.
+            _ = self.hangup.recv() => Signal::Reload,
+            _ = self.terminate.recv() => Signal::Stop,
+            _ = self.interrupt.recv() => Signal::Stop,
+            _ = self.user_defined1.recv() => Signal::LogCounters,
         }
     }
 }
--- /dev/null
+++ b/src/startup.rs
@@ -0,0 +1,229 @@
+//! Builds a gateway from its configuration and starts its tasks.
+
+use crate::gateway_error::GatewayError;
+use crate::gateway_process::GatewayProcess;
+use petrelgauge::facade::Facade;
+use petrelgauge::net::budget::Budget;
+use petrelgauge::net::cancel::CancelKeys;
+use petrelgauge::net::clock::Clock;
+use petrelgauge::net::config::Config;
+use petrelgauge::net::control::{bind_datagrams, Control, Decisions, Environment};
+use petrelgauge::net::counters::{Counters, Gauge};
+use petrelgauge::net::front::Front;
+use petrelgauge::net::handover::Handover;
+use petrelgauge::net::hosts::Hosts;
+use petrelgauge::net::ops::{Command, CommandListener};
+use petrelgauge::net::read_buffer::ReadBuffer;
+use petrelgauge::net::signals::Signals;
+use petrelgauge::net::socket::{self, SocketError};
+use petrelgauge::{MemberId, Time};
+use petrelgauge_handover::company::Held;
+use petrelgauge_lifecycle::gateway::{Gateway, ServingState};
+use petrelgauge_lifecycle::ops::MOST_CALLERS;
+use std::cell::{Cell, RefCell};
+use std::net::{SocketAddr, TcpListener as StdTcpListener};
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinSet;
+
+/// Span after the start in which the list of the configuration is taken to be old, until discovery sends one
+/// (microseconds).
+const INITIAL_LIST_TIMEOUT: Time = 1_500_000;
+/// Between two looks whether there are hosts to serve clients with (microseconds).
+const HOSTS_POLL_INTERVAL: Time = 10_000;
+/// Times that a start tries to listen while the machine lacks descriptors or memory (count).
+const LISTEN_ATTEMPTS: u32 = 500;
+
+/// What the parts of a gateway share.
+struct Resources {
+    clock: Clock,
+    facade: Facade,
+    budget: Rc<Budget>,
+    read_buffer: Rc<ReadBuffer>,
+    counters: Rc<Counters>,
+}
+
+/// Builds the gateway and starts all of its tasks.
+///
+/// # Errors
+///
+/// Fails if the settings cannot be used or an address cannot be bound.
+pub async fn start(
+    mut config: Config,
+    inherited: Option<StdTcpListener>,
+    signals: Signals,
+) -> Result<GatewayProcess, GatewayError> {
+    let clock = Clock::start().ahead(config.operator.clock_shift);
+    let decisions = Decisions::new(&config, clock.now())?;
+    let read_hold = decisions.hold;
+    let full_reservation = Rc::new(Cell::new(full_reservation(&config, decisions.most_open)));
+    let resources = Resources::new(&config, clock, decisions.facade.clone());
+    // Where the platform holds the clients' socket, another process of this gateway may run, or have run a moment ago.
+    let shared = inherited.is_some();
+    let handover = shared.then(|| Rc::new(open_handover(&config)));
+    let environment = resources.environment(adopt_learned_state(&handover, &resources));
+    let mut control = Control::new(&mut config, decisions, environment, bind_datagrams).await?;
+    let list_deadline = clock.now() + INITIAL_LIST_TIMEOUT;
+    let listener = listen_for_clients(inherited, config.listen).await?;
+    let (discovery_address, followed_address) = watch::channel(config.discovery);
+    let (serving_state, followed_state) = watch::channel(ServingState::Serving);
+    let (command_sender, commands) = mpsc::channel(MOST_CALLERS);
+
+    let mut tasks = JoinSet::new();
+    control.start(&mut tasks, followed_address);
+    if let Some(address) = config.ops {
+        resources.listen_for_operators(address, &command_sender, &control.hosts, &mut tasks).await?;
+    }
+    if let Some(handover) = &handover {
+        let Resources { facade, budget, .. } = &resources;
+        let (names, whole) = (control.names.clone(), full_reservation.clone());
+        tasks.spawn_local(handover.clone().keep(clock, facade.clone(), budget.clone(), names, whole));
+    }
+    let front = Rc::new(resources.front(&config, control.hosts.clone(), followed_state));
+    let has_spoken = control.has_spoken.clone();
+    tasks.spawn_local(accept_clients(front.clone(), listener, shared, has_spoken.clone(), list_deadline));
+    log::info!("{} serves at {}", config.name, config.listen);
+    Ok(GatewayProcess {
+        config,
+        clock,
+        facade: resources.facade,
+        counters: resources.counters,
+        hosts: control.hosts,
+        duties: control.duties,
+        front,
+        handover,
+        has_spoken,
+        list_deadline,
+        read_hold,
+        full_reservation,
+        lifecycle: Gateway::new(shared),
+        serving_state,
+        discovery_address,
+        commands,
+        _command_sender: command_sender,
+        signals,
+        tasks,
+    })
+}
+
+impl Resources {
+    fn new(config: &Config, clock: Clock, facade: Facade) -> Resources {
+        Resources {
+            clock,
+            facade,
+            budget: Budget::new(config.sockets, config.memory),
+            read_buffer: ReadBuffer::new(),
+            counters: Rc::new(Counters::default()),
+        }
+    }
+
+    /// What the control part needs. `assigned` are the numbers that hosts have from another process.
+    fn environment(&self, assigned: Vec<(String, MemberId)>) -> Environment {
+        let facade = self.facade.clone();
+        Environment {
+            clock: self.clock,
+            budget: self.budget.clone(),
+            read_buffer: self.read_buffer.clone(),
+            counters: self.counters.clone(),
+            demand: Rc::new(move || facade.asked()),
+            assigned,
+        }
+    }
+
+    /// What the client sessions share.
+    fn front(
+        &self,
+        config: &Config,
+        hosts: Rc<Hosts>,
+        serving_state: watch::Receiver<ServingState>,
+    ) -> Front {
+        Front {
+            facade: self.facade.clone(),
+            hosts,
+            clock: self.clock,
+            budget: self.budget.clone(),
+            counters: self.counters.clone(),
+            read_buffer: self.read_buffer.clone(),
+            door: serving_state,
+            open: Gauge::default(),
+            cancel_keys: CancelKeys::new(config.seed.rotate_left(16)),
+            ids: RefCell::default(),
+            last: Cell::new(Time::MAX),
+            last_reads: Cell::default(),
+        }
+    }
+
+    /// Starts the task that takes operators' commands.
+    async fn listen_for_operators(
+        &self,
+        address: SocketAddr,
+        commands: &mpsc::Sender<Command>,
+        hosts: &Rc<Hosts>,
+        tasks: &mut JoinSet<()>,
+    ) -> Result<(), GatewayError> {
+        let failed = |source| GatewayError::ListenForOperators { address, source };
+        let listener = listen(address).await.map_err(failed)?;
+        let command_listener = CommandListener {
+            commands: commands.clone(),
+            hosts: hosts.clone(),
+            clock: self.clock,
+            counters: self.counters.clone(),
+        };
+        tasks.spawn_local(command_listener.accept(listener));
+        Ok(())
+    }
+}
+
+/// The most that this process may reserve while it is the gateway's only one.
+pub fn full_reservation(config: &Config, most_open: u32) -> Held {
+    Held { sockets: config.sockets, memory: config.memory, open: most_open as usize }
+}
+
+fn open_handover(config: &Config) -> Handover {
+    let writer = config.seed ^ u64::from(std::process::id());
+    Handover::new(std::env::temp_dir(), &config.name, config.listen, writer, config.digest)
+}
+
+/// Takes over what the process before this one has learned. Gives the numbers that it had assigned to hosts.
+fn adopt_learned_state(handover: &Option<Rc<Handover>>, resources: &Resources) -> Vec<(String, MemberId)> {
+    let inherit = handover.as_ref().and_then(|handover| handover.inherit(resources.clock.now()));
+    inherit.map_or_else(Vec::new, |(letter, age)| {
+        log::info!("starting from what was learned {} ms ago of {} hosts", age / 1000, letter.numbers.len());
+        resources.facade.adopt_learned_state(letter.learned_state);
+        letter.numbers
+    })
+}
+
+async fn listen_for_clients(
+    inherited: Option<StdTcpListener>,
+    address: SocketAddr,
+) -> Result<TcpListener, GatewayError> {
+    match inherited {
+        Some(listener) => TcpListener::from_std(listener).map_err(GatewayError::RegisterListener),
+        None => listen(address).await.map_err(GatewayError::ListenForClients),
+    }
+}
+
+async fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
+    socket::through_shortages(LISTEN_ATTEMPTS, || async { socket::listen(address) }).await
+}
+
+/// Accepts clients; beside a process that still serves, only from when they can be served.
+async fn accept_clients(
+    front: Rc<Front>,
+    listener: TcpListener,
+    shared: bool,
+    has_spoken: Rc<Cell<bool>>,
+    list_deadline: Time,
+) {
+    let clock = front.clock;
+    let hosts_are_missing = || {
+        let incomplete = front.hosts.named() == 0 || !has_spoken.get();
+        clock.now() < list_deadline && incomplete
+    };
+    while shared && hosts_are_missing() {
+        clock.sleep_until(clock.now() + HOSTS_POLL_INTERVAL).await;
+    }
+    front.accept(listener, shared).await
+}
