--- a/src/gateway_process.rs
+++ b/src/gateway_process.rs
@@ -139,7 +139,7 @@
         };
         let (reply, action) = ops::call(&mut self.lifecycle, self.clock.now(), command.call, known);
         if action == Action::Doors {
-            log::info!("{:?}: {}", command.call, reply.reason);
+            log::info!("command executed command={:?} answer={}", command.call, reply.reason);
         }
         // A caller that has left needs no answer.
         let _ = command.answer.send(reply);
@@ -151,7 +151,7 @@
         if action != Action::Doors {
             return;
         }
-        log::info!("stopping");
+        log::info!("gateway stopping");
         let longest = self.facade.longest(self.clock.now());
         self.front.last.set(self.lifecycle.answers_by(longest));
         self.front.last_reads.set(self.lifecycle.last_reads(longest));
@@ -170,7 +170,7 @@
         if let Err(cause) = self.follow(new) {
             self.counters.bad_configs.add();
             let version = self.facade.version();
-            log::warn!("the new configuration cannot be used, settings {version} hold on: {cause}");
+            log::warn!("configuration rejected settings_version={version} cause={cause}");
         }
     }
 
@@ -179,7 +179,7 @@
         let (new, open) = reload(new?, config, self.read_hold, self.clock.now(), facade, hosts)?;
         self.counters.reloads.add();
         let (address, version) = (new.discovery, self.facade.version());
-        log::info!("configuration read again, discovery is at {address}, settings {version} hold");
+        log::info!("configuration reloaded settings_version={version} discovery={address}");
         self.full_reservation.set(Held { open: open as usize, ..self.full_reservation.get() });
         if let Some(handover) = &self.handover {
             handover.follow(new.digest);
@@ -193,6 +193,11 @@
         let sessions =
             self.facade.session_counts().map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
         let duties = self.duties.as_ref().map(|duties| format!(" {}", duties.counts()));
-        log::info!("{}{}{}", self.counters, sessions.unwrap_or_default(), duties.unwrap_or_default());
+        log::info!(
+            "counters {}{}{}",
+            self.counters,
+            sessions.unwrap_or_default(),
+            duties.unwrap_or_default()
+        );
     }
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -286,7 +286,7 @@
     let info = serde_ignored::deserialize(settings, |path| unknown.push(path.to_string()))
         .map_err(ConfigFileError::InvalidSettings)?;
     for key in unknown {
-        log::info!("settings: {key} is not known here and changes nothing");
+        log::info!("unknown setting ignored key={key}");
     }
     Ok(info)
 }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -246,7 +246,7 @@
     hosts.follow(connect, idle);
     let unmoved = old.unmoved(&new);
     if !unmoved.is_empty() {
-        log::warn!("only a start can follow the new {}", unmoved.join(", "));
+        log::warn!("configuration keys need a restart keys={}", unmoved.join(","));
     }
     // What only a start can follow stays as it was, to be named again by the next file.
     Ok((old.with(new), open))
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -95,7 +95,7 @@
     fn apply_initial_list(&mut self, list: List) {
         if let Some(id) = list.host_without_address() {
             self.counters.bad_lists.add();
-            return log::warn!("the list of the configuration cannot be used: {id} has no address");
+            return log::warn!("initial endpoint list rejected host={id} cause=no address");
         }
         self.holding.news(list.revision, true);
         self.apply(list);
@@ -135,12 +135,12 @@
             };
             // While discovery is down the same is said once, not at every try.
             if cause != last {
-                log::warn!("the watch of discovery ended: {cause}; the last list still holds");
+                log::warn!("discovery watch ended address={address} cause={cause}");
                 last = cause;
             }
             // Also a try that waits is over when the address moves.
             let pause = self.backoff.pause(if last == REFUSED { Cause::Refused } else { Cause::Lost });
-            log::debug!("the watch of discovery ended: {last}; the next in {pause} us");
+            log::debug!("discovery watch retry scheduled pause_us={pause} cause={last}");
             tokio::select! {
                 () = clock.sleep_until(clock.now() + pause) => {}
                 Ok(()) = addresses.changed() => self.holding.moved(),
@@ -162,7 +162,7 @@
                 called = finished(&mut call) => {
                     call = None;
                     if let Err(cause) = called.and_then(|list| self.apply_complete_list(list)) {
-                        log::debug!("a call for the whole list: {cause}");
+                        log::debug!("complete endpoint list request failed cause={cause}");
                         call = self.request_complete_list(address);
                     }
                     continue;
@@ -218,7 +218,7 @@
                 self.has_spoken.set(true);
                 if self.holding.is_new() && !self.hosts_by_name.is_empty() {
                     let List { revision, complete, .. } = list;
-                    log::info!("the new discovery begins with revision {revision}, whole: {complete}");
+                    log::info!("discovery source changed revision={revision} complete={complete}");
                 }
                 if self.holding.news(list.revision, list.complete) {
                     self.apply(list);
@@ -230,7 +230,7 @@
         };
         self.holding.spoilt();
         self.counters.bad_lists.add();
-        log::warn!("news from discovery cannot be used, and the whole list is asked for: {flaw}");
+        log::warn!("endpoint list update rejected cause={flaw}");
         false
     }
 
@@ -247,8 +247,12 @@
         }
         self.forget_removed(now);
         self.revision.set(list.revision);
-        log::debug!("list {}, {} entries, whole: {}", list.revision, entries.len(), list.complete);
-        self.facade.list(list.complete, entries);
+        let List { revision, complete, .. } = list;
+        log::debug!(
+            "endpoint list applied revision={revision} entries={} complete={complete}",
+            entries.len()
+        );
+        self.facade.list(complete, entries);
     }
 
     /// Takes out rows about an earlier run of a host: the decisions pass over them, and so does whoever connects to it.
@@ -271,7 +275,7 @@
     fn apply_row(&mut self, row: &Row, revision: u64, now: Time) -> Entry {
         let id = self.register(row, now);
         log::debug!(
-            "list host={id} name={} cluster={} zone={} phase={:?} up_since_ms={} role={} revision={revision}",
+            "endpoint listed host={id} name={} group={} zone={} phase={:?} up_since_ms={} role={} revision={revision}",
             row.id,
             row.cell,
             row.locality,
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -89,7 +89,7 @@
                     // Once for each row of them.
                     if let Some(cause) = &cause {
                         if !std::mem::replace(&mut failing, true) {
-                            log::warn!("a datagram of another instance cannot be used: {cause}");
+                            log::warn!("peer datagram rejected cause={cause}");
                         }
                     } else {
                         failing = false;
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -83,7 +83,7 @@
     let front = Rc::new(resources.front(&config, control.hosts.clone(), followed_state));
     let has_spoken = control.has_spoken.clone();
     tasks.spawn_local(accept_clients(front.clone(), listener, shared, has_spoken.clone(), list_deadline));
-    log::info!("{} serves at {}", config.name, config.listen);
+    log::info!("gateway serving name={} address={}", config.name, config.listen);
     Ok(GatewayProcess {
         config,
         clock,
@@ -189,7 +189,7 @@
 fn adopt_learned_state(handover: &Option<Rc<Handover>>, resources: &Resources) -> Vec<(String, MemberId)> {
     let inherit = handover.as_ref().and_then(|handover| handover.inherit(resources.clock.now()));
     inherit.map_or_else(Vec::new, |(letter, age)| {
-        log::info!("starting from what was learned {} ms ago of {} hosts", age / 1000, letter.numbers.len());
+        log::info!("learned state adopted hosts={} age_us={age}", letter.numbers.len());
         resources.facade.adopt_learned_state(letter.learned_state);
         letter.numbers
     })
