--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -8,8 +8,8 @@
 use crate::net::host_names::HostNames;
 use crate::net::hosts::{Hosts, Site};
 pub use crate::net::lines::Lines;
-use crate::net::lines::{Text, REFUSED};
-use crate::net::source::{call, open, Answer};
+use crate::net::lines::Text;
+use crate::net::source::{call, open, Answer, SourceError};
 use crate::{Entry, MemberId, Time};
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
 use petrelgauge_lifecycle::watch::{Holding, AGAIN};
@@ -19,12 +19,30 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::sync::watch;
 
 /// Span in which a host that was removed keeps its number (microseconds). Nothing of it is out by then, and
 /// the decisions remember it no longer.
 const REMOVED_HOST_RETENTION: Time = 60_000_000;
 
+/// Why a list is not used.
+#[derive(Debug, Error)]
+enum ListError {
+    #[error(transparent)]
+    InvalidJson(#[from] serde_json::Error),
+    #[error("it breaks off")]
+    Truncated,
+    #[error("{0} has no address")]
+    HostWithoutAddress(String),
+    #[error("revision {0} is older than the one before it")]
+    Outdated(u64),
+    #[error("revision {0} is not complete")]
+    NotComplete(u64),
+    #[error(transparent)]
+    Source(#[from] SourceError),
+}
+
 /// Follows the endpoint list of discovery and updates the decisions and the host connections.
 pub struct DiscoveryWatch {
     facade: Facade,
@@ -124,7 +142,7 @@
             let address = *addresses.borrow_and_update();
             self.counters.watches.add();
             let cause = tokio::select! {
-                ended = self.watch(address) => ended.err().unwrap_or_default(),
+                ended = self.watch(address) => ended,
                 Ok(()) = addresses.changed() => {
                     // Whether the next source counts its revisions alike is not known: it is asked for the
                     // whole list. Until it speaks, the list stays as it is.
@@ -133,13 +151,14 @@
                     continue;
                 }
             };
-            // While discovery is down the same is said once, not at every try.
-            if cause != last {
-                log::warn!("discovery watch ended address={address} cause={cause}");
-                last = cause;
+            // While discovery is down the same cause is logged once, not at every attempt.
+            let text = cause.to_string();
+            if text != last {
+                log::warn!("discovery watch ended address={address} cause={text}");
+                last = text;
             }
-            // Also a try that waits is over when the address moves.
-            let pause = self.backoff.pause(if last == REFUSED { Cause::Refused } else { Cause::Lost });
+            // An attempt that waits is over, too, when the address moves.
+            let pause = self.backoff.pause(if cause.is_refusal() { Cause::Refused } else { Cause::Lost });
             log::debug!("discovery watch retry scheduled pause_us={pause} cause={last}");
             tokio::select! {
                 () = clock.sleep_until(clock.now() + pause) => {}
@@ -148,12 +167,16 @@
         }
     }
 
-    async fn watch(&mut self, address: SocketAddr) -> Result<(), String> {
+    /// Watches until the connection ends, and gives the cause.
+    async fn watch(&mut self, address: SocketAddr) -> SourceError {
         let clock = self.clock;
         let after = self.holding.after().map(|revision| format!("&after={revision}")).unwrap_or_default();
         self.holding.opened();
         let mut answer = Answer::default();
-        let stream = open(address, &format!("?watch=1{after}"), clock).await?;
+        let stream = match open(address, &format!("?watch=1{after}"), clock).await {
+            Ok(stream) => stream,
+            Err(cause) => return cause,
+        };
         // A call for the whole list beside the watch, while it is owed.
         let mut call: Option<Call> = None;
         let cause = loop {
@@ -161,7 +184,7 @@
                 read = answer.read(&stream, clock) => read,
                 called = finished(&mut call) => {
                     call = None;
-                    if let Err(cause) = called.and_then(|list| self.apply_complete_list(list)) {
+                    if let Err(cause) = called.map_err(ListError::from).and_then(|list| self.apply_complete_list(list)) {
                         log::debug!("complete endpoint list request failed cause={cause}");
                         call = self.request_complete_list(address);
                     }
@@ -180,10 +203,10 @@
                 break cause;
             }
         };
-        if cause.flawed {
+        if cause.is_malformed() {
             self.counters.bad_lists.add();
         }
-        Err(cause.text)
+        cause
     }
 
     /// A call for the whole list, after a pause, if it is owed.
@@ -193,10 +216,15 @@
     }
 
     /// Uses what a call brought, unless the watch has brought what is newer.
-    fn apply_complete_list(&mut self, list: List) -> Result<(), String> {
-        let usable = list.complete && list.host_without_address().is_none();
-        if !usable || !self.holding.called(list.revision) {
-            return Err(format!("revision {}, usable: {usable}", list.revision));
+    fn apply_complete_list(&mut self, list: List) -> Result<(), ListError> {
+        if !list.complete {
+            return Err(ListError::NotComplete(list.revision));
+        }
+        if let Some(host) = list.host_without_address() {
+            return Err(ListError::HostWithoutAddress(host.to_string()));
+        }
+        if !self.holding.called(list.revision) {
+            return Err(ListError::Outdated(list.revision));
         }
         self.apply(list);
         Ok(())
@@ -205,35 +233,26 @@
     /// Uses a list that came on the watch. False if it cannot be used: one bad line must not take the good list away,
     /// nor may what it carried be lost.
     fn apply_update(&mut self, text: &Text) -> bool {
-        let read = match text {
-            Text::Whole(text) => serde_json::from_slice::<List>(text).map_err(|cause| cause.to_string()),
-            Text::Broken => Err("it breaks off".into()),
-        };
-        let whole = read.and_then(|list| match list.host_without_address() {
-            Some(id) => Err(format!("{id} has no address")),
-            None => Ok(list),
-        });
-        let flaw = match whole {
-            Ok(list) => {
-                self.has_spoken.set(true);
-                if self.holding.is_new() && !self.hosts_by_name.is_empty() {
-                    let List { revision, complete, .. } = list;
-                    log::info!("discovery source changed revision={revision} complete={complete}");
-                }
-                if self.holding.news(list.revision, list.complete) {
-                    self.apply(list);
-                    return true;
-                }
-                format!("revision {} is older than the one before it", list.revision)
-            }
-            Err(cause) => cause,
-        };
+        let Err(cause) = read_list(text).and_then(|list| self.apply_newer_list(list)) else { return true };
         self.holding.spoilt();
         self.counters.bad_lists.add();
-        log::warn!("endpoint list update rejected cause={flaw}");
+        log::warn!("endpoint list update rejected cause={cause}");
         false
     }
 
+    fn apply_newer_list(&mut self, list: List) -> Result<(), ListError> {
+        let List { revision, complete, .. } = list;
+        self.has_spoken.set(true);
+        if self.holding.is_new() && !self.hosts_by_name.is_empty() {
+            log::info!("discovery source changed revision={revision} complete={complete}");
+        }
+        if !self.holding.news(revision, complete) {
+            return Err(ListError::Outdated(revision));
+        }
+        self.apply(list);
+        Ok(())
+    }
+
     /// Uses a list: connections, decisions and the table of names follow it.
     fn apply(&mut self, mut list: List) {
         self.counters.lists.add();
@@ -325,10 +344,19 @@
     }
 }
 
-type Call = Pin<Box<dyn Future<Output = Result<List, String>>>>;
+fn read_list(text: &Text) -> Result<List, ListError> {
+    let Text::Whole(text) = text else { return Err(ListError::Truncated) };
+    let list: List = serde_json::from_slice(text)?;
+    match list.host_without_address() {
+        Some(host) => Err(ListError::HostWithoutAddress(host.to_string())),
+        None => Ok(list),
+    }
+}
+
+type Call = Pin<Box<dyn Future<Output = Result<List, SourceError>>>>;
 
 /// Waits for the call that is being made, if there is one.
-async fn finished(call: &mut Option<Call>) -> Result<List, String> {
+async fn finished(call: &mut Option<Call>) -> Result<List, SourceError> {
     match call {
         Some(call) => call.await,
         None => std::future::pending().await,
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,14 +1,45 @@
 //! An HTTP/1.1 answer of discovery, cut into lines, and the lines put together to lists.
 
-/// Longest head and longest list taken from discovery.
+use thiserror::Error;
+
+/// Longest head of an answer (bytes).
 const MOST_HEAD: usize = 16 * 1024;
+/// Longest list, and longest line of one (bytes).
 const MOST_LINE: usize = 4 * 1024 * 1024;
-
-/// What is said of a call that was answered, but not with a list.
-pub(super) const REFUSED: &str = "its status is not 200";
-
-/// What is said of an answer that has come to its own end.
-pub(super) const OVER: &str = "it is over";
+/// Longest line with the size of a chunk (bytes).
+const MOST_CHUNK_SIZE_LINE: usize = 256;
+
+/// Why an answer cannot be read on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AnswerError {
+    /// The answer has come to its own end.
+    #[error("it is over")]
+    Complete,
+    /// Discovery has answered, but not with a list.
+    #[error("its status is not 200")]
+    Refused,
+    /// The head is longer than any that is taken.
+    #[error("its head is too long")]
+    HeadTooLong,
+    /// The head is not UTF-8.
+    #[error("its head is not text")]
+    HeadNotText,
+    /// `Content-Length` is not a number.
+    #[error("its length is no number")]
+    InvalidLength,
+    /// The line with the size of a chunk is longer than any that is taken.
+    #[error("a chunk's size is too long")]
+    ChunkSizeTooLong,
+    /// A chunk has no hexadecimal size.
+    #[error("a chunk has no size")]
+    InvalidChunkSize,
+    /// A chunk is not followed by the end of a line.
+    #[error("a chunk does not end where it should")]
+    UnterminatedChunk,
+    /// A line is longer than any that is taken.
+    #[error("a line is too long")]
+    LineTooLong,
+}
 
 /// Reads an HTTP/1.1 answer and cuts its body into lines.
 #[derive(Debug, Default)]
@@ -34,7 +65,7 @@
 
 impl Lines {
     /// Takes bytes as they come and appends the lines that are whole now, without their ends.
-    pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), &'static str> {
+    pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), AnswerError> {
         self.raw.extend_from_slice(bytes);
         let mut raw = std::mem::take(&mut self.raw);
         let mut used = 0;
@@ -51,24 +82,28 @@
     }
 
     /// Uses up some of the bytes; 0 if more are needed.
-    fn step(&mut self, raw: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, &'static str> {
+    fn step(&mut self, raw: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, AnswerError> {
         match self.part {
             Part::Head => {
                 let Some(end) = raw.windows(4).position(|four| four == b"\r\n\r\n") else {
-                    return if raw.len() > MOST_HEAD { Err("its head is too long") } else { Ok(0) };
+                    return if raw.len() > MOST_HEAD { Err(AnswerError::HeadTooLong) } else { Ok(0) };
                 };
                 self.part = head(&raw[..end])?;
                 Ok(end + 4)
             }
             Part::Size => {
                 let Some(end) = raw.windows(2).position(|two| two == b"\r\n") else {
-                    return if raw.len() > 256 { Err("a chunk's size is too long") } else { Ok(0) };
+                    return if raw.len() > MOST_CHUNK_SIZE_LINE {
+                        Err(AnswerError::ChunkSizeTooLong)
+                    } else {
+                        Ok(0)
+                    };
                 };
                 let digits = raw[..end].split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
                 let text = std::str::from_utf8(digits).unwrap_or_default();
                 let hex = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
                 let size = usize::from_str_radix(text, 16).ok().filter(|_| hex);
-                self.part = match size.ok_or("a chunk has no size")? {
+                self.part = match size.ok_or(AnswerError::InvalidChunkSize)? {
                     0 => Part::Over,
                     size => Part::Data(size),
                 };
@@ -85,7 +120,7 @@
                 self.part = Part::Size;
                 Ok(2)
             }
-            Part::DataEnd => Err("a chunk does not end where it should"),
+            Part::DataEnd => Err(AnswerError::UnterminatedChunk),
             Part::Plain => {
                 self.body(raw, lines)?;
                 Ok(raw.len())
@@ -96,7 +131,7 @@
                 self.part = if count == left { Part::Over } else { Part::Counted(left - count) };
                 Ok(count)
             }
-            Part::Over => Err(OVER),
+            Part::Over => Err(AnswerError::Complete),
         }
     }
 
@@ -110,7 +145,7 @@
         self.part != Part::Head
     }
 
-    fn body(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), &'static str> {
+    fn body(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), AnswerError> {
         while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
             self.line.extend_from_slice(&bytes[..end]);
             lines.push(std::mem::take(&mut self.line));
@@ -118,19 +153,19 @@
         }
         self.line.extend_from_slice(bytes);
         if self.line.len() > MOST_LINE {
-            return Err("a line is too long");
+            return Err(AnswerError::LineTooLong);
         }
         Ok(())
     }
 }
 
 /// What kind of body follows this head.
-fn head(head: &[u8]) -> Result<Part, &'static str> {
-    let text = std::str::from_utf8(head).map_err(|_| "its head is not text")?;
+fn head(head: &[u8]) -> Result<Part, AnswerError> {
+    let text = std::str::from_utf8(head).map_err(|_| AnswerError::HeadNotText)?;
     let mut lines = text.split("\r\n");
     let status = lines.next().unwrap_or_default();
     if !status.starts_with("HTTP/1.") || status.split(' ').nth(1) != Some("200") {
-        return Err(REFUSED);
+        return Err(AnswerError::Refused);
     }
     let mut part = Part::Plain;
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
@@ -138,7 +173,7 @@
             return Ok(Part::Size);
         }
         if name.eq_ignore_ascii_case("content-length") {
-            part = match value.trim().parse().map_err(|_| "its length is no number")? {
+            part = match value.trim().parse().map_err(|_| AnswerError::InvalidLength)? {
                 0 => Part::Over,
                 length => Part::Counted(length),
             };
--- a/src/net/source.rs
+++ b/src/net/source.rs
@@ -2,15 +2,48 @@
 
 use crate::net::clock::Clock;
 use crate::net::endpoint_list::List;
-use crate::net::lines::{Lines, Text, Texts, OVER};
+use crate::net::lines::{AnswerError, Lines, Text, Texts};
 use crate::net::socket::{self, ByteStream, SocketError};
 use crate::Time;
 use petrelgauge_lifecycle::watch::SILENCE;
 use std::net::SocketAddr;
+use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Calls for the whole list.
-pub(super) async fn call(address: SocketAddr, from: Time, clock: Clock) -> Result<List, String> {
+/// Why a call to discovery is over.
+#[derive(Debug, Error)]
+pub enum SourceError {
+    /// The connection did not come up in time.
+    #[error("it does not come up")]
+    ConnectTimeout,
+    /// The connection cannot be made, or is lost.
+    #[error(transparent)]
+    Socket(#[from] SocketError),
+    /// Discovery closed the connection.
+    #[error("discovery closed it")]
+    Closed,
+    /// No line came in time.
+    #[error("it fell silent")]
+    Silent,
+    /// The answer is over, or is none that can be read.
+    #[error(transparent)]
+    Answer(#[from] AnswerError),
+}
+
+impl SourceError {
+    /// What came was no answer that can be read.
+    pub(super) fn is_malformed(&self) -> bool {
+        matches!(self, SourceError::Answer(cause) if *cause != AnswerError::Complete)
+    }
+
+    /// Discovery has answered, but not with a list.
+    pub(super) fn is_refusal(&self) -> bool {
+        matches!(self, SourceError::Answer(AnswerError::Refused))
+    }
+}
+
+/// Requests the complete list at the clock time `from`.
+pub(super) async fn call(address: SocketAddr, from: Time, clock: Clock) -> Result<List, SourceError> {
     clock.sleep_until(from).await;
     let mut answer = Answer::default();
     let stream = open(address, "", clock).await?;
@@ -22,14 +55,14 @@
         });
         match (whole, read) {
             (Some(list), _) => return Ok(list),
-            (None, Err(cause)) => return Err(cause.text),
+            (None, Err(cause)) => return Err(cause),
             (None, Ok(())) => {}
         }
     }
 }
 
 /// Connects to discovery and asks for its list.
-pub(super) async fn open(address: SocketAddr, what: &str, clock: Clock) -> Result<TcpStream, String> {
+pub(super) async fn open(address: SocketAddr, what: &str, clock: Clock) -> Result<TcpStream, SourceError> {
     let request = format!("GET /discovery/hosts{what} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     let opened = async {
         let stream = socket::connect(address).await?;
@@ -37,8 +70,8 @@
         Ok::<TcpStream, SocketError>(stream)
     };
     tokio::select! {
-        stream = opened => stream.map_err(|cause| cause.to_string()),
-        () = clock.sleep_until(clock.now() + SILENCE) => Err("it does not come up".into()),
+        stream = opened => Ok(stream?),
+        () = clock.sleep_until(clock.now() + SILENCE) => Err(SourceError::ConnectTimeout),
     }
 }
 
@@ -55,37 +88,23 @@
     heard: Option<Time>,
 }
 
-/// Why it is over.
-pub struct Over {
-    /// In plain words, for the log.
-    pub text: String,
-    /// What came made no sense.
-    pub flawed: bool,
-}
-
 impl Answer {
     /// Reads once. With its end comes what it still held. May be cancelled without loss.
-    pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), Over> {
-        let over = |text: &str, flawed| Err(Over { text: text.into(), flawed });
+    ///
+    /// # Errors
+    ///
+    /// Fails when the answer is over, for whatever reason.
+    pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), SourceError> {
         let by = *self.heard.get_or_insert_with(|| clock.now()) + SILENCE;
         let mut bytes = [0; 16 * 1024];
         let read = tokio::select! {
             biased;
             count = socket::read(stream, &mut bytes) => match count {
-                Ok(0) => over("discovery closed it", false),
-                Ok(count) => {
-                    self.bytes += count;
-                    let (mut got, began) = (Vec::new(), self.lines.began());
-                    let read = self.lines.feed(&bytes[..count], &mut got);
-                    if !got.is_empty() || began != self.lines.began() {
-                        self.heard = Some(clock.now());
-                    }
-                    got.iter().for_each(|line| self.line(line));
-                    read.or_else(|cause| over(cause, cause != OVER))
-                }
-                Err(cause) => over(&cause.to_string(), false),
+                Ok(0) => Err(SourceError::Closed),
+                Ok(count) => self.feed(&bytes[..count], clock),
+                Err(cause) => Err(cause.into()),
             },
-            () = clock.sleep_until(by) => over("it fell silent", false),
+            () = clock.sleep_until(by) => Err(SourceError::Silent),
         };
         // The last line may lack its end.
         if let Some(line) = read.is_err().then(|| self.lines.last()).flatten() {
@@ -96,6 +115,18 @@
         read
     }
 
+    fn feed(&mut self, bytes: &[u8], clock: Clock) -> Result<(), SourceError> {
+        self.bytes += bytes.len();
+        let began = self.lines.began();
+        let mut lines = Vec::new();
+        let read = self.lines.feed(bytes, &mut lines);
+        if !lines.is_empty() || began != self.lines.began() {
+            self.heard = Some(clock.now());
+        }
+        lines.iter().for_each(|line| self.line(line));
+        Ok(read?)
+    }
+
     fn line(&mut self, line: &[u8]) {
         let is_list = |line: &[u8]| serde_json::from_slice::<List>(line).is_ok();
         self.partial.line(line, is_list, &mut self.texts);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -334,7 +334,7 @@
         block_on(async {
             while answer.texts.is_empty() {
                 let read = answer.read(&stream, clock).await;
-                read.unwrap_or_else(|over| panic!("seed {seed}: {}", over.text));
+                read.unwrap_or_else(|over| panic!("seed {seed}: {over}"));
             }
         });
         assert_eq!(answer.texts, [Text::Whole(format!("{list}\n").into())], "seed {seed}");
