--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told at its start: the environment and the JSON file it names.
+//! The configuration of a gateway: the environment and the JSON file that it names.
 
 use crate::net::endpoint_list::List;
 use crate::operator::{Operator, OperatorError};
@@ -74,7 +74,7 @@
     InvalidSeed(String),
 }
 
-/// All that a gateway is told.
+/// The configuration of one gateway.
 #[derive(Debug)]
 pub struct Config {
     /// Its name.
@@ -83,7 +83,7 @@
     pub listen: SocketAddr,
     /// Where discovery answers.
     pub discovery: SocketAddr,
-    /// Where the staff calls, if it does.
+    /// Where operators' commands are taken, if they are.
     pub ops: Option<SocketAddr>,
     /// For random numbers.
     pub seed: u64,
@@ -91,7 +91,7 @@
     pub sockets: usize,
     /// Bytes of memory it may use.
     pub memory: usize,
-    /// The list of hosts as this gateway last had it.
+    /// The endpoint list to start from, until discovery sends one.
     pub known: Option<List>,
     /// The settings.
     pub info: Info,
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -32,14 +32,14 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Between two looks for idle connections that are of no more use (microseconds).
-const SWEEP: Time = 500_000;
-/// Between two looks for clients that are too many (microseconds).
-const THIN_OUT: Time = 50_000;
+/// Between two closings of idle connections that are of no more use (microseconds).
+const IDLE_SWEEP_INTERVAL: Time = 500_000;
+/// Between two checks for clients that are too many (microseconds).
+const THIN_OUT_INTERVAL: Time = 50_000;
 /// What a query waits here before it is read, the decisions before they are stepped, and a refusal before its client has
 /// it (microseconds): the 99th percentile of one of the three with the processor shared. More is no better: a client that
 /// is refused sooner has more time left than it is told to stay away, and comes back with nothing of it left.
-const WAY: Time = 3_000;
+const QUEUEING_ALLOWANCE: Time = 3_000;
 
 /// Why the control part cannot start, or cannot follow a configuration that was read again.
 #[derive(Debug, Error)]
@@ -207,8 +207,8 @@
         if let Some(watch) = self.discovery_watch.take() {
             tasks.spawn_local(watch.follow(discovery));
         }
-        tasks.spawn_local(keep_time(self.facade.clone(), self.clock));
-        tasks.spawn_local(keep_clean(self.hosts.clone(), self.clock));
+        tasks.spawn_local(step_decisions(self.facade.clone(), self.clock));
+        tasks.spawn_local(close_unused_connections(self.hosts.clone(), self.clock));
         if let Some(peers) = self.peers.take() {
             let (facade, counters) = (self.facade.clone(), self.counters.clone());
             tasks.spawn_local(peers.talk(facade, self.clock, counters, self.duties.clone()));
@@ -324,14 +324,14 @@
     settings.may_probe = false;
     settings.list_on_request = false;
     settings.clock_may_be_wrong = true;
-    settings.way = WAY;
+    settings.way = QUEUEING_ALLOWANCE;
     // Clients hold at most a third of the descriptors.
     settings.most_open = settings.most_open.min(config.sockets as u32 / 3);
     Ok(settings)
 }
 
 /// Steps the decisions when something came in or a timer is due.
-async fn keep_time(facade: Facade, clock: Clock) {
+async fn step_decisions(facade: Facade, clock: Clock) {
     loop {
         match facade.tick(clock.now()) {
             Some(at) => tokio::select! {
@@ -343,11 +343,12 @@
     }
 }
 
-async fn keep_clean(hosts: Rc<Hosts>, clock: Clock) {
+/// Closes idle connections to hosts that are of no more use, and idle clients that are too many.
+async fn close_unused_connections(hosts: Rc<Hosts>, clock: Clock) {
     loop {
-        let by = clock.now() + SWEEP;
+        let by = clock.now() + IDLE_SWEEP_INTERVAL;
         while clock.now() < by {
-            clock.sleep_until(clock.now() + THIN_OUT).await;
+            clock.sleep_until(clock.now() + THIN_OUT_INTERVAL).await;
             hosts.thin_out();
         }
         hosts.sweep();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -145,7 +145,7 @@
                 ended = self.watch(address) => ended,
                 Ok(()) = addresses.changed() => {
                     // Whether the next source counts its revisions alike is not known: it is asked for the
-                    // whole list. Until it speaks, the list stays as it is.
+                    // complete list. Until it answers, the list stays as it is.
                     self.holding.moved();
                     last.clear();
                     continue;
@@ -177,7 +177,7 @@
             Ok(stream) => stream,
             Err(cause) => return cause,
         };
-        // A call for the whole list beside the watch, while it is owed.
+        // The request for the complete list beside the watch, while one is needed.
         let mut call: Option<Call> = None;
         let cause = loop {
             let read = tokio::select! {
@@ -209,13 +209,13 @@
         cause
     }
 
-    /// A call for the whole list, after a pause, if it is owed.
+    /// A request for the complete list, after a pause, if one is needed.
     fn request_complete_list(&mut self, address: SocketAddr) -> Option<Call> {
         let from = self.clock.now() + AGAIN;
         self.holding.owed().then(|| Box::pin(call(address, from, self.clock)) as Call)
     }
 
-    /// Uses what a call brought, unless the watch has brought what is newer.
+    /// Applies the answer of that request, unless the watch has brought a newer list.
     fn apply_complete_list(&mut self, list: List) -> Result<(), ListError> {
         if !list.complete {
             return Err(ListError::NotComplete(list.revision));
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -64,7 +64,11 @@
 }
 
 impl Lines {
-    /// Takes bytes as they come and appends the lines that are whole now, without their ends.
+    /// Takes bytes as they come and appends the lines that are complete now, without their ends.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the answer is over, or is none that can be read.
     pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), AnswerError> {
         self.raw.extend_from_slice(bytes);
         let mut raw = std::mem::take(&mut self.raw);
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -14,10 +14,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Span in which a caller may take its answer and send to the end (microseconds).
-const LINGER: Time = 500_000;
+/// Span in which a caller may read its answer and close the connection (microseconds).
+const REPLY_TIMEOUT: Time = 500_000;
 /// Pause after a caller could not be accepted (microseconds).
-const PAUSE: Time = 10_000;
+const ACCEPT_RETRY_PAUSE: Time = 10_000;
 
 /// A command of an operator.
 pub struct Command {
@@ -55,7 +55,7 @@
                 Err(_) => {
                     command_listener.hosts.make_room();
                     let clock = command_listener.clock;
-                    clock.sleep_until(clock.now() + PAUSE).await;
+                    clock.sleep_until(clock.now() + ACCEPT_RETRY_PAUSE).await;
                     continue;
                 }
             };
@@ -70,35 +70,34 @@
         }
     }
 
+    /// Reads one command, carries it out and writes the answer.
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
-        let clock = self.clock;
         self.counters.calls.add();
+        let Some(reply) = self.reply(&stream).await else { return };
+        if !reply.yes {
+            self.counters.calls_denied.add();
+        }
+        let clock = self.clock;
+        tokio::select! {
+            // A caller that does not read its answer has left.
+            _ = write_reply(&mut stream, &reply) => {}
+            () = clock.sleep_until(clock.now() + REPLY_TIMEOUT) => {}
+        }
+    }
+
+    /// The answer to the line that comes; none if the caller leaves before it has sent anything.
+    async fn reply(&self, stream: &TcpStream) -> Option<Reply> {
+        let clock = self.clock;
         let line = tokio::select! {
-            line = line(&stream) => line,
+            line = line(stream) => line,
             () = clock.sleep_until(clock.now() + LINE) => Err(Some(Flaw::Late)),
         };
-        let reply = match line {
+        match line {
             Ok(line) => match ops::read(&line) {
-                Ok(call) => self.execute(call).await,
-                Err(flaw) => flaw.into(),
+                Ok(call) => Some(self.execute(call).await),
+                Err(flaw) => Some(flaw.into()),
             },
-            Err(Some(flaw)) => flaw.into(),
-            Err(None) => return,
-        };
-        if !reply.yes {
-            self.counters.calls_denied.add();
-        }
-        let replied = async {
-            socket::write_all(&stream, &mut reply.to_string().as_bytes()).await?;
-            stream.shutdown().await.map_err(SocketError::Broken)?;
-            // Closed with bytes unread, the connection would be reset and the answer lost.
-            let mut rest = [0; MOST_LINE];
-            while socket::read(&stream, &mut rest).await? > 0 {}
-            Ok::<(), SocketError>(())
-        };
-        tokio::select! {
-            _ = replied => {}
-            () = clock.sleep_until(clock.now() + LINGER) => {}
+            Err(flaw) => flaw.map(Reply::from),
         }
     }
 
@@ -113,6 +112,15 @@
     }
 }
 
+async fn write_reply(stream: &mut TcpStream, reply: &Reply) -> Result<(), SocketError> {
+    socket::write_all(stream, &mut reply.to_string().as_bytes()).await?;
+    stream.shutdown().await.map_err(SocketError::Broken)?;
+    // Closed with bytes unread, the connection would be reset and the answer lost.
+    let mut rest = [0; MOST_LINE];
+    while socket::read(stream, &mut rest).await? > 0 {}
+    Ok(())
+}
+
 /// A caller's line, without its end. Nothing if the caller left before it had said anything.
 pub async fn line(stream: &impl ByteStream) -> Result<Vec<u8>, Option<Flaw>> {
     let (mut line, mut bytes) = (Vec::new(), [0; MOST_LINE]);
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,12 +1,12 @@
-//! Datagrams between instances: bulletins out at their pace, bulletins in as they come. What is in them, and what
-//! follows from it, the sessions decide; and datagrams about duties, of which `duties.rs` sees to.
+//! Datagrams between instances: watermark broadcasts, sent at their pace and received as they come, whose contents the
+//! sessions decide; and datagrams about shared duties, which `duties.rs` reads and writes.
 
 use crate::facade::Facade;
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
 use crate::net::duties::{Duties, Parcel};
 use crate::Time;
-use petrelgauge_sessions::MOST_BYTES;
+use petrelgauge_sessions::{BulletinError, MOST_BYTES};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -46,7 +46,7 @@
         Peers { socket, all, me }
     }
 
-    /// Speaks and listens for as long as the gateway runs. A datagram that cannot be sent is lost like any other.
+    /// Sends and receives datagrams for as long as the gateway runs. One that cannot be sent is lost like any other.
     pub async fn talk(
         self,
         facade: Facade,
@@ -54,52 +54,60 @@
         counters: Rc<Counters>,
         duties: Option<Rc<Duties>>,
     ) {
-        // One byte more than any that can be used, to tell those that are cut.
+        // One byte more than any that can be used, to recognize those that are cut.
         let mut bytes = [0; MOST_BYTES + 1];
-        let mut failing = false;
+        let mut rejecting = false;
         loop {
-            let (told, next) = facade.tell(clock.now());
-            for datagram in &told {
-                for (_, other) in self.all.iter().enumerate().filter(|(number, _)| *number != self.me) {
-                    counters.told.add();
-                    counters.told_bytes.add_many(datagram.len());
-                    self.socket.send(datagram, *other);
-                }
-            }
+            let (datagrams, next) = facade.tell(clock.now());
+            datagrams.iter().for_each(|datagram| self.broadcast(datagram, &counters));
             let due = duties.iter().map(|duties| duties.due_at());
             let Some(next) = next.into_iter().chain(due).min() else { return std::future::pending().await };
             tokio::select! {
                 biased;
                 () = clock.sleep_until(next) => {}
-                heard = self.socket.receive(&mut bytes) => {
-                    let Ok(length) = heard else {
-                        // What another instance's machine says of a datagram to it: it is not up.
+                received = self.socket.receive(&mut bytes) => {
+                    let Ok(length) = received else {
+                        // The other instance's machine answers that nobody listens there: that instance is not up.
                         continue;
                     };
                     counters.heard.add();
                     counters.heard_bytes.add_many(length);
-                    let cause = match &duties {
-                        Some(duties) if Duties::is_for(&bytes[..length]) => {
-                            let parcels = duties.hear(&bytes[..length]);
-                            self.send(parcels, &counters);
-                            None
-                        }
-                        _ => facade.hear(clock.now(), &bytes[..length]).err(),
-                    };
-                    // Once for each row of them.
-                    if let Some(cause) = &cause {
-                        if !std::mem::replace(&mut failing, true) {
-                            log::warn!("peer datagram rejected cause={cause}");
-                        }
-                    } else {
-                        failing = false;
-                    }
+                    let rejected = self.take(&bytes[..length], &facade, clock, &duties, &counters);
+                    log_first_rejection(rejected, &mut rejecting);
                 }
             }
             self.act(&duties, clock.now(), &counters);
         }
     }
 
+    /// Sends a datagram to all other instances.
+    fn broadcast(&self, datagram: &[u8], counters: &Counters) {
+        for (_, other) in self.all.iter().enumerate().filter(|(number, _)| *number != self.me) {
+            counters.told.add();
+            counters.told_bytes.add_many(datagram.len());
+            self.socket.send(datagram, *other);
+        }
+    }
+
+    /// Hands a datagram to the part of the gateway that it is for.
+    fn take(
+        &self,
+        datagram: &[u8],
+        facade: &Facade,
+        clock: Clock,
+        duties: &Option<Rc<Duties>>,
+        counters: &Counters,
+    ) -> Result<(), BulletinError> {
+        match duties {
+            Some(duties) if Duties::is_for(datagram) => {
+                let parcels = duties.hear(datagram);
+                self.send(parcels, counters);
+                Ok(())
+            }
+            _ => facade.hear(clock.now(), datagram),
+        }
+    }
+
     /// What the duties have to say by now. It goes out at once: nothing of it waits for another turn.
     fn act(&self, duties: &Option<Rc<Duties>>, now: Time, counters: &Counters) {
         if let Some(duties) = duties.as_ref().filter(|duties| now >= duties.due_at()) {
@@ -118,3 +126,14 @@
         }
     }
 }
+
+/// Logs the first of several rejected datagrams in a row.
+fn log_first_rejection(received: Result<(), BulletinError>, rejecting: &mut bool) {
+    let Err(cause) = received else {
+        *rejecting = false;
+        return;
+    };
+    if !std::mem::replace(rejecting, true) {
+        log::warn!("peer datagram rejected cause={cause}");
+    }
+}
