--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -8,6 +8,8 @@
 const MOST_LINE: usize = 4 * 1024 * 1024;
 /// Longest line with the size of a chunk (bytes).
 const MOST_CHUNK_SIZE_LINE: usize = 256;
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// Why an answer cannot be read on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -88,41 +90,18 @@
     /// Uses up some of the bytes; 0 if more are needed.
     fn step(&mut self, raw: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, AnswerError> {
         match self.part {
-            Part::Head => {
-                let Some(end) = raw.windows(4).position(|four| four == b"\r\n\r\n") else {
-                    return if raw.len() > MOST_HEAD { Err(AnswerError::HeadTooLong) } else { Ok(0) };
-                };
-                self.part = head(&raw[..end])?;
-                Ok(end + 4)
-            }
-            Part::Size => {
-                let Some(end) = raw.windows(2).position(|two| two == b"\r\n") else {
-                    return if raw.len() > MOST_CHUNK_SIZE_LINE {
-                        Err(AnswerError::ChunkSizeTooLong)
-                    } else {
-                        Ok(0)
-                    };
-                };
-                let digits = raw[..end].split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
-                let text = std::str::from_utf8(digits).unwrap_or_default();
-                let hex = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-                let size = usize::from_str_radix(text, 16).ok().filter(|_| hex);
-                self.part = match size.ok_or(AnswerError::InvalidChunkSize)? {
-                    0 => Part::Over,
-                    size => Part::Data(size),
-                };
-                Ok(end + 2)
-            }
+            Part::Head => self.read_head(raw),
+            Part::Size => self.read_chunk_size(raw),
             Part::Data(left) => {
                 let count = left.min(raw.len());
                 self.body(&raw[..count], lines)?;
                 self.part = if count == left { Part::DataEnd } else { Part::Data(left - count) };
                 Ok(count)
             }
-            Part::DataEnd if raw.len() < 2 => Ok(0),
-            Part::DataEnd if raw.starts_with(b"\r\n") => {
+            Part::DataEnd if raw.len() < LINE_END.len() => Ok(0),
+            Part::DataEnd if raw.starts_with(LINE_END) => {
                 self.part = Part::Size;
-                Ok(2)
+                Ok(LINE_END.len())
             }
             Part::DataEnd => Err(AnswerError::UnterminatedChunk),
             Part::Plain => {
@@ -139,6 +118,31 @@
         }
     }
 
+    fn read_head(&mut self, raw: &[u8]) -> Result<usize, AnswerError> {
+        let Some(end) = raw.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) else {
+            return if raw.len() > MOST_HEAD { Err(AnswerError::HeadTooLong) } else { Ok(0) };
+        };
+        self.part = head(&raw[..end])?;
+        Ok(end + HEAD_END.len())
+    }
+
+    fn read_chunk_size(&mut self, raw: &[u8]) -> Result<usize, AnswerError> {
+        let Some(end) = raw.windows(LINE_END.len()).position(|bytes| bytes == LINE_END) else {
+            let too_long = raw.len() > MOST_CHUNK_SIZE_LINE;
+            return if too_long { Err(AnswerError::ChunkSizeTooLong) } else { Ok(0) };
+        };
+        let digits = raw[..end].split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
+        let text = std::str::from_utf8(digits).unwrap_or_default();
+        // A sign, which the parser of numbers takes, is none of the digits.
+        let is_hexadecimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let size = usize::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
+        self.part = match size.ok_or(AnswerError::InvalidChunkSize)? {
+            0 => Part::Over,
+            size => Part::Data(size),
+        };
+        Ok(end + LINE_END.len())
+    }
+
     /// No more comes: the last line, which may lack its end.
     pub fn last(&mut self) -> Option<Vec<u8>> {
         Some(std::mem::take(&mut self.line)).filter(|line| !line.is_empty())
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -7,6 +7,15 @@
 use std::io;
 use thiserror::Error;
 
+/// Names of session sources in the operator's file.
+const SESSION_SOURCES: [&str; 2] = ["token", "peers"];
+/// Names of shared duties in the operator's file.
+const DUTIES: [&str; 2] = ["scout", "shares"];
+/// Electors where the operator's file names no number.
+const DEFAULT_ELECTORS: u64 = 3;
+/// Largest number of electors that is checked; any over the limit is refused alike.
+const MOST_CHECKED_ELECTORS: usize = 1000;
+
 /// Why the operator's file cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorError {
@@ -133,6 +142,7 @@
     }
 }
 
+/// Reads the record `sessions`.
 fn sessions(mut record: Record) -> Result<Sessions, RecordError> {
     let base = Settings::default();
     let classes = record.strings("classes")?.unwrap_or_default();
@@ -140,9 +150,10 @@
         return Err(record.error("sessions: classes names the classes that carry sessions"));
     }
     let sources = record.strings("sources")?.unwrap_or_else(|| vec!["token".into()]);
-    if let Some(other) = sources.iter().find(|name| !["token", "peers"].contains(&name.as_str())) {
+    if let Some(other) = sources.iter().find(|name| !SESSION_SOURCES.contains(&name.as_str())) {
         return Err(record.error(format!("sources are \"token\" and \"peers\", not {other:?}")));
     }
+    let [tokens, peers] = SESSION_SOURCES.map(|source| sources.iter().any(|name| name == source));
     let promises = [Promise::Writes, Promise::WritesAndReads];
     let promise = record.one_of("promise", &["writes", "writes-and-reads"])?.map(|place| promises[place]);
     let told = [Told::WithRead, Told::WithAnswer];
@@ -159,7 +170,7 @@
         told: told.unwrap_or(base.told),
         conservative: record.one_of("unknown", &["asked-for", "ignored"])? != Some(1),
         roams: record.boolean("roams")?.unwrap_or(base.roams),
-        tokens: sources.iter().any(|name| name == "token"),
+        tokens,
         exact: record.unsigned("exact")?.map_or(base.exact, |count| count as usize),
         cells: record.unsigned("cells")?.map_or(base.cells, |count| count as usize),
         token_age: record.duration("token_age")?.unwrap_or(base.token_age),
@@ -172,9 +183,10 @@
     };
     settings.check().map_err(|cause| record.error(format!("sessions: {cause}")))?;
     record.end()?;
-    Ok(Sessions { classes, peers: sources.iter().any(|name| name == "peers"), settings })
+    Ok(Sessions { classes, peers, settings })
 }
 
+/// Reads the record `ownership`.
 fn ownership(mut record: Record) -> Result<Ownership, RecordError> {
     let base = Spans::default();
     let secret = record.string("secret")?.map(|text| u64::from_str_radix(&text, 16));
@@ -183,15 +195,15 @@
             record.error("ownership: a secret of up to 16 hexadecimal digits, the same at all gateways")
         );
     };
-    let electors = record.unsigned("electors")?.unwrap_or(3) as usize;
+    let electors = record.unsigned("electors")?.unwrap_or(DEFAULT_ELECTORS) as usize;
     let drift = record.unsigned("drift_percent")?.map_or(base.drift, |percent| percent as f64 / 100.0);
     let lease = record.duration("lease")?.unwrap_or(base.lease);
     let delay = record.duration("delay")?.unwrap_or(base.delay);
     let spans = Spans { lease, drift, delay, ..base };
     // With as many gateways as electors it can be checked here, where the file and the place are known.
     let stand_in = Spans {
-        gateways: electors.min(1000) as u16,
-        electors: (0..electors.min(1000) as u16).collect(),
+        gateways: electors.min(MOST_CHECKED_ELECTORS) as u16,
+        electors: (0..electors.min(MOST_CHECKED_ELECTORS) as u16).collect(),
         ..spans.clone()
     };
     stand_in.check().map_err(|cause| record.error(format!("ownership: {cause}")))?;
@@ -200,10 +212,10 @@
         return Err(record.error(format!("ownership: shards are from 1 to {MOST_SHARDS}")));
     }
     let duties = record.strings("duties")?.unwrap_or_else(|| vec!["scout".into()]);
-    if let Some(other) = duties.iter().find(|name| !["scout", "shares"].contains(&name.as_str())) {
+    if let Some(other) = duties.iter().find(|name| !DUTIES.contains(&name.as_str())) {
         return Err(record.error(format!("duties are \"scout\" and \"shares\", not {other:?}")));
     }
-    let [scout, shares] = ["scout", "shares"].map(|one| duties.iter().any(|name| name == one));
+    let [scout, shares] = DUTIES.map(|duty| duties.iter().any(|name| name == duty));
     if shares && !spans.shares_last() {
         return Err(record.error("ownership: shares need a lower drift, or a lease of more delays"));
     }
