--- /dev/null
+++ b/crates/lifecycle/tests/idle_connection.rs
@@ -0,0 +1,32 @@
+//! Which connection to a host may carry a request after it has rested.
+
+use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::idle_connection::{IdleConnection, IdlePolicy, SocketState, COPY_WINDOW, SETTLE};
+use petrelgauge_policy::Time;
+
+const IDLE_SPAN: Time = 30_000_000;
+
+#[test]
+fn a_connection_that_its_host_closed_or_reset_is_never_used_and_counts_as_closed_while_idle() {
+    let policy = IdlePolicy::for_hosts(IDLE_SPAN);
+    for since in [0, SETTLE, COPY_WINDOW, policy.span, policy.span + 1] {
+        for detects_copies in [false, true] {
+            let connection = IdleConnection { since: 0, detects_copies };
+            assert_eq!(
+                policy.may_use(since, connection, SocketState::Closed),
+                Err(End::HostClosedIdle),
+                "after {since}"
+            );
+        }
+    }
+}
+
+#[test]
+fn a_connection_that_is_quiet_is_used_for_its_span() {
+    let policy = IdlePolicy::for_hosts(IDLE_SPAN);
+    let connection = IdleConnection { since: 0, detects_copies: false };
+    assert_eq!(policy.may_use(COPY_WINDOW - 1, connection, SocketState::Quiet), Ok(true));
+    assert_eq!(policy.may_use(COPY_WINDOW, connection, SocketState::Quiet), Ok(false));
+    assert_eq!(policy.may_use(policy.span, connection, SocketState::Quiet), Ok(false));
+    assert_eq!(policy.may_use(policy.span + 1, connection, SocketState::Quiet), Err(End::Retired));
+}
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -2,12 +2,12 @@
 //! other. It serves no client by itself. The program builds one and puts a front before it; the laboratory builds many
 //! in one process and gives each of them demand that nobody sent.
 
-use crate::facade::Facade;
+use crate::facade::{Facade, NotTaken};
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
 use crate::net::config::Config;
 use crate::net::counters::Counters;
-use crate::net::discovery::Follower;
+use crate::net::discovery::DiscoveryWatch;
 use crate::net::host_names::HostNames;
 use crate::net::hosts::Hosts;
 use crate::net::leadership::{FleetLeadership, LeadershipConfig};
@@ -15,28 +15,78 @@
 use crate::net::primary_discovery::PrimaryDiscovery;
 use crate::net::quota_lending::{Demand, QuotaLending};
 use crate::net::read_buffer::ReadBuffer;
-use crate::{Class, MemberId, Need, Settings, Time};
+use crate::operator::SessionClassesError;
+use crate::settings::DeploymentError;
+use crate::{Class, MemberId, Need, Settings, SettingsError, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
 use petrelgauge_ownership::LeaseManager;
-use petrelgauge_sessions::{SessionTracker, SettingsError};
+use petrelgauge_sessions::SessionTracker;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
 use std::future::Future;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Between two looks for idle connections that are of no more use (microseconds).
-const SWEEP: Time = 500_000;
-/// Between two looks for clients that are too many (microseconds).
-const THIN_OUT: Time = 50_000;
+/// Between two closings of idle connections that are of no more use (microseconds).
+const IDLE_SWEEP_INTERVAL: Time = 500_000;
+/// Between two checks for clients that are too many (microseconds).
+const THIN_OUT_INTERVAL: Time = 50_000;
 /// What a query waits here before it is read, the decisions before they are stepped, and a refusal before its client has
 /// it (microseconds): the 99th percentile of one of the three with the processor shared. More is no better: a client that
 /// is refused sooner has more time left than it is told to stay away, and comes back with nothing of it left.
-const WAY: Time = 3_000;
+const QUEUEING_ALLOWANCE: Time = 3_000;
+
+/// Why the control part cannot start, or cannot follow a configuration that was read again.
+#[derive(Debug, Error)]
+pub enum ControlError {
+    /// A value of the deployment's settings is missing or not known.
+    #[error("settings: {0}")]
+    Deployment(#[from] DeploymentError),
+    /// A figure of the deployment's settings is out of range.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
+    /// The running gateway cannot take the settings.
+    #[error("settings: {0}")]
+    NotTaken(NotTaken),
+    /// Sessions cannot be kept for the classes that the operator names.
+    #[error(transparent)]
+    SessionClasses(#[from] SessionClassesError),
+    /// The settings of the sessions are out of range.
+    #[error("sessions: {0}")]
+    Sessions(#[from] petrelgauge_sessions::SettingsError),
+    /// The settings of the shared duties are out of range.
+    #[error("ownership: {0}")]
+    Ownership(#[from] petrelgauge_ownership::SettingsError),
+    /// The operator's record needs other instances, and the configuration does not say where they reach this one.
+    #[error("{record}: the configuration names no peer_listen")]
+    MissingPeerListen {
+        /// The record of the operator's file.
+        record: &'static str,
+    },
+    /// The operator's record needs other instances, and this gateway is not listed among them.
+    #[error("{record}: this gateway is none of the peers")]
+    NotListedFor {
+        /// The record of the operator's file.
+        record: &'static str,
+    },
+    /// This gateway is not listed among the peers.
+    #[error("peers: this gateway is none of them")]
+    NotListed,
+    /// The address for datagrams of other instances cannot be bound.
+    #[error("cannot listen to other instances at {address}: {source}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+}
 
 /// The decisions of one gateway, before the first list.
 pub struct Decisions {
@@ -52,15 +102,18 @@
 }
 
 impl Decisions {
-    /// Those of this configuration. The cause of a failure is one plain sentence.
-    pub fn new(config: &Config, now: Time) -> Result<Decisions, String> {
+    /// Those of this configuration.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings, or what the operator has set of sessions, cannot be used.
+    pub fn new(config: &Config, now: Time) -> Result<Decisions, ControlError> {
         let mut settings = settings(config)?;
         let (sessions, exchange) = sessions(config, &settings.classes, now)?;
         let hold = sessions.as_ref().map_or(0, |(tracker, _)| tracker.settings().max_read_wait);
         settings.hold = hold;
         let (most_open, gateways) = (settings.most_open, settings.routers);
-        let facade = Facade::with_sessions(settings, config.seed, sessions)
-            .map_err(|cause| format!("settings: {cause}"))?;
+        let facade = Facade::with_sessions(settings, config.seed, sessions)?;
         Ok(Decisions { facade, most_open, hold, gateways, exchange })
     }
 }
@@ -77,8 +130,8 @@
     pub counters: Rc<Counters>,
     /// Requests that came for each group so far.
     pub demand: Demand,
-    /// Numbers that another process of this gateway has given to hosts.
-    pub given: Vec<(String, MemberId)>,
+    /// Numbers that another process of this gateway has assigned to hosts.
+    pub assigned: Vec<(String, MemberId)>,
 }
 
 /// The control part of one gateway.
@@ -91,13 +144,13 @@
     pub leadership: Option<Rc<FleetLeadership>>,
     /// The names and numbers of the hosts.
     pub names: Rc<HostNames>,
-    /// Discovery has spoken since the start.
-    pub told: Rc<Cell<bool>>,
+    /// Discovery has sent a usable list since the start.
+    pub has_spoken: Rc<Cell<bool>>,
     /// The revision of the list that is held.
     pub revision: Rc<Cell<u64>>,
     clock: Clock,
     counters: Rc<Counters>,
-    follower: Option<Follower>,
+    discovery_watch: Option<DiscoveryWatch>,
     peers: Option<Peers<S>>,
 }
 
@@ -108,37 +161,55 @@
         decisions: Decisions,
         environment: Environment,
         bind: impl FnOnce(SocketAddr) -> F,
-    ) -> Result<Control<S>, String> {
-        let Environment { clock, budget, read_buffer, counters, demand, given } = environment;
+    ) -> Result<Control<S>, ControlError> {
+        let Environment { clock, budget, read_buffer, counters, demand, assigned } = environment;
         let Decisions { facade, gateways, exchange, .. } = decisions;
         let (connect, idle) = (config.info.connect_span(), config.info.idle_span());
         let hosts = Hosts::new(clock, budget, counters.clone(), read_buffer, connect, idle);
         let backoff = Backoff::new(gateways, config.seed.rotate_left(32));
         let known = config.known.take();
-        let follower =
-            Follower::new(facade.clone(), hosts.clone(), counters.clone(), clock, known, backoff, given);
-        let (told, names, revision) = (follower.told(), follower.names(), follower.revision());
+        let discovery_watch = DiscoveryWatch::new(
+            facade.clone(),
+            hosts.clone(),
+            counters.clone(),
+            clock,
+            known,
+            backoff,
+            assigned,
+        );
+        let (has_spoken, names) = (discovery_watch.has_spoken(), discovery_watch.names());
+        let revision = discovery_watch.revision();
         let leadership = leadership(config, &facade, clock, &counters, &names, demand)?;
         let listen = exchange.or(config.peer_listen.filter(|_| leadership.is_some()));
         let mut peers = None;
         if let Some(listen) = listen {
-            let place = config.place().ok_or("peers: this gateway is none of them")?;
+            let place = config.place().ok_or(ControlError::NotListed)?;
             let socket = bind(listen).await;
-            let socket =
-                socket.map_err(|cause| format!("cannot listen to other instances at {listen}: {cause}"))?;
+            let socket = socket.map_err(|source| ControlError::Bind { address: listen, source })?;
             peers = Some(Peers::new(socket, place, config.peers.clone()));
         }
-        let follower = Some(follower);
-        Ok(Control { facade, hosts, leadership, names, told, revision, clock, counters, follower, peers })
+        let discovery_watch = Some(discovery_watch);
+        Ok(Control {
+            facade,
+            hosts,
+            leadership,
+            names,
+            has_spoken,
+            revision,
+            clock,
+            counters,
+            discovery_watch,
+            peers,
+        })
     }
 
     /// Starts its tasks, none of which ends by itself. The watch is kept at the address that `discovery` names last.
     pub fn start(&mut self, tasks: &mut JoinSet<()>, discovery: watch::Receiver<SocketAddr>) {
-        if let Some(follower) = self.follower.take() {
-            tasks.spawn_local(follower.follow(discovery));
+        if let Some(watch) = self.discovery_watch.take() {
+            tasks.spawn_local(watch.follow(discovery));
         }
-        tasks.spawn_local(keep_time(self.facade.clone(), self.clock));
-        tasks.spawn_local(keep_clean(self.hosts.clone(), self.clock));
+        tasks.spawn_local(step_decisions(self.facade.clone(), self.clock));
+        tasks.spawn_local(close_unused_connections(self.hosts.clone(), self.clock));
         if let Some(peers) = self.peers.take() {
             let (facade, counters) = (self.facade.clone(), self.counters.clone());
             tasks.spawn_local(peers.talk(facade, self.clock, counters, self.leadership.clone()));
@@ -166,17 +237,17 @@
     now: Time,
     facade: &Facade,
     hosts: &Hosts,
-) -> Result<(Config, u32), String> {
+) -> Result<(Config, u32), ControlError> {
     let mut settings = settings(&new)?;
     let carrying = carrying(&new, &settings.classes)?;
     (settings.hold, settings.most_open) = (hold, settings.most_open.min(old.sockets as u32 / 3));
     let open = settings.most_open;
     let (connect, idle) = (new.info.connect_span(), new.info.idle_span());
-    facade.follow(now, settings, &carrying).map_err(|cause| format!("settings: {cause}"))?;
+    facade.follow(now, settings, &carrying).map_err(ControlError::NotTaken)?;
     hosts.follow(connect, idle);
     let unmoved = old.unmoved(&new);
     if !unmoved.is_empty() {
-        log::warn!("only a start can follow the new {}", unmoved.join(", "));
+        log::warn!("configuration keys need a restart keys={}", unmoved.join(","));
     }
     // What only a start can follow stays as it was, to be named again by the next file.
     Ok((old.with(new), open))
@@ -190,16 +261,15 @@
     counters: &Rc<Counters>,
     names: &Rc<HostNames>,
     demand: Demand,
-) -> Result<Option<Rc<FleetLeadership>>, String> {
+) -> Result<Option<Rc<FleetLeadership>>, ControlError> {
     let Some(set) = &config.operator.ownership else { return Ok(None) };
     if config.peer_listen.is_none() {
-        return Err("ownership: the configuration names no peer_listen".into());
+        return Err(ControlError::MissingPeerListen { record: "ownership" });
     }
-    let me = config.place().ok_or("ownership: this gateway is none of the peers")?;
+    let me = config.place().ok_or(ControlError::NotListedFor { record: "ownership" })?;
     let settings = set.settings(me, config.peers.len())?;
     let now = clock.now();
-    let lease_manager =
-        LeaseManager::new(settings, now, config.seed).map_err(|cause| format!("ownership: {cause}"))?;
+    let lease_manager = LeaseManager::new(settings, now, config.seed)?;
     // A restarted process must not accept what was granted to the one before it.
     let number = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
     let quota_lending = set
@@ -217,19 +287,18 @@
 
 /// The sessions that the operator has switched on, or else what the deployment asks for by itself: watermarks of this
 /// instance's own answers, since its start.
-fn sessions(config: &Config, classes: &[Class], now: Time) -> Result<TrackedSessions, String> {
-    let refused = |cause: SettingsError| format!("sessions: {cause}");
+fn sessions(config: &Config, classes: &[Class], now: Time) -> Result<TrackedSessions, ControlError> {
     if let Some(set) = &config.operator.sessions {
         let (places, mut settings) = (carrying(config, classes)?, set.settings.clone());
         let mut exchange = None;
         if set.peers {
-            let listen = config.peer_listen.ok_or("sessions: the configuration names no peer_listen")?;
-            let me = config.place().ok_or("sessions: this gateway is none of the peers")?;
+            let listen = config.peer_listen.ok_or(ControlError::MissingPeerListen { record: "sessions" })?;
+            let me = config.place().ok_or(ControlError::NotListedFor { record: "sessions" })?;
             (settings.instance, settings.instances) =
                 (me as u16, config.peers.len().min(u16::MAX.into()) as u16);
             exchange = Some(listen);
         }
-        return Ok((Some((SessionTracker::new(settings, now).map_err(refused)?, places)), exchange));
+        return Ok((Some((SessionTracker::new(settings, now)?, places)), exchange));
     }
     let places = carrying(config, classes)?;
     if places.is_empty() {
@@ -243,12 +312,12 @@
         ..Default::default()
     };
     let settings = petrelgauge_sessions::Settings { roams: false, tokens: false, ..told };
-    Ok((Some((SessionTracker::new(settings, 0).map_err(refused)?, places)), None))
+    Ok((Some((SessionTracker::new(settings, 0)?, places)), None))
 }
 
 /// Places of the classes that carry sessions: those that the operator names, or else those that the deployment asks
 /// for by itself.
-fn carrying(config: &Config, classes: &[Class]) -> Result<Vec<usize>, String> {
+fn carrying(config: &Config, classes: &[Class]) -> Result<Vec<usize>, SessionClassesError> {
     if let Some(set) = &config.operator.sessions {
         return set.places(classes);
     }
@@ -260,20 +329,20 @@
 }
 
 /// The settings of a configuration, as this gateway keeps them.
-fn settings(config: &Config) -> Result<Settings, String> {
-    let mut settings = config.info.settings().map_err(|cause| format!("settings: {cause}"))?;
+fn settings(config: &Config) -> Result<Settings, DeploymentError> {
+    let mut settings = config.info.settings()?;
     // The protocol has no probes, and the watch of discovery is always open.
     settings.may_probe = false;
     settings.list_on_request = false;
     settings.clock_may_be_wrong = true;
-    settings.way = WAY;
+    settings.way = QUEUEING_ALLOWANCE;
     // Clients hold at most a third of the descriptors.
     settings.most_open = settings.most_open.min(config.sockets as u32 / 3);
     Ok(settings)
 }
 
 /// Steps the decisions when something came in or a timer is due.
-async fn keep_time(facade: Facade, clock: Clock) {
+async fn step_decisions(facade: Facade, clock: Clock) {
     loop {
         match facade.tick(clock.now()) {
             Some(at) => tokio::select! {
@@ -285,11 +354,12 @@
     }
 }
 
-async fn keep_clean(hosts: Rc<Hosts>, clock: Clock) {
+/// Closes idle connections to hosts that are of no more use, and idle clients that are too many.
+async fn close_unused_connections(hosts: Rc<Hosts>, clock: Clock) {
     loop {
-        let by = clock.now() + SWEEP;
+        let by = clock.now() + IDLE_SWEEP_INTERVAL;
         while clock.now() < by {
-            clock.sleep_until(clock.now() + THIN_OUT).await;
+            clock.sleep_until(clock.now() + THIN_OUT_INTERVAL).await;
             hosts.thin_out();
         }
         hosts.sweep();
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -1,4 +1,4 @@
-//! The staff's second address: one line in, one line out. What a line means and what is answered to it stands in
+//! The address for operators' commands: one line in, one line out. What a line means and what is answered to it stands in
 //! `petrelgauge_lifecycle::ops`.
 
 use crate::net::clock::Clock;
@@ -16,18 +16,23 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Span in which a caller may take its answer and send to the end (microseconds).
-const LINGER: Time = 500_000;
+/// Span in which a caller may read its answer and close the connection (microseconds).
+const REPLY_TIMEOUT: Time = 500_000;
 /// Pause after a caller could not be accepted (microseconds).
-const PAUSE: Time = 10_000;
+const ACCEPT_RETRY_PAUSE: Time = 10_000;
 
-/// A call, and where its answer goes.
-pub type CommandRequest = (Command, oneshot::Sender<Reply>);
+/// A command of an operator.
+pub struct CommandRequest {
+    /// What is asked for.
+    pub command: Command,
+    /// Where the answer goes.
+    pub answer: oneshot::Sender<Reply>,
+}
 
-/// The second address.
-pub struct Ops {
-    /// Who carries calls out.
-    pub desk: mpsc::Sender<CommandRequest>,
+/// Takes operators' commands and hands them to the gateway's event loop.
+pub struct CommandListener {
+    /// Where commands are carried out.
+    pub commands: mpsc::Sender<CommandRequest>,
     /// What can be spared when there is no descriptor left.
     pub hosts: Rc<Hosts>,
     /// The clock.
@@ -36,10 +41,10 @@
     pub counters: Rc<Counters>,
 }
 
-impl Ops {
+impl CommandListener {
     /// Accepts callers for as long as the gateway runs.
     pub async fn accept(self, listener: TcpListener) {
-        let ops = Rc::new(self);
+        let command_listener = Rc::new(self);
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let stream = match socket::accept(&listener).await {
@@ -50,8 +55,9 @@
                     continue;
                 }
                 Err(_) => {
-                    ops.hosts.make_room();
-                    ops.clock.sleep_until(ops.clock.now() + PAUSE).await;
+                    command_listener.hosts.make_room();
+                    let clock = command_listener.clock;
+                    clock.sleep_until(clock.now() + ACCEPT_RETRY_PAUSE).await;
                     continue;
                 }
             };
@@ -61,45 +67,45 @@
                 // Its descriptor is free once it was dropped.
                 tokio::task::yield_now().await;
             }
-            callers.push_back(tokio::task::spawn_local(ops.clone().serve(stream)).abort_handle());
+            callers
+                .push_back(tokio::task::spawn_local(command_listener.clone().serve(stream)).abort_handle());
         }
     }
 
+    /// Reads one command, carries it out and writes the answer.
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
-        let clock = self.clock;
         self.counters.calls.add();
+        let Some(reply) = self.reply(&stream).await else { return };
+        if !reply.yes {
+            self.counters.calls_denied.add();
+        }
+        let clock = self.clock;
+        tokio::select! {
+            // A caller that does not read its answer has left.
+            _ = write_reply(&mut stream, &reply) => {}
+            () = clock.sleep_until(clock.now() + REPLY_TIMEOUT) => {}
+        }
+    }
+
+    /// The answer to the line that comes; none if the caller leaves before it has sent anything.
+    async fn reply(&self, stream: &TcpStream) -> Option<Reply> {
+        let clock = self.clock;
         let line = tokio::select! {
-            line = line(&stream) => line,
+            line = line(stream) => line,
             () = clock.sleep_until(clock.now() + LINE_TIMEOUT) => Err(Some(CommandError::TimedOut)),
         };
-        let reply = match line {
+        match line {
             Ok(line) => match ops::parse(&line) {
-                Ok(call) => self.ask(call).await,
-                Err(error) => error.into(),
+                Ok(command) => Some(self.execute(command).await),
+                Err(error) => Some(error.into()),
             },
-            Err(Some(error)) => error.into(),
-            Err(None) => return,
-        };
-        if !reply.yes {
-            self.counters.calls_denied.add();
-        }
-        let told = async {
-            socket::write_all(&stream, &mut reply.to_string().as_bytes()).await?;
-            stream.shutdown().await.map_err(SocketError::Broken)?;
-            // Closed with bytes unread, the connection would be reset and the answer lost.
-            let mut rest = [0; MAX_LINE_BYTES];
-            while socket::read(&stream, &mut rest).await? > 0 {}
-            Ok::<(), SocketError>(())
-        };
-        tokio::select! {
-            _ = told => {}
-            () = clock.sleep_until(clock.now() + LINGER) => {}
+            Err(error) => error.map(Reply::from),
         }
     }
 
-    async fn ask(&self, call: Command) -> Reply {
+    async fn execute(&self, command: Command) -> Reply {
         let (answer, answered) = oneshot::channel();
-        let sent = self.desk.send((call, answer)).await;
+        let sent = self.commands.send(CommandRequest { command, answer }).await;
         let reply = match sent {
             Ok(()) => answered.await.ok(),
             Err(_) => None,
@@ -108,6 +114,15 @@
     }
 }
 
+async fn write_reply(stream: &mut TcpStream, reply: &Reply) -> Result<(), SocketError> {
+    socket::write_all(stream, &mut reply.to_string().as_bytes()).await?;
+    stream.shutdown().await.map_err(SocketError::Broken)?;
+    // Closed with bytes unread, the connection would be reset and the answer lost.
+    let mut rest = [0; MAX_LINE_BYTES];
+    while socket::read(stream, &mut rest).await? > 0 {}
+    Ok(())
+}
+
 /// A caller's line, without its end. Nothing if the caller left before it had said anything.
 pub async fn line(stream: &impl ByteStream) -> Result<Vec<u8>, Option<CommandError>> {
     let (mut line, mut bytes) = (Vec::new(), [0; MAX_LINE_BYTES]);
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between instances: watermark broadcasts are sent when they are due and handled as they arrive; their content
-//! is for the session tracker. Datagrams about leadership roles are handled by `leadership.rs`.
+//! Datagrams between instances: watermark broadcasts, sent at their pace and received as they come, whose contents the
+//! sessions decide; and datagrams about leadership roles, which `leadership.rs` reads and writes.
 
 use crate::facade::Facade;
 use crate::net::clock::Clock;
@@ -7,7 +7,7 @@
 use crate::net::fleet_codec::OutgoingDatagram;
 use crate::net::leadership::FleetLeadership;
 use crate::Time;
-use petrelgauge_sessions::MAX_DATAGRAM_BYTES;
+use petrelgauge_sessions::{BroadcastError, MAX_DATAGRAM_BYTES};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
         Peers { socket, all, me }
     }
 
-    /// Speaks and listens for as long as the gateway runs. A datagram that cannot be sent is lost like any other.
+    /// Sends and receives datagrams for as long as the gateway runs. One that cannot be sent is lost like any other.
     pub async fn talk(
         self,
         facade: Facade,
@@ -55,53 +55,61 @@
         counters: Rc<Counters>,
         leadership: Option<Rc<FleetLeadership>>,
     ) {
-        // One byte more than any that can be used, to tell those that are cut.
+        // One byte more than any that can be used, to recognize those that are cut.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        let mut failing = false;
+        let mut rejecting = false;
         loop {
-            let (told, next) = facade.due_broadcasts(clock.now());
-            for datagram in &told {
-                for (_, other) in self.all.iter().enumerate().filter(|(number, _)| *number != self.me) {
-                    counters.told.add();
-                    counters.told_bytes.add_many(datagram.len());
-                    self.socket.send(datagram, *other);
-                }
-            }
+            let (datagrams, next) = facade.due_broadcasts(clock.now());
+            datagrams.iter().for_each(|datagram| self.broadcast(datagram, &counters));
             let due = leadership.iter().map(|leadership| leadership.next_deadline());
             let Some(next) = next.into_iter().chain(due).min() else { return std::future::pending().await };
             tokio::select! {
                 biased;
                 () = clock.sleep_until(next) => {}
-                heard = self.socket.receive(&mut bytes) => {
-                    let Ok(length) = heard else {
-                        // What another instance's machine says of a datagram to it: it is not up.
+                received = self.socket.receive(&mut bytes) => {
+                    let Ok(length) = received else {
+                        // The other instance's machine answers that nobody listens there: that instance is not up.
                         continue;
                     };
                     counters.heard.add();
                     counters.heard_bytes.add_many(length);
-                    let cause = match &leadership {
-                        Some(leadership) if FleetLeadership::is_for(&bytes[..length]) => {
-                            let datagrams = leadership.on_datagram(&bytes[..length]);
-                            self.send(datagrams, &counters);
-                            None
-                        }
-                        _ => facade.receive_broadcast(clock.now(), &bytes[..length]).err(),
-                    };
-                    // Once for each row of them.
-                    if let Some(cause) = &cause {
-                        if !std::mem::replace(&mut failing, true) {
-                            log::warn!("a datagram of another instance cannot be used: {cause}");
-                        }
-                    } else {
-                        failing = false;
-                    }
+                    let rejected = self.take(&bytes[..length], &facade, clock, &leadership, &counters);
+                    log_first_rejection(rejected, &mut rejecting);
                 }
             }
             self.act(&leadership, clock.now(), &counters);
         }
     }
 
-    /// Sends what the leadership roles have to send by now, at once: nothing of it waits for another turn.
+    /// Sends a datagram to all other instances.
+    fn broadcast(&self, datagram: &[u8], counters: &Counters) {
+        for (_, other) in self.all.iter().enumerate().filter(|(number, _)| *number != self.me) {
+            counters.told.add();
+            counters.told_bytes.add_many(datagram.len());
+            self.socket.send(datagram, *other);
+        }
+    }
+
+    /// Hands a datagram to the part of the gateway that it is for.
+    fn take(
+        &self,
+        datagram: &[u8],
+        facade: &Facade,
+        clock: Clock,
+        leadership: &Option<Rc<FleetLeadership>>,
+        counters: &Counters,
+    ) -> Result<(), BroadcastError> {
+        match leadership {
+            Some(leadership) if FleetLeadership::is_for(datagram) => {
+                let datagrams = leadership.on_datagram(datagram);
+                self.send(datagrams, counters);
+                Ok(())
+            }
+            _ => facade.receive_broadcast(clock.now(), datagram),
+        }
+    }
+
+    /// What the leadership have to say by now. It goes out at once: nothing of it waits for another turn.
     fn act(&self, leadership: &Option<Rc<FleetLeadership>>, now: Time, counters: &Counters) {
         if let Some(leadership) = leadership.as_ref().filter(|leadership| now >= leadership.next_deadline()) {
             self.send(leadership.on_deadline(), counters);
@@ -119,3 +127,14 @@
         }
     }
 }
+
+/// Logs the first of several rejected datagrams in a row.
+fn log_first_rejection(received: Result<(), BroadcastError>, rejecting: &mut bool) {
+    let Err(cause) = received else {
+        *rejecting = false;
+        return;
+    };
+    if !std::mem::replace(rejecting, true) {
+        log::warn!("peer datagram rejected cause={cause}");
+    }
+}
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -2,8 +2,46 @@
 
 use crate::{Class, Need, Time};
 use petrelgauge_config_language::{Record, RecordError};
-use petrelgauge_ownership::{Settings as Spans, MAX_SHARDS};
+use petrelgauge_ownership::{Settings as Spans, SettingsError as OwnershipError, MAX_SHARDS};
 use petrelgauge_sessions::{PositionScope, Promise, Settings};
+use std::io;
+use thiserror::Error;
+
+/// Names of session sources in the operator's file.
+const SESSION_SOURCES: [&str; 2] = ["token", "peers"];
+/// Names of shared duties in the operator's file.
+const DUTIES: [&str; 2] = ["scout", "shares"];
+/// Electors where the operator's file names no number.
+const DEFAULT_ACCEPTORS: u64 = 3;
+/// Largest number of electors that is checked; any over the limit is refused alike.
+const MAX_CHECKED_ACCEPTORS: usize = 1000;
+
+/// Why the operator's file cannot be used.
+#[derive(Debug, Error)]
+pub enum OperatorError {
+    /// The file cannot be read.
+    #[error("cannot read {path}: {source}")]
+    Unreadable {
+        /// The path as the environment gives it.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file can be read, but a record or field of it is wrong.
+    #[error(transparent)]
+    Invalid(#[from] RecordError),
+}
+
+/// Why sessions cannot be kept for the classes that the operator names.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum SessionClassesError {
+    /// The deployment has no class of this name.
+    #[error("sessions: classes: the deployment has no class {0:?}")]
+    UnknownClass(String),
+    /// All classes read, or all write: there is nothing to keep.
+    #[error("sessions: classes: at least one class that writes and one that reads")]
+    ReadsAndWritesNeeded,
+}
 
 /// What an operator has set.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -45,11 +83,16 @@
 }
 
 impl Operator {
-    /// Reads the file of this name, if there is one to read. The cause of a failure is one plain sentence.
-    pub fn load(path: Option<&str>) -> Result<Operator, String> {
+    /// Reads the file at `path`; without a path, nothing is switched on.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file cannot be read or is not valid.
+    pub fn load(path: Option<&str>) -> Result<Operator, OperatorError> {
         let Some(path) = path else { return Ok(Operator::default()) };
-        let text = std::fs::read_to_string(path).map_err(|cause| format!("cannot read {path}: {cause}"))?;
-        Operator::read(path, &text).map_err(|cause| cause.to_string())
+        let unreadable = |source| OperatorError::Unreadable { path: path.to_string(), source };
+        let text = std::fs::read_to_string(path).map_err(unreadable)?;
+        Ok(Operator::read(path, &text)?)
     }
 
     /// Reads the text of a file.
@@ -64,33 +107,42 @@
 }
 
 impl Ownership {
-    /// What the gateway `me` of so many is told. The cause of a failure is one plain sentence.
-    pub fn settings(&self, me: usize, gateways: usize) -> Result<Spans, String> {
+    /// The ownership settings of the gateway number `me` among `gateways`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the lease, the drift or the electors cannot work with so many gateways.
+    pub fn settings(&self, me: usize, gateways: usize) -> Result<Spans, OwnershipError> {
         let count = self.acceptors.min(gateways);
         let acceptors = (0..count).map(|place| (place * gateways / count) as u16).collect();
         let (me, gateways) = (me as u16, gateways.min(u16::MAX.into()) as u16);
         let settings = Spans { self_id: me, gateways, acceptors, ..self.spans.clone() };
-        settings.check().map(|()| settings).map_err(|cause| format!("ownership: {cause}"))
+        settings.check()?;
+        Ok(settings)
     }
 }
 
 impl Sessions {
-    /// Places of the classes that carry sessions. One that the deployment lacks is an error, and so is a write's
-    /// class without reads or reads without a class that writes: then there is nothing to keep.
-    pub fn places(&self, classes: &[Class]) -> Result<Vec<usize>, String> {
+    /// Indices of the classes that carry sessions.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the deployment lacks one of the classes, or if not at least one reads and one writes.
+    pub fn places(&self, classes: &[Class]) -> Result<Vec<usize>, SessionClassesError> {
         let place = |name: &String| {
             let found = classes.iter().position(|class| class.name == *name);
-            found.ok_or(format!("sessions: classes: the deployment has no class {name:?}"))
+            found.ok_or_else(|| SessionClassesError::UnknownClass(name.clone()))
         };
         let places: Vec<usize> = self.classes.iter().map(place).collect::<Result<_, _>>()?;
         let writes = places.iter().filter(|place| classes[**place].need == Need::Write).count();
         if writes == 0 || writes == places.len() {
-            return Err("sessions: classes: at least one class that writes and one that reads".into());
+            return Err(SessionClassesError::ReadsAndWritesNeeded);
         }
         Ok(places)
     }
 }
 
+/// Reads the record `sessions`.
 fn sessions(mut record: Record) -> Result<Sessions, RecordError> {
     let base = Settings::default();
     let classes = record.strings("classes")?.unwrap_or_default();
@@ -98,9 +150,10 @@
         return Err(record.error("sessions: classes names the classes that carry sessions"));
     }
     let sources = record.strings("sources")?.unwrap_or_else(|| vec!["token".into()]);
-    if let Some(other) = sources.iter().find(|name| !["token", "peers"].contains(&name.as_str())) {
+    if let Some(other) = sources.iter().find(|name| !SESSION_SOURCES.contains(&name.as_str())) {
         return Err(record.error(format!("sources are \"token\" and \"peers\", not {other:?}")));
     }
+    let [tokens, peers] = SESSION_SOURCES.map(|source| sources.iter().any(|name| name == source));
     let promises = [Promise::Writes, Promise::WritesAndReads];
     let promise = record.one_of("promise", &["writes", "writes-and-reads"])?.map(|place| promises[place]);
     let scopes = [PositionScope::DataRead, PositionScope::HostAtAnswer];
@@ -117,7 +170,7 @@
         position_scope: position_scope.unwrap_or(base.position_scope),
         conservative: record.one_of("unknown", &["asked-for", "ignored"])? != Some(1),
         roams: record.boolean("roams")?.unwrap_or(base.roams),
-        tokens: sources.iter().any(|name| name == "token"),
+        tokens,
         exact_sessions: record.unsigned("exact")?.map_or(base.exact_sessions, |count| count as usize),
         sketch_width: record.unsigned("cells")?.map_or(base.sketch_width, |count| count as usize),
         token_age: record.duration("token_age")?.unwrap_or(base.token_age),
@@ -130,9 +183,10 @@
     };
     settings.check().map_err(|cause| record.error(format!("sessions: {cause}")))?;
     record.end()?;
-    Ok(Sessions { classes, peers: sources.iter().any(|name| name == "peers"), settings })
+    Ok(Sessions { classes, peers, settings })
 }
 
+/// Reads the record `ownership`.
 fn ownership(mut record: Record) -> Result<Ownership, RecordError> {
     let base = Spans::default();
     let secret = record.string("secret")?.map(|text| u64::from_str_radix(&text, 16));
@@ -141,15 +195,15 @@
             record.error("ownership: a secret of up to 16 hexadecimal digits, the same at all gateways")
         );
     };
-    let acceptors = record.unsigned("electors")?.unwrap_or(3) as usize;
+    let acceptors = record.unsigned("electors")?.unwrap_or(DEFAULT_ACCEPTORS) as usize;
     let drift = record.unsigned("drift_percent")?.map_or(base.drift_bound, |percent| percent as f64 / 100.0);
     let lease = record.duration("lease")?.unwrap_or(base.lease);
     let delay = record.duration("delay")?.unwrap_or(base.max_delay);
     let spans = Spans { lease, drift_bound: drift, max_delay: delay, ..base };
     // With as many gateways as acceptors it can be checked here, where the file and the place are known.
     let stand_in = Spans {
-        gateways: acceptors.min(1000) as u16,
-        acceptors: (0..acceptors.min(1000) as u16).collect(),
+        gateways: acceptors.min(MAX_CHECKED_ACCEPTORS) as u16,
+        acceptors: (0..acceptors.min(MAX_CHECKED_ACCEPTORS) as u16).collect(),
         ..spans.clone()
     };
     stand_in.check().map_err(|cause| record.error(format!("ownership: {cause}")))?;
@@ -158,11 +212,10 @@
         return Err(record.error(format!("ownership: shards are from 1 to {MAX_SHARDS}")));
     }
     let duties = record.strings("duties")?.unwrap_or_else(|| vec!["scout".into()]);
-    if let Some(other) = duties.iter().find(|name| !["scout", "shares"].contains(&name.as_str())) {
+    if let Some(other) = duties.iter().find(|name| !DUTIES.contains(&name.as_str())) {
         return Err(record.error(format!("duties are \"scout\" and \"shares\", not {other:?}")));
     }
-    let [primary_discovery, quota_lending] =
-        ["scout", "shares"].map(|one| duties.iter().any(|name| name == one));
+    let [primary_discovery, quota_lending] = DUTIES.map(|duty| duties.iter().any(|name| name == duty));
     if quota_lending && !spans.loans_outlast_grants() {
         return Err(record.error("ownership: shares need a lower drift, or a lease of more delays"));
     }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -91,8 +91,8 @@
     thread::sleep(Duration::from_millis(600));
     let ops = stage.reserve_port();
     let mut new = stage.start_env(&stage.config(), &[("GW_OPS", &ops)]);
-    assert!(new.line_with("starting from what was learned").contains("of 1 hosts"));
-    new.line_with("serves at");
+    assert!(new.line_with("learned state adopted").contains(" hosts=1 "));
+    new.line_with("gateway serving");
     new.signal("TERM");
     assert_eq!(new.ended().0, Some(0));
     load.goes_on();
@@ -159,7 +159,7 @@
     }
     let free = stage.start_with(&stage.config());
     assert!(free.line_with("a handover record is not used").contains("it is incomplete or damaged"));
-    free.line_with("serves at");
+    free.line_with("gateway serving");
     let processes = [stage.beside(), stage.beside()];
     free.line_with("2 other processes of this gateway run");
     for gateway in &processes {
@@ -194,8 +194,8 @@
     new.signal("TERM");
     let (code, log) = new.ended();
     assert_eq!(code, Some(0));
-    let learned = log.lines().find(|line| line.contains("starting from what was learned"));
-    assert!(learned.is_some_and(|line| line.contains("of 1 hosts")), "{log}");
+    let learned = log.lines().find(|line| line.contains("learned state adopted"));
+    assert!(learned.is_some_and(|line| line.contains(" hosts=1 ")), "{log}");
     assert!(log.contains("1 other processes of this gateway run"), "{log}");
     assert!(!log.contains("0 other processes of this gateway run"), "the old one was lost sight of: {log}");
     old.signal("TERM");
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -270,7 +270,7 @@
     assert!(log.contains("this gateway is none of the peers"), "{log}");
     let config = config.replacen("\"settings\":{", "\"settings\":{\"my_number\":1,", 1);
     let gateway = stage.start_with(&config);
-    gateway.line_with("serves at");
+    gateway.line_with("gateway serving");
     // As number 1 of three acceptors it sends requests to the other two.
     let (mut bytes, fleet) = (
         [0; 300],
