--- a/crates/policy/src/indexes.rs
+++ b/crates/policy/src/indexes.rs
@@ -14,7 +14,7 @@
     /// Members with attempts out at the last check: what they wait for is added up at each check.
     waited_for: BTreeSet<MemberId>,
     /// All members that are suspect or down; also some that were so since the last check.
-    in_doubt: BTreeSet<MemberId>,
+    doubtful: BTreeSet<MemberId>,
     /// All members that are listed as gone; also those that were so since the last check. Of the members in it
     /// `Member::named` is exact. All others were in service at the last check, if they were known then.
     delisted: BTreeSet<MemberId>,
@@ -32,7 +32,7 @@
 
     /// Members that may be silent, suspect or down, in ascending order.
     pub(crate) fn members_to_check(&self) -> Vec<MemberId> {
-        self.waited_for.union(&self.in_doubt).copied().collect()
+        self.waited_for.union(&self.doubtful).copied().collect()
     }
 
     /// A member answers or does not.
@@ -44,9 +44,9 @@
 
     /// Doubts about a member may have come up, or an attempt there have hung.
     pub(crate) fn note_doubt(&mut self, id: MemberId, member: &Member) {
-        self.newest_loss = self.newest_loss.max(member.lost_at);
-        if member.suspect || member.down {
-            self.in_doubt.insert(id);
+        self.newest_loss = self.newest_loss.max(member.last_loss_at);
+        if member.suspected || member.down {
+            self.doubtful.insert(id);
         }
     }
 
@@ -74,10 +74,10 @@
     pub(crate) fn begin_check(&mut self, members: &mut BTreeMap<MemberId, Member>) {
         for id in std::mem::take(&mut self.waited_for) {
             if let Some(member) = members.get_mut(&id) {
-                (member.lost, member.quiet) = (0, (0.0, 0));
+                (member.presumed_lost, member.quiet) = (0, (0.0, 0));
             }
         }
-        self.in_doubt.retain(|id| members.get(id).is_some_and(|member| member.suspect || member.down));
+        self.doubtful.retain(|id| members.get(id).is_some_and(|member| member.suspected || member.down));
     }
 }
 
@@ -104,7 +104,7 @@
         member.drained |= standing == MemberStatus::Draining;
         self.indexes.alive_outdated = true;
         if standing == MemberStatus::Removed && self.indexes.delisted.insert(id) {
-            member.named = member.named.max(self.watched_at);
+            member.last_listed_at = member.last_listed_at.max(self.watched_at);
         }
     }
 
@@ -115,9 +115,9 @@
         let count = members.len();
         self.indexes.delisted.retain(|id| {
             let Some(member) = members.get_mut(id) else { return false };
-            member.named = if kept(member) { now } else { member.named };
+            member.last_listed_at = if kept(member) { now } else { member.last_listed_at };
             let gone = member.standing == MemberStatus::Removed;
-            let forgotten = now - member.named >= FORGOTTEN;
+            let forgotten = now - member.last_listed_at >= FORGOTTEN;
             if forgotten {
                 members.remove(id);
             }
@@ -146,20 +146,20 @@
         let waiting = self.groups.iter().filter(|(_, state)| !state.waiting.is_empty());
         self.indexes = Indexes {
             waiting: waiting.map(|(group, _)| *group).collect(),
-            waited_for: ids_of(|member| member.lost > 0 || member.quiet != (0.0, 0)),
-            in_doubt: ids_of(|member| member.suspect || member.down),
+            waited_for: ids_of(|member| member.presumed_lost > 0 || member.quiet != (0.0, 0)),
+            doubtful: ids_of(|member| member.suspected || member.down),
             delisted: ids_of(|member| member.standing == MemberStatus::Removed),
             alive_outdated: true,
-            newest_loss: members.values().map(|member| member.lost_at).max().unwrap_or(0),
+            newest_loss: members.values().map(|member| member.last_loss_at).max().unwrap_or(0),
         };
     }
 
     /// When a member was last known to be in service or to have something out.
-    pub(crate) fn last_named(&self, id: MemberId, member: &Member) -> Time {
+    pub(crate) fn last_listed(&self, id: MemberId, member: &Member) -> Time {
         if self.indexes.delisted.contains(&id) {
-            member.named
+            member.last_listed_at
         } else {
-            member.named.max(self.watched_at)
+            member.last_listed_at.max(self.watched_at)
         }
     }
 }
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -34,8 +34,9 @@
     pub fn learned_state(&self) -> LearnedState {
         let mut members = self.members.clone();
         for (id, member) in &mut members {
-            member.named = self.last_named(*id, member);
-            (member.out, member.lost, member.quiet, member.probe_out) = (0, 0, (0.0, 0), false);
+            member.last_listed_at = self.last_listed(*id, member);
+            (member.in_flight, member.presumed_lost, member.quiet, member.probe_in_flight) =
+                (0, 0, (0.0, 0), false);
         }
         let mut groups = self.groups.clone();
         groups.values_mut().for_each(|group| (group.waiting, group.share) = Default::default());
@@ -60,7 +61,8 @@
         let leads = |group: &GroupId| {
             let member = self.primary(*group)?;
             // The list's word alone is the time 1: that is known to everybody.
-            let at = self.members.get(&member).map(|member| member.primary_at).filter(|at| *at > 1)?;
+            let at =
+                self.members.get(&member).map(|member| member.primary_evidence_at).filter(|at| *at > 1)?;
             Some((*group, member, at))
         };
         self.groups.keys().filter_map(leads).collect()
--- a/crates/policy/src/router/cold.rs
+++ b/crates/policy/src/router/cold.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Router {
-    pub(super) fn present_share(&self, member: &Member) -> f64 {
-        let started = self.fleet_clock.started_at(member.started, member.listed_at).max(member.revived);
+    pub(super) fn capacity_share(&self, member: &Member) -> f64 {
+        let started = self.fleet_clock.started_at(member.started, member.listed_at).max(member.recovered_at);
         let age = if started > 0 { self.now - started } else { 2 * self.set.cold_for.max(1) };
         let grown = age.max(0) as f64 / self.set.cold_for.max(1) as f64;
         (self.set.cold_from + (1.0 - self.set.cold_from) * grown).min(1.0)
@@ -18,16 +18,16 @@
     /// Attempts that a cold member may be sent now. It gets its share of what this router sees members carry,
     /// so that the routers together stay inside the budget without a word between them. Each starts from a
     /// drawn part of one attempt: with hundreds of routers even one from each at once would push it over.
-    pub(super) fn cold_credit(&self, member: &Member) -> f64 {
+    pub(super) fn slow_start_tokens(&self, member: &Member) -> f64 {
         let carried = self.rate_now() / self.alive.max(1) as f64 * member.weight.min(1.0);
         let least = COLD_LEAST / self.set.routers as f64;
-        let part = if member.leads() { COLD_PRIMARY } else { COLD_SHARE };
-        let rate = part * self.set.overload_factor * self.present_share(member) * carried.max(least);
+        let part = if member.is_primary() { COLD_PRIMARY } else { COLD_SHARE };
+        let rate = part * self.set.overload_factor * self.capacity_share(member) * carried.max(least);
         let most = (rate * self.set.overload_span as f64 / 2e6).max(1.0);
-        (member.credit + rate * (self.now - member.credited_at) as f64 / 1e6).min(most)
+        (member.start_tokens + rate * (self.now - member.start_tokens_at) as f64 / 1e6).min(most)
     }
 
-    pub(super) fn cold_room(&self, member: &Member) -> bool {
-        self.present_share(member) >= 1.0 || self.cold_credit(member) >= 1.0
+    pub(super) fn has_slow_start_budget(&self, member: &Member) -> bool {
+        self.capacity_share(member) >= 1.0 || self.slow_start_tokens(member) >= 1.0
     }
 }
--- a/crates/policy/src/router/list.rs
+++ b/crates/policy/src/router/list.rs
@@ -16,8 +16,14 @@
                 Some(member) if member.started > entry.started => continue,
                 Some(member) if member.started == entry.started => {}
                 known => {
-                    let (out, replica_at) = known.map_or((0, 0), |known| (known.out, known.replica_at));
-                    let member = Member { out, replica_at, credit: self.chance(), ..self.blank(entry) };
+                    let (in_flight, replica_evidence_at) =
+                        known.map_or((0, 0), |known| (known.in_flight, known.replica_evidence_at));
+                    let member = Member {
+                        in_flight,
+                        replica_evidence_at,
+                        start_tokens: self.uniform_sample(),
+                        ..self.blank(entry)
+                    };
                     self.members.insert(entry.member, member);
                 }
             }
@@ -40,11 +46,11 @@
             started: entry.started,
             listed_at: self.now,
             // The list is the weakest evidence: anything a member says outweighs it.
-            primary_at: named as Time,
-            limit: FIRST_LIMIT,
-            heard: self.now,
-            named: self.now,
-            credited_at: self.now,
+            primary_evidence_at: named as Time,
+            concurrency_limit: FIRST_LIMIT,
+            last_heard_at: self.now,
+            last_listed_at: self.now,
+            start_tokens_at: self.now,
             ..Member::default()
         }
     }
@@ -53,8 +59,12 @@
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
         match (role, at) {
-            (Some(Role::Primary), Some(at)) if at > member.primary_at => member.primary_at = at,
-            (Some(Role::Replica), Some(at)) if at > member.replica_at => member.replica_at = at,
+            (Some(Role::Primary), Some(at)) if at > member.primary_evidence_at => {
+                member.primary_evidence_at = at
+            }
+            (Some(Role::Replica), Some(at)) if at > member.replica_evidence_at => {
+                member.replica_evidence_at = at
+            }
             _ => {}
         }
         let Some(position) = told else { return };
@@ -71,8 +81,8 @@
             return;
         };
         let now = self.now;
-        let out = self.outs.remove(&(request.clone(), *attempt));
-        let part = self.group_of(*id).map_or(self.part, |group| self.part(group));
+        let out = self.in_flight.remove(&(request.clone(), *attempt));
+        let part = self.group_of(*id).map_or(self.base_quota, |group| self.quota_part(group));
         let spoke = matches!(ending, Ending::Served | Ending::Error | Ending::QueueFull | Ending::Rejected);
         let write = out.as_ref().is_some_and(|o| self.set.classes[o.class].need == Need::Write);
         if spoke {
@@ -89,11 +99,11 @@
             self.work[write as usize] += *took as f64;
         }
         if let (Some(member), Some(out)) = (self.members.get_mut(id), &out) {
-            member.out = member.out.saturating_sub(1);
+            member.in_flight = member.in_flight.saturating_sub(1);
             if spoke {
-                member.heard = now;
-                let freed = std::mem::take(&mut member.suspect);
-                member.barred_until = if freed { now } else { member.barred_until };
+                member.last_heard_at = now;
+                let freed = std::mem::take(&mut member.suspected);
+                member.ejected_until = if freed { now } else { member.ejected_until };
             }
             let latency_target = self.set.classes[out.class].latency_target as f64;
             let aims = *took as f64 / latency_target;
@@ -110,27 +120,32 @@
             self.shed = (self.shed + SHED_STEP * crowded).clamp(0.0, 0.95);
             match ending {
                 Ending::Served => {
-                    member.strikes = 0;
+                    member.consecutive_failures = 0;
                     keep(&mut member.sojourns, sample);
                     keep(&mut self.sojourns, sample);
-                    steer(member, aims, part);
+                    adapt_concurrency_limit(member, aims, part);
                 }
                 // Silent for all of an attempt's time; a probe would have told before.
-                Ending::TimedOut if member.heard <= out.sent && !self.set.may_probe => {
-                    (member.suspect, member.strikes) = (true, member.strikes.max(SILENT_PAUSE));
+                Ending::TimedOut if member.last_heard_at <= out.sent && !self.set.may_probe => {
+                    (member.suspected, member.consecutive_failures) =
+                        (true, member.consecutive_failures.max(SILENT_PAUSE));
                 }
                 // Work given up unanswered took at least this long. Without it only the quick answers count
                 // and a crowded member looks fine. Harms little: a member freed meanwhile regains its limit.
                 Ending::TimedOut | Ending::Cancelled => {
                     keep(&mut member.sojourns, sample);
-                    steer(member, aims.min(1.0), part);
+                    adapt_concurrency_limit(member, aims.min(1.0), part);
+                }
+                Ending::QueueFull => {
+                    member.concurrency_limit =
+                        (member.concurrency_limit * 0.8f64.powf(1.0 / part.sqrt())).max(1.0)
                 }
-                Ending::QueueFull => member.limit = (member.limit * 0.8f64.powf(1.0 / part.sqrt())).max(1.0),
                 // Once may be chance or a lossy path; twice in a row is looked into.
                 // A refusal comes at once and tells of a process; what hangs tells of its machine.
                 Ending::ConnectFailed | Ending::ConnectionLost => {
-                    member.suspect |= member.strikes > 0;
-                    member.lost_at = if *took > self.brief / 16 { now } else { member.lost_at };
+                    member.suspected |= member.consecutive_failures > 0;
+                    member.last_loss_at =
+                        if *took > self.shortest_latency_target / 16 { now } else { member.last_loss_at };
                 }
                 _ => {}
             }
@@ -138,22 +153,22 @@
             // A limit of a tenth of an attempt is one attempt, and a pause nine times as long.
             let pause = latency_target
                 * aims.max(member.load).clamp(TARGET, 3.0)
-                * (1.0 / (member.limit * part) - 1.0).max(0.0);
+                * (1.0 / (member.concurrency_limit * part) - 1.0).max(0.0);
             let saved = if aims < 1.0 { SAVED * pause } else { 0.0 };
             member.paced_until = member.paced_until.max(now - saved as Time) + pause as Time;
             // A member that turns work back fast (full, draining, its connections broken) looks idle and
             // quick, and would draw ever more: each attempt without service doubles a pause. Covers any
             // fault that answers probes and fails requests; harms a member hit by chance, for one pause.
             if !matches!(ending, Ending::Served | Ending::Rejected | Ending::Cancelled | Ending::NotSent) {
-                member.strikes = (member.strikes + 1).min(LONGEST_PAUSE);
-                member.barred_until = now + (self.set.granularity << member.strikes);
+                member.consecutive_failures = (member.consecutive_failures + 1).min(LONGEST_PAUSE);
+                member.ejected_until = now + (self.set.granularity << member.consecutive_failures);
             }
         }
         let Some(seq) = self.names.get(request).copied() else { return };
         let Some(req) = self.requests.get_mut(&seq) else { return };
         let never_ran = ending.never_ran();
         if let Some(tried) = req.attempts.get_mut(*attempt as usize) {
-            tried.out = false;
+            tried.in_flight = false;
             tried.may_have_run = !never_ran;
             tried.refused_at = if *ending == Ending::Cancelled { tried.refused_at } else { now };
             tried.reached = !matches!(ending, Ending::ConnectFailed | Ending::NotSent);
@@ -161,7 +176,7 @@
         if *closed || *ending == Ending::Served {
             return self.close(seq);
         }
-        if req.is_out() {
+        if req.has_attempt_in_flight() {
             return;
         }
         let (effect, group) = (self.set.classes[req.class].effect, req.group);
@@ -191,12 +206,12 @@
 
 /// Moves the number of attempts a member may have out towards the sojourn aimed at. The smaller a router's
 /// part in the fleet, the fewer of the answers it sees, and the more each of them counts.
-pub(super) fn steer(member: &mut Member, aims: f64, part: f64) {
+pub(super) fn adapt_concurrency_limit(member: &mut Member, aims: f64, part: f64) {
     member.load += (aims - member.load) * (0.15 / part.sqrt()).min(TELLING);
     // The root keeps small limits growing, so that many routers share a member evenly and none starves.
     let ratio = (TARGET / member.load.max(1e-6)).clamp(0.5, 1.0);
-    let push = 0.5 / part.sqrt() * (ratio - 1.0 + 0.5 / member.limit.sqrt());
-    if push < 0.0 || member.out as f64 + 1.0 >= 0.7 * member.limit * part {
-        member.limit = (member.limit + push).clamp(1.0, 512.0);
+    let push = 0.5 / part.sqrt() * (ratio - 1.0 + 0.5 / member.concurrency_limit.sqrt());
+    if push < 0.0 || member.in_flight as f64 + 1.0 >= 0.7 * member.concurrency_limit * part {
+        member.concurrency_limit = (member.concurrency_limit + push).clamp(1.0, 512.0);
     }
 }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -88,8 +88,8 @@
 pub struct Router {
     set: Settings,
     /// This router's even part in the limits of a few.
-    part: f64,
-    rng: Dice,
+    base_quota: f64,
+    rng: SeededRng,
     /// The hosts' clock in relation to `now`.
     pub(crate) fleet_clock: FleetClock,
     pub(crate) now: Time,
@@ -97,17 +97,17 @@
     pub(crate) groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<u64, Request>,
     names: BTreeMap<RequestId, u64>,
-    outs: BTreeMap<(RequestId, u32), Out>,
+    in_flight: BTreeMap<(RequestId, u32), InFlightAttempt>,
     next: u64,
     /// Middle of the time that tries of a class come with.
     typical_try: Vec<Time>,
     ticking: bool,
     asked_at: Time,
-    probe_purse: f64,
-    trial_purse: f64,
+    probe_budget: f64,
+    trial_budget: f64,
     /// Half the longest aim, and the shortest aim.
-    silence: Time,
-    brief: Time,
+    silence_threshold: Time,
+    shortest_latency_target: Time,
     noted_at: Time,
     /// Served answers a second, as of when; members that answer.
     pub(crate) rate: f64,
@@ -129,10 +129,10 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         let never = Time::MIN / 2;
         let mut router = Router {
-            rng: Dice::seed_from_u64(seed),
+            rng: SeededRng::seed_from_u64(seed),
             asked_at: never,
             // Some probes in advance, for a router that starts in the middle of trouble.
-            probe_purse: 100.0 * PROBE_SPEND,
+            probe_budget: 100.0 * PROBE_SPEND,
             noted_at: never,
             watched_at: never,
             ..Router::default()
@@ -144,9 +144,9 @@
     pub fn follow(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         self.typical_try = vec![0; settings.classes.len()];
-        self.silence = settings.classes.iter().map(|c| c.latency_target).max().unwrap_or(0) / 2;
-        self.brief = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0);
-        self.part = (FEW / settings.routers as f64).powf(RARE).min(1.0);
+        self.silence_threshold = settings.classes.iter().map(|c| c.latency_target).max().unwrap_or(0) / 2;
+        self.shortest_latency_target = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0);
+        self.base_quota = (FEW / settings.routers as f64).powf(RARE).min(1.0);
         self.fleet_clock.set_enabled(settings.clock_may_be_wrong);
         self.set = settings;
         self.indexes.outdate_alive();
@@ -163,7 +163,9 @@
                 Event::Outcome { .. } => self.outcome(event),
                 Event::Floor { request, floor } => {
                     let open = self.names.get(request).and_then(|seq| self.requests.get_mut(seq));
-                    open.into_iter().for_each(|req| req.mark = req.mark.map(|mark| mark.min(*floor)));
+                    open.into_iter().for_each(|req| {
+                        req.minimum_position = req.minimum_position.map(|mark| mark.min(*floor))
+                    });
                 }
                 Event::Withdrawn { request } => {
                     self.names.get(request).copied().into_iter().for_each(|seq| self.close(seq));
@@ -176,10 +178,10 @@
                 Event::Timer { .. } => self.ticking = false,
             }
         }
-        self.watch_health();
+        self.check_health();
         self.expire();
-        self.give_way();
-        self.indexes.waiting_groups().into_iter().for_each(|group| self.pump(group));
+        self.evict_lowest_priority();
+        self.indexes.waiting_groups().into_iter().for_each(|group| self.dispatch_queue(group));
         if !self.ticking && !self.requests.is_empty() {
             self.ticking = true;
             self.actions.push(Action::Timer { token: 0, at: now + 2 * self.set.granularity });
@@ -192,8 +194,8 @@
     }
 
     /// This router's part in the limits of a group's members: the even one, with what was given or lent.
-    pub(super) fn part(&self, group: GroupId) -> f64 {
-        self.part * self.groups.get(&group).map_or(1.0, |g| g.share.at(self.now))
+    pub(super) fn quota_part(&self, group: GroupId) -> f64 {
+        self.base_quota * self.groups.get(&group).map_or(1.0, |g| g.share.at(self.now))
     }
 
     fn note(&mut self, text: String) {
@@ -205,8 +207,8 @@
 }
 
 impl Member {
-    pub(super) fn leads(&self) -> bool {
-        self.primary_at > self.replica_at
+    pub(super) fn is_primary(&self) -> bool {
+        self.primary_evidence_at > self.replica_evidence_at
     }
 }
 
--- a/crates/policy/src/router/pick.rs
+++ b/crates/policy/src/router/pick.rs
@@ -6,7 +6,7 @@
     /// The newest commit a read must see, or none where any data will do.
     pub(super) fn forecast(&mut self, seq: u64) -> Option<Time> {
         let req = self.requests.get(&seq)?;
-        let mark = req.mark;
+        let mark = req.minimum_position;
         let Need::Bounded(bound) = self.set.classes[req.class].need else { return mark };
         let horizon = self.fleet_clock.horizon(bound, self.now);
         let commits = &self.groups.get(&req.group)?.commits;
@@ -26,7 +26,7 @@
         mark.max(Some(horizon))
     }
 
-    pub(super) fn chance(&mut self) -> f64 {
+    pub(super) fn uniform_sample(&mut self) -> f64 {
         self.rng.next_u64() as f64 / u64::MAX as f64
     }
 
@@ -38,7 +38,7 @@
     /// A drawn lag: a recent sample, moved on by the trend of the member's samples. Unheard ones are tried.
     pub(super) fn draw_lag(&mut self, id: MemberId) -> Time {
         let dice = self.rng.next_u64() as usize;
-        let Some(member) = self.members.get(&id).filter(|m| !m.leads()) else { return 0 };
+        let Some(member) = self.members.get(&id).filter(|m| !m.is_primary()) else { return 0 };
         let live = self.live(&member.lags);
         let count = live.clone().count();
         let (Some(first), Some(last)) = (live.clone().next(), live.clone().last()) else { return 0 };
@@ -52,13 +52,13 @@
     /// more often one of what all members showed stands in: a router with little traffic hears most of them
     /// seldom, and hundreds of routers must not all take the same unheard member.
     pub(super) fn draw_sojourn(&mut self, id: MemberId, lent: bool) -> f64 {
-        let (dice, order) = (self.rng.next_u64() as usize, self.chance());
+        let (dice, order) = (self.rng.next_u64() as usize, self.uniform_sample());
         let Some(member) = self.members.get(&id) else { return TARGET };
-        let handicap = if member.leads() && !lent { PRIMARY_HANDICAP } else { 1.0 };
+        let handicap = if member.is_primary() && !lent { PRIMARY_HANDICAP } else { 1.0 };
         let (own, all) = (self.live(&member.sojourns), self.live(&self.sojourns));
         let any = || all.clone().nth((order * all.clone().count() as f64) as usize);
         let drawn = own.clone().nth(dice % (own.clone().count() + 1)).or_else(any);
-        drawn.map_or(TARGET * order, |sample| sample.1) * (1.0 + member.out as f64) * handicap
+        drawn.map_or(TARGET * order, |sample| sample.1) * (1.0 + member.in_flight as f64) * handicap
     }
 
     /// One read: trials over the usable members, the smallest R that passes, and the pick.
@@ -90,33 +90,37 @@
         Some(usable[*place])
     }
 
-    pub(super) fn place_read(&mut self, seq: u64) -> Option<MemberId> {
+    pub(super) fn select_for_read(&mut self, seq: u64) -> Option<MemberId> {
         let req = self.requests.get(&seq)?;
         let primary = self.primary(req.group);
         let class = &self.set.classes[req.class];
         let last = !req.attempts.is_empty() && req.attempts.len() + 1 >= class.attempts as usize;
-        let by = req.born + self.set.hold.min(share_of(class.latency_target, HOLD));
-        let held = req.mark.filter(|_| !last && self.now < by).map(|mark| self.fleet_clock.own_time(mark));
-        let fit =
-            req.attempts.is_empty() && class.effect == Effect::Safe && class.latency_target <= 2 * self.brief;
-        let due = || self.peers(req.group).iter().copied().find(|id| self.due(*id));
-        if let Some(id) = (fit && self.trial_purse >= 1.0).then(due).flatten() {
+        let by = req.first_arrived_at + self.set.hold.min(share_of(class.latency_target, HOLD));
+        let held = req
+            .minimum_position
+            .filter(|_| !last && self.now < by)
+            .map(|mark| self.fleet_clock.own_time(mark));
+        let fit = req.attempts.is_empty()
+            && class.effect == Effect::Safe
+            && class.latency_target <= 2 * self.shortest_latency_target;
+        let due = || self.group_members(req.group).iter().copied().find(|id| self.may_try_suspected(*id));
+        if let Some(id) = (fit && self.trial_budget >= 1.0).then(due).flatten() {
             return Some(id);
         }
         let share = |id: &MemberId| if Some(*id) == primary { READ_ROOM } else { 1.0 };
-        let able = |id: &MemberId| self.well(*id) && self.room(*id, share(id));
-        let mut usable: Vec<MemberId> = self.peers(req.group).iter().copied().filter(able).collect();
+        let able = |id: &MemberId| self.is_selectable(*id) && self.has_capacity(*id, share(id));
+        let mut usable: Vec<MemberId> = self.group_members(req.group).iter().copied().filter(able).collect();
         usable.retain(|id| !self.lately_refused(req, *id) && (!last || Some(*id) == primary));
         // What a cold primary's budget holds is for writes, so long as reads have another member.
         if usable.iter().any(|id| Some(*id) != primary) {
-            let cold = |id: MemberId| self.present_share(&self.members[&id]) < 1.0;
+            let cold = |id: MemberId| self.capacity_share(&self.members[&id]) < 1.0;
             usable.retain(|id| Some(*id) != primary || !cold(*id));
         }
         let need = self.forecast(seq);
         // The primary has work of its own. It ranks later for reads, but for so many as bring it to an even
         // share of all work seen: more would crowd it, fewer crowd the replicas.
         let bound = self.work[1] / (self.work[0] + self.work[1]).max(1.0);
-        let lent = self.chance() * (1.0 - bound) < 1.0 - bound * usable.len() as f64;
+        let lent = self.uniform_sample() * (1.0 - bound) < 1.0 - bound * usable.len() as f64;
         let choice = self.pick(need, &usable, lent);
         // A replica about to pass the floor is worth a short wait, unless the primary has time to lend.
         let Some(mark) = held.filter(|_| choice == primary && !lent) else { return choice };
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -10,11 +10,11 @@
 
 /// A router's only source of chance.
 #[derive(Clone, Debug)]
-pub(crate) struct Dice(Pcg64Mcg);
+pub(crate) struct SeededRng(Pcg64Mcg);
 
-impl Dice {
-    pub(crate) fn seed_from_u64(seed: u64) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(seed))
+impl SeededRng {
+    pub(crate) fn seed_from_u64(seed: u64) -> SeededRng {
+        SeededRng(Pcg64Mcg::seed_from_u64(seed))
     }
 
     pub(crate) fn next_u64(&mut self) -> u64 {
@@ -22,9 +22,9 @@
     }
 }
 
-impl Default for Dice {
-    fn default() -> Dice {
-        Dice::seed_from_u64(0)
+impl Default for SeededRng {
+    fn default() -> SeededRng {
+        SeededRng::seed_from_u64(0)
     }
 }
 
@@ -46,40 +46,40 @@
     #[serde(skip)]
     pub(crate) listed_at: Time,
     /// When it last answered after being down.
-    pub(crate) revived: Time,
+    pub(crate) recovered_at: Time,
     /// When it last gave evidence of being primary, or replica.
-    pub(crate) primary_at: Time,
-    pub(crate) replica_at: Time,
+    pub(crate) primary_evidence_at: Time,
+    pub(crate) replica_evidence_at: Time,
     /// Highest position it ever told, by the hosts' clock.
     pub(crate) position: Time,
     pub(crate) lags: Samples<Time>,
     /// In aims, for each attempt that was out at its send.
     pub(crate) sojourns: Samples<f64>,
     pub(crate) load: f64,
-    pub(crate) limit: f64,
+    pub(crate) concurrency_limit: f64,
     /// Until when a limit of less than one attempt keeps the next one away.
     pub(crate) paced_until: Time,
-    pub(crate) out: u32,
+    pub(crate) in_flight: u32,
     /// Of these, past their aim while the member has answered others since.
-    pub(crate) lost: u32,
+    pub(crate) presumed_lost: u32,
     /// Attempts out since it was heard: their waits in aims, summed up, and the longest one.
     pub(crate) quiet: (f64, Time),
     /// When it was last in service or had something out.
-    pub(crate) named: Time,
+    pub(crate) last_listed_at: Time,
     /// Last sign of life.
-    pub(crate) heard: Time,
+    pub(crate) last_heard_at: Time,
     /// When an attempt there last hung unanswered.
-    pub(crate) lost_at: Time,
-    pub(crate) suspect: bool,
+    pub(crate) last_loss_at: Time,
+    pub(crate) suspected: bool,
     pub(crate) down: bool,
     /// Attempts in a row that got no service, and until when that keeps further ones away.
-    pub(crate) strikes: u32,
-    pub(crate) barred_until: Time,
-    pub(crate) probe_out: bool,
+    pub(crate) consecutive_failures: u32,
+    pub(crate) ejected_until: Time,
+    pub(crate) probe_in_flight: bool,
     pub(crate) probed_at: Time,
     /// Attempts that its cold budget has room for, as of when.
-    pub(crate) credit: f64,
-    pub(crate) credited_at: Time,
+    pub(crate) start_tokens: f64,
+    pub(crate) start_tokens_at: Time,
 }
 
 /// What it knows of a group.
@@ -88,7 +88,7 @@
     pub(crate) members: Vec<MemberId>,
     pub(crate) waiting: BTreeSet<u64>,
     pub(crate) commits: VecDeque<Time>,
-    pub(crate) scout_at: Time,
+    pub(crate) last_discovery_at: Time,
     /// What was given of others' parts, or given away of the own.
     pub(crate) share: Share,
 }
@@ -98,7 +98,7 @@
 pub(crate) struct Attempt {
     pub(crate) member: MemberId,
     pub(crate) sent: Time,
-    pub(crate) out: bool,
+    pub(crate) in_flight: bool,
     pub(crate) may_have_run: bool,
     /// It was written to the member, as far as its ending tells.
     pub(crate) reached: bool,
@@ -113,30 +113,30 @@
     pub(crate) class: usize,
     pub(crate) group: GroupId,
     /// When the client's first try came, as far as that shows.
-    pub(crate) born: Time,
-    pub(crate) end: Time,
+    pub(crate) first_arrived_at: Time,
+    pub(crate) deadline: Time,
     /// Half of the time it came with is over then.
-    pub(crate) half: Time,
+    pub(crate) unsent_deadline: Time,
     /// Commit that its data must hold.
-    pub(crate) mark: Option<Time>,
+    pub(crate) minimum_position: Option<Time>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Request {
     /// One of its attempts is out.
-    pub(crate) fn is_out(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.out)
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
     /// The first attempt that ran or may yet, as far as is known.
-    pub(crate) fn first_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|attempt| attempt.out || attempt.may_have_run)
+    pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.in_flight || attempt.may_have_run)
     }
 
     /// By then no further attempt can follow: all are spent, or the window of its key has closed, which an attempt opened
     /// that may have run.
-    pub(crate) fn is_spent(&self, class: &Class, by: Time) -> bool {
-        let closes = match (class.effect, self.first_run()) {
+    pub(crate) fn is_exhausted(&self, class: &Class, by: Time) -> bool {
+        let closes = match (class.effect, self.first_possible_execution()) {
             (Effect::Keyed { window, .. }, Some(first)) if !mutant(WindowIgnored) => {
                 first.sent.saturating_add(window)
             }
@@ -148,14 +148,14 @@
 
 /// An attempt that is out, kept until its outcome comes, also when its request is over.
 #[derive(Clone, Debug)]
-pub(crate) struct Out {
+pub(crate) struct InFlightAttempt {
     pub(crate) member: MemberId,
     pub(crate) sent: Time,
     pub(crate) class: usize,
     pub(crate) beside: f64,
 }
 
-impl Out {
+impl InFlightAttempt {
     /// It was sent to this member so long ago that the answer counts as known, if it was written at once and lost.
     pub(crate) fn may_be_lost(&self, member: MemberId, now: Time) -> bool {
         self.member == member && self.sent <= now - ASSUMED_KNOWN_AFTER
