--- a/crates/policy/src/indexes.rs
+++ b/crates/policy/src/indexes.rs
@@ -2,25 +2,28 @@
 //! serves. Nothing here decides anything: looking at all the others would change nothing.
 
 use crate::interface::{GroupId, MemberId, MemberStatus, Time};
-use crate::router::{Router, FORGOTTEN};
-use crate::state::Member;
+use crate::router::Router;
+use crate::state::{Member, SilentWaits};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Span after which a removed member is forgotten (microseconds): no list that old may name it again.
+const FORGET_AFTER: Time = 60_000_000;
+
 /// Indexes over groups and members. Each set names one of the router's own once at most.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Indexes {
     /// The groups in which requests wait.
     waiting: BTreeSet<GroupId>,
-    /// Members with attempts out at the last check: what they wait for is added up at each check.
+    /// Members with attempts in flight at the last check: what they wait for is added up at each check.
     waited_for: BTreeSet<MemberId>,
-    /// All members that are suspect or down; also some that were so since the last check.
+    /// All members that are suspected or down; also some that were so since the last check.
     doubtful: BTreeSet<MemberId>,
     /// All members that are listed as gone; also those that were so since the last check. Of the members in it
-    /// `Member::named` is exact. All others were in service at the last check, if they were known then.
+    /// `Member::last_listed_at` is exact. All others were in service at the last check, if they were known then.
     delisted: BTreeSet<MemberId>,
-    /// Something has changed that `Router::alive` depends on.
-    alive_outdated: bool,
-    /// No member has a `Member::lost_at` after this.
+    /// Something has changed that `Router::available_members` depends on.
+    available_outdated: bool,
+    /// No member has a `Member::last_loss_at` after this.
     newest_loss: Time,
 }
 
@@ -30,7 +33,7 @@
         self.waiting.iter().copied().collect()
     }
 
-    /// Members that may be silent, suspect or down, in ascending order.
+    /// Members that may be silent, suspected or down, in ascending order.
     pub(crate) fn members_to_check(&self) -> Vec<MemberId> {
         self.waited_for.union(&self.doubtful).copied().collect()
     }
@@ -38,7 +41,7 @@
     /// A member answers or does not.
     pub(crate) fn set_down(&mut self, id: MemberId, member: &mut Member, down: bool) {
         member.down = down;
-        self.alive_outdated = true;
+        self.available_outdated = true;
         self.note_doubt(id, member);
     }
 
@@ -51,13 +54,13 @@
     }
 
     /// Who counts as in service may have changed.
-    pub(crate) fn outdate_alive(&mut self) {
-        self.alive_outdated = true;
+    pub(crate) fn outdate_available(&mut self) {
+        self.available_outdated = true;
     }
 
     /// Whether who counts as in service may have changed since this was asked last.
-    pub(crate) fn take_alive_outdated(&mut self) -> bool {
-        std::mem::take(&mut self.alive_outdated)
+    pub(crate) fn take_available_outdated(&mut self) -> bool {
+        std::mem::take(&mut self.available_outdated)
     }
 
     /// Whether an attempt may have hung within the span before now.
@@ -65,7 +68,7 @@
         now - self.newest_loss < span
     }
 
-    /// An attempt is out at this member.
+    /// An attempt is in flight at this member.
     pub(crate) fn await_member(&mut self, id: MemberId) {
         self.waited_for.insert(id);
     }
@@ -74,7 +77,8 @@
     pub(crate) fn begin_check(&mut self, members: &mut BTreeMap<MemberId, Member>) {
         for id in std::mem::take(&mut self.waited_for) {
             if let Some(member) = members.get_mut(&id) {
-                (member.presumed_lost, member.quiet) = (0, (0.0, 0));
+                member.presumed_lost = 0;
+                member.silent_waits = SilentWaits::default();
             }
         }
         self.doubtful.retain(|id| members.get(id).is_some_and(|member| member.suspected || member.down));
@@ -102,7 +106,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         member.standing = standing;
         member.drained |= standing == MemberStatus::Draining;
-        self.indexes.alive_outdated = true;
+        self.indexes.available_outdated = true;
         if standing == MemberStatus::Removed && self.indexes.delisted.insert(id) {
             member.last_listed_at = member.last_listed_at.max(self.watched_at);
         }
@@ -111,20 +115,21 @@
     /// Notes for members that were gone which of them are kept, and forgets those that were not for
     /// a minute. Members that are not gone must be kept.
     pub(crate) fn forget_members(&mut self, kept: impl Fn(&Member) -> bool) {
-        let (now, members) = (self.now, &mut self.members);
+        let now = self.now;
+        let members = &mut self.members;
         let count = members.len();
         self.indexes.delisted.retain(|id| {
             let Some(member) = members.get_mut(id) else { return false };
             member.last_listed_at = if kept(member) { now } else { member.last_listed_at };
             let gone = member.standing == MemberStatus::Removed;
-            let forgotten = now - member.last_listed_at >= FORGOTTEN;
+            let forgotten = now - member.last_listed_at >= FORGET_AFTER;
             if forgotten {
                 members.remove(id);
             }
             gone && !forgotten
         });
         if members.len() < count {
-            self.indexes.outdate_alive();
+            self.indexes.outdate_available();
             self.prune_groups();
         }
     }
@@ -146,15 +151,17 @@
         let waiting = self.groups.iter().filter(|(_, state)| !state.waiting.is_empty());
         self.indexes = Indexes {
             waiting: waiting.map(|(group, _)| *group).collect(),
-            waited_for: ids_of(|member| member.presumed_lost > 0 || member.quiet != (0.0, 0)),
+            waited_for: ids_of(|member| {
+                member.presumed_lost > 0 || member.silent_waits != SilentWaits::default()
+            }),
             doubtful: ids_of(|member| member.suspected || member.down),
             delisted: ids_of(|member| member.standing == MemberStatus::Removed),
-            alive_outdated: true,
+            available_outdated: true,
             newest_loss: members.values().map(|member| member.last_loss_at).max().unwrap_or(0),
         };
     }
 
-    /// When a member was last known to be in service or to have something out.
+    /// When a member was last known to be in service or to have an attempt in flight.
     pub(crate) fn last_listed(&self, id: MemberId, member: &Member) -> Time {
         if self.indexes.delisted.contains(&id) {
             member.last_listed_at
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -4,9 +4,9 @@
 //! All of it is told with its time, on the clock that both read: samples grow old by themselves, and what a member says
 //! outweighs all of it. What was out or waiting belongs to requests of the other process, and stays behind.
 
-use crate::interface::{GroupId, MemberId, Time};
+use crate::interface::{GroupId, MemberId, Share, Time};
 use crate::router::Router;
-use crate::state::{Group, Member, Samples};
+use crate::state::{Group, Member, Samples, ServiceTime, SilentWaits};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -16,10 +16,10 @@
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<u64, Group>,
     sojourns: Samples<f64>,
-    rate: f64,
-    rated_at: Time,
-    work: [f64; 2],
-    shed: f64,
+    served_rate: f64,
+    served_rate_at: Time,
+    service_time: ServiceTime,
+    shed_share: f64,
 }
 
 impl LearnedState {
@@ -35,19 +35,24 @@
         let mut members = self.members.clone();
         for (id, member) in &mut members {
             member.last_listed_at = self.last_listed(*id, member);
-            (member.in_flight, member.presumed_lost, member.quiet, member.probe_in_flight) =
-                (0, 0, (0.0, 0), false);
+            member.in_flight = 0;
+            member.presumed_lost = 0;
+            member.silent_waits = SilentWaits::default();
+            member.probe_in_flight = false;
         }
         let mut groups = self.groups.clone();
-        groups.values_mut().for_each(|group| (group.waiting, group.share) = Default::default());
+        for group in groups.values_mut() {
+            group.waiting.clear();
+            group.share = Share::default();
+        }
         LearnedState {
             members,
             groups,
             sojourns: self.sojourns.clone(),
-            rate: self.rate,
-            rated_at: self.rated_at,
-            work: self.work,
-            shed: self.shed,
+            served_rate: self.served_rate,
+            served_rate_at: self.served_rate_at,
+            service_time: self.service_time,
+            shed_share: self.shed_share,
         }
     }
 
@@ -71,9 +76,13 @@
     /// Starts from what another router has learned. To be called before the first step: the list that follows says
     /// which of these members there still are.
     pub fn adopt_learned_state(&mut self, learned_state: LearnedState) {
-        let LearnedState { members, groups, sojourns, rate, rated_at, work, shed } = learned_state;
-        (self.members, self.groups, self.sojourns) = (members, groups, sojourns);
-        (self.rate, self.rated_at, self.work, self.shed) = (rate, rated_at, work, shed);
+        self.members = learned_state.members;
+        self.groups = learned_state.groups;
+        self.sojourns = learned_state.sojourns;
+        self.served_rate = learned_state.served_rate;
+        self.served_rate_at = learned_state.served_rate_at;
+        self.service_time = learned_state.service_time;
+        self.shed_share = learned_state.shed_share;
         self.rebuild_indexes();
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,22 +3,31 @@
 //! A [`Router`] is a plain state machine. It has no clock, no threads and does no I/O: the embedding program
 //! calls [`Router::step`] once for each batch of events and carries out the actions it gets back.
 //!
-//! | file | what it decides |
+//! | file in `router/` | what it decides |
 //! | --- | --- |
-//! | `router/mod.rs` | tuned values, what a router keeps, one step |
-//! | `router/list.rs` | what the list and the answers teach |
-//! | `router/pick.rs` | the forecast, the trials and the pick of a read |
-//! | `router/primary.rs` | who is taken for the primary, and what only it may take |
-//! | `router/requests.rs` | the order in which requests wait, and how the router ends them |
-//! | `router/health.rs` | suspicion, probes, trials of silent members |
-//! | `router/cold.rs` | the budget of a member that has just started |
-//! | `router/sends.rs` | the guards that every send must pass |
+//! | `mod.rs` | what a router keeps, one step |
+//! | `admission.rs` | how a new request is taken in or shed |
+//! | `queue.rs` | the order of dispatch, expiry, eviction |
+//! | `completion.rs` | the final answer of a request, and cancelling its attempts |
+//! | `endpoints.rs` | what the endpoint list says |
+//! | `evidence.rs` | roles, positions and commits, as members tell them |
+//! | `outcomes.rs` | what the end of an attempt teaches |
+//! | `concurrency.rs` | the concurrency limit of a member, and this router's quota |
+//! | `overload.rs` | the share of reads that is shed |
+//! | `health.rs` | suspicion, probes, ejection of silent members |
+//! | `zones.rs` | zones that are unreachable as a whole |
+//! | `slow_start.rs` | the budget of a member that has just started |
+//! | `primary.rs` | which member is taken for the primary, and how it is found |
+//! | `reads.rs` | which members a read may use |
+//! | `freshness.rs` | the commit that a read must see, and the forecast of lags and sojourns |
+//! | `selection.rs` | the trials that select the member of a read |
+//! | `dispatch.rs` | the rules that every send must pass |
 //!
-//! `interface.rs` holds the words (settings, events, actions, endings), `state.rs` plain data, `indexes.rs` which of it
-//! a step has to look at, and `learned_state.rs` what of it one router can leave to the next; none of them decides.
-//! `fleet_clock.rs` relates the hosts' clock to the router's own.
+//! `interface.rs` names the types of the public interface (settings, events, actions), `state.rs` holds the state as plain
+//! data, `indexes.rs` which of it a step has to look at, and `learned_state.rs` what of it one router can leave to the next;
+//! none of them decides. `fleet_clock.rs` relates the hosts' clock to the router's own.
 //!
-//! Bounds: requests by what clients can hold open ([`Settings::most_open`]), members by the list and a minute more,
+//! Bounds: requests by what clients can hold open ([`Settings::most_open`]), members by the endpoint list and a minute more,
 //! samples by a fixed count for each member.
 //!
 //! ```
--- /dev/null
+++ b/crates/policy/src/router/admission.rs
@@ -0,0 +1,112 @@
+//! Admission: a new request is shed or takes its place in the queue of its group.
+
+use super::queue::USEFUL_START_SHARE;
+use super::Router;
+use crate::interface::{Action, Class, Event, GroupId, RequestId, Time};
+use crate::state::{share_of, Request};
+
+/// Share of all value that may be spent on health checks (fraction).
+pub(super) const PROBE_BUDGET_SHARE: f64 = 0.002;
+/// Share of requests that may be sent to suspected members, to try them (fraction).
+const TRIAL_BUDGET_SHARE: f64 = 0.06;
+/// Trials that are saved up at most (count).
+const MAX_SAVED_TRIALS: f64 = 2.0;
+/// Part of the typical time (divisor) by which the estimate moves for each first try.
+const TYPICAL_TIME_STEP_DIVISOR: Time = 64;
+/// Part of the typical time (divisor) that a first try's time may lie below it.
+const TYPICAL_TIME_TOLERANCE_DIVISOR: Time = 16;
+
+/// A request as it arrives.
+struct Arrival<'a> {
+    request: &'a RequestId,
+    class: usize,
+    group: GroupId,
+    /// Until its client gives up this try (microseconds).
+    time_left: Time,
+    is_marked_retry: bool,
+    minimum_position: Option<Time>,
+}
+
+impl Router {
+    /// Takes in a new request, or rejects it.
+    pub(super) fn admit_request(&mut self, event: &Event) {
+        let Event::Request { request, class, group, time_left, repeat, floor } = event else { return };
+        let arrival = Arrival {
+            request,
+            class: *class,
+            group: *group,
+            time_left: *time_left,
+            is_marked_retry: *repeat,
+            minimum_position: *floor,
+        };
+        let uniform_sample = self.rng.uniform_sample();
+        if arrival.class >= self.set.classes.len() {
+            return self.reject(&arrival, 0);
+        }
+        self.adapt_typical_time(&arrival);
+        if self.is_shed(&self.set.classes[arrival.class], uniform_sample) {
+            return self.reject(&arrival, self.set.max_wait_hint);
+        }
+        self.probe_budget += PROBE_BUDGET_SHARE;
+        self.trial_budget = (self.trial_budget + TRIAL_BUDGET_SHARE).min(MAX_SAVED_TRIALS);
+        self.insert_request(&arrival);
+    }
+
+    fn reject(&mut self, arrival: &Arrival, wait: Time) {
+        self.actions.push(Action::Refuse { request: arrival.request.clone(), wait });
+    }
+
+    /// Moves the median of the time that first tries of a class come with.
+    fn adapt_typical_time(&mut self, arrival: &Arrival) {
+        if arrival.is_marked_retry {
+            return;
+        }
+        let typical = &mut self.typical_time_left[arrival.class];
+        let step = if *typical == 0 { arrival.time_left } else { *typical / TYPICAL_TIME_STEP_DIVISOR };
+        if arrival.time_left > *typical {
+            *typical += step;
+        } else {
+            *typical -= step;
+        }
+    }
+
+    /// How long ago the client's first try came. Most requests are first tries with the same time: one with well less
+    /// than the median is a later try. A marked retry was most likely rejected by a router that had kept it for as
+    /// long as a start was useful.
+    fn age_at_arrival(&self, arrival: &Arrival, class: &Class) -> Time {
+        let typical = self.typical_time_left[arrival.class];
+        let is_later_try = arrival.time_left < typical - typical / TYPICAL_TIME_TOLERANCE_DIVISOR;
+        let age = if is_later_try { class.deadline - arrival.time_left } else { 0 };
+        if arrival.is_marked_retry {
+            return age.max(share_of(class.latency_target, USEFUL_START_SHARE)).max(0);
+        }
+        age.max(0)
+    }
+
+    fn insert_request(&mut self, arrival: &Arrival) {
+        let age = self.age_at_arrival(arrival, &self.set.classes[arrival.class]);
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        let time_left = arrival.time_left;
+        let request = Request {
+            id: arrival.request.clone(),
+            class: arrival.class,
+            group: arrival.group,
+            first_arrived_at: self.now - age,
+            deadline: (self.now + time_left).min(self.set.last),
+            unsent_deadline: self.now + (time_left / 2 - self.set.way).max(time_left / 4),
+            minimum_position: arrival.minimum_position,
+            ..Request::default()
+        };
+        self.names.insert(arrival.request.clone(), sequence);
+        self.requests.insert(sequence, request);
+        self.enqueue(arrival.group, sequence);
+    }
+
+    /// The position that a waiting request must see is lower by now.
+    pub(super) fn lower_minimum_position(&mut self, request: &RequestId, position: Time) {
+        let Some(sequence) = self.names.get(request) else { return };
+        let Some(request) = self.requests.get_mut(sequence) else { return };
+        request.minimum_position = request.minimum_position.map(|minimum| minimum.min(position));
+    }
+}
--- /dev/null
+++ b/crates/policy/src/router/dispatch.rs
@@ -0,0 +1,138 @@
+//! Dispatch: the rules that every send must pass, whatever path wants it, and the send itself.
+
+use super::Router;
+use crate::interface::{Action, Behind, Effect, MemberId, Need, RequestId, Scope, Time, ASSUMED_KNOWN_AFTER};
+use crate::mutant::{mutant, Mutant::SecondCopy, Mutant::UnsafeRepeated};
+use crate::state::{Attempt, InFlightAttempt, Member, Request};
+
+impl Router {
+    /// Whether this attempt may be sent at all.
+    fn is_allowed(&self, request: &Request, id: MemberId) -> bool {
+        let Some(member) = self.members.get(&id) else { return false };
+        let class = &self.set.classes[request.class];
+        // Rule 1: only an open request, and only while its client waits. No key is used after its window.
+        let in_time =
+            self.now < request.deadline && !request.is_exhausted(class, self.now + self.set.granularity);
+        // Rule 2: no second effect, and no hedged request where there may be none.
+        let is_alone = self.set.may_hedge || mutant(SecondCopy) || !request.has_attempt_in_flight();
+        let has_no_second_effect = self.has_no_second_effect(request, class.effect, id, member);
+        // Rule 3: nothing new to a member known to drain or be removed (the grace is not used).
+        let in_service = self.is_in_service(member) && member.group == request.group;
+        let fresh = self.is_fresh(self.now, &request.id, id);
+        // Rule 4: the slow-start budget.
+        in_time
+            && is_alone
+            && has_no_second_effect
+            && in_service
+            && fresh
+            && self.has_slow_start_budget(member)
+    }
+
+    fn has_no_second_effect(&self, request: &Request, effect: Effect, id: MemberId, member: &Member) -> bool {
+        let Some(first) = request.first_possible_execution() else { return true };
+        match effect {
+            Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
+            Effect::Unsafe => mutant(UnsafeRepeated),
+            Effect::Keyed { scope: Scope::Group, .. } => self.group_of(first.member) == Some(member.group),
+            Effect::Keyed { scope: Scope::Zone, .. } => first.member == id,
+        }
+    }
+
+    /// Rule 5: where members do not check for themselves, the data must be known to be fresh enough. That is
+    /// asked again right before an attempt's first byte: a connection may have taken long to come up.
+    pub fn is_fresh(&self, now: Time, request: &RequestId, id: MemberId) -> bool {
+        let Some(sequence) = self.names.get(request) else { return false };
+        let (Some(state), Some(member)) = (self.requests.get(sequence), self.members.get(&id)) else {
+            return false;
+        };
+        let need = self.set.classes[state.class].need;
+        if need == Need::Write || self.set.behind != Behind::Serve {
+            return true;
+        }
+        let horizon = need.bound().map(|bound| self.fleet_clock.horizon(bound, now));
+        let minimum = state.minimum_position.max(horizon);
+        let is_known = need != Need::Strong && minimum.is_none_or(|minimum| member.position >= minimum);
+        is_known || member.is_primary() && self.is_surely_primary(now, request, id, member, need)
+    }
+
+    /// Whether a member may still be taken for the primary. An attempt long in flight may have been answered by one
+    /// that is primary no more, and that answer been lost: then only recent evidence counts.
+    fn is_surely_primary(
+        &self,
+        now: Time,
+        request: &RequestId,
+        id: MemberId,
+        member: &Member,
+        need: Need,
+    ) -> bool {
+        let span = need.bound().unwrap_or(0).max(2 * ASSUMED_KNOWN_AFTER) - ASSUMED_KNOWN_AFTER;
+        if now - member.primary_evidence_at <= span {
+            return true;
+        }
+        let others = self.in_flight.iter().filter(|((of, _), _)| of != request);
+        !others.into_iter().any(|(_, attempt)| attempt.may_be_lost(id, now))
+    }
+
+    /// Sends a request to a member, if that is allowed.
+    pub(super) fn send(&mut self, sequence: u64, id: MemberId) {
+        let Some(request) = self.requests.get(&sequence) else { return };
+        let Some(member) = self.members.get(&id) else { return };
+        if !self.is_allowed(request, id) {
+            return;
+        }
+        let until = self.attempt_deadline(request, member);
+        let start_tokens = self.slow_start_tokens(member) - 1.0;
+        self.note_send(id, start_tokens, until);
+        self.insert_attempt(sequence, id, until);
+    }
+
+    /// Until when an attempt may take. A suspected member is tried for a short while, so that the request has time left
+    /// for another. A primary gets more: what no other can take is better off in its queue, if it is only overloaded.
+    fn attempt_deadline(&self, request: &Request, member: &Member) -> AttemptDeadline {
+        let span = if member.is_primary() {
+            (request.deadline - self.now) / 2
+        } else {
+            self.set.classes[request.class].latency_target / 2
+        };
+        let trial_end = self.now + span;
+        let at = if member.suspected { request.deadline.min(trial_end) } else { request.deadline };
+        AttemptDeadline { at, trial_end }
+    }
+
+    fn note_send(&mut self, id: MemberId, start_tokens: f64, deadline: AttemptDeadline) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        member.start_tokens = start_tokens;
+        member.start_tokens_at = self.now;
+        if member.suspected {
+            member.ejected_until = deadline.trial_end;
+            if !member.is_primary() {
+                self.trial_budget -= 1.0;
+            }
+        }
+    }
+
+    fn insert_attempt(&mut self, sequence: u64, id: MemberId, deadline: AttemptDeadline) {
+        let now = self.now;
+        let Some(request) = self.requests.get_mut(&sequence) else { return };
+        let Some(member) = self.members.get_mut(&id) else { return };
+        let number = request.attempts.len() as u32;
+        let beside = f64::from(member.in_flight);
+        let in_flight = InFlightAttempt { member: id, sent: now, class: request.class, beside };
+        self.in_flight.insert((request.id.clone(), number), in_flight);
+        member.in_flight += 1;
+        request.attempts.push(Attempt { member: id, sent: now, in_flight: true, ..Attempt::default() });
+        let group = request.group;
+        self.actions.push(Action::Send { request: request.id.clone(), member: id, until: deadline.at });
+        if !mutant(SecondCopy) {
+            self.dequeue(group, sequence);
+        }
+    }
+}
+
+/// When an attempt is given up.
+#[derive(Clone, Copy)]
+struct AttemptDeadline {
+    at: Time,
+    /// Until when a suspected member is tried.
+    trial_end: Time,
+}
--- /dev/null
+++ b/crates/policy/src/router/endpoints.rs
@@ -0,0 +1,79 @@
+//! The endpoint list: which members and groups there are, and what the list says of them.
+
+use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
+use super::Router;
+use crate::interface::{Entry, ListRole, MemberId, MemberStatus, Time};
+use crate::state::Member;
+use std::collections::BTreeSet;
+
+impl Router {
+    /// Takes in an endpoint list: whole, or only the entries that changed.
+    pub(super) fn update_endpoints(&mut self, whole: bool, entries: &[Entry]) {
+        if whole {
+            self.remove_unlisted(entries);
+        }
+        for entry in entries {
+            self.update_endpoint(entry);
+        }
+    }
+
+    fn remove_unlisted(&mut self, entries: &[Entry]) {
+        let listed: BTreeSet<MemberId> = entries.iter().map(|entry| entry.member).collect();
+        let unlisted: Vec<MemberId> =
+            self.members.keys().filter(|id| !listed.contains(id)).copied().collect();
+        for id in unlisted {
+            self.set_standing(id, MemberStatus::Removed);
+        }
+    }
+
+    fn update_endpoint(&mut self, entry: &Entry) {
+        self.fleet_clock.member_started(entry.member, entry.started, self.now);
+        match self.members.get(&entry.member) {
+            // A list that is delivered late or twice overwrites nothing newer.
+            Some(member) if member.started > entry.started => return,
+            Some(member) if member.started == entry.started => {}
+            _ => self.start_member(entry),
+        }
+        self.set_standing(entry.member, entry.standing);
+        let group = self.groups.entry(entry.group).or_default();
+        if let Err(place) = group.members.binary_search(&entry.member) {
+            group.members.insert(place, entry.member);
+        }
+    }
+
+    /// A member that is new or has restarted: all is forgotten but what is in flight and its denial of being primary.
+    fn start_member(&mut self, entry: &Entry) {
+        let mut member = self.new_member(entry);
+        member.start_tokens = self.rng.uniform_sample();
+        if let Some(earlier) = self.members.get(&entry.member) {
+            member.in_flight = earlier.in_flight;
+            member.replica_evidence_at = earlier.replica_evidence_at;
+        }
+        self.members.insert(entry.member, member);
+    }
+
+    fn new_member(&self, entry: &Entry) -> Member {
+        let listed_as_primary = entry.primary
+            && match self.set.list_role {
+                ListRole::Absent => false,
+                // Roles as they were at the beginning say nothing of a member that has started since.
+                ListRole::Static => entry.started <= 0,
+                ListRole::Trailing => true,
+            };
+        let valid_weight = entry.weight.is_finite() && entry.weight > 0.0;
+        Member {
+            group: entry.group,
+            zone: entry.zone.as_str().into(),
+            weight: if valid_weight { entry.weight } else { 1.0 },
+            started: entry.started,
+            listed_at: self.now,
+            // The list is the weakest evidence: anything a member says itself outweighs it.
+            primary_evidence_at: Time::from(listed_as_primary),
+            concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
+            last_heard_at: self.now,
+            last_listed_at: self.now,
+            start_tokens_at: self.now,
+            ..Member::default()
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/router/evidence.rs
@@ -0,0 +1,70 @@
+//! Evidence from answers and load reports: roles, positions and commits of members.
+
+use super::Router;
+use crate::interface::{MemberId, Role, Time};
+use crate::state::{Sample, Samples};
+
+/// Lag and sojourn samples kept for a member (count).
+pub(super) const SAMPLES_KEPT: usize = 12;
+/// Commits kept for a group (count).
+const COMMITS_KEPT: usize = 4 * SAMPLES_KEPT;
+/// Age from which a sample is left out (microseconds): a few seconds.
+const SAMPLE_AGE_LIMIT: Time = 3_000_000;
+
+/// What a member said of itself.
+#[derive(Clone, Copy)]
+pub(super) struct Evidence {
+    pub(super) position: Option<Time>,
+    pub(super) role: Option<Role>,
+    /// When the role held, by the router's clock.
+    pub(super) role_at: Option<Time>,
+}
+
+impl Router {
+    /// Takes in what a member said of its role and position. Older evidence never replaces newer.
+    pub(super) fn record_evidence(&mut self, id: MemberId, evidence: Evidence) {
+        let now = self.now;
+        let Some(member) = self.members.get_mut(&id) else { return };
+        if let (Some(role), Some(at)) = (evidence.role, evidence.role_at) {
+            let known_at = match role {
+                Role::Primary => &mut member.primary_evidence_at,
+                Role::Replica => &mut member.replica_evidence_at,
+            };
+            *known_at = at.max(*known_at);
+        }
+        let Some(position) = evidence.position else { return };
+        member.position = member.position.max(position);
+        if evidence.role == Some(Role::Replica) && evidence.role_at == Some(now) {
+            let lag = self.fleet_clock.age(position, now).max(0);
+            push_sample(&mut member.lags, Sample { taken_at: now, value: lag });
+        }
+    }
+
+    /// Notes the time of a commit that a member acknowledged.
+    pub(super) fn record_commit(&mut self, id: MemberId, committed_at: Time) {
+        let Some(member) = self.members.get(&id) else { return };
+        let commits = &mut self.groups.entry(member.group).or_default().commits;
+        let place = commits.partition_point(|known| *known <= committed_at);
+        commits.insert(place, committed_at);
+        if commits.len() > COMMITS_KEPT {
+            commits.pop_front();
+        }
+    }
+
+    /// The samples that are not too old to say anything.
+    pub(super) fn recent<'a, T>(
+        &self,
+        samples: &'a Samples<T>,
+    ) -> impl Iterator<Item = &'a Sample<T>> + Clone {
+        let now = self.now;
+        samples.iter().filter(move |sample| now - sample.taken_at < SAMPLE_AGE_LIMIT)
+    }
+}
+
+/// Appends a sample and drops the oldest one beyond `SAMPLES_KEPT`.
+pub(super) fn push_sample<T>(samples: &mut Samples<T>, sample: Sample<T>) {
+    samples.push_back(sample);
+    if samples.len() > SAMPLES_KEPT {
+        samples.pop_front();
+    }
+}
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -1,103 +1,144 @@
-//! Health and silence: who is suspected, probed, tried again and given up.
+//! Health: which members are suspected, probed, tried again and given up.
 
-use super::*;
+use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
+use super::Router;
+use crate::interface::{Action, Effect, Ending, MemberId, MemberStatus, Report, Time};
+use crate::state::{share_of, Member};
+
+/// Failures in a row that a silent member counts as having (count): the first pause, in doublings of the granularity.
+pub(super) const SILENCE_FAILURES: u32 = 4;
+/// Wait (latency targets) after which work counts as lost at a member that answers: sooner, and overload looks as loss.
+const LOST_AFTER: f64 = 1.25;
+/// Silence that a member is allowed (share of the shortest latency target).
+const ALLOWED_SILENCE: f64 = 0.3;
+/// Silence it is allowed beyond, for each latency target of its mean sojourn (share of the shortest latency target).
+const ALLOWED_SILENCE_FOR_LOAD: f64 = 6.0;
+/// Part of the shortest latency target (divisor) that passes between two checks.
+const CHECK_INTERVAL_DIVISOR: Time = 8;
 
 impl Router {
-    /// May a suspect be tried again? One attempt at a time finds out, a short one for choice.
+    /// Whether a suspected member may be tried with a request. Only where members can't be probed.
     pub(super) fn may_try_suspected(&self, id: MemberId) -> bool {
-        let able =
-            |m: &Member| self.is_in_service(m) && !m.down && m.suspected && self.now >= m.ejected_until;
-        !self.set.may_probe && self.members.get(&id).is_some_and(able) && self.has_capacity(id, 1.0)
+        if self.set.may_probe {
+            return false;
+        }
+        let Some(member) = self.members.get(&id) else { return false };
+        let is_candidate = self.is_in_service(member) && !member.down && member.suspected;
+        is_candidate && self.now >= member.ejected_until && self.has_capacity(id, 1.0)
     }
 
+    /// Looks for members that have fallen silent, and probes those in doubt.
     pub(super) fn check_health(&mut self) {
-        let (now, silence_threshold, shortest_latency_target, soft) =
-            (self.now, self.silence_threshold, self.shortest_latency_target, self.set.soft_removal);
-        if now - self.watched_at < shortest_latency_target / 8 {
+        if self.now - self.watched_at < self.shortest_latency_target / CHECK_INTERVAL_DIVISOR {
             return;
         }
-        self.watched_at = now;
-        // A member that drops some of its work and answers the rest must not have its room held by what is
-        // lost. Covers lossy paths and hung requests of any kind; harms a crowded member by some more work.
+        self.watched_at = self.now;
         self.indexes.begin_check(&mut self.members);
+        let keeps_removed = self.set.soft_removal;
         // Members are replaced for as long as a router runs.
         self.forget_members(|member| {
-            member.standing != MemberStatus::Removed || member.in_flight > 0 || soft
+            member.standing != MemberStatus::Removed || member.in_flight > 0 || keeps_removed
         });
-        for out in self.in_flight.values() {
-            let Some(member) = self.members.get_mut(&out.member) else { continue };
-            self.indexes.await_member(out.member);
-            let (waited, latency_target) = (now - out.sent, self.set.classes[out.class].latency_target);
-            if member.last_heard_at > out.sent {
-                member.presumed_lost += (waited > share_of(latency_target, LOST)) as u32;
-            } else {
-                member.quiet =
-                    (member.quiet.0 + waited as f64 / latency_target as f64, member.quiet.1.max(waited));
-            }
-        }
-        if self.indexes.take_alive_outdated() {
-            self.alive = self.members.values().filter(|m| self.is_in_service(m) && !m.down).count();
+        self.sum_up_waits();
+        if self.indexes.take_available_outdated() {
+            self.available_members = self.members.values().filter(|member| self.is_available(member)).count();
         }
         for id in self.indexes.members_to_check() {
-            let Some(member) = self.members.get_mut(&id) else { continue };
-            // Nothing heard since several were sent says soon what one alone says after its aim; a crowded
-            // member is given longer. Covers what hangs or is cut off; harms one that pauses, for a moment.
-            let usual = share_of(shortest_latency_target, QUIET + QUIET_LOAD * member.load);
-            let (waits, longest) = member.quiet;
-            if self.set.may_probe {
-                member.suspected |= longest > silence_threshold;
-            } else if waits >= 1.0 && longest > usual && !member.suspected {
-                self.note(format!("member {id} is silent: {waits:.1} aims, {longest} us at the longest"));
-                self.suspect_silent_member(id);
-            }
-            let Some(member) = self.members.get(&id) else { continue };
-            self.indexes.note_doubt(id, member);
-            if member.suspected || member.down {
-                self.probe(id, if member.down { 2 * silence_threshold } else { silence_threshold / 4 });
-            }
+            self.check_member(id);
         }
-        if self.indexes.lost_within(shortest_latency_target, now)
-            && self.members.values().any(|m| now - m.last_loss_at < shortest_latency_target)
-        {
+        if self.has_recent_loss() {
             self.check_zones();
         }
-        let led = |id: &GroupId| self.primary(*id).is_some_and(|p| self.is_selectable(p));
-        let lost = self.indexes.waiting_groups().into_iter().filter(|id| !led(id));
-        let asked: Vec<MemberId> = lost.flat_map(|id| self.group_members(id)).copied().collect();
-        asked.into_iter().for_each(|id| self.probe(id, 2 * silence_threshold));
+        self.probe_groups_without_primary();
+    }
+
+    fn is_available(&self, member: &Member) -> bool {
+        self.is_in_service(member) && !member.down
     }
 
-    /// A lost zone would else be found out member by member, each by a request of its own at every router.
-    pub(super) fn check_zones(&mut self) {
-        let mut zones: BTreeMap<Arc<str>, (Time, Vec<Time>)> = BTreeMap::new();
-        for member in self.members.values().filter(|m| m.standing == MemberStatus::Up) {
-            let zone = zones.entry(member.zone.clone()).or_default();
-            (zone.0, _) = (zone.0.max(member.last_heard_at), zone.1.push(member.last_loss_at));
+    fn has_recent_loss(&self) -> bool {
+        let span = self.shortest_latency_target;
+        self.indexes.lost_within(span, self.now)
+            && self.members.values().any(|member| self.now - member.last_loss_at < span)
+    }
+
+    /// Adds up the waits for each member. Work that a member drops while it answers the rest must not use up its
+    /// capacity: it counts as lost. That covers lossy paths and hung requests of any kind; an overloaded member gets
+    /// some more work.
+    fn sum_up_waits(&mut self) {
+        for attempt in self.in_flight.values() {
+            let Some(member) = self.members.get_mut(&attempt.member) else { continue };
+            self.indexes.await_member(attempt.member);
+            let waited = self.now - attempt.sent;
+            let latency_target = self.set.classes[attempt.class].latency_target;
+            if member.last_heard_at > attempt.sent {
+                let is_lost = waited > share_of(latency_target, LOST_AFTER);
+                member.presumed_lost += u32::from(is_lost);
+            } else {
+                let waits = &mut member.silent_waits;
+                waits.total_in_targets += waited as f64 / latency_target as f64;
+                waits.longest = waits.longest.max(waited);
+            }
         }
-        zones.retain(|_, (heard, lost)| lost.iter().filter(|at| *at > heard).count() >= DARK);
-        let dark = self.members.iter().filter(|(_, m)| zones.contains_key(&m.zone) && !m.suspected);
-        let ids: Vec<MemberId> = dark.map(|(id, _)| *id).collect();
-        ids.into_iter().for_each(|id| self.suspect_silent_member(id));
     }
 
+    /// Suspects a silent member. Nothing heard since several were sent says soon what one alone says after its latency
+    /// target; an overloaded member is given longer. That covers what hangs or is cut off; a member that pauses is
+    /// suspected for a moment.
+    fn check_member(&mut self, id: MemberId) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        let allowed = ALLOWED_SILENCE + ALLOWED_SILENCE_FOR_LOAD * member.load;
+        let allowed = share_of(self.shortest_latency_target, allowed);
+        let waits = member.silent_waits;
+        if self.set.may_probe {
+            member.suspected |= waits.longest > self.silence_threshold;
+        } else if waits.total_in_targets >= 1.0 && waits.longest > allowed && !member.suspected {
+            let total = waits.total_in_targets;
+            self.note(format!("member {id} is silent: {total:.1} aims, {} us at the longest", waits.longest));
+            self.suspect_silent_member(id);
+        }
+        let Some(member) = self.members.get(&id) else { return };
+        self.indexes.note_doubt(id, member);
+        if member.down {
+            self.probe(id, 2 * self.silence_threshold);
+        } else if member.suspected {
+            self.probe(id, self.silence_threshold / 4);
+        }
+    }
+
+    fn probe_groups_without_primary(&mut self) {
+        for group in self.indexes.waiting_groups() {
+            if self.has_selectable_primary(group) {
+                continue;
+            }
+            for id in self.group_members(group).to_vec() {
+                self.probe(id, 2 * self.silence_threshold);
+            }
+        }
+    }
+
+    /// Suspects a member, ejects it for a while and cancels the reads in flight there.
     pub(super) fn suspect_silent_member(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        (member.suspected, member.last_loss_at, member.consecutive_failures) =
-            (true, self.now, member.consecutive_failures.max(SILENT_PAUSE));
+        member.suspected = true;
+        member.last_loss_at = self.now;
+        member.consecutive_failures = member.consecutive_failures.max(SILENCE_FAILURES);
         member.ejected_until = self.now + (self.set.granularity << member.consecutive_failures);
         self.indexes.note_doubt(id, member);
         self.cancel_attempts_at(id, |effect| effect == Effect::Safe);
     }
 
-    /// Probes a member that is not being probed, at most once in `pause`, while the purse lasts.
-    pub(super) fn probe(&mut self, id: MemberId, pause: Time) {
+    /// Probes a member that is not being probed, at most once in `pause` (microseconds), while the budget lasts.
+    fn probe(&mut self, id: MemberId, pause: Time) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        let gone = member.standing == MemberStatus::Removed;
-        // What is called gone and does not answer is asked ever more rarely.
-        let pause = if gone { pause.max((member.probed_at - member.last_heard_at) / 4) } else { pause };
-        let listed = !gone || self.set.soft_removal;
-        let due = listed && !member.probe_in_flight && self.now - member.probed_at > pause;
-        if !due || !self.set.may_probe || self.probe_budget < self.set.probe_price {
+        let is_removed = member.standing == MemberStatus::Removed;
+        if !self.set.may_probe || member.probe_in_flight || is_removed && !self.set.soft_removal {
+            return;
+        }
+        // What is called removed and does not answer is probed ever more rarely.
+        let unanswered = member.probed_at - member.last_heard_at;
+        let pause = if is_removed { pause.max(unanswered / 4) } else { pause };
+        if self.now - member.probed_at <= pause || self.probe_budget < self.set.probe_price {
             return;
         }
         self.probe_budget -= self.set.probe_price;
@@ -106,39 +147,54 @@
         self.actions.push(Action::Probe { member: id });
     }
 
-    pub(super) fn probed(&mut self, id: MemberId, ending: Ending, report: &Report) {
-        self.learn(id, report.position, report.role, self.fleet_clock.as_of(report, self.now));
-        let (now, chance) = (self.now, self.uniform_sample());
+    /// Takes in the end of a probe.
+    pub(super) fn record_probe(&mut self, id: MemberId, ending: Ending, report: &Report) {
+        self.record_report(id, report);
+        let start_tokens = self.rng.uniform_sample();
         let Some(member) = self.members.get_mut(&id) else { return };
         member.probe_in_flight = false;
+        let unanswered = matches!(ending, Ending::TimedOut | Ending::ConnectFailed | Ending::ConnectionLost);
         if ending == Ending::Served {
-            (member.last_heard_at, member.suspected) = (now, false);
+            member.last_heard_at = self.now;
+            member.suspected = false;
             if member.down {
-                self.indexes.set_down(id, member, false);
-                // It may have restarted unannounced: it counts as cold from now.
-                member.recovered_at = now;
-                (member.start_tokens, member.start_tokens_at) = (chance, now);
-                member.concurrency_limit = FIRST_LIMIT.min(member.concurrency_limit);
-                self.note(format!("member {id} answers again"));
+                self.mark_up(id, start_tokens);
             }
-        } else if matches!(ending, Ending::TimedOut | Ending::ConnectFailed | Ending::ConnectionLost)
-            && !member.down
-        {
-            self.indexes.set_down(id, member, true);
-            member.lags.clear();
-            member.sojourns.clear();
-            self.note(format!("member {id} does not answer, nothing new goes there"));
-            self.cancel_attempts_at(id, |effect| effect != Effect::Unsafe);
+        } else if unanswered && !member.down {
+            self.mark_down(id);
         }
     }
 
-    /// Calls work off a member that does not answer, so that it can go elsewhere while there is time.
-    pub(super) fn cancel_attempts_at(&mut self, id: MemberId, repeatable: impl Fn(Effect) -> bool) {
-        let late = |r: &Request| {
-            self.now - r.first_arrived_at >= share_of(self.set.classes[r.class].latency_target, HOPE)
-        };
-        let fit = |r: &Request| repeatable(self.set.classes[r.class].effect) && !late(r);
-        let open: Vec<u64> = self.requests.iter().filter(|(_, r)| fit(r)).map(|(seq, _)| *seq).collect();
-        open.into_iter().for_each(|seq| self.cancel_attempts(seq, Some(id)));
+    /// A member that was down may have restarted unannounced: its slow start begins now.
+    fn mark_up(&mut self, id: MemberId, start_tokens: f64) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        self.indexes.set_down(id, member, false);
+        member.recovered_at = self.now;
+        member.start_tokens = start_tokens;
+        member.start_tokens_at = self.now;
+        member.concurrency_limit = INITIAL_CONCURRENCY_LIMIT.min(member.concurrency_limit);
+        self.note(format!("member {id} answers again"));
+    }
+
+    fn mark_down(&mut self, id: MemberId) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        self.indexes.set_down(id, member, true);
+        member.lags.clear();
+        member.sojourns.clear();
+        self.note(format!("member {id} does not answer, nothing new goes there"));
+        self.cancel_attempts_at(id, |effect| effect != Effect::Unsafe);
+    }
+
+    /// Cancels work at a member that does not answer, so that it can go elsewhere while there is time.
+    fn cancel_attempts_at(&mut self, id: MemberId, is_repeatable: impl Fn(Effect) -> bool) {
+        let mut cancelled = Vec::new();
+        for (sequence, request) in &self.requests {
+            if is_repeatable(self.set.classes[request.class].effect) && !self.is_start_late(request) {
+                cancelled.push(*sequence);
+            }
+        }
+        for sequence in cancelled {
+            self.cancel_attempts(sequence, Some(id));
+        }
     }
 }
--- /dev/null
+++ b/crates/policy/src/router/outcomes.rs
@@ -0,0 +1,230 @@
+//! What the end of an attempt teaches: load, the member's limit and its health, and what becomes of its request.
+
+use super::concurrency::{adapt_concurrency_limit, pace_sends, reduce_concurrency_limit};
+use super::evidence::{push_sample, Evidence};
+use super::health::SILENCE_FAILURES;
+use super::Router;
+use crate::interface::{Effect, Ending, Event, MemberId, Need, Report, RequestId, Role, Time};
+use crate::mutant::{mutant, Mutant::UnsafeRepeated};
+use crate::state::{InFlightAttempt, Sample};
+
+/// Longest pause after failures in a row, in doublings of the granularity (count).
+const MAX_BACKOFF_DOUBLINGS: u32 = 7;
+/// Part of the shortest latency target (divisor) past which a failed connection counts as one that hung: a refusal comes
+/// at once and tells of a process; what hangs tells of its machine.
+const HUNG_CONNECTION_DIVISOR: Time = 16;
+
+/// The end of one attempt.
+struct AttemptOutcome<'a> {
+    request: &'a RequestId,
+    attempt: u32,
+    member: MemberId,
+    ending: Ending,
+    /// Time since the send (microseconds).
+    took: Time,
+    /// The request has its final answer.
+    closed: bool,
+    position: Option<Time>,
+    role: Option<Role>,
+    report: &'a Report,
+}
+
+impl<'a> AttemptOutcome<'a> {
+    fn from_event(event: &'a Event) -> Option<AttemptOutcome<'a>> {
+        let Event::Outcome { request, attempt, member, ending, took, closed, position, role, report } = event
+        else {
+            return None;
+        };
+        Some(AttemptOutcome {
+            request,
+            attempt: *attempt,
+            member: *member,
+            ending: *ending,
+            took: *took,
+            closed: *closed,
+            position: *position,
+            role: *role,
+            report,
+        })
+    }
+
+    /// The member itself has answered.
+    fn is_answer(&self) -> bool {
+        matches!(self.ending, Ending::Served | Ending::Error | Ending::QueueFull | Ending::Rejected)
+    }
+
+    /// The attempt got no service, and the member or the path to it is at fault.
+    fn is_failure(&self) -> bool {
+        !matches!(self.ending, Ending::Served | Ending::Rejected | Ending::Cancelled | Ending::NotSent)
+    }
+}
+
+/// What an attempt's time says of its member.
+struct Measurement {
+    sent: Time,
+    /// Latency target of the request's class (microseconds).
+    latency_target: f64,
+    /// Time from send to end, in latency targets.
+    sojourn: f64,
+    /// The same for each attempt in flight at the send.
+    sample: Sample<f64>,
+    /// This router's part in the member's limit.
+    quota: f64,
+}
+
+impl Router {
+    /// Takes in the end of an attempt.
+    pub(super) fn record_outcome(&mut self, event: &Event) {
+        let Some(outcome) = AttemptOutcome::from_event(event) else { return };
+        let attempt = self.in_flight.remove(&(outcome.request.clone(), outcome.attempt));
+        let is_write =
+            attempt.as_ref().is_some_and(|attempt| self.set.classes[attempt.class].need == Need::Write);
+        if outcome.is_answer() {
+            self.record_answer(&outcome, is_write);
+        }
+        if outcome.ending == Ending::Served {
+            self.record_served(is_write, outcome.took);
+        }
+        if let Some(attempt) = attempt.filter(|_| self.members.contains_key(&outcome.member)) {
+            let measurement = self.measure(&outcome, &attempt);
+            self.record_sign_of_life(&outcome);
+            self.update_shed_share(outcome.ending, measurement.sample);
+            self.record_sojourn(&outcome, &measurement);
+            self.record_suspicion(&outcome, &measurement);
+            self.back_off(&outcome, &measurement);
+        }
+        self.settle_request(&outcome);
+    }
+
+    fn record_answer(&mut self, outcome: &AttemptOutcome, is_write: bool) {
+        let now = self.now;
+        let is_commit = is_write && outcome.ending == Ending::Served;
+        let position = outcome.position.filter(|_| !is_commit);
+        let answer = Evidence { position, role: outcome.role, role_at: Some(now) };
+        self.record_evidence(outcome.member, answer);
+        self.record_report(outcome.member, outcome.report);
+        if let Some(committed_at) = outcome.position.filter(|_| is_commit) {
+            self.record_commit(outcome.member, committed_at);
+        }
+    }
+
+    /// Takes in the role and position of a load report.
+    pub(super) fn record_report(&mut self, id: MemberId, report: &Report) {
+        let role_at = self.fleet_clock.as_of(report, self.now);
+        let evidence = Evidence { position: report.position, role: report.role, role_at };
+        self.record_evidence(id, evidence);
+    }
+
+    fn measure(&self, outcome: &AttemptOutcome, attempt: &InFlightAttempt) -> Measurement {
+        let latency_target = self.set.classes[attempt.class].latency_target as f64;
+        let sojourn = outcome.took as f64 / latency_target;
+        let group = self.group_of(outcome.member);
+        Measurement {
+            sent: attempt.sent,
+            latency_target,
+            sojourn,
+            sample: Sample { taken_at: self.now, value: sojourn / (1.0 + attempt.beside) },
+            quota: group.map_or(self.base_quota, |group| self.quota_part(group)),
+        }
+    }
+
+    fn record_sign_of_life(&mut self, outcome: &AttemptOutcome) {
+        let Some(member) = self.members.get_mut(&outcome.member) else { return };
+        member.in_flight = member.in_flight.saturating_sub(1);
+        if !outcome.is_answer() {
+            return;
+        }
+        member.last_heard_at = self.now;
+        if member.suspected {
+            member.suspected = false;
+            member.ejected_until = self.now;
+        }
+    }
+
+    /// Whether the member has been silent for all of the attempt's time. With health checks, one of them would have
+    /// told before.
+    fn was_silent(&self, outcome: &AttemptOutcome, measurement: &Measurement) -> bool {
+        let silent = self.members.get(&outcome.member).is_some_and(|m| m.last_heard_at <= measurement.sent);
+        outcome.ending == Ending::TimedOut && silent && !self.set.may_probe
+    }
+
+    /// Adapts the member's limit. Work given up unanswered took at least this long: without it only the quick answers
+    /// would count, and an overloaded member would look fine.
+    fn record_sojourn(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
+        let was_silent = self.was_silent(outcome, measurement);
+        let Some(member) = self.members.get_mut(&outcome.member) else { return };
+        let Measurement { sojourn, sample, quota, .. } = *measurement;
+        match outcome.ending {
+            Ending::Served => {
+                member.consecutive_failures = 0;
+                push_sample(&mut member.sojourns, sample);
+                push_sample(&mut self.sojourns, sample);
+                adapt_concurrency_limit(member, sojourn, quota);
+            }
+            Ending::TimedOut | Ending::Cancelled if !was_silent => {
+                push_sample(&mut member.sojourns, sample);
+                adapt_concurrency_limit(member, sojourn.min(1.0), quota);
+            }
+            Ending::QueueFull => reduce_concurrency_limit(member, quota),
+            _ => {}
+        }
+    }
+
+    /// Suspects a member that was silent, or of which two connections in a row failed: one may be chance.
+    fn record_suspicion(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
+        let was_silent = self.was_silent(outcome, measurement);
+        let hung = outcome.took > self.shortest_latency_target / HUNG_CONNECTION_DIVISOR;
+        let Some(member) = self.members.get_mut(&outcome.member) else { return };
+        if was_silent {
+            member.suspected = true;
+            member.consecutive_failures = member.consecutive_failures.max(SILENCE_FAILURES);
+        }
+        if matches!(outcome.ending, Ending::ConnectFailed | Ending::ConnectionLost) {
+            member.suspected |= member.consecutive_failures > 0;
+            if hung {
+                member.last_loss_at = self.now;
+            }
+        }
+        self.indexes.note_doubt(outcome.member, member);
+    }
+
+    /// Paces and ejects. A member that rejects fast (full, draining, its connections broken) looks idle and quick and
+    /// would draw ever more: each attempt without service doubles a pause. That covers any fault that answers health
+    /// checks and fails requests; a member hit by chance loses one pause.
+    fn back_off(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
+        let now = self.now;
+        let Some(member) = self.members.get_mut(&outcome.member) else { return };
+        pace_sends(member, measurement.sojourn, measurement.latency_target, measurement.quota, now);
+        if outcome.is_failure() {
+            member.consecutive_failures = (member.consecutive_failures + 1).min(MAX_BACKOFF_DOUBLINGS);
+            member.ejected_until = now + (self.set.granularity << member.consecutive_failures);
+        }
+    }
+
+    /// What becomes of the request: it is over, waits for another attempt, or fails.
+    fn settle_request(&mut self, outcome: &AttemptOutcome) {
+        let Some(sequence) = self.names.get(outcome.request).copied() else { return };
+        let Some(request) = self.requests.get_mut(&sequence) else { return };
+        let never_ran = outcome.ending.never_ran();
+        if let Some(attempt) = request.attempts.get_mut(outcome.attempt as usize) {
+            attempt.in_flight = false;
+            attempt.may_have_run = !never_ran;
+            attempt.reached = !matches!(outcome.ending, Ending::ConnectFailed | Ending::NotSent);
+            if outcome.ending != Ending::Cancelled {
+                attempt.ended_at = self.now;
+            }
+        }
+        if outcome.closed || outcome.ending == Ending::Served {
+            return self.close(sequence);
+        }
+        if request.has_attempt_in_flight() {
+            return;
+        }
+        let effect = self.set.classes[request.class].effect;
+        let group = request.group;
+        if effect == Effect::Unsafe && !never_ran && !mutant(UnsafeRepeated) {
+            return self.finish(sequence);
+        }
+        self.enqueue(group, sequence);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/router/queue.rs
@@ -0,0 +1,149 @@
+//! The queue of a group: the order of dispatch, expiry, and eviction of what has the lowest priority.
+
+use super::concurrency::TARGET_SOJOURN;
+use super::overload::value_for_work;
+use super::Router;
+use crate::interface::{Class, Effect, GroupId, MemberId, Need};
+use crate::state::{share_of, Request};
+use std::collections::BTreeSet;
+
+/// Share of the latency target after which the start of a request is no longer useful: the rest is for the work itself.
+pub(super) const USEFUL_START_SHARE: f64 = 1.0 - TARGET_SOJOURN;
+/// Share of the requests clients can hold open that are kept here (fraction): the rest is for those yet to come.
+const OPEN_REQUESTS_SHARE: f64 = 0.85;
+/// Chance of completion of a write while its group has no primary to be sent to (fraction).
+const COMPLETION_CHANCE_WITHOUT_PRIMARY: f64 = 0.1;
+/// Part of the latency target (divisor) for which a member that has ended an attempt gets no other of the request.
+const RETRY_PAUSE_DIVISOR: i64 = 8;
+
+/// A request with the value of each unit of its work.
+struct RankedRequest {
+    value: f64,
+    sequence: u64,
+}
+
+impl Router {
+    /// A start of the request now would come too late for its latency target.
+    pub(super) fn is_start_late(&self, request: &Request) -> bool {
+        let useful = share_of(self.set.classes[request.class].latency_target, USEFUL_START_SHARE);
+        self.now - request.first_arrived_at >= useful
+    }
+
+    /// Value for each unit of work, as of now. What only the primary can do counts twice: other members may yet take
+    /// the reads.
+    fn value_density(&self, request: &Request) -> f64 {
+        let class = &self.set.classes[request.class];
+        let only_primary = matches!(class.need, Need::Write | Need::Strong);
+        let factor = if only_primary { 2.0 } else { 1.0 };
+        let late_factor = if self.is_start_late(request) { class.late_share } else { 1.0 };
+        factor * value_for_work(class) * late_factor
+    }
+
+    /// Sends what waits in a group, the highest value first and the latest first among equals. Once one new request of
+    /// a class finds no member, no other of that class is tried in this step.
+    pub(super) fn dispatch_queue(&mut self, group: GroupId) {
+        let mut stuck_classes: BTreeSet<usize> = BTreeSet::new();
+        for sequence in self.dispatch_order(group) {
+            let Some(request) = self.requests.get(&sequence) else { continue };
+            let class = request.class;
+            let is_plain = request.attempts.is_empty() && request.minimum_position.is_none();
+            if is_plain && stuck_classes.contains(&class) {
+                continue;
+            }
+            if let Some(member) = self.select_member(sequence, class) {
+                self.send(sequence, member);
+            } else if is_plain {
+                stuck_classes.insert(class);
+            }
+        }
+    }
+
+    fn dispatch_order(&self, group: GroupId) -> Vec<u64> {
+        let Some(state) = self.groups.get(&group) else { return Vec::new() };
+        let mut ranked = Vec::with_capacity(state.waiting.len());
+        for sequence in &state.waiting {
+            if let Some(request) = self.requests.get(sequence) {
+                ranked.push(RankedRequest { value: self.value_density(request), sequence: *sequence });
+            }
+        }
+        ranked.sort_by(|a, b| b.value.total_cmp(&a.value).then(b.sequence.cmp(&a.sequence)));
+        ranked.into_iter().map(|request| request.sequence).collect()
+    }
+
+    fn select_member(&mut self, sequence: u64, class: usize) -> Option<MemberId> {
+        match self.set.classes[class].need {
+            Need::Write | Need::Strong => self.select_primary(sequence),
+            Need::Session | Need::Bounded(_) | Need::Eventual => self.select_for_read(sequence),
+        }
+    }
+
+    /// The member has just ended another attempt of this request.
+    pub(super) fn was_just_tried(&self, request: &Request, id: MemberId) -> bool {
+        let pause = self.set.classes[request.class].latency_target / RETRY_PAUSE_DIVISOR;
+        request.attempts.iter().any(|attempt| attempt.member == id && self.now - attempt.ended_at < pause)
+    }
+
+    /// Ends the requests for which an answer would come too late, or of which no further attempt is possible.
+    pub(super) fn expire_requests(&mut self) {
+        let is_expired = |request: &Request| self.is_expired(request, &self.set.classes[request.class]);
+        let expired = self.requests.iter().filter(|(_, request)| is_expired(request));
+        let expired: Vec<u64> = expired.map(|(sequence, _)| *sequence).collect();
+        for sequence in expired {
+            self.finish(sequence);
+        }
+    }
+
+    fn is_expired(&self, request: &Request, class: &Class) -> bool {
+        // Never sent by half its time, it has little chance here; its client still has time to retry.
+        let unsent = request.attempts.iter().all(|attempt| !attempt.in_flight && !attempt.reached);
+        let deadline = if unsent { request.unsent_deadline.min(request.deadline) } else { request.deadline };
+        if self.now + 2 * self.set.granularity >= deadline {
+            return true;
+        }
+        // What is in flight is not given up for being late: its work goes on, and its client would come again.
+        if request.has_attempt_in_flight() {
+            return false;
+        }
+        let has_no_late_value = class.effect == Effect::Safe && class.late_share <= 0.0;
+        let worthless = has_no_late_value && self.is_start_late(request);
+        worthless || request.is_exhausted(class, self.now + self.set.granularity)
+    }
+
+    /// Clients hold only so many connections: with all of them in use the next request reaches nobody. What has the
+    /// least to gain is evicted from the queues, and then late reads that are in flight.
+    pub(super) fn evict_lowest_priority(&mut self) {
+        let most = (f64::from(self.set.most_open) * OPEN_REQUESTS_SHARE) as usize;
+        let excess = self.requests.len().saturating_sub(most);
+        if excess == 0 {
+            return;
+        }
+        let mut ranked = Vec::new();
+        for (sequence, request) in &self.requests {
+            if self.is_evictable(request) {
+                let value = self.value_density(request) * self.completion_chance(request);
+                ranked.push(RankedRequest { value, sequence: *sequence });
+            }
+        }
+        ranked.sort_by(|a, b| a.value.total_cmp(&b.value).then(a.sequence.cmp(&b.sequence)));
+        for request in ranked.iter().take(excess) {
+            self.finish(request.sequence);
+        }
+    }
+
+    fn is_evictable(&self, request: &Request) -> bool {
+        let class = &self.set.classes[request.class];
+        if class.effect != Effect::Safe {
+            return request.first_possible_execution().is_none();
+        }
+        let is_late = self.now - request.first_arrived_at >= class.latency_target;
+        is_late || !request.has_attempt_in_flight()
+    }
+
+    fn completion_chance(&self, request: &Request) -> f64 {
+        let is_write = self.set.classes[request.class].need == Need::Write;
+        if is_write && !self.has_selectable_primary(request.group) {
+            return COMPLETION_CHANCE_WITHOUT_PRIMARY;
+        }
+        1.0
+    }
+}
--- /dev/null
+++ b/crates/policy/src/router/reads.rs
@@ -0,0 +1,94 @@
+//! Reads that a replica may serve: which members are usable, trials of suspected ones, and waits for a replica that is
+//! about to be fresh enough.
+
+use super::primary::PRIMARY_READ_SHARE;
+use super::Router;
+use crate::interface::{Effect, MemberId, Time};
+use crate::state::{share_of, Request};
+
+/// Part of the latency target that a read waits for a replica at most (fraction).
+const READ_WAIT_BOUND: f64 = 0.25;
+
+impl Router {
+    /// The member for a read, if one is usable now.
+    pub(super) fn select_for_read(&mut self, sequence: u64) -> Option<MemberId> {
+        let request = self.requests.get(&sequence)?;
+        if let Some(id) = self.suspected_to_try(request) {
+            return Some(id);
+        }
+        let primary = self.primary(request.group);
+        let wait_until = self.read_wait_end(request);
+        let awaited = request.minimum_position.filter(|_| self.may_wait(request, wait_until));
+        let awaited = awaited.map(|position| self.fleet_clock.own_time(position));
+        let usable = self.usable_for_read(request, primary);
+        let commit = self.forecast_commit(sequence);
+        let primary_has_time = self.draw_primary_has_time(usable.len());
+        let choice = self.select_fresh(commit, &usable, primary_has_time);
+        let Some(position_at) = awaited else { return choice };
+        if choice != primary || primary_has_time {
+            return choice;
+        }
+        // A replica about to pass the position is worth a short wait, unless the primary has time for reads.
+        for id in usable.into_iter().filter(|id| Some(*id) != primary) {
+            let fresh_at = position_at + self.draw_lag(id);
+            if (self.now..wait_until).contains(&fresh_at) {
+                return None;
+            }
+        }
+        choice
+    }
+
+    /// A suspected member that this request may find out about: a short one, and without attempts so far.
+    fn suspected_to_try(&self, request: &Request) -> Option<MemberId> {
+        let class = &self.set.classes[request.class];
+        let is_short = class.latency_target <= 2 * self.shortest_latency_target;
+        let is_fit = request.attempts.is_empty() && class.effect == Effect::Safe && is_short;
+        if !is_fit || self.trial_budget < 1.0 {
+            return None;
+        }
+        self.group_members(request.group).iter().copied().find(|id| self.may_try_suspected(*id))
+    }
+
+    /// Only one attempt is left, which the primary gets.
+    fn is_last_attempt(&self, request: &Request) -> bool {
+        let most = self.set.classes[request.class].attempts as usize;
+        !request.attempts.is_empty() && request.attempts.len() + 1 >= most
+    }
+
+    fn read_wait_end(&self, request: &Request) -> Time {
+        let latency_target = self.set.classes[request.class].latency_target;
+        request.first_arrived_at + self.set.hold.min(share_of(latency_target, READ_WAIT_BOUND))
+    }
+
+    fn may_wait(&self, request: &Request, wait_until: Time) -> bool {
+        !self.is_last_attempt(request) && self.now < wait_until
+    }
+
+    fn usable_for_read(&self, request: &Request, primary: Option<MemberId>) -> Vec<MemberId> {
+        let only_primary = self.is_last_attempt(request);
+        let mut usable: Vec<MemberId> = Vec::new();
+        for id in self.group_members(request.group).iter().copied() {
+            let is_primary = Some(id) == primary;
+            let share = if is_primary { PRIMARY_READ_SHARE } else { 1.0 };
+            let is_free = self.is_selectable(id) && self.has_capacity(id, share);
+            if is_free && !self.was_just_tried(request, id) && (!only_primary || is_primary) {
+                usable.push(id);
+            }
+        }
+        // The slow-start budget of a primary is for writes, so long as reads have another member.
+        if usable.iter().any(|id| Some(*id) != primary) {
+            let is_warming = |id: &MemberId| self.capacity_share(&self.members[id]) < 1.0;
+            usable.retain(|id| Some(*id) != primary || !is_warming(id));
+        }
+        usable
+    }
+
+    /// Draws whether the primary ranks with the replicas. It has work of its own, and ranks later for reads but for so
+    /// many as bring it to an even share of all work: more would overload it, fewer the replicas.
+    fn draw_primary_has_time(&mut self, usable_members: usize) -> bool {
+        let time = self.service_time;
+        let write_share = time.writes / (time.reads + time.writes).max(1.0);
+        let threshold = 1.0 - write_share * usable_members as f64;
+        self.rng.uniform_sample() * (1.0 - write_share) < threshold
+    }
+}
--- /dev/null
+++ b/crates/policy/src/router/zones.rs
@@ -0,0 +1,43 @@
+//! Zones that are unreachable as a whole. Each member of them would else be found out by a request of its own, at every
+//! router.
+
+use super::Router;
+use crate::interface::{MemberId, MemberStatus, Time};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Members of a zone that must have fallen silent since any of it was heard, for it to be unreachable (count).
+const UNREACHABLE_ZONE_LOSSES: usize = 3;
+
+/// What was last heard of a zone.
+#[derive(Default)]
+struct ZoneState {
+    last_heard_at: Time,
+    losses: Vec<Time>,
+}
+
+impl ZoneState {
+    fn is_unreachable(&self) -> bool {
+        let silent = self.losses.iter().filter(|lost_at| **lost_at > self.last_heard_at);
+        silent.count() >= UNREACHABLE_ZONE_LOSSES
+    }
+}
+
+impl Router {
+    /// Suspects all members of unreachable zones.
+    pub(super) fn check_zones(&mut self) {
+        let mut zones: BTreeMap<Arc<str>, ZoneState> = BTreeMap::new();
+        for member in self.members.values().filter(|member| member.standing == MemberStatus::Up) {
+            let zone = zones.entry(member.zone.clone()).or_default();
+            zone.last_heard_at = zone.last_heard_at.max(member.last_heard_at);
+            zone.losses.push(member.last_loss_at);
+        }
+        zones.retain(|_, zone| zone.is_unreachable());
+        let unreachable =
+            self.members.iter().filter(|(_, member)| zones.contains_key(&member.zone) && !member.suspected);
+        let unreachable: Vec<MemberId> = unreachable.map(|(id, _)| *id).collect();
+        for id in unreachable {
+            self.suspect_silent_member(id);
+        }
+    }
+}
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! What a router keeps in mind, as plain data. Nothing here decides anything.
+//! The state of a router as plain data: members, groups, requests and attempts. No decisions are made here.
 
 use crate::interface::*;
 use crate::mutant::{mutant, Mutant::WindowIgnored};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A router's only source of chance.
+/// A router's only source of random numbers.
 #[derive(Clone, Debug)]
 pub(crate) struct SeededRng(Pcg64Mcg);
 
@@ -20,6 +20,11 @@
     pub(crate) fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
+
+    /// A sample of the uniform distribution over 0 to 1.
+    pub(crate) fn uniform_sample(&mut self) -> f64 {
+        self.next_u64() as f64 / u64::MAX as f64
+    }
 }
 
 impl Default for SeededRng {
@@ -28,68 +33,118 @@
     }
 }
 
-/// Each with the time it was taken.
-pub(crate) type Samples<T> = VecDeque<(Time, T)>;
+/// A measurement with the time at which it was taken.
+#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+pub(crate) struct Sample<T> {
+    pub(crate) taken_at: Time,
+    pub(crate) value: T,
+}
+
+/// The latest measurements, oldest first. At most `SAMPLES_KEPT` of them.
+pub(crate) type Samples<T> = VecDeque<Sample<T>>;
+
+/// Waits of the attempts that a member has not answered since it was last heard.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub(crate) struct SilentWaits {
+    /// Sum of the waits, each in latency targets of its class.
+    pub(crate) total_in_targets: f64,
+    /// The longest wait (microseconds).
+    pub(crate) longest: Time,
+}
+
+/// Time that members lately spent on served attempts (microseconds, decayed).
+#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+pub(crate) struct ServiceTime {
+    pub(crate) reads: f64,
+    pub(crate) writes: f64,
+}
+
+/// A share of a span, in whole microseconds.
+pub(crate) fn share_of(span: Time, share: f64) -> Time {
+    (span as f64 * share) as Time
+}
 
 /// What a router knows of a member.
+///
+/// Stored in handover records without field names: order, types and serde attributes must stay.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Member {
     pub(crate) group: GroupId,
     pub(crate) zone: Arc<str>,
+    /// Capacity in relation to other members.
     pub(crate) weight: f64,
     pub(crate) standing: MemberStatus,
     /// Listed as draining since its last start: that stays so, whatever later lists say.
     pub(crate) drained: bool,
     /// When it last started, by the hosts' clock; 0 for long ago.
     pub(crate) started: Time,
-    /// When it was first listed as started then, by the own clock. Not left to the next process.
+    /// When it was first listed with this start, by the router's clock. Not left to the next process.
     #[serde(skip)]
     pub(crate) listed_at: Time,
     /// When it last answered after being down.
     pub(crate) recovered_at: Time,
-    /// When it last gave evidence of being primary, or replica.
+    /// Newest evidence that it is primary; 1 where only the endpoint list says so.
     pub(crate) primary_evidence_at: Time,
+    /// Newest evidence that it is a replica.
     pub(crate) replica_evidence_at: Time,
-    /// Highest position it ever told, by the hosts' clock.
+    /// Highest position it ever reported, by the hosts' clock.
     pub(crate) position: Time,
+    /// Replication lags (microseconds).
     pub(crate) lags: Samples<Time>,
-    /// In aims, for each attempt that was out at its send.
+    /// Sojourns (time from send to answer, queueing included) in latency targets, for each attempt in flight at the send.
     pub(crate) sojourns: Samples<f64>,
+    /// Moving mean of the sojourns, in latency targets.
     pub(crate) load: f64,
+    /// Attempts that all routers together may have in flight here.
     pub(crate) concurrency_limit: f64,
-    /// Until when a limit of less than one attempt keeps the next one away.
+    /// No send before this, where this router's quota is less than one attempt.
     pub(crate) paced_until: Time,
+    /// Attempts of this router in flight here.
     pub(crate) in_flight: u32,
-    /// Of these, past their aim while the member has answered others since.
+    /// Of these, long past their latency target while the member has answered others since.
     pub(crate) presumed_lost: u32,
-    /// Attempts out since it was heard: their waits in aims, summed up, and the longest one.
-    pub(crate) quiet: (f64, Time),
-    /// When it was last in service or had something out.
+    /// Attempts unanswered since the member was last heard.
+    pub(crate) silent_waits: SilentWaits,
+    /// When it was last in service or had an attempt in flight.
     pub(crate) last_listed_at: Time,
     /// Last sign of life.
     pub(crate) last_heard_at: Time,
     /// When an attempt there last hung unanswered.
     pub(crate) last_loss_at: Time,
+    /// It is taken for unresponsive until it answers.
     pub(crate) suspected: bool,
+    /// Its health check failed.
     pub(crate) down: bool,
-    /// Attempts in a row that got no service, and until when that keeps further ones away.
+    /// Attempts in a row that got no service.
     pub(crate) consecutive_failures: u32,
+    /// No sends before this (outlier ejection).
     pub(crate) ejected_until: Time,
     pub(crate) probe_in_flight: bool,
     pub(crate) probed_at: Time,
-    /// Attempts that its cold budget has room for, as of when.
+    /// Attempts that its slow-start budget had room for at `start_tokens_at`.
     pub(crate) start_tokens: f64,
     pub(crate) start_tokens_at: Time,
 }
 
-/// What it knows of a group.
+impl Member {
+    /// Its newest evidence says that it is the primary.
+    pub(crate) fn is_primary(&self) -> bool {
+        self.primary_evidence_at > self.replica_evidence_at
+    }
+}
+
+/// What a router knows of a group. Stored in handover records, as `Member`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Group {
+    /// In ascending order.
     pub(crate) members: Vec<MemberId>,
+    /// Sequence numbers of the requests in its queue.
     pub(crate) waiting: BTreeSet<u64>,
+    /// Times of the last commits, by the hosts' clock, in ascending order.
     pub(crate) commits: VecDeque<Time>,
+    /// When a member was last tried to find the primary.
     pub(crate) last_discovery_at: Time,
-    /// What was given of others' parts, or given away of the own.
+    /// Quota borrowed from other routers, or lent to them.
     pub(crate) share: Share,
 }
 
@@ -99,11 +154,12 @@
     pub(crate) member: MemberId,
     pub(crate) sent: Time,
     pub(crate) in_flight: bool,
+    /// The member may have executed it.
     pub(crate) may_have_run: bool,
     /// It was written to the member, as far as its ending tells.
     pub(crate) reached: bool,
-    /// When it ended, if it was not called off.
-    pub(crate) refused_at: Time,
+    /// When it ended, unless it was cancelled.
+    pub(crate) ended_at: Time,
 }
 
 /// A request that has no final answer yet.
@@ -114,16 +170,17 @@
     pub(crate) group: GroupId,
     /// When the client's first try came, as far as that shows.
     pub(crate) first_arrived_at: Time,
+    /// When its client gives up this try.
     pub(crate) deadline: Time,
-    /// Half of the time it came with is over then.
+    /// A request never sent is given up by then: half of its time is over.
     pub(crate) unsent_deadline: Time,
-    /// Commit that its data must hold.
+    /// Commit that its data must hold, by the hosts' clock.
     pub(crate) minimum_position: Option<Time>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// One of its attempts is out.
+    /// One of its attempts is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -133,8 +190,8 @@
         self.attempts.iter().find(|attempt| attempt.in_flight || attempt.may_have_run)
     }
 
-    /// By then no further attempt can follow: all are spent, or the window of its key has closed, which an attempt opened
-    /// that may have run.
+    /// No further attempt can follow by then: all are used, or the window of its idempotency key has closed, which the
+    /// first attempt that may have run opened.
     pub(crate) fn is_exhausted(&self, class: &Class, by: Time) -> bool {
         let closes = match (class.effect, self.first_possible_execution()) {
             (Effect::Keyed { window, .. }, Some(first)) if !mutant(WindowIgnored) => {
@@ -146,12 +203,13 @@
     }
 }
 
-/// An attempt that is out, kept until its outcome comes, also when its request is over.
+/// An attempt in flight, kept until its outcome comes, also when its request is over.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
     pub(crate) member: MemberId,
     pub(crate) sent: Time,
     pub(crate) class: usize,
+    /// Attempts of this router in flight at the member when it was sent.
     pub(crate) beside: f64,
 }
 
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -12,18 +12,57 @@
     names.map(|name| (name.to_string(), std::fs::read_to_string(root.join(name)).expect(name))).collect()
 }
 
+const MAX_FILE_LINES: usize = 400;
+const MAX_FUNCTION_LINES: usize = 60;
+const MAX_LINE_WIDTH: usize = 110;
+
+fn indentation(line: &str) -> usize {
+    line.len() - line.trim_start().len()
+}
+
+/// Whether a line begins a function, whatever stands before its `fn`.
+fn begins_function(line: &str) -> bool {
+    let code = line.trim_start();
+    !code.starts_with("//") && format!(" {code}").contains(" fn ")
+}
+
+/// The functions of a formatted file, by their first lines, each with its lines up to the closing brace.
+fn functions(text: &str) -> Vec<(String, usize)> {
+    let lines: Vec<&str> = text.lines().collect();
+    let mut found = Vec::new();
+    for (place, line) in lines.iter().enumerate().filter(|(_, line)| begins_function(line)) {
+        let closing = format!("{}}}", " ".repeat(indentation(line)));
+        let in_one_line = line.trim_end().ends_with('}') || line.trim_end().ends_with(';');
+        let end = lines[place..].iter().position(|other| other.trim_end() == closing);
+        let length = if in_one_line { 1 } else { end.expect("the function is closed") + 1 };
+        found.push((line.trim().to_string(), length));
+    }
+    found
+}
+
+#[test]
+fn the_functions_of_a_file_are_counted_to_their_closing_braces() {
+    let text = "fn one() {}\n\nimpl Two {\n    pub(super) fn three(\n        &self,\n    ) {\n        {\n        }\n    }\n}\n";
+    let lengths: Vec<usize> = functions(text).into_iter().map(|(_, length)| length).collect();
+    assert_eq!(lengths, [1, 6]);
+}
+
 #[test]
-fn the_module_stays_within_its_lines() {
+fn the_files_and_functions_of_the_module_stay_short() {
     let files = module();
-    let lines =
-        files.iter().flat_map(|(_, text)| text.lines()).filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 950, "{lines} lines that are not blank");
-    assert!(lines > 500, "only {lines} lines: has the module moved?");
+    let mut function_count = 0;
     for (name, text) in &files {
+        let lines = text.lines().count();
+        assert!(lines <= MAX_FILE_LINES, "{name} has {lines} lines");
         let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
-        assert!(widest <= 110, "{name} has a line of {widest}");
+        assert!(widest <= MAX_LINE_WIDTH, "{name} has a line of {widest}");
         assert!(text.starts_with("//! "), "{name} does not say what it decides");
+        for (function, length) in functions(text) {
+            function_count += 1;
+            assert!(length <= MAX_FUNCTION_LINES, "{name}: {function} has {length} lines");
+        }
     }
+    assert!(function_count > 50, "only {function_count} functions: has the module moved?");
     let opening: Vec<&str> = files[0].1.lines().take(3).collect();
     assert!(opening.join(" ").contains("interface.rs"), "the opening lines point to the interface");
 }
