--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -1,21 +1,21 @@
 //! The hosts' clock as seen from the router's own: an estimate of the offset between the two.
 //!
-//! Hosts tell log positions, commits and starts in their Unix time, and all hosts read one clock. The router's own clock
-//! never jumps, but was set from a wall clock that may be wrong by any span. This module alone relates the two. The true
-//! offset, `hosts' clock - own clock`, lies in an interval:
+//! Hosts tell log positions, commits and starts in their Unix time, and all hosts read one clock. The
+//! router's own clock never jumps, but was set from a wall clock that may be wrong by any span. This module
+//! alone relates the two. The true offset, `hosts' clock - own clock`, lies in an interval:
 //!
 //! - **Lower bounds.** What a host has told was true when it arrived: `told <= received + offset`.
-//! - **Upper bounds.** A write is committed after it was sent (Cristian's algorithm): `sent + offset <= commit`. An answer
-//!   that repeats an earlier run's commit would give too small a bound, so callers pass only first attempts of requests
-//!   that are no client's retries, and of the last bounds not the smallest ones count.
+//! - **Upper bounds.** A write is committed after it was sent (Cristian's algorithm): `sent + offset <= commit`.
+//!   An answer that repeats an earlier run's commit would give too small a bound, so callers pass only first
+//!   attempts of requests that are no client's retries, and of the last bounds not the smallest ones count.
 //!
-//! One absurd value must not move the estimate: a lower bound counts if two members support it or if several commits
-//! agree with it, and an upper bound is passed over if two members contradict it. Where 0 lies in the interval the
-//! estimate is 0, so that a router whose clock is right decides as if the clocks were one. Elsewhere it is the lower
-//! end, which is the closer one: a host's answer is on its way for less time than a write takes.
+//! One absurd value must not move the estimate: a lower bound counts if two members support it or if several
+//! commits agree with it, and an upper bound is passed over if two members contradict it. Where 0 lies in the
+//! interval the estimate is 0, so that a router whose clock is right decides as if the clocks were one.
+//! Elsewhere it is the lower end, which is the closer one: a host's answer is on its way for less time than a
+//! write takes.
 
 use crate::interface::{MemberId, Report, Time};
-use crate::router::Router;
 use std::collections::VecDeque;
 
 /// Step to which hosts round the times that they tell (microseconds).
@@ -26,14 +26,15 @@
 const CONFIRMING_DISTANCE: Time = 1_000_000;
 /// Upper bounds kept (count): the last ones.
 const UPPER_BOUNDS: usize = 16;
-/// Of the upper bounds so many support the one that counts, itself included; fewer are not yet evidence enough to move
-/// the estimate by themselves (count).
+/// Of the upper bounds so many support the one that counts, itself included; fewer are not yet evidence
+/// enough to move the estimate by themselves (count).
 const SEVERAL: usize = 3;
 /// Longest that the quickest answers take from their host to here, rounding included (microseconds).
 const QUICKEST_ANSWER: Time = 5_000;
 /// Members whose lower bounds are kept (count): the highest ones.
 const LOWER_BOUNDS: usize = 8;
-/// Bounds of two members that lie so near to each other support each other (microseconds): made-up values do not.
+/// Bounds of two members that lie so near to each other support each other (microseconds): made-up values do
+/// not.
 const AGREEMENT: Time = 10_000_000;
 /// Lower bounds older than one to two of these spans are forgotten, as the clocks drift apart (microseconds).
 const EVIDENCE_SPAN: Time = 60_000_000;
@@ -106,8 +107,8 @@
         self.update(received);
     }
 
-    /// A write that was sent to this member at `sent` has been committed. `first` says that it was the first attempt of a
-    /// request that is no client's retry: only then was it surely committed after it was sent.
+    /// A write that was sent to this member at `sent` has been committed. `first` says that it was the first
+    /// attempt of a request that is no client's retry: only then was it surely committed after it was sent.
     pub fn committed(&mut self, member: MemberId, commit: Time, sent: Time, received: Time, first: bool) {
         if !self.enabled || commit <= 0 {
             return;
@@ -152,8 +153,8 @@
         self.latest_hosts_time(now).saturating_sub(position)
     }
 
-    /// The position from which on data are no older than `bound` at a time of the own clock; none has reached it while
-    /// the estimate is not to be trusted.
+    /// The position from which on data are no older than `bound` at a time of the own clock; none has reached
+    /// it while the estimate is not to be trusted.
     pub fn horizon(&self, bound: Time, now: Time) -> Time {
         if self.is_trusted() {
             return self.latest_hosts_time(now) - bound;
@@ -161,8 +162,8 @@
         Time::MAX
     }
 
-    /// When a member that the list says started then did so, by the own clock; 0 for long ago. While what hosts tell speaks
-    /// against the estimate, it may have started right before it was listed.
+    /// When a member that the list says started then did so, by the own clock; 0 for long ago. While what
+    /// hosts tell speaks against the estimate, it may have started right before it was listed.
     pub fn started_at(&self, started: Time, listed_at: Time) -> Time {
         if started <= 0 {
             return 0;
@@ -180,8 +181,8 @@
         told <= self.latest_hosts_time(now).saturating_add(MOST_AHEAD)
     }
 
-    /// Whether the estimate may be used to call a replica fresh: commits bound the offset above, or the clocks look like
-    /// one.
+    /// Whether the estimate may be used to call a replica fresh: commits bound the offset above, or the
+    /// clocks look like one.
     pub fn is_trusted(&self) -> bool {
         !self.enabled || self.bounded_above || (self.confirmed && !self.contradicted)
     }
@@ -235,8 +236,8 @@
         merged.0.into_iter().map(|(bound, _)| bound).collect()
     }
 
-    /// The smallest upper bound that several support, of those that the members' lower bounds do not contradict; the
-    /// largest one where there are fewer.
+    /// The smallest upper bound that several support, of those that the members' lower bounds do not
+    /// contradict; the largest one where there are fewer.
     fn upper_bound(&self, now: Time, least: Time) -> Option<Time> {
         let widened = |(bound, at): &(Time, Time)| bound.saturating_add((now - at).max(0) / DRIFT_DIVISOR);
         let mut bounds: Vec<Time> = self.upper.iter().map(widened).filter(|bound| *bound >= least).collect();
@@ -244,15 +245,3 @@
         bounds.get(SEVERAL - 1).or(bounds.last()).copied()
     }
 }
-
-impl Router {
-    /// What is known of the hosts' clock. Times that cross machines are compared through it alone.
-    pub fn fleet_clock(&self) -> &FleetClock {
-        &self.fleet_clock
-    }
-
-    /// For whoever receives the hosts' answers, to pass on what they tell of their clock when they arrive.
-    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
-        &mut self.fleet_clock
-    }
-}
--- a/crates/policy/src/indexes.rs
+++ b/crates/policy/src/indexes.rs
@@ -1,14 +1,10 @@
-//! Which groups and members a step has to look at, so that its cost grows with what happens and not with what the router
-//! serves. Nothing here decides anything: looking at all the others would change nothing.
+//! Which groups and members a step has to look at, so that its cost grows with what happens and not with what
+//! the router serves. Nothing here decides anything: looking at all the others would change nothing.
 
 use crate::interface::{GroupId, MemberId, MemberStatus, Time};
-use crate::router::Router;
-use crate::state::{Member, SilentWaits};
+use crate::state::{Group, Member, SilentWaits};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Span after which a removed member is forgotten (microseconds): no list that old may name it again.
-const FORGET_AFTER: Time = 60_000_000;
-
 /// Indexes over groups and members. Each set names one of the router's own once at most.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Indexes {
@@ -18,8 +14,9 @@
     waited_for: BTreeSet<MemberId>,
     /// All members that are suspected or down; also some that were so since the last check.
     doubtful: BTreeSet<MemberId>,
-    /// All members that are listed as gone; also those that were so since the last check. Of the members in it
-    /// `Member::last_listed_at` is exact. All others were in service at the last check, if they were known then.
+    /// All members that are listed as removed; also those that were so since the last check. Of the members
+    /// in it `Member::last_listed_at` is exact. All others were in service at the last check, if they were
+    /// known then.
     delisted: BTreeSet<MemberId>,
     /// Something has changed that `Router::available_members` depends on.
     available_outdated: bool,
@@ -83,90 +80,49 @@
         }
         self.doubtful.retain(|id| members.get(id).is_some_and(|member| member.suspected || member.down));
     }
-}
 
-impl Router {
-    /// The request waits in its group from now on.
-    pub(crate) fn enqueue(&mut self, group: GroupId, seq: u64) {
-        self.groups.entry(group).or_default().waiting.insert(seq);
-        self.indexes.waiting.insert(group);
+    /// Requests wait in this group.
+    pub(crate) fn add_waiting(&mut self, group: GroupId) {
+        self.waiting.insert(group);
     }
 
-    /// The request no longer waits in its group.
-    pub(crate) fn dequeue(&mut self, group: GroupId, seq: u64) {
-        let Some(state) = self.groups.get_mut(&group) else { return };
-        state.waiting.remove(&seq);
-        if state.waiting.is_empty() {
-            self.indexes.waiting.remove(&group);
-        }
+    /// No request waits in this group any more.
+    pub(crate) fn remove_waiting(&mut self, group: GroupId) {
+        self.waiting.remove(&group);
     }
 
-    /// The list names the standing of a member.
-    pub(crate) fn set_standing(&mut self, id: MemberId, standing: MemberStatus) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        member.standing = standing;
-        member.drained |= standing == MemberStatus::Draining;
-        self.indexes.available_outdated = true;
-        if standing == MemberStatus::Removed && self.indexes.delisted.insert(id) {
-            member.last_listed_at = member.last_listed_at.max(self.watched_at);
-        }
+    /// The list names the status of this member. Says whether it is removed now and was not before.
+    pub(crate) fn note_status(&mut self, id: MemberId, status: MemberStatus) -> bool {
+        self.available_outdated = true;
+        status == MemberStatus::Removed && self.delisted.insert(id)
     }
 
-    /// Notes for members that were gone which of them are kept, and forgets those that were not for
-    /// a minute. Members that are not gone must be kept.
-    pub(crate) fn forget_members(&mut self, kept: impl Fn(&Member) -> bool) {
-        let now = self.now;
-        let members = &mut self.members;
-        let count = members.len();
-        self.indexes.delisted.retain(|id| {
-            let Some(member) = members.get_mut(id) else { return false };
-            member.last_listed_at = if kept(member) { now } else { member.last_listed_at };
-            let gone = member.standing == MemberStatus::Removed;
-            let forgotten = now - member.last_listed_at >= FORGET_AFTER;
-            if forgotten {
-                members.remove(id);
-            }
-            gone && !forgotten
-        });
-        if members.len() < count {
-            self.indexes.outdate_available();
-            self.prune_groups();
-        }
+    /// Whether the member was removed at the last check, or since.
+    pub(crate) fn is_delisted(&self, id: MemberId) -> bool {
+        self.delisted.contains(&id)
     }
 
-    /// Removes members from their groups that are no longer known.
-    fn prune_groups(&mut self) {
-        let members = &self.members;
-        self.groups.values_mut().for_each(|group| group.members.retain(|id| members.contains_key(id)));
+    /// Keeps only those of the removed members for which this holds.
+    pub(crate) fn retain_delisted(&mut self, keeps: impl FnMut(&MemberId) -> bool) {
+        self.delisted.retain(keeps);
     }
 
-    /// Brings the indexes in line with members and groups, when all of them have changed.
-    pub(crate) fn rebuild_indexes(&mut self) {
-        self.prune_groups();
-        let members = &self.members;
+    /// The indexes over these members and groups.
+    pub(crate) fn of(members: &BTreeMap<MemberId, Member>, groups: &BTreeMap<GroupId, Group>) -> Indexes {
         let ids_of = |fits: fn(&Member) -> bool| {
             let fitting = members.iter().filter(|(_, member)| fits(member));
             fitting.map(|(id, _)| *id).collect::<BTreeSet<MemberId>>()
         };
-        let waiting = self.groups.iter().filter(|(_, state)| !state.waiting.is_empty());
-        self.indexes = Indexes {
+        let waiting = groups.iter().filter(|(_, state)| !state.waiting.is_empty());
+        Indexes {
             waiting: waiting.map(|(group, _)| *group).collect(),
             waited_for: ids_of(|member| {
                 member.presumed_lost > 0 || member.silent_waits != SilentWaits::default()
             }),
             doubtful: ids_of(|member| member.suspected || member.down),
-            delisted: ids_of(|member| member.standing == MemberStatus::Removed),
+            delisted: ids_of(|member| member.status == MemberStatus::Removed),
             available_outdated: true,
             newest_loss: members.values().map(|member| member.last_loss_at).max().unwrap_or(0),
-        };
-    }
-
-    /// When a member was last known to be in service or to have an attempt in flight.
-    pub(crate) fn last_listed(&self, id: MemberId, member: &Member) -> Time {
-        if self.indexes.delisted.contains(&id) {
-            member.last_listed_at
-        } else {
-            member.last_listed_at.max(self.watched_at)
         }
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,4 +1,5 @@
-//! The types between a router and the program that embeds it: settings, events and actions. No decisions are made here.
+//! The types between a router and the program that embeds it: settings, events and actions. No decisions are
+//! made here.
 
 mod actions;
 mod classes;
--- a/crates/policy/src/interface/classes.rs
+++ b/crates/policy/src/interface/classes.rs
@@ -2,8 +2,8 @@
 
 use super::ids::Time;
 
-/// Span after which what a member has answered counts as known (microseconds; see the protocol page), whether or not the
-/// answer has arrived: a connection may fail silently.
+/// Span after which what a member has answered counts as known (microseconds; see the protocol page), whether
+/// or not the answer has arrived: a connection may fail silently.
 pub const ASSUMED_KNOWN_AFTER: Time = 100_000;
 
 /// What data a request of a class needs.
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -34,7 +34,8 @@
     pub primary: bool,
 }
 
-/// This router's quota of the concurrency limits of a group's members, where it differs from an even one for a while.
+/// This router's quota of the concurrency limits of a group's members, where it differs from an even one for
+/// a while.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
     /// Quota borrowed, in even parts; under 0 for quota lent, which is never all of it.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -27,7 +27,8 @@
     Trailing,
 }
 
-/// Most routers that can serve the same groups (count): a mistyped number would leave each with almost no quota.
+/// Most routers that can serve the same groups (count): a mistyped number would leave each with almost no
+/// quota.
 const MOST_ROUTERS: u32 = 10_000;
 
 /// The configuration of a router. Spans are in microseconds.
@@ -55,8 +56,8 @@
     pub max_wait_hint: Time,
     /// Span past the client's end in which a final answer still counts.
     pub answer_slack: Time,
-    /// Time that a request takes from its client to the router, and its rejection back. A rejection of a request never
-    /// sent costs more once half of its time is over, by its client's clock.
+    /// Time that a request takes from its client to the router, and its rejection back. A rejection of a
+    /// request never sent costs more once half of its time is over, by its client's clock.
     pub way: Time,
     /// Clock time by which every admitted request has its final answer, whatever its client would wait.
     pub last: Time,
@@ -80,10 +81,11 @@
     pub list_role: ListRole,
     /// Longest that a read waits for a replica about to reach its minimum position; 0 where none does.
     pub hold: Time,
-    /// Primary discovery: members of a group without a primary are tried this many times less often than by a single
-    /// router (count).
+    /// Primary discovery: members of a group without a primary are tried this many times less often than by a
+    /// single router (count).
     pub scout_every: Time,
-    /// The router's clock may differ from the hosts' by any span: the difference is then estimated from their answers.
+    /// The router's clock may differ from the hosts' by any span: the difference is then estimated from their
+    /// answers.
     pub clock_may_be_wrong: bool,
     /// Price of one crossing of zones a request, as a share of the value of all requests.
     pub crossing_price: f64,
@@ -92,7 +94,8 @@
 }
 
 impl Default for Settings {
-    /// No classes yet; one router that may do nothing but send, with figures that a small installation can keep.
+    /// No classes yet; one router that may do nothing but send, with figures that a small installation can
+    /// keep.
     fn default() -> Settings {
         Settings {
             classes: Vec::new(),
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -1,8 +1,9 @@
-//! What a router has learned of the members, as plain data that one process of a gateway can leave to the next. Nothing
-//! here decides anything.
+//! What a router has learned of the members, as plain data that one process of a gateway can leave to the
+//! next. Nothing here decides anything.
 //!
-//! All of it is told with its time, on the clock that both read: samples grow old by themselves, and what a member says
-//! outweighs all of it. What was out or waiting belongs to requests of the other process, and stays behind.
+//! All of it is stored with its time, on the clock that both processes read: samples expire by themselves,
+//! and what a member reports outweighs all of it. What was in flight or waiting belongs to requests of the
+//! other process and is left out.
 
 use crate::interface::{GroupId, MemberId, Share, Time};
 use crate::router::Router;
@@ -48,11 +49,11 @@
         LearnedState {
             members,
             groups,
-            sojourns: self.sojourns.clone(),
-            served_rate: self.served_rate,
-            served_rate_at: self.served_rate_at,
-            service_time: self.service_time,
-            shed_share: self.shed_share,
+            sojourns: self.load.sojourns.clone(),
+            served_rate: self.load.served_rate,
+            served_rate_at: self.load.served_rate_at,
+            service_time: self.load.service_time,
+            shed_share: self.load.shed_share,
         }
     }
 
@@ -61,11 +62,12 @@
         self.members.get(&member).map(|member| member.group)
     }
 
-    /// Members taken for the primaries of their groups, with when they last gave evidence of it by themselves.
+    /// Members taken for the primaries of their groups, with when they last gave evidence of it by
+    /// themselves.
     pub fn leaders(&self) -> Vec<(GroupId, MemberId, Time)> {
         let leads = |group: &GroupId| {
             let member = self.primary(*group)?;
-            // The list's word alone is the time 1: that is known to everybody.
+            // Evidence from the endpoint list alone has the time 1: every router knows it.
             let at =
                 self.members.get(&member).map(|member| member.primary_evidence_at).filter(|at| *at > 1)?;
             Some((*group, member, at))
@@ -73,16 +75,16 @@
         self.groups.keys().filter_map(leads).collect()
     }
 
-    /// Starts from what another router has learned. To be called before the first step: the list that follows says
-    /// which of these members there still are.
+    /// Starts from what another router has learned. To be called before the first step: the list that follows
+    /// says which of these members there still are.
     pub fn adopt_learned_state(&mut self, learned_state: LearnedState) {
         self.members = learned_state.members;
         self.groups = learned_state.groups;
-        self.sojourns = learned_state.sojourns;
-        self.served_rate = learned_state.served_rate;
-        self.served_rate_at = learned_state.served_rate_at;
-        self.service_time = learned_state.service_time;
-        self.shed_share = learned_state.shed_share;
+        self.load.sojourns = learned_state.sojourns;
+        self.load.served_rate = learned_state.served_rate;
+        self.load.served_rate_at = learned_state.served_rate_at;
+        self.load.service_time = learned_state.service_time;
+        self.load.shed_share = learned_state.shed_share;
         self.rebuild_indexes();
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,5 @@
-//! The decision module: which member of a group gets a request, when to wait, when to try again, when to refuse.
+//! The decision module: which member of a group gets a request, when to wait, when to try again, when to
+//! refuse.
 //!
 //! A [`Router`] is a plain state machine. It has no clock, no threads and does no I/O: the embedding program
 //! calls [`Router::step`] once for each batch of events and carries out the actions it gets back.
@@ -7,6 +8,7 @@
 //! | --- | --- |
 //! | `mod.rs` | what a router keeps, one step |
 //! | `admission.rs` | how a new request is taken in or shed |
+//! | `bookkeeping.rs` | nothing: keeps queues, members and their indexes in step |
 //! | `queue.rs` | the order of dispatch, expiry, eviction |
 //! | `completion.rs` | the final answer of a request, and cancelling its attempts |
 //! | `endpoints.rs` | what the endpoint list says |
@@ -23,12 +25,13 @@
 //! | `selection.rs` | the trials that select the member of a read |
 //! | `dispatch.rs` | the rules that every send must pass |
 //!
-//! `interface.rs` names the types of the public interface (settings, events, actions), `state.rs` holds the state as plain
-//! data, `indexes.rs` which of it a step has to look at, and `learned_state.rs` what of it one router can leave to the next;
-//! none of them decides. `fleet_clock.rs` relates the hosts' clock to the router's own.
+//! `interface.rs` names the types of the public interface (settings, events, actions), `state.rs` holds the
+//! state as plain data, `indexes.rs` which of it a step has to look at, and `learned_state.rs` what of it one
+//! router can leave to the next; none of them decides. `fleet_clock.rs` relates the hosts' clock to the
+//! router's own.
 //!
-//! Bounds: requests by what clients can hold open ([`Settings::most_open`]), members by the endpoint list and a minute more,
-//! samples by a fixed count for each member.
+//! Bounds: requests by what clients can hold open ([`Settings::most_open`]), members by the endpoint list and
+//! a minute more, samples by a fixed count for each member.
 //!
 //! ```
 //! use petrelgauge_policy::*;
--- a/crates/policy/src/mutant.rs
+++ b/crates/policy/src/mutant.rs
@@ -1,102 +1,102 @@
-//! Bugs that somebody could really write, planted for the models to find. Without the feature `mutants`, which no
-//! release build has, every switch is a constant false and leaves no code behind.
+//! Mutants as in mutation testing: plausible bugs that the models must detect. Without the feature `mutants`,
+//! which no release build enables, every switch is a constant false and leaves no code behind.
 
-/// A planted bug.
+/// An injected bug.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
-    /// The decisions send on to a member that the list calls draining.
+    /// Requests are sent to a member that the endpoint list calls draining.
     DrainIgnored,
     /// A write is repeated after its key's window.
     WindowIgnored,
     /// A write that may have run is repeated though its class allows none.
     UnsafeRepeated,
-    /// A connection that broke after the request is taken for one that never carried it.
+    /// A connection that broke after the request was written counts as one that never carried it.
     ResetUnproved,
-    /// A second attempt goes out beside the first.
+    /// A second attempt is sent while the first is in flight.
     SecondCopy,
-    /// A request that nobody waits for any more is sent.
+    /// A request is sent after its client has given up.
     SentAfterEnd,
-    /// What may have run is refused as harmless.
+    /// A request that may have run is rejected as safe to retry.
     RefusedAsHarmless,
-    /// An answer leaves its request open, and a refusal follows.
+    /// An answer leaves its request open, and a rejection follows.
     RefusalOvertakes,
-    /// An attempt is told before its connection is closed.
+    /// The end of an attempt is reported before its connection is closed.
     ToldBeforeClosed,
-    /// An attempt that is called off is not told.
+    /// The end of a cancelled attempt is not reported.
     LostReport,
     /// The limit for an answer that has begun ends one that has not.
     EarlyStall,
     /// A repeat is written whenever its connection comes up.
     LateRepeat,
-    /// A connection with unread bytes goes back to rest.
+    /// A connection with unread bytes returns to the pool.
     UnreadRests,
-    /// A connection whose host spoke unasked is used again.
+    /// A connection on which the host sent unexpected bytes is reused.
     SurplusReused,
-    /// The copy of the last answer is taken for this one.
+    /// A duplicate of the last answer is taken for this one.
     CopyTaken,
-    /// A connection older than hosts keep is used.
+    /// A connection is used that the host may have closed for its age.
     OldReused,
-    /// A merge of marks takes the newer one, not the higher.
+    /// A merge of watermarks takes the newer one instead of the higher.
     MergeLowers,
-    /// A restart forgets that marks were lost.
+    /// A restart forgets that watermarks were lost.
     LossForgotten,
-    /// A gap in bulletins is passed over.
+    /// A gap in the watermark broadcasts is ignored.
     GapPassed,
-    /// An answer behind its session's mark is given.
+    /// An answer below its session's watermark is delivered.
     BehindGiven,
-    /// The stop closes a client whose answer is owed.
+    /// The shutdown closes a client that still waits for an answer.
     ClosedWhileOwed,
-    /// A client is closed though something of it lies unread.
+    /// A client is closed while bytes from it are unread.
     ClosedUnread,
-    /// The gateway ends while something is held.
+    /// The gateway ends while requests are in flight.
     EndsWhileHeld,
-    /// A drained gateway does not come back.
+    /// A drained gateway does not return to service.
     StaysDrained,
-    /// A class takes the place of one that an open request has.
+    /// A class takes the index of one that an open request uses.
     PlaceReused,
-    /// A connection on which a row is still coming goes back to rest.
+    /// A connection on which rows are still arriving returns to the pool.
     LentRests,
-    /// An elector that starts again answers at once.
+    /// An acceptor answers right after a restart, without its silent period.
     SilenceSkipped,
-    /// An elector grants a bid under the one that it promised.
+    /// An acceptor accepts a lease offer below the one that it promised.
     PromiseForgotten,
-    /// An elector does not tell of a grant that holds.
+    /// An acceptor does not report a lease that it has granted.
     GrantHidden,
-    /// An owner acts at the very end of its lease.
+    /// A lease holder acts at the very end of its lease.
     LeaseEndIncluded,
-    /// A candidate asks under the term of the owner before it.
+    /// A candidate uses the term of the previous lease holder.
     TermNotRaised,
-    /// One elector too few is taken for a majority.
+    /// One acceptor too few counts as a majority.
     MinorityEnough,
-    /// A lease is reckoned from the answer, not from the bid.
+    /// A lease is counted from the answer instead of the offer.
     LeaseFromAnswer,
-    /// A late answer to an earlier bid renews the lease.
+    /// A late answer to an earlier offer renews the lease.
     OldRoundRenews,
-    /// The fence turns newer terms away and lets older ones pass.
+    /// The fence rejects newer terms and lets older ones pass.
     FenceReversed,
-    /// An elector holds a grant for less than the lease.
+    /// An acceptor keeps a grant for less than the lease.
     GrantKeptShort,
-    /// A bid goes on however late its answers come.
+    /// An offer stays open however late its answers come.
     LateAnswerCounts,
-    /// A gateway that started again lends what it may have lent before.
+    /// A restarted gateway lends quota that it may have lent before.
     PledgeForgotten,
-    /// What is lent to one owner is lent to the next as well.
+    /// Quota lent to one lease holder is lent to the next as well.
     PledgedTwice,
-    /// An owner counts on a pledge from when it came.
+    /// A lease holder counts a loan of quota from its arrival.
     PledgeFromAnswer,
-    /// A grant is used from when it came.
+    /// A grant of quota is used from its arrival.
     GrantFromArrival,
-    /// An owner counts on a grant's being back before it is.
+    /// A lease holder counts a grant as returned too early.
     GrantUncounted,
-    /// An elector keeps a shard that another should own.
+    /// An acceptor keeps a shard that another should own.
     ShardKept,
-    /// Each elector takes itself for the first choice.
+    /// Each acceptor takes itself for the preferred lease holder.
     PreferenceOwn,
-    /// An elector that is gone is taken for present.
+    /// An absent acceptor is taken for present.
     AbsenceIgnored,
-    /// An elector that has just come is yielded to.
+    /// Leadership is yielded to an acceptor that has just appeared.
     SettledAtOnce,
-    /// A gap in an elector's presence is passed over.
+    /// A gap in an acceptor's presence is ignored.
     PresenceKept,
 }
 
--- a/crates/policy/src/router/admission.rs
+++ b/crates/policy/src/router/admission.rs
@@ -40,15 +40,15 @@
             minimum_position: *floor,
         };
         let uniform_sample = self.rng.uniform_sample();
-        if arrival.class >= self.set.classes.len() {
+        if arrival.class >= self.settings.classes.len() {
             return self.reject(&arrival, 0);
         }
         self.adapt_typical_time(&arrival);
-        if self.is_shed(&self.set.classes[arrival.class], uniform_sample) {
-            return self.reject(&arrival, self.set.max_wait_hint);
+        if self.is_shed(&self.settings.classes[arrival.class], uniform_sample) {
+            return self.reject(&arrival, self.settings.max_wait_hint);
         }
-        self.probe_budget += PROBE_BUDGET_SHARE;
-        self.trial_budget = (self.trial_budget + TRIAL_BUDGET_SHARE).min(MAX_SAVED_TRIALS);
+        self.budgets.probes += PROBE_BUDGET_SHARE;
+        self.budgets.trials = (self.budgets.trials + TRIAL_BUDGET_SHARE).min(MAX_SAVED_TRIALS);
         self.insert_request(&arrival);
     }
 
@@ -70,9 +70,9 @@
         }
     }
 
-    /// How long ago the client's first try came. Most requests are first tries with the same time: one with well less
-    /// than the median is a later try. A marked retry was most likely rejected by a router that had kept it for as
-    /// long as a start was useful.
+    /// How long ago the client's first try came. Most requests are first tries with the same time: one with
+    /// well less than the median is a later try. A marked retry was most likely rejected by a router that had
+    /// kept it for as long as a start was useful.
     fn age_at_arrival(&self, arrival: &Arrival, class: &Class) -> Time {
         let typical = self.typical_time_left[arrival.class];
         let is_later_try = arrival.time_left < typical - typical / TYPICAL_TIME_TOLERANCE_DIVISOR;
@@ -84,7 +84,7 @@
     }
 
     fn insert_request(&mut self, arrival: &Arrival) {
-        let age = self.age_at_arrival(arrival, &self.set.classes[arrival.class]);
+        let age = self.age_at_arrival(arrival, &self.settings.classes[arrival.class]);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let time_left = arrival.time_left;
@@ -93,19 +93,19 @@
             class: arrival.class,
             group: arrival.group,
             first_arrived_at: self.now - age,
-            deadline: (self.now + time_left).min(self.set.last),
-            unsent_deadline: self.now + (time_left / 2 - self.set.way).max(time_left / 4),
+            deadline: (self.now + time_left).min(self.settings.last),
+            unsent_deadline: self.now + (time_left / 2 - self.settings.way).max(time_left / 4),
             minimum_position: arrival.minimum_position,
             ..Request::default()
         };
-        self.names.insert(arrival.request.clone(), sequence);
+        self.sequences.insert(arrival.request.clone(), sequence);
         self.requests.insert(sequence, request);
         self.enqueue(arrival.group, sequence);
     }
 
     /// The position that a waiting request must see is lower by now.
     pub(super) fn lower_minimum_position(&mut self, request: &RequestId, position: Time) {
-        let Some(sequence) = self.names.get(request) else { return };
+        let Some(sequence) = self.sequences.get(request) else { return };
         let Some(request) = self.requests.get_mut(sequence) else { return };
         request.minimum_position = request.minimum_position.map(|minimum| minimum.min(position));
     }
--- /dev/null
+++ b/crates/policy/src/router/bookkeeping.rs
@@ -0,0 +1,83 @@
+//! Bookkeeping: changes of queues and members that the indexes have to follow. No decisions are made here.
+
+use super::Router;
+use crate::indexes::Indexes;
+use crate::interface::{GroupId, MemberId, MemberStatus, Time};
+use crate::state::Member;
+
+/// Span after which a removed member is forgotten (microseconds): no list that old may name it again.
+const FORGET_AFTER: Time = 60_000_000;
+
+impl Router {
+    /// The request waits in its group from now on.
+    pub(super) fn enqueue(&mut self, group: GroupId, sequence: u64) {
+        self.groups.entry(group).or_default().waiting.insert(sequence);
+        self.indexes.add_waiting(group);
+    }
+
+    /// The request no longer waits in its group.
+    pub(super) fn dequeue(&mut self, group: GroupId, sequence: u64) {
+        let Some(state) = self.groups.get_mut(&group) else { return };
+        state.waiting.remove(&sequence);
+        if state.waiting.is_empty() {
+            self.indexes.remove_waiting(group);
+        }
+    }
+
+    /// The list names the status of a member.
+    pub(super) fn set_status(&mut self, id: MemberId, status: MemberStatus) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        member.status = status;
+        member.drained |= status == MemberStatus::Draining;
+        if self.indexes.note_status(id, status) {
+            member.last_listed_at = member.last_listed_at.max(self.watched_at);
+        }
+    }
+
+    /// Notes for members that were removed which of them are kept, and forgets those that were not for a
+    /// minute. Members that are not removed must be kept.
+    pub(super) fn forget_members(&mut self, is_kept: impl Fn(&Member) -> bool) {
+        let now = self.now;
+        let members = &mut self.members;
+        let count = members.len();
+        self.indexes.retain_delisted(|id| {
+            let Some(member) = members.get_mut(id) else { return false };
+            if is_kept(member) {
+                member.last_listed_at = now;
+            }
+            let is_removed = member.status == MemberStatus::Removed;
+            let is_forgotten = now - member.last_listed_at >= FORGET_AFTER;
+            if is_forgotten {
+                members.remove(id);
+            }
+            is_removed && !is_forgotten
+        });
+        if members.len() < count {
+            self.indexes.outdate_available();
+            self.prune_groups();
+        }
+    }
+
+    /// Removes members from their groups that are no longer known.
+    fn prune_groups(&mut self) {
+        let members = &self.members;
+        for group in self.groups.values_mut() {
+            group.members.retain(|id| members.contains_key(id));
+        }
+    }
+
+    /// Brings the indexes in line with members and groups, when all of them have changed.
+    pub(crate) fn rebuild_indexes(&mut self) {
+        self.prune_groups();
+        self.indexes = Indexes::of(&self.members, &self.groups);
+    }
+
+    /// When a member was last known to be in service or to have an attempt in flight.
+    pub(crate) fn last_listed(&self, id: MemberId, member: &Member) -> Time {
+        if self.indexes.is_delisted(id) {
+            member.last_listed_at
+        } else {
+            member.last_listed_at.max(self.watched_at)
+        }
+    }
+}
--- a/crates/policy/src/router/completion.rs
+++ b/crates/policy/src/router/completion.rs
@@ -6,18 +6,18 @@
 use crate::state::Request;
 
 impl Router {
-    /// Gives the one final answer of a request that this router ends itself: a rejection where a retry is harmless, a
-    /// failure elsewhere.
+    /// Gives the one final answer of a request that this router ends itself: a rejection where a retry is
+    /// harmless, a failure elsewhere.
     pub(super) fn finish(&mut self, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else { return };
-        let class = &self.set.classes[request.class];
+        let class = &self.settings.classes[request.class];
         let id = request.id.clone();
         let harmless = is_retry_harmless(request, class);
         if class.effect == Effect::Safe {
             self.cancel_attempts(sequence, None);
         }
         self.actions.push(if harmless {
-            Action::Refuse { request: id, wait: self.set.max_wait_hint }
+            Action::Refuse { request: id, wait: self.settings.max_wait_hint }
         } else {
             Action::Fail { request: id }
         });
@@ -32,20 +32,20 @@
 
     /// Closes a request that its client has given up.
     pub(super) fn withdraw(&mut self, request: &RequestId) {
-        if let Some(sequence) = self.names.get(request).copied() {
+        if let Some(sequence) = self.sequences.get(request).copied() {
             self.close(sequence);
         }
     }
 
     fn forget_request(&mut self, sequence: u64) {
         let Some(request) = self.requests.remove(&sequence) else { return };
-        self.names.remove(&request.id);
+        self.sequences.remove(&request.id);
         self.dequeue(request.group, sequence);
     }
 
     /// Cancels what a request has in flight, at one member or at all of them.
     pub(super) fn cancel_attempts(&mut self, sequence: u64, at: Option<MemberId>) {
-        if !self.set.may_cancel {
+        if !self.settings.may_cancel {
             return;
         }
         let Some(request) = self.requests.get(&sequence) else { return };
--- a/crates/policy/src/router/concurrency.rs
+++ b/crates/policy/src/router/concurrency.rs
@@ -4,8 +4,8 @@
 use crate::interface::{GroupId, MemberId, Time};
 use crate::state::Member;
 
-/// Mean sojourn that the limit steers to (share of the latency target): work is of very unequal length, so the mean
-/// must stay well below the target.
+/// Mean sojourn that the limit steers to (share of the latency target): work is of very unequal length, so
+/// the mean must stay well below the target.
 pub(super) const TARGET_SOJOURN: f64 = 0.21;
 /// Attempts that a member may have in flight before it has shown what it carries (count).
 pub(super) const INITIAL_CONCURRENCY_LIMIT: f64 = 6.0;
@@ -25,7 +25,8 @@
 const GROWTH_UTILIZATION: f64 = 0.7;
 /// Factor on the limit for one answer that the queue is full, at the full quota.
 const QUEUE_FULL_BACKOFF: f64 = 0.8;
-/// Pauses that are saved up (count): some routers have many times the work of others, and never in even steps.
+/// Pauses that are saved up (count): some routers have many times the work of others, and never in even
+/// steps.
 const SAVED_PAUSES: f64 = 12.0;
 /// Longest pause for one attempt (latency targets).
 const LONGEST_PACING: f64 = 3.0;
@@ -56,8 +57,8 @@
     }
 }
 
-/// Moves the limit of a member towards the target sojourn. The smaller a router's quota, the fewer of the answers it
-/// sees, and the more each of them counts.
+/// Moves the limit of a member towards the target sojourn. The smaller a router's quota, the fewer of the
+/// answers it sees, and the more each of them counts.
 pub(super) fn adapt_concurrency_limit(member: &mut Member, sojourn: f64, quota: f64) {
     let weight = (SAMPLE_WEIGHT / quota.sqrt()).min(MAX_SAMPLE_WEIGHT);
     member.load += (sojourn - member.load) * weight;
@@ -77,8 +78,8 @@
     member.concurrency_limit = (member.concurrency_limit * factor).max(1.0);
 }
 
-/// Spaces the sends to a member of which this router may use less than one attempt: a tenth of an attempt is one
-/// attempt and a pause nine times as long.
+/// Spaces the sends to a member of which this router may use less than one attempt: a tenth of an attempt is
+/// one attempt and a pause nine times as long.
 pub(super) fn pace_sends(member: &mut Member, sojourn: f64, latency_target: f64, quota: f64, now: Time) {
     let pause = latency_target
         * sojourn.max(member.load).clamp(TARGET_SOJOURN, LONGEST_PACING)
--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -9,12 +9,12 @@
     /// Whether this attempt may be sent at all.
     fn is_allowed(&self, request: &Request, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
-        let class = &self.set.classes[request.class];
+        let class = &self.settings.classes[request.class];
         // Rule 1: only an open request, and only while its client waits. No key is used after its window.
         let in_time =
-            self.now < request.deadline && !request.is_exhausted(class, self.now + self.set.granularity);
+            self.now < request.deadline && !request.is_exhausted(class, self.now + self.settings.granularity);
         // Rule 2: no second effect, and no hedged request where there may be none.
-        let is_alone = self.set.may_hedge || mutant(SecondCopy) || !request.has_attempt_in_flight();
+        let is_alone = self.settings.may_hedge || mutant(SecondCopy) || !request.has_attempt_in_flight();
         let has_no_second_effect = self.has_no_second_effect(request, class.effect, id, member);
         // Rule 3: nothing new to a member known to drain or be removed (the grace is not used).
         let in_service = self.is_in_service(member) && member.group == request.group;
@@ -41,12 +41,12 @@
     /// Rule 5: where members do not check for themselves, the data must be known to be fresh enough. That is
     /// asked again right before an attempt's first byte: a connection may have taken long to come up.
     pub fn is_fresh(&self, now: Time, request: &RequestId, id: MemberId) -> bool {
-        let Some(sequence) = self.names.get(request) else { return false };
+        let Some(sequence) = self.sequences.get(request) else { return false };
         let (Some(state), Some(member)) = (self.requests.get(sequence), self.members.get(&id)) else {
             return false;
         };
-        let need = self.set.classes[state.class].need;
-        if need == Need::Write || self.set.behind != Behind::Serve {
+        let need = self.settings.classes[state.class].need;
+        if need == Need::Write || self.settings.behind != Behind::Serve {
             return true;
         }
         let horizon = need.bound().map(|bound| self.fleet_clock.horizon(bound, now));
@@ -55,8 +55,8 @@
         is_known || member.is_primary() && self.is_surely_primary(now, request, id, member, need)
     }
 
-    /// Whether a member may still be taken for the primary. An attempt long in flight may have been answered by one
-    /// that is primary no more, and that answer been lost: then only recent evidence counts.
+    /// Whether a member may still be taken for the primary. An attempt long in flight may have been answered
+    /// by one that is primary no more, and that answer been lost: then only recent evidence counts.
     fn is_surely_primary(
         &self,
         now: Time,
@@ -86,13 +86,14 @@
         self.insert_attempt(sequence, id, until);
     }
 
-    /// Until when an attempt may take. A suspected member is tried for a short while, so that the request has time left
-    /// for another. A primary gets more: what no other can take is better off in its queue, if it is only overloaded.
+    /// Until when an attempt may take. A suspected member is tried for a short while, so that the request has
+    /// time left for another. A primary gets more: what no other can take is better off in its queue, if it
+    /// is only overloaded.
     fn attempt_deadline(&self, request: &Request, member: &Member) -> AttemptDeadline {
         let span = if member.is_primary() {
             (request.deadline - self.now) / 2
         } else {
-            self.set.classes[request.class].latency_target / 2
+            self.settings.classes[request.class].latency_target / 2
         };
         let trial_end = self.now + span;
         let at = if member.suspected { request.deadline.min(trial_end) } else { request.deadline };
@@ -106,7 +107,7 @@
         if member.suspected {
             member.ejected_until = deadline.trial_end;
             if !member.is_primary() {
-                self.trial_budget -= 1.0;
+                self.budgets.trials -= 1.0;
             }
         }
     }
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -22,7 +22,7 @@
         let unlisted: Vec<MemberId> =
             self.members.keys().filter(|id| !listed.contains(id)).copied().collect();
         for id in unlisted {
-            self.set_standing(id, MemberStatus::Removed);
+            self.set_status(id, MemberStatus::Removed);
         }
     }
 
@@ -34,14 +34,15 @@
             Some(member) if member.started == entry.started => {}
             _ => self.start_member(entry),
         }
-        self.set_standing(entry.member, entry.standing);
+        self.set_status(entry.member, entry.standing);
         let group = self.groups.entry(entry.group).or_default();
         if let Err(place) = group.members.binary_search(&entry.member) {
             group.members.insert(place, entry.member);
         }
     }
 
-    /// A member that is new or has restarted: all is forgotten but what is in flight and its denial of being primary.
+    /// A member that is new or has restarted: all is forgotten but what is in flight and its denial of being
+    /// primary.
     fn start_member(&mut self, entry: &Entry) {
         let mut member = self.new_member(entry);
         member.start_tokens = self.rng.uniform_sample();
@@ -54,7 +55,7 @@
 
     fn new_member(&self, entry: &Entry) -> Member {
         let listed_as_primary = entry.primary
-            && match self.set.list_role {
+            && match self.settings.list_role {
                 ListRole::Absent => false,
                 // Roles as they were at the beginning say nothing of a member that has started since.
                 ListRole::Static => entry.started <= 0,
--- a/crates/policy/src/router/freshness.rs
+++ b/crates/policy/src/router/freshness.rs
@@ -1,5 +1,5 @@
-//! Freshness: the commit that a read must see, and the forecast of the lag and the sojourn at a member (Ye and Hu,
-//! section 4, as the design page adapts it).
+//! Freshness: the commit that a read must see, and the forecast of the lag and the sojourn at a member (Ye
+//! and Hu, section 4, as the design page adapts it).
 
 use super::concurrency::TARGET_SOJOURN;
 use super::evidence::SAMPLES_KEPT;
@@ -22,7 +22,7 @@
     pub(super) fn forecast_commit(&mut self, sequence: u64) -> Option<Time> {
         let request = self.requests.get(&sequence)?;
         let minimum = request.minimum_position;
-        let Need::Bounded(bound) = self.set.classes[request.class].need else { return minimum };
+        let Need::Bounded(bound) = self.settings.classes[request.class].need else { return minimum };
         let horizon = self.fleet_clock.horizon(bound, self.now);
         let commits = &self.groups.get(&request.group)?.commits;
         let place = commits.partition_point(|commit| *commit <= horizon);
@@ -49,8 +49,8 @@
         horizon
     }
 
-    /// A drawn lag (microseconds): a recent sample, moved on by the trend of the member's samples. A member without
-    /// samples has none, so that it is tried.
+    /// A drawn lag (microseconds): a recent sample, moved on by the trend of the member's samples. A member
+    /// without samples has none, so that it is tried.
     pub(super) fn draw_lag(&mut self, id: MemberId) -> Time {
         let random = self.rng.next_u64() as usize;
         let Some(member) = self.members.get(&id).filter(|member| !member.is_primary()) else { return 0 };
@@ -66,16 +66,16 @@
         (drawn.value + change as Time).max(0)
     }
 
-    /// A drawn sojourn in latency targets: a recent sample, scaled to what is in flight now. The fewer samples a member
-    /// has, the more often one of all members stands in: a router with little traffic hears most of them seldom, and
-    /// hundreds of routers must not all take the same unheard member.
+    /// A drawn sojourn in latency targets: a recent sample, scaled to what is in flight now. The fewer
+    /// samples a member has, the more often one of all members stands in: a router with little traffic hears
+    /// most of them seldom, and hundreds of routers must not all take the same unheard member.
     pub(super) fn draw_sojourn(&mut self, id: MemberId, primary_has_time: bool) -> f64 {
         let random = self.rng.next_u64() as usize;
         let position = self.rng.uniform_sample();
         let Some(member) = self.members.get(&id) else { return TARGET_SOJOURN };
         let own = self.recent(&member.sojourns);
         let own_count = own.clone().count();
-        let all = self.recent(&self.sojourns);
+        let all = self.recent(&self.load.sojourns);
         let of_any_member = || all.clone().nth((position * all.clone().count() as f64) as usize);
         let drawn = own.clone().nth(random % (own_count + 1)).or_else(of_any_member);
         let sojourn = drawn.map_or(TARGET_SOJOURN * position, |sample| sample.value);
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -5,13 +5,16 @@
 use crate::interface::{Action, Effect, Ending, MemberId, MemberStatus, Report, Time};
 use crate::state::{share_of, Member};
 
-/// Failures in a row that a silent member counts as having (count): the first pause, in doublings of the granularity.
+/// Failures in a row that a silent member counts as having (count): the first pause, in doublings of the
+/// granularity.
 pub(super) const SILENCE_FAILURES: u32 = 4;
-/// Wait (latency targets) after which work counts as lost at a member that answers: sooner, and overload looks as loss.
+/// Wait (latency targets) after which work counts as lost at a member that answers: sooner, and overload
+/// looks as loss.
 const LOST_AFTER: f64 = 1.25;
 /// Silence that a member is allowed (share of the shortest latency target).
 const ALLOWED_SILENCE: f64 = 0.3;
-/// Silence it is allowed beyond, for each latency target of its mean sojourn (share of the shortest latency target).
+/// Silence it is allowed beyond, for each latency target of its mean sojourn (share of the shortest latency
+/// target).
 const ALLOWED_SILENCE_FOR_LOAD: f64 = 6.0;
 /// Part of the shortest latency target (divisor) that passes between two checks.
 const CHECK_INTERVAL_DIVISOR: Time = 8;
@@ -19,7 +22,7 @@
 impl Router {
     /// Whether a suspected member may be tried with a request. Only where members can't be probed.
     pub(super) fn may_try_suspected(&self, id: MemberId) -> bool {
-        if self.set.may_probe {
+        if self.settings.may_probe {
             return false;
         }
         let Some(member) = self.members.get(&id) else { return false };
@@ -34,10 +37,10 @@
         }
         self.watched_at = self.now;
         self.indexes.begin_check(&mut self.members);
-        let keeps_removed = self.set.soft_removal;
+        let keeps_removed = self.settings.soft_removal;
         // Members are replaced for as long as a router runs.
         self.forget_members(|member| {
-            member.standing != MemberStatus::Removed || member.in_flight > 0 || keeps_removed
+            member.status != MemberStatus::Removed || member.in_flight > 0 || keeps_removed
         });
         self.sum_up_waits();
         if self.indexes.take_available_outdated() {
@@ -62,15 +65,15 @@
             && self.members.values().any(|member| self.now - member.last_loss_at < span)
     }
 
-    /// Adds up the waits for each member. Work that a member drops while it answers the rest must not use up its
-    /// capacity: it counts as lost. That covers lossy paths and hung requests of any kind; an overloaded member gets
-    /// some more work.
+    /// Adds up the waits for each member. Work that a member drops while it answers the rest must not use up
+    /// its capacity: it counts as lost. That covers lossy paths and hung requests of any kind; an overloaded
+    /// member gets some more work.
     fn sum_up_waits(&mut self) {
         for attempt in self.in_flight.values() {
             let Some(member) = self.members.get_mut(&attempt.member) else { continue };
             self.indexes.await_member(attempt.member);
             let waited = self.now - attempt.sent;
-            let latency_target = self.set.classes[attempt.class].latency_target;
+            let latency_target = self.settings.classes[attempt.class].latency_target;
             if member.last_heard_at > attempt.sent {
                 let is_lost = waited > share_of(latency_target, LOST_AFTER);
                 member.presumed_lost += u32::from(is_lost);
@@ -82,15 +85,15 @@
         }
     }
 
-    /// Suspects a silent member. Nothing heard since several were sent says soon what one alone says after its latency
-    /// target; an overloaded member is given longer. That covers what hangs or is cut off; a member that pauses is
-    /// suspected for a moment.
+    /// Suspects a silent member. Nothing heard since several were sent says soon what one alone says after
+    /// its latency target; an overloaded member is given longer. That covers what hangs or is cut off; a
+    /// member that pauses is suspected for a moment.
     fn check_member(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let allowed = ALLOWED_SILENCE + ALLOWED_SILENCE_FOR_LOAD * member.load;
         let allowed = share_of(self.shortest_latency_target, allowed);
         let waits = member.silent_waits;
-        if self.set.may_probe {
+        if self.settings.may_probe {
             member.suspected |= waits.longest > self.silence_threshold;
         } else if waits.total_in_targets >= 1.0 && waits.longest > allowed && !member.suspected {
             let total = waits.total_in_targets;
@@ -123,25 +126,26 @@
         member.suspected = true;
         member.last_loss_at = self.now;
         member.consecutive_failures = member.consecutive_failures.max(SILENCE_FAILURES);
-        member.ejected_until = self.now + (self.set.granularity << member.consecutive_failures);
+        member.ejected_until = self.now + (self.settings.granularity << member.consecutive_failures);
         self.indexes.note_doubt(id, member);
         self.cancel_attempts_at(id, |effect| effect == Effect::Safe);
     }
 
-    /// Probes a member that is not being probed, at most once in `pause` (microseconds), while the budget lasts.
+    /// Probes a member that is not being probed, at most once in `pause` (microseconds), while the budget
+    /// lasts.
     fn probe(&mut self, id: MemberId, pause: Time) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        let is_removed = member.standing == MemberStatus::Removed;
-        if !self.set.may_probe || member.probe_in_flight || is_removed && !self.set.soft_removal {
+        let is_removed = member.status == MemberStatus::Removed;
+        if !self.settings.may_probe || member.probe_in_flight || is_removed && !self.settings.soft_removal {
             return;
         }
         // What is called removed and does not answer is probed ever more rarely.
         let unanswered = member.probed_at - member.last_heard_at;
         let pause = if is_removed { pause.max(unanswered / 4) } else { pause };
-        if self.now - member.probed_at <= pause || self.probe_budget < self.set.probe_price {
+        if self.now - member.probed_at <= pause || self.budgets.probes < self.settings.probe_price {
             return;
         }
-        self.probe_budget -= self.set.probe_price;
+        self.budgets.probes -= self.settings.probe_price;
         member.probe_in_flight = true;
         member.probed_at = self.now;
         self.actions.push(Action::Probe { member: id });
@@ -189,7 +193,7 @@
     fn cancel_attempts_at(&mut self, id: MemberId, is_repeatable: impl Fn(Effect) -> bool) {
         let mut cancelled = Vec::new();
         for (sequence, request) in &self.requests {
-            if is_repeatable(self.set.classes[request.class].effect) && !self.is_start_late(request) {
+            if is_repeatable(self.settings.classes[request.class].effect) && !self.is_start_late(request) {
                 cancelled.push(*sequence);
             }
         }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -1,7 +1,9 @@
-//! The router: its state and one step. The types that it meets the embedding program with (settings, events, actions)
-//! are in `interface.rs`; read that first. The state is plain data in `state.rs`. Each file here decides one concern.
+//! The router: its state and one step. The types that it meets the embedding program with (settings, events,
+//! actions) are in `interface.rs`; read that first. The state is plain data in `state.rs`. Each file here
+//! decides one concern.
 
 mod admission;
+mod bookkeeping;
 mod completion;
 mod concurrency;
 mod dispatch;
@@ -21,7 +23,7 @@
 use crate::fleet_clock::FleetClock;
 use crate::indexes::Indexes;
 use crate::interface::{Action, Event, GroupId, MemberId, RequestId, Role, Settings, SettingsError, Time};
-use crate::state::{Group, InFlightAttempt, Member, Request, Samples, SeededRng, ServiceTime};
+use crate::state::{Group, InFlightAttempt, LoadState, Member, Request, SeededRng};
 use admission::PROBE_BUDGET_SHARE;
 use evidence::Evidence;
 use std::collections::BTreeMap;
@@ -33,10 +35,19 @@
 /// Shortest span between two log lines (microseconds).
 const LOG_INTERVAL: Time = 200_000;
 
+/// Token buckets that requests fill.
+#[derive(Clone, Debug, Default)]
+struct Budgets {
+    /// What may be spent on probes, in the unit of `Settings::probe_price`.
+    probes: f64,
+    /// Requests that may be sent to suspected members (count).
+    trials: f64,
+}
+
 /// One router: feed it events, carry out its actions.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
-    set: Settings,
+    settings: Settings,
     /// This router's even part in the limits of the members (fraction).
     base_quota: f64,
     rng: SeededRng,
@@ -49,7 +60,7 @@
     /// Requests without a final answer, by sequence number.
     requests: BTreeMap<u64, Request>,
     /// The sequence numbers of these requests.
-    names: BTreeMap<RequestId, u64>,
+    sequences: BTreeMap<RequestId, u64>,
     /// Attempts in flight, by request and number.
     in_flight: BTreeMap<(RequestId, u32), InFlightAttempt>,
     next_sequence: u64,
@@ -59,28 +70,20 @@
     is_timer_set: bool,
     /// When the list was last subscribed to.
     list_watched_at: Time,
-    /// What may be spent on probes, in the unit of `Settings::probe_price`.
-    probe_budget: f64,
-    /// Requests that may be sent to suspected members (count).
-    trial_budget: f64,
-    /// Silence that raises suspicion where members can be probed: half the longest latency target (microseconds).
+    budgets: Budgets,
+    /// Silence that raises suspicion where members can be probed: half the longest latency target
+    /// (microseconds).
     silence_threshold: Time,
     /// Shortest latency target of all classes (microseconds).
     shortest_latency_target: Time,
     logged_at: Time,
-    /// Served answers a second as of `served_rate_at`.
-    pub(crate) served_rate: f64,
-    pub(crate) served_rate_at: Time,
+    /// Load of the members as a whole.
+    pub(crate) load: LoadState,
     /// Members that are in service and not down (count).
     available_members: usize,
-    /// Latest sojourns at all members, as `Member::sojourns`.
-    pub(crate) sojourns: Samples<f64>,
     /// When health was last checked.
     pub(crate) watched_at: Time,
     pub(crate) indexes: Indexes,
-    pub(crate) service_time: ServiceTime,
-    /// Share of the reads of least value that is shed (fraction).
-    pub(crate) shed_share: f64,
     /// Actions of the current step.
     actions: Vec<Action>,
 }
@@ -91,7 +94,7 @@
         let mut router = Router {
             rng: SeededRng::seed_from_u64(seed),
             list_watched_at: NEVER,
-            probe_budget: INITIAL_PROBE_REQUESTS * PROBE_BUDGET_SHARE,
+            budgets: Budgets { probes: INITIAL_PROBE_REQUESTS * PROBE_BUDGET_SHARE, trials: 0.0 },
             logged_at: NEVER,
             watched_at: NEVER,
             ..Router::default()
@@ -100,7 +103,8 @@
         Ok(router)
     }
 
-    /// These settings hold from now on. Classes that requests or attempts in flight still have must keep their places.
+    /// These settings hold from now on. Classes that requests or attempts in flight still have must keep
+    /// their places.
     pub fn follow(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let latency_targets = || settings.classes.iter().map(|class| class.latency_target);
@@ -109,11 +113,21 @@
         self.typical_time_left = vec![0; settings.classes.len()];
         self.base_quota = concurrency::even_quota(settings.routers);
         self.fleet_clock.set_enabled(settings.clock_may_be_wrong);
-        self.set = settings;
+        self.settings = settings;
         self.indexes.outdate_available();
         Ok(())
     }
 
+    /// What is known of the hosts' clock. Times that cross machines are compared through it alone.
+    pub fn fleet_clock(&self) -> &FleetClock {
+        &self.fleet_clock
+    }
+
+    /// For whoever receives the hosts' answers, to pass on what they tell of their clock when they arrive.
+    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
+        &mut self.fleet_clock
+    }
+
     /// Takes one batch of events, all at `now`, and appends what is to be done.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
@@ -152,13 +166,13 @@
     fn set_timer(&mut self) {
         if !self.is_timer_set && !self.requests.is_empty() {
             self.is_timer_set = true;
-            self.actions.push(Action::Timer { token: 0, at: self.now + 2 * self.set.granularity });
+            self.actions.push(Action::Timer { token: 0, at: self.now + 2 * self.settings.granularity });
         }
     }
 
     /// Subscribes to the list again, where its changes come only on request.
     fn watch_list(&mut self) {
-        if self.set.list_on_request && self.now - self.list_watched_at > self.set.ask_every / 2 {
+        if self.settings.list_on_request && self.now - self.list_watched_at > self.settings.ask_every / 2 {
             self.list_watched_at = self.now;
             self.actions.push(Action::WatchList);
         }
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -1,4 +1,5 @@
-//! What the end of an attempt teaches: load, the member's limit and its health, and what becomes of its request.
+//! What the end of an attempt teaches: load, the member's limit and its health, and what becomes of its
+//! request.
 
 use super::concurrency::{adapt_concurrency_limit, pace_sends, reduce_concurrency_limit};
 use super::evidence::{push_sample, Evidence};
@@ -10,8 +11,8 @@
 
 /// Longest pause after failures in a row, in doublings of the granularity (count).
 const MAX_BACKOFF_DOUBLINGS: u32 = 7;
-/// Part of the shortest latency target (divisor) past which a failed connection counts as one that hung: a refusal comes
-/// at once and tells of a process; what hangs tells of its machine.
+/// Part of the shortest latency target (divisor) past which a failed connection counts as one that hung: a
+/// refusal comes at once and tells of a process; what hangs tells of its machine.
 const HUNG_CONNECTION_DIVISOR: Time = 16;
 
 /// The end of one attempt.
@@ -78,7 +79,7 @@
         let Some(outcome) = AttemptOutcome::from_event(event) else { return };
         let attempt = self.in_flight.remove(&(outcome.request.clone(), outcome.attempt));
         let is_write =
-            attempt.as_ref().is_some_and(|attempt| self.set.classes[attempt.class].need == Need::Write);
+            attempt.as_ref().is_some_and(|attempt| self.settings.classes[attempt.class].need == Need::Write);
         if outcome.is_answer() {
             self.record_answer(&outcome, is_write);
         }
@@ -116,7 +117,7 @@
     }
 
     fn measure(&self, outcome: &AttemptOutcome, attempt: &InFlightAttempt) -> Measurement {
-        let latency_target = self.set.classes[attempt.class].latency_target as f64;
+        let latency_target = self.settings.classes[attempt.class].latency_target as f64;
         let sojourn = outcome.took as f64 / latency_target;
         let group = self.group_of(outcome.member);
         Measurement {
@@ -141,15 +142,15 @@
         }
     }
 
-    /// Whether the member has been silent for all of the attempt's time. With health checks, one of them would have
-    /// told before.
+    /// Whether the member has been silent for all of the attempt's time. With health checks, one of them
+    /// would have told before.
     fn was_silent(&self, outcome: &AttemptOutcome, measurement: &Measurement) -> bool {
         let silent = self.members.get(&outcome.member).is_some_and(|m| m.last_heard_at <= measurement.sent);
-        outcome.ending == Ending::TimedOut && silent && !self.set.may_probe
+        outcome.ending == Ending::TimedOut && silent && !self.settings.may_probe
     }
 
-    /// Adapts the member's limit. Work given up unanswered took at least this long: without it only the quick answers
-    /// would count, and an overloaded member would look fine.
+    /// Adapts the member's limit. Work given up unanswered took at least this long: without it only the quick
+    /// answers would count, and an overloaded member would look fine.
     fn record_sojourn(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let was_silent = self.was_silent(outcome, measurement);
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
@@ -158,7 +159,7 @@
             Ending::Served => {
                 member.consecutive_failures = 0;
                 push_sample(&mut member.sojourns, sample);
-                push_sample(&mut self.sojourns, sample);
+                push_sample(&mut self.load.sojourns, sample);
                 adapt_concurrency_limit(member, sojourn, quota);
             }
             Ending::TimedOut | Ending::Cancelled if !was_silent => {
@@ -188,22 +189,22 @@
         self.indexes.note_doubt(outcome.member, member);
     }
 
-    /// Paces and ejects. A member that rejects fast (full, draining, its connections broken) looks idle and quick and
-    /// would draw ever more: each attempt without service doubles a pause. That covers any fault that answers health
-    /// checks and fails requests; a member hit by chance loses one pause.
+    /// Paces and ejects. A member that rejects fast (full, draining, its connections broken) looks idle and
+    /// quick and would draw ever more: each attempt without service doubles a pause. That covers any fault
+    /// that answers health checks and fails requests; a member hit by chance loses one pause.
     fn back_off(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
         pace_sends(member, measurement.sojourn, measurement.latency_target, measurement.quota, now);
         if outcome.is_failure() {
             member.consecutive_failures = (member.consecutive_failures + 1).min(MAX_BACKOFF_DOUBLINGS);
-            member.ejected_until = now + (self.set.granularity << member.consecutive_failures);
+            member.ejected_until = now + (self.settings.granularity << member.consecutive_failures);
         }
     }
 
     /// What becomes of the request: it is over, waits for another attempt, or fails.
     fn settle_request(&mut self, outcome: &AttemptOutcome) {
-        let Some(sequence) = self.names.get(outcome.request).copied() else { return };
+        let Some(sequence) = self.sequences.get(outcome.request).copied() else { return };
         let Some(request) = self.requests.get_mut(&sequence) else { return };
         let never_ran = outcome.ending.never_ran();
         if let Some(attempt) = request.attempts.get_mut(outcome.attempt as usize) {
@@ -220,7 +221,7 @@
         if request.has_attempt_in_flight() {
             return;
         }
-        let effect = self.set.classes[request.class].effect;
+        let effect = self.settings.classes[request.class].effect;
         let group = request.group;
         if effect == Effect::Unsafe && !never_ran && !mutant(UnsafeRepeated) {
             return self.finish(sequence);
--- a/crates/policy/src/router/overload.rs
+++ b/crates/policy/src/router/overload.rs
@@ -4,8 +4,8 @@
 use crate::interface::{Class, Ending, Need, Time};
 use crate::state::Sample;
 
-/// Sojourn (share of the latency target) that a third of the answers may pass before the members as a whole count as
-/// overloaded. A share of the answers, not a mean: a few slow members are no reason to shed.
+/// Sojourn (share of the latency target) that a third of the answers may pass before the members as a whole
+/// count as overloaded. A share of the answers, not a mean: a few slow members are no reason to shed.
 const OVERLOADED_SOJOURN: f64 = 0.5;
 /// Mean sojourn (share of the latency target) under which cancelled work is no sign of overload.
 const BELOW_OVERLOAD_SOJOURN: f64 = 0.3;
@@ -24,26 +24,26 @@
 impl Router {
     /// Served answers a second as of now: a decaying mean.
     pub(super) fn current_served_rate(&self) -> f64 {
-        let age = (self.now - self.served_rate_at) as f64;
-        self.served_rate * (-age / SERVED_RATE_SPAN).exp()
+        let age = (self.now - self.load.served_rate_at) as f64;
+        self.load.served_rate * (-age / SERVED_RATE_SPAN).exp()
     }
 
     /// Counts a served answer that took so long.
     pub(super) fn record_served(&mut self, is_write: bool, took: Time) {
-        self.served_rate = self.current_served_rate() + MICROSECONDS_PER_SECOND / SERVED_RATE_SPAN;
-        self.served_rate_at = self.now;
+        self.load.served_rate = self.current_served_rate() + MICROSECONDS_PER_SECOND / SERVED_RATE_SPAN;
+        self.load.served_rate_at = self.now;
         let decay = 1.0 - 1.0 / SERVICE_TIME_ANSWERS;
-        self.service_time.reads *= decay;
-        self.service_time.writes *= decay;
+        self.load.service_time.reads *= decay;
+        self.load.service_time.writes *= decay;
         if is_write {
-            self.service_time.writes += took as f64;
+            self.load.service_time.writes += took as f64;
         } else {
-            self.service_time.reads += took as f64;
+            self.load.service_time.reads += took as f64;
         }
     }
 
-    /// Adapts the share of reads that is shed to one more ending. Cancelled and rejected work counts only where
-    /// served answers are slow too: else a few members did it.
+    /// Adapts the share of reads that is shed to one more ending. Cancelled and rejected work counts only
+    /// where served answers are slow too: else a few members did it.
     pub(super) fn update_shed_share(&mut self, ending: Ending, sample: Sample<f64>) {
         let steps = match ending {
             Ending::Served if sample.value > OVERLOADED_SOJOURN => OVERLOAD_STEPS,
@@ -53,23 +53,23 @@
             }
             _ => 0.0,
         };
-        self.shed_share = (self.shed_share + SHED_STEP * steps).clamp(0.0, MAX_SHED_SHARE);
+        self.load.shed_share = (self.load.shed_share + SHED_STEP * steps).clamp(0.0, MAX_SHED_SHARE);
     }
 
     fn mean_sojourn(&self) -> f64 {
-        let total: f64 = self.sojourns.iter().map(|sample| sample.value).sum();
-        total / self.sojourns.len().max(1) as f64
+        let total: f64 = self.load.sojourns.iter().map(|sample| sample.value).sum();
+        total / self.load.sojourns.len().max(1) as f64
     }
 
-    /// Whether a request of this class is shed, decided by a uniform sample. The least value for its work goes first;
-    /// what is worth k times as much is shed with the k-th power of the probability.
+    /// Whether a request of this class is shed, decided by a uniform sample. The least value for its work
+    /// goes first; what is worth k times as much is shed with the k-th power of the probability.
     pub(super) fn is_shed(&self, class: &Class, uniform_sample: f64) -> bool {
-        if class.need == Need::Write || self.shed_share <= 0.0 {
+        if class.need == Need::Write || self.load.shed_share <= 0.0 {
             return false;
         }
-        let reads = self.set.classes.iter().filter(|class| class.need != Need::Write);
+        let reads = self.settings.classes.iter().filter(|class| class.need != Need::Write);
         let least = reads.map(value_for_work).fold(f64::INFINITY, f64::min).max(1e-12);
-        uniform_sample < self.shed_share.powf(value_for_work(class) / least)
+        uniform_sample < self.load.shed_share.powf(value_for_work(class) / least)
     }
 }
 
--- a/crates/policy/src/router/primary.rs
+++ b/crates/policy/src/router/primary.rs
@@ -28,11 +28,12 @@
         self.primary(group).is_some_and(|id| self.is_selectable(id))
     }
 
-    /// Whether the list leaves it in service. With `soft_removal` a member called removed is only claimed to be: its
-    /// own answers, its silence and its probes decide, as for any other. That covers lists that are empty, old or
-    /// short of running members; it costs an attempt or two at each member that is truly removed.
+    /// Whether the list leaves it in service. With `soft_removal` a member called removed is only claimed to
+    /// be: its own answers, its silence and its probes decide, as for any other. That covers lists that are
+    /// empty, old or short of running members; it costs an attempt or two at each member that is truly
+    /// removed.
     pub(super) fn is_in_service(&self, member: &Member) -> bool {
-        let is_listed = member.standing == MemberStatus::Up || self.set.soft_removal;
+        let is_listed = member.status == MemberStatus::Up || self.settings.soft_removal;
         is_listed && !member.drained || mutant(DrainIgnored)
     }
 
@@ -46,7 +47,7 @@
     /// The member for a request that only the primary can serve, or another to find the primary by.
     pub(super) fn select_primary(&mut self, sequence: u64) -> Option<MemberId> {
         let request = self.requests.get(&sequence)?;
-        let is_write = self.set.classes[request.class].need == Need::Write;
+        let is_write = self.settings.classes[request.class].need == Need::Write;
         if let Some(primary) = self.primary(request.group) {
             if self.is_selectable(primary) {
                 let share = if is_write { 1.0 } else { PRIMARY_READ_SHARE };
@@ -59,7 +60,7 @@
             }
         }
         // Reads are not used to find it where a replica would serve them from old data.
-        if !is_write && self.set.behind == Behind::Serve {
+        if !is_write && self.settings.behind == Behind::Serve {
             return None;
         }
         let group = request.group;
@@ -68,14 +69,14 @@
         Some(candidate)
     }
 
-    /// A member that may have become primary: the one that was a replica the longest time ago. One request at a time
-    /// tries one; the rest wait. The last attempts of a request are kept for the primary itself.
+    /// A member that may have become primary: the one that was a replica the longest time ago. One request at
+    /// a time tries one; the rest wait. The last attempts of a request are kept for the primary itself.
     fn discovery_candidate(&self, request: &Request) -> Option<MemberId> {
-        let class = &self.set.classes[request.class];
+        let class = &self.settings.classes[request.class];
         if request.attempts.len() + 2 > class.attempts.max(2) as usize {
             return None;
         }
-        let pause = class.latency_target / DISCOVERY_PAUSE_DIVISOR * self.set.scout_every;
+        let pause = class.latency_target / DISCOVERY_PAUSE_DIVISOR * self.settings.scout_every;
         if self.now - self.groups.get(&request.group)?.last_discovery_at < pause {
             return None;
         }
--- a/crates/policy/src/router/queue.rs
+++ b/crates/policy/src/router/queue.rs
@@ -7,13 +7,16 @@
 use crate::state::{share_of, Request};
 use std::collections::BTreeSet;
 
-/// Share of the latency target after which the start of a request is no longer useful: the rest is for the work itself.
+/// Share of the latency target after which the start of a request is no longer useful: the rest is for the
+/// work itself.
 pub(super) const USEFUL_START_SHARE: f64 = 1.0 - TARGET_SOJOURN;
-/// Share of the requests clients can hold open that are kept here (fraction): the rest is for those yet to come.
+/// Share of the requests clients can hold open that are kept here (fraction): the rest is for those yet to
+/// come.
 const OPEN_REQUESTS_SHARE: f64 = 0.85;
 /// Chance of completion of a write while its group has no primary to be sent to (fraction).
 const COMPLETION_CHANCE_WITHOUT_PRIMARY: f64 = 0.1;
-/// Part of the latency target (divisor) for which a member that has ended an attempt gets no other of the request.
+/// Part of the latency target (divisor) for which a member that has ended an attempt gets no other of the
+/// request.
 const RETRY_PAUSE_DIVISOR: i64 = 8;
 
 /// A request with the value of each unit of its work.
@@ -25,22 +28,22 @@
 impl Router {
     /// A start of the request now would come too late for its latency target.
     pub(super) fn is_start_late(&self, request: &Request) -> bool {
-        let useful = share_of(self.set.classes[request.class].latency_target, USEFUL_START_SHARE);
+        let useful = share_of(self.settings.classes[request.class].latency_target, USEFUL_START_SHARE);
         self.now - request.first_arrived_at >= useful
     }
 
-    /// Value for each unit of work, as of now. What only the primary can do counts twice: other members may yet take
-    /// the reads.
+    /// Value for each unit of work, as of now. What only the primary can do counts twice: other members may
+    /// yet take the reads.
     fn value_density(&self, request: &Request) -> f64 {
-        let class = &self.set.classes[request.class];
+        let class = &self.settings.classes[request.class];
         let only_primary = matches!(class.need, Need::Write | Need::Strong);
         let factor = if only_primary { 2.0 } else { 1.0 };
         let late_factor = if self.is_start_late(request) { class.late_share } else { 1.0 };
         factor * value_for_work(class) * late_factor
     }
 
-    /// Sends what waits in a group, the highest value first and the latest first among equals. Once one new request of
-    /// a class finds no member, no other of that class is tried in this step.
+    /// Sends what waits in a group, the highest value first and the latest first among equals. Once one new
+    /// request of a class finds no member, no other of that class is tried in this step.
     pub(super) fn dispatch_queue(&mut self, group: GroupId) {
         let mut stuck_classes: BTreeSet<usize> = BTreeSet::new();
         for sequence in self.dispatch_order(group) {
@@ -71,7 +74,7 @@
     }
 
     fn select_member(&mut self, sequence: u64, class: usize) -> Option<MemberId> {
-        match self.set.classes[class].need {
+        match self.settings.classes[class].need {
             Need::Write | Need::Strong => self.select_primary(sequence),
             Need::Session | Need::Bounded(_) | Need::Eventual => self.select_for_read(sequence),
         }
@@ -79,13 +82,13 @@
 
     /// The member has just ended another attempt of this request.
     pub(super) fn was_just_tried(&self, request: &Request, id: MemberId) -> bool {
-        let pause = self.set.classes[request.class].latency_target / RETRY_PAUSE_DIVISOR;
+        let pause = self.settings.classes[request.class].latency_target / RETRY_PAUSE_DIVISOR;
         request.attempts.iter().any(|attempt| attempt.member == id && self.now - attempt.ended_at < pause)
     }
 
     /// Ends the requests for which an answer would come too late, or of which no further attempt is possible.
     pub(super) fn expire_requests(&mut self) {
-        let is_expired = |request: &Request| self.is_expired(request, &self.set.classes[request.class]);
+        let is_expired = |request: &Request| self.is_expired(request, &self.settings.classes[request.class]);
         let expired = self.requests.iter().filter(|(_, request)| is_expired(request));
         let expired: Vec<u64> = expired.map(|(sequence, _)| *sequence).collect();
         for sequence in expired {
@@ -97,22 +100,23 @@
         // Never sent by half its time, it has little chance here; its client still has time to retry.
         let unsent = request.attempts.iter().all(|attempt| !attempt.in_flight && !attempt.reached);
         let deadline = if unsent { request.unsent_deadline.min(request.deadline) } else { request.deadline };
-        if self.now + 2 * self.set.granularity >= deadline {
+        if self.now + 2 * self.settings.granularity >= deadline {
             return true;
         }
-        // What is in flight is not given up for being late: its work goes on, and its client would come again.
+        // What is in flight is not given up for being late: its work goes on, and its client would come
+        // again.
         if request.has_attempt_in_flight() {
             return false;
         }
         let has_no_late_value = class.effect == Effect::Safe && class.late_share <= 0.0;
         let worthless = has_no_late_value && self.is_start_late(request);
-        worthless || request.is_exhausted(class, self.now + self.set.granularity)
+        worthless || request.is_exhausted(class, self.now + self.settings.granularity)
     }
 
-    /// Clients hold only so many connections: with all of them in use the next request reaches nobody. What has the
-    /// least to gain is evicted from the queues, and then late reads that are in flight.
+    /// Clients hold only so many connections: with all of them in use the next request reaches nobody. What
+    /// has the least to gain is evicted from the queues, and then late reads that are in flight.
     pub(super) fn evict_lowest_priority(&mut self) {
-        let most = (f64::from(self.set.most_open) * OPEN_REQUESTS_SHARE) as usize;
+        let most = (f64::from(self.settings.most_open) * OPEN_REQUESTS_SHARE) as usize;
         let excess = self.requests.len().saturating_sub(most);
         if excess == 0 {
             return;
@@ -131,7 +135,7 @@
     }
 
     fn is_evictable(&self, request: &Request) -> bool {
-        let class = &self.set.classes[request.class];
+        let class = &self.settings.classes[request.class];
         if class.effect != Effect::Safe {
             return request.first_possible_execution().is_none();
         }
@@ -140,7 +144,7 @@
     }
 
     fn completion_chance(&self, request: &Request) -> f64 {
-        let is_write = self.set.classes[request.class].need == Need::Write;
+        let is_write = self.settings.classes[request.class].need == Need::Write;
         if is_write && !self.has_selectable_primary(request.group) {
             return COMPLETION_CHANCE_WITHOUT_PRIMARY;
         }
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -1,5 +1,5 @@
-//! Reads that a replica may serve: which members are usable, trials of suspected ones, and waits for a replica that is
-//! about to be fresh enough.
+//! Reads that a replica may serve: which members are usable, trials of suspected ones, and waits for a
+//! replica that is about to be fresh enough.
 
 use super::primary::PRIMARY_READ_SHARE;
 use super::Router;
@@ -40,10 +40,10 @@
 
     /// A suspected member that this request may find out about: a short one, and without attempts so far.
     fn suspected_to_try(&self, request: &Request) -> Option<MemberId> {
-        let class = &self.set.classes[request.class];
+        let class = &self.settings.classes[request.class];
         let is_short = class.latency_target <= 2 * self.shortest_latency_target;
         let is_fit = request.attempts.is_empty() && class.effect == Effect::Safe && is_short;
-        if !is_fit || self.trial_budget < 1.0 {
+        if !is_fit || self.budgets.trials < 1.0 {
             return None;
         }
         self.group_members(request.group).iter().copied().find(|id| self.may_try_suspected(*id))
@@ -51,13 +51,13 @@
 
     /// Only one attempt is left, which the primary gets.
     fn is_last_attempt(&self, request: &Request) -> bool {
-        let most = self.set.classes[request.class].attempts as usize;
+        let most = self.settings.classes[request.class].attempts as usize;
         !request.attempts.is_empty() && request.attempts.len() + 1 >= most
     }
 
     fn read_wait_end(&self, request: &Request) -> Time {
-        let latency_target = self.set.classes[request.class].latency_target;
-        request.first_arrived_at + self.set.hold.min(share_of(latency_target, READ_WAIT_BOUND))
+        let latency_target = self.settings.classes[request.class].latency_target;
+        request.first_arrived_at + self.settings.hold.min(share_of(latency_target, READ_WAIT_BOUND))
     }
 
     fn may_wait(&self, request: &Request, wait_until: Time) -> bool {
@@ -83,10 +83,10 @@
         usable
     }
 
-    /// Draws whether the primary ranks with the replicas. It has work of its own, and ranks later for reads but for so
-    /// many as bring it to an even share of all work: more would overload it, fewer the replicas.
+    /// Draws whether the primary ranks with the replicas. It has work of its own, and ranks later for reads
+    /// but for so many as bring it to an even share of all work: more would overload it, fewer the replicas.
     fn draw_primary_has_time(&mut self, usable_members: usize) -> bool {
-        let time = self.service_time;
+        let time = self.load.service_time;
         let write_share = time.writes / (time.reads + time.writes).max(1.0);
         let threshold = 1.0 - write_share * usable_members as f64;
         self.rng.uniform_sample() * (1.0 - write_share) < threshold
--- a/crates/policy/src/router/selection.rs
+++ b/crates/policy/src/router/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of the member for a read: trials over the usable members, the smallest number of readers that is fresh
-//! often enough, and the quickest of these (Ye and Hu, section 4, as the design page adapts it).
+//! Selection of the member for a read: trials over the usable members, the smallest number of readers that is
+//! fresh often enough, and the quickest of these (Ye and Hu, section 4, as the design page adapts it).
 
 use super::Router;
 use crate::interface::{MemberId, Time};
--- a/crates/policy/src/router/slow_start.rs
+++ b/crates/policy/src/router/slow_start.rs
@@ -3,8 +3,8 @@
 use super::Router;
 use crate::state::Member;
 
-/// Part of the budget of a warming member that all routers together plan to use (fraction): it is estimated from what
-/// members carry, which is less than they could.
+/// Part of the budget of a warming member that all routers together plan to use (fraction): it is estimated
+/// from what members carry, which is less than they could.
 const REPLICA_BUDGET_SHARE: f64 = 1.3;
 /// The same for a primary: writes have nowhere else to go.
 const PRIMARY_BUDGET_SHARE: f64 = 1.7;
@@ -16,22 +16,23 @@
     /// Share of its capacity that a member has by now; 1 once it is warm.
     pub(super) fn capacity_share(&self, member: &Member) -> f64 {
         let started = self.fleet_clock.started_at(member.started, member.listed_at).max(member.recovered_at);
-        let warm_up = self.set.cold_for.max(1);
+        let warm_up = self.settings.cold_for.max(1);
         let age = if started > 0 { self.now - started } else { 2 * warm_up };
         let progress = age.max(0) as f64 / warm_up as f64;
-        (self.set.cold_from + (1.0 - self.set.cold_from) * progress).min(1.0)
+        (self.settings.cold_from + (1.0 - self.settings.cold_from) * progress).min(1.0)
     }
 
-    /// Attempts that a warming member may be sent now: a token bucket. It gets its share of what this router sees
-    /// members carry, so that the routers together stay inside the budget without coordination. The bucket starts with
-    /// a random part of one attempt: with hundreds of routers even one from each at once would be too much.
+    /// Attempts that a warming member may be sent now: a token bucket. It gets its share of what this router
+    /// sees members carry, so that the routers together stay inside the budget without coordination. The
+    /// bucket starts with a random part of one attempt: with hundreds of routers even one from each at once
+    /// would be too much.
     pub(super) fn slow_start_tokens(&self, member: &Member) -> f64 {
         let carried =
             self.current_served_rate() / self.available_members.max(1) as f64 * member.weight.min(1.0);
-        let least = MIN_CAPACITY / f64::from(self.set.routers);
+        let least = MIN_CAPACITY / f64::from(self.settings.routers);
         let share = if member.is_primary() { PRIMARY_BUDGET_SHARE } else { REPLICA_BUDGET_SHARE };
-        let rate = share * self.set.overload_factor * self.capacity_share(member) * carried.max(least);
-        let most = (rate * self.set.overload_span as f64 / (2.0 * MICROSECONDS_PER_SECOND)).max(1.0);
+        let rate = share * self.settings.overload_factor * self.capacity_share(member) * carried.max(least);
+        let most = (rate * self.settings.overload_span as f64 / (2.0 * MICROSECONDS_PER_SECOND)).max(1.0);
         let refilled = rate * (self.now - member.start_tokens_at) as f64 / MICROSECONDS_PER_SECOND;
         (member.start_tokens + refilled).min(most)
     }
--- a/crates/policy/src/router/zones.rs
+++ b/crates/policy/src/router/zones.rs
@@ -1,12 +1,13 @@
-//! Zones that are unreachable as a whole. Each member of them would else be found out by a request of its own, at every
-//! router.
+//! Zones that are unreachable as a whole. Each member of them would else be found out by a request of its
+//! own, at every router.
 
 use super::Router;
 use crate::interface::{MemberId, MemberStatus, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Members of a zone that must have fallen silent since any of it was heard, for it to be unreachable (count).
+/// Members of a zone that must have fallen silent since any of it was heard, for it to be unreachable
+/// (count).
 const UNREACHABLE_ZONE_LOSSES: usize = 3;
 
 /// What was last heard of a zone.
@@ -27,7 +28,7 @@
     /// Suspects all members of unreachable zones.
     pub(super) fn check_zones(&mut self) {
         let mut zones: BTreeMap<Arc<str>, ZoneState> = BTreeMap::new();
-        for member in self.members.values().filter(|member| member.standing == MemberStatus::Up) {
+        for member in self.members.values().filter(|member| member.status == MemberStatus::Up) {
             let zone = zones.entry(member.zone.clone()).or_default();
             zone.last_heard_at = zone.last_heard_at.max(member.last_heard_at);
             zone.losses.push(member.last_loss_at);
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -59,6 +59,19 @@
     pub(crate) writes: f64,
 }
 
+/// Load of the members as a whole, as this router sees it.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct LoadState {
+    /// Latest sojourns at all members, as `Member::sojourns`.
+    pub(crate) sojourns: Samples<f64>,
+    /// Served answers a second as of `served_rate_at`.
+    pub(crate) served_rate: f64,
+    pub(crate) served_rate_at: Time,
+    pub(crate) service_time: ServiceTime,
+    /// Share of the reads of least value that is shed (fraction).
+    pub(crate) shed_share: f64,
+}
+
 /// A share of a span, in whole microseconds.
 pub(crate) fn share_of(span: Time, share: f64) -> Time {
     (span as f64 * share) as Time
@@ -73,7 +86,7 @@
     pub(crate) zone: Arc<str>,
     /// Capacity in relation to other members.
     pub(crate) weight: f64,
-    pub(crate) standing: MemberStatus,
+    pub(crate) status: MemberStatus,
     /// Listed as draining since its last start: that stays so, whatever later lists say.
     pub(crate) drained: bool,
     /// When it last started, by the hosts' clock; 0 for long ago.
@@ -91,7 +104,8 @@
     pub(crate) position: Time,
     /// Replication lags (microseconds).
     pub(crate) lags: Samples<Time>,
-    /// Sojourns (time from send to answer, queueing included) in latency targets, for each attempt in flight at the send.
+    /// Sojourns (time from send to answer, queueing included) in latency targets, for each attempt in flight
+    /// at the send.
     pub(crate) sojourns: Samples<f64>,
     /// Moving mean of the sojourns, in latency targets.
     pub(crate) load: f64,
@@ -190,8 +204,8 @@
         self.attempts.iter().find(|attempt| attempt.in_flight || attempt.may_have_run)
     }
 
-    /// No further attempt can follow by then: all are used, or the window of its idempotency key has closed, which the
-    /// first attempt that may have run opened.
+    /// No further attempt can follow by then: all are used, or the window of its idempotency key has closed,
+    /// which the first attempt that may have run opened.
     pub(crate) fn is_exhausted(&self, class: &Class, by: Time) -> bool {
         let closes = match (class.effect, self.first_possible_execution()) {
             (Effect::Keyed { window, .. }, Some(first)) if !mutant(WindowIgnored) => {
@@ -214,7 +228,8 @@
 }
 
 impl InFlightAttempt {
-    /// It was sent to this member so long ago that the answer counts as known, if it was written at once and lost.
+    /// It was sent to this member so long ago that the answer counts as known, if it was written at once and
+    /// lost.
     pub(crate) fn may_be_lost(&self, member: MemberId, now: Time) -> bool {
         self.member == member && self.sent <= now - ASSUMED_KNOWN_AFTER
     }
