--- a/crates/handover/tests/letters.rs
+++ b/crates/handover/tests/letters.rs
@@ -81,7 +81,7 @@
     assert_eq!(format!("{:?}", read.learned_state), format!("{:?}", letter().learned_state));
     assert_eq!((read.writer, read.numbers.len()), (5, 2));
     let text = format!("{:?}", read.learned_state);
-    assert!(text.contains("out: 0") && !text.contains("out: 1"), "{text}");
+    assert!(text.contains("in_flight: 0") && !text.contains("in_flight: 1"), "{text}");
 }
 
 #[test]
--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -1,10 +1,10 @@
 //! The hosts' clock as seen from the router's own: an estimate of the offset between the two.
 //!
-//! Hosts tell log positions, commits and starts in their Unix time, and all hosts read one clock. The
+//! Hosts report log positions, commits and starts in their Unix time, and all hosts read one clock. The
 //! router's own clock never jumps, but was set from a wall clock that may be wrong by any span. This module
 //! alone relates the two. The true offset, `hosts' clock - own clock`, lies in an interval:
 //!
-//! - **Lower bounds.** What a host has told was true when it arrived: `told <= received + offset`.
+//! - **Lower bounds.** What a host has reported was true when it arrived: `reported <= received + offset`.
 //! - **Upper bounds.** A write is committed after it was sent (Cristian's algorithm): `sent + offset <= commit`.
 //!   An answer that repeats an earlier run's commit would give too small a bound, so callers pass only first
 //!   attempts of requests that are no client's retries, and of the last bounds not the smallest ones count.
@@ -18,9 +18,9 @@
 use crate::interface::{MemberId, Report, Time};
 use std::collections::VecDeque;
 
-/// Step to which hosts round the times that they tell (microseconds).
+/// Step to which hosts round the times that they report (microseconds).
 const GRANULARITY: Time = 1_000;
-/// How far a told time may lie ahead of what the hosts' clock can show (microseconds).
+/// How far a reported time may lie ahead of what the hosts' clock can show (microseconds).
 const MOST_AHEAD: Time = 1_000_000;
 /// A position so near to the own clock confirms that the two are one (microseconds).
 const CONFIRMING_DISTANCE: Time = 1_000_000;
@@ -41,18 +41,41 @@
 /// Two clocks drift apart by one part in so many.
 const DRIFT_DIVISOR: Time = 10_000;
 
+/// A lower bound of the offset, by what one member told.
+#[derive(Clone, Copy, Debug)]
+struct LowerBound {
+    offset: Time,
+    member: MemberId,
+}
+
+/// An upper bound of the offset, by a commit that arrived at this time.
+#[derive(Clone, Copy, Debug)]
+struct UpperBound {
+    offset: Time,
+    received: Time,
+}
+
+impl UpperBound {
+    /// The bound as of now: it grows, as the clocks drift apart.
+    fn widened(&self, now: Time) -> Time {
+        let age = (now - self.received).max(0);
+        self.offset.saturating_add(age / DRIFT_DIVISOR)
+    }
+}
+
 /// The highest lower bounds of one span, each of another member, the highest first.
 #[derive(Clone, Debug, Default)]
-struct LowerBounds(Vec<(Time, MemberId)>);
+struct LowerBounds(Vec<LowerBound>);
 
 impl LowerBounds {
-    fn insert(&mut self, bound: Time, member: MemberId) {
-        if self.0.iter().any(|(known, of)| *of == member && *known >= bound) {
+    fn insert(&mut self, bound: LowerBound) {
+        let is_covered = |known: &LowerBound| known.member == bound.member && known.offset >= bound.offset;
+        if self.0.iter().any(is_covered) {
             return;
         }
-        self.0.retain(|(_, of)| *of != member);
-        let place = self.0.partition_point(|(known, _)| *known >= bound);
-        self.0.insert(place, (bound, member));
+        self.0.retain(|known| known.member != bound.member);
+        let place = self.0.partition_point(|known| known.offset >= bound.offset);
+        self.0.insert(place, bound);
         self.0.truncate(LOWER_BOUNDS);
     }
 }
@@ -66,11 +89,11 @@
     lower: [LowerBounds; 2],
     span_started: Time,
     /// Upper bounds, each with the time of its commit's arrival, the oldest first.
-    upper: VecDeque<(Time, Time)>,
-    /// A position was told that was nearly the own clock's time.
+    upper: VecDeque<UpperBound>,
+    /// A reported position was nearly the own clock's time.
     confirmed: bool,
-    /// A position was told at all.
-    heard: bool,
+    /// A position was reported at all.
+    has_evidence: bool,
     /// The estimate that follows from these.
     offset: Time,
     /// The same, where it is to err on the large side.
@@ -101,7 +124,7 @@
         if !self.enabled || position <= 0 {
             return;
         }
-        self.heard = true;
+        self.has_evidence = true;
         self.confirmed |= (position - received).abs() <= CONFIRMING_DISTANCE;
         self.add_lower(member, position, received);
         self.update(received);
@@ -114,12 +137,12 @@
             return;
         }
         if first {
-            self.upper.push_back((commit.saturating_sub(sent), received));
+            self.upper.push_back(UpperBound { offset: commit.saturating_sub(sent), received });
             if self.upper.len() > UPPER_BOUNDS {
                 self.upper.pop_front();
             }
         }
-        self.heard = true;
+        self.has_evidence = true;
         self.add_lower(member, commit, received);
         self.update(received);
     }
@@ -189,7 +212,7 @@
 
     /// Whether what hosts have told so far speaks against the estimate.
     pub fn is_doubtful(&self) -> bool {
-        self.heard && !self.is_trusted()
+        self.has_evidence && !self.is_trusted()
     }
 
     fn add_lower(&mut self, member: MemberId, told: Time, received: Time) {
@@ -198,13 +221,15 @@
             self.lower[0] = LowerBounds::default();
             self.span_started = received;
         }
-        let bound = told.saturating_sub(received).saturating_sub(GRANULARITY);
-        self.lower[0].insert(bound, member);
+        let offset = told.saturating_sub(received).saturating_sub(GRANULARITY);
+        self.lower[0].insert(LowerBound { offset, member });
     }
 
     fn update(&mut self, now: Time) {
         if !self.enabled {
-            (self.offset, self.largest_offset, self.bounded_above) = (0, 0, false);
+            self.offset = 0;
+            self.largest_offset = 0;
+            self.bounded_above = false;
             return;
         }
         let lower = self.merged_lower_bounds();
@@ -232,15 +257,17 @@
     /// The highest lower bounds of different members, the highest first.
     fn merged_lower_bounds(&self) -> Vec<Time> {
         let mut merged = self.lower[0].clone();
-        self.lower[1].0.iter().for_each(|(bound, member)| merged.insert(*bound, *member));
-        merged.0.into_iter().map(|(bound, _)| bound).collect()
+        for bound in &self.lower[1].0 {
+            merged.insert(*bound);
+        }
+        merged.0.into_iter().map(|bound| bound.offset).collect()
     }
 
     /// The smallest upper bound that several support, of those that the members' lower bounds do not
     /// contradict; the largest one where there are fewer.
     fn upper_bound(&self, now: Time, least: Time) -> Option<Time> {
-        let widened = |(bound, at): &(Time, Time)| bound.saturating_add((now - at).max(0) / DRIFT_DIVISOR);
-        let mut bounds: Vec<Time> = self.upper.iter().map(widened).filter(|bound| *bound >= least).collect();
+        let widened = self.upper.iter().map(|bound| bound.widened(now));
+        let mut bounds: Vec<Time> = widened.filter(|bound| *bound >= least).collect();
         bounds.sort_unstable();
         bounds.get(SEVERAL - 1).or(bounds.last()).copied()
     }
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -36,6 +36,8 @@
         let mut members = self.members.clone();
         for (id, member) in &mut members {
             member.last_listed_at = self.last_listed(*id, member);
+            // It is by this process's clock, and not stored either.
+            member.listed_at = 0;
             member.in_flight = 0;
             member.presumed_lost = 0;
             member.silent_waits = SilentWaits::default();
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -12,7 +12,7 @@
 /// Longest pause after failures in a row, in doublings of the granularity (count).
 const MAX_BACKOFF_DOUBLINGS: u32 = 7;
 /// Part of the shortest latency target (divisor) past which a failed connection counts as one that hung: a
-/// refusal comes at once and tells of a process; what hangs tells of its machine.
+/// refusal comes at once and tells of a process; what hangs points to its machine.
 const HUNG_CONNECTION_DIVISOR: Time = 16;
 
 /// The end of one attempt.
