--- a/crates/handover/tests/letters.rs
+++ b/crates/handover/tests/letters.rs
@@ -138,3 +138,12 @@
         petrelgauge_handover::owner("n1", "127.0.0.1:5434")
     );
 }
+
+/// Checksum of the record of `letter`, taken from the code of commit 2247fe6.
+const RECORD_CHECKSUM: u32 = 1_755_156_702;
+
+// Records of an earlier build must stay readable: postcard writes no names, but order and types of all fields.
+#[test]
+fn the_stored_bytes_are_those_of_earlier_builds() {
+    assert_eq!(crc32c::crc32c(&letter().encode()), RECORD_CHECKSUM);
+}
