--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -5,9 +5,10 @@
 //! alone relates the two. The true offset, `hosts' clock - own clock`, lies in an interval:
 //!
 //! - **Lower bounds.** What a host has reported was true when it arrived: `reported <= received + offset`.
-//! - **Upper bounds.** A write is committed after it was sent (Cristian's algorithm): `sent + offset <= commit`.
-//!   An answer that repeats an earlier run's commit would give too small a bound, so callers pass only first
-//!   attempts of requests that are no client's retries, and of the last bounds not the smallest ones count.
+//! - **Upper bounds.** A write is committed after it was sent (Cristian's algorithm):
+//!   `sent + offset <= commit`. An answer that repeats an earlier run's commit would give too small a bound.
+//!   So callers pass only first attempts of requests that are no client's retries, and of the last bounds not
+//!   the smallest ones count.
 //!
 //! One absurd value must not move the estimate: a lower bound counts if two members support it or if several
 //! commits agree with it, and an upper bound is passed over if two members contradict it. Where 0 lies in the
--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use crate::interface::{Action, Behind, Effect, MemberId, Need, RequestId, Scope, Time, ASSUMED_KNOWN_AFTER};
 use crate::mutant::{mutant, Mutant::SecondCopy, Mutant::UnsafeRepeated};
-use crate::state::{Attempt, InFlightAttempt, Member, Request};
+use crate::state::{Attempt, AttemptId, InFlightAttempt, Member, Request};
 
 impl Router {
     /// Whether this attempt may be sent at all.
@@ -69,8 +69,8 @@
         if now - member.primary_evidence_at <= span {
             return true;
         }
-        let others = self.in_flight.iter().filter(|((of, _), _)| of != request);
-        !others.into_iter().any(|(_, attempt)| attempt.may_be_lost(id, now))
+        let others = self.in_flight.iter().filter(|(attempt_id, _)| attempt_id.request != *request);
+        !others.map(|(_, attempt)| attempt).any(|attempt| attempt.may_be_lost(id, now))
     }
 
     /// Sends a request to a member, if that is allowed.
@@ -119,7 +119,7 @@
         let number = request.attempts.len() as u32;
         let beside = f64::from(member.in_flight);
         let in_flight = InFlightAttempt { member: id, sent: now, class: request.class, beside };
-        self.in_flight.insert((request.id.clone(), number), in_flight);
+        self.in_flight.insert(AttemptId { request: request.id.clone(), number }, in_flight);
         member.in_flight += 1;
         request.attempts.push(Attempt { member: id, sent: now, in_flight: true, ..Attempt::default() });
         let group = request.group;
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -23,7 +23,7 @@
 use crate::fleet_clock::FleetClock;
 use crate::indexes::Indexes;
 use crate::interface::{Action, Event, GroupId, MemberId, RequestId, Role, Settings, SettingsError, Time};
-use crate::state::{Group, InFlightAttempt, LoadState, Member, Request, SeededRng};
+use crate::state::{AttemptId, Group, InFlightAttempt, LoadState, Member, Request, SeededRng};
 use admission::PROBE_BUDGET_SHARE;
 use evidence::Evidence;
 use std::collections::BTreeMap;
@@ -61,8 +61,7 @@
     requests: BTreeMap<u64, Request>,
     /// The sequence numbers of these requests.
     sequences: BTreeMap<RequestId, u64>,
-    /// Attempts in flight, by request and number.
-    in_flight: BTreeMap<(RequestId, u32), InFlightAttempt>,
+    in_flight: BTreeMap<AttemptId, InFlightAttempt>,
     next_sequence: u64,
     /// Median of the time that first tries of each class come with (microseconds).
     typical_time_left: Vec<Time>,
@@ -123,7 +122,8 @@
         &self.fleet_clock
     }
 
-    /// For whoever receives the hosts' answers, to pass on what they tell of their clock when they arrive.
+    /// For whoever receives the hosts' answers, to pass on what they show of the hosts' clock when they
+    /// arrive.
     pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
         &mut self.fleet_clock
     }
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -7,12 +7,12 @@
 use super::Router;
 use crate::interface::{Effect, Ending, Event, MemberId, Need, Report, RequestId, Role, Time};
 use crate::mutant::{mutant, Mutant::UnsafeRepeated};
-use crate::state::{InFlightAttempt, Sample};
+use crate::state::{AttemptId, InFlightAttempt, Sample};
 
 /// Longest pause after failures in a row, in doublings of the granularity (count).
 const MAX_BACKOFF_DOUBLINGS: u32 = 7;
 /// Part of the shortest latency target (divisor) past which a failed connection counts as one that hung: a
-/// refusal comes at once and tells of a process; what hangs points to its machine.
+/// rejection comes at once and points to the process; what hangs points to its machine.
 const HUNG_CONNECTION_DIVISOR: Time = 16;
 
 /// The end of one attempt.
@@ -77,7 +77,8 @@
     /// Takes in the end of an attempt.
     pub(super) fn record_outcome(&mut self, event: &Event) {
         let Some(outcome) = AttemptOutcome::from_event(event) else { return };
-        let attempt = self.in_flight.remove(&(outcome.request.clone(), outcome.attempt));
+        let attempt_id = AttemptId { request: outcome.request.clone(), number: outcome.attempt };
+        let attempt = self.in_flight.remove(&attempt_id);
         let is_write =
             attempt.as_ref().is_some_and(|attempt| self.settings.classes[attempt.class].need == Need::Write);
         if outcome.is_answer() {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -217,6 +217,13 @@
     }
 }
 
+/// An attempt, by its request and its number in the order of sends.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptId {
+    pub(crate) request: RequestId,
+    pub(crate) number: u32,
+}
+
 /// An attempt in flight, kept until its outcome comes, also when its request is over.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
