--- a/crates/handover/tests/records.rs
+++ b/crates/handover/tests/records.rs
@@ -81,7 +81,7 @@
     assert_eq!(format!("{:?}", read.learned_state), format!("{:?}", record().learned_state));
     assert_eq!((read.process, read.numbers.len()), (5, 2));
     let text = format!("{:?}", read.learned_state);
-    assert!(text.contains("out: 0") && !text.contains("out: 1"), "{text}");
+    assert!(text.contains("in_flight: 0") && !text.contains("in_flight: 1"), "{text}");
 }
 
 #[test]
@@ -141,3 +141,12 @@
         petrelgauge_handover::gateway_identity("n1", "127.0.0.1:5434")
     );
 }
+
+/// Checksum of the record of `record`, taken from the code of commit 2247fe6.
+const RECORD_CHECKSUM: u32 = 1_755_156_702;
+
+// Records of an earlier build must stay readable: postcard writes no names, but order and types of all fields.
+#[test]
+fn the_stored_bytes_are_those_of_earlier_builds() {
+    assert_eq!(crc32c::crc32c(&record().encode()), RECORD_CHECKSUM);
+}
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -1,12 +1,13 @@
-//! What a router has learned of the members, as plain data that one process of a gateway can leave to the next. Nothing
-//! here decides anything.
+//! What a router has learned of the members, as plain data that one process of a gateway can leave to the
+//! next. Nothing here decides anything.
 //!
-//! All of it is stated with its time, on the clock of the router that learned it (see [`LearnedState::shift_clock`]): samples grow old by themselves, and what a member says
-//! outweighs all of it. What was out or waiting belongs to requests of the other process, and stays behind.
+//! All of it is stored with its time, on the clock of the router that learned it (see
+//! [`LearnedState::shift_clock`]): samples expire by themselves, and what a member reports outweighs all of it. What was in flight or waiting belongs to requests of the
+//! other process and is left out.
 
-use crate::interface::{GroupId, MemberId, Time};
+use crate::interface::{GroupId, MemberId, Share, Time};
 use crate::router::Router;
-use crate::state::{Group, Member, Samples};
+use crate::state::{Group, Member, Samples, ServiceTime, SilentWaits};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -16,10 +17,10 @@
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<u64, Group>,
     sojourns: Samples<f64>,
-    rate: f64,
-    rated_at: Time,
-    work: [f64; 2],
-    shed: f64,
+    served_rate: f64,
+    served_rate_at: Time,
+    service_time: ServiceTime,
+    shed_share: f64,
 }
 
 impl LearnedState {
@@ -34,11 +35,11 @@
     pub fn shift_clock(&mut self, offset: Time) {
         self.members.values_mut().for_each(|member| shift_member(member, offset));
         for group in self.groups.values_mut() {
-            shift(&mut group.scout_at, offset);
+            shift(&mut group.last_discovery_at, offset);
             shift(&mut group.share.until, offset);
         }
         shift_samples(&mut self.sojourns, offset);
-        shift(&mut self.rated_at, offset);
+        shift(&mut self.served_rate_at, offset);
     }
 }
 
@@ -50,23 +51,23 @@
 }
 
 fn shift_samples<T>(samples: &mut Samples<T>, offset: Time) {
-    samples.iter_mut().for_each(|(at, _)| shift(at, offset));
+    samples.iter_mut().for_each(|sample| shift(&mut sample.taken_at, offset));
 }
 
 fn shift_member(member: &mut Member, offset: Time) {
     member.lags.clear();
     shift_samples(&mut member.sojourns, offset);
     let times = [
-        &mut member.revived,
-        &mut member.primary_at,
-        &mut member.replica_at,
+        &mut member.recovered_at,
+        &mut member.primary_evidence_at,
+        &mut member.replica_evidence_at,
         &mut member.paced_until,
-        &mut member.named,
-        &mut member.heard,
-        &mut member.lost_at,
-        &mut member.barred_until,
+        &mut member.last_listed_at,
+        &mut member.last_heard_at,
+        &mut member.last_loss_at,
+        &mut member.ejected_until,
         &mut member.probed_at,
-        &mut member.credited_at,
+        &mut member.start_tokens_at,
     ];
     times.into_iter().for_each(|time| shift(time, offset));
 }
@@ -76,19 +77,27 @@
     pub fn learned_state(&self) -> LearnedState {
         let mut members = self.members.clone();
         for (id, member) in &mut members {
-            member.named = self.last_named(*id, member);
-            (member.out, member.lost, member.quiet, member.probe_out) = (0, 0, (0.0, 0), false);
+            member.last_listed_at = self.last_listed(*id, member);
+            // It is by this process's clock, and not stored either.
+            member.listed_at = 0;
+            member.in_flight = 0;
+            member.presumed_lost = 0;
+            member.silent_waits = SilentWaits::default();
+            member.probe_in_flight = false;
         }
         let mut groups = self.groups.clone();
-        groups.values_mut().for_each(|group| (group.waiting, group.share) = Default::default());
+        for group in groups.values_mut() {
+            group.waiting.clear();
+            group.share = Share::default();
+        }
         LearnedState {
             members,
             groups,
-            sojourns: self.sojourns.clone(),
-            rate: self.rate,
-            rated_at: self.rated_at,
-            work: self.work,
-            shed: self.shed,
+            sojourns: self.load.sojourns.clone(),
+            served_rate: self.load.served_rate,
+            served_rate_at: self.load.served_rate_at,
+            service_time: self.load.service_time,
+            shed_share: self.load.shed_share,
         }
     }
 
@@ -97,23 +106,29 @@
         self.members.get(&member).map(|member| member.group)
     }
 
-    /// Members taken for the primaries of their groups, with when they last gave evidence of it by themselves.
+    /// Members taken for the primaries of their groups, with when they last gave evidence of it by
+    /// themselves.
     pub fn leaders(&self) -> Vec<(GroupId, MemberId, Time)> {
         let leads = |group: &GroupId| {
             let member = self.primary(*group)?;
-            // The list's word alone is the time 1: that is known to everybody.
-            let at = self.members.get(&member).map(|member| member.primary_at).filter(|at| *at > 1)?;
+            // Evidence from the endpoint list alone has the time 1: every router knows it.
+            let at =
+                self.members.get(&member).map(|member| member.primary_evidence_at).filter(|at| *at > 1)?;
             Some((*group, member, at))
         };
         self.groups.keys().filter_map(leads).collect()
     }
 
-    /// Starts from what another router has learned. To be called before the first step: the list that follows says
-    /// which of these members there still are.
+    /// Starts from what another router has learned. To be called before the first step: the list that follows
+    /// says which of these members there still are.
     pub fn adopt_learned_state(&mut self, learned_state: LearnedState) {
-        let LearnedState { members, groups, sojourns, rate, rated_at, work, shed } = learned_state;
-        (self.members, self.groups, self.sojourns) = (members, groups, sojourns);
-        (self.rate, self.rated_at, self.work, self.shed) = (rate, rated_at, work, shed);
+        self.members = learned_state.members;
+        self.groups = learned_state.groups;
+        self.load.sojourns = learned_state.sojourns;
+        self.load.served_rate = learned_state.served_rate;
+        self.load.served_rate_at = learned_state.served_rate_at;
+        self.load.service_time = learned_state.service_time;
+        self.load.shed_share = learned_state.shed_share;
         self.rebuild_indexes();
     }
 }
