--- a/tests/stage/gateway.rs
+++ b/tests/stage/gateway.rs
@@ -3,7 +3,7 @@
 use super::{config_path, kinds, query, read_message, startup, ReservedPort, NEVER};
 use petrelgauge_lifecycle::client::{FIRST_PAUSE, LONGEST_PAUSE};
 use std::cell::RefCell;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command};
 use std::rc::Rc;
@@ -305,12 +305,22 @@
         (std::iter::from_fn(|| read_message(&mut unread)).collect(), ended.is_err())
     }
 
+    /// Waits until the next byte is there. False if the connection ended without one. A signal that interrupts the
+    /// call, which is not repeated by itself on a socket with a limit, is neither.
+    fn has_more(&self) -> bool {
+        loop {
+            match self.0.peek(&mut [0]) {
+                Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
+                found => return matches!(found, Ok(1)),
+            }
+        }
+    }
+
     /// Asks as the protocol's clients do: where the gateway closed the connection before it read the
     /// query, once more over a new one.
     pub fn ask(&mut self, text: &str) -> Vec<(u8, Vec<u8>)> {
         let written = self.0.write_all(&query(text));
-        let mut first = [0];
-        if written.is_err() || !matches!(self.0.peek(&mut first), Ok(1)) {
+        if written.is_err() || !self.has_more() {
             *self = Client::admitted(self.1);
             self.write(&query(text));
         }
