--- a/src/facade.rs
+++ b/src/facade.rs
@@ -272,7 +272,7 @@
                     let _ = caller.send(());
                 }
             }
-            Order::Log(text) => log::info!("{text}"),
+            Order::Log(text) => log::info!("decision note text={text}"),
         }
     }
 
--- a/src/net/accept_loop.rs
+++ b/src/net/accept_loop.rs
@@ -64,7 +64,7 @@
                 Err(error) => {
                     // Once for each row of failures: they come by the hundred.
                     if !std::mem::replace(&mut short_before, true) {
-                        log::warn!("cannot accept a client: {error}");
+                        log::warn!("client accept failed cause={error}");
                     }
                     handler.on_shortage();
                     self.clock.sleep_until(self.clock.now() + SHORTAGE_PAUSE).await;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -126,14 +126,14 @@
         let scan = scan.ok()?;
         if let Some(gateway) = scan.foreign.first() {
             let count = scan.foreign.len();
-            log::warn!("{count} handover records of other gateways are ignored, the first of {gateway}");
+            log::warn!("foreign handover records ignored count={count} first={gateway}");
         }
         let usable = scan.records.into_iter().filter_map(|found| {
             let record = found.record.on_reader_clock(now.saturating_sub(found.age));
             let age = record.check_settings(self.settings.get());
             let age = age.and_then(|()| record.check_age(now, BELIEFS_VALID_FOR));
             age.map(|age| (record, age))
-                .map_err(|cause| log::warn!("a handover record is not used: {cause}"))
+                .map_err(|cause| log::warn!("handover record rejected cause={cause}"))
                 .ok()
         });
         usable.filter(|(record, _)| !record.learned_state.is_empty()).min_by_key(|(_, age)| *age)
@@ -188,11 +188,11 @@
         let publication = &mut self.state.borrow_mut().publication;
         match published {
             Ok(()) if publication.succeeded(begun, reservation) => {
-                log::info!("the handover record in {} is written again", self.place);
+                log::info!("handover record written again directory={}", self.place);
             }
             Ok(()) => {}
             Err(cause) if publication.failed(begun, refreshed) => {
-                log::warn!("cannot write the handover record in {}: {cause}", self.place);
+                log::warn!("handover record not written directory={} cause={cause}", self.place);
             }
             Err(_) => {}
         }
@@ -204,7 +204,7 @@
             Ok(scan) => state.observe(now, scan, &self.place),
             Err(cause) => {
                 if !std::mem::replace(&mut state.scan_failing, true) {
-                    log::warn!("cannot read the handover records in {}: {cause}", self.place);
+                    log::warn!("handover records not read directory={} cause={cause}", self.place);
                 }
             }
         }
@@ -260,7 +260,7 @@
             }
             let live = self.live_siblings(clock.now());
             if live != std::mem::replace(&mut siblings, live) {
-                log::info!("{live} other processes of this gateway run; their reservations are left to them");
+                log::info!("sibling processes changed live={live}");
             }
             enforcer.enforce();
             clock.sleep_until(clock.now() + HEARTBEAT_INTERVAL).await;
@@ -271,7 +271,7 @@
 impl State {
     fn observe(&mut self, now: Time, scan: &Scan, place: &str) {
         if std::mem::take(&mut self.scan_failing) {
-            log::info!("the handover records in {place} can be read again");
+            log::info!("handover records read again directory={place}");
             let span = now - self.scanned_at.unwrap_or(now);
             self.siblings.unobserved_for(span);
         }
@@ -280,7 +280,7 @@
             self.unreadable = false;
         } else if !std::mem::replace(&mut self.unreadable, true) {
             let causes = scan.unreadable.iter().map(|record| record.cause);
-            causes.for_each(|cause| log::warn!("a handover record is not used: {cause}"));
+            causes.for_each(|cause| log::warn!("handover record rejected cause={cause}"));
         }
         self.observe_siblings(now, scan);
     }
--- a/src/net/leadership.rs
+++ b/src/net/leadership.rs
@@ -126,7 +126,7 @@
             Err(cause) => {
                 self.counters.bad_words.add();
                 if !self.is_failing.replace(true) {
-                    log::warn!("a datagram of another gateway cannot be used: {cause}");
+                    log::warn!("leadership datagram rejected cause={cause}");
                 }
                 return Vec::new();
             }
--- a/src/net/primary_discovery.rs
+++ b/src/net/primary_discovery.rs
@@ -134,17 +134,15 @@
         let known: Vec<&LeaseHolder> = self.leaders.iter().flatten().collect();
         let count = self.leaders.len();
         match known.first() {
-            None => log::info!("primary discovery has no leader; this gateway tries members by itself"),
+            None => log::info!("primary discovery has no leader"),
             Some(LeaseHolder { gateway, term }) if count == 1 => {
-                log::info!("gateway {gateway} leads primary discovery under term {term}");
+                log::info!("primary discovery has a leader gateway={gateway} term={term}");
             }
             Some(_) if known.len() == count => {
-                log::info!("all {count} shards of primary discovery have a leader")
+                log::info!("primary discovery has all leaders shards={count}")
             }
             Some(_) => {
-                log::info!(
-                    "some shards of primary discovery have no leader; this gateway tries members by itself"
-                );
+                log::info!("primary discovery lacks leaders");
             }
         }
     }
