--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -39,10 +39,8 @@
                     watch.before = self.told.get(&member).copied();
                 }
                 let class = open.class;
-                let write_by = match (self.rules.class(class).effect, open.ran_from) {
-                    (Effect::Keyed { window, .. }, Some(from)) => from.saturating_add(window),
-                    _ => Time::MAX,
-                };
+                let effect = self.rules.class(class).effect;
+                let write_by = open.ran_from.map_or(Time::MAX, |first| effect.repeat_by(first));
                 let writes = open.watch.as_ref().filter(|watch| watch.floor.is_none());
                 let writes = writes.map(|watch| (watch.key, watch.arrived));
                 self.out.insert((request.clone(), attempt), OutAttempt { class, at: now, writes });
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -63,6 +63,7 @@
 mod beliefs;
 mod interface;
 mod mutant;
+mod repeat_window;
 mod router;
 mod state;
 
@@ -71,4 +72,5 @@
 #[cfg(feature = "mutants")]
 pub use mutant::plant;
 pub use mutant::{mutant, Mutant};
+pub use repeat_window::HOLD_UP;
 pub use router::Router;
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -132,10 +132,8 @@
     /// By then no further attempt can follow: all are spent, or the window of its key has closed, which an attempt opened
     /// that may have run.
     pub(crate) fn is_spent(&self, class: &Class, by: Time) -> bool {
-        let closes = match (class.effect, self.first_run()) {
-            (Effect::Keyed { window, .. }, Some(first)) if !mutant(WindowIgnored) => {
-                first.sent.saturating_add(window)
-            }
+        let closes = match self.first_run() {
+            Some(first) if !mutant(WindowIgnored) => class.effect.repeat_by(first.sent),
             _ => Time::MAX,
         };
         closes <= by || self.attempts.len() >= class.attempts as usize
