--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -21,6 +21,9 @@
 /// go on and does not would else keep its request until its time is over.
 pub const ANSWER: Time = 300_000;
 
+/// The unit in which hosts are told how long an answer is waited for (microseconds).
+const MILLISECOND: Time = 1_000;
+
 /// Where an attempt stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
@@ -138,6 +141,16 @@
         Exchange { write_by, ..self }
     }
 
+    /// The time in whole milliseconds that the host may be told that the answer is waited for, if the first byte of
+    /// the request is written now. None if it is not to be begun any more: less than a millisecond is left, which can't
+    /// be told, or it would come too late.
+    pub fn time_to_tell(&self, now: Time) -> Option<u64> {
+        if now >= self.write_by {
+            return None;
+        }
+        u64::try_from((self.until - now) / MILLISECOND).ok().filter(|left| *left > 0)
+    }
+
     /// Where it stands.
     pub fn stage(&self) -> Stage {
         self.stage
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -17,6 +17,7 @@
 use petrelgauge_lifecycle::verdict;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::Hasher;
+use std::io::ErrorKind;
 use std::pin::pin;
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
@@ -40,28 +41,24 @@
         let mut due = life.due();
         let mut timer = pin!(self.clock.sleep_until(due));
         while life.ended().is_none() {
-            // Much may have happened while its connection came up. From here to its first byte nothing can.
-            if life.stage() == Stage::Writing && line.query.is_none() {
-                let takes = line.connection.as_ref().is_some_and(|one| self.takes(host, one.site));
-                let now = self.clock.now();
-                if !takes || !attempt.is_wanted(now) || now >= attempt.write_by {
-                    life.on(now, Event::Unwanted);
-                    continue;
-                }
-            }
             if life.due() != due {
                 due = life.due();
                 timer.set(self.clock.sleep_until(due));
             }
-            let event = tokio::select! {
+            let progress = tokio::select! {
                 biased;
-                event = self.work(life.stage(), host, until, &statement, &mut line) => event,
-                () = attempt.called_off() => Event::CalledOff,
+                progress = self.work(life.stage(), host, &mut line) => progress,
+                () = attempt.called_off() => Progress::Event(Event::CalledOff),
                 () = &mut timer => {
                     timer.set(self.clock.sleep_until(due));
-                    Event::Due
+                    Progress::Event(Event::Due)
                 }
             };
+            let begun = match progress {
+                Progress::Event(event) => Some(event),
+                Progress::MayBegin => self.begin(&life, &mut attempt, &statement, &mut line),
+            };
+            let Some(event) = begun else { continue };
             life.on(self.clock.now(), event);
             if event == Event::Greeted {
                 self.came_up(host, self.clock.now() - began);
@@ -114,42 +111,63 @@
     }
 
     /// Does what the stage of an attempt asks for, until something happens. May be cancelled without loss.
-    async fn work(
-        &self,
-        stage: Stage,
-        host: MemberId,
-        until: Time,
-        statement: &Statement,
-        line: &mut Line,
-    ) -> Event {
+    async fn work(&self, stage: Stage, host: MemberId, line: &mut Line) -> Progress {
         let Some(connection) = &mut line.connection else {
-            return match self.connect(host).await {
+            return Progress::Event(match self.connect(host).await {
                 Ok(connection) => {
                     line.connection = Some(connection);
                     Event::Connected
                 }
                 Err(event) => event,
-            };
+            });
         };
-        match stage {
-            Stage::Writing => {
-                let left = until - self.clock.now();
-                let query =
-                    line.query.get_or_insert_with(|| Box::new(statement.query((left / 1000).max(1) as u64)));
-                match connection.stream.write_all_buf(query).await {
-                    Ok(()) => {
-                        self.counters.sent.add();
-                        Event::Written
-                    }
-                    Err(_) => Event::Broke,
-                }
+        Progress::Event(match (stage, &mut line.unwritten) {
+            (Stage::Writing, None) => match connection.stream.writable().await {
+                Ok(()) => return Progress::MayBegin,
+                Err(_) => Event::Broke,
+            },
+            (Stage::Writing, Some(query)) => match connection.stream.write_all_buf(query).await {
+                Ok(()) => self.written(),
+                Err(_) => Event::Broke,
+            },
+            (Stage::Connecting { .. } | Stage::Greeting { .. }, _) => self.greeting(line).await,
+            (Stage::Waiting | Stage::Answering { .. }, _) => self.answer(stage, line).await,
+            (Stage::Ended(_), _) => std::future::pending().await,
+        })
+    }
+
+    /// Writes the first bytes of an attempt, if it may still be made. Much may have happened while its connection came up
+    /// or did not take bytes; from the clock's reading here to the first byte nothing is waited for. None if that changed
+    /// nothing: either the query is written in part, or the connection took no byte and all of this is to be done anew.
+    fn begin(
+        &self,
+        life: &Exchange,
+        attempt: &mut Attempt,
+        statement: &Statement,
+        line: &mut Line,
+    ) -> Option<Event> {
+        let Some(connection) = &line.connection else { return Some(Event::Broke) };
+        let takes = self.takes(attempt.host, connection.site);
+        let now = self.clock.now();
+        let wanted = takes && attempt.is_wanted(now);
+        let Some(wait_ms) = life.time_to_tell(now).filter(|_| wanted) else { return Some(Event::Unwanted) };
+        let mut query = statement.query(wait_ms);
+        match connection.write_some(&mut query) {
+            Ok(()) if !query.has_remaining() => Some(self.written()),
+            Ok(()) => {
+                line.unwritten = Some(Box::new(query));
+                None
             }
-            Stage::Connecting { .. } | Stage::Greeting { .. } => self.greeting(line).await,
-            Stage::Waiting | Stage::Answering { .. } => self.answer(stage, line).await,
-            Stage::Ended(_) => std::future::pending().await,
+            Err(cause) if cause.kind() == ErrorKind::WouldBlock => None,
+            Err(_) => Some(Event::Broke),
         }
     }
 
+    fn written(&self) -> Event {
+        self.counters.sent.add();
+        Event::Written
+    }
+
     /// What a host says before it takes requests.
     async fn greeting(&self, line: &mut Line) -> Event {
         let Some(connection) = &mut line.connection else { return Event::Broke };
@@ -245,10 +263,19 @@
     Flow(Box<Flow>),
 }
 
+/// How the work on an attempt went on.
+enum Progress {
+    /// Something happened.
+    Event(Event),
+    /// The connection takes bytes, and the first of the query can be written.
+    MayBegin,
+}
+
 /// An attempt's connection and what has been read of its answer.
 struct Line {
     connection: Option<Connection>,
-    query: Option<Box<dyn Buf>>,
+    /// What is left of a query of which a part has been written.
+    unwritten: Option<Box<dyn Buf>>,
     gather: Gather,
     taken: usize,
     hash: DefaultHasher,
@@ -259,7 +286,7 @@
 impl Line {
     fn new(connection: Option<Connection>, hold: Hold) -> Line {
         let (gather, hash) = (Gather::default(), DefaultHasher::new());
-        Line { connection, query: None, gather, taken: 0, hash, reply: None, hold }
+        Line { connection, unwritten: None, gather, taken: 0, hash, reply: None, hold }
     }
 }
 
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -5,11 +5,16 @@
 use crate::net::pg::{self, Framer, Message};
 use crate::net::read_buffer::ReadBuffer;
 use crate::Time;
+use bytes::Buf;
 use petrelgauge_lifecycle::exchange::Event;
 use petrelgauge_lifecycle::rest::{Look, Resting};
 use socket2::SockRef;
+use std::io::{self, IoSlice};
 use tokio::net::TcpStream;
 
+/// Parts that are handed to the kernel at once (count): a query has five.
+const MOST_SLICES: usize = 8;
+
 /// A connection that is up.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
@@ -36,6 +41,15 @@
         Resting { since, tells_copies: self.last.is_some() }
     }
 
+    /// Writes as much as the kernel takes at once, without waiting.
+    pub(super) fn write_some(&self, bytes: &mut impl Buf) -> io::Result<()> {
+        let mut slices = [IoSlice::new(&[]); MOST_SLICES];
+        let count = bytes.chunks_vectored(&mut slices);
+        let written = self.stream.try_write_vectored(&slices[..count])?;
+        bytes.advance(written);
+        Ok(())
+    }
+
     /// Reads once, so many bytes at most. The framer bounds what is kept: no message is longer than `pg::MOST`.
     pub(super) async fn read(&mut self, room: &ReadBuffer, most: usize) -> Result<(), Event> {
         loop {
