--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -33,6 +33,8 @@
     /// Bounded by [`petrelgauge_lifecycle::read_ahead::MAX_QUEUED`].
     queue: VecDeque<(Message, Time)>,
     ahead: ReadAhead,
+    /// The client has said who it is: what follows are messages.
+    opened: bool,
     /// What made no sense, and until when what came before it may still be answered.
     pub(super) error: Option<(ProtocolError, Time)>,
 }
@@ -67,6 +69,7 @@
             framer: Framer::default(),
             queue: VecDeque::new(),
             ahead: ReadAhead::new(),
+            opened: false,
             error: None,
         }
     }
@@ -222,7 +225,10 @@
                 opened.map(|opening| match opening {
                     Opening::Encryption => Event::Encryption.into(),
                     Opening::Cancel(key) => ClientEvent { cancel: Some(key), ..Event::Cancel.into() },
-                    Opening::Startup { minor } => ClientEvent { minor, ..Event::Opened.into() },
+                    Opening::Startup { minor } => {
+                        self.opened = true;
+                        ClientEvent { minor, ..Event::Opened.into() }
+                    }
                 })
             })
         } else {
@@ -240,6 +246,15 @@
         }
     }
 
+    /// Reads ahead while an answer is being written, and never ends. A query that comes meanwhile would else be taken for
+    /// one that has just come when the answer is written, and its host be told more time than its client has.
+    pub(super) async fn read_ahead(&mut self) {
+        if self.opened {
+            self.left().await;
+        }
+        std::future::pending().await
+    }
+
     /// Reads ahead until the client leaves, or what it sent must be answered with its end. A goodbye is its leaving,
     /// whatever it asked before: who says it closes at once. May be cancelled without loss.
     pub(super) async fn left(&mut self) -> End {
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -183,9 +183,16 @@
     /// Passes a long row on as it comes. Cut off in the middle, the connection ends, so that its client can tell.
     async fn pass_on(&mut self, mut flow: Flow, taken: &Taken) -> Result<(), End> {
         let (mut out, front) = (Vec::new(), self.front.clone());
-        flow.pass(&mut self.writer).await?;
         let host = flow.host();
-        let (complete, said) = flow.end().await?;
+        let passed = async {
+            flow.pass(&mut self.writer).await?;
+            flow.end().await
+        };
+        let (complete, said) = tokio::select! {
+            biased;
+            passed = passed => passed?,
+            () = self.reader.read_ahead() => return Err(End::ClientLeft),
+        };
         front.facade.heard(front.clock.now(), host, said);
         out.extend_from_slice(&complete);
         front.put_mark(&mut out, taken.session_key());
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -195,6 +195,7 @@
         tokio::select! {
             biased;
             written = self.writer.write_all_buf(&mut bytes) => written.map_err(|_| End::ClientLeft),
+            () = self.reader.read_ahead() => Err(End::ClientLeft),
             () = self.front.clock.sleep_until(by) => Err(End::ClientStuck),
         }
     }
--- a/tests/stage/gateway.rs
+++ b/tests/stage/gateway.rs
@@ -168,6 +168,11 @@
         socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).expect("an option");
     }
 
+    /// Sends nothing more, and still reads.
+    pub fn finish_writing(&self) {
+        self.0.shutdown(std::net::Shutdown::Write).expect("it is open");
+    }
+
     fn connected(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("it accepts");
         stream.set_read_timeout(Some(NEVER)).expect("a limit");
