--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -66,6 +66,7 @@
 mod interface;
 mod learned_state;
 mod mutant;
+mod repeat_window;
 mod router;
 mod state;
 
@@ -75,4 +76,5 @@
 #[cfg(feature = "mutants")]
 pub use mutant::plant;
 pub use mutant::{mutant, Mutant};
+pub use repeat_window::HOLD_UP;
 pub use router::Router;
