--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -207,10 +207,8 @@
     /// No further attempt can follow by then: all are used, or the window of its idempotency key has closed,
     /// which the first attempt that may have run opened.
     pub(crate) fn is_exhausted(&self, class: &Class, by: Time) -> bool {
-        let closes = match (class.effect, self.first_possible_execution()) {
-            (Effect::Keyed { window, .. }, Some(first)) if !mutant(WindowIgnored) => {
-                first.sent.saturating_add(window)
-            }
+        let closes = match self.first_possible_execution() {
+            Some(first) if !mutant(WindowIgnored) => class.effect.repeat_by(first.sent),
             _ => Time::MAX,
         };
         closes <= by || self.attempts.len() >= class.attempts as usize
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -184,9 +184,16 @@
     /// Passes a long row on as it comes. Cut off in the middle, the connection ends, so that its client can tell.
     async fn pass_on(&mut self, mut flow: Flow, taken: &Taken) -> Result<(), End> {
         let (mut out, front) = (Vec::new(), self.front.clone());
-        flow.pass(&mut self.writer).await?;
         let host = flow.host();
-        let (complete, mut said) = flow.end().await?;
+        let passed = async {
+            flow.pass(&mut self.writer).await?;
+            flow.end().await
+        };
+        let (complete, mut said) = tokio::select! {
+            biased;
+            passed = passed => passed?,
+            () = self.reader.read_ahead() => return Err(End::ClientLeft),
+        };
         let now = front.clock.now();
         if !front.facade.screen(now, host, &mut said) {
             front.counters.bad_reports.add();
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -213,6 +213,7 @@
         tokio::select! {
             biased;
             written = socket::write_all(self.writer.as_ref(), &mut bytes) => written.map_err(|_| End::ClientLeft),
+            () = self.reader.read_ahead() => Err(End::ClientLeft),
             () = self.front.clock.sleep_until(by) => Err(End::ClientStuck),
         }
     }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -246,20 +246,32 @@
     }
 }
 
+/// Waits until a write may take something. May be cancelled without loss.
+pub async fn writable(stream: &impl ByteStream) -> Result<(), SocketError> {
+    stream.writable().await.map_err(SocketError::Broken)?;
+    tokio::task::coop::consume_budget().await;
+    Ok(())
+}
+
+/// Writes something of it without waiting, and moves it on by what was taken. Nothing was written if it fails.
+pub fn write_now(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
+    match uninterrupted(Call::Write, || try_write(stream, bytes))? {
+        0 => Err(SocketError::Broken(io::ErrorKind::WriteZero.into())),
+        count => {
+            bytes.advance(count);
+            Ok(())
+        }
+    }
+}
+
 /// Writes something of it, and moves it on by what was taken. May be cancelled without loss.
 pub async fn write(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
     loop {
-        stream.writable().await.map_err(SocketError::Broken)?;
-        tokio::task::coop::consume_budget().await;
-        match uninterrupted(Call::Write, || try_write(stream, bytes)) {
-            Ok(0) => return Err(SocketError::Broken(io::ErrorKind::WriteZero.into())),
-            Ok(count) => {
-                bytes.advance(count);
-                return Ok(());
-            }
+        writable(stream).await?;
+        match write_now(stream, bytes) {
             Err(SocketError::WouldBlock) => {}
             Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
-            Err(error) => return Err(error),
+            done => return done,
         }
     }
 }
