--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -2,15 +2,15 @@
 
 use crate::facade::{Attempt, Outcome};
 use crate::net::budget::Hold;
-use crate::net::counters::Counters;
 use crate::net::flow::Flow;
+use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
 use crate::net::link::Connection;
 use crate::net::pg::{Answer, Gather, Reply};
 use crate::net::read_buffer;
 use crate::net::socket::{self, SocketError};
 use crate::net::statement::Statement;
-use crate::{settings, MemberId, Report, Role};
+use crate::MemberId;
 use bytes::Buf;
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange, Stage};
@@ -89,7 +89,7 @@
             self.count_missed(host, |missed| missed.saturating_add(1));
         }
         log::debug!(
-            "attempt host={host} class={} cluster={} end={:?} took={} written={} reused={reused}",
+            "attempt ended host={host} class={} group={} end={:?} took_us={} written_us={} reused={reused}",
             statement.class,
             statement.cluster,
             finished.end,
@@ -322,41 +322,3 @@
         Answer::Error(code) => verdict::of_code(code),
     }
 }
-
-/// What the decisions are told of an answered attempt.
-pub(super) fn outcome(end: End, told: &[(String, String)], counters: &Counters) -> Outcome {
-    let mut outcome = Outcome::silent(end.for_decisions());
-    outcome.unusable = end == End::Unusable;
-    for (name, value) in told {
-        match name.as_str() {
-            "replication_role" => {
-                outcome.role = match value.as_str() {
-                    "primary" => Some(Role::Primary),
-                    "standby" => Some(Role::Replica),
-                    _ => None,
-                }
-            }
-            "log_position" => {
-                outcome.position = value.parse().ok().and_then(verdict::position);
-            }
-            "pressure" => match pressure(value) {
-                Some(report) => outcome.report = report,
-                None => counters.bad_reports.add(),
-            },
-            _ => {}
-        }
-    }
-    outcome
-}
-
-/// A load report: names and values, positions as Unix times in seconds. None if it makes no sense.
-fn pressure(text: &str) -> Option<Report> {
-    let pair = |pair: &str| -> Option<(String, f64)> {
-        let (name, value) = pair.split_once('=')?;
-        let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0)?;
-        Some((name.trim().to_string(), value))
-    };
-    let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
-    let report = settings::report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
-    verdict::report_can_be(&report).then_some(report)
-}
--- /dev/null
+++ b/src/net/client_acceptor.rs
@@ -0,0 +1,66 @@
+//! The accepting of clients, and the session that each of them gets.
+
+use crate::net::accept_loop::{AcceptLoop, ClientHandler};
+use crate::net::budget::Slot;
+use crate::net::client_reader::ClientReader;
+use crate::net::client_session::ClientSession;
+use crate::net::front::Front;
+use petrelgauge_sessions::SessionTokens;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+
+impl Front {
+    /// Accepts clients until the gateway stops. It never pauses: what waits in the kernel's backlog counts
+    /// as taken, and so what is there goes before the stop; unless the socket is `shared` with the process that
+    /// comes next, whose they are.
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, shared: bool) {
+        // Whoever waits to be accepted is held too, up to the moment at which the listener is closed.
+        let _accepting = self.open.enter();
+        let accept_loop = AcceptLoop { clock: self.clock, state: self.door.clone(), shared };
+        accept_loop.run(&listener, &Handler { front: self.clone(), accepted: Cell::new(0) }).await;
+    }
+
+    async fn serve(self: Rc<Self>, mut stream: TcpStream, number: u32, _slot: Slot) {
+        let _open = self.open.enter();
+        let _ = stream.set_nodelay(true);
+        let (reader, writer) = stream.split();
+        let mut session = ClientSession {
+            front: self.clone(),
+            reader: ClientReader::new(reader, &self),
+            writer,
+            shed: Rc::new(Notify::new()),
+            door: self.door.clone(),
+            close_from: 0,
+            cancel_key: self.cancel_keys.register(number),
+            session_tokens: SessionTokens::default(),
+        };
+        let end = session.run().await;
+        log::debug!("client ended client={number} end={end:?}");
+        self.counters.ended(end);
+    }
+}
+
+/// Opens sessions for the clients that are accepted.
+struct Handler {
+    front: Rc<Front>,
+    /// Clients so far.
+    accepted: Cell<u32>,
+}
+
+impl ClientHandler<TcpStream> for Handler {
+    fn on_client(&self, stream: TcpStream) {
+        let (front, number) = (&self.front, self.accepted.get().wrapping_add(1));
+        self.accepted.set(number);
+        front.counters.clients.add();
+        front.hosts.make_room();
+        // Counted here: of many that come at once, each must see those before it.
+        let slot = front.budget.take_client();
+        tokio::task::spawn_local(front.clone().serve(stream, number, slot));
+    }
+
+    fn on_shortage(&self) {
+        self.front.hosts.make_room();
+    }
+}
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -113,7 +113,7 @@
     fn apply_initial_list(&mut self, list: List) {
         if let Some(id) = list.host_without_address() {
             self.counters.bad_lists.add();
-            return log::warn!("initial endpoint list rejected host={id} cause=no address");
+            return log::warn!("initial endpoint list rejected host={id} cause=no_address");
         }
         self.holding.news(list.revision, true);
         self.apply(list);
--- a/src/net/flow.rs
+++ b/src/net/flow.rs
@@ -2,8 +2,8 @@
 //! tried again: either the client gets all of it, or its connection ends in the middle, which it can tell.
 
 use crate::facade::Outcome;
-use crate::net::attempt::outcome;
 use crate::net::ending::End;
+use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
 use crate::net::link::Connection;
 use crate::net::pg::{Answer, Gather};
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -4,6 +4,7 @@
 use crate::net::clock::Clock;
 use crate::net::counters::{Counters, Gauge};
 use crate::net::link::Connection;
+pub use crate::net::link::Site;
 use crate::net::pg::{self, Framer};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::socket::{self, SocketError};
@@ -14,7 +15,6 @@
 use petrelgauge_lifecycle::idle_connection::IdlePolicy;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// Spans after which an idle client can be spared, while there is room, and when there is none: if it has asked
@@ -26,18 +26,6 @@
 /// than the span that a connection is given to come up.
 const CONNECT_ATTEMPTS: u32 = 3;
 
-/// Where a host listens and since when it runs. A connection to another address or an earlier run is of no
-/// more use.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Site {
-    /// Its address.
-    pub address: SocketAddr,
-    /// When it last started.
-    pub started: Time,
-    /// It takes new work.
-    pub up: bool,
-}
-
 struct Host {
     site: Site,
     /// Idle connections with the time they were left, the latest last.
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,15 +1,27 @@
 //! One connection to a database host: its messages, and what the kernel says of it.
 
 use crate::net::budget::Slot;
-use crate::net::hosts::Site;
 use crate::net::pg::{self, Framer, Message};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::socket::{self, SocketError, Unread};
 use crate::Time;
 use petrelgauge_lifecycle::exchange::Event;
 use petrelgauge_lifecycle::idle_connection::{IdleConnection, SocketState};
+use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
+/// Where a host listens and since when it runs. A connection to another address or an earlier run is of no
+/// more use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Site {
+    /// Its address.
+    pub address: SocketAddr,
+    /// When it last started.
+    pub started: Time,
+    /// It takes new work.
+    pub up: bool,
+}
+
 /// A connection that is up.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
--- /dev/null
+++ b/tests/structure.rs
@@ -0,0 +1,243 @@
+//! The shape of the source: which files import each other, what the pages name, what the log says.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+
+fn root() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn read(path: &Path) -> String {
+    std::fs::read_to_string(path).unwrap_or_else(|cause| panic!("{}: {cause}", path.display()))
+}
+
+/// All Rust files below a folder.
+fn rust_files(folder: &Path) -> Vec<PathBuf> {
+    let mut found = Vec::new();
+    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            found.extend(rust_files(&path));
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            found.push(path);
+        }
+    }
+    found.sort();
+    found
+}
+
+/// The source folder of the root package and of each crate.
+fn source_folders() -> Vec<PathBuf> {
+    let mut folders = vec![root().join("src")];
+    for entry in std::fs::read_dir(root().join("crates")).expect("the crates") {
+        folders.push(entry.expect("an entry").path().join("src"));
+    }
+    folders.sort();
+    folders
+}
+
+/// The path of a file's module from its crate's root: `net::hosts` for `src/net/hosts.rs`, nothing for `lib.rs`.
+fn module_of(folder: &Path, file: &Path) -> String {
+    let relative = file.strip_prefix(folder).expect("a file of the folder").with_extension("");
+    let mut parts: Vec<String> = relative.iter().map(|part| part.to_string_lossy().into_owned()).collect();
+    if parts.last().is_some_and(|last| ["mod", "lib", "main"].contains(&last.as_str())) {
+        parts.pop();
+    }
+    parts.join("::")
+}
+
+/// Source text without comments: what a page's example imports is no import of the file.
+fn code_of(file: &Path) -> String {
+    let text = read(file);
+    let lines = text.lines().filter(|line| !line.trim_start().starts_with("//"));
+    lines.collect::<Vec<_>>().join("\n")
+}
+
+/// The paths that a file names from its crate's root, groups in braces spelt out one level deep.
+fn named_paths(code: &str) -> BTreeSet<String> {
+    let mut paths = BTreeSet::new();
+    for (start, _) in code.match_indices("crate::") {
+        let before = code[..start].chars().next_back();
+        if before.is_some_and(|one| one.is_alphanumeric() || one == '_' || one == ':') {
+            continue;
+        }
+        let rest = &code[start + "crate::".len()..];
+        let end =
+            rest.find(|one: char| !(one.is_alphanumeric() || one == '_' || one == ':')).unwrap_or(rest.len());
+        let path = rest[..end].trim_end_matches(':');
+        match rest[end..].strip_prefix('{').and_then(|group| group.split('}').next()) {
+            Some(group) if rest[..end].ends_with("::") || end == 0 => {
+                for item in group.split(',') {
+                    let item = item.trim();
+                    paths.insert(if path.is_empty() { item.to_string() } else { format!("{path}::{item}") });
+                }
+            }
+            _ => {
+                paths.insert(path.to_string());
+            }
+        }
+    }
+    paths
+}
+
+/// The module that a path leads into: the longest one that it begins with. The root of a crate counts as none.
+fn target<'a>(path: &str, modules: &'a BTreeMap<String, PathBuf>) -> Option<&'a str> {
+    let mut prefix = path;
+    loop {
+        if let Some((module, _)) = modules.get_key_value(prefix) {
+            return (!module.is_empty()).then_some(module);
+        }
+        prefix = prefix.rsplit_once("::")?.0;
+    }
+}
+
+/// Modules of a source folder and what each imports.
+fn imports(folder: &Path) -> BTreeMap<String, BTreeSet<String>> {
+    let files = rust_files(folder);
+    let modules: BTreeMap<String, PathBuf> =
+        files.into_iter().map(|file| (module_of(folder, &file), file)).collect();
+    let mut graph = BTreeMap::new();
+    for (module, file) in &modules {
+        let paths = named_paths(&code_of(file));
+        let targets = paths.iter().filter_map(|path| target(path, &modules));
+        let others = targets.filter(|target| target != module).map(str::to_string).collect();
+        graph.insert(module.clone(), others);
+    }
+    graph
+}
+
+/// Whatever can be reached from a module.
+fn reachable(graph: &BTreeMap<String, BTreeSet<String>>, from: &str) -> BTreeSet<String> {
+    let (mut seen, mut next) = (BTreeSet::new(), vec![from.to_string()]);
+    while let Some(module) = next.pop() {
+        for other in graph.get(&module).into_iter().flatten() {
+            if seen.insert(other.clone()) {
+                next.push(other.clone());
+            }
+        }
+    }
+    seen
+}
+
+/// Modules that import each other, directly or by way of others.
+fn circular(graph: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
+    graph.keys().filter(|module| reachable(graph, module).contains(*module)).cloned().collect()
+}
+
+#[test]
+fn no_two_files_import_each_other() {
+    for folder in source_folders() {
+        let circle = circular(&imports(&folder));
+        assert!(circle.is_empty(), "{}: {} import each other", folder.display(), circle.join(", "));
+    }
+}
+
+#[test]
+fn a_circle_of_imports_is_found() {
+    let graph = |edges: &[(&str, &str)]| {
+        let mut graph: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+        for (from, to) in edges {
+            graph.entry((*from).into()).or_default().insert((*to).into());
+        }
+        graph
+    };
+    assert_eq!(circular(&graph(&[("a", "b"), ("b", "c"), ("d", "a")])), Vec::<String>::new());
+    assert_eq!(circular(&graph(&[("a", "b"), ("b", "c"), ("c", "a"), ("d", "a")])), ["a", "b", "c"]);
+    let paths =
+        named_paths("use crate::net::{hosts, link::Link};\nfn f(a: crate::Time) { crate::net::pg::put() }");
+    assert_eq!(
+        paths.into_iter().collect::<Vec<_>>(),
+        ["Time", "net::hosts", "net::link::Link", "net::pg::put"]
+    );
+}
+
+/// Paths of the repository that a page names between backticks.
+fn named_files(page: &str) -> BTreeSet<String> {
+    let quoted = page.split('`').skip(1).step_by(2);
+    let is_path = |text: &&str| {
+        let known = ["crates/", "src/", "tests/", "docs/", "deploy/", "tools/", "benches/"];
+        known.iter().any(|start| text.starts_with(start)) && !text.contains([' ', '*', '<'])
+    };
+    quoted.filter(is_path).map(str::to_string).collect()
+}
+
+#[test]
+fn every_file_that_the_architecture_page_names_exists() {
+    let named = named_files(&read(&root().join("docs/ARCHITECTURE.md")));
+    assert!(named.len() > 20, "only {} files are named: has the page changed its form?", named.len());
+    for name in named {
+        assert!(root().join(&name).exists(), "docs/ARCHITECTURE.md names {name}, which is not there");
+    }
+}
+
+/// A line that the program writes to its log.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct LogLine {
+    /// What happened: the fixed words before the first field.
+    event: String,
+    /// The names of its `key=value` fields, in their order.
+    fields: Vec<String>,
+}
+
+impl LogLine {
+    /// Reads the format string of a log call: `event words key={} key={}`. A word of placeholders alone writes fields whose
+    /// names the call does not show; it reads as the field `*`.
+    fn parse(format: &str) -> LogLine {
+        let (mut event, mut fields) = (Vec::new(), Vec::new());
+        for word in format.split_ascii_whitespace() {
+            match word.split_once('=') {
+                Some((key, _)) => fields.push(key.to_string()),
+                None if word.starts_with('{') => fields.push("*".to_string()),
+                None => event.push(word),
+            }
+        }
+        LogLine { event: event.join(" "), fields }
+    }
+}
+
+/// The format strings of all log calls in some code.
+fn log_formats(code: &str) -> Vec<String> {
+    let mut formats = Vec::new();
+    for level in ["error", "warn", "info", "debug", "trace"] {
+        for call in code.split(&format!("log::{level}!(")).skip(1) {
+            let call = call.trim_start();
+            let text =
+                call.strip_prefix('"').unwrap_or_else(|| panic!("a log call without its text: {call:.40}"));
+            formats.push(text.split('"').next().unwrap_or_default().to_string());
+        }
+    }
+    formats
+}
+
+/// The lines of the table in `docs/operate/logs.md`: the first cell is the event, the second its fields.
+fn documented_lines(page: &str) -> BTreeSet<LogLine> {
+    let rows = page.lines().filter(|line| line.starts_with("| `"));
+    rows.map(|row| {
+        let quoted = |cell: &str| cell.split('`').skip(1).step_by(2).map(str::to_string).collect::<Vec<_>>();
+        let cells: Vec<&str> = row.split('|').collect();
+        LogLine { event: quoted(cells[1]).join(" "), fields: quoted(cells[3]) }
+    })
+    .collect()
+}
+
+#[test]
+fn every_log_line_is_in_the_operators_table_and_no_other() {
+    let mut written = BTreeSet::new();
+    for file in rust_files(&root().join("src")) {
+        for format in log_formats(&code_of(&file)) {
+            let line = LogLine::parse(&format);
+            assert!(
+                !line.event.contains('{'),
+                "{}: {format:?} has a value outside its fields",
+                file.display()
+            );
+            written.insert(line);
+        }
+    }
+    let documented = documented_lines(&read(&root().join("docs/operate/logs.md")));
+    let missing: Vec<&LogLine> = written.difference(&documented).collect();
+    let unknown: Vec<&LogLine> = documented.difference(&written).collect();
+    assert!(missing.is_empty(), "docs/operate/logs.md lacks {missing:#?}");
+    assert!(unknown.is_empty(), "docs/operate/logs.md names lines that the program has not: {unknown:#?}");
+    assert!(written.len() > 15, "only {} lines found: have the calls changed their form?", written.len());
+}
