--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 # Tests that KNOWN-RED.txt names are run apart and have to fail; all others have to pass.
 test: lint
--- a/crates/lab/src/large.rs
+++ b/crates/lab/src/large.rs
@@ -113,6 +113,7 @@
     down_until: Time,
 }
 
+#[expect(clippy::too_many_lines, reason = "to be split by its steps")]
 fn tier(verdict: &mut Verdict, options: &Options, instances: usize, rate: u64, seconds: u64) -> Value {
     let set =
         Settings { secret: SECRET, exact_sessions: 16_384, sketch_width: 16_384, ..Settings::default() };
--- a/crates/lab/src/ownership.rs
+++ b/crates/lab/src/ownership.rs
@@ -124,6 +124,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, play(options))
 }
 
+#[expect(clippy::too_many_lines, reason = "to be split by its steps")]
 async fn play(options: &Options) -> std::io::Result<Verdict> {
     let plan = Plan {
         gateways: GATEWAYS,
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -75,6 +75,7 @@
 
 impl Stage {
     /// Starts everything and waits until the gateways accept clients.
+    #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
     pub async fn start(plan: Plan) -> std::io::Result<Rc<Stage>> {
         let rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let farm =
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -6,7 +6,7 @@
 /// A request, in no protocol's words.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Place of its class, as [`RequestTable::find`] gave it.
+    /// Place of its class, as [`RequestTable::find`](super::RequestTable::find) gave it.
     pub class: usize,
     /// Its group.
     pub group: GroupId,
--- a/crates/models/src/connection.rs
+++ b/crates/models/src/connection.rs
@@ -286,6 +286,7 @@
         moves
     }
 
+    #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
     fn play(&mut self, event: &Move) {
         let now = self.now;
         match event {
--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -96,6 +96,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "to be split by its steps")]
 pub fn run(scenario: &Scenario, seed: u64) -> Findings {
     let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
     let error = scenario.settings.clock_error;
--- a/src/bin/petrelgauge-simulator-adapter/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -178,6 +178,7 @@
         Ok(json!({ "groups": groups }).to_string())
     }
 
+    #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
     fn event(&mut self, now: Time, i: u64, wire: Wire, events: &mut Vec<Event>) -> Result<(), String> {
         match wire {
             Wire::Page { slot, rows_in } => {
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -23,6 +23,7 @@
 
 impl Hosts {
     /// Makes one attempt and reports it. Gives what the host said if it is the request's final answer.
+    #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
     pub async fn attempt(
         self: Rc<Self>,
         mut attempt: Attempt,
--- a/tests/stage/host.rs
+++ b/tests/stage/host.rs
@@ -108,6 +108,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "to be split by its steps")]
 fn serve(
     mut stream: TcpStream,
     script: &Mutex<impl Iterator<Item = Say>>,
--- a/tests/startup_errors.rs
+++ b/tests/startup_errors.rs
@@ -119,6 +119,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn an_operators_file_that_cannot_be_used_is_one_sentence() {
     let cases = [
         ("sessions: {", "gateway.cue:1:12: a closing brace is expected here"),
