--- a/src/net/cancel.rs
+++ b/src/net/cancel.rs
@@ -5,6 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::future::Future;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -55,9 +56,10 @@
 }
 
 impl Registered {
-    /// Waits until the query that is open now is cancelled.
-    pub async fn cancelled(&self) {
-        self.cancelled.notified().await;
+    /// Waits until the query that is open now is cancelled. A cancel that comes after this call is not missed, whenever
+    /// the future is polled.
+    pub fn cancelled(&self) -> impl Future<Output = ()> + '_ {
+        self.cancelled.notified()
     }
 }
 
--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -130,6 +130,18 @@
     /// Reads once, when it may. May be cancelled without loss.
     async fn read(&mut self) -> Result<(), End> {
         let allowance = self.wait_for_allowance().await?;
+        self.read_up_to(allowance).await
+    }
+
+    /// Waits until bytes can be read, or the connection has ended: gives how many may be. May be cancelled without loss.
+    async fn wait_readable(&mut self) -> Result<usize, End> {
+        let allowance = self.wait_for_allowance().await?;
+        self.reader.readable().await.map_err(|_| End::ClientLeft)?;
+        Ok(allowance)
+    }
+
+    /// Reads once, so many bytes at most. May be cancelled without loss.
+    async fn read_up_to(&mut self, allowance: usize) -> Result<(), End> {
         let mut framer = self.error.is_none().then_some(&mut self.framer);
         let reader = &self.reader;
         let (read, asked) = loop {
@@ -175,6 +187,11 @@
         }
     }
 
+    /// The connection is to end so, since what came on it made no sense.
+    pub(super) fn is_failed_with(&self, end: End) -> bool {
+        self.error.is_some_and(|(error, _)| error.end == end)
+    }
+
     /// Malformed bytes came behind the open query, and the time for its answer is over.
     pub(super) fn is_grace_over(&self) -> bool {
         self.error.is_some_and(|(_, by)| self.clock.now() >= by)
@@ -281,12 +298,20 @@
                 return End::ClientTerminated;
             }
             let error = self.error;
-            let read = tokio::select! {
+            let ready = tokio::select! {
                 biased;
                 () = due(self.clock, error) => return error.map_or(End::ClientLeft, |(error, _)| error.end),
-                read = self.read() => read,
+                ready = self.wait_readable() => ready,
+            };
+            let allowance = match ready {
+                Ok(allowance) => allowance,
+                Err(end) => return end,
             };
-            if let Err(end) = read {
+            // Before the bytes that lie in front of the end: reading them takes turns, in which a query could go out.
+            if is_closed(&self.reader).await {
+                return End::ClientLeft;
+            }
+            if let Err(end) = self.read_up_to(allowance).await {
                 return end;
             }
         }
@@ -330,6 +355,15 @@
     }
 }
 
+/// Whether the client has closed its side or the connection broke, as far as the reactor knows.
+async fn is_closed(reader: &ReadHalf<'_>) -> bool {
+    tokio::select! {
+        biased;
+        () = closed(reader) => true,
+        () = std::future::ready(()) => false,
+    }
+}
+
 /// What a message that waits costs: a flood of the smallest ones must not cost more than it seems.
 fn weight(message: &Message) -> usize {
     message.raw.len() + std::mem::size_of::<(Message, Time)>()
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -15,6 +15,7 @@
 use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_lifecycle::request::{Event, FinalAnswer, RequestState};
 use petrelgauge_sessions::Key;
+use std::pin::pin;
 use std::rc::Rc;
 use tokio::task::JoinHandle;
 
@@ -214,6 +215,8 @@
         let mut ticket = front.facade.admit(taken.request.clone());
         let (mut state, mut given, mut left) = (RequestState::default(), None, End::ClientLeft);
         let mut attempt: Option<JoinHandle<Option<HostAnswer>>> = None;
+        // One for all turns: made anew in each, it would miss a cancel that comes in the turn of another event.
+        let mut cancelled = pin!(self.cancel_key.cancelled());
         loop {
             // The order matters: what a host served goes before what the decisions say, and both before
             // the client's leaving, which withdraws the request with the ticket.
@@ -233,9 +236,9 @@
                     Decision::Refuse { wait } => Event::Refused { wait },
                     Decision::Fail => Event::Failed,
                 },
-                () = self.cancel_key.cancelled() => Event::Cancelled,
+                () = &mut cancelled => Event::Cancelled,
                 () = stop_deadline(&front) => Event::GraceOver,
-                end = self.reader.left() => match self.flawed(end) {
+                end = self.reader.left() => match self.reader.is_failed_with(end) {
                     true => Event::GraceOver,
                     false => {
                         left = end;
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -98,7 +98,7 @@
         if let Stage::Pausing { until } = life.stage() {
             return tokio::select! {
                 () = clock.sleep_until(until) => Event::Rested.into(),
-                end = self.reader.left() => match self.flawed(end) {
+                end = self.reader.left() => match self.reader.is_failed_with(end) {
                     true => Event::Rested.into(),
                     false => Event::Left(end).into(),
                 },
@@ -167,11 +167,6 @@
         self.front.clock.now() >= self.front.last.get()
     }
 
-    /// The connection is to end so, since what came on it made no sense.
-    pub(super) fn flawed(&self, end: End) -> bool {
-        self.reader.error.is_some_and(|(error, _)| error.end == end)
-    }
-
     /// Says why the connection ends, and ends it.
     async fn cut_off(&mut self, error: ProtocolError) -> Result<End, End> {
         let mut out = Vec::new();
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -3,6 +3,13 @@
 
 mod stage;
 use stage::*;
+use std::time::Duration;
+
+/// Bytes of a value that takes its statement near the longest message, and how many of them follow a query: several reads,
+/// and less than is held of one client.
+const LARGE: usize = 30_000;
+const LARGE_QUERIES: usize = 4;
+const WARM_QUERIES: usize = 20;
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
@@ -195,3 +202,104 @@
     assert!(host.next_query().contains("'second'"));
     assert_eq!(host.queries(), 1);
 }
+
+/// Stops the process while this is done, so that all of it is there when it goes on.
+fn while_stopped(gateway: &Gateway, happens: impl FnOnce()) {
+    gateway.signal("STOP");
+    let status = format!("/proc/{}/status", gateway.id());
+    while !std::fs::read_to_string(&status).expect("it runs").contains("State:\tT") {
+        std::thread::sleep(Duration::from_millis(1));
+    }
+    happens();
+    gateway.signal("CONT");
+}
+
+/// A client that has been welcomed, and its process number and secret.
+fn client_with_key(gateway: &Gateway) -> (Client, (u32, u32)) {
+    let mut client = gateway.raw_client();
+    client.write(&startup());
+    let welcome = client.until_ready();
+    let (_, key) = welcome.iter().find(|(kind, _)| *kind == b'K').expect("a key");
+    let number = |from: usize| u32::from_be_bytes([key[from], key[from + 1], key[from + 2], key[from + 3]]);
+    (client, (number(0), number(4)))
+}
+
+// The wait for the cancel began anew behind each other event, and a cancel in the turn of one was lost.
+#[test]
+fn a_cancel_in_the_turn_in_which_an_attempt_breaks_leaves_no_retry() {
+    let stage = Stage::new(238);
+    let host = stage.host(vec![Say::CloseOnGo, Say::Row(b"second")]);
+    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let (mut client, (process, secret)) = client_with_key(&gateway);
+    let mut other = gateway.raw_client();
+    client.write(&named("first", "9b1f"));
+    assert!(host.next_query().contains("'first'"));
+    gateway.wait_for("clients=", |count| count >= 2);
+    while_stopped(&gateway, || {
+        host.go();
+        host.left();
+        other.write(&cancel_request(process, secret));
+    });
+    let answer = client.until_ready();
+    assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "57014"));
+    gateway.wait_for_counter("cancelled=1 ");
+    assert_eq!(host.queries(), 1);
+}
+
+// The end of a client's bytes was seen only behind all bytes before it, and a query of theirs went out meanwhile.
+#[test]
+fn a_query_with_much_unread_behind_it_is_not_sent_when_its_client_has_left() {
+    for (number, how) in (239..).zip([Leave::Fin, Leave::Reset]) {
+        let stage = Stage::new(number);
+        let script = std::iter::repeat_with(|| Say::Row(b"any")).take(WARM_QUERIES + 2);
+        let host = stage.host(script.collect());
+        let gateway = stage.list(&[(&host, "up", "primary")]).start();
+        let mut client = gateway.client();
+        let large = query(&insert("large", 60_000).replace("9f03", &"9f".repeat(LARGE)));
+        // The kernel takes more from a client that has sent much.
+        for _ in 0..WARM_QUERIES {
+            client.write(&large);
+            assert_eq!(kinds(&client.until_ready()), "TDCZ");
+            host.next_query();
+        }
+        gateway.rest();
+        while_stopped(&gateway, || {
+            client.write(&[named("first", "9b1f"), large.repeat(LARGE_QUERIES)].concat());
+            leave(client, how);
+        });
+        let mut next = gateway.client();
+        next.write(&named("second", "9b20"));
+        assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?}");
+        assert!(host.next_query().contains("'second'"), "{how:?}");
+        assert_eq!(host.queries(), WARM_QUERIES + 1, "{how:?}");
+    }
+}
+
+#[test]
+fn a_retry_that_is_due_with_a_reload_is_not_made_when_its_client_has_left() {
+    for (number, how) in (241..).zip(WAYS) {
+        let stage = Stage::new(number);
+        let host = stage.host(vec![Say::CloseOnGo, Say::Row(b"second")]);
+        let stage = stage.list(&[(&host, "up", "primary")]);
+        let config = config(&stage, false);
+        let gateway = stage.start_as(&config);
+        let mut client = gateway.client();
+        client.write(&named("first", "9b1f"));
+        assert!(host.next_query().contains("'first'"));
+        let mut kept = None;
+        while_stopped(&gateway, || {
+            gateway.configure(&config.replace("\"attempts_cap\":8", "\"attempts_cap\":4"));
+            host.go();
+            host.left();
+            kept = leave(client, how);
+        });
+        gateway.line_with("configuration read again");
+        gateway.wait_for_counter("left=1 ");
+        let mut next = gateway.client();
+        next.write(&named("second", "9b20"));
+        assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?}");
+        assert!(host.next_query().contains("'second'"), "{how:?}");
+        assert_eq!(host.queries(), 2, "{how:?}");
+        drop(kept);
+    }
+}
