--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -68,7 +68,7 @@
         for (class, [served, refused, failed]) in CLASSES.iter().zip(counts) {
             println!("{class:10} {served:>8} {refused:>8} {failed:>8}");
         }
-        let [replicas, primaries] = stage.farm.reads.each_ref().map(std::cell::Cell::get);
+        let [replicas, primaries] = stage.emulated_hosts.reads.each_ref().map(std::cell::Cell::get);
         println!("reads at replicas {replicas}, at primaries {primaries}");
         Ok(counts.iter().all(|[served, ..]| *served > 0))
     })
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// What all hosts of a stage share.
-pub struct Farm {
+pub struct EmulatedHosts {
     /// The clock.
     pub clock: Clock,
     /// The groups.
@@ -34,7 +34,7 @@
     pub rng: RefCell<Pcg64Mcg>,
 }
 
-impl Farm {
+impl EmulatedHosts {
     /// Starts every host; groups are numbered from 2.
     pub async fn start(
         groups: usize,
@@ -42,10 +42,10 @@
         bound: Time,
         ahead: Time,
         mut rng: Pcg64Mcg,
-    ) -> std::io::Result<Rc<Farm>> {
+    ) -> std::io::Result<Rc<EmulatedHosts>> {
         let clock = Clock::start().ahead(ahead);
         let group = |place: usize| RefCell::new(Group::new(place as u64 + 2, members, clock.now(), &mut rng));
-        let farm = Rc::new(Farm {
+        let emulated_hosts = Rc::new(EmulatedHosts {
             clock,
             groups: (0..groups).map(group).collect(),
             addresses: RefCell::default(),
@@ -60,17 +60,17 @@
             for member in 0..members {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
                 addresses.push(listener.local_addr()?);
-                tokio::task::spawn_local(farm.clone().listen(listener, group, member));
+                tokio::task::spawn_local(emulated_hosts.clone().listen(listener, group, member));
             }
-            farm.addresses.borrow_mut().push(addresses);
+            emulated_hosts.addresses.borrow_mut().push(addresses);
         }
-        Ok(farm)
+        Ok(emulated_hosts)
     }
 
     async fn listen(self: Rc<Self>, listener: TcpListener, group: usize, member: usize) {
         while let Ok((stream, _)) = listener.accept().await {
-            let farm = self.clone();
-            tokio::task::spawn_local(async move { farm.serve(stream, group, member).await });
+            let emulated_hosts = self.clone();
+            tokio::task::spawn_local(async move { emulated_hosts.serve(stream, group, member).await });
         }
     }
 
--- a/crates/lab/src/ownership.rs
+++ b/crates/lab/src/ownership.rs
@@ -84,7 +84,7 @@
 
 impl Play {
     async fn read(&mut self, span: Time) {
-        let clock = self.stage.farm.clock;
+        let clock = self.stage.emulated_hosts.clock;
         let until = clock.now() + span;
         let stage = self.stage.clone();
         let Some(socket) = &stage.witness else { return };
@@ -106,7 +106,7 @@
 
     /// Waits for a lease holder with a higher term, for this long at most.
     async fn successor(&mut self, term: Term, most: Time) -> Option<LeaseHolder> {
-        let clock = self.stage.farm.clock;
+        let clock = self.stage.emulated_hosts.clock;
         let begun = clock.now();
         while clock.now() - begun < most {
             if let Some(holder) = self.ledger.holder().filter(|holder| holder.term > term) {
@@ -169,7 +169,7 @@
         if first.is_none() {
             break;
         }
-        let (begun, old) = (stage.farm.clock.now(), play.ledger.last.clone());
+        let (begun, old) = (stage.emulated_hosts.clock.now(), play.ledger.last.clone());
         match (turn + options.seed) % 4 {
             0 => stage.gateways.borrow_mut()[who as usize].kill(),
             1 => stage.gateways.borrow()[who as usize].signal("STOP"),
@@ -184,7 +184,7 @@
             ACCEPTORS.iter().for_each(|place| stage.gateways.borrow_mut()[*place as usize].kill());
         }
         let next = play.successor(term, limit).await;
-        play.takeovers.push(stage.farm.clock.now() - begun);
+        play.takeovers.push(stage.emulated_hosts.clock.now() - begun);
         late += u64::from(next.is_none());
         // Whatever those that are cut off send under their old term is rejected.
         let before = play.ledger.admitted.len();
--- a/crates/lab/src/register.rs
+++ b/crates/lab/src/register.rs
@@ -1,7 +1,7 @@
 //! The emulated host register: one watch for each gateway, changes pushed late.
 
 use crate::group::Part;
-use crate::hosts::Farm;
+use crate::hosts::EmulatedHosts;
 use petrelgauge::Time;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 /// The register.
 pub struct Register {
-    farm: Rc<Farm>,
+    emulated_hosts: Rc<EmulatedHosts>,
     state: RefCell<State>,
 }
 
@@ -24,10 +24,13 @@
 
 impl Register {
     /// Starts the register; it shows changes `late` microseconds after they happen.
-    pub async fn start(farm: Rc<Farm>, late: Time) -> std::io::Result<(Rc<Register>, SocketAddr)> {
+    pub async fn start(
+        emulated_hosts: Rc<EmulatedHosts>,
+        late: Time,
+    ) -> std::io::Result<(Rc<Register>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let register = Rc::new(Register { farm, state: RefCell::default() });
+        let register = Rc::new(Register { emulated_hosts, state: RefCell::default() });
         register.publish(register.members());
         tokio::task::spawn_local(register.clone().follow(late));
         tokio::task::spawn_local(register.clone().listen(listener));
@@ -41,9 +44,9 @@
     }
 
     fn members(&self) -> String {
-        let addresses = self.farm.addresses.borrow();
+        let addresses = self.emulated_hosts.addresses.borrow();
         let mut rows = Vec::new();
-        for (group, addresses) in self.farm.groups.iter().zip(addresses.iter()) {
+        for (group, addresses) in self.emulated_hosts.groups.iter().zip(addresses.iter()) {
             let group = group.borrow();
             for (member, address) in group.members.iter().zip(addresses) {
                 let role = if matches!(member.part, Part::Follows) { "standby" } else { "primary" };
@@ -65,7 +68,7 @@
     }
 
     async fn follow(self: Rc<Self>, late: Time) {
-        let clock = self.farm.clock;
+        let clock = self.emulated_hosts.clock;
         loop {
             let members = self.members();
             clock.sleep_until(clock.now() + late).await;
@@ -87,7 +90,7 @@
             head.extend_from_slice(&byte[..count]);
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
-        let (mut told, clock) = (0, self.farm.clock);
+        let (mut told, clock) = (0, self.emulated_hosts.clock);
         let mut beat = clock.now();
         loop {
             let news = (self.state.borrow().revision > told).then(|| self.known());
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,6 +1,6 @@
 //! The path between instances: datagrams get lost, doubled, late, out of order, and garbage comes along.
 
-use crate::hosts::Farm;
+use crate::hosts::EmulatedHosts;
 use rand::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 
 /// What all paths of a stage count and suffer.
 pub struct Paths {
-    farm: Rc<Farm>,
+    emulated_hosts: Rc<EmulatedHosts>,
     /// Share lost.
     pub loss: Cell<f64>,
     /// Links that carry nothing, from one instance to another.
@@ -20,10 +20,10 @@
 }
 
 impl Paths {
-    /// Paths over this farm's clock and chance.
-    pub fn new(farm: Rc<Farm>, loss: f64) -> Rc<Paths> {
+    /// Paths by the clock and the random numbers of these emulated hosts.
+    pub fn new(emulated_hosts: Rc<EmulatedHosts>, loss: f64) -> Rc<Paths> {
         Rc::new(Paths {
-            farm,
+            emulated_hosts,
             loss: Cell::new(loss),
             cut: RefCell::default(),
             delivered: [Cell::new(0), Cell::new(0)],
@@ -50,7 +50,7 @@
     }
 
     fn pass(self: Rc<Self>, socket: Rc<UdpSocket>, to: SocketAddr, bytes: Vec<u8>) {
-        let mut rng = self.farm.rng.borrow_mut();
+        let mut rng = self.emulated_hosts.rng.borrow_mut();
         let copies =
             if rng.random_bool(self.loss.get()) { 0 } else { 1 + usize::from(rng.random_bool(0.05)) };
         let mut sent: Vec<(i64, Vec<u8>)> = Vec::new();
@@ -70,7 +70,7 @@
         for (delay, bytes) in sent {
             let (paths, socket) = (self.clone(), socket.clone());
             tokio::task::spawn_local(async move {
-                let clock = paths.farm.clock;
+                let clock = paths.emulated_hosts.clock;
                 clock.sleep_until(clock.now() + delay).await;
                 let [datagrams, sum] = &paths.delivered;
                 datagrams.set(datagrams.get() + 1);
--- a/crates/lab/src/scale/files.rs
+++ b/crates/lab/src/scale/files.rs
@@ -4,7 +4,7 @@
 use super::fleet_plan::{Family, Plan};
 use crate::gateways::settings_of_tier;
 use crate::group::Part;
-use crate::hosts::Farm;
+use crate::hosts::EmulatedHosts;
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -41,10 +41,10 @@
 }
 
 /// The real hosts as entries of the list.
-pub(super) fn farm_entries(farm: &Farm) -> String {
-    let addresses = farm.addresses.borrow();
+pub(super) fn emulated_host_entries(emulated_hosts: &EmulatedHosts) -> String {
+    let addresses = emulated_hosts.addresses.borrow();
     let mut rows = Vec::new();
-    for (group, addresses) in farm.groups.iter().zip(addresses.iter()) {
+    for (group, addresses) in emulated_hosts.groups.iter().zip(addresses.iter()) {
         let group = group.borrow();
         for (member, address) in group.members.iter().zip(addresses) {
             let role = if matches!(member.part, Part::Follows) { "standby" } else { "primary" };
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,12 +1,12 @@
 //! One fleet of hollow and real gateways before a list service, and what each of its roles costs.
 
 use super::costs::{cost, mean, Costs};
-use super::files::{client_address, farm_entries, write_files};
-use super::fleet_plan::{Plan, FARM, QUIET, REAL};
+use super::files::{client_address, emulated_host_entries, write_files};
+use super::fleet_plan::{Plan, EMULATED_GROUPS_AND_MEMBERS, QUIET, REAL};
 use super::list_service::ListService;
 use super::processes::{Hollow, Real};
 use super::protocol::{Command, GatewayStats, HollowPlan, Stats};
-use crate::hosts::Farm;
+use crate::hosts::EmulatedHosts;
 use crate::stage::{program, BOUND};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -38,7 +38,7 @@
     /// Hollow processes.
     pub hollow: Vec<Hollow>,
     real: Vec<Real>,
-    _farm: Rc<Farm>,
+    _emulated_hosts: Rc<EmulatedHosts>,
     folder: Folder,
 }
 
@@ -54,8 +54,11 @@
     /// Starts everything and waits until every gateway holds a list.
     pub async fn start(plan: Plan) -> std::io::Result<Fleet> {
         let rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let farm = Farm::start(FARM.0, FARM.1, BOUND, 0, rng).await?;
-        let (service, discovery) = ListService::start(plan.phantoms(), farm_entries(&farm)).await?;
+        let emulated_hosts =
+            EmulatedHosts::start(EMULATED_GROUPS_AND_MEMBERS.0, EMULATED_GROUPS_AND_MEMBERS.1, BOUND, 0, rng)
+                .await?;
+        let (service, discovery) =
+            ListService::start(plan.phantoms(), emulated_host_entries(&emulated_hosts)).await?;
         let folder = std::env::temp_dir().join(format!(
             "petrelgauge-scale-{}-{}",
             std::process::id(),
@@ -65,7 +68,14 @@
         std::fs::create_dir_all(&folder.0)?;
         write_files(&plan, &folder.0, discovery)?;
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let mut fleet = Fleet { plan, service, hollow: Vec::new(), real: Vec::new(), _farm: farm, folder };
+        let mut fleet = Fleet {
+            plan,
+            service,
+            hollow: Vec::new(),
+            real: Vec::new(),
+            _emulated_hosts: emulated_hosts,
+            folder,
+        };
         fleet.start_real()?;
         fleet.start_hollow(&listener).await?;
         fleet.wait_for_lists().await?;
--- a/crates/lab/src/scale/fleet_plan.rs
+++ b/crates/lab/src/scale/fleet_plan.rs
@@ -9,7 +9,7 @@
 /// Hollow gateways that report no demand, compared with the real ones while these serve nobody: the next places.
 pub const QUIET: usize = 4;
 /// Groups and members of the real hosts that real gateways serve from.
-pub(super) const FARM: (usize, usize) = (4, 5);
+pub(super) const EMULATED_GROUPS_AND_MEMBERS: (usize, usize) = (4, 5);
 
 /// What gateways tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,11 +46,11 @@
 impl Plan {
     /// Groups of the list, those of the real hosts included.
     pub fn groups(&self) -> usize {
-        self.phantoms().div_ceil(MEMBERS) + FARM.0
+        self.phantoms().div_ceil(MEMBERS) + EMULATED_GROUPS_AND_MEMBERS.0
     }
 
     pub(super) fn phantoms(&self) -> usize {
-        self.hosts.saturating_sub(FARM.0 * FARM.1)
+        self.hosts.saturating_sub(EMULATED_GROUPS_AND_MEMBERS.0 * EMULATED_GROUPS_AND_MEMBERS.1)
     }
 
     /// Gateways that grant no leases, in order.
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -202,10 +202,10 @@
     };
     let spans = if options.short { SHORT } else { FULL };
     let stage = Stage::start(plan).await?;
-    let clock = stage.farm.clock;
-    stage.farm.lost_answers.set(0.02);
+    let clock = stage.emulated_hosts.clock;
+    stage.emulated_hosts.lost_answers.set(0.02);
     if plant == Some("boast") {
-        stage.farm.boast.set(400_000);
+        stage.emulated_hosts.boast.set(400_000);
     }
     let crowd = Rc::new(Crowd {
         ledger: RefCell::default(),
@@ -257,12 +257,12 @@
 
 /// Calm, slow replay, a restart wave, a primary that hangs and comes back believing; each for its span.
 async fn trouble(crowd: &Crowd, spans: [Time; 4]) -> std::io::Result<()> {
-    let (stage, clock) = (&crowd.stage, crowd.stage.farm.clock);
-    let groups = &stage.farm.groups;
+    let (stage, clock) = (&crowd.stage, crowd.stage.emulated_hosts.clock);
+    let groups = &stage.emulated_hosts.groups;
     let [calm, lag, wave, change] = spans;
-    let mut before = stage.farm.reads[1].get();
+    let mut before = stage.emulated_hosts.reads[1].get();
     let mut turn = |phase: usize| {
-        let now = stage.farm.reads[1].get();
+        let now = stage.emulated_hosts.reads[1].get();
         crowd.phases.borrow_mut()[crowd.phase.get()].at_primary += now - std::mem::replace(&mut before, now);
         crowd.phase.set(phase);
     };
@@ -327,7 +327,7 @@
     }
 
     async fn live(mut self) {
-        let clock = self.crowd.stage.farm.clock;
+        let clock = self.crowd.stage.emulated_hosts.clock;
         let pause = Exp::new(1.0 / PAUSE).unwrap_or_else(|cause| unreachable!("a constant rate: {cause}"));
         while clock.now() < self.crowd.until {
             let span = pause.sample(&mut self.rng).min(1.0);
@@ -399,10 +399,11 @@
     async fn read(&mut self, places: &[usize], row: u64) {
         let crowd = self.crowd.clone();
         let (held, class) = (self.held(row), CLASSES[self.rng.random_range(0..2)]);
-        let (owed, clock) = (crowd.ledger.borrow().begins(self.number, row), crowd.stage.farm.clock);
+        let (owed, clock) =
+            (crowd.ledger.borrow().begins(self.number, row), crowd.stage.emulated_hosts.clock);
         let (began, group) = (clock.now(), (row % 2) as usize);
         let could = {
-            let mut state = crowd.stage.farm.groups[group].borrow_mut();
+            let mut state = crowd.stage.emulated_hosts.groups[group].borrow_mut();
             let commit = state.commit_of(row, owed.wrote.max(owed.read));
             let least = if class == CLASSES[0] { commit.max(began - BOUND) } else { commit };
             let leader = state.leader();
@@ -435,7 +436,7 @@
                 Answer::Row(version, token) => {
                     phase.served += 1;
                     phase.took(took);
-                    let lost = &crowd.stage.farm.groups[group].borrow().lost;
+                    let lost = &crowd.stage.emulated_hosts.groups[group].borrow().lost;
                     crowd.ledger.borrow_mut().read(self.number, row, owed, version, lost);
                     self.replace(&held, token);
                 }
@@ -495,7 +496,7 @@
 async fn odd_client(crowd: Rc<Crowd>, seed: u64) {
     let number = SESSIONS + 7;
     let mut one = Session::new(crowd.clone(), number, seed);
-    let clock = crowd.stage.farm.clock;
+    let clock = crowd.stage.emulated_hosts.clock;
     let mut turn = 0;
     while clock.now() < crowd.until {
         let row = u64::from(number) % ROWS;
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -1,7 +1,7 @@
 //! A stage: emulated hosts and register, the paths between instances, and real gateways before them.
 
 use crate::gateways::{Gateway, Tier};
-use crate::hosts::Farm;
+use crate::hosts::EmulatedHosts;
 use crate::register::Register;
 use crate::relay::Paths;
 use petrelgauge::Time;
@@ -43,7 +43,7 @@
 /// All that was started. It ends with this value.
 pub struct Stage {
     /// The hosts.
-    pub farm: Rc<Farm>,
+    pub emulated_hosts: Rc<EmulatedHosts>,
     /// The register.
     pub register: Rc<Register>,
     /// The paths between instances.
@@ -78,10 +78,11 @@
     #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
     pub async fn start(plan: Plan) -> std::io::Result<Rc<Stage>> {
         let rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let farm =
-            Farm::start(plan.groups, plan.members, BOUND, plan.hosts_ahead_ms as Time * 1000, rng).await?;
-        let (register, address) = Register::start(farm.clone(), 1_800_000).await?;
-        let paths = Paths::new(farm.clone(), plan.loss);
+        let emulated_hosts =
+            EmulatedHosts::start(plan.groups, plan.members, BOUND, plan.hosts_ahead_ms as Time * 1000, rng)
+                .await?;
+        let (register, address) = Register::start(emulated_hosts.clone(), 1_800_000).await?;
+        let paths = Paths::new(emulated_hosts.clone(), plan.loss);
         let name = format!("petrelgauge-lab-{}-{}", std::process::id(), address.port());
         let folder = Folder(std::env::temp_dir().join(name));
         std::fs::create_dir_all(&folder.0)?;
@@ -128,7 +129,7 @@
         let addresses = gateways.iter().map(|gateway| gateway.listen).collect();
         let gateways = RefCell::new(gateways);
         Ok(Rc::new(Stage {
-            farm,
+            emulated_hosts,
             register,
             paths,
             gateways,
@@ -143,7 +144,7 @@
     /// Kills a gateway, waits, and starts it again with what the register shows now.
     pub async fn restart(&self, number: usize, down: Time) -> std::io::Result<()> {
         self.gateways.borrow_mut()[number].kill();
-        self.farm.clock.sleep_until(self.farm.clock.now() + down).await;
+        self.emulated_hosts.clock.sleep_until(self.emulated_hosts.clock.now() + down).await;
         self.gateways.borrow_mut()[number].start(&self.tier, self.plan.seed)
     }
 
@@ -160,7 +161,7 @@
     /// Ends all gateways in order, so that their logs hold their counters.
     pub async fn stop(&self) {
         self.gateways.borrow_mut().iter_mut().for_each(Gateway::stop);
-        self.farm.clock.sleep_until(self.farm.clock.now() + 900_000).await;
+        self.emulated_hosts.clock.sleep_until(self.emulated_hosts.clock.now() + 900_000).await;
     }
 
     /// The sum of a counter over all gateways' logs.
