--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -70,7 +70,7 @@
             match action {
                 Action::Wait | Action::Answer | Action::Pause { .. } => continue,
                 Action::Close(end) => {
-                    if end == End::Stopped {
+                    if matches!(end, End::Stopped | End::ClientIdle) {
                         self.wait_for_close().await;
                     }
                     return Ok(end);
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -75,6 +75,24 @@
     assert!(log.contains("requests=1 served=1 "), "the second was not read: {log}");
 }
 
+// It was closed at once, and what the client had not yet taken of its answer was lost when it wrote once more.
+#[test]
+fn an_answer_that_is_taken_slowly_outlives_the_closing_for_age_and_a_query_behind_it() {
+    static VALUE: [u8; 60_000] = [b'v'; 60_000];
+    let stage = Stage::new(247);
+    let host = stage.host(vec![Say::Row(&VALUE)]);
+    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let mut client = gateway.narrow_client();
+    client.write(&identified("1", 25_000));
+    // By the clock: the connection is closed for writing after 2.1 s, and given up a second later.
+    std::thread::sleep(Duration::from_millis(2_300));
+    let _ = client.try_write(&identified("2", 25_000));
+    let answer = client.rest();
+    assert_eq!(kinds(&answer), "TDCZ");
+    assert!(answer[1].1.ends_with(&VALUE));
+    gateway.wait_for("ClientIdle=", |count| count >= 1);
+}
+
 /// Whether the query that came with the startup message had its final answer. One that had none was not read: the
 /// kernel resets a connection that is closed over unread bytes, or to which bytes come after it was closed.
 fn was_answered(client: &mut Client) -> bool {
