--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -82,6 +82,9 @@
         }
         let until = self.attempt_deadline(request, member);
         let start_tokens = self.slow_start_tokens(member) - 1.0;
+        if self.is_trial_paid(request, member) {
+            self.budgets.trials -= 1.0;
+        }
         self.note_send(id, start_tokens, until);
         self.insert_attempt(sequence, id, until);
     }
@@ -100,15 +103,18 @@
         AttemptDeadline { at, trial_end }
     }
 
+    /// Whether this send is a trial that the budget pays for. Where no other member is left, it costs no
+    /// request a better place.
+    fn is_trial_paid(&self, request: &Request, member: &Member) -> bool {
+        member.suspected && !member.is_primary() && !self.has_only_suspected_members(request.group)
+    }
+
     fn note_send(&mut self, id: MemberId, start_tokens: f64, deadline: AttemptDeadline) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.start_tokens = start_tokens;
         member.start_tokens_at = self.now;
         if member.suspected {
             member.ejected_until = deadline.trial_end;
-            if !member.is_primary() {
-                self.budgets.trials -= 1.0;
-            }
         }
     }
 
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -2,7 +2,7 @@
 
 use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
 use super::Router;
-use crate::interface::{Action, Effect, Ending, MemberId, MemberStatus, Report, Time};
+use crate::interface::{Action, Effect, Ending, GroupId, MemberId, MemberStatus, Report, Time};
 use crate::state::{share_of, Member};
 
 /// Failures in a row that a silent member counts as having (count): the first pause, in doublings of the
@@ -30,6 +30,13 @@
         is_candidate && self.now >= member.ejected_until && self.has_capacity(id, 1.0)
     }
 
+    /// Whether all members of a group that are in service and not down are suspected.
+    pub(super) fn has_only_suspected_members(&self, group: GroupId) -> bool {
+        let members = self.group_members(group).iter().filter_map(|id| self.members.get(id));
+        let mut available = members.filter(|member| self.is_available(member)).peekable();
+        available.peek().is_some() && available.all(|member| member.suspected)
+    }
+
     /// Looks for members that have fallen silent, and probes those in doubt.
     pub(super) fn check_health(&mut self) {
         if self.now - self.watched_at < self.shortest_latency_target / CHECK_INTERVAL_DIVISOR {
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -38,17 +38,41 @@
         choice
     }
 
-    /// A suspected member that this request may find out about: a short one, and without attempts so far.
+    /// A suspected member that this request may find out about.
     fn suspected_to_try(&self, request: &Request) -> Option<MemberId> {
-        let class = &self.settings.classes[request.class];
-        let is_short = class.latency_target <= 2 * self.shortest_latency_target;
-        let is_fit = request.attempts.is_empty() && class.effect == Effect::Safe && is_short;
-        if !is_fit || self.budgets.trials < 1.0 {
+        if self.settings.classes[request.class].effect != Effect::Safe {
+            return None;
+        }
+        if self.has_only_suspected_members(request.group) {
+            return self.least_recently_tried(request);
+        }
+        if !self.may_spend_trial(request) {
             return None;
         }
         self.group_members(request.group).iter().copied().find(|id| self.may_try_suspected(*id))
     }
 
+    /// Whether the request may be sent to a suspected member beside others that are well: a short one,
+    /// without attempts so far, while the budget lasts.
+    fn may_spend_trial(&self, request: &Request) -> bool {
+        let class = &self.settings.classes[request.class];
+        let is_short = class.latency_target <= 2 * self.shortest_latency_target;
+        request.attempts.is_empty() && is_short && self.budgets.trials >= 1.0
+    }
+
+    /// Where only suspected members are left: the one whose last trial is the longest ago, so that a member
+    /// that is well again is found beside others that are not. Any attempt of a read may be spent on it: it
+    /// has nowhere else to go.
+    fn least_recently_tried(&self, request: &Request) -> Option<MemberId> {
+        let may_try = |id: &MemberId| {
+            self.may_try_suspected(*id)
+                && !self.was_just_tried(request, *id)
+                && self.is_fresh(self.now, &request.id, *id)
+        };
+        let candidates = self.group_members(request.group).iter().copied().filter(may_try);
+        candidates.min_by_key(|id| (self.members[id].ejected_until, *id))
+    }
+
     /// Only one attempt is left, which the primary gets.
     fn is_last_attempt(&self, request: &Request) -> bool {
         let most = self.settings.classes[request.class].attempts as usize;
--- /dev/null
+++ b/crates/policy/tests/suspected_groups.rs
@@ -0,0 +1,116 @@
+//! Groups whose members are all suspected: each read that comes may find out about one of them, and no member gets more
+//! than one such trial at a time.
+
+mod common;
+use common::fleet::*;
+use common::*;
+use petrelgauge_policy::*;
+
+const MEMBERS: u32 = 3;
+const READ: usize = 2;
+const READ_TIME: Time = 900 * MS;
+const SECOND: Time = 1_000 * MS;
+
+/// One router before one group, of which member 1 is the primary.
+fn group() -> Fleet {
+    let list: Vec<Entry> = (1..=MEMBERS).map(|id| entry(id, MemberStatus::Up, id == 1, 0)).collect();
+    Fleet::new(1, &list, (1..=MEMBERS).map(|id| (id, id == 1, 4, 10 * MS)).collect())
+}
+
+fn run(fleet: &mut Fleet, span: Time) {
+    let end = fleet.now + span;
+    while fleet.now < end {
+        fleet.step();
+    }
+}
+
+/// Asks for a read, so many times, with so long between two.
+fn ask_slowly(fleet: &mut Fleet, reads: usize, pause: Time) {
+    for _ in 0..reads {
+        fleet.ask(0, READ, READ_TIME);
+        run(fleet, pause);
+    }
+}
+
+fn set_silent(fleet: &mut Fleet, silent: bool) {
+    fleet.members.values_mut().for_each(|member| member.silent = silent);
+}
+
+fn sent(fleet: &Fleet) -> usize {
+    fleet.members.values().map(|member| member.sent).sum()
+}
+
+/// A group that was silent for long enough that all of its members are suspected.
+fn silent_group() -> Fleet {
+    let mut fleet = group();
+    ask_slowly(&mut fleet, 2, SECOND);
+    assert_eq!(fleet.served, 2, "the members are well");
+    set_silent(&mut fleet, true);
+    ask_slowly(&mut fleet, 3, 3 * SECOND);
+    fleet
+}
+
+#[test]
+fn a_quiet_group_that_is_well_again_serves_the_next_read() {
+    let mut fleet = silent_group();
+    set_silent(&mut fleet, false);
+    let served = fleet.served;
+    ask_slowly(&mut fleet, 5, 3 * SECOND);
+    assert_eq!(fleet.served - served, 5, "of five reads, three seconds apart");
+}
+
+#[test]
+fn a_quiet_silent_group_is_tried_with_every_read_within_its_attempts() {
+    let mut fleet = silent_group();
+    let before = sent(&fleet);
+    for _ in 0..5 {
+        let earlier = sent(&fleet);
+        ask_slowly(&mut fleet, 1, 3 * SECOND);
+        let attempts = sent(&fleet) - earlier;
+        assert!((1..=8).contains(&attempts), "{attempts} attempts of one read");
+    }
+    assert!(sent(&fleet) - before <= 5 * MEMBERS as usize, "no member is tried twice with one read");
+}
+
+#[test]
+fn one_member_that_is_well_again_is_found_beside_silent_ones() {
+    for well in 1..=MEMBERS {
+        let mut fleet = silent_group();
+        if let Some(member) = fleet.members.get_mut(&well) {
+            member.silent = false;
+        }
+        let served = fleet.served;
+        ask_slowly(&mut fleet, 6, 3 * SECOND);
+        assert!(fleet.served - served >= 5, "member {well}: {} of 6 served", fleet.served - served);
+    }
+}
+
+#[test]
+fn a_busy_silent_group_gets_one_trial_at_a_time_for_each_member() {
+    let mut fleet = silent_group();
+    let before = sent(&fleet);
+    let mut most = 0;
+    let end = fleet.now + 10 * SECOND;
+    while fleet.now < end {
+        fleet.ask(0, READ, READ_TIME);
+        fleet.step();
+        for id in 1..=MEMBERS {
+            most = most.max(fleet.out.values().filter(|(member, ..)| *member == id).count());
+        }
+    }
+    // After a trial that fails the pause is 0.64 s.
+    let trials = sent(&fleet) - before;
+    assert_eq!(most, 1, "trials at one member together");
+    assert!((10..=17 * MEMBERS as usize).contains(&trials), "{trials} trials in 10 s, of 2000 reads");
+}
+
+#[test]
+fn no_trial_goes_to_a_member_that_is_draining() {
+    let mut fleet = silent_group();
+    let list: Vec<Entry> = (1..=MEMBERS).map(|id| entry(id, MemberStatus::Draining, id == 1, 0)).collect();
+    fleet.inbox[0].push(Event::List { whole: true, entries: list.into() });
+    fleet.step();
+    let before = sent(&fleet);
+    ask_slowly(&mut fleet, 5, 3 * SECOND);
+    assert_eq!(sent(&fleet), before);
+}
