--- a/crates/lifecycle/src/backoff.rs
+++ b/crates/lifecycle/src/backoff.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// It was rejected with a status that means: retry later.
-    Refused,
+    Rejected,
     /// It broke, timed out or was never established.
     Lost,
 }
@@ -55,7 +55,7 @@
     /// The pause (microseconds) after a failure: uniform up to twice the mean, which doubles with each consecutive failure.
     pub fn pause(&mut self, cause: Cause) -> Time {
         let (mean, max_mean) = match cause {
-            Cause::Refused => (self.mean_after_refusal, MAX_MEAN),
+            Cause::Rejected => (self.mean_after_refusal, MAX_MEAN),
             Cause::Lost => (FIRST_MEAN, MAX_MEAN_UNANSWERED),
         };
         let mean = mean.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS)).min(max_mean);
--- a/crates/lifecycle/src/rules.rs
+++ b/crates/lifecycle/src/class_table.rs
@@ -9,18 +9,18 @@
 //! is found as it was by requests without one: clients learn of the change later than the gateway.
 //!
 //! **Bounds.** The table holds the classes in force, those before the last change, and those of open requests: at most
-//! [`MOST`]. A change that needs more is refused.
+//! [`MAX_CLASSES`]. A change that needs more is refused.
 //!
 //! ```
-//! use petrelgauge_lifecycle::rules::{Rules, OVERLAP};
+//! use petrelgauge_lifecycle::class_table::{ClassTable, OVERLAP};
 //! use petrelgauge_policy::{Class, Effect, Need};
 //!
 //! let class = |name: &str, effect| Class {
 //!     name: name.into(), need: Need::Eventual, effect, attempts: 4, latency_target: 1, deadline: 2, priority_weight: 1.0, late_share: 0.0,
 //! };
-//! let mut rules = Rules::new(vec![class("view", Effect::Safe)]);
+//! let mut rules = ClassTable::new(vec![class("view", Effect::Safe)]);
 //! let before = rules.find(0, "view", false).expect("it is there");
-//! rules.follow(10, vec![class("view", Effect::Unsafe)], &[before].into()).expect("there is room");
+//! rules.update(10, vec![class("view", Effect::Unsafe)], &[before].into()).expect("there is room");
 //! let now = rules.find(10, "view", false).expect("it is there");
 //! assert_eq!((rules.class(before).effect, rules.class(now).effect), (Effect::Safe, Effect::Unsafe));
 //! ```
@@ -29,13 +29,13 @@
 use std::collections::BTreeSet;
 
 /// Classes in the table at most (count): hundreds of changes within the longest deadline would be a mistake.
-pub const MOST: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 /// Span after a change in which clients may not know of it (microseconds): the platform has them follow after 1.2 s.
 pub const OVERLAP: Time = 2_000_000;
 
 /// The classes in force, and those that open requests still have.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct ClassTable {
     table: Vec<Class>,
     /// Places of the classes in force, in the order of the settings.
     force: Vec<usize>,
@@ -45,11 +45,11 @@
     version: u64,
 }
 
-impl Rules {
+impl ClassTable {
     /// The classes of the start.
-    pub fn new(classes: Vec<Class>) -> Rules {
+    pub fn new(classes: Vec<Class>) -> ClassTable {
         let force = (0..classes.len()).collect();
-        Rules { table: classes, force, before: Vec::new(), until: Time::MIN, version: 1 }
+        ClassTable { table: classes, force, before: Vec::new(), until: Time::MIN, version: 1 }
     }
 
     /// The table, as the decision module is to have it.
@@ -68,12 +68,12 @@
     }
 
     /// Places of the classes in force, in the order of the settings.
-    pub fn force(&self) -> &[usize] {
+    pub fn in_force(&self) -> &[usize] {
         &self.force
     }
 
     /// Places of the classes before the last change, while clients may not know of it.
-    pub fn before(&self, now: Time) -> &[usize] {
+    pub fn previous(&self, now: Time) -> &[usize] {
         if now < self.until {
             &self.before
         } else {
@@ -84,7 +84,7 @@
     /// The longest that clients of the classes of this name wait: those of the class before a change, too, while they may
     /// not know of it.
     pub fn longest_wait(&self, now: Time, name: &str) -> Time {
-        let places = self.force.iter().chain(self.before(now));
+        let places = self.force.iter().chain(self.previous(now));
         let named = places.map(|place| &self.table[*place]).filter(|class| class.name == name);
         named.map(|class| class.deadline).max().unwrap_or(0)
     }
@@ -92,7 +92,7 @@
     /// The place of the class that a new request names; `keyed`: the request carries a key.
     pub fn find(&self, now: Time, name: &str, keyed: bool) -> Option<usize> {
         let named = |places: &[usize]| places.iter().copied().find(|place| self.table[*place].name == name);
-        let before = || named(self.before(now));
+        let before = || named(self.previous(now));
         match named(&self.force) {
             None => before(),
             Some(place) if keyed || !asks_for_key(self.class(place)) => Some(place),
@@ -103,9 +103,14 @@
 
     /// New classes are in force from now on; `used` are the places of open requests and attempts. False, and nothing
     /// has changed, if the table would grow past its bound.
-    pub fn follow(&mut self, now: Time, classes: Vec<Class>, used: &BTreeSet<usize>) -> Result<(), Full> {
+    pub fn update(
+        &mut self,
+        now: Time,
+        classes: Vec<Class>,
+        used: &BTreeSet<usize>,
+    ) -> Result<(), TooManyClasses> {
         let mut taken: BTreeSet<usize> = used.iter().chain(&self.force).copied().collect();
-        taken.extend(self.before(now));
+        taken.extend(self.previous(now));
         if mutant(Mutant::PlaceReused) {
             taken.clear();
         }
@@ -130,8 +135,8 @@
         for place in (0..table.len()).filter(|place| !taken.contains(place)) {
             table[place] = classes[0].clone();
         }
-        if table.len() > MOST {
-            return Err(Full);
+        if table.len() > MAX_CLASSES {
+            return Err(TooManyClasses);
         }
         self.before = std::mem::replace(&mut self.force, force);
         (self.table, self.until) = (table, now + OVERLAP);
@@ -142,7 +147,7 @@
 
 /// There are open requests of too many classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct TooManyClasses;
 
 fn asks_for_key(class: &Class) -> bool {
     matches!(class.effect, Effect::Keyed { .. })
--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -14,22 +14,22 @@
 use petrelgauge_policy::{mutant, Mutant, Time};
 
 /// Span in which a client must say who it is (microseconds).
-pub const STARTUP: Time = 2_000_000;
+pub const STARTUP_TIMEOUT: Time = 2_000_000;
 /// Span without an open query after which a client is closed (microseconds): others need its descriptor.
-pub const IDLE: Time = 2_100_000;
+pub const IDLE_TIMEOUT: Time = 2_100_000;
 /// Span in which a message that has begun must be whole (microseconds): a new client is owed a word within 3 s, one
 /// that was served before may be slow.
-pub const WHOLE_NEW: Time = 2_500_000;
+pub const NEW_CLIENT_MESSAGE_TIMEOUT: Time = 2_500_000;
 /// The same for a client that has been served.
-pub const WHOLE: Time = 6_000_000;
+pub const MESSAGE_TIMEOUT: Time = 6_000_000;
 /// Span without a further byte of a message that has begun after which a client is cut off (microseconds): one that is
 /// slow goes on, and one that stays without going on is owed an error within 3 s.
-pub const STALLED: Time = 2_500_000;
+pub const STALL_TIMEOUT: Time = 2_500_000;
 /// Pause after a statement that could not be used before the next is read, doubled for each in a row up to the longest
 /// (microseconds): a client that sends the same again at once must not cost the others time.
-pub const FIRST_PAUSE: Time = 1_000;
+pub const MIN_BACKOFF: Time = 1_000;
 /// The longest such pause.
-pub const LONGEST_PAUSE: Time = 64_000;
+pub const MAX_BACKOFF: Time = 64_000;
 
 /// Why a client can be closed to make room. In this order they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -50,7 +50,7 @@
     /// No query is open.
     Idle,
     /// A query is open.
-    Asking,
+    AwaitingAnswer,
     /// A statement could not be used; the next is read after a pause.
     Pausing {
         /// Clock time.
@@ -64,7 +64,7 @@
 
 /// A message, by what it asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum MessageKind {
     /// Goodbye.
     Terminate,
     /// The end of a row of extended messages.
@@ -76,35 +76,35 @@
     /// A function call.
     Function,
     /// Flush, and what belongs to a copy: neither is a sign of use.
-    Harmless,
+    Ignored,
     /// None that there is.
     Unknown,
 }
 
-impl Kind {
+impl MessageKind {
     /// The kind of a message of this type.
-    pub fn of(kind: u8) -> Kind {
+    pub fn of(kind: u8) -> MessageKind {
         match kind {
-            b'X' => Kind::Terminate,
-            b'S' => Kind::Sync,
-            b'Q' => Kind::Query,
-            b'P' | b'B' | b'D' | b'E' | b'C' => Kind::Extended,
-            b'F' => Kind::Function,
-            b'H' | b'd' | b'c' | b'f' => Kind::Harmless,
-            _ => Kind::Unknown,
+            b'X' => MessageKind::Terminate,
+            b'S' => MessageKind::Sync,
+            b'Q' => MessageKind::Query,
+            b'P' | b'B' | b'D' | b'E' | b'C' => MessageKind::Extended,
+            b'F' => MessageKind::Function,
+            b'H' | b'd' | b'c' | b'f' => MessageKind::Ignored,
+            _ => MessageKind::Unknown,
         }
     }
 }
 
 /// What a query was of use for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Used {
+pub enum QueryOutcome {
     /// A request.
     Request,
     /// Something that the gateway answers by itself.
-    Own,
+    AnsweredLocally,
     /// Nothing: it could not be used.
-    Nothing,
+    Unusable,
 }
 
 /// What happens.
@@ -115,17 +115,17 @@
     /// It wants something cancelled.
     Cancel,
     /// It said who it is.
-    Opened,
+    StartupReceived,
     /// A whole message.
-    Message(Kind),
+    Message(MessageKind),
     /// Its query was answered.
-    Answered(Used),
+    Answered(QueryOutcome),
     /// The pause is over.
-    Rested,
+    PauseOver,
     /// What it sent makes no sense, is too much or too long.
-    Flawed(End),
+    ProtocolError(End),
     /// It has left, or does not take what it is told.
-    Left(End),
+    Disconnected(End),
     /// It is asked to make room.
     Shed {
         /// Something lies there unread.
@@ -151,9 +151,9 @@
     /// Wait for what comes next.
     Wait,
     /// Decline encryption.
-    Decline,
+    DeclineEncryption,
     /// Welcome it.
-    Welcome,
+    AcceptStartup,
     /// Say that it may go on.
     Ready,
     /// Say that this is not served, and that it may go on, if so.
@@ -200,8 +200,8 @@
     pub fn new(now: Time) -> Client {
         Client {
             stage: Stage::Opening,
-            idle_by: now + IDLE,
-            whole_by: now + WHOLE_NEW,
+            idle_by: now + IDLE_TIMEOUT,
+            whole_by: now + NEW_CLIENT_MESSAGE_TIMEOUT,
             why: Idleness::New,
             since: now,
             skipping: false,
@@ -223,7 +223,7 @@
     /// Clock time at which [`Event::Due`] is to be told while no query is open.
     pub fn due(&self) -> Time {
         match self.stage {
-            Stage::Opening => self.since + STARTUP,
+            Stage::Opening => self.since + STARTUP_TIMEOUT,
             _ => self.idle_by,
         }
     }
@@ -232,16 +232,15 @@
     pub fn on(&mut self, now: Time, event: Event) -> Action {
         let to_do = self.next(now, event);
         self.stage = match to_do {
-            Action::Welcome => Stage::Idle,
-            Action::Answer => Stage::Asking,
+            Action::AcceptStartup => Stage::Idle,
+            Action::Answer => Stage::AwaitingAnswer,
             Action::Pause { until } => Stage::Pausing { until },
             Action::CutOff { .. } => Stage::CutOff,
             Action::Close(end) => Stage::Ended(end),
-            Action::Wait | Action::Decline | Action::Ready | Action::Unsupported { .. } => {
+            Action::Wait | Action::DeclineEncryption | Action::Ready | Action::Unsupported { .. } => {
                 match (self.stage, event) {
-                    (Stage::Asking, Event::Answered(_)) | (Stage::Pausing { .. }, Event::Rested) => {
-                        Stage::Idle
-                    }
+                    (Stage::AwaitingAnswer, Event::Answered(_))
+                    | (Stage::Pausing { .. }, Event::PauseOver) => Stage::Idle,
                     (stage, _) => stage,
                 }
             }
@@ -252,21 +251,21 @@
     fn next(&mut self, now: Time, event: Event) -> Action {
         match (self.stage, event) {
             (Stage::Ended(end), _) => Action::Close(end),
-            (Stage::CutOff, Event::Left(end)) => Action::Close(end),
+            (Stage::CutOff, Event::Disconnected(end)) => Action::Close(end),
             (Stage::CutOff, _) => Action::Wait,
-            (_, Event::Left(end)) => Action::Close(end),
+            (_, Event::Disconnected(end)) => Action::Close(end),
 
-            (Stage::Opening, Event::Encryption) => Action::Decline,
+            (Stage::Opening, Event::Encryption) => Action::DeclineEncryption,
             // There is nothing to cancel by key: a client that no longer waits closes its connection.
             (Stage::Opening, Event::Cancel) => Action::Close(End::ClientTerminated),
-            (Stage::Opening, Event::Opened) => Action::Welcome,
+            (Stage::Opening, Event::StartupReceived) => Action::AcceptStartup,
             (Stage::Opening, Event::Due { unread: false, .. }) => Action::Close(End::ClientSilent),
 
             (Stage::Idle, Event::Message(kind)) => self.message(now, kind),
             (Stage::Idle, Event::Due { unread: false, partial_at }) => match partial_at {
                 None => Action::Close(End::ClientIdle),
                 Some(at) => {
-                    self.idle_by = self.whole_by.min(at + STALLED);
+                    self.idle_by = self.whole_by.min(at + STALL_TIMEOUT);
                     match now >= self.idle_by {
                         true => Action::CutOff { unknown: false, unfinished: true },
                         false => Action::Wait,
@@ -274,14 +273,14 @@
                 }
             },
 
-            (Stage::Asking, Event::Stop { .. }) if mutant(Mutant::ClosedWhileOwed) => {
+            (Stage::AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedWhileOwed) => {
                 Action::Close(End::Stopped)
             }
             (Stage::Idle, Event::Stop { .. }) if mutant(Mutant::ClosedUnread) => Action::Close(End::Stopped),
-            (Stage::Asking, Event::Answered(used)) => self.answered(now, used),
-            (Stage::Pausing { .. }, Event::Rested) => Action::Wait,
+            (Stage::AwaitingAnswer, Event::Answered(outcome)) => self.answered(now, outcome),
+            (Stage::Pausing { .. }, Event::PauseOver) => Action::Wait,
 
-            (Stage::Opening | Stage::Idle, Event::Flawed(_)) => {
+            (Stage::Opening | Stage::Idle, Event::ProtocolError(_)) => {
                 Action::CutOff { unknown: false, unfinished: false }
             }
             (Stage::Opening | Stage::Idle, Event::Shed { unread: false }) => Action::Close(End::ClientShed),
@@ -290,45 +289,45 @@
         }
     }
 
-    fn message(&mut self, now: Time, kind: Kind) -> Action {
+    fn message(&mut self, now: Time, kind: MessageKind) -> Action {
         let to_do = match kind {
-            Kind::Terminate => return Action::Close(End::ClientTerminated),
-            Kind::Sync => {
+            MessageKind::Terminate => return Action::Close(End::ClientTerminated),
+            MessageKind::Sync => {
                 self.skipping = false;
                 Action::Ready
             }
             _ if self.skipping => return Action::Wait,
-            Kind::Query => return Action::Answer,
-            Kind::Extended => {
+            MessageKind::Query => return Action::Answer,
+            MessageKind::Extended => {
                 self.skipping = true;
                 Action::Unsupported { ready: false }
             }
-            Kind::Function => Action::Unsupported { ready: true },
-            Kind::Harmless => return Action::Wait,
-            Kind::Unknown => return Action::CutOff { unknown: true, unfinished: false },
+            MessageKind::Function => Action::Unsupported { ready: true },
+            MessageKind::Ignored => return Action::Wait,
+            MessageKind::Unknown => return Action::CutOff { unknown: true, unfinished: false },
         };
         self.used(now);
         to_do
     }
 
-    fn answered(&mut self, now: Time, used: Used) -> Action {
-        self.trusted |= used == Used::Request;
+    fn answered(&mut self, now: Time, outcome: QueryOutcome) -> Action {
+        self.trusted |= outcome == QueryOutcome::Request;
         self.used(now);
-        self.flaws = match used {
-            Used::Request => 0,
-            Used::Own => self.flaws,
-            Used::Nothing => (self.flaws + 1).min(16),
+        self.flaws = match outcome {
+            QueryOutcome::Request => 0,
+            QueryOutcome::AnsweredLocally => self.flaws,
+            QueryOutcome::Unusable => (self.flaws + 1).min(16),
         };
         match self.flaws {
             0 => Action::Wait,
-            flaws => Action::Pause { until: now + (FIRST_PAUSE << (flaws - 1)).min(LONGEST_PAUSE) },
+            flaws => Action::Pause { until: now + (MIN_BACKOFF << (flaws - 1)).min(MAX_BACKOFF) },
         }
     }
 
     fn used(&mut self, now: Time) {
-        (self.since, self.why, self.idle_by) = (now, Idleness::Answered, now + IDLE);
+        (self.since, self.why, self.idle_by) = (now, Idleness::Answered, now + IDLE_TIMEOUT);
         if self.trusted {
-            self.whole_by = now + WHOLE;
+            self.whole_by = now + MESSAGE_TIMEOUT;
         }
     }
 }
--- a/crates/lifecycle/src/ending.rs
+++ b/crates/lifecycle/src/ending.rs
@@ -111,7 +111,7 @@
     }
 
     /// What the decisions are told of an attempt that ended so.
-    pub fn for_decisions(self) -> Ending {
+    pub fn as_ending(self) -> Ending {
         match self {
             End::Served | End::Flows => Ending::Served,
             End::HostError => Ending::Error,
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -144,7 +144,7 @@
     /// The time in whole milliseconds that the host may be told that the answer is waited for, if the first byte of
     /// the request is written now. None if it is not to be begun any more: less than a millisecond is left, which can't
     /// be told, or it would come too late.
-    pub fn time_to_tell(&self, now: Time) -> Option<u64> {
+    pub fn remaining_wait_ms(&self, now: Time) -> Option<u64> {
         if now >= self.write_by {
             return None;
         }
--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -20,7 +20,7 @@
 
 /// After SIGTERM, and after the call to drain, clients are served as before for this span (microseconds): the front
 /// learns of it only then.
-pub const LAST_CLIENTS: Time = 450_000;
+pub const FRONT_NOTICE: Time = 450_000;
 
 /// After SIGTERM the platform leaves a process the longest deadline, counted as 3 s where it is longer, and 0.7 s more
 /// (microseconds; the protocol page).
@@ -36,14 +36,14 @@
     /// It serves.
     Serving,
     /// It is to be emptied; the front is told so, and up to this time clients are served as before.
-    Turning {
+    DrainAnnounced {
         /// Clock time.
         until: Time,
     },
     /// It is emptied: clients are closed as soon as nothing is owed to them.
-    Empty,
+    Drained,
     /// It is to stop, and serves up to this time as before.
-    LastClients {
+    StopAnnounced {
         /// Clock time.
         until: Time,
     },
@@ -69,13 +69,13 @@
 
 impl ServingState {
     /// The empty query is answered so that the front goes on sending clients.
-    pub fn admits(self) -> bool {
+    pub fn reports_ready(self) -> bool {
         // A stop is announced by the platform itself.
         matches!(self, ServingState::Serving | ServingState::Stopped)
     }
 
     /// Clients to whom nothing is owed are closed.
-    pub fn empties(self) -> bool {
+    pub fn closes_idle_clients(self) -> bool {
         matches!(self, ServingState::Draining | ServingState::Stopped)
     }
 }
@@ -97,7 +97,7 @@
     /// The time that [`Gateway::due`] named has come.
     Due,
     /// So much is held.
-    Held {
+    Remaining {
         /// Clients' connections, those included that wait to be accepted.
         clients: usize,
         /// Attempts without a report.
@@ -111,18 +111,18 @@
     /// Go on.
     Wait,
     /// Follow what the new file says.
-    Take,
+    ApplySettings,
     /// The old configuration holds; say so.
-    Keep,
+    KeepSettings,
     /// Do as the door says now.
-    Doors,
+    ApplyServingState,
     /// End.
     End,
 }
 
 /// Up to when clients are read in a stop (clock times).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LastReads {
+pub struct ReadDeadlines {
     /// Those without any answer so far: to be closed without one costs them, and so they are read up to the last answers.
     new: Time,
     /// Those that have had one. What is read from them has half of the time that is left to be answered: later it would be
@@ -130,14 +130,14 @@
     answered: Time,
 }
 
-impl Default for LastReads {
+impl Default for ReadDeadlines {
     /// No stop.
-    fn default() -> LastReads {
-        LastReads { new: Time::MAX, answered: Time::MAX }
+    fn default() -> ReadDeadlines {
+        ReadDeadlines { new: Time::MAX, answered: Time::MAX }
     }
 }
 
-impl LastReads {
+impl ReadDeadlines {
     /// For a client that would be closed for this reason.
     pub fn of(self, why: Idleness) -> Time {
         match why {
@@ -176,28 +176,28 @@
 
     /// Clock time up to which whatever is taken in from now on is to be answered, whatever its client would wait: the
     /// process is killed soon after. `longest`: the longest deadline of any class.
-    pub fn answers_by(&self, longest: Time) -> Time {
+    pub fn answer_deadline(&self, longest: Time) -> Time {
         let limit = longest.min(MOST_DEADLINE) + LEFT - SOONER;
         self.stopped_at.map_or(Time::MAX, |at| at + limit)
     }
 
     /// Up to when what is read in a stop. `longest`: the longest deadline of any class.
-    pub fn last_reads(&self, longest: Time) -> LastReads {
-        let Some(at) = self.stopped_at else { return LastReads::default() };
-        let new = self.answers_by(longest);
-        LastReads { new, answered: at + ((new - at) / 2).max(LAST_CLIENTS) }
+    pub fn read_deadlines(&self, longest: Time) -> ReadDeadlines {
+        let Some(at) = self.stopped_at else { return ReadDeadlines::default() };
+        let new = self.answer_deadline(longest);
+        ReadDeadlines { new, answered: at + ((new - at) / 2).max(FRONT_NOTICE) }
     }
 
     fn at_work(&self) -> bool {
-        matches!(self.stage, Stage::Serving | Stage::Turning { .. } | Stage::Empty)
+        matches!(self.stage, Stage::Serving | Stage::DrainAnnounced { .. } | Stage::Drained)
     }
 
     /// What the front is to do now.
-    pub fn door(&self) -> ServingState {
+    pub fn serving_state(&self) -> ServingState {
         match self.stage {
-            Stage::Serving | Stage::LastClients { .. } => ServingState::Serving,
-            Stage::Turning { .. } => ServingState::Unready,
-            Stage::Empty => ServingState::Draining,
+            Stage::Serving | Stage::StopAnnounced { .. } => ServingState::Serving,
+            Stage::DrainAnnounced { .. } => ServingState::Unready,
+            Stage::Drained => ServingState::Draining,
             Stage::Closing | Stage::Ended => ServingState::Stopped,
         }
     }
@@ -205,7 +205,7 @@
     /// Clock time at which [`Event::Due`] is to be told, if any.
     pub fn due(&self) -> Option<Time> {
         match self.stage {
-            Stage::LastClients { until } | Stage::Turning { until } => Some(until),
+            Stage::StopAnnounced { until } | Stage::DrainAnnounced { until } => Some(until),
             _ => None,
         }
     }
@@ -217,38 +217,38 @@
         }
         match (self.stage, event) {
             // Nobody comes any more, or whoever does is accepted by the next process.
-            (stage, Event::Stop) if stage == Stage::Empty || (self.shared && self.at_work()) => {
+            (stage, Event::Stop) if stage == Stage::Drained || (self.shared && self.at_work()) => {
                 self.stage = Stage::Closing;
-                Action::Doors
+                Action::ApplyServingState
             }
-            (Stage::Serving | Stage::Turning { .. }, Event::Stop) => {
-                self.stage = Stage::LastClients { until: now + LAST_CLIENTS };
-                Action::Doors
+            (Stage::Serving | Stage::DrainAnnounced { .. }, Event::Stop) => {
+                self.stage = Stage::StopAnnounced { until: now + FRONT_NOTICE };
+                Action::ApplyServingState
             }
             (Stage::Serving, Event::Drain) => {
-                self.stage = Stage::Turning { until: now + LAST_CLIENTS };
-                Action::Doors
+                self.stage = Stage::DrainAnnounced { until: now + FRONT_NOTICE };
+                Action::ApplyServingState
             }
-            (Stage::Turning { .. } | Stage::Empty, Event::Resume) => {
+            (Stage::DrainAnnounced { .. } | Stage::Drained, Event::Resume) => {
                 self.stage = if mutant(Mutant::StaysDrained) { self.stage } else { Stage::Serving };
-                Action::Doors
+                Action::ApplyServingState
             }
-            (Stage::Turning { until }, Event::Due) if now >= until => {
-                self.stage = Stage::Empty;
-                Action::Doors
+            (Stage::DrainAnnounced { until }, Event::Due) if now >= until => {
+                self.stage = Stage::Drained;
+                Action::ApplyServingState
             }
-            (Stage::Serving | Stage::Turning { .. } | Stage::Empty, Event::Reload { usable }) => {
+            (Stage::Serving | Stage::DrainAnnounced { .. } | Stage::Drained, Event::Reload { usable }) => {
                 if usable {
-                    Action::Take
+                    Action::ApplySettings
                 } else {
-                    Action::Keep
+                    Action::KeepSettings
                 }
             }
-            (Stage::LastClients { until }, Event::Due) if now >= until => {
+            (Stage::StopAnnounced { until }, Event::Due) if now >= until => {
                 self.stage = Stage::Closing;
-                Action::Doors
+                Action::ApplyServingState
             }
-            (Stage::Closing, Event::Held { clients, attempts })
+            (Stage::Closing, Event::Remaining { clients, attempts })
                 if (clients, attempts) == (0, 0) || mutant(Mutant::EndsWhileHeld) =>
             {
                 self.stage = Stage::Ended;
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -39,6 +39,7 @@
 //! ```
 
 pub mod backoff;
+pub mod class_table;
 pub mod client;
 pub mod connect_timeout;
 pub mod ending;
@@ -49,6 +50,5 @@
 pub mod read_ahead;
 pub mod request;
 pub mod request_table;
-pub mod rules;
 pub mod verdict;
 pub mod watch;
--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -97,7 +97,7 @@
         Command::Drain => gateway.on(now, Event::Drain),
         Command::Resume => gateway.on(now, Event::Resume),
     };
-    let stopping = matches!(before, Stage::LastClients { .. } | Stage::Closing | Stage::Ended);
+    let stopping = matches!(before, Stage::StopAnnounced { .. } | Stage::Closing | Stage::Ended);
     let (yes, reason) = match (command, before) {
         _ if stopping => (false, "stopping, it ends by itself".to_string()),
         (Command::Ready, Stage::Serving) => ready(now, known),
--- a/crates/lifecycle/src/read_ahead.rs
+++ b/crates/lifecycle/src/read_ahead.rs
@@ -23,7 +23,7 @@
     queued: usize,
     queued_bytes: usize,
     /// Bytes that are not cut into messages yet.
-    uncut: usize,
+    unparsed: usize,
     /// Weight of the message that was taken up last.
     current: usize,
     /// Nothing was read for a while although something may have come.
@@ -44,7 +44,7 @@
     pub fn allowance(&self) -> usize {
         match self.queued >= MAX_QUEUED {
             true => 0,
-            false => MAX_BYTES.saturating_sub(self.queued_bytes + self.uncut),
+            false => MAX_BYTES.saturating_sub(self.queued_bytes + self.unparsed),
         }
     }
 
@@ -54,8 +54,8 @@
     }
 
     /// Bytes that the connection holds in all.
-    pub fn held(&self) -> usize {
-        self.current + self.queued_bytes + self.uncut
+    pub fn buffered_bytes(&self) -> usize {
+        self.current + self.queued_bytes + self.unparsed
     }
 
     /// Reading pauses: what comes from now on is read later.
@@ -76,7 +76,7 @@
             (true, true) => self.last_read,
             (true, false) => now,
         };
-        self.uncut += read;
+        self.unparsed += read;
         self.drained = read < asked;
         self.paused = false;
         self.last_read = now;
@@ -87,11 +87,11 @@
         self.queued < MAX_QUEUED
     }
 
-    /// A message of `weight` bytes was cut off, after which `uncut` bytes are left.
-    pub fn on_queued(&mut self, weight: usize, uncut: usize) {
+    /// A message of `weight` bytes was cut off, after which `unparsed` bytes are left.
+    pub fn on_queued(&mut self, weight: usize, unparsed: usize) {
         self.queued += 1;
         self.queued_bytes += weight;
-        self.uncut = uncut;
+        self.unparsed = unparsed;
     }
 
     /// A queued message of `weight` bytes is taken up. The one before it is done with.
@@ -107,8 +107,8 @@
     }
 
     /// The bytes that are not cut were taken up in another way or dropped; so many are left.
-    pub fn set_uncut(&mut self, uncut: usize) {
-        self.uncut = uncut;
+    pub fn set_unparsed_bytes(&mut self, unparsed: usize) {
+        self.unparsed = unparsed;
     }
 
     /// Something may lie in the kernel that came before the last read.
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The decisions want an attempt made.
-    Ordered,
+    AttemptStarted,
     /// The attempt ended; `owed`: with the request's answer.
-    Returned {
+    AttemptEnded {
         /// The host's answer is the request's.
-        owed: bool,
+        answered: bool,
     },
     /// The decisions refuse it.
-    Refused {
+    Rejected {
         /// How long the client should stay away.
         wait: Time,
     },
@@ -25,18 +25,18 @@
     /// The client cancelled it.
     Cancelled,
     /// The client left.
-    Left,
+    Disconnected,
     /// Its connection or the process is about to end, and the time for an answer before that is over.
-    GraceOver,
+    GracePeriodOver,
 }
 
 /// How it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
     /// The answer that a host gave.
-    Given,
+    HostAnswer,
     /// Refused.
-    Refused {
+    Rejected {
         /// How long the client should stay away.
         wait: Time,
     },
@@ -45,13 +45,13 @@
     /// Its client cancelled it, and is told so.
     Cancelled,
     /// Nobody waits for an answer.
-    Withdrawn,
+    Abandoned,
 }
 
 /// A request that has no answer yet, or has just got it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestState {
-    out: bool,
+    attempt_in_flight: bool,
     /// An attempt was made.
     attempted: bool,
     ended: Option<FinalAnswer>,
@@ -59,8 +59,8 @@
 
 impl RequestState {
     /// An attempt is being made.
-    pub fn out(&self) -> bool {
-        self.out
+    pub fn attempt_in_flight(&self) -> bool {
+        self.attempt_in_flight
     }
 
     /// Something happened. Gives the request's end when that is it; nothing changes it afterwards.
@@ -69,18 +69,18 @@
             return None;
         }
         match event {
-            Event::Ordered => (self.out, self.attempted) = (true, true),
-            Event::Returned { owed } => {
-                self.out = false;
-                self.ended = owed.then_some(FinalAnswer::Given);
+            Event::AttemptStarted => (self.attempt_in_flight, self.attempted) = (true, true),
+            Event::AttemptEnded { answered } => {
+                self.attempt_in_flight = false;
+                self.ended = answered.then_some(FinalAnswer::HostAnswer);
             }
-            Event::Refused { wait } => self.ended = Some(FinalAnswer::Refused { wait }),
+            Event::Rejected { wait } => self.ended = Some(FinalAnswer::Rejected { wait }),
             Event::Failed => self.ended = Some(FinalAnswer::Failed),
             Event::Cancelled => self.ended = Some(FinalAnswer::Cancelled),
-            Event::Left => self.ended = Some(FinalAnswer::Withdrawn),
+            Event::Disconnected => self.ended = Some(FinalAnswer::Abandoned),
             // It may have had an effect only if it was attempted.
-            Event::GraceOver if self.attempted => self.ended = Some(FinalAnswer::Failed),
-            Event::GraceOver => self.ended = Some(FinalAnswer::Refused { wait: 0 }),
+            Event::GracePeriodOver if self.attempted => self.ended = Some(FinalAnswer::Failed),
+            Event::GracePeriodOver => self.ended = Some(FinalAnswer::Rejected { wait: 0 }),
         }
         self.ended
     }
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -1,10 +1,10 @@
 //! What is taken in: requests, settings, lists.
 
 use super::*;
-use crate::rules::Full;
+use crate::class_table::TooManyClasses;
 
 /// The settings with all classes that are in use.
-pub(super) fn whole(settings: &Settings, rules: &Rules) -> Settings {
+pub(super) fn whole(settings: &Settings, rules: &ClassTable) -> Settings {
     Settings { classes: rules.table().to_vec(), ..settings.clone() }
 }
 
@@ -22,7 +22,7 @@
         Some((place, self.rules.class(place).clone()))
     }
 
-    /// The longest that clients of this class wait; see [`Rules::longest_wait`].
+    /// The longest that clients of this class wait; see [`ClassTable::longest_wait`].
     pub fn longest_wait(&self, now: Time, name: &str) -> Time {
         self.rules.longest_wait(now, name)
     }
@@ -38,8 +38,8 @@
     /// classes before it if that is shorter.
     pub fn longest(&self, now: Time) -> Time {
         let longest = |places: &[usize]| places.iter().map(|place| self.rules.class(*place).deadline).max();
-        let force = longest(self.rules.force()).unwrap_or(0);
-        longest(self.rules.before(now)).map_or(force, |before| before.min(force))
+        let force = longest(self.rules.in_force()).unwrap_or(0);
+        longest(self.rules.previous(now)).map_or(force, |before| before.min(force))
     }
 
     /// Counts the settings that were in force, from 1.
@@ -50,23 +50,28 @@
     /// New settings hold from now on, for requests to come; those that are open, and their attempts, keep the classes
     /// that they were admitted with. `carrying` are the places, in these settings, of classes that carry sessions.
     /// What is wrong with them is said before anything has changed.
-    pub fn follow(&mut self, now: Time, mut settings: Settings, carrying: &[usize]) -> Result<(), NotTaken> {
-        settings.check().map_err(NotTaken::Unsound)?;
+    pub fn follow(
+        &mut self,
+        now: Time,
+        mut settings: Settings,
+        carrying: &[usize],
+    ) -> Result<(), SettingsRejected> {
+        settings.check().map_err(SettingsRejected::Invalid)?;
         if self.session_tracker.is_none() && !carrying.is_empty() {
-            return Err(NotTaken::Sessions);
+            return Err(SettingsRejected::SessionsDisabled);
         }
         let out = self.out.values().map(|errand| errand.class);
         let used = self.open.values().map(|open| open.class).chain(out).collect();
         let mut rules = self.rules.clone();
         let classes = std::mem::take(&mut settings.classes);
-        rules.follow(now, classes, &used).map_err(|Full| NotTaken::Full)?;
+        rules.update(now, classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
         (settings.scout_every, settings.last) = (self.settings.scout_every, self.settings.last);
         self.settings = settings;
         self.granularity = self.settings.granularity;
-        self.router.follow(whole(&self.settings, &rules)).map_err(NotTaken::Unsound)?;
+        self.router.follow(whole(&self.settings, &rules)).map_err(SettingsRejected::Invalid)?;
         let still = |place: &usize| rules.table()[*place] == *self.rules.class(*place);
         self.carrying.retain(|place| *place < rules.table().len() && still(place));
-        self.carrying.extend(carrying.iter().map(|place| rules.force()[*place]));
+        self.carrying.extend(carrying.iter().map(|place| rules.in_force()[*place]));
         self.rules = rules;
         Ok(())
     }
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -24,9 +24,9 @@
 mod steps;
 mod types;
 
-pub use types::{NotTaken, Order, Outcome, Request, Send, SessionRef};
+pub use types::{Order, Outcome, Request, Send, SessionRef, SettingsRejected};
 
-use crate::rules::Rules;
+use crate::class_table::ClassTable;
 use petrelgauge_policy::*;
 use petrelgauge_sessions::{MinimumPosition, SessionKey, SessionTracker};
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,7 @@
     groups: BTreeSet<GroupId>,
     /// Members that the list names.
     listed: BTreeSet<MemberId>,
-    rules: Rules,
+    rules: ClassTable,
     /// What holds beside the classes.
     settings: Settings,
     /// Places of classes that carry sessions.
@@ -110,7 +110,7 @@
         let places = places.unwrap_or_default();
         Ok(RequestTable {
             granularity: settings.granularity,
-            rules: Rules::new(settings.classes.clone()),
+            rules: ClassTable::new(settings.classes.clone()),
             carrying: places.into_iter().collect(),
             settings: Settings { classes: Vec::new(), ..settings.clone() },
             router: Router::new(settings, seed)?,
@@ -131,7 +131,7 @@
     }
 
     /// Requests without an end, and attempts without a report.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn in_flight(&self) -> (usize, usize) {
         (self.open.len(), self.out.len())
     }
 
@@ -142,7 +142,7 @@
 
     /// Whether an attempt may still be written, as of now: its request waits for its end, and what it would read at its
     /// member is known to be fresh enough where members do not check that for themselves.
-    pub fn may_go(&self, now: Time, send: &Send) -> bool {
+    pub fn may_send(&self, now: Time, send: &Send) -> bool {
         self.is_open(&send.request) && self.router.is_fresh(now, &send.request, send.host)
     }
 
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -100,21 +100,23 @@
 
 /// Why new settings were not taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NotTaken {
+pub enum SettingsRejected {
     /// They make no sense.
-    Unsound(SettingsError),
+    Invalid(SettingsError),
     /// There are open requests of too many classes.
-    Full,
+    TooManyClasses,
     /// They ask for sessions, which are switched on at the start only.
-    Sessions,
+    SessionsDisabled,
 }
 
-impl std::fmt::Display for NotTaken {
+impl std::fmt::Display for SettingsRejected {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            NotTaken::Unsound(cause) => cause.fmt(f),
-            NotTaken::Full => write!(f, "requests of too many earlier classes are still open"),
-            NotTaken::Sessions => write!(f, "sessions are switched on at the start only"),
+            SettingsRejected::Invalid(cause) => cause.fmt(f),
+            SettingsRejected::TooManyClasses => {
+                write!(f, "requests of too many earlier classes are still open")
+            }
+            SettingsRejected::SessionsDisabled => write!(f, "sessions are switched on at the start only"),
         }
     }
 }
--- a/crates/lifecycle/src/verdict.rs
+++ b/crates/lifecycle/src/verdict.rs
@@ -4,7 +4,7 @@
 use petrelgauge_policy::{Report, Time};
 
 /// How an attempt ended that was answered with an error of this code.
-pub fn of_code(code: &str) -> End {
+pub fn end_for_code(code: &str) -> End {
     match code {
         // Not the primary; too far behind.
         "25006" | "72000" => End::Rejected,
@@ -18,12 +18,12 @@
 /// Whether a load report can be: nothing in it is negative or not a number. One that cannot is dropped whole; the answer
 /// that it came with holds. Whether its position can be is asked of the hosts' clock; see
 /// [`RequestTable::screen`](crate::request_table::RequestTable::screen).
-pub fn report_can_be(report: &Report) -> bool {
+pub fn is_plausible_report(report: &Report) -> bool {
     let sound = |figure: Option<f64>| figure.is_none_or(|figure| figure.is_finite() && figure >= 0.0);
     report.position.is_none_or(|at| at >= 0) && sound(report.waiting) && sound(report.busy)
 }
 
 /// A position that was told in Unix milliseconds, by the hosts' clock.
-pub fn position(ms: Time) -> Option<Time> {
+pub fn position_from_millis(ms: Time) -> Option<Time> {
     ms.checked_mul(1000).filter(|at| *at > 0)
 }
--- a/crates/lifecycle/src/watch.rs
+++ b/crates/lifecycle/src/watch.rs
@@ -5,16 +5,16 @@
 //! that is opened while the list is owed asks for all of it.
 //!
 //! ```
-//! use petrelgauge_lifecycle::watch::Holding;
+//! use petrelgauge_lifecycle::watch::WatchState;
 //!
-//! let mut held = Holding::default();
-//! assert!(held.news(7, true) && held.news(8, false));
-//! assert_eq!(held.after(), Some(8));
-//! held.spoilt();
-//! assert!(held.news(10, false), "what can be used is used");
-//! assert_eq!((held.owed(), held.after()), (true, None));
-//! assert!(held.called(10));
-//! assert_eq!((held.owed(), held.after()), (false, Some(10)));
+//! let mut state = WatchState::default();
+//! assert!(state.on_update(7, true) && state.on_update(8, false));
+//! assert_eq!(state.resume_after(), Some(8));
+//! state.on_unusable_line();
+//! assert!(state.on_update(10, false), "what can be used is used");
+//! assert_eq!((state.needs_complete_list(), state.resume_after()), (true, None));
+//! assert!(state.on_complete_list(10));
+//! assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(10)));
 //! ```
 
 use petrelgauge_policy::Time;
@@ -22,14 +22,14 @@
 /// Discovery writes an empty line every 2 s; without a line for this span (microseconds), a watch is taken for dead.
 /// What it has to tell counts as told after 6 s, so little of that may be spent on waiting. Bytes that make no line are
 /// no sign of life.
-pub const SILENCE: Time = 3_000_000;
+pub const WATCH_TIMEOUT: Time = 3_000_000;
 /// Lines that could not be used, or a list that is long in coming, are called for again after this span at the earliest
 /// (microseconds): what is owed binds in 8 s.
-pub const AGAIN: Time = 500_000;
+pub const COMPLETE_LIST_INTERVAL: Time = 500_000;
 
 /// What is held of the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holding {
+pub struct WatchState {
     revision: Option<u64>,
     /// Of the present watch.
     newest: Option<u64>,
@@ -38,39 +38,39 @@
     older: bool,
 }
 
-impl Holding {
+impl WatchState {
     /// A watch is opened.
-    pub fn opened(&mut self) {
+    pub fn on_watch_opened(&mut self) {
         self.newest = None;
     }
 
     /// Another source is asked from now on. Whether it counts its revisions alike is not known.
-    pub fn moved(&mut self) {
-        *self = Holding { owed: self.owed, ..Holding::default() };
+    pub fn on_source_changed(&mut self) {
+        *self = WatchState { owed: self.owed, ..WatchState::default() };
     }
 
     /// The revision after which changes are asked for; none if the whole list is.
-    pub fn after(&self) -> Option<u64> {
+    pub fn resume_after(&self) -> Option<u64> {
         self.revision.filter(|_| !self.owed)
     }
 
     /// No list was held so far, or not from this source.
-    pub fn is_new(&self) -> bool {
+    pub fn is_first_list(&self) -> bool {
         self.revision.is_none()
     }
 
     /// The whole list is owed.
-    pub fn owed(&self) -> bool {
+    pub fn needs_complete_list(&self) -> bool {
         self.owed
     }
 
     /// Something came that could not be used.
-    pub fn spoilt(&mut self) {
+    pub fn on_unusable_line(&mut self) {
         self.owed = true;
     }
 
     /// A list came on the watch. Whether it is to be used: changes that are older than others before them are not.
-    pub fn news(&mut self, revision: u64, whole: bool) -> bool {
+    pub fn on_update(&mut self, revision: u64, whole: bool) -> bool {
         if !whole && self.newest.is_some_and(|newest| revision < newest) {
             self.owed = true;
             return false;
@@ -81,7 +81,7 @@
 
     /// A whole list came that was called for beside the watch. Whether it is to be used: one that is older than what
     /// the watch brought meanwhile is called for again, and is used if it is so still.
-    pub fn called(&mut self, revision: u64) -> bool {
+    pub fn on_complete_list(&mut self, revision: u64) -> bool {
         let older = self.revision.is_some_and(|held| revision < held);
         if older && !std::mem::replace(&mut self.older, true) {
             return false;
--- a/crates/lifecycle/tests/backoff.rs
+++ b/crates/lifecycle/tests/backoff.rs
@@ -30,7 +30,7 @@
 fn a_hundred_gateways_get_through_to_a_service_that_a_fixed_pause_keeps_overbooked() {
     let fixed = |_: &mut Backoff| FIRST_MEAN;
     assert_eq!(all_through(100, fixed), None, "all of them at once, each time");
-    let jittered = |one: &mut Backoff| one.pause(Cause::Refused);
+    let jittered = |one: &mut Backoff| one.pause(Cause::Rejected);
     let last = all_through(100, jittered).expect("all get through");
     assert!(last <= 18_000_000, "the last one after {last} us");
     assert!(all_through(70, jittered).is_some_and(|last| last <= 12_000_000));
@@ -63,9 +63,9 @@
 fn pauses_are_bounded_and_differ_between_gateways() {
     for gateways in [1, 5, 100, u32::MAX] {
         let (mut one, mut other) = (Backoff::new(gateways, 1), Backoff::new(gateways, 2));
-        let pauses: Vec<Time> = (0..200).map(|_| one.pause(Cause::Refused)).collect();
+        let pauses: Vec<Time> = (0..200).map(|_| one.pause(Cause::Rejected)).collect();
         assert!(pauses.iter().all(|pause| (0..2 * MAX_MEAN).contains(pause)));
-        assert!((0..200).any(|n| other.pause(Cause::Refused) != pauses[n]));
+        assert!((0..200).any(|n| other.pause(Cause::Rejected) != pauses[n]));
     }
 }
 
--- a/crates/lifecycle/tests/rules.rs
+++ b/crates/lifecycle/tests/class_table.rs
@@ -1,6 +1,6 @@
 //! Request classes while settings change under open requests.
 
-use petrelgauge_lifecycle::rules::*;
+use petrelgauge_lifecycle::class_table::*;
 use petrelgauge_policy::{Class, Effect, Need, Scope};
 use std::collections::BTreeSet;
 
@@ -19,25 +19,25 @@
     }
 }
 
-fn two() -> Rules {
-    Rules::new(vec![class("a", Effect::Safe), class("b", KEYED)])
+fn two() -> ClassTable {
+    ClassTable::new(vec![class("a", Effect::Safe), class("b", KEYED)])
 }
 
 #[test]
 fn what_is_the_same_keeps_its_place_and_what_is_in_use_is_left_alone() {
     let mut rules = two();
     let classes = vec![class("b", KEYED), class("c", Effect::Safe), class("a", Effect::Unsafe)];
-    rules.follow(0, classes, &[0].into()).expect("room");
+    rules.update(0, classes, &[0].into()).expect("room");
     assert_eq!(rules.find(0, "b", true), Some(1));
     assert_eq!(rules.class(0).effect, Effect::Safe, "an open request still has it");
-    let places: BTreeSet<usize> = rules.force().iter().copied().collect();
+    let places: BTreeSet<usize> = rules.in_force().iter().copied().collect();
     assert_eq!((places.len(), rules.table().len(), rules.version()), (3, 4, 2));
 }
 
 #[test]
 fn a_name_that_is_dropped_is_found_until_clients_know_of_it() {
     let mut rules = two();
-    rules.follow(0, vec![class("b", KEYED)], &BTreeSet::new()).expect("room");
+    rules.update(0, vec![class("b", KEYED)], &BTreeSet::new()).expect("room");
     assert_eq!(rules.find(OVERLAP - 1, "a", false), Some(0));
     assert_eq!(rules.find(OVERLAP, "a", false), None);
 }
@@ -46,8 +46,8 @@
 fn clients_wait_as_the_class_before_a_change_has_it_until_they_know() {
     let mut rules = two();
     let longer = Class { deadline: 9, ..class("a", Effect::Safe) };
-    rules.follow(0, vec![longer, class("b", KEYED)], &BTreeSet::new()).expect("room");
-    rules.follow(OVERLAP, vec![class("a", Effect::Safe)], &BTreeSet::new()).expect("room");
+    rules.update(0, vec![longer, class("b", KEYED)], &BTreeSet::new()).expect("room");
+    rules.update(OVERLAP, vec![class("a", Effect::Safe)], &BTreeSet::new()).expect("room");
     assert_eq!(rules.longest_wait(2 * OVERLAP - 1, "a"), 9);
     assert_eq!(rules.longest_wait(2 * OVERLAP, "a"), 2);
     assert_eq!(rules.longest_wait(2 * OVERLAP, "c"), 0);
@@ -56,7 +56,7 @@
 #[test]
 fn a_class_that_comes_to_ask_for_a_key_is_as_before_for_clients_that_bring_none() {
     let mut rules = two();
-    rules.follow(0, vec![class("a", KEYED), class("b", KEYED)], &BTreeSet::new()).expect("room");
+    rules.update(0, vec![class("a", KEYED), class("b", KEYED)], &BTreeSet::new()).expect("room");
     let effect = |at, keyed| rules.find(at, "a", keyed).map(|place| rules.class(place).effect);
     assert_eq!(effect(0, false), Some(Effect::Safe));
     assert_eq!(effect(0, true), Some(KEYED));
@@ -70,20 +70,20 @@
     let mut rules = two();
     for change in 0..1000 {
         let classes = vec![class(&format!("n{change}"), Effect::Safe), class("b", KEYED)];
-        rules.follow(change * OVERLAP, classes, &BTreeSet::new()).expect("room");
+        rules.update(change * OVERLAP, classes, &BTreeSet::new()).expect("room");
     }
     assert!(rules.table().len() <= 4, "{}", rules.table().len());
     let version = rules.version();
-    let many = (0..=MOST).map(|number| class(&format!("m{number}"), Effect::Safe)).collect();
-    assert_eq!(rules.follow(0, many, &BTreeSet::new()), Err(Full));
+    let many = (0..=MAX_CLASSES).map(|number| class(&format!("m{number}"), Effect::Safe)).collect();
+    assert_eq!(rules.update(0, many, &BTreeSet::new()), Err(TooManyClasses));
     assert_eq!((rules.version(), rules.find(0, "b", true)), (version, Some(1)), "nothing has changed");
 }
 
 #[test]
 fn a_place_that_nobody_needs_holds_no_class_of_another_time() {
     let mut rules = two();
-    rules.follow(0, vec![class("c", Effect::Safe)], &[1].into()).expect("room");
-    rules.follow(OVERLAP, vec![class("c", Effect::Safe)], &[1].into()).expect("room");
+    rules.update(0, vec![class("c", Effect::Safe)], &[1].into()).expect("room");
+    rules.update(OVERLAP, vec![class("c", Effect::Safe)], &[1].into()).expect("room");
     assert_eq!(rules.table()[0].name, "c");
     assert_eq!(rules.class(1).name, "b");
 }
--- a/crates/lifecycle/tests/client.rs
+++ b/crates/lifecycle/tests/client.rs
@@ -1,6 +1,6 @@
 //! When a client that is between two queries is closed, and when one that does not complete a message is.
 
-use petrelgauge_lifecycle::client::{Action, Client, Event, Kind, Used, WHOLE};
+use petrelgauge_lifecycle::client::{Action, Client, Event, MessageKind, QueryOutcome, MESSAGE_TIMEOUT};
 use petrelgauge_policy::Time;
 
 const SECOND: Time = 1_000_000;
@@ -8,9 +8,9 @@
 /// A client that has had an answer at this time.
 fn served(at: Time) -> Client {
     let mut client = Client::new(at);
-    client.on(at, Event::Opened);
-    client.on(at, Event::Message(Kind::Query));
-    client.on(at, Event::Answered(Used::Request));
+    client.on(at, Event::StartupReceived);
+    client.on(at, Event::Message(MessageKind::Query));
+    client.on(at, Event::Answered(QueryOutcome::Request));
     client
 }
 
@@ -39,5 +39,5 @@
 #[test]
 fn a_client_that_goes_on_slowly_has_the_time_for_a_whole_message() {
     let parts: Vec<Time> = (1..100).map(|number| number * SECOND).collect();
-    assert_eq!(cut_off_at(&mut served(0), &parts), WHOLE);
+    assert_eq!(cut_off_at(&mut served(0), &parts), MESSAGE_TIMEOUT);
 }
--- a/crates/lifecycle/tests/ops.rs
+++ b/crates/lifecycle/tests/ops.rs
@@ -1,6 +1,6 @@
 //! Commands of the operators' address: parsing, answers and their effect on the gateway.
 
-use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage, LAST_CLIENTS};
+use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage, FRONT_NOTICE};
 use petrelgauge_lifecycle::ops::*;
 use petrelgauge_policy::Time;
 
@@ -26,21 +26,21 @@
     let mut gateway = Gateway::default();
     assert!(accepted(&mut gateway, 0, Command::Resume), "at work already");
     assert!(accepted(&mut gateway, 0, Command::Drain) && !accepted(&mut gateway, 1, Command::Ready));
-    assert_eq!((gateway.door(), gateway.due()), (ServingState::Unready, Some(LAST_CLIENTS)));
+    assert_eq!((gateway.serving_state(), gateway.due()), (ServingState::Unready, Some(FRONT_NOTICE)));
     // The second command does not put off the first one's end.
-    assert!(accepted(&mut gateway, LAST_CLIENTS / 2, Command::Drain));
-    assert_eq!(gateway.due(), Some(LAST_CLIENTS));
-    assert_eq!(gateway.on(LAST_CLIENTS, Event::Due), Action::Doors);
-    assert_eq!((gateway.door(), gateway.due()), (ServingState::Draining, None));
+    assert!(accepted(&mut gateway, FRONT_NOTICE / 2, Command::Drain));
+    assert_eq!(gateway.due(), Some(FRONT_NOTICE));
+    assert_eq!(gateway.on(FRONT_NOTICE, Event::Due), Action::ApplyServingState);
+    assert_eq!((gateway.serving_state(), gateway.due()), (ServingState::Draining, None));
     assert!(
-        accepted(&mut gateway, LAST_CLIENTS, Command::Drain)
-            && !accepted(&mut gateway, LAST_CLIENTS, Command::Ready)
+        accepted(&mut gateway, FRONT_NOTICE, Command::Drain)
+            && !accepted(&mut gateway, FRONT_NOTICE, Command::Ready)
     );
     assert!(
         accepted(&mut gateway, 9_000_000, Command::Resume)
             && accepted(&mut gateway, 9_000_000, Command::Ready)
     );
-    assert_eq!(gateway.door(), ServingState::Serving);
+    assert_eq!(gateway.serving_state(), ServingState::Serving);
 }
 
 #[test]
@@ -51,7 +51,7 @@
     for command in [Command::Ready, Command::Drain, Command::Resume] {
         assert!(!accepted(&mut gateway, 1, command));
     }
-    assert!(matches!(gateway.stage(), Stage::LastClients { .. }));
+    assert!(matches!(gateway.stage(), Stage::StopAnnounced { .. }));
 }
 
 #[test]
@@ -69,7 +69,7 @@
 fn a_reload_is_applied_while_drained() {
     let mut gateway = Gateway::default();
     gateway.on(0, Event::Drain);
-    assert_eq!(gateway.on(0, Event::Reload { usable: true }), Action::Take);
-    assert_eq!(gateway.on(0, Event::Reload { usable: false }), Action::Keep);
-    assert_eq!(gateway.door(), ServingState::Unready);
+    assert_eq!(gateway.on(0, Event::Reload { usable: true }), Action::ApplySettings);
+    assert_eq!(gateway.on(0, Event::Reload { usable: false }), Action::KeepSettings);
+    assert_eq!(gateway.serving_state(), ServingState::Unready);
 }
--- a/crates/lifecycle/tests/outage.rs
+++ b/crates/lifecycle/tests/outage.rs
@@ -2,7 +2,7 @@
 //! comes with the return is heeded, and ask for what changed meanwhile.
 
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
-use petrelgauge_lifecycle::watch::{Holding, SILENCE};
+use petrelgauge_lifecycle::watch::{WatchState, WATCH_TIMEOUT};
 use petrelgauge_policy::Time;
 
 const SECOND: Time = 1_000_000;
@@ -31,8 +31,11 @@
                 let (late, mut backoff) = pause_at_return(gateways, seed, 1_000, returns);
                 assert!(late < HEEDED / 2, "{gateways} gateways, seed {seed}: {late} us late");
                 // Calls that nobody answers: the one that is out when it returns takes its time.
-                let (late, _) = pause_at_return(gateways, seed, SILENCE, returns);
-                assert!(late < SILENCE + HEEDED / 2, "{gateways} gateways, seed {seed}: {late} us late");
+                let (late, _) = pause_at_return(gateways, seed, WATCH_TIMEOUT, returns);
+                assert!(
+                    late < WATCH_TIMEOUT + HEEDED / 2,
+                    "{gateways} gateways, seed {seed}: {late} us late"
+                );
                 // The outage has left no mark: the next fault is met with a short pause.
                 backoff.reset();
                 assert!(backoff.pause(Cause::Lost) < SECOND / 2);
@@ -43,15 +46,15 @@
 
 #[test]
 fn a_return_with_old_or_with_new_numbers_is_followed() {
-    let mut held = Holding::default();
-    assert!(held.news(41, true));
+    let mut state = WatchState::default();
+    assert!(state.on_update(41, true));
     for _ in 0..200 {
-        held.opened();
-        assert_eq!(held.after(), Some(41), "what changed during the outage is asked for");
+        state.on_watch_opened();
+        assert_eq!(state.resume_after(), Some(41), "what changed during the outage is asked for");
     }
-    assert!(held.news(60, false));
+    assert!(state.on_update(60, false));
     // A service that lost its state begins to count anew, with a complete list.
-    held.opened();
-    assert!(held.news(3, true));
-    assert_eq!((held.owed(), held.after()), (false, Some(3)));
+    state.on_watch_opened();
+    assert!(state.on_update(3, true));
+    assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(3)));
 }
--- a/crates/lifecycle/tests/read_ahead.rs
+++ b/crates/lifecycle/tests/read_ahead.rs
@@ -28,9 +28,9 @@
     assert_eq!(ahead.allowance(), 0);
     ahead.on_taken(MAX_BYTES / 2);
     assert_eq!(ahead.allowance(), MAX_BYTES / 2);
-    assert_eq!(ahead.held(), MAX_BYTES);
+    assert_eq!(ahead.buffered_bytes(), MAX_BYTES);
     ahead.on_done();
-    assert_eq!(ahead.held(), MAX_BYTES / 2);
+    assert_eq!(ahead.buffered_bytes(), MAX_BYTES / 2);
 }
 
 #[test]
--- a/crates/lifecycle/tests/watch.rs
+++ b/crates/lifecycle/tests/watch.rs
@@ -4,34 +4,34 @@
 
 #[test]
 fn changes_that_go_back_are_not_used_and_the_whole_list_is_owed() {
-    let mut held = Holding::default();
-    assert!(held.news(41, true) && held.news(42, false));
-    assert!(!held.news(40, false));
-    assert_eq!((held.owed(), held.after()), (true, None));
+    let mut state = WatchState::default();
+    assert!(state.on_update(41, true) && state.on_update(42, false));
+    assert!(!state.on_update(40, false));
+    assert_eq!((state.needs_complete_list(), state.resume_after()), (true, None));
     // A source that has begun anew says so with a whole list, whatever its number.
-    assert!(held.news(3, true));
-    assert_eq!((held.owed(), held.after()), (false, Some(3)));
+    assert!(state.on_update(3, true));
+    assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(3)));
 }
 
 #[test]
 fn a_call_that_was_overtaken_by_the_watch_is_made_again_and_a_source_that_began_anew_is_believed() {
-    let mut held = Holding::default();
-    held.spoilt();
-    assert!(held.news(9, false));
-    assert!(!held.called(8));
-    assert!(held.owed());
-    assert!(held.called(8), "twice the same: so it stands there");
-    assert_eq!((held.owed(), held.after()), (false, Some(8)));
+    let mut state = WatchState::default();
+    state.on_unusable_line();
+    assert!(state.on_update(9, false));
+    assert!(!state.on_complete_list(8));
+    assert!(state.needs_complete_list());
+    assert!(state.on_complete_list(8), "twice the same: so it stands there");
+    assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(8)));
 }
 
 #[test]
 fn what_is_owed_stays_owed_through_a_move_and_through_changes() {
-    let mut held = Holding::default();
-    assert!(held.news(5, true));
-    held.spoilt();
-    held.moved();
-    held.opened();
-    assert!(held.owed() && held.is_new());
-    assert!(held.news(6, false) && held.owed());
-    assert!(held.news(7, true) && !held.owed());
+    let mut state = WatchState::default();
+    assert!(state.on_update(5, true));
+    state.on_unusable_line();
+    state.on_source_changed();
+    state.on_watch_opened();
+    assert!(state.needs_complete_list() && state.is_first_list());
+    assert!(state.on_update(6, false) && state.needs_complete_list());
+    assert!(state.on_update(7, true) && !state.needs_complete_list());
 }
--- a/crates/models/src/attempts.rs
+++ b/crates/models/src/attempts.rs
@@ -270,7 +270,7 @@
         let leads = send.host == self.leads;
         let role = told.end.is_answer().then_some(if leads { Role::Primary } else { Role::Replica });
         let position = told.end.is_answer().then_some(if leads { now } else { now - 20_000 });
-        let outcome = Outcome { role, position, ..Outcome::silent(told.end.for_decisions()) };
+        let outcome = Outcome { role, position, ..Outcome::silent(told.end.as_ending()) };
         if self.desk.report(now, &send, outcome) {
             self.ends(self.place(&send.request));
         }
@@ -280,7 +280,7 @@
     /// What the desk takes to be out is what is out.
     fn compare(&mut self) {
         let out = self.out.iter().filter(|out| !out.reported).count();
-        if self.desk.held().1 != out {
+        if self.desk.in_flight().1 != out {
             self.breaks(OUT);
         }
     }
@@ -419,7 +419,7 @@
 
     fn broken_at_end(&self) -> Option<&'static str> {
         let answered = self.asked.iter().all(|asked| asked.left || asked.finals == 1);
-        (self.desk.held() != (0, 0) || !answered).then_some(ENDS)
+        (self.desk.in_flight() != (0, 0) || !answered).then_some(ENDS)
     }
 }
 
--- a/crates/models/src/rules.rs
+++ b/crates/models/src/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{check, Report, World};
 use crate::Size;
-use petrelgauge_lifecycle::rules::{Rules, OVERLAP};
+use petrelgauge_lifecycle::class_table::{ClassTable, OVERLAP};
 use petrelgauge_policy::{Class, Effect, Need, Scope, Time};
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 struct Changes {
     now: Time,
-    rules: Rules,
+    rules: ClassTable,
     force: usize,
     /// Place and class at its admission.
     open: Vec<(usize, Class)>,
@@ -116,7 +116,7 @@
             Move::Follows(which) => {
                 self.follows -= 1;
                 let used = self.used();
-                if self.rules.follow(self.now, settings(which), &used).is_ok() {
+                if self.rules.update(self.now, settings(which), &used).is_ok() {
                     self.force = which;
                 }
             }
@@ -145,6 +145,6 @@
 /// Plays it.
 pub fn run(size: Size, path: &[String]) -> Report {
     let (comes, follows) = if size == Size::Small { (2, 3) } else { (4, 4) };
-    let (rules, open) = (Rules::new(settings(0)), Vec::new());
+    let (rules, open) = (ClassTable::new(settings(0)), Vec::new());
     check(Changes { now: 0, rules, force: 0, open, comes, follows, broken: None }, path)
 }
--- a/crates/models/src/stop.rs
+++ b/crates/models/src/stop.rs
@@ -3,7 +3,7 @@
 
 use crate::check::{check, Report, World};
 use crate::Size;
-use petrelgauge_lifecycle::client::{self, Action, Client, Kind, Stage, Used};
+use petrelgauge_lifecycle::client::{self, Action, Client, MessageKind, QueryOutcome, Stage};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::gateway::{self, Gateway};
 use petrelgauge_lifecycle::request::{self, FinalAnswer, RequestState};
@@ -96,15 +96,15 @@
     fn ends(&mut self, place: usize, event: request::Event) {
         let At::Open { asked, .. } = &mut self.clients[place] else { return };
         let Some(one) = asked else { return };
-        let _ = one.on(request::Event::Ordered);
+        let _ = one.on(request::Event::AttemptStarted);
         let ended = one.on(event);
         if one.on(request::Event::Failed).is_some() {
             self.broken = Some(ONCE);
         }
         *asked = None;
         match ended {
-            Some(FinalAnswer::Withdrawn) => self.tell(place, client::Event::Left(End::ClientLeft)),
-            _ => self.tell(place, client::Event::Answered(Used::Request)),
+            Some(FinalAnswer::Abandoned) => self.tell(place, client::Event::Disconnected(End::ClientLeft)),
+            _ => self.tell(place, client::Event::Answered(QueryOutcome::Request)),
         }
     }
 }
@@ -123,7 +123,7 @@
         for (place, at) in self.clients.iter().enumerate() {
             match at {
                 // The front deals out no connection once it has learned of the stop.
-                At::Away if self.gateway.door() != gateway::ServingState::Stopped => {
+                At::Away if self.gateway.serving_state() != gateway::ServingState::Stopped => {
                     moves.push(Move::Connects(place))
                 }
                 At::Away | At::Gone => {}
@@ -138,7 +138,7 @@
                     } else if *unread > 0 {
                         moves.push(Move::Heard(place));
                     }
-                    if self.gateway.door().empties() {
+                    if self.gateway.serving_state().closes_idle_clients() {
                         moves.push(Move::Stopped(place));
                     }
                     if life.stage() == Stage::Idle {
@@ -148,7 +148,7 @@
             }
         }
         match stage {
-            gateway::Stage::Serving | gateway::Stage::Turning { .. } | gateway::Stage::Empty => {
+            gateway::Stage::Serving | gateway::Stage::DrainAnnounced { .. } | gateway::Stage::Drained => {
                 moves.push(Move::Term);
                 if self.gateway.due().is_some() {
                     moves.push(Move::Due);
@@ -162,7 +162,7 @@
                     moves.extend([Move::Reload(true), Move::Reload(false)]);
                 }
             }
-            gateway::Stage::LastClients { .. } => moves.push(Move::Due),
+            gateway::Stage::StopAnnounced { .. } => moves.push(Move::Due),
             _ => moves.push(Move::Looks),
         }
         moves
@@ -175,7 +175,7 @@
             Move::Connects(place) => self.clients[place] = At::Backlog,
             Move::Accepted(place) => {
                 self.clients[place] = At::Open { life: Client::new(now), unread: 0, asked: None };
-                self.tell(place, client::Event::Opened);
+                self.tell(place, client::Event::StartupReceived);
             }
             Move::Sends(place) => {
                 self.queries[place] -= 1;
@@ -187,15 +187,15 @@
                 if let At::Open { unread, .. } = &mut self.clients[place] {
                     *unread -= 1;
                 }
-                self.tell(place, client::Event::Message(Kind::Query));
+                self.tell(place, client::Event::Message(MessageKind::Query));
             }
-            Move::Served(place) => self.ends(place, request::Event::Returned { owed: true }),
-            Move::Refused(place) => self.ends(place, request::Event::Refused { wait: 0 }),
+            Move::Served(place) => self.ends(place, request::Event::AttemptEnded { answered: true }),
+            Move::Refused(place) => self.ends(place, request::Event::Rejected { wait: 0 }),
             Move::Leaves(place) => {
                 let asking = matches!(self.clients[place], At::Open { asked: Some(_), .. });
                 match asking {
-                    true => self.ends(place, request::Event::Left),
-                    false => self.tell(place, client::Event::Left(End::ClientLeft)),
+                    true => self.ends(place, request::Event::Disconnected),
+                    false => self.tell(place, client::Event::Disconnected(End::ClientLeft)),
                 }
             }
             Move::Stopped(place) | Move::Idle(place) => {
@@ -210,20 +210,20 @@
             Move::Drain => {
                 self.drains -= 1;
                 self.gateway.on(now, gateway::Event::Drain);
-                if self.gateway.door().admits() {
+                if self.gateway.serving_state().reports_ready() {
                     self.broken = Some(BACK);
                 }
             }
             Move::Resume => {
                 self.gateway.on(now, gateway::Event::Resume);
-                if !self.gateway.door().admits() {
+                if !self.gateway.serving_state().reports_ready() {
                     self.broken = Some(BACK);
                 }
             }
             Move::Reload(usable) => {
                 self.reloads -= 1;
                 let before = self.discovery;
-                if self.gateway.on(now, gateway::Event::Reload { usable }) == gateway::Action::Take {
+                if self.gateway.on(now, gateway::Event::Reload { usable }) == gateway::Action::ApplySettings {
                     self.discovery += 1;
                 }
                 if !usable && self.discovery != before {
@@ -236,7 +236,7 @@
             }
             Move::Looks => {
                 let (clients, attempts) = self.held();
-                let ended = self.gateway.on(now, gateway::Event::Held { clients, attempts });
+                let ended = self.gateway.on(now, gateway::Event::Remaining { clients, attempts });
                 if ended == gateway::Action::End && (clients, attempts) != (0, 0) {
                     self.broken = Some(HELD);
                 }
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -6,8 +6,8 @@
 //!
 //! Whoever owns the facade calls [`Facade::tick`] at the time it names, or when [`Facade::woken`] returns.
 
-pub use petrelgauge_lifecycle::request_table::{NotTaken, Outcome, Request, SessionRef};
 use petrelgauge_lifecycle::request_table::{Order, RequestTable, Send};
+pub use petrelgauge_lifecycle::request_table::{Outcome, Request, SessionRef, SettingsRejected};
 use petrelgauge_policy::*;
 use petrelgauge_sessions::{
     BroadcastError, Counts, SessionKey, SessionTokens, SessionTracker, Snapshot, TokenError,
@@ -63,7 +63,7 @@
     }
 
     /// New settings hold from now on; see [`RequestTable::follow`].
-    pub fn follow(&self, now: Time, settings: Settings, carrying: &[usize]) -> Result<(), NotTaken> {
+    pub fn follow(&self, now: Time, settings: Settings, carrying: &[usize]) -> Result<(), SettingsRejected> {
         self.0.table.borrow_mut().follow(now, settings, carrying)?;
         self.0.woken.notify_one();
         Ok(())
@@ -114,7 +114,7 @@
 
     /// Requests without an end.
     pub fn open(&self) -> usize {
-        self.0.table.borrow().held().0
+        self.0.table.borrow().in_flight().0
     }
 
     /// Clients can hold so many requests open here from now on.
@@ -337,7 +337,7 @@
     pub fn is_wanted(&mut self, now: Time) -> bool {
         // The word may lie there while nobody waits for it: the caller's own work goes first.
         self.off = self.off || self.cancelled.try_recv().is_ok();
-        !self.off && self.facade.0.table.borrow().may_go(now, &self.send)
+        !self.off && self.facade.0.table.borrow().may_send(now, &self.send)
     }
 
     /// Takes what the answer tells of the hosts' clock, before it is reported; see [`RequestTable::screen`].
--- a/src/gateway_process.rs
+++ b/src/gateway_process.rs
@@ -101,7 +101,7 @@
     }
 
     fn publish_serving_state(&self) {
-        let new = self.lifecycle.door();
+        let new = self.lifecycle.serving_state();
         self.serving_state.send_if_modified(|state| std::mem::replace(state, new) != new);
     }
 
@@ -115,7 +115,7 @@
             () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Due)),
             () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if stage == Stage::Closing => {
                 let (clients, attempts) = (self.front.open.get(), self.hosts.out());
-                Ok(Wakeup::Lifecycle(Event::Held { clients, attempts }))
+                Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
             }
             Some(ended) = self.tasks.join_next(), if stage == Stage::Serving => Err(GatewayError::TaskEnded(ended)),
         }
@@ -138,7 +138,7 @@
             version: self.facade.version(),
         };
         let (reply, action) = ops::execute(&mut self.lifecycle, self.clock.now(), command.command, known);
-        if action == Action::Doors {
+        if action == Action::ApplyServingState {
             log::info!("command executed command={:?} answer={}", command.command, reply.reason);
         }
         // A caller that has left needs no answer.
@@ -148,13 +148,13 @@
     /// Begins a graceful shutdown.
     fn stop(&mut self) {
         let action = self.lifecycle.on(self.clock.now(), Event::Stop);
-        if action != Action::Doors {
+        if action != Action::ApplyServingState {
             return;
         }
         log::info!("gateway stopping");
         let longest = self.facade.longest(self.clock.now());
-        self.front.last.set(self.lifecycle.answers_by(longest));
-        self.front.last_reads.set(self.lifecycle.last_reads(longest));
+        self.front.last.set(self.lifecycle.answer_deadline(longest));
+        self.front.last_reads.set(self.lifecycle.read_deadlines(longest));
         self.facade.answer_by(self.front.last.get());
         self.leadership.iter().for_each(|leadership| leadership.stop());
     }
@@ -164,7 +164,7 @@
         let new = self.config.reread(|name| std::env::var(name).ok());
         let event = Event::Reload { usable: new.is_ok() };
         let action = self.lifecycle.on(self.clock.now(), event);
-        if !matches!(action, Action::Take | Action::Keep) {
+        if !matches!(action, Action::ApplySettings | Action::KeepSettings) {
             return;
         }
         if let Err(cause) = self.follow(new) {
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -102,7 +102,7 @@
         let mut outcome = match (&reply, &flow) {
             (Some(reply), _) => outcome(finished.end, &reply.told, &self.counters),
             (None, Some(flow)) => outcome(finished.end, flow.told(), &self.counters),
-            (None, None) => Outcome::silent(finished.end.for_decisions()),
+            (None, None) => Outcome::silent(finished.end.as_ending()),
         };
         if !attempt.screen(now, &mut outcome) {
             self.counters.bad_reports.add();
@@ -161,7 +161,9 @@
         let takes = self.takes(attempt.host, connection.site);
         let now = self.clock.now();
         let wanted = takes && attempt.is_wanted(now);
-        let Some(wait_ms) = life.time_to_tell(now).filter(|_| wanted) else { return Some(Event::Unwanted) };
+        let Some(wait_ms) = life.remaining_wait_ms(now).filter(|_| wanted) else {
+            return Some(Event::Unwanted);
+        };
         let mut query = statement.query(wait_ms);
         match socket::write_now(&connection.stream, &mut query) {
             Ok(()) if !query.has_remaining() => Some(self.written()),
@@ -320,6 +322,6 @@
 fn judge(reply: &Reply) -> End {
     match &reply.answer {
         Answer::Row(_) => End::Served,
-        Answer::Error(code) => verdict::of_code(code),
+        Answer::Error(code) => verdict::end_for_code(code),
     }
 }
--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -11,7 +11,7 @@
 use crate::net::socket::{self, SocketError};
 use crate::Time;
 use bytes::Bytes;
-use petrelgauge_lifecycle::client::{Event, Kind, Stage};
+use petrelgauge_lifecycle::client::{Event, MessageKind, Stage};
 use petrelgauge_lifecycle::read_ahead::ReadAhead;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -160,7 +160,7 @@
         };
         if self.error.is_none() {
             self.ahead.on_read(self.clock.now(), read, asked);
-            self.hold.set(self.ahead.held());
+            self.hold.set(self.ahead.buffered_bytes());
         }
         // A client that sends without a pause must not keep the others from being served.
         tokio::task::yield_now().await;
@@ -171,13 +171,13 @@
     pub(super) fn fail(&mut self, error: ProtocolError) {
         self.error = self.error.or(Some((error, self.clock.now() + GRACE)));
         self.framer.clear();
-        self.ahead.set_uncut(0);
+        self.ahead.set_unparsed_bytes(0);
     }
 
     async fn opening(&mut self) -> Result<Result<Opening, ProtocolError>, End> {
         loop {
             let opening = self.framer.opening();
-            self.ahead.set_uncut(self.framer.len());
+            self.ahead.set_unparsed_bytes(self.framer.len());
             match (opening, self.error) {
                 (Err(malformed), _) => return Ok(Err(malformed.into())),
                 (_, Some((error, _))) => return Ok(Err(error)),
@@ -221,7 +221,7 @@
                 Err(malformed) => self.fail(malformed.into()),
             }
         }
-        self.hold.set(self.ahead.held());
+        self.hold.set(self.ahead.buffered_bytes());
     }
 
     /// Something that can be taken up lies here: a whole message, or a reason to cut the client off. What was read in a
@@ -261,22 +261,22 @@
                     Opening::Cancel(key) => ClientEvent { cancel: Some(key), ..Event::Cancel.into() },
                     Opening::Startup { minor } => {
                         self.opened = true;
-                        ClientEvent { minor, ..Event::Opened.into() }
+                        ClientEvent { minor, ..Event::StartupReceived.into() }
                     }
                 })
             })
         } else {
             self.next().await.map(|next| {
                 let (message, at) = next?;
-                let kind = Kind::of(message.kind());
-                let query = if kind == Kind::Query { Some((message.text()?, at)) } else { None };
+                let kind = MessageKind::of(message.kind());
+                let query = if kind == MessageKind::Query { Some((message.text()?, at)) } else { None };
                 Ok(ClientEvent { query, ..Event::Message(kind).into() })
             })
         };
         match heard {
             Ok(Ok(heard)) => heard,
-            Ok(Err(error)) => ClientEvent { error: Some(error), ..Event::Flawed(error.end).into() },
-            Err(end) => Event::Left(end).into(),
+            Ok(Err(error)) => ClientEvent { error: Some(error), ..Event::ProtocolError(error.end).into() },
+            Err(end) => Event::Disconnected(end).into(),
         }
     }
 
@@ -294,7 +294,8 @@
     pub(super) async fn left(&mut self) -> End {
         loop {
             self.cut();
-            if self.queue.iter().any(|(message, _)| Kind::of(message.kind()) == Kind::Terminate) {
+            if self.queue.iter().any(|(message, _)| MessageKind::of(message.kind()) == MessageKind::Terminate)
+            {
                 return End::ClientTerminated;
             }
             let error = self.error;
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -11,7 +11,7 @@
 use crate::net::statement::Statement;
 use crate::{Effect, Need, Time};
 use bytes::{Buf, Bytes};
-use petrelgauge_lifecycle::client::Used;
+use petrelgauge_lifecycle::client::QueryOutcome;
 use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_lifecycle::request::{Event, FinalAnswer, RequestState};
 use petrelgauge_sessions::SessionKey;
@@ -21,11 +21,11 @@
 
 impl ClientSession<'_> {
     /// Answers a query, and says what it was of use for.
-    pub(super) async fn query(&mut self, text: Bytes, at: Time) -> Result<Used, End> {
-        let (mut out, mut used) = (Vec::new(), Used::Own);
+    pub(super) async fn query(&mut self, text: Bytes, at: Time) -> Result<QueryOutcome, End> {
+        let (mut out, mut used) = (Vec::new(), QueryOutcome::AnsweredLocally);
         let unusable_for = if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') {
             // So the front learns whether to send clients here.
-            if self.door.borrow().admits() {
+            if self.door.borrow().reports_ready() {
                 pg::put_empty(&mut out);
             } else {
                 pg::put_error(&mut out, Severity::Error, "57P03", "this gateway is being drained", None);
@@ -35,9 +35,9 @@
             self.set(setting).map(|tag| pg::put_complete(&mut out, tag)).err()
         } else {
             match self.read_statement(&text, at) {
-                Ok(taken) => return self.answer(taken).await.map(|()| Used::Request),
+                Ok(taken) => return self.answer(taken).await.map(|()| QueryOutcome::Request),
                 Err(unusable) => {
-                    used = Used::Nothing;
+                    used = QueryOutcome::Unusable;
                     Some(unusable)
                 }
             }
@@ -224,36 +224,36 @@
                 biased;
                 ended = finished(&mut attempt) => {
                     (attempt, given) = (None, ended);
-                    Event::Returned { owed: given.is_some() }
+                    Event::AttemptEnded { answered: given.is_some() }
                 }
                 decision = ticket.pick() => match decision {
                     // Its own task: a keyed write that failed for its client may still be out.
                     Decision::Send(send) => {
                         let sent = front.hosts.clone().attempt(send, taken.statement.clone());
                         attempt = Some(tokio::task::spawn_local(sent));
-                        Event::Ordered
+                        Event::AttemptStarted
                     }
-                    Decision::Refuse { wait } => Event::Refused { wait },
+                    Decision::Refuse { wait } => Event::Rejected { wait },
                     Decision::Fail => Event::Failed,
                 },
                 () = &mut cancelled => Event::Cancelled,
-                () = stop_deadline(&front) => Event::GraceOver,
+                () = stop_deadline(&front) => Event::GracePeriodOver,
                 end = self.reader.left() => match self.reader.is_failed_with(end) {
-                    true => Event::GraceOver,
+                    true => Event::GracePeriodOver,
                     false => {
                         left = end;
-                        Event::Left
+                        Event::Disconnected
                     }
                 },
             };
             match (state.on(event), given.take()) {
                 (None, _) => {}
-                (Some(FinalAnswer::Given), Some(given)) => return Ok(RequestEnd::Answered(given)),
-                (Some(FinalAnswer::Refused { wait }), _) => return Ok(RequestEnd::Refused { wait }),
-                (Some(FinalAnswer::Failed | FinalAnswer::Given), _) => return Ok(RequestEnd::Failed),
+                (Some(FinalAnswer::HostAnswer), Some(given)) => return Ok(RequestEnd::Answered(given)),
+                (Some(FinalAnswer::Rejected { wait }), _) => return Ok(RequestEnd::Refused { wait }),
+                (Some(FinalAnswer::Failed | FinalAnswer::HostAnswer), _) => return Ok(RequestEnd::Failed),
                 // The ticket goes with this: nothing more is sent.
                 (Some(FinalAnswer::Cancelled), _) => return Ok(RequestEnd::Cancelled),
-                (Some(FinalAnswer::Withdrawn), _) => {
+                (Some(FinalAnswer::Abandoned), _) => {
                     front.counters.left.add();
                     return Err(left);
                 }
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -63,7 +63,7 @@
                 let (text, at) = event.query.unwrap_or_default();
                 let event = match self.query(text, at).await {
                     Ok(used) => Event::Answered(used),
-                    Err(end) => Event::Left(end),
+                    Err(end) => Event::Disconnected(end),
                 };
                 action = life.on(clock.now(), event);
             }
@@ -77,8 +77,8 @@
                 }
                 Action::CutOff { unfinished: true, .. } => return self.cut_off(UNFINISHED).await,
                 Action::CutOff { .. } => return self.cut_off(event.error.unwrap_or(UNKNOWN)).await,
-                Action::Decline => out.push(b'N'),
-                Action::Welcome => pg::put_welcome(&mut out, event.minor, self.cancel_key.key),
+                Action::DeclineEncryption => out.push(b'N'),
+                Action::AcceptStartup => pg::put_welcome(&mut out, event.minor, self.cancel_key.key),
                 Action::Ready => pg::put_ready(&mut out),
                 Action::Unsupported { ready } => {
                     put_unsupported(&mut out);
@@ -97,10 +97,10 @@
         let clock = front.clock;
         if let Stage::Pausing { until } = life.stage() {
             return tokio::select! {
-                () = clock.sleep_until(until) => Event::Rested.into(),
+                () = clock.sleep_until(until) => Event::PauseOver.into(),
                 end = self.reader.left() => match self.reader.is_failed_with(end) {
-                    true => Event::Rested.into(),
-                    false => Event::Left(end).into(),
+                    true => Event::PauseOver.into(),
+                    false => Event::Disconnected(end).into(),
                 },
             };
         }
@@ -108,14 +108,14 @@
         // The process may be killed soon: nothing more is read, and what was read is answered first.
         let over = clock.now() >= front.last_reads.get().of(why);
         let done = !self.reader.holds(life.stage()) && !self.reader.is_behind();
-        if door.borrow().empties() && over && done {
+        if door.borrow().closes_idle_clients() && over && done {
             return Event::Stop { unread: false }.into();
         }
         let _idle = front.budget.idle(why, since, &shed);
         // A client that has just come is about to say something.
         let close_from = self.close_from.max(if why == Idleness::New { since + FIRST_WORD } else { since });
         let closed = async {
-            let wished = door.wait_for(|door| door.empties()).await.is_ok();
+            let wished = door.wait_for(|door| door.closes_idle_clients()).await.is_ok();
             clock.sleep_until(close_from.min(front.last.get())).await;
             wished
         };
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -2,7 +2,7 @@
 //! other. It serves no client by itself. The program builds one and puts a front before it; the laboratory builds many
 //! in one process and gives each of them demand that nobody sent.
 
-use crate::facade::{Facade, NotTaken};
+use crate::facade::{Facade, SettingsRejected};
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
 use crate::net::config::Config;
@@ -56,7 +56,7 @@
     Settings(#[from] SettingsError),
     /// The running gateway cannot take the settings.
     #[error("settings: {0}")]
-    NotTaken(NotTaken),
+    SettingsRejected(SettingsRejected),
     /// Sessions cannot be kept for the classes that the operator names.
     #[error(transparent)]
     SessionClasses(#[from] SessionClassesError),
@@ -241,7 +241,7 @@
     (settings.hold, settings.most_open) = (hold, settings.most_open.min(old.sockets as u32 / 3));
     let open = settings.most_open;
     let (connect, idle) = (new.info.connect_span(), new.info.idle_span());
-    facade.follow(now, settings, &carrying).map_err(ControlError::NotTaken)?;
+    facade.follow(now, settings, &carrying).map_err(ControlError::SettingsRejected)?;
     hosts.follow(connect, idle);
     let unmoved = old.unmoved(&new);
     if !unmoved.is_empty() {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -12,7 +12,7 @@
 use crate::net::source::{call, open, Answer, SourceError};
 use crate::{Entry, MemberId, Time};
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
-use petrelgauge_lifecycle::watch::{Holding, AGAIN};
+use petrelgauge_lifecycle::watch::{WatchState, COMPLETE_LIST_INTERVAL};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -52,7 +52,7 @@
     /// The decisions know hosts by number; discovery's names stay the same at every gateway and restart.
     hosts_by_name: BTreeMap<String, KnownHost>,
     next_id: MemberId,
-    holding: Holding,
+    watch_state: WatchState,
     backoff: Backoff,
     /// Discovery has sent a usable list since the start.
     has_spoken: Rc<Cell<bool>>,
@@ -97,7 +97,7 @@
             clock,
             hosts_by_name,
             next_id,
-            holding: Holding::default(),
+            watch_state: WatchState::default(),
             backoff,
             has_spoken: Rc::default(),
             names,
@@ -115,7 +115,7 @@
             self.counters.bad_lists.add();
             return log::warn!("initial endpoint list rejected host={id} cause=no_address");
         }
-        self.holding.news(list.revision, true);
+        self.watch_state.on_update(list.revision, true);
         self.apply(list);
     }
 
@@ -146,7 +146,7 @@
                 Ok(()) = addresses.changed() => {
                     // Whether the next source counts its revisions alike is not known: it is asked for the
                     // complete list. Until it answers, the list stays as it is.
-                    self.holding.moved();
+                    self.watch_state.on_source_changed();
                     last.clear();
                     continue;
                 }
@@ -158,11 +158,11 @@
                 last = text;
             }
             // An attempt that waits is over, too, when the address moves.
-            let pause = self.backoff.pause(if cause.is_refusal() { Cause::Refused } else { Cause::Lost });
+            let pause = self.backoff.pause(if cause.is_refusal() { Cause::Rejected } else { Cause::Lost });
             log::debug!("discovery watch retry scheduled pause_us={pause} cause={last}");
             tokio::select! {
                 () = clock.sleep_until(clock.now() + pause) => {}
-                Ok(()) = addresses.changed() => self.holding.moved(),
+                Ok(()) = addresses.changed() => self.watch_state.on_source_changed(),
             }
         }
     }
@@ -170,8 +170,9 @@
     /// Watches until the connection ends, and gives the cause.
     async fn watch(&mut self, address: SocketAddr) -> SourceError {
         let clock = self.clock;
-        let after = self.holding.after().map(|revision| format!("&after={revision}")).unwrap_or_default();
-        self.holding.opened();
+        let after =
+            self.watch_state.resume_after().map(|revision| format!("&after={revision}")).unwrap_or_default();
+        self.watch_state.on_watch_opened();
         let mut answer = Answer::default();
         let stream = match open(address, &format!("?watch=1{after}"), clock).await {
             Ok(stream) => stream,
@@ -211,8 +212,8 @@
 
     /// A request for the complete list, after a pause, if one is needed.
     fn request_complete_list(&mut self, address: SocketAddr) -> Option<Call> {
-        let from = self.clock.now() + AGAIN;
-        self.holding.owed().then(|| Box::pin(call(address, from, self.clock)) as Call)
+        let from = self.clock.now() + COMPLETE_LIST_INTERVAL;
+        self.watch_state.needs_complete_list().then(|| Box::pin(call(address, from, self.clock)) as Call)
     }
 
     /// Applies the answer of that request, unless the watch has brought a newer list.
@@ -223,7 +224,7 @@
         if let Some(host) = list.host_without_address() {
             return Err(ListError::HostWithoutAddress(host.to_string()));
         }
-        if !self.holding.called(list.revision) {
+        if !self.watch_state.on_complete_list(list.revision) {
             return Err(ListError::Outdated(list.revision));
         }
         self.apply(list);
@@ -234,7 +235,7 @@
     /// nor may what it carried be lost.
     fn apply_update(&mut self, text: &Text) -> bool {
         let Err(cause) = read_list(text).and_then(|list| self.apply_newer_list(list)) else { return true };
-        self.holding.spoilt();
+        self.watch_state.on_unusable_line();
         self.counters.bad_lists.add();
         log::warn!("endpoint list update rejected cause={cause}");
         false
@@ -243,10 +244,10 @@
     fn apply_newer_list(&mut self, list: List) -> Result<(), ListError> {
         let List { revision, complete, .. } = list;
         self.has_spoken.set(true);
-        if self.holding.is_new() && !self.hosts_by_name.is_empty() {
+        if self.watch_state.is_first_list() && !self.hosts_by_name.is_empty() {
             log::info!("discovery source changed revision={revision} complete={complete}");
         }
-        if !self.holding.news(revision, complete) {
+        if !self.watch_state.on_update(revision, complete) {
             return Err(ListError::Outdated(revision));
         }
         self.apply(list);
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -10,7 +10,7 @@
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::set;
 use crate::Time;
-use petrelgauge_lifecycle::gateway::{LastReads, ServingState};
+use petrelgauge_lifecycle::gateway::{ReadDeadlines, ServingState};
 use petrelgauge_sessions::SessionKey;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -42,7 +42,7 @@
     /// Clock time of the last answers before the process may be killed, once it is to stop.
     pub last: Cell<Time>,
     /// Up to when clients are read then.
-    pub last_reads: Cell<LastReads>,
+    pub last_reads: Cell<ReadDeadlines>,
 }
 
 impl Front {
--- a/src/net/host_report.rs
+++ b/src/net/host_report.rs
@@ -9,7 +9,7 @@
 /// What the decisions learn from an answered attempt. `parameters` are the names and values of the ParameterStatus messages that came
 /// with the answer; a load report that makes no sense is dropped and counted.
 pub(super) fn outcome(end: End, parameters: &[(String, String)], counters: &Counters) -> Outcome {
-    let mut outcome = Outcome::silent(end.for_decisions());
+    let mut outcome = Outcome::silent(end.as_ending());
     outcome.unusable = end == End::Unusable;
     for (name, value) in parameters {
         match name.as_str() {
@@ -21,7 +21,7 @@
                 }
             }
             "log_position" => {
-                outcome.position = value.parse().ok().and_then(verdict::position);
+                outcome.position = value.parse().ok().and_then(verdict::position_from_millis);
             }
             "pressure" => match load_report(value) {
                 Some(report) => outcome.report = report,
@@ -42,5 +42,5 @@
     };
     let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
     let report = settings::report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
-    verdict::report_can_be(&report).then_some(report)
+    verdict::is_plausible_report(&report).then_some(report)
 }
--- a/src/net/source.rs
+++ b/src/net/source.rs
@@ -5,7 +5,7 @@
 use crate::net::lines::{AnswerError, Lines, Text, Texts};
 use crate::net::socket::{self, ByteStream, SocketError};
 use crate::Time;
-use petrelgauge_lifecycle::watch::SILENCE;
+use petrelgauge_lifecycle::watch::WATCH_TIMEOUT;
 use std::net::SocketAddr;
 use thiserror::Error;
 use tokio::net::TcpStream;
@@ -71,7 +71,7 @@
     };
     tokio::select! {
         stream = opened => Ok(stream?),
-        () = clock.sleep_until(clock.now() + SILENCE) => Err(SourceError::ConnectTimeout),
+        () = clock.sleep_until(clock.now() + WATCH_TIMEOUT) => Err(SourceError::ConnectTimeout),
     }
 }
 
@@ -95,7 +95,7 @@
     ///
     /// Fails when the answer is over, for whatever reason.
     pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), SourceError> {
-        let by = *self.heard.get_or_insert_with(|| clock.now()) + SILENCE;
+        let by = *self.heard.get_or_insert_with(|| clock.now()) + WATCH_TIMEOUT;
         let mut bytes = [0; 16 * 1024];
         let read = tokio::select! {
             biased;
--- a/tests/stage/gateway.rs
+++ b/tests/stage/gateway.rs
@@ -1,7 +1,7 @@
 //! The program, as it runs, and its clients.
 
 use super::{config_path, kinds, query, read_message, startup, ReservedPort, NEVER};
-use petrelgauge_lifecycle::client::{FIRST_PAUSE, LONGEST_PAUSE};
+use petrelgauge_lifecycle::client::{MAX_BACKOFF, MIN_BACKOFF};
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -162,7 +162,7 @@
     /// The timers are the pauses that a client has behind statements that cannot be used, from one statement to the
     /// next.
     pub fn wait_by_its_timers(&self, span_ms: u64) {
-        let (first, longest) = (FIRST_PAUSE as u64 / MICROSECONDS, LONGEST_PAUSE as u64 / MICROSECONDS);
+        let (first, longest) = (MIN_BACKOFF as u64 / MICROSECONDS, MAX_BACKOFF as u64 / MICROSECONDS);
         let (mut pause, mut paused, mut statements) = (first, 0, 1);
         while paused < span_ms {
             paused += pause;
