--- a/crates/handover/tests/records.rs
+++ b/crates/handover/tests/records.rs
@@ -24,12 +24,12 @@
         zone: "here".into(),
         weight: 1.0,
         started: 0,
-        standing: MemberStatus::Up,
+        status: MemberStatus::Up,
         primary,
     };
     let mut actions = Vec::new();
     let entries = vec![entry(1, true), entry(2, false)].into();
-    router.step(1_000_000, &[Event::List { whole: true, entries }], &mut actions);
+    router.step(1_000_000, &[Event::List { complete: true, entries }], &mut actions);
     for turn in 0..10 {
         let now = 1_100_000 + turn * 50_000;
         let request: RequestId = turn.to_string().into();
@@ -38,8 +38,8 @@
             class: 0,
             group: 9,
             time_left: 900_000,
-            repeat: false,
-            floor: None,
+            is_retry: false,
+            minimum_position: None,
         };
         actions.clear();
         router.step(now, &[ask], &mut actions);
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -95,7 +95,7 @@
     control: Control<RegionSocket>,
     counters: Rc<Counters>,
     config: Config,
-    hold: Time,
+    read_wait_bound: Time,
     clock: Clock,
     /// Its tasks end with this value.
     _tasks: JoinSet<()>,
@@ -128,13 +128,13 @@
         let mut config = read_config(&shared.plan.folder, number).map_err(|cause| cause.to_string())?;
         let clock = Clock::start();
         let decisions = Decisions::new(&config, clock.now()).map_err(|cause| cause.to_string())?;
-        let (facade, hold) = (decisions.facade.clone(), decisions.hold);
+        let (facade, read_wait_bound) = (decisions.facade.clone(), decisions.read_wait_bound);
         let counters = Rc::new(Counters::default());
         let begun = clock.now();
         let (listed, demanded) = (facade.clone(), shared.clone());
         let demand = move || -> BTreeMap<GroupId, u64> {
             let seconds = (clock.now() - begun) as f64 / 1e6;
-            let groups = listed.asked().into_keys();
+            let groups = listed.requests_by_group().into_keys();
             groups.map(|group| (group, (rate(&demanded, number, group) * seconds) as u64)).collect()
         };
         let environment = Environment {
@@ -157,7 +157,7 @@
             tasks.spawn_local(hear_of_primaries(facade, control.names.clone(), clock, number as u64));
         }
         let (_tasks, _discovery) = (tasks, discovery);
-        Ok(Hollow { number, control, counters, config, hold, clock, _tasks, _discovery })
+        Ok(Hollow { number, control, counters, config, read_wait_bound, clock, _tasks, _discovery })
     }
 
     fn stats(&self) -> GatewayStats {
@@ -188,7 +188,7 @@
         });
         let new = new.map_err(|cause| cause.to_string())?;
         let Control { facade, hosts, .. } = &self.control;
-        let followed = reload(new, &self.config, self.hold, self.clock.now(), facade, hosts);
+        let followed = reload(new, &self.config, self.read_wait_bound, self.clock.now(), facade, hosts);
         self.config = followed.map_err(|cause| cause.to_string())?.0;
         Ok(())
     }
@@ -200,12 +200,12 @@
     loop {
         clock.sleep_until(clock.now() + PRIMARY_EVERY / PRIMARY_PARTS as Time).await;
         turn += 1;
-        let groups = facade.asked().into_keys().filter(|group| *group >= FIRST_GROUP);
+        let groups = facade.requests_by_group().into_keys().filter(|group| *group >= FIRST_GROUP);
         for group in groups.filter(|group| (group + turn).is_multiple_of(PRIMARY_PARTS)) {
             let Some(member) = names.by_name(&member_name(group, 0)) else { continue };
             let (role, now) = (Some(Role::Primary), clock.now());
             let said = Outcome { role, position: Some(now), ..Outcome::silent(Ending::Served) };
-            facade.heard(now, member, said);
+            facade.record_late_report(now, member, said);
         }
     }
 }
--- a/crates/lifecycle/src/class_table.rs
+++ b/crates/lifecycle/src/class_table.rs
@@ -111,7 +111,7 @@
     ) -> Result<(), TooManyClasses> {
         let mut taken: BTreeSet<usize> = used.iter().chain(&self.force).copied().collect();
         taken.extend(self.previous(now));
-        if mutant(Mutant::PlaceReused) {
+        if mutant(Mutant::ClassIndexReused) {
             taken.clear();
         }
         let (mut table, mut force) = (self.table.clone(), Vec::new());
--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -273,7 +273,7 @@
                 }
             },
 
-            (Stage::AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedWhileOwed) => {
+            (Stage::AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedBeforeAnswer) => {
                 Action::Close(End::Stopped)
             }
             (Stage::Idle, Event::Stop { .. }) if mutant(Mutant::ClosedUnread) => Action::Close(End::Stopped),
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -137,7 +137,7 @@
     /// The same, with a request that must be written by then or not at all: behind the window of its key a repeat would
     /// be a second effect, however long its connection took to come up.
     pub fn written_by(self, at: Time) -> Exchange {
-        let write_by = if mutant(Mutant::LateRepeat) { self.until } else { self.until.min(at) };
+        let write_by = if mutant(Mutant::RetryWrittenLate) { self.until } else { self.until.min(at) };
         Exchange { write_by, ..self }
     }
 
@@ -207,7 +207,9 @@
             (Connecting { by } | Greeting { by }, Event::Due) if now >= by => Ended(End::ConnectSilent),
             (Writing, Event::Unwanted) => Ended(End::NotWanted),
 
-            (Writing, Event::Written) if mutant(Mutant::EarlyStall) => Answering { by: now + ANSWER_TIMEOUT },
+            (Writing, Event::Written) if mutant(Mutant::StallLimitBeforeAnswer) => {
+                Answering { by: now + ANSWER_TIMEOUT }
+            }
             (Writing, Event::Written) => Waiting,
             (Writing, Event::Broke) => Ended(End::BrokenUnsent),
             // Not written whole: it never ran.
@@ -216,13 +218,13 @@
             (Waiting, Event::Began) => Answering { by: now + ANSWER_TIMEOUT },
             (Waiting | Answering { .. }, Event::Answered { copy: true, .. }) => {
                 // Whose answer this is nobody knows, and whether the request has run neither.
-                Ended(if mutant(Mutant::CopyTaken) { End::Served } else { End::HostRepeated })
+                Ended(if mutant(Mutant::DuplicateAnswerAccepted) { End::Served } else { End::HostRepeated })
             }
             (Waiting | Answering { .. }, Event::Answered { end, .. }) => Ended(end),
             (Waiting | Answering { .. }, Event::Flows) => Ended(End::Flows),
             (Waiting | Answering { .. }, Event::Malformed) => Ended(End::HostMalformed),
             (Waiting | Answering { .. }, Event::Broke) => {
-                Ended(if mutant(Mutant::ResetUnproved) { End::BrokenUnsent } else { End::BrokenSent })
+                Ended(if mutant(Mutant::ResetCountsAsUnsent) { End::BrokenUnsent } else { End::BrokenSent })
             }
             (Waiting | Answering { .. }, Event::NoMemory) => Ended(End::NoMemory),
             (Waiting | Answering { .. }, Event::Due) if now >= self.until => Ended(End::NoAnswer),
@@ -242,7 +244,7 @@
         let end = self.ended()?;
         if end == End::Flows {
             return Some((
-                if mutant(Mutant::LentRests) {
+                if mutant(Mutant::StreamingConnectionPooled) {
                     ConnectionDisposition::Reuse
                 } else {
                     ConnectionDisposition::Lend
@@ -252,10 +254,10 @@
         }
         // Nothing was written on one that was not wanted: it is as fresh as it was.
         let fit = end.is_answer() && self.ready || end == End::NotWanted;
-        let disposition = match (fit, unread && !mutant(Mutant::UnreadRests)) {
+        let disposition = match (fit, unread && !mutant(Mutant::UnreadConnectionPooled)) {
             (true, false) => ConnectionDisposition::Reuse,
             (true, true) => ConnectionDisposition::CloseSurplus,
-            (false, _) if mutant(Mutant::ToldBeforeClosed) => ConnectionDisposition::Reuse,
+            (false, _) if mutant(Mutant::ReportedBeforeClose) => ConnectionDisposition::Reuse,
             (false, _) => ConnectionDisposition::Close,
         };
         Some((disposition, FinishedAttempt { end }))
--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -249,7 +249,7 @@
                 Action::ApplyServingState
             }
             (Stage::Closing, Event::Remaining { clients, attempts })
-                if (clients, attempts) == (0, 0) || mutant(Mutant::EndsWhileHeld) =>
+                if (clients, attempts) == (0, 0) || mutant(Mutant::ExitsWithRequestsInFlight) =>
             {
                 self.stage = Stage::Ended;
                 Action::End
--- a/crates/lifecycle/src/idle_connection.rs
+++ b/crates/lifecycle/src/idle_connection.rs
@@ -64,8 +64,10 @@
     pub fn may_use(self, now: Time, connection: IdleConnection, socket: SocketState) -> Result<bool, End> {
         match socket {
             SocketState::Closed => Err(End::HostClosedIdle),
-            SocketState::UnexpectedBytes if !mutant(Mutant::SurplusReused) => Err(End::HostSurplus),
-            _ if now - connection.since > self.span && !mutant(Mutant::OldReused) => Err(End::Retired),
+            SocketState::UnexpectedBytes if !mutant(Mutant::UnexpectedBytesReused) => Err(End::HostSurplus),
+            _ if now - connection.since > self.span && !mutant(Mutant::ExpiredConnectionReused) => {
+                Err(End::Retired)
+            }
             _ => Ok(now - connection.since < COPY_WINDOW),
         }
     }
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -4,20 +4,20 @@
 use crate::class_table::TooManyClasses;
 
 /// The settings with all classes that are in use.
-pub(super) fn whole(settings: &Settings, rules: &ClassTable) -> Settings {
+pub(super) fn with_all_classes(settings: &Settings, rules: &ClassTable) -> Settings {
     Settings { classes: rules.table().to_vec(), ..settings.clone() }
 }
 
 impl RequestTable {
     /// Clients can hold so many requests open here from now on.
-    pub fn allow_open(&mut self, most: u32) {
-        self.settings.most_open = most;
+    pub fn set_max_open_requests(&mut self, most: u32) {
+        self.settings.max_open_requests = most;
         // They were sound before, and the module makes nothing of this figure.
-        let _ = self.router.follow(whole(&self.settings, &self.rules));
+        let _ = self.router.apply_settings(with_all_classes(&self.settings, &self.rules));
     }
 
     /// The place of the class that a new request names, and the class; `keyed`: the request carries a key.
-    pub fn find(&self, now: Time, name: &str, keyed: bool) -> Option<(usize, Class)> {
+    pub fn find_class(&self, now: Time, name: &str, keyed: bool) -> Option<(usize, Class)> {
         let place = self.rules.find(now, name, keyed)?;
         Some((place, self.rules.class(place).clone()))
     }
@@ -28,15 +28,15 @@
     }
 
     /// Every request that is taken in from now on has its final answer by this time.
-    pub fn answer_by(&mut self, at: Time) {
-        self.settings.last = at;
+    pub fn set_final_answer_by(&mut self, at: Time) {
+        self.settings.final_answer_by = at;
         // They were sound before, and the module makes nothing of this figure.
-        let _ = self.router.follow(whole(&self.settings, &self.rules));
+        let _ = self.router.apply_settings(with_all_classes(&self.settings, &self.rules));
     }
 
     /// The longest deadline of any class in force; shortly after a change, when others may not know of it, that of the
     /// classes before it if that is shorter.
-    pub fn longest(&self, now: Time) -> Time {
+    pub fn longest_deadline(&self, now: Time) -> Time {
         let longest = |places: &[usize]| places.iter().map(|place| self.rules.class(*place).deadline).max();
         let force = longest(self.rules.in_force()).unwrap_or(0);
         longest(self.rules.previous(now)).map_or(force, |before| before.min(force))
@@ -50,7 +50,7 @@
     /// New settings hold from now on, for requests to come; those that are open, and their attempts, keep the classes
     /// that they were admitted with. `carrying` are the places, in these settings, of classes that carry sessions.
     /// What is wrong with them is said before anything has changed.
-    pub fn follow(
+    pub fn apply_settings(
         &mut self,
         now: Time,
         mut settings: Settings,
@@ -65,10 +65,13 @@
         let mut rules = self.rules.clone();
         let classes = std::mem::take(&mut settings.classes);
         rules.update(now, classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
-        (settings.scout_every, settings.last) = (self.settings.scout_every, self.settings.last);
+        (settings.discovery_interval_factor, settings.final_answer_by) =
+            (self.settings.discovery_interval_factor, self.settings.final_answer_by);
         self.settings = settings;
         self.granularity = self.settings.granularity;
-        self.router.follow(whole(&self.settings, &rules)).map_err(SettingsRejected::Invalid)?;
+        self.router
+            .apply_settings(with_all_classes(&self.settings, &rules))
+            .map_err(SettingsRejected::Invalid)?;
         let still = |place: &usize| rules.table()[*place] == *self.rules.class(*place);
         self.carrying.retain(|place| *place < rules.table().len() && still(place));
         self.carrying.extend(carrying.iter().map(|place| rules.in_force()[*place]));
@@ -109,22 +112,22 @@
             _ => None,
         };
         let needed = watch.as_ref().and_then(|watch| watch.floor).map(|floor| floor.position());
-        let Request { class, repeat, .. } = request;
-        self.open.insert(id.clone(), Open { class, attempts: 0, ran_from: None, repeat, watch });
+        let Request { class, is_retry, .. } = request;
+        self.open.insert(id.clone(), Open { class, attempts: 0, ran_from: None, is_retry, watch });
         self.queue.push(Event::Request {
             request: id.clone(),
             class: request.class,
             group: request.group,
             time_left: request.until,
-            repeat: request.repeat,
-            floor: needed.max(request.after),
+            is_retry: request.is_retry,
+            minimum_position: needed.max(request.after),
         });
         id
     }
 
     /// News of the list: whole, or only what changed.
-    pub fn list(&mut self, whole: bool, entries: Vec<Entry>) {
-        if whole {
+    pub fn update_endpoints(&mut self, complete: bool, entries: Vec<Entry>) {
+        if complete {
             self.groups.clear();
             self.listed.clear();
         }
@@ -133,18 +136,18 @@
             self.groups.iter().for_each(|group| tracker.track_group(*group));
         }
         for entry in &entries {
-            match entry.standing {
+            match entry.status {
                 MemberStatus::Removed => self.listed.remove(&entry.member),
                 MemberStatus::Up | MemberStatus::Draining => self.listed.insert(entry.member),
             };
         }
         self.told.retain(|id, _| self.listed.contains(id));
         self.asked.retain(|group, _| self.groups.contains(group));
-        self.queue.push(Event::List { whole, entries: entries.into() });
+        self.queue.push(Event::List { complete, entries: entries.into() });
     }
 
     /// Whether the list may hold this group: it named it since it was last whole, or has named none so far.
-    pub fn may_serve(&self, group: GroupId) -> bool {
+    pub fn may_serve_group(&self, group: GroupId) -> bool {
         self.groups.is_empty() || self.groups.contains(&group)
     }
 }
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -5,15 +5,15 @@
 
 impl RequestTable {
     /// The client no longer waits. Whether the request was still open.
-    pub fn withdraw(&mut self, request: &RequestId) -> bool {
-        if mutant(Mutant::SentAfterEnd) {
+    pub fn abandon(&mut self, request: &RequestId) -> bool {
+        if mutant(Mutant::SentAfterDeadline) {
             return self.open.contains_key(request);
         }
         let Some(open) = self.open.remove(request) else { return false };
         if let Open { attempts: 1.., watch: Some(SessionWatch { key, floor: None, .. }), .. } = open {
             self.unsure.push(key);
         }
-        self.queue.push(Event::Withdrawn { request: request.clone() });
+        self.queue.push(Event::Abandoned { request: request.clone() });
         true
     }
 
@@ -52,7 +52,7 @@
         let answered = outcome.ending == Ending::Served || outcome.unusable;
         // Closed here and not by the next step: no refusal may overtake an answer.
         let owed =
-            answered && (self.open.remove(&send.request).is_some() || mutant(Mutant::RefusalOvertakes));
+            answered && (self.open.remove(&send.request).is_some() || mutant(Mutant::RejectedAfterAnswer));
         self.queue.push(Event::Outcome {
             request: send.request.clone(),
             attempt: send.attempt,
@@ -93,7 +93,8 @@
     pub(super) fn shows_old_data(&self, send: &Send, class: usize, outcome: &Outcome) -> bool {
         let need = self.rules.class(class).need;
         let Some(bound) = need.bound().or((need == Need::Strong).then_some(0)) else { return false };
-        let replica = self.settings.behind == Behind::Serve && outcome.role == Some(Role::Replica);
+        let replica =
+            self.settings.stale_read_policy == StaleReadPolicy::Serve && outcome.role == Some(Role::Replica);
         replica && outcome.position.is_some_and(|position| position < self.hosts_now(send.at) - bound)
     }
 
--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -9,11 +9,17 @@
     /// Takes what an answer tells of the hosts' clock, as of its arrival, and drops what lies in the hosts' future: that
     /// was not read from a clock but made up. `send` is the attempt it answers, if it is the answer's first word. False if
     /// the load report was dropped.
-    pub fn screen(&mut self, now: Time, host: MemberId, send: Option<&Send>, outcome: &mut Outcome) -> bool {
+    pub fn validate_times(
+        &mut self,
+        now: Time,
+        host: MemberId,
+        send: Option<&Send>,
+        outcome: &mut Outcome,
+    ) -> bool {
         self.learn_clock(now, host, send, outcome);
         let fleet_clock = self.router.fleet_clock();
-        outcome.position = outcome.position.filter(|position| fleet_clock.can_be(*position, now));
-        let sound = outcome.report.position.is_none_or(|position| fleet_clock.can_be(position, now));
+        outcome.position = outcome.position.filter(|position| fleet_clock.is_plausible(*position, now));
+        let sound = outcome.report.position.is_none_or(|position| fleet_clock.is_plausible(position, now));
         if !sound {
             outcome.report = Report::default();
         }
@@ -27,12 +33,12 @@
         let commit = out.filter(write).filter(|_| outcome.ending == Ending::Served);
         let fleet_clock = self.router.fleet_clock_mut();
         match (commit, outcome.position) {
-            (Some(out), Some(commit)) => fleet_clock.committed(host, commit, out.at, now, out.first),
-            (None, Some(position)) => fleet_clock.position_told(host, position, now),
+            (Some(out), Some(commit)) => fleet_clock.record_commit(host, commit, out.at, now, out.first),
+            (None, Some(position)) => fleet_clock.record_position(host, position, now),
             (_, None) => {}
         }
         if let Some(position) = outcome.report.position {
-            fleet_clock.position_told(host, position, now);
+            fleet_clock.record_position(host, position, now);
         }
     }
 
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -70,7 +70,7 @@
     /// When the first attempt was ordered that may have run.
     ran_from: Option<Time>,
     /// Its client marked it as a repeat.
-    repeat: bool,
+    is_retry: bool,
     watch: Option<SessionWatch>,
 }
 
@@ -156,33 +156,33 @@
     }
 
     /// Members of a group without a primary are tried so many times as rarely as usual from now on.
-    pub fn scout_every(&mut self, times: Time) {
-        self.settings.scout_every = times.max(1);
+    pub fn set_discovery_interval_factor(&mut self, times: Time) {
+        self.settings.discovery_interval_factor = times.max(1);
         // They were sound before.
-        let _ = self.router.follow(admission::whole(&self.settings, &self.rules));
+        let _ = self.router.apply_settings(admission::with_all_classes(&self.settings, &self.rules));
     }
 
     /// What this router may use of the limits of a group's members.
-    pub fn share(&mut self, group: GroupId, share: Share) {
+    pub fn adjust_quota(&mut self, group: GroupId, adjustment: QuotaAdjustment) {
         if self.groups.contains(&group) {
-            self.queue.push(Event::Share(group, share));
+            self.queue.push(Event::QuotaAdjusted { group, adjustment });
         }
     }
 
     /// Requests that came for each group that the list names.
-    pub fn asked(&self) -> BTreeMap<GroupId, u64> {
+    pub fn requests_by_group(&self) -> BTreeMap<GroupId, u64> {
         self.groups.iter().map(|group| (*group, self.asked.get(group).copied().unwrap_or(0))).collect()
     }
 
     /// The group of a member that the list names.
-    pub fn group(&self, member: MemberId) -> Option<GroupId> {
+    pub fn group_of(&self, member: MemberId) -> Option<GroupId> {
         self.router.group_of(member)
     }
 
     /// Members taken for primaries, and when they last said so, by the hosts' clock: other gateways read that one.
-    pub fn leaders(&self) -> Vec<(GroupId, MemberId, Time)> {
+    pub fn primaries(&self) -> Vec<(GroupId, MemberId, Time)> {
         let fleet_clock = self.router.fleet_clock();
-        let leaders = self.router.leaders().into_iter();
+        let leaders = self.router.primaries().into_iter();
         leaders.map(|(group, member, at)| (group, member, fleet_clock.hosts_time(at))).collect()
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// A member said this of itself after its attempt was reported: behind a row that was passed on as it came.
-    pub fn heard(&mut self, now: Time, host: MemberId, said: Outcome) {
+    pub fn record_late_report(&mut self, now: Time, host: MemberId, said: Outcome) {
         let position = said.position.map(|position| position.min(self.hosts_now(now)));
         let report = Report { position, role: said.role, ..said.report };
         self.queue.push(Event::Probed { member: host, ending: Ending::Served, report });
--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -5,12 +5,12 @@
 
 impl RequestTable {
     /// Whether the class of this place carries sessions.
-    pub fn carries(&self, class: usize) -> bool {
+    pub fn class_has_sessions(&self, class: usize) -> bool {
         self.carrying.contains(&class)
     }
 
     /// Whether sessions are kept at all.
-    pub fn keeps_sessions(&self) -> bool {
+    pub fn tracks_sessions(&self) -> bool {
         !self.carrying.is_empty()
     }
 
@@ -73,7 +73,10 @@
             let Some(SessionWatch { key, floor: Some(floor), .. }) = &mut open.watch else { continue };
             if let Some(less) = tracker.recheck_read(hosts_now, *key, floor) {
                 *floor = less;
-                queue.push(Event::Floor { request: request.clone(), floor: less.position() });
+                queue.push(Event::MinimumPositionLowered {
+                    request: request.clone(),
+                    minimum_position: less.position(),
+                });
             }
         }
         Ok(())
--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -34,7 +34,7 @@
             Action::Send { request, member, until } => {
                 let open = self.open.get_mut(&request)?;
                 let attempt = open.attempts;
-                let first = attempt == 0 && !open.repeat;
+                let first = attempt == 0 && !open.is_retry;
                 open.attempts += 1;
                 if let Some(watch) = &mut open.watch {
                     watch.before = self.told.get(&member).copied();
@@ -47,9 +47,9 @@
                 self.out.insert((request.clone(), attempt), OutAttempt { class, at: now, first, writes });
                 Some(Order::Send(Send { request, attempt, host: member, until, write_by, at: now }))
             }
-            Action::Refuse { request, wait } => {
+            Action::Reject { request, wait } => {
                 self.end(now, &request)?;
-                Some(Order::Refuse { request, wait })
+                Some(Order::Reject { request, wait })
             }
             Action::Fail { request } => {
                 self.end(now, &request)?;
@@ -58,7 +58,7 @@
             Action::Cancel { request, attempt } => {
                 let name = (request.clone(), attempt);
                 let out = self.out.contains_key(&name);
-                if mutant(Mutant::LostReport) {
+                if mutant(Mutant::CancellationUnreported) {
                     self.out.remove(&name);
                 }
                 out.then_some(Order::Cancel { request, attempt })
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -6,14 +6,14 @@
 /// A request, in no protocol's words.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Place of its class, as [`RequestTable::find`](super::RequestTable::find) gave it.
+    /// Place of its class, as [`RequestTable::find_class`](super::RequestTable::find_class) gave it.
     pub class: usize,
     /// Its group.
     pub group: GroupId,
     /// Clock time at which the client gives it up.
     pub until: Time,
     /// The client marked it as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Clock time at which it came.
     pub at: Time,
     /// Commit that its client says its data must hold.
@@ -59,7 +59,7 @@
     /// Make this attempt.
     Send(Send),
     /// The request has its end: refused, harmless to try again, after `wait` if that is not 0.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away.
--- a/crates/lifecycle/src/verdict.rs
+++ b/crates/lifecycle/src/verdict.rs
@@ -17,7 +17,7 @@
 
 /// Whether a load report can be: nothing in it is negative or not a number. One that cannot is dropped whole; the answer
 /// that it came with holds. Whether its position can be is asked of the hosts' clock; see
-/// [`RequestTable::screen`](crate::request_table::RequestTable::screen).
+/// [`RequestTable::validate_times`](crate::request_table::RequestTable::validate_times).
 pub fn is_plausible_report(report: &Report) -> bool {
     let sound = |figure: Option<f64>| figure.is_none_or(|figure| figure.is_finite() && figure >= 0.0);
     report.position.is_none_or(|at| at >= 0) && sound(report.waiting) && sound(report.busy)
--- a/crates/lifecycle/tests/repeats.rs
+++ b/crates/lifecycle/tests/repeats.rs
@@ -28,7 +28,7 @@
         zone: "here".into(),
         weight: 1.0,
         started: 0,
-        standing: MemberStatus::Up,
+        status: MemberStatus::Up,
         primary: true,
     }
 }
@@ -54,9 +54,17 @@
 fn a_repeat_is_to_be_written_so_early_that_a_process_held_up_is_inside_the_window() {
     let start = 100 * SECOND;
     let mut table = RequestTable::new(settings(), 7, None).expect("sound settings");
-    table.list(true, vec![primary()]);
+    table.update_endpoints(true, vec![primary()]);
     let until = start + 20 * SECOND;
-    table.admit(Request { class: 0, group: 9, until, repeat: false, at: start, after: None, session: None });
+    table.admit(Request {
+        class: 0,
+        group: 9,
+        until,
+        is_retry: false,
+        at: start,
+        after: None,
+        session: None,
+    });
     let first = next_send(&mut table, start);
     assert_eq!(first.write_by, Time::MAX, "no window is open");
     let broke_at = first.at + SECOND / 10;
--- a/crates/models/src/attempts.rs
+++ b/crates/models/src/attempts.rs
@@ -148,14 +148,17 @@
             writes,
             broken: None,
         };
-        play.desk.list(true, vec![entry(1, MemberStatus::Up, true, 0), entry(2, MemberStatus::Up, false, 0)]);
+        play.desk.update_endpoints(
+            true,
+            vec![entry(1, MemberStatus::Up, true, 0), entry(2, MemberStatus::Up, false, 0)],
+        );
         for place in 0..classes.len() {
             let until = START + left;
             let request = Request {
                 class: place,
                 group: GROUP,
                 until,
-                repeat: false,
+                is_retry: false,
                 at: START,
                 after: None,
                 session: None,
@@ -188,7 +191,7 @@
     fn carry_out(&mut self, order: Order) {
         match order {
             Order::Send(send) => self.sends(send),
-            Order::Refuse { request, .. } => {
+            Order::Reject { request, .. } => {
                 let place = self.place(&request);
                 if self.writes[self.asked[place].class] != Effect::Safe
                     && self.of(&request).any(|out| out.may_have_run)
@@ -286,8 +289,8 @@
     }
 }
 
-fn entry(member: MemberId, standing: MemberStatus, primary: bool, started: Time) -> Entry {
-    Entry { member, group: GROUP, zone: String::new(), weight: 1.0, started, standing, primary }
+fn entry(member: MemberId, status: MemberStatus, primary: bool, started: Time) -> Entry {
+    Entry { member, group: GROUP, zone: String::new(), weight: 1.0, started, status, primary }
 }
 
 impl World for Play {
@@ -374,18 +377,19 @@
             Move::Leaves(place) => {
                 self.asked[place].left = true;
                 let id = self.asked[place].id.clone();
-                self.desk.withdraw(&id);
+                self.desk.abandon(&id);
             }
             Move::Listed => match self.changes.remove(0) {
                 Change::Drains(member) => {
                     self.drained = Some((member, self.now));
-                    self.desk.list(false, vec![entry(member, MemberStatus::Draining, member == 1, 0)]);
+                    self.desk
+                        .update_endpoints(false, vec![entry(member, MemberStatus::Draining, member == 1, 0)]);
                 }
                 Change::Leads(member) => {
-                    self.desk.list(false, vec![entry(member, MemberStatus::Up, true, 0)])
+                    self.desk.update_endpoints(false, vec![entry(member, MemberStatus::Up, true, 0)])
                 }
                 Change::Restarted(member) => {
-                    self.desk.list(false, vec![entry(member, MemberStatus::Up, false, self.now)]);
+                    self.desk.update_endpoints(false, vec![entry(member, MemberStatus::Up, false, self.now)]);
                 }
             },
         }
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -111,25 +111,26 @@
 pub fn finder(bug: Mutant) -> &'static str {
     match bug {
         Mutant::DrainIgnored
-        | Mutant::WindowIgnored
-        | Mutant::LateRepeat
-        | Mutant::ResetUnproved
-        | Mutant::SecondCopy
-        | Mutant::RefusedAsHarmless
-        | Mutant::RefusalOvertakes => "attempt",
-        Mutant::UnsafeRepeated | Mutant::SentAfterEnd | Mutant::LostReport => "desk",
-        Mutant::ToldBeforeClosed
-        | Mutant::EarlyStall
-        | Mutant::UnreadRests
-        | Mutant::SurplusReused
-        | Mutant::CopyTaken
-        | Mutant::LentRests
-        | Mutant::OldReused => "connection",
-        Mutant::ClosedWhileOwed | Mutant::ClosedUnread | Mutant::EndsWhileHeld | Mutant::StaysDrained => {
-            "stop"
-        }
-        Mutant::PlaceReused => "rules",
-        Mutant::SilenceSkipped
+        | Mutant::RetriedAfterKeyWindow
+        | Mutant::RetryWrittenLate
+        | Mutant::ResetCountsAsUnsent
+        | Mutant::UnwantedHedge
+        | Mutant::RejectedAsRetryable
+        | Mutant::RejectedAfterAnswer => "attempt",
+        Mutant::UnsafeRetried | Mutant::SentAfterDeadline | Mutant::CancellationUnreported => "desk",
+        Mutant::ReportedBeforeClose
+        | Mutant::StallLimitBeforeAnswer
+        | Mutant::UnreadConnectionPooled
+        | Mutant::UnexpectedBytesReused
+        | Mutant::DuplicateAnswerAccepted
+        | Mutant::StreamingConnectionPooled
+        | Mutant::ExpiredConnectionReused => "connection",
+        Mutant::ClosedBeforeAnswer
+        | Mutant::ClosedUnread
+        | Mutant::ExitsWithRequestsInFlight
+        | Mutant::StaysDrained => "stop",
+        Mutant::ClassIndexReused => "rules",
+        Mutant::SilentPeriodSkipped
         | Mutant::PromiseForgotten
         | Mutant::GrantHidden
         | Mutant::LeaseEndIncluded
@@ -138,18 +139,21 @@
         | Mutant::LeaseFromAnswer
         | Mutant::OldRoundRenews
         | Mutant::FenceReversed
-        | Mutant::GrantKeptShort
-        | Mutant::LateAnswerCounts => "ownership",
-        Mutant::PledgeForgotten
-        | Mutant::PledgedTwice
-        | Mutant::PledgeFromAnswer
-        | Mutant::GrantFromArrival
-        | Mutant::GrantUncounted => "shares",
+        | Mutant::GrantExpiresEarly
+        | Mutant::LateAnswerAccepted => "ownership",
+        Mutant::LoanForgotten
+        | Mutant::LentTwice
+        | Mutant::LoanCountedFromArrival
+        | Mutant::GrantUsedFromArrival
+        | Mutant::GrantReturnedEarly => "shares",
         Mutant::ShardKept
-        | Mutant::PreferenceOwn
+        | Mutant::PrefersItself
         | Mutant::AbsenceIgnored
-        | Mutant::SettledAtOnce
-        | Mutant::PresenceKept => "placement",
-        Mutant::MergeLowers | Mutant::LossForgotten | Mutant::GapPassed | Mutant::BehindGiven => "marks",
+        | Mutant::YieldedAtOnce
+        | Mutant::PresenceGapIgnored => "placement",
+        Mutant::MergeTakesNewer
+        | Mutant::WatermarkLossForgotten
+        | Mutant::BroadcastGapIgnored
+        | Mutant::StaleAnswerDelivered => "marks",
     }
 }
--- a/crates/models/src/main.rs
+++ b/crates/models/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::Parser;
 use petrelgauge_models::{finder, Named, Size, MODELS};
-use petrelgauge_policy::{plant, Mutant};
+use petrelgauge_policy::{inject_mutant, Mutant};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -55,9 +55,9 @@
     let mut sound = true;
     for bug in bugs {
         for model in MODELS.iter().filter(|model| wanted(arguments, bug, model)) {
-            plant(bug);
+            inject_mutant(bug);
             let report = (model.run)(size, &[]);
-            plant(None);
+            inject_mutant(None);
             sound &= report.broken.is_some() == bug.is_some() && report.complete();
             let planted = bug.map_or(String::new(), |bug| format!(" with {bug:?}"));
             println!(
@@ -107,9 +107,11 @@
     };
     let model = MODELS.iter().find(|model| Some(model.name) == value["model"].as_str());
     let model = model.ok_or("the file names no model that there is")?;
-    plant(Mutant::ALL.into_iter().find(|bug| Some(format!("{bug:?}").as_str()) == value["bug"].as_str()));
+    inject_mutant(
+        Mutant::ALL.into_iter().find(|bug| Some(format!("{bug:?}").as_str()) == value["bug"].as_str()),
+    );
     let report = (model.run)(size, &texts(&value["report"]["path"]));
-    plant(None);
+    inject_mutant(None);
     report.story.iter().enumerate().for_each(|(number, line)| println!("  {:2}. {line}", number + 1));
     println!("{}", report.broken.unwrap_or("nothing is broken"));
     Ok(report.broken == value["report"]["broken"].as_str())
--- a/crates/models/tests/models.rs
+++ b/crates/models/tests/models.rs
@@ -1,7 +1,7 @@
 //! The small sizes of all models, each bug found by a named property, and each story played again.
 
 use petrelgauge_models::{finder, Size, MODELS};
-use petrelgauge_policy::{plant, Mutant};
+use petrelgauge_policy::{inject_mutant, Mutant};
 
 // One test: the switch is the process's.
 #[test]
@@ -15,10 +15,10 @@
     assert!(all.len() > 25 && missing.is_empty(), "of {} transitions none takes {missing:#?}", all.len());
     for bug in Mutant::ALL {
         let model = MODELS.iter().find(|model| model.name == finder(bug)).expect("a model for each");
-        plant(Some(bug));
+        inject_mutant(Some(bug));
         let report = (model.run)(Size::Small, &[]);
         let again = (model.run)(Size::Small, &report.path);
-        plant(None);
+        inject_mutant(None);
         assert!(report.broken.is_some(), "{bug:?} goes unseen in {}", model.name);
         assert!(!report.story.is_empty() && report.properties.contains(&report.broken.expect("just seen")));
         assert_eq!((again.broken, again.story), (report.broken, report.story), "{bug:?} played again");
--- a/crates/ownership/src/acceptor.rs
+++ b/crates/ownership/src/acceptor.rs
@@ -61,8 +61,8 @@
 impl Acceptor {
     /// An acceptor that starts now and knows nothing of what it promised before.
     pub fn new(settings: &Settings, now: Time) -> Acceptor {
-        let silence = if mutant(Mutant::SilenceSkipped) { 0 } else { settings.startup_silence() };
-        let shortened = mutant(Mutant::GrantKeptShort);
+        let silence = if mutant(Mutant::SilentPeriodSkipped) { 0 } else { settings.startup_silence() };
+        let shortened = mutant(Mutant::GrantExpiresEarly);
         let acceptance_duration = if shortened { settings.lease / 2 } else { settings.acceptance_duration() };
         Acceptor { silent_until: now + silence, acceptance_duration, roles: BTreeMap::new() }
     }
--- a/crates/ownership/src/candidate.rs
+++ b/crates/ownership/src/candidate.rs
@@ -176,7 +176,7 @@
     fn is_late(&self, now: Time) -> bool {
         match &self.state {
             State::Preparing { deadline, .. } | State::Proposing { deadline, .. } => {
-                now >= *deadline && !mutant(Mutant::LateAnswerCounts)
+                now >= *deadline && !mutant(Mutant::LateAnswerAccepted)
             }
             _ => false,
         }
--- a/crates/ownership/src/placement.rs
+++ b/crates/ownership/src/placement.rs
@@ -101,7 +101,7 @@
         }
         let absence_timeout = self.absence_timeout();
         let presence = self.presence.entry(from).or_insert(Presence { first: now, last: now });
-        if now - presence.last > absence_timeout && !mutant(Mutant::PresenceKept) {
+        if now - presence.last > absence_timeout && !mutant(Mutant::PresenceGapIgnored) {
             presence.first = now;
         }
         presence.last = now;
@@ -130,7 +130,7 @@
 
     /// Index of the shard's most preferred acceptor.
     fn first_choice(&self, shard: u16) -> usize {
-        if mutant(Mutant::PreferenceOwn) {
+        if mutant(Mutant::PrefersItself) {
             return self.acceptors.iter().position(|acceptor| *acceptor == self.self_id).unwrap_or(0);
         }
         usize::from(shard) % self.acceptors.len().max(1)
@@ -143,7 +143,7 @@
 
     fn is_settled(&self, now: Time, acceptor: GatewayId) -> bool {
         let Some(Presence { first, last }) = self.presence.get(&acceptor) else { return false };
-        let has_settled = now - first >= self.settling_time() || mutant(Mutant::SettledAtOnce);
+        let has_settled = now - first >= self.settling_time() || mutant(Mutant::YieldedAtOnce);
         has_settled && now - last <= self.absence_timeout() / 2
     }
 }
--- a/crates/ownership/src/quota/demand.rs
+++ b/crates/ownership/src/quota/demand.rs
@@ -1,7 +1,7 @@
 //! What gateways report of groups and are granted, the limits of it, and how it is split into datagrams.
 
 use crate::Term;
-use petrelgauge_policy::{GroupId, Share};
+use petrelgauge_policy::{GroupId, QuotaAdjustment};
 use serde::{Deserialize, Serialize};
 
 /// An amount of quota: thousandths of an even quota.
@@ -10,7 +10,7 @@
 /// Thousandths in one even quota.
 pub(super) const EVEN_QUOTA: f64 = 1000.0;
 /// Maximum that a gateway lends of its even quota; the decisions rely on the same minimum.
-pub const MAX_LENT: Thousandths = (EVEN_QUOTA * (1.0 - Share::LEAST)) as Thousandths;
+pub const MAX_LENT: Thousandths = (EVEN_QUOTA * (1.0 - QuotaAdjustment::MIN_QUOTA)) as Thousandths;
 /// Maximum that a gateway is granted beside its even quota: more than any fleet of this size can lend.
 pub const MAX_GRANTED: Thousandths = 30_000;
 /// Maximum number of groups whose quotas are lent; the others keep even quotas.
--- a/crates/ownership/src/quota/own_quota.rs
+++ b/crates/ownership/src/quota/own_quota.rs
@@ -5,7 +5,7 @@
     MAX_DEMANDS, MAX_GRANTED, MAX_GROUPS, MAX_LENT, MAX_RATE, MAX_ROUNDS, MIN_DEMANDS,
 };
 use crate::{Settings, Term};
-use petrelgauge_policy::{mutant, GroupId, Mutant, Share, Time};
+use petrelgauge_policy::{mutant, GroupId, Mutant, QuotaAdjustment, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Maximum number of loans, and of grants, of a group: more rounds than a loan lasts for.
@@ -58,7 +58,7 @@
         let lent_to_another = self.loans_in_force(now).any(|loan| loan.term != term);
         let has_grant = self.grants_in_force(now).next().is_some();
         let is_full = self.loans.len() >= MAX_ENTRIES;
-        (!lent_to_another || mutant(Mutant::PledgedTwice)) && !has_grant && !is_full
+        (!lent_to_another || mutant(Mutant::LentTwice)) && !has_grant && !is_full
     }
 
     fn add_grant(&mut self, grant: Grant) {
@@ -104,7 +104,7 @@
         let Settings { drift_bound, .. } = settings;
         let restriction = settings.loan_duration() as f64 * (1.0 + drift_bound) / (1.0 - drift_bound);
         let restricted_until =
-            if mutant(Mutant::PledgeForgotten) { now } else { now + restriction.ceil() as Time };
+            if mutant(Mutant::LoanForgotten) { now } else { now + restriction.ceil() as Time };
         let (groups, sent_reports) = (BTreeMap::new(), VecDeque::new());
         Quota { settings, restricted_until, groups, pending: None, sent_reports, number }
     }
@@ -153,7 +153,7 @@
     /// A grant arrived, for the report of this number.
     pub fn on_grant(&mut self, now: Time, number: u32, granted: &[GroupGrant]) {
         let Some(report) = self.sent_reports.iter().find(|report| report.number == number) else { return };
-        let started_at = if mutant(Mutant::GrantFromArrival) { now } else { report.sent_at };
+        let started_at = if mutant(Mutant::GrantUsedFromArrival) { now } else { report.sent_at };
         let expires_at = started_at + self.settings.grant_duration();
         if now >= expires_at {
             return;
@@ -167,9 +167,9 @@
     }
 
     /// What this gateway may use of a group's limits now, and until when that is so.
-    pub fn current(&self, now: Time, group: GroupId) -> Share {
+    pub fn current(&self, now: Time, group: GroupId) -> QuotaAdjustment {
         let quota = self.groups.get(&group);
-        self.lent_share(now, quota).or_else(|| self.granted_share(now, quota)).unwrap_or_default()
+        self.lent_adjustment(now, quota).or_else(|| self.granted_adjustment(now, quota)).unwrap_or_default()
     }
 
     /// The groups of which state is kept.
@@ -177,7 +177,7 @@
         self.groups.keys().copied()
     }
 
-    fn lent_share(&self, now: Time, quota: Option<&GroupQuota>) -> Option<Share> {
+    fn lent_adjustment(&self, now: Time, quota: Option<&GroupQuota>) -> Option<QuotaAdjustment> {
         let (mut lent, mut until) = (0, Time::MIN);
         for loan in quota.into_iter().flat_map(|quota| quota.loans_in_force(now)) {
             lent = lent.max(loan.amount);
@@ -187,15 +187,15 @@
             lent = MAX_LENT;
             until = until.max(self.restricted_until);
         }
-        (lent > 0).then(|| Share { extra: -f64::from(lent) / EVEN_QUOTA, until })
+        (lent > 0).then(|| QuotaAdjustment { extra: -f64::from(lent) / EVEN_QUOTA, until })
     }
 
     /// The grant for the newest report, which may have arrived before one for an older report.
-    fn granted_share(&self, now: Time, quota: Option<&GroupQuota>) -> Option<Share> {
+    fn granted_adjustment(&self, now: Time, quota: Option<&GroupQuota>) -> Option<QuotaAdjustment> {
         let oldest_number = self.number.wrapping_add(1);
         let grants = quota.into_iter().flat_map(|quota| quota.grants_in_force(now));
         let newest = grants.max_by_key(|grant| grant.number.wrapping_sub(oldest_number))?;
-        Some(Share { extra: f64::from(newest.amount) / EVEN_QUOTA, until: newest.expires_at })
+        Some(QuotaAdjustment { extra: f64::from(newest.amount) / EVEN_QUOTA, until: newest.expires_at })
     }
 
     fn report(&mut self, now: Time, pending: &PendingRound, demands: Vec<GroupDemand>) -> QuotaReport {
--- a/crates/ownership/src/quota/pool.rs
+++ b/crates/ownership/src/quota/pool.rs
@@ -97,7 +97,7 @@
         demands: &[GroupDemand],
     ) -> Vec<GroupGrant> {
         let Some(round) = self.rounds.iter().find(|known| known.number == round) else { return Vec::new() };
-        let counted_from = if mutant(Mutant::PledgeFromAnswer) { now } else { round.opened_at };
+        let counted_from = if mutant(Mutant::LoanCountedFromArrival) { now } else { round.opened_at };
         let loans_expire_at = counted_from + self.settings.counted_loan_duration();
         let mut granted = Vec::new();
         for demand in demands.iter().take(MAX_DEMANDS) {
@@ -133,7 +133,7 @@
     }
 
     fn grant(&mut self, now: Time, to: GatewayId, demand: &GroupDemand) -> Option<Thousandths> {
-        let uncounted = mutant(Mutant::GrantUncounted);
+        let uncounted = mutant(Mutant::GrantReturnedEarly);
         let duration = match uncounted {
             true => self.settings.grant_duration() / 4,
             false => self.settings.counted_grant_duration(),
--- a/crates/ownership/src/quota/timing.rs
+++ b/crates/ownership/src/quota/timing.rs
@@ -27,7 +27,7 @@
 
     /// How long the lease holder counts a grant as used, by its own clock, from the report's arrival on.
     pub fn counted_grant_duration(&self) -> Time {
-        let duration = self.grant_duration() / if mutant(Mutant::GrantUncounted) { 4 } else { 1 };
+        let duration = self.grant_duration() / if mutant(Mutant::GrantReturnedEarly) { 4 } else { 1 };
         (duration as f64 * (1.0 + self.drift_bound) / (1.0 - self.drift_bound)).ceil() as Time
     }
 
--- a/crates/policy/benches/step.rs
+++ b/crates/policy/benches/step.rs
@@ -49,11 +49,11 @@
         zone: ZONES[n as usize % ZONES.len()].into(),
         weight: 1.0,
         started: 0,
-        standing: MemberStatus::Up,
+        status: MemberStatus::Up,
         primary: n.is_multiple_of(MEMBERS_OF_A_GROUP),
     };
     let entries: Vec<Entry> = (0..groups as u32 * MEMBERS_OF_A_GROUP).map(entry).collect();
-    Event::List { whole: true, entries: entries.into() }
+    Event::List { complete: true, entries: entries.into() }
 }
 
 impl Load {
@@ -79,8 +79,8 @@
             class: (self.asked % 3) as usize,
             group: self.asked.wrapping_mul(7_919) % self.groups,
             time_left: 900_000,
-            repeat: false,
-            floor: None,
+            is_retry: false,
+            minimum_position: None,
         });
         let sent = self.actions.iter().find_map(|action| match action {
             Action::Send { member, .. } => Some(*member),
--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -113,7 +113,7 @@
     }
 
     /// The list names a start of this member: it was no later than now.
-    pub fn member_started(&mut self, member: MemberId, started: Time, now: Time) {
+    pub fn record_start(&mut self, member: MemberId, started: Time, now: Time) {
         if self.enabled && started > 0 {
             self.add_lower(member, started, now);
             self.update(now);
@@ -121,7 +121,7 @@
     }
 
     /// A member told a position, which arrived at this time.
-    pub fn position_told(&mut self, member: MemberId, position: Time, received: Time) {
+    pub fn record_position(&mut self, member: MemberId, position: Time, received: Time) {
         if !self.enabled || position <= 0 {
             return;
         }
@@ -133,7 +133,7 @@
 
     /// A write that was sent to this member at `sent` has been committed. `first` says that it was the first
     /// attempt of a request that is no client's retry: only then was it surely committed after it was sent.
-    pub fn committed(&mut self, member: MemberId, commit: Time, sent: Time, received: Time, first: bool) {
+    pub fn record_commit(&mut self, member: MemberId, commit: Time, sent: Time, received: Time, first: bool) {
         if !self.enabled || commit <= 0 {
             return;
         }
@@ -201,8 +201,8 @@
     }
 
     /// Whether a host can have told this time by now: it does not lie in the hosts' future.
-    pub fn can_be(&self, told: Time, now: Time) -> bool {
-        told <= self.latest_hosts_time(now).saturating_add(MOST_AHEAD)
+    pub fn is_plausible(&self, reported: Time, now: Time) -> bool {
+        reported <= self.latest_hosts_time(now).saturating_add(MOST_AHEAD)
     }
 
     /// Whether the estimate may be used to call a replica fresh: commits bound the offset above, or the
@@ -216,13 +216,13 @@
         self.has_evidence && !self.is_trusted()
     }
 
-    fn add_lower(&mut self, member: MemberId, told: Time, received: Time) {
+    fn add_lower(&mut self, member: MemberId, reported: Time, received: Time) {
         if received - self.span_started > EVIDENCE_SPAN {
             self.lower.swap(0, 1);
             self.lower[0] = LowerBounds::default();
             self.span_started = received;
         }
-        let offset = told.saturating_sub(received).saturating_sub(GRANULARITY);
+        let offset = reported.saturating_sub(received).saturating_sub(GRANULARITY);
         self.lower[0].insert(LowerBound { offset, member });
     }
 
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -15,7 +15,7 @@
         until: Time,
     },
     /// Final answer: rejected, harmless to try again.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Retry-After for the client (microseconds); 0 for none.
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -29,7 +29,7 @@
     /// When it last started; 0 for long ago.
     pub started: Time,
     /// Its status.
-    pub standing: MemberStatus,
+    pub status: MemberStatus,
     /// The list names it as the primary.
     pub primary: bool,
 }
@@ -37,21 +37,21 @@
 /// This router's quota of the concurrency limits of a group's members, where it differs from an even one for
 /// a while.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct QuotaAdjustment {
     /// Quota borrowed, in even parts; under 0 for quota lent, which is never all of it.
     pub extra: f64,
     /// When the loan ends: after that the quota is the even one.
     pub until: Time,
 }
 
-impl Share {
+impl QuotaAdjustment {
     /// The smallest quota of any router, in even parts.
-    pub const LEAST: f64 = 0.5;
+    pub const MIN_QUOTA: f64 = 0.5;
 
     /// The quota at a time, in even parts.
     pub fn at(&self, now: Time) -> f64 {
         if now < self.until {
-            (1.0 + self.extra).max(Share::LEAST)
+            (1.0 + self.extra).max(QuotaAdjustment::MIN_QUOTA)
         } else {
             1.0
         }
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,6 +1,6 @@
 //! The events that a router takes in.
 
-use super::endpoints::{Entry, Report, Role, Share};
+use super::endpoints::{Entry, QuotaAdjustment, Report, Role};
 use super::ids::{GroupId, MemberId, RequestId, Time};
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
     /// The endpoint list, complete or as changes.
     List {
         /// It is complete: a member that is not in it is removed.
-        whole: bool,
+        complete: bool,
         /// Its entries.
         entries: Arc<[Entry]>,
     },
@@ -55,16 +55,16 @@
         /// Until the client gives up this try.
         time_left: Time,
         /// The client marked it as a repeat.
-        repeat: bool,
+        is_retry: bool,
         /// Minimum position: the commit that the data read for it must include, beside what its class needs.
-        floor: Option<Time>,
+        minimum_position: Option<Time>,
     },
     /// The minimum position of a waiting request is lower by now.
-    Floor {
+    MinimumPositionLowered {
         /// The request.
         request: RequestId,
         /// The commit.
-        floor: Time,
+        minimum_position: Time,
     },
     /// An attempt ended.
     Outcome {
@@ -95,9 +95,14 @@
         at: Time,
     },
     /// The router's quota for a group has changed.
-    Share(GroupId, Share),
+    QuotaAdjusted {
+        /// The group.
+        group: GroupId,
+        /// The adjustment that holds from now on.
+        adjustment: QuotaAdjustment,
+    },
     /// The client has given up the request.
-    Withdrawn {
+    Abandoned {
         /// The request.
         request: RequestId,
     },
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -5,12 +5,12 @@
 
 /// What a member does with a read for which it is too far behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Behind {
+pub enum StaleReadPolicy {
     /// It answers from what it has.
     Serve,
     /// It rejects the read at once.
     #[default]
-    Refuse,
+    Reject,
     /// It waits up to this span (microseconds), then rejects it.
     Wait(Time),
 }
@@ -43,7 +43,7 @@
     /// Least span between two batches.
     pub granularity: Time,
     /// Most requests that clients can hold open at this router.
-    pub most_open: u32,
+    pub max_open_requests: u32,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Two attempts of one request may be in flight together (hedged requests).
@@ -53,18 +53,18 @@
     /// List changes come only when asked for.
     pub list_on_request: bool,
     /// Longest Retry-After that a rejected client obeys; 0 where none is sent.
-    pub max_wait_hint: Time,
+    pub max_retry_after: Time,
     /// Span past the client's end in which a final answer still counts.
     pub answer_slack: Time,
     /// Time that a request takes from its client to the router, and its rejection back. A rejection of a
     /// request never sent costs more once half of its time is over, by its client's clock.
-    pub way: Time,
+    pub client_round_trip: Time,
     /// Clock time by which every admitted request has its final answer, whatever its client would wait.
-    pub last: Time,
+    pub final_answer_by: Time,
     /// Least share of its capacity that a started member has.
-    pub cold_from: f64,
+    pub slow_start_initial_share: f64,
     /// Span after which a started member has all of its capacity at the latest (slow start).
-    pub cold_for: Time,
+    pub slow_start_span: Time,
     /// A member in slow start fails if it is sent more than this multiple of its capacity ...
     pub overload_factor: f64,
     /// ... over this span.
@@ -72,18 +72,18 @@
     /// Span in which sends to a draining or removed member must end.
     pub drain_grace: Time,
     /// A router that has not asked for the list for this long counts as notified of its changes.
-    pub ask_every: Time,
+    pub list_poll_interval: Time,
     /// Only a member listed as draining gets no requests, not one merely missing from the list.
     pub soft_removal: bool,
     /// What a member that lags does with a read.
-    pub behind: Behind,
+    pub stale_read_policy: StaleReadPolicy,
     /// What the endpoint list says of the primary.
     pub list_role: ListRole,
     /// Longest that a read waits for a replica about to reach its minimum position; 0 where none does.
-    pub hold: Time,
+    pub read_wait_bound: Time,
     /// Primary discovery: members of a group without a primary are tried this many times less often than by a
     /// single router (count).
-    pub scout_every: Time,
+    pub discovery_interval_factor: Time,
     /// The router's clock may differ from the hosts' by any span: the difference is then estimated from their
     /// answers.
     pub clock_may_be_wrong: bool,
@@ -102,26 +102,26 @@
             routers: 1,
             zone: String::new(),
             granularity: 5_000,
-            most_open: 20_000,
+            max_open_requests: 20_000,
             may_cancel: true,
             may_hedge: false,
             may_probe: false,
             list_on_request: false,
-            max_wait_hint: 500_000,
+            max_retry_after: 500_000,
             answer_slack: 20_000,
-            way: 0,
-            last: Time::MAX,
-            cold_from: 0.2,
-            cold_for: 10_000_000,
+            client_round_trip: 0,
+            final_answer_by: Time::MAX,
+            slow_start_initial_share: 0.2,
+            slow_start_span: 10_000_000,
             overload_factor: 4.0,
             overload_span: 3_000_000,
             drain_grace: 250_000,
-            ask_every: 10_000_000,
+            list_poll_interval: 10_000_000,
             soft_removal: false,
-            behind: Behind::Refuse,
+            stale_read_policy: StaleReadPolicy::Reject,
             list_role: ListRole::Trailing,
-            hold: 0,
-            scout_every: 1,
+            read_wait_bound: 0,
+            discovery_interval_factor: 1,
             clock_may_be_wrong: false,
             crossing_price: 0.0,
             probe_price: 0.0,
@@ -142,9 +142,9 @@
             (self.classes.iter().all(|class| class.attempts > 0), "the most attempts"),
             ((1..=MOST_ROUTERS).contains(&self.routers), "the number of routers"),
             (self.granularity > 0, "the granularity"),
-            (self.scout_every > 0, "the rareness of scouting"),
+            (self.discovery_interval_factor > 0, "the rareness of scouting"),
             (self.overload_factor > 0.0, "the overload factor"),
-            ((0.0..=1.0).contains(&self.cold_from), "the cold share"),
+            ((0.0..=1.0).contains(&self.slow_start_initial_share), "the cold share"),
         ];
         match figures.iter().find(|(is_valid, _)| !is_valid) {
             Some((_, figure)) => Err(SettingsError::BadFigure(figure)),
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -5,7 +5,7 @@
 //! [`LearnedState::shift_clock`]): samples expire by themselves, and what a member reports outweighs all of it. What was in flight or waiting belongs to requests of the
 //! other process and is left out.
 
-use crate::interface::{GroupId, MemberId, Share, Time};
+use crate::interface::{GroupId, MemberId, QuotaAdjustment, Time};
 use crate::router::Router;
 use crate::state::{Group, Member, Samples, ServiceTime, SilentWaits};
 use serde::{Deserialize, Serialize};
@@ -36,7 +36,7 @@
         self.members.values_mut().for_each(|member| shift_member(member, offset));
         for group in self.groups.values_mut() {
             shift(&mut group.last_discovery_at, offset);
-            shift(&mut group.share.until, offset);
+            shift(&mut group.quota_adjustment.until, offset);
         }
         shift_samples(&mut self.sojourns, offset);
         shift(&mut self.served_rate_at, offset);
@@ -88,7 +88,7 @@
         let mut groups = self.groups.clone();
         for group in groups.values_mut() {
             group.waiting.clear();
-            group.share = Share::default();
+            group.quota_adjustment = QuotaAdjustment::default();
         }
         LearnedState {
             members,
@@ -108,7 +108,7 @@
 
     /// Members taken for the primaries of their groups, with when they last gave evidence of it by
     /// themselves.
-    pub fn leaders(&self) -> Vec<(GroupId, MemberId, Time)> {
+    pub fn primaries(&self) -> Vec<(GroupId, MemberId, Time)> {
         let leads = |group: &GroupId| {
             let member = self.primary(*group)?;
             // Evidence from the endpoint list alone has the time 1: every router knows it.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,7 +30,7 @@
 //! router can leave to the next; none of them decides. `fleet_clock.rs` relates the hosts' clock to the
 //! router's own.
 //!
-//! Bounds: requests by what clients can hold open ([`Settings::most_open`]), members by the endpoint list and
+//! Bounds: requests by what clients can hold open ([`Settings::max_open_requests`]), members by the endpoint list and
 //! a minute more, samples by a fixed count for each member.
 //!
 //! ```
@@ -57,17 +57,17 @@
 //!     zone: "here".into(),
 //!     weight: 1.0,
 //!     started: 0,
-//!     standing: MemberStatus::Up,
+//!     status: MemberStatus::Up,
 //!     primary: true,
 //! };
-//! let list = Event::List { whole: true, entries: vec![entry].into() };
+//! let list = Event::List { complete: true, entries: vec![entry].into() };
 //! let request = Event::Request {
 //!     request: "r1".into(),
 //!     class: 0,
 //!     group: 9,
 //!     time_left: 900_000,
-//!     repeat: false,
-//!     floor: None,
+//!     is_retry: false,
+//!     minimum_position: None,
 //! };
 //! router.step(1_000_000, &[list, request], &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { member: 1, .. })));
@@ -86,7 +86,7 @@
 pub use interface::*;
 pub use learned_state::LearnedState;
 #[cfg(feature = "mutants")]
-pub use mutant::plant;
+pub use mutant::inject_mutant;
 pub use mutant::{mutant, Mutant};
 pub use repeat_window::HOLD_UP;
 pub use router::Router;
--- a/crates/policy/src/mutant.rs
+++ b/crates/policy/src/mutant.rs
@@ -7,57 +7,57 @@
     /// Requests are sent to a member that the endpoint list calls draining.
     DrainIgnored,
     /// A write is repeated after its key's window.
-    WindowIgnored,
+    RetriedAfterKeyWindow,
     /// A write that may have run is repeated though its class allows none.
-    UnsafeRepeated,
+    UnsafeRetried,
     /// A connection that broke after the request was written counts as one that never carried it.
-    ResetUnproved,
+    ResetCountsAsUnsent,
     /// A second attempt is sent while the first is in flight.
-    SecondCopy,
+    UnwantedHedge,
     /// A request is sent after its client has given up.
-    SentAfterEnd,
+    SentAfterDeadline,
     /// A request that may have run is rejected as safe to retry.
-    RefusedAsHarmless,
+    RejectedAsRetryable,
     /// An answer leaves its request open, and a rejection follows.
-    RefusalOvertakes,
+    RejectedAfterAnswer,
     /// The end of an attempt is reported before its connection is closed.
-    ToldBeforeClosed,
+    ReportedBeforeClose,
     /// The end of a cancelled attempt is not reported.
-    LostReport,
+    CancellationUnreported,
     /// The limit for an answer that has begun ends one that has not.
-    EarlyStall,
+    StallLimitBeforeAnswer,
     /// A repeat is written whenever its connection comes up.
-    LateRepeat,
+    RetryWrittenLate,
     /// A connection with unread bytes returns to the pool.
-    UnreadRests,
+    UnreadConnectionPooled,
     /// A connection on which the host sent unexpected bytes is reused.
-    SurplusReused,
+    UnexpectedBytesReused,
     /// A duplicate of the last answer is taken for this one.
-    CopyTaken,
+    DuplicateAnswerAccepted,
     /// A connection is used that the host may have closed for its age.
-    OldReused,
+    ExpiredConnectionReused,
     /// A merge of watermarks takes the newer one instead of the higher.
-    MergeLowers,
+    MergeTakesNewer,
     /// A restart forgets that watermarks were lost.
-    LossForgotten,
+    WatermarkLossForgotten,
     /// A gap in the watermark broadcasts is ignored.
-    GapPassed,
+    BroadcastGapIgnored,
     /// An answer below its session's watermark is delivered.
-    BehindGiven,
+    StaleAnswerDelivered,
     /// The shutdown closes a client that still waits for an answer.
-    ClosedWhileOwed,
+    ClosedBeforeAnswer,
     /// A client is closed while bytes from it are unread.
     ClosedUnread,
     /// The gateway ends while requests are in flight.
-    EndsWhileHeld,
+    ExitsWithRequestsInFlight,
     /// A drained gateway does not return to service.
     StaysDrained,
     /// A class takes the index of one that an open request uses.
-    PlaceReused,
+    ClassIndexReused,
     /// A connection on which rows are still arriving returns to the pool.
-    LentRests,
+    StreamingConnectionPooled,
     /// An acceptor answers right after a restart, without its silent period.
-    SilenceSkipped,
+    SilentPeriodSkipped,
     /// An acceptor accepts a lease offer below the one that it promised.
     PromiseForgotten,
     /// An acceptor does not report a lease that it has granted.
@@ -75,61 +75,61 @@
     /// The fence rejects newer terms and lets older ones pass.
     FenceReversed,
     /// An acceptor keeps a grant for less than the lease.
-    GrantKeptShort,
+    GrantExpiresEarly,
     /// An offer stays open however late its answers come.
-    LateAnswerCounts,
+    LateAnswerAccepted,
     /// A restarted gateway lends quota that it may have lent before.
-    PledgeForgotten,
+    LoanForgotten,
     /// Quota lent to one lease holder is lent to the next as well.
-    PledgedTwice,
+    LentTwice,
     /// A lease holder counts a loan of quota from its arrival.
-    PledgeFromAnswer,
+    LoanCountedFromArrival,
     /// A grant of quota is used from its arrival.
-    GrantFromArrival,
+    GrantUsedFromArrival,
     /// A lease holder counts a grant as returned too early.
-    GrantUncounted,
+    GrantReturnedEarly,
     /// An acceptor keeps a shard that another should own.
     ShardKept,
     /// Each acceptor takes itself for the preferred lease holder.
-    PreferenceOwn,
+    PrefersItself,
     /// An absent acceptor is taken for present.
     AbsenceIgnored,
     /// Leadership is yielded to an acceptor that has just appeared.
-    SettledAtOnce,
+    YieldedAtOnce,
     /// A gap in an acceptor's presence is ignored.
-    PresenceKept,
+    PresenceGapIgnored,
 }
 
 impl Mutant {
     /// All of them.
     pub const ALL: [Mutant; 47] = [
         Mutant::DrainIgnored,
-        Mutant::WindowIgnored,
-        Mutant::UnsafeRepeated,
-        Mutant::ResetUnproved,
-        Mutant::SecondCopy,
-        Mutant::SentAfterEnd,
-        Mutant::RefusedAsHarmless,
-        Mutant::RefusalOvertakes,
-        Mutant::ToldBeforeClosed,
-        Mutant::LostReport,
-        Mutant::EarlyStall,
-        Mutant::LateRepeat,
-        Mutant::UnreadRests,
-        Mutant::SurplusReused,
-        Mutant::CopyTaken,
-        Mutant::OldReused,
-        Mutant::MergeLowers,
-        Mutant::LossForgotten,
-        Mutant::GapPassed,
-        Mutant::BehindGiven,
-        Mutant::ClosedWhileOwed,
+        Mutant::RetriedAfterKeyWindow,
+        Mutant::UnsafeRetried,
+        Mutant::ResetCountsAsUnsent,
+        Mutant::UnwantedHedge,
+        Mutant::SentAfterDeadline,
+        Mutant::RejectedAsRetryable,
+        Mutant::RejectedAfterAnswer,
+        Mutant::ReportedBeforeClose,
+        Mutant::CancellationUnreported,
+        Mutant::StallLimitBeforeAnswer,
+        Mutant::RetryWrittenLate,
+        Mutant::UnreadConnectionPooled,
+        Mutant::UnexpectedBytesReused,
+        Mutant::DuplicateAnswerAccepted,
+        Mutant::ExpiredConnectionReused,
+        Mutant::MergeTakesNewer,
+        Mutant::WatermarkLossForgotten,
+        Mutant::BroadcastGapIgnored,
+        Mutant::StaleAnswerDelivered,
+        Mutant::ClosedBeforeAnswer,
         Mutant::ClosedUnread,
-        Mutant::EndsWhileHeld,
+        Mutant::ExitsWithRequestsInFlight,
         Mutant::StaysDrained,
-        Mutant::PlaceReused,
-        Mutant::LentRests,
-        Mutant::SilenceSkipped,
+        Mutant::ClassIndexReused,
+        Mutant::StreamingConnectionPooled,
+        Mutant::SilentPeriodSkipped,
         Mutant::PromiseForgotten,
         Mutant::GrantHidden,
         Mutant::LeaseEndIncluded,
@@ -138,18 +138,18 @@
         Mutant::LeaseFromAnswer,
         Mutant::OldRoundRenews,
         Mutant::FenceReversed,
-        Mutant::GrantKeptShort,
-        Mutant::LateAnswerCounts,
-        Mutant::PledgeForgotten,
-        Mutant::PledgedTwice,
-        Mutant::PledgeFromAnswer,
-        Mutant::GrantFromArrival,
-        Mutant::GrantUncounted,
+        Mutant::GrantExpiresEarly,
+        Mutant::LateAnswerAccepted,
+        Mutant::LoanForgotten,
+        Mutant::LentTwice,
+        Mutant::LoanCountedFromArrival,
+        Mutant::GrantUsedFromArrival,
+        Mutant::GrantReturnedEarly,
         Mutant::ShardKept,
-        Mutant::PreferenceOwn,
+        Mutant::PrefersItself,
         Mutant::AbsenceIgnored,
-        Mutant::SettledAtOnce,
-        Mutant::PresenceKept,
+        Mutant::YieldedAtOnce,
+        Mutant::PresenceGapIgnored,
     ];
 }
 
@@ -171,6 +171,6 @@
 
 /// Plants a bug in the code of this process, or takes it out again.
 #[cfg(feature = "mutants")]
-pub fn plant(bug: Option<Mutant>) {
+pub fn inject_mutant(bug: Option<Mutant>) {
     ACTIVE.store(bug.map_or(0, |bug| bug as u8 + 1), std::sync::atomic::Ordering::Relaxed);
 }
--- a/crates/policy/src/router/admission.rs
+++ b/crates/policy/src/router/admission.rs
@@ -30,14 +30,16 @@
 impl Router {
     /// Takes in a new request, or rejects it.
     pub(super) fn admit_request(&mut self, event: &Event) {
-        let Event::Request { request, class, group, time_left, repeat, floor } = event else { return };
+        let Event::Request { request, class, group, time_left, is_retry, minimum_position } = event else {
+            return;
+        };
         let arrival = Arrival {
             request,
             class: *class,
             group: *group,
             time_left: *time_left,
-            is_marked_retry: *repeat,
-            minimum_position: *floor,
+            is_marked_retry: *is_retry,
+            minimum_position: *minimum_position,
         };
         let uniform_sample = self.rng.uniform_sample();
         if arrival.class >= self.settings.classes.len() {
@@ -45,7 +47,7 @@
         }
         self.adapt_typical_time(&arrival);
         if self.is_shed(&self.settings.classes[arrival.class], uniform_sample) {
-            return self.reject(&arrival, self.settings.max_wait_hint);
+            return self.reject(&arrival, self.settings.max_retry_after);
         }
         self.budgets.probes += PROBE_BUDGET_SHARE;
         self.budgets.trials = (self.budgets.trials + TRIAL_BUDGET_SHARE).min(MAX_SAVED_TRIALS);
@@ -53,7 +55,7 @@
     }
 
     fn reject(&mut self, arrival: &Arrival, wait: Time) {
-        self.actions.push(Action::Refuse { request: arrival.request.clone(), wait });
+        self.actions.push(Action::Reject { request: arrival.request.clone(), wait });
     }
 
     /// Moves the median of the time that first tries of a class come with.
@@ -93,8 +95,8 @@
             class: arrival.class,
             group: arrival.group,
             first_arrived_at: self.now - age,
-            deadline: (self.now + time_left).min(self.settings.last),
-            unsent_deadline: self.now + (time_left / 2 - self.settings.way).max(time_left / 4),
+            deadline: (self.now + time_left).min(self.settings.final_answer_by),
+            unsent_deadline: self.now + (time_left / 2 - self.settings.client_round_trip).max(time_left / 4),
             minimum_position: arrival.minimum_position,
             ..Request::default()
         };
--- a/crates/policy/src/router/completion.rs
+++ b/crates/policy/src/router/completion.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use crate::interface::{Action, Class, Effect, MemberId, RequestId, Scope};
-use crate::mutant::{mutant, Mutant::RefusedAsHarmless};
+use crate::mutant::{mutant, Mutant::RejectedAsRetryable};
 use crate::state::Request;
 
 impl Router {
@@ -17,7 +17,7 @@
             self.cancel_attempts(sequence, None);
         }
         self.actions.push(if harmless {
-            Action::Refuse { request: id, wait: self.settings.max_wait_hint }
+            Action::Reject { request: id, wait: self.settings.max_retry_after }
         } else {
             Action::Fail { request: id }
         });
@@ -31,7 +31,7 @@
     }
 
     /// Closes a request that its client has given up.
-    pub(super) fn withdraw(&mut self, request: &RequestId) {
+    pub(super) fn abandon(&mut self, request: &RequestId) {
         if let Some(sequence) = self.sequences.get(request).copied() {
             self.close(sequence);
         }
@@ -65,6 +65,6 @@
         Effect::Keyed { .. } | Effect::Unsafe => request
             .attempts
             .iter()
-            .all(|attempt| !attempt.in_flight && (!attempt.may_have_run || mutant(RefusedAsHarmless))),
+            .all(|attempt| !attempt.in_flight && (!attempt.may_have_run || mutant(RejectedAsRetryable))),
     }
 }
--- a/crates/policy/src/router/concurrency.rs
+++ b/crates/policy/src/router/concurrency.rs
@@ -41,7 +41,7 @@
 impl Router {
     /// This router's part in the limits of a group's members: the even one, with what was lent or borrowed.
     pub(super) fn quota_part(&self, group: GroupId) -> f64 {
-        self.base_quota * self.groups.get(&group).map_or(1.0, |state| state.share.at(self.now))
+        self.base_quota * self.groups.get(&group).map_or(1.0, |state| state.quota_adjustment.at(self.now))
     }
 
     /// Whether a member may take one more attempt, with this share of the quota open to it.
--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -1,8 +1,10 @@
 //! Dispatch: the rules that every send must pass, whatever path wants it, and the send itself.
 
 use super::Router;
-use crate::interface::{Action, Behind, Effect, MemberId, Need, RequestId, Scope, Time, ASSUMED_KNOWN_AFTER};
-use crate::mutant::{mutant, Mutant::SecondCopy, Mutant::UnsafeRepeated};
+use crate::interface::{
+    Action, Effect, MemberId, Need, RequestId, Scope, StaleReadPolicy, Time, ASSUMED_KNOWN_AFTER,
+};
+use crate::mutant::{mutant, Mutant::UnsafeRetried, Mutant::UnwantedHedge};
 use crate::state::{Attempt, AttemptId, InFlightAttempt, Member, Request};
 
 impl Router {
@@ -14,7 +16,7 @@
         let in_time =
             self.now < request.deadline && !request.is_exhausted(class, self.now + self.settings.granularity);
         // Rule 2: no second effect, and no hedged request where there may be none.
-        let is_alone = self.settings.may_hedge || mutant(SecondCopy) || !request.has_attempt_in_flight();
+        let is_alone = self.settings.may_hedge || mutant(UnwantedHedge) || !request.has_attempt_in_flight();
         let has_no_second_effect = self.has_no_second_effect(request, class.effect, id, member);
         // Rule 3: nothing new to a member known to drain or be removed (the grace is not used).
         let in_service = self.is_in_service(member) && member.group == request.group;
@@ -32,7 +34,7 @@
         let Some(first) = request.first_possible_execution() else { return true };
         match effect {
             Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
-            Effect::Unsafe => mutant(UnsafeRepeated),
+            Effect::Unsafe => mutant(UnsafeRetried),
             Effect::Keyed { scope: Scope::Group, .. } => self.group_of(first.member) == Some(member.group),
             Effect::Keyed { scope: Scope::Zone, .. } => first.member == id,
         }
@@ -46,7 +48,7 @@
             return false;
         };
         let need = self.settings.classes[state.class].need;
-        if need == Need::Write || self.settings.behind != Behind::Serve {
+        if need == Need::Write || self.settings.stale_read_policy != StaleReadPolicy::Serve {
             return true;
         }
         let horizon = need.bound().map(|bound| self.fleet_clock.horizon(bound, now));
@@ -130,7 +132,7 @@
         request.attempts.push(Attempt { member: id, sent: now, in_flight: true, ..Attempt::default() });
         let group = request.group;
         self.actions.push(Action::Send { request: request.id.clone(), member: id, until: deadline.at });
-        if !mutant(SecondCopy) {
+        if !mutant(UnwantedHedge) {
             self.dequeue(group, sequence);
         }
     }
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -8,8 +8,8 @@
 
 impl Router {
     /// Takes in an endpoint list: whole, or only the entries that changed.
-    pub(super) fn update_endpoints(&mut self, whole: bool, entries: &[Entry]) {
-        if whole {
+    pub(super) fn update_endpoints(&mut self, complete: bool, entries: &[Entry]) {
+        if complete {
             self.remove_unlisted(entries);
         }
         for entry in entries {
@@ -27,14 +27,14 @@
     }
 
     fn update_endpoint(&mut self, entry: &Entry) {
-        self.fleet_clock.member_started(entry.member, entry.started, self.now);
+        self.fleet_clock.record_start(entry.member, entry.started, self.now);
         match self.members.get(&entry.member) {
             // A list that is delivered late or twice overwrites nothing newer.
             Some(member) if member.started > entry.started => return,
             Some(member) if member.started == entry.started => {}
             _ => self.start_member(entry),
         }
-        self.set_status(entry.member, entry.standing);
+        self.set_status(entry.member, entry.status);
         let group = self.groups.entry(entry.group).or_default();
         if let Err(place) = group.members.binary_search(&entry.member) {
             group.members.insert(place, entry.member);
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -98,13 +98,13 @@
             watched_at: NEVER,
             ..Router::default()
         };
-        router.follow(settings)?;
+        router.apply_settings(settings)?;
         Ok(router)
     }
 
     /// These settings hold from now on. Classes that requests or attempts in flight still have must keep
     /// their places.
-    pub fn follow(&mut self, settings: Settings) -> Result<(), SettingsError> {
+    pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let latency_targets = || settings.classes.iter().map(|class| class.latency_target);
         self.silence_threshold = latency_targets().max().unwrap_or(0) / 2;
@@ -147,16 +147,20 @@
 
     fn handle_event(&mut self, event: &Event) {
         match event {
-            Event::List { whole, entries } => self.update_endpoints(*whole, entries),
+            Event::List { complete, entries } => self.update_endpoints(*complete, entries),
             Event::Request { .. } => self.admit_request(event),
             Event::Outcome { .. } => self.record_outcome(event),
-            Event::Floor { request, floor } => self.lower_minimum_position(request, *floor),
-            Event::Withdrawn { request } => self.withdraw(request),
+            Event::MinimumPositionLowered { request, minimum_position } => {
+                self.lower_minimum_position(request, *minimum_position)
+            }
+            Event::Abandoned { request } => self.abandon(request),
             Event::GossipedPrimary { member, at } => {
                 let evidence = Evidence { position: None, role: Some(Role::Primary), role_at: Some(*at) };
                 self.record_evidence(*member, evidence);
             }
-            Event::Share(group, share) => self.groups.entry(*group).or_default().share = *share,
+            Event::QuotaAdjusted { group, adjustment } => {
+                self.groups.entry(*group).or_default().quota_adjustment = *adjustment
+            }
             Event::Probed { member, ending, report } => self.record_probe(*member, *ending, report),
             Event::Timer { .. } => self.is_timer_set = false,
         }
@@ -172,7 +176,9 @@
 
     /// Subscribes to the list again, where its changes come only on request.
     fn watch_list(&mut self) {
-        if self.settings.list_on_request && self.now - self.list_watched_at > self.settings.ask_every / 2 {
+        if self.settings.list_on_request
+            && self.now - self.list_watched_at > self.settings.list_poll_interval / 2
+        {
             self.list_watched_at = self.now;
             self.actions.push(Action::WatchList);
         }
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -6,7 +6,7 @@
 use super::health::SILENCE_FAILURES;
 use super::Router;
 use crate::interface::{Effect, Ending, Event, MemberId, Need, Report, RequestId, Role, Time};
-use crate::mutant::{mutant, Mutant::UnsafeRepeated};
+use crate::mutant::{mutant, Mutant::UnsafeRetried};
 use crate::state::{AttemptId, InFlightAttempt, Sample};
 
 /// Longest pause after failures in a row, in doublings of the granularity (count).
@@ -224,7 +224,7 @@
         }
         let effect = self.settings.classes[request.class].effect;
         let group = request.group;
-        if effect == Effect::Unsafe && !never_ran && !mutant(UnsafeRepeated) {
+        if effect == Effect::Unsafe && !never_ran && !mutant(UnsafeRetried) {
             return self.finish(sequence);
         }
         self.enqueue(group, sequence);
--- a/crates/policy/src/router/primary.rs
+++ b/crates/policy/src/router/primary.rs
@@ -1,7 +1,7 @@
 //! The primary: which member it is taken to be, what only it may take, and how it is found again.
 
 use super::Router;
-use crate::interface::{Behind, GroupId, MemberId, MemberStatus, Need, Time};
+use crate::interface::{GroupId, MemberId, MemberStatus, Need, StaleReadPolicy, Time};
 use crate::mutant::{mutant, Mutant::DrainIgnored};
 use crate::state::{Member, Request};
 
@@ -60,7 +60,7 @@
             }
         }
         // Reads are not used to find it where a replica would serve them from old data.
-        if !is_write && self.settings.behind == Behind::Serve {
+        if !is_write && self.settings.stale_read_policy == StaleReadPolicy::Serve {
             return None;
         }
         let group = request.group;
@@ -76,7 +76,7 @@
         if request.attempts.len() + 2 > class.attempts.max(2) as usize {
             return None;
         }
-        let pause = class.latency_target / DISCOVERY_PAUSE_DIVISOR * self.settings.scout_every;
+        let pause = class.latency_target / DISCOVERY_PAUSE_DIVISOR * self.settings.discovery_interval_factor;
         if self.now - self.groups.get(&request.group)?.last_discovery_at < pause {
             return None;
         }
--- a/crates/policy/src/router/queue.rs
+++ b/crates/policy/src/router/queue.rs
@@ -116,7 +116,7 @@
     /// Clients hold only so many connections: with all of them in use the next request reaches nobody. What
     /// has the least to gain is evicted from the queues, and then late reads that are in flight.
     pub(super) fn evict_lowest_priority(&mut self) {
-        let most = (f64::from(self.settings.most_open) * OPEN_REQUESTS_SHARE) as usize;
+        let most = (f64::from(self.settings.max_open_requests) * OPEN_REQUESTS_SHARE) as usize;
         let excess = self.requests.len().saturating_sub(most);
         if excess == 0 {
             return;
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -81,7 +81,8 @@
 
     fn read_wait_end(&self, request: &Request) -> Time {
         let latency_target = self.settings.classes[request.class].latency_target;
-        request.first_arrived_at + self.settings.hold.min(share_of(latency_target, READ_WAIT_BOUND))
+        request.first_arrived_at
+            + self.settings.read_wait_bound.min(share_of(latency_target, READ_WAIT_BOUND))
     }
 
     fn may_wait(&self, request: &Request, wait_until: Time) -> bool {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,7 +1,7 @@
 //! The state of a router as plain data: members, groups, requests and attempts. No decisions are made here.
 
 use crate::interface::*;
-use crate::mutant::{mutant, Mutant::WindowIgnored};
+use crate::mutant::{mutant, Mutant::RetriedAfterKeyWindow};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -159,7 +159,7 @@
     /// When a member was last tried to find the primary.
     pub(crate) last_discovery_at: Time,
     /// Quota borrowed from other routers, or lent to them.
-    pub(crate) share: Share,
+    pub(crate) quota_adjustment: QuotaAdjustment,
 }
 
 /// An attempt, as its request knows it.
@@ -208,7 +208,7 @@
     /// which the first attempt that may have run opened.
     pub(crate) fn is_exhausted(&self, class: &Class, by: Time) -> bool {
         let closes = match self.first_possible_execution() {
-            Some(first) if !mutant(WindowIgnored) => class.effect.repeat_by(first.sent),
+            Some(first) if !mutant(RetriedAfterKeyWindow) => class.effect.repeat_by(first.sent),
             _ => Time::MAX,
         };
         closes <= by || self.attempts.len() >= class.attempts as usize
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -51,7 +51,7 @@
     /// Writes that were turned away by a member that is no primary.
     pub misses: usize,
     /// The member that the fleet was told of last, where one router tells all.
-    pub told: Option<Option<MemberId>>,
+    pub announced_primary: Option<Option<MemberId>>,
 }
 
 impl Fleet {
@@ -62,7 +62,7 @@
         settings.classes[5].deadline = 3_000 * MS;
         settings.classes[5].effect = Effect::Keyed { window: 5_000 * MS, scope: Scope::Group };
         let router = |n| Router::new(settings.clone(), 1000 + n as u64).expect("sound settings");
-        let list = |_| vec![Event::List { whole: true, entries: entries.to_vec().into() }];
+        let list = |_| vec![Event::List { complete: true, entries: entries.to_vec().into() }];
         let member = |(id, primary, slots, work)| {
             let (queue, busy) = Default::default();
             (
@@ -94,7 +94,7 @@
             served: 0,
             asked: 0,
             misses: 0,
-            told: None,
+            announced_primary: None,
         }
     }
 
@@ -117,8 +117,11 @@
         self.served += (ending == Ending::Served) as usize;
         self.misses += (ending == Ending::Rejected) as usize;
         let write = self.writes.contains(&job.request);
-        if write && ending == Ending::Served && self.told.is_some_and(|told| told != Some(member)) {
-            self.told = Some(Some(member));
+        if write
+            && ending == Ending::Served
+            && self.announced_primary.is_some_and(|announced_primary| announced_primary != Some(member))
+        {
+            self.announced_primary = Some(Some(member));
             let word = Event::GossipedPrimary { member, at: self.now };
             self.inbox.iter_mut().for_each(|inbox| inbox.push(word.clone()));
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -39,34 +39,34 @@
         routers: 1,
         zone: "a".into(),
         granularity: 5 * MS,
-        most_open: 20_000,
+        max_open_requests: 20_000,
         may_cancel: true,
         may_hedge: false,
         may_probe: true,
         list_on_request: false,
-        max_wait_hint: 500 * MS,
+        max_retry_after: 500 * MS,
         answer_slack: 20 * MS,
-        way: 0,
-        last: Time::MAX,
-        cold_from: 0.15,
-        cold_for: 16_000 * MS,
+        client_round_trip: 0,
+        final_answer_by: Time::MAX,
+        slow_start_initial_share: 0.15,
+        slow_start_span: 16_000 * MS,
         overload_factor: 4.0,
         overload_span: 1_500 * MS,
-        scout_every: 1,
+        discovery_interval_factor: 1,
         drain_grace: 250 * MS,
-        ask_every: 10_000 * MS,
+        list_poll_interval: 10_000 * MS,
         soft_removal: false,
-        behind: Behind::Refuse,
+        stale_read_policy: StaleReadPolicy::Reject,
         list_role: ListRole::Static,
-        hold: 0,
+        read_wait_bound: 0,
         clock_may_be_wrong: false,
         crossing_price: 0.0,
         probe_price: 0.01,
     }
 }
 
-pub fn entry(member: MemberId, standing: MemberStatus, primary: bool, started: Time) -> Entry {
-    Entry { member, group: G, zone: "a".into(), weight: 1.0, started, standing, primary }
+pub fn entry(member: MemberId, status: MemberStatus, primary: bool, started: Time) -> Entry {
+    Entry { member, group: G, zone: "a".into(), weight: 1.0, started, status, primary }
 }
 
 pub struct Stage {
@@ -81,7 +81,7 @@
     pub fn new(settings: Settings) -> Stage {
         let mut stage = Stage::empty(settings);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        stage.play(Event::List { whole: true, entries: list.into() });
+        stage.play(Event::List { complete: true, entries: list.into() });
         stage
     }
 
@@ -166,8 +166,8 @@
     name.bytes().fold(7u64, |h, b| (h ^ b as u64).wrapping_mul(0x9E3779B97F4A7C15)) >> 40
 }
 
-pub fn request(name: &str, class: usize, time_left: Time, floor: Option<Time>) -> Event {
-    Event::Request { request: name.into(), class, group: G, time_left, repeat: false, floor }
+pub fn request(name: &str, class: usize, time_left: Time, minimum_position: Option<Time>) -> Event {
+    Event::Request { request: name.into(), class, group: G, time_left, is_retry: false, minimum_position }
 }
 
 pub fn sent_to(actions: &[Action]) -> Option<MemberId> {
@@ -182,7 +182,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -96,7 +96,7 @@
             zone: IDLE_ZONE.into(),
             weight: 1.0,
             started: 0,
-            standing: MemberStatus::Up,
+            status: MemberStatus::Up,
             primary: n.is_multiple_of(MEMBERS_OF_A_GROUP as u64),
         };
         workload.idle = (0..idle_groups * MEMBERS_OF_A_GROUP as u64).map(entry).collect();
@@ -110,8 +110,9 @@
 
     fn settings(&self, phase: usize) -> Settings {
         let settings = phase_settings(phase);
-        let cold_from = if self.no_slow_start { 1.0 } else { settings.cold_from };
-        Settings { cold_from, ..settings }
+        let slow_start_initial_share =
+            if self.no_slow_start { 1.0 } else { settings.slow_start_initial_share };
+        Settings { slow_start_initial_share, ..settings }
     }
 
     /// The digest of the text of all actions so far.
@@ -121,8 +122,8 @@
 
     /// Plays so many steps and returns the digest of all actions.
     pub fn play(&mut self, steps: usize) -> u64 {
-        let whole = self.list(true, self.hosts.keys().copied().collect());
-        self.step(&[whole]);
+        let complete = self.list(true, self.hosts.keys().copied().collect());
+        self.step(&[complete]);
         for step in 0..steps {
             if step % PHASE == PHASE - 1 {
                 self.change_phase(step / PHASE + 1);
@@ -158,17 +159,17 @@
             zone: ZONES[place as usize % ZONES.len()].into(),
             weight: if place == LAST_MEMBER_PLACE { 0.5 } else { 1.0 },
             started,
-            standing: MemberStatus::Up,
+            status: MemberStatus::Up,
             primary: place == 0,
         };
         let lag = place as Time * 15 * MS;
         self.hosts.insert(member, Host { entry, lag, answers: true });
     }
 
-    fn list(&self, whole: bool, members: Vec<MemberId>) -> Event {
+    fn list(&self, complete: bool, members: Vec<MemberId>) -> Event {
         let mut entries = members.iter().map(|id| self.hosts[id].entry.clone()).collect::<Vec<_>>();
-        entries.extend(self.idle.iter().filter(|_| whole).cloned());
-        Event::List { whole, entries: entries.into() }
+        entries.extend(self.idle.iter().filter(|_| complete).cloned());
+        Event::List { complete, entries: entries.into() }
     }
 
     fn pass_time(&mut self, step: usize) {
@@ -193,10 +194,10 @@
             self.router.adopt_learned_state(learned_state);
             self.timer_at = None;
             self.checks.clear();
-            let whole = self.list(true, self.hosts.keys().copied().collect());
-            self.step(&[whole]);
+            let complete = self.list(true, self.hosts.keys().copied().collect());
+            self.step(&[complete]);
         } else {
-            self.router.follow(settings).expect("sound settings");
+            self.router.apply_settings(settings).expect("sound settings");
         }
     }
 
@@ -208,10 +209,10 @@
             900..=919 => Some(self.list_change()),
             920..=939 => Some(Event::GossipedPrimary { member: self.any_member(), at: self.now - 50 * MS }),
             940..=959 => Some(self.quota()),
-            960..=974 => self.open_request().map(|request| Event::Withdrawn { request }),
+            960..=974 => self.open_request().map(|request| Event::Abandoned { request }),
             975..=989 => {
-                let floor = self.now - self.below(400) as Time * MS;
-                self.open_request().map(|request| Event::Floor { request, floor })
+                let minimum_position = self.now - self.below(400) as Time * MS;
+                self.open_request().map(|request| Event::MinimumPositionLowered { request, minimum_position })
             }
             _ => Some(Event::Timer { token: 0 }),
         }
@@ -230,7 +231,10 @@
     fn quota(&mut self) -> Event {
         let groups = self.groups.clone();
         let extra = self.below(30) as f64 / 10.0 - 0.9;
-        Event::Share(self.one_of(&groups), Share { extra, until: self.now + 2_000 * MS })
+        Event::QuotaAdjusted {
+            group: self.one_of(&groups),
+            adjustment: QuotaAdjustment { extra, until: self.now + 2_000 * MS },
+        }
     }
 
     fn request(&mut self) -> Event {
@@ -240,14 +244,14 @@
         // Some groups have most of the work, and some requests name a class that there is not.
         let groups = self.groups.len() as u64;
         let place = self.below(groups).min(self.below(groups)) as usize;
-        let floor = self.below(5) == 0;
+        let minimum_position = self.below(5) == 0;
         Event::Request {
             request,
             class: if self.below(300) == 0 { 99 } else { self.below(6) as usize },
             group: self.groups[place],
             time_left: self.one_of(&[900, 900, 900, 950, 400, 120]) * MS,
-            repeat: self.below(10) == 0,
-            floor: floor.then(|| self.now - self.below(300) as Time * MS),
+            is_retry: self.below(10) == 0,
+            minimum_position: minimum_position.then(|| self.now - self.below(300) as Time * MS),
         }
     }
 
@@ -314,10 +318,10 @@
         let Some(host) = self.hosts.get_mut(&member) else { return Event::Timer { token: 0 } };
         let (group, primary) = (host.entry.group, host.entry.primary);
         match kind {
-            0..=1 => host.entry.standing = MemberStatus::Draining,
-            2 => host.entry.standing = MemberStatus::Removed,
+            0..=1 => host.entry.status = MemberStatus::Draining,
+            2 => host.entry.status = MemberStatus::Removed,
             3..=6 => {
-                (host.entry.started, host.entry.standing) = (now, MemberStatus::Up);
+                (host.entry.started, host.entry.status) = (now, MemberStatus::Up);
             }
             7 if !primary => {
                 let place = self.below(MEMBERS_OF_A_GROUP as u64 - 1) as u32 + 1;
@@ -358,7 +362,7 @@
                 *count += 1;
                 self.in_flight.push(InFlight { request, attempt, member, sent: self.now, cancelled: false });
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 self.counts.refusals += 1;
                 self.close(&request);
             }
@@ -393,5 +397,8 @@
 /// The text of some actions by the names that variants had when the digests were taken: a renamed variant is the same
 /// action.
 fn reference_text(actions: &[Action]) -> String {
-    format!("{actions:?}\n").replace("Cancel {", "CallOff {").replace("Log {", "Note {")
+    format!("{actions:?}\n")
+        .replace("Cancel {", "CallOff {")
+        .replace("Log {", "Note {")
+        .replace("Reject {", "Refuse {")
 }
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -14,12 +14,19 @@
 
 fn request_to(group: GroupId, name: &str) -> Event {
     // A write may use all of its member.
-    Event::Request { request: name.into(), class: 5, group, time_left: 900 * MS, repeat: false, floor: None }
+    Event::Request {
+        request: name.into(),
+        class: 5,
+        group,
+        time_left: 900 * MS,
+        is_retry: false,
+        minimum_position: None,
+    }
 }
 
-fn only_member(standing: MemberStatus) -> Event {
-    let entry = Entry { group: SINGLE, ..entry(ONLY_MEMBER, standing, true, 0) };
-    Event::List { whole: false, entries: vec![entry].into() }
+fn only_member(status: MemberStatus) -> Event {
+    let entry = Entry { group: SINGLE, ..entry(ONLY_MEMBER, status, true, 0) };
+    Event::List { complete: false, entries: vec![entry].into() }
 }
 
 /// An event that has nothing to do with any request.
@@ -81,14 +88,17 @@
     assert_eq!(sends(&stage.play(request_to(EMPTY, "r"))), 0);
     assert_eq!(sends(&stage.play(only_member(MemberStatus::Up))), 0, "that is another group's member");
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
-    let news = Event::List { whole: false, entries: vec![entry].into() };
-    assert!(sent(&stage.play(news), "r"));
+    let list_change = Event::List { complete: false, entries: vec![entry].into() };
+    assert!(sent(&stage.play(list_change), "r"));
 }
 
 #[test]
 fn requests_go_out_when_their_group_gets_a_larger_quota() {
     let mut stage = with_single_group(settings());
-    let quota = |extra| Event::Share(SINGLE, Share { extra, until: START + 10_000 * MS });
+    let quota = |extra| Event::QuotaAdjusted {
+        group: SINGLE,
+        adjustment: QuotaAdjustment { extra, until: START + 10_000 * MS },
+    };
     stage.play(quota(-0.5));
     let first: usize =
         (0..FIRST_LIMIT).map(|n| sends(&stage.play(request_to(SINGLE, &format!("r{n}"))))).sum();
@@ -102,7 +112,7 @@
     let mut stage = with_single_group(settings());
     stage.play(only_member(MemberStatus::Removed));
     assert_eq!(sends(&stage.play(request_to(SINGLE, "r"))), 0);
-    stage.router.follow(Settings { soft_removal: true, ..settings() }).expect("sound settings");
+    stage.router.apply_settings(Settings { soft_removal: true, ..settings() }).expect("sound settings");
     assert!(sent(&stage.play(unrelated()), "r"));
 }
 
@@ -114,7 +124,7 @@
     }
     let member = |group| Entry { group, ..entry(group as MemberId + 100, MemberStatus::Up, true, 0) };
     let entries: Vec<Entry> = (EMPTY..EMPTY + 5).map(member).collect();
-    let sent = stage.play(Event::List { whole: false, entries: entries.into() });
+    let sent = stage.play(Event::List { complete: false, entries: entries.into() });
     let names: Vec<&str> = sent
         .iter()
         .filter_map(|action| match action {
@@ -131,8 +141,8 @@
     assert_eq!(sends(&stage.play(request_to(EMPTY, "old"))), 0);
     let mut next = taken_over(&stage, settings());
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
-    let news = Event::List { whole: false, entries: vec![entry].into() };
-    assert_eq!(sends(&next.play(news)), 0, "the other process has that request");
+    let list_change = Event::List { complete: false, entries: vec![entry].into() };
+    assert_eq!(sends(&next.play(list_change)), 0, "the other process has that request");
     assert!(sent(&next.play(request_to(SINGLE, "new")), "new"));
 }
 
@@ -208,32 +218,32 @@
     stage.wait(61_000 * MS);
     assert!(!is_known(&stage, ONLY_MEMBER));
     let moved = Entry { group: EMPTY, ..entry(ONLY_MEMBER, MemberStatus::Up, true, 0) };
-    stage.play(Event::List { whole: false, entries: vec![moved].into() });
+    stage.play(Event::List { complete: false, entries: vec![moved].into() });
     stage.play(Event::GossipedPrimary { member: ONLY_MEMBER, at: stage.now });
-    assert_eq!(stage.router.leaders(), [(EMPTY, ONLY_MEMBER, stage.now)]);
+    assert_eq!(stage.router.primaries(), [(EMPTY, ONLY_MEMBER, stage.now)]);
 }
 
 /// Reads that a member which has just started gets, after 400 served reads elsewhere, among 40 members that left.
 fn sent_to_a_warming_member(soft_removal: bool) -> usize {
     let mut stage = Stage::new(settings());
     let left = (100..140).map(|id| entry(id, MemberStatus::Removed, false, 0));
-    stage.play(Event::List { whole: false, entries: left.collect() });
+    stage.play(Event::List { complete: false, entries: left.collect() });
     for n in 0..400 {
         let sent = stage.ask(&format!("r{n}"), 2, 900 * MS);
         stage.serve_all(sent, 20 * MS);
     }
     let started = Entry { group: SINGLE, ..entry(ONLY_MEMBER, MemberStatus::Up, true, stage.now) };
-    stage.play(Event::List { whole: false, entries: vec![started].into() });
+    stage.play(Event::List { complete: false, entries: vec![started].into() });
     stage.wait(100 * MS);
-    stage.router.follow(Settings { soft_removal, ..settings() }).expect("sound settings");
+    stage.router.apply_settings(Settings { soft_removal, ..settings() }).expect("sound settings");
     stage.wait(1_000 * MS);
     let read = |n| Event::Request {
         request: format!("s{n}").into(),
         class: 2,
         group: SINGLE,
         time_left: 900 * MS,
-        repeat: false,
-        floor: None,
+        is_retry: false,
+        minimum_position: None,
     };
     (0..FIRST_LIMIT).map(|n| sends(&stage.play(read(n)))).sum()
 }
@@ -245,14 +255,14 @@
 }
 
 fn is_final(action: &Action, name: &str) -> bool {
-    matches!(action, Action::Refuse { request, .. } | Action::Fail { request } if &**request == name)
+    matches!(action, Action::Reject { request, .. } | Action::Fail { request } if &**request == name)
 }
 
 /// When a request that nothing is sent for has its final answer, after settings changed in between.
 fn ended_after(before: Settings, after: Settings) -> Time {
     let mut stage = Stage::new(before);
     stage.play(request_to(EMPTY, "r"));
-    stage.router.follow(after).expect("sound settings");
+    stage.router.apply_settings(after).expect("sound settings");
     let ends = |stage: &mut Stage| stage.wait(5 * MS).iter().any(|action| is_final(action, "r"));
     let ticks = (1..400).find(|_| ends(&mut stage)).expect("every request has its final answer");
     ticks * 5 * MS
@@ -280,8 +290,8 @@
             class: 5,
             group: EMPTY,
             time_left,
-            repeat: false,
-            floor: None,
+            is_retry: false,
+            minimum_position: None,
         };
         stage.play(event);
     }
@@ -289,7 +299,7 @@
     let ended: Vec<&str> = actions
         .iter()
         .filter_map(|action| match action {
-            Action::Refuse { request, .. } => Some(&**request),
+            Action::Reject { request, .. } => Some(&**request),
             _ => None,
         })
         .collect();
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -133,7 +133,7 @@
         seen.extend(stage.wait(5 * MS));
     }
     let given_up = |action: &Action| match action {
-        Action::Cancel { request, .. } | Action::Refuse { request, .. } => &**request == "late",
+        Action::Cancel { request, .. } | Action::Reject { request, .. } => &**request == "late",
         _ => false,
     };
     // 600 ms after it was sent, with an aim of 300 ms, and a client that waits for 900 ms.
@@ -150,8 +150,8 @@
         let warm = member.slots as f64 * 1e6 / member.work as f64;
         for (n, from) in member.times.iter().enumerate() {
             let within = member.times[n..].iter().take_while(|at| **at < from + set.overload_span).count();
-            let grown = ((from - START) as f64 / set.cold_for as f64).min(1.0);
-            let share = set.cold_from + (1.0 - set.cold_from) * grown;
+            let grown = ((from - START) as f64 / set.slow_start_span as f64).min(1.0);
+            let share = set.slow_start_initial_share + (1.0 - set.slow_start_initial_share) * grown;
             let most_sent = set.overload_factor * share * warm * set.overload_span as f64 / 1e6;
             most = most.max(within as f64 / most_sent);
         }
@@ -199,15 +199,15 @@
         // One leaves and one comes each second.
         if tick % 200 == 199 && drained.len() < 6 {
             let id = drained.len() as MemberId + 1;
-            let news = vec![
+            let list_change = vec![
                 entry(id, MemberStatus::Draining, false, 0),
                 entry(id + 10, MemberStatus::Up, false, fleet.now),
             ];
-            let news: std::sync::Arc<[Entry]> = news.into();
+            let list_change: std::sync::Arc<[Entry]> = list_change.into();
             fleet
                 .inbox
                 .iter_mut()
-                .for_each(|inbox| inbox.push(Event::List { whole: false, entries: news.clone() }));
+                .for_each(|inbox| inbox.push(Event::List { complete: false, entries: list_change.clone() }));
             fleet.step();
             drained.insert(id, fleet.members[&id].sent);
         }
@@ -227,15 +227,15 @@
     let entries: Vec<Entry> = (1..=6).map(|id| entry(id, MemberStatus::Up, id == 1, 0)).collect();
     let mut fleet = Fleet::new(routers, &entries, (1..=6).map(|id| (id, false, 5, 30 * MS)).collect());
     if scout {
-        fleet.told = Some(None);
+        fleet.announced_primary = Some(None);
         let mut set = Settings { routers: routers as u32, may_probe: false, ..settings() };
         set.classes.iter_mut().for_each(|class| class.attempts = 8);
         set.classes[5].deadline = 3_000 * MS;
         set.classes[5].effect = Effect::Keyed { window: 5_000 * MS, scope: Scope::Group };
-        set.scout_every = (routers as Time / 2).clamp(1, 64);
+        set.discovery_interval_factor = (routers as Time / 2).clamp(1, 64);
         // The first one scouts, and goes on as ever.
         let others = fleet.routers.iter_mut().skip(1);
-        others.for_each(|router| router.follow(set.clone()).expect("sound settings"));
+        others.for_each(|router| router.apply_settings(set.clone()).expect("sound settings"));
     }
     for tick in 0..1_200 {
         if tick == 600 {
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -20,7 +20,7 @@
 
 /// A write to member 1 whose commit is in the middle of `took`; its answer arrives at `received` of the own clock.
 fn write(clock: &mut FleetClock, offset: Time, received: Time, took: Time) {
-    clock.committed(1, received - took / 2 + offset, received - took, received, true);
+    clock.record_commit(1, received - took / 2 + offset, received - took, received, true);
 }
 
 /// How far the estimate is from the true offset.
@@ -32,16 +32,16 @@
 fn a_right_clock_stays_as_it_is() {
     let mut clock = enabled();
     assert!(!clock.is_trusted() && !clock.is_doubtful());
-    clock.member_started(2, NOON - 5 * S, NOON);
-    clock.position_told(2, NOON - 20 * MS, NOON);
+    clock.record_start(2, NOON - 5 * S, NOON);
+    clock.record_position(2, NOON - 20 * MS, NOON);
     assert!(clock.is_trusted(), "its own time is what hosts tell");
     for n in 1..40 {
         write(&mut clock, 0, NOON + n * S, 20 * MS * n);
-        clock.position_told(2 + n as MemberId % 3, NOON + n * S - 300 * MS, NOON + n * S);
+        clock.record_position(2 + n as MemberId % 3, NOON + n * S - 300 * MS, NOON + n * S);
         assert_eq!(errors(&clock, 0), (0, 0));
         assert!(clock.is_trusted());
     }
-    assert!(clock.can_be(NOON + S, NOON) && !clock.can_be(NOON + S + 1, NOON));
+    assert!(clock.is_plausible(NOON + S, NOON) && !clock.is_plausible(NOON + S + 1, NOON));
 }
 
 #[test]
@@ -54,7 +54,7 @@
         assert!(clock.is_trusted());
         let (error, latest) = errors(&clock, offset);
         assert!((-12 * MS..=0).contains(&error) && (-12 * MS..=10 * MS).contains(&latest), "{offset}");
-        clock.position_told(1, NOON + offset, NOON);
+        clock.record_position(1, NOON + offset, NOON);
         let (error, latest) = errors(&clock, offset);
         assert!((-MS..=0).contains(&error) && (0..=5 * MS).contains(&latest), "{offset} {error} {latest}");
     }
@@ -66,7 +66,7 @@
         let mut clock = enabled();
         write(&mut clock, offset, NOON, 20 * MS);
         assert!(clock.is_trusted());
-        assert!(clock.can_be(NOON + offset, NOON), "{offset}");
+        assert!(clock.is_plausible(NOON + offset, NOON), "{offset}");
         assert!((-12 * MS..=10 * MS).contains(&errors(&clock, offset).1), "{offset}");
     }
 }
@@ -75,12 +75,12 @@
 fn without_a_commit_a_wrong_clock_is_doubted() {
     for offset in OFFSETS {
         let mut clock = enabled();
-        clock.position_told(1, NOON + offset, NOON);
+        clock.record_position(1, NOON + offset, NOON);
         assert!(clock.is_doubtful(), "{offset}");
-        clock.position_told(2, NOON + offset - 5 * S, NOON);
+        clock.record_position(2, NOON + offset - 5 * S, NOON);
         assert!(clock.is_doubtful(), "{offset}");
         // A replica that is as old as the clock is behind does not vouch for it.
-        clock.position_told(3, NOON.min(NOON + offset), NOON);
+        clock.record_position(3, NOON.min(NOON + offset), NOON);
         assert!(clock.is_doubtful(), "{offset}");
     }
 }
@@ -89,12 +89,12 @@
 fn an_absurd_position_does_not_move_the_estimate() {
     for offset in [0, 3_600 * S, -3_600 * S] {
         let mut clock = enabled();
-        clock.position_told(7, NOON + 86_400 * S, NOON);
+        clock.record_position(7, NOON + 86_400 * S, NOON);
         for n in 0..5 {
             write(&mut clock, offset, NOON, 20 * MS + n);
-            clock.position_told(2, NOON + offset - MS, NOON);
+            clock.record_position(2, NOON + offset - MS, NOON);
         }
-        clock.position_told(8, Time::MAX, NOON);
+        clock.record_position(8, Time::MAX, NOON);
         let (error, _) = errors(&clock, offset);
         assert!((-3 * MS..=0).contains(&error), "{offset} {error}");
     }
@@ -104,12 +104,12 @@
 fn a_repeat_that_is_answered_with_an_earlier_commit_does_not_move_the_estimate() {
     for offset in [0, 3_600 * S, -3_600 * S] {
         let mut clock = enabled();
-        clock.position_told(2, NOON + offset - MS, NOON);
-        clock.position_told(3, NOON + offset - MS, NOON);
+        clock.record_position(2, NOON + offset - MS, NOON);
+        clock.record_position(3, NOON + offset - MS, NOON);
         for n in 0..40 {
             // Most answers are of earlier runs; some commits are made up.
             let commit = if n % 13 == 12 { NOON + 86_400 * S } else { NOON + offset - 9 * S };
-            clock.committed(1, commit, NOON - 20 * MS, NOON, true);
+            clock.record_commit(1, commit, NOON - 20 * MS, NOON, true);
             write(&mut clock, offset, NOON, 20 * MS);
             let (error, _) = errors(&clock, offset);
             assert!((-3 * MS..=0).contains(&error), "{offset} {n} {error}");
@@ -120,7 +120,7 @@
 #[test]
 fn a_later_attempt_bounds_nothing_above() {
     let mut clock = enabled();
-    clock.committed(1, NOON - 3_600 * S, NOON - 20 * MS, NOON, false);
+    clock.record_commit(1, NOON - 3_600 * S, NOON - 20 * MS, NOON, false);
     assert_eq!(errors(&clock, 0), (0, 0));
     assert!(!clock.is_trusted());
 }
@@ -132,7 +132,7 @@
         // The own clock gains 50 us a second.
         let (now, offset) = (NOON + n * S, 60 * S - n * 50);
         write(&mut clock, offset, now, 4 * MS);
-        clock.position_told(2, now + offset, now);
+        clock.record_position(2, now + offset, now);
     }
     let error = clock.hosts_time(NOON) - NOON - (60 * S - 199 * 50);
     assert!((-MS..=7 * MS).contains(&error), "{error}");
@@ -156,19 +156,19 @@
         let mut slack: Vec<Time> = Vec::new();
         for (n, (member, there, back, is_write)) in evidence.into_iter().enumerate() {
             let now = NOON + n as Time * 10 * MS;
-            let told = now - back + offset;
+            let reported = now - back + offset;
             if is_write {
-                clock.committed(member, told, now - back - there, now, true);
+                clock.record_commit(member, reported, now - back - there, now, true);
                 slack.push(there);
             } else {
-                clock.position_told(member, told, now);
+                clock.record_position(member, reported, now);
             }
             // Never later than the hosts' clock, by more than the own one is: that is right or known to be wrong.
             let estimate = clock.hosts_time(now) - now;
             prop_assert!(estimate <= offset.max(0), "{estimate}");
             if slack.len() >= 3 {
                 prop_assert!(clock.is_trusted());
-                prop_assert!(clock.can_be(told, now));
+                prop_assert!(clock.is_plausible(reported, now));
                 // The last few writes are remembered.
                 let mut last = slack[slack.len().saturating_sub(16)..].to_vec();
                 last.sort_unstable();
@@ -198,7 +198,7 @@
         let class = |class: &Class| Class { deadline: 2 * S, ..class.clone() };
         let set = Settings {
             classes: settings().classes.iter().map(class).collect(),
-            behind: Behind::Serve,
+            stale_read_policy: StaleReadPolicy::Serve,
             clock_may_be_wrong: true,
             ..settings()
         };
@@ -209,7 +209,7 @@
             let started = if started > 0 { NOON + offset - started } else { 0 };
             entry(member, MemberStatus::Up, member == 1, started)
         };
-        stage.play(Event::List { whole: true, entries: (1..=3).map(entry).collect::<Vec<_>>().into() });
+        stage.play(Event::List { complete: true, entries: (1..=3).map(entry).collect::<Vec<_>>().into() });
         Shifted { stage, offset, lags, next: 0 }
     }
 
@@ -225,7 +225,7 @@
             }
             actions = self.stage.wait(5 * MS);
         }
-        self.stage.play(Event::Withdrawn { request: name.as_str().into() });
+        self.stage.play(Event::Abandoned { request: name.as_str().into() });
         None
     }
 
@@ -236,14 +236,14 @@
         self.stage.now += took;
         let (now, lag) = (self.stage.now, self.lags[member as usize - 1]);
         // Told 2 ms before it arrives.
-        let told = now + self.offset - 2 * MS - lag;
+        let reported = now + self.offset - 2 * MS - lag;
         let clock = self.stage.router.fleet_clock_mut();
         if class >= 4 {
-            clock.committed(member, told, sent, now, true);
+            clock.record_commit(member, reported, sent, now, true);
         } else {
-            clock.position_told(member, told, now);
+            clock.record_position(member, reported, now);
         }
-        let position = clock.can_be(told, now).then_some(told);
+        let position = clock.is_plausible(reported, now).then_some(reported);
         self.stage.play(Event::Outcome {
             request: name.into(),
             attempt: 0,
@@ -266,7 +266,7 @@
             let actions = self.stage.ask(&name, 2, 1_500 * MS);
             match sent_to(&actions) {
                 Some(member) => sent.push((name, member)),
-                None => drop(self.stage.play(Event::Withdrawn { request: name.as_str().into() })),
+                None => drop(self.stage.play(Event::Abandoned { request: name.as_str().into() })),
             }
         }
         let to_started = sent.iter().filter(|(_, member)| *member == 3).count();
--- a/crates/policy/tests/floors.rs
+++ b/crates/policy/tests/floors.rs
@@ -1,4 +1,4 @@
-//! A floor on top of what a class needs, and the short wait for a replica about to pass it.
+//! A minimum_position on top of what a class needs, and the short wait for a replica about to pass it.
 
 mod common;
 use common::*;
@@ -29,14 +29,14 @@
 }
 
 fn holding() -> Settings {
-    Settings { hold: 60 * MS, ..settings() }
+    Settings { read_wait_bound: 60 * MS, ..settings() }
 }
 
-/// Where a read of any data with this floor goes, and after what wait.
-fn placed(stage: &mut Stage, class: usize, floor: Time) -> (Option<MemberId>, Time) {
+/// Where a read of any data with this minimum_position goes, and after what wait.
+fn placed(stage: &mut Stage, class: usize, minimum_position: Time) -> (Option<MemberId>, Time) {
     let began = stage.now;
     let name = format!("f{began}");
-    let mut actions = stage.play(request(&name, class, 900 * MS, Some(floor)));
+    let mut actions = stage.play(request(&name, class, 900 * MS, Some(minimum_position)));
     for _ in 0..30 {
         if let Some(member) = sent_to(&actions) {
             stage.end_as(&name, 0, member, Ending::Served, None, None);
@@ -79,7 +79,7 @@
     let now = stage.now;
     assert_eq!(placed(&mut stage, 0, now - 50 * MS).0, Some(1));
     assert_ne!(placed(&mut stage, 0, now - 5_000 * MS).0, Some(1), "an old write changes nothing");
-    // And an old floor does not loosen the bound.
+    // And an old minimum_position does not loosen the bound.
     let mut stage = taught(settings(), [0, 500 * MS, 500 * MS]);
     let now = stage.now;
     assert_eq!(placed(&mut stage, 0, now - 5_000 * MS).0, Some(1));
@@ -97,13 +97,14 @@
     let mut stage = taught(holding(), [0, 50 * MS, 50 * MS]);
     let now = stage.now;
     assert_eq!(sent_to(&stage.play(request("w", 2, 900 * MS, Some(now)))), None, "it waits for a replica");
-    let actions = stage.play(Event::Floor { request: "w".into(), floor: now - 1_000 * MS });
+    let actions =
+        stage.play(Event::MinimumPositionLowered { request: "w".into(), minimum_position: now - 1_000 * MS });
     assert!(sent_to(&actions).is_some(), "any member will do now");
     // One that rises changes nothing, and one of a request that is gone neither.
     let now = stage.now;
     stage.play(request("x", 2, 900 * MS, Some(now)));
-    stage.play(Event::Floor { request: "x".into(), floor: now + 900 * MS });
-    stage.play(Event::Floor { request: "gone".into(), floor: 0 });
+    stage.play(Event::MinimumPositionLowered { request: "x".into(), minimum_position: now + 900 * MS });
+    stage.play(Event::MinimumPositionLowered { request: "gone".into(), minimum_position: 0 });
     let went = (0..12).find_map(|_| sent_to(&stage.wait(5 * MS)));
-    assert!(went.is_some(), "a floor that rises is none of its affair");
+    assert!(went.is_some(), "a minimum_position that rises is none of its affair");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -107,18 +107,18 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_member() {
-    for standing in [MemberStatus::Draining, MemberStatus::Removed] {
+    for status in [MemberStatus::Draining, MemberStatus::Removed] {
         let mut stage = Stage::new(settings());
-        let list = [entry(2, standing, false, 0), entry(3, standing, false, 0)];
-        stage.play(Event::List { whole: false, entries: list.into() });
+        let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
+        stage.play(Event::List { complete: false, entries: list.into() });
         for n in 0..50 {
             let actions = stage.ask(&format!("r{n}"), 2, 900 * MS);
-            assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{standing:?}");
+            assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}");
         }
     }
     // A whole list that leaves a member out says the same.
     let mut stage = Stage::new(settings());
-    stage.play(Event::List { whole: true, entries: [entry(1, MemberStatus::Up, true, 0)].into() });
+    stage.play(Event::List { complete: true, entries: [entry(1, MemberStatus::Up, true, 0)].into() });
     for n in 0..50 {
         assert!(matches!(stage.ask(&format!("r{n}"), 2, 900 * MS).as_slice(), a if sent_to(a) != Some(2)));
     }
@@ -127,10 +127,10 @@
 #[test]
 fn where_only_a_drain_binds_a_member_called_gone_is_used_as_long_as_it_answers() {
     // Standard days with a wrong list: running members called gone, or all of them, got no work.
-    for whole in [false, true] {
+    for complete in [false, true] {
         let mut stage = Stage::new(Settings { soft_removal: true, ..settings() });
         let gone: Vec<Entry> = (1..=3).map(|m| entry(m, MemberStatus::Removed, m == 1, 0)).collect();
-        stage.play(Event::List { whole, entries: if whole { [].into() } else { gone.into() } });
+        stage.play(Event::List { complete, entries: if complete { [].into() } else { gone.into() } });
         for n in 0..20 {
             let name = format!("g{n}");
             let member = sent_to(&stage.ask(&name, 2, 900 * MS)).expect("running members keep serving");
@@ -152,23 +152,23 @@
     for soft_removal in [false, true] {
         let mut stage = Stage::new(Settings { soft_removal, ..settings() });
         let drain = [entry(2, MemberStatus::Draining, false, 0), entry(3, MemberStatus::Draining, false, 0)];
-        stage.play(Event::List { whole: false, entries: drain.into() });
-        for standing in [MemberStatus::Removed, MemberStatus::Up] {
-            let list = [entry(2, standing, false, 0), entry(3, standing, false, 0)];
-            stage.play(Event::List { whole: false, entries: list.into() });
+        stage.play(Event::List { complete: false, entries: drain.into() });
+        for status in [MemberStatus::Removed, MemberStatus::Up] {
+            let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
+            stage.play(Event::List { complete: false, entries: list.into() });
             for n in 0..20 {
-                let actions = stage.ask(&format!("{standing:?}{n}"), 2, 900 * MS);
-                assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{standing:?}, soft {soft_removal}");
+                let actions = stage.ask(&format!("{status:?}{n}"), 2, 900 * MS);
+                assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}, soft {soft_removal}");
             }
         }
         // A new start lifts it; the old list that comes again does not undo the new start.
         let start = START - 60_000 * MS;
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        stage.play(Event::List { whole: false, entries: old.into() });
+        stage.play(Event::List { complete: false, entries: old.into() });
         let up = [entry(2, MemberStatus::Up, false, start)];
-        let mut actions = stage.play(Event::List { whole: false, entries: up.into() });
+        let mut actions = stage.play(Event::List { complete: false, entries: up.into() });
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        actions.extend(stage.play(Event::List { whole: false, entries: old.into() }));
+        actions.extend(stage.play(Event::List { complete: false, entries: old.into() }));
         stage.now += 2_000 * MS;
         actions.extend((0..20).flat_map(|n| stage.ask(&format!("new{n}"), 2, 900 * MS)));
         let hit = actions.iter().any(|a| matches!(a, Action::Send { member: 2, .. }));
@@ -187,7 +187,7 @@
             let mut stage = Stage::empty(settings.clone());
             stage.router = Router::new(settings, seed as u64).expect("sound");
             let cold = entry(1, MemberStatus::Up, true, START - 100 * MS);
-            stage.play(Event::List { whole: true, entries: [cold].into() });
+            stage.play(Event::List { complete: true, entries: [cold].into() });
             let step = 50 * MS;
             for n in 0..span / step {
                 let name = format!("r{n}");
@@ -205,7 +205,7 @@
 
 #[test]
 fn where_members_do_not_check_a_read_goes_only_to_data_known_to_be_fresh() {
-    let mut stage = Stage::new(Settings { behind: Behind::Serve, ..settings() });
+    let mut stage = Stage::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     for n in 0..40 {
         let actions = stage.ask(&format!("r{n}"), 0, 900 * MS);
         assert!(!matches!(sent_to(&actions), Some(2 | 3)), "nothing is known of the replicas yet");
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_former_primary_that_said_so_gets_no_strong_read_and_no_write() {
-    let mut stage = Stage::new(Settings { behind: Behind::Serve, ..settings() });
+    let mut stage = Stage::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     let member = sent_to(&stage.ask("w", 4, 900 * MS)).expect("sent");
     assert_eq!(member, 1);
     stage.end_as("w", 0, 1, Ending::Rejected, Some(0), Some(Role::Replica));
@@ -271,7 +271,7 @@
 
 /// Members answer from whatever they have.
 fn unchecked() -> Settings {
-    Settings { behind: Behind::Serve, ..settings() }
+    Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() }
 }
 
 #[test]
@@ -310,7 +310,7 @@
     });
     assert!(!stage.router.is_fresh(stage.now, &name, 1));
     // Of a request that is over nothing goes out.
-    stage.play(Event::Withdrawn { request: name.clone() });
+    stage.play(Event::Abandoned { request: name.clone() });
     assert!(!stage.router.is_fresh(stage.now, &name, 1));
 }
 
@@ -334,7 +334,7 @@
     // Nobody is known to lead: a write finds out.
     let mut stage = Stage::empty(Settings { list_role: ListRole::Absent, ..once });
     let list = (1..=3).map(|m| entry(m, MemberStatus::Up, false, 0)).collect::<Vec<_>>();
-    stage.play(Event::List { whole: true, entries: list.into() });
+    stage.play(Event::List { complete: true, entries: list.into() });
     assert!(sent_to(&stage.ask("w", 5, 900 * MS)).is_some());
 }
 
@@ -367,7 +367,7 @@
             stage.play(Event::Probed { member: 1, ending: Ending::Served, report });
         }
         let again = entry(1, MemberStatus::Up, true, stage.now);
-        stage.play(Event::List { whole: false, entries: [again].into() });
+        stage.play(Event::List { complete: false, entries: [again].into() });
         stage.now += 20_000 * MS;
         sent_to(&stage.ask("strong", 3, 900 * MS))
     };
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -49,7 +49,7 @@
                 let granted = self.pool.on_report(now, me as u16, report.round, &report.demands);
                 quota.on_grant(now, report.number, &granted);
             }
-            fleet.inbox[me].push(Event::Share(G, quota.current(now, G)));
+            fleet.inbox[me].push(Event::QuotaAdjusted { group: G, adjustment: quota.current(now, G) });
         }
     }
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -60,8 +60,8 @@
 /// The share of its capacity that a host has which started so long ago.
 fn capacity_share(age: Time) -> f64 {
     let set = settings();
-    let grown = age as f64 / set.cold_for as f64;
-    (set.cold_from + (1.0 - set.cold_from) * grown).min(1.0)
+    let grown = age as f64 / set.slow_start_span as f64;
+    (set.slow_start_initial_share + (1.0 - set.slow_start_initial_share) * grown).min(1.0)
 }
 
 /// What a host may be sent within the span of the settings, if it could then do so much of its warm capacity.
@@ -118,10 +118,10 @@
         let host = self.case.host;
         let Some(start) = self.starts.last() else { return };
         let line = entry(host, MemberStatus::Up, host == PRIMARY, start.at);
-        let news = Event::List { whole: false, entries: vec![line].into() };
+        let list_change = Event::List { complete: false, entries: vec![line].into() };
         for (router, inbox) in self.fleet.inbox.iter_mut().enumerate() {
             if heard(router, self.case.hears) {
-                inbox.push(news.clone());
+                inbox.push(list_change.clone());
             }
         }
     }
--- a/crates/policy/tests/trouble.rs
+++ b/crates/policy/tests/trouble.rs
@@ -180,9 +180,9 @@
 fn odd_events_are_ordinary() {
     let mut stage = Stage::new(settings());
     stage.end("never-seen", 3, 99, Ending::Served);
-    stage.play(Event::Withdrawn { request: "never-seen".into() });
+    stage.play(Event::Abandoned { request: "never-seen".into() });
     stage.play(Event::Probed { member: 99, ending: Ending::TimedOut, report: Report::default() });
-    stage.play(Event::List { whole: true, entries: [].into() });
+    stage.play(Event::List { complete: true, entries: [].into() });
     let odd = Report { position: Some(Time::MAX), role: None, waiting: Some(f64::NAN), busy: None };
     stage.play(Event::Probed { member: 1, ending: Ending::Served, report: odd });
     let unknown = stage.play(Event::Request {
@@ -190,8 +190,8 @@
         class: 99,
         group: 1,
         time_left: 0,
-        repeat: true,
-        floor: None,
+        is_retry: true,
+        minimum_position: None,
     });
     assert!(refused(&unknown), "a class that no setting names still gets its one answer");
     assert_eq!(sends(&stage.ask("r", 0, 900 * MS)), 0, "a group with no member up");
@@ -248,7 +248,7 @@
     // Recorded day i5bbe18: reads given up at their aim were never counted, and limits stayed high.
     let mut stage = Stage::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    stage.play(Event::List { whole: false, entries: list.into() });
+    stage.play(Event::List { complete: false, entries: list.into() });
     let at_first: usize = (0..20).map(|n| sends(&stage.ask(&format!("a{n}"), 4, 900 * MS))).sum();
     for n in 0..at_first {
         let event = Event::Outcome {
@@ -276,13 +276,13 @@
     for n in 0..60 {
         stage.ask(&format!("fill{n}"), 4, 900 * MS);
     }
-    let repeat = |name: &str, repeat| Event::Request {
+    let repeat = |name: &str, is_retry| Event::Request {
         request: name.into(),
         class: 3,
         group: G,
         time_left: 900 * MS,
-        repeat,
-        floor: None,
+        is_retry,
+        minimum_position: None,
     };
     assert!(!refused(&stage.play(repeat("first", false))), "a first try waits for room");
     assert!(refused(&stage.play(repeat("again", true))), "a repeat past its hope does not");
@@ -331,7 +331,7 @@
     // Recorded day if2b59f: a primary lost a share of its writes and stood at its limit with them.
     let mut stage = Stage::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    stage.play(Event::List { whole: false, entries: list.into() });
+    stage.play(Event::List { complete: false, entries: list.into() });
     let lost: usize = (0..20).map(|n| sends(&stage.ask(&format!("l{n}"), 4, 1_000 * MS))).sum();
     assert!((1..20).contains(&lost), "the first ones fill the room");
     // One of them is answered; the others stay out past their aim.
@@ -348,7 +348,7 @@
     // Recorded day ia7e9ba: a restarted member fell over before the list told of its start.
     let mut stage = Stage::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    stage.play(Event::List { whole: false, entries: list.into() });
+    stage.play(Event::List { complete: false, entries: list.into() });
     stage.play(Event::Probed { member: 1, ending: Ending::TimedOut, report: Report::default() });
     stage.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
     let mut sent = 0;
@@ -431,7 +431,7 @@
     let list: Vec<Entry> = (1..=3)
         .map(|m| entry(m, MemberStatus::Up, m == 1, if m == 1 { START - 100 * MS } else { 0 }))
         .collect();
-    stage.play(Event::List { whole: true, entries: list.into() });
+    stage.play(Event::List { complete: true, entries: list.into() });
     let (mut reads, mut writes) = (0, 0);
     for n in 0..600 {
         let class = if n % 2 == 0 { 2 } else { 4 };
@@ -452,8 +452,8 @@
 // what had only met members that could not be reached.
 #[test]
 fn what_was_sent_to_no_member_by_half_its_time_is_refused() {
-    let ends_after = |class: usize, way: Time| {
-        let mut stage = Stage::empty(Settings { way, ..settings() });
+    let ends_after = |class: usize, client_round_trip: Time| {
+        let mut stage = Stage::empty(Settings { client_round_trip, ..settings() });
         let mut actions = stage.ask("r", class, 400 * MS);
         let mut steps = 0;
         while !refused(&actions) && steps < 100 {
@@ -536,7 +536,7 @@
 // With all their connections held, clients found none for 2762 requests of one day.
 #[test]
 fn what_has_least_to_gain_gives_way_before_clients_run_out() {
-    let mut stage = Stage::empty(Settings { most_open: 20, ..settings() });
+    let mut stage = Stage::empty(Settings { max_open_requests: 20, ..settings() });
     let asked = |stage: &mut Stage, class: usize, count: usize| -> usize {
         let name = |n: usize| format!("{class}-{n}");
         (0..count).filter(|n| refused(&stage.ask(&name(*n), class, 900 * MS))).count()
@@ -581,7 +581,7 @@
         stage.now += MS;
     }
     let back = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-    let actions = stage.play(Event::List { whole: true, entries: back.into() });
+    let actions = stage.play(Event::List { complete: true, entries: back.into() });
     let sent: Vec<&str> = actions
         .iter()
         .filter_map(|action| match action {
@@ -599,13 +599,13 @@
 fn a_member_long_gone_is_forgotten_and_one_just_gone_is_not() {
     let back_after = |span: Time| {
         let mut stage = Stage::new(settings());
-        for standing in [MemberStatus::Draining, MemberStatus::Removed] {
-            let list = (1..=3).map(|m| entry(m, standing, m == 1, 0)).collect::<Vec<_>>();
-            stage.play(Event::List { whole: true, entries: list.into() });
+        for status in [MemberStatus::Draining, MemberStatus::Removed] {
+            let list = (1..=3).map(|m| entry(m, status, m == 1, 0)).collect::<Vec<_>>();
+            stage.play(Event::List { complete: true, entries: list.into() });
         }
         stage.wait(span);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        stage.play(Event::List { whole: true, entries: list.into() });
+        stage.play(Event::List { complete: true, entries: list.into() });
         sent_to(&stage.ask("r", 2, 900 * MS)).is_some()
     };
     assert!(!back_after(10_000 * MS), "an old list does not undo a drain");
@@ -614,7 +614,7 @@
 
 #[test]
 fn where_nothing_is_ever_cold_no_member_is_held_back() {
-    let mut stage = Stage::new(Settings { cold_for: 0, ..settings() });
+    let mut stage = Stage::new(Settings { slow_start_span: 0, ..settings() });
     let sent: usize = (0..6).map(|n| sends(&stage.ask(&format!("r{n}"), 2, 900 * MS))).sum();
     assert_eq!(sent, 6, "members that run for long are warm");
 }
--- a/crates/sessions/src/answer_check.rs
+++ b/crates/sessions/src/answer_check.rs
@@ -36,7 +36,7 @@
     let position = position_of_data(settings, answer);
     let reached = position.is_some_and(|position| position + slack(settings, answer.role) >= required);
     let enforced = position.is_none() && proven_without_position(settings, answer.role);
-    match reached || required == 0 || enforced || mutant(Mutant::BehindGiven) {
+    match reached || required == 0 || enforced || mutant(Mutant::StaleAnswerDelivered) {
         true => Verdict::Proven,
         false => Verdict::Unproven,
     }
--- a/crates/sessions/src/known_range.rs
+++ b/crates/sessions/src/known_range.rs
@@ -123,7 +123,7 @@
 
     fn close_gap(&mut self, end: Time) {
         if end > self.known_until {
-            if !mutant(Mutant::GapPassed) {
+            if !mutant(Mutant::BroadcastGapIgnored) {
                 self.gap_end = self.gap_end.max(end);
             }
             self.known_until = end;
--- a/crates/sessions/src/session_tracker.rs
+++ b/crates/sessions/src/session_tracker.rs
@@ -46,7 +46,7 @@
             memory: SessionMemory::new(settings.exact_sessions, settings.sketch_width, settings.secret),
             peers: PeerExchange::new(&settings, now),
             settings,
-            lost_until: if mutant(Mutant::LossForgotten) { 0 } else { now },
+            lost_until: if mutant(Mutant::WatermarkLossForgotten) { 0 } else { now },
             omitted_bound: 0,
             broadcast_at: now,
             latest: now,
--- a/crates/sessions/src/watermark.rs
+++ b/crates/sessions/src/watermark.rs
@@ -23,7 +23,7 @@
     /// The least upper bound of both.
     #[must_use]
     pub fn join(self, other: Watermark) -> Watermark {
-        if mutant(Mutant::MergeLowers) && other != Watermark::NONE {
+        if mutant(Mutant::MergeTakesNewer) && other != Watermark::NONE {
             return other;
         }
         let joined = Watermark { written: self.written.max(other.written), read: self.read.max(other.read) };
--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -29,7 +29,7 @@
 pub enum InjectedFault {
     Nothing,
     /// A restarted instance does not count what it recorded before as lost.
-    LossForgotten,
+    WatermarkLossForgotten,
     /// An old snapshot passes for one of a clean end.
     AgeForgotten,
     /// A token's watermark is taken for nothing, as an unverified one's could be.
@@ -37,7 +37,7 @@
     /// A broadcast claims to cover everything since its instance started.
     GapIgnored,
     /// A watermark of a snapshot is lowered where it should be joined.
-    MergeLowers,
+    MergeTakesNewer,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -268,7 +268,7 @@
 fn restart(instance: &mut Instance, set: Settings, now: Time, fault: InjectedFault, rng: &mut Pcg64Mcg) {
     let local = now + instance.clock_offset;
     instance.runs += 1;
-    if fault == InjectedFault::LossForgotten {
+    if fault == InjectedFault::WatermarkLossForgotten {
         instance.tracker = SessionTracker::new(set, 0).expect("sound settings");
         return;
     }
@@ -281,7 +281,7 @@
     };
     let snapshot = match fault {
         InjectedFault::AgeForgotten => Snapshot { clean: true, ..snapshot },
-        InjectedFault::MergeLowers => {
+        InjectedFault::MergeTakesNewer => {
             let lower = |(key, entry): (SessionKey, SessionEntry)| {
                 (key, SessionEntry { watermark: Watermark::NONE, ..entry })
             };
--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -73,9 +73,9 @@
     let carried = scenario(settings(0, 0), true);
     let exchanged = scenario(Settings { tokens: false, ..settings(3, 0) }, false);
     let cases = [
-        (InjectedFault::LossForgotten, pinned()),
+        (InjectedFault::WatermarkLossForgotten, pinned()),
         (InjectedFault::AgeForgotten, pinned()),
-        (InjectedFault::MergeLowers, pinned()),
+        (InjectedFault::MergeTakesNewer, pinned()),
         (InjectedFault::TokenUnverified, carried),
         (InjectedFault::GapIgnored, Scenario { loss: 0.8, ..exchanged }),
     ];
--- a/src/bin/petrelgauge-simulator-adapter/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -205,7 +205,7 @@
             Wire::Membership { mode, slot } => match mode.as_str() {
                 "D" | "F" | "C" => {
                     let page = self.pages.get(&slot).ok_or(format!("slot: no Page {slot} was defined"))?;
-                    Event::List { whole: mode != "D", entries: page.clone() }
+                    Event::List { complete: mode != "D", entries: page.clone() }
                 }
                 other => return Err(format!("mode: unknown value {other:?}")),
             },
@@ -224,8 +224,8 @@
                     request: txn,
                     group,
                     time_left: time_left_us,
-                    repeat: flags & 2 != 0,
-                    floor: kept.or(brought),
+                    is_retry: flags & 2 != 0,
+                    minimum_position: kept.or(brought),
                 }
             }
             Wire::Done { txn, no_more, node, mark, status, took_us, shot, metrics } => {
@@ -251,7 +251,7 @@
                     report: report(known, metrics),
                 }
             }
-            Wire::Withdrawn { txn } => Event::Withdrawn { request: txn },
+            Wire::Withdrawn { txn } => Event::Abandoned { request: txn },
             Wire::Wakeup { handle } => Event::Timer { token: handle },
             Wire::HealthResult { node, status, metrics } => {
                 Event::Probed { member: node, ending: ending(&status)?, report: report(known, metrics) }
@@ -269,7 +269,7 @@
         zone: row.rack_zone,
         weight: row.weight,
         started: row.ready_at_us,
-        standing: match row.stage_state.as_str() {
+        status: match row.stage_state.as_str() {
             "U" => MemberStatus::Up,
             "L" => MemberStatus::Draining,
             "D" => MemberStatus::Removed,
@@ -317,7 +317,7 @@
         Action::Send { request, member, until } => {
             json!({"what": "HandOff", "txn": &**request, "stop_at_us": until, "node": member})
         }
-        Action::Refuse { request, wait } => json!({"what": "Deny", "txn": &**request, "wait_us": wait}),
+        Action::Reject { request, wait } => json!({"what": "Deny", "txn": &**request, "wait_us": wait}),
         Action::Fail { request } => json!({"what": "Surrender", "txn": &**request}),
         Action::Cancel { request, attempt } => {
             json!({"what": "Retract", "txn": &**request, "shot": attempt})
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -23,7 +23,7 @@
     /// Send it; the attempt says where to and until when. Another decision may follow.
     Send(Attempt),
     /// Final: refused, harmless to try again, after `wait` if that is not 0.
-    Refuse {
+    Reject {
         /// How long the client should stay away.
         wait: Time,
     },
@@ -62,9 +62,14 @@
         Ok(Facade(Rc::new(Inner { table, asking, callers, woken: Notify::new() })))
     }
 
-    /// New settings hold from now on; see [`RequestTable::follow`].
-    pub fn follow(&self, now: Time, settings: Settings, carrying: &[usize]) -> Result<(), SettingsRejected> {
-        self.0.table.borrow_mut().follow(now, settings, carrying)?;
+    /// New settings hold from now on; see [`RequestTable::apply_settings`].
+    pub fn apply_settings(
+        &self,
+        now: Time,
+        settings: Settings,
+        carrying: &[usize],
+    ) -> Result<(), SettingsRejected> {
+        self.0.table.borrow_mut().apply_settings(now, settings, carrying)?;
         self.0.woken.notify_one();
         Ok(())
     }
@@ -76,30 +81,30 @@
     }
 
     /// Members of a group without a primary are tried so many times as rarely as usual from now on.
-    pub fn scout_every(&self, times: Time) {
-        self.0.table.borrow_mut().scout_every(times);
+    pub fn set_discovery_interval_factor(&self, times: Time) {
+        self.0.table.borrow_mut().set_discovery_interval_factor(times);
     }
 
     /// What this gateway may use of the limits of a group's members, from the next step on, which comes before whatever
     /// the caller does next has an effect elsewhere.
-    pub fn share(&self, group: GroupId, share: Share) {
-        self.0.table.borrow_mut().share(group, share);
+    pub fn adjust_quota(&self, group: GroupId, adjustment: QuotaAdjustment) {
+        self.0.table.borrow_mut().adjust_quota(group, adjustment);
         self.0.woken.notify_one();
     }
 
     /// Requests that came for each group that the list names.
-    pub fn asked(&self) -> BTreeMap<GroupId, u64> {
-        self.0.table.borrow().asked()
+    pub fn requests_by_group(&self) -> BTreeMap<GroupId, u64> {
+        self.0.table.borrow().requests_by_group()
     }
 
     /// The group of a member that the list names.
-    pub fn group(&self, member: MemberId) -> Option<GroupId> {
-        self.0.table.borrow().group(member)
+    pub fn group_of(&self, member: MemberId) -> Option<GroupId> {
+        self.0.table.borrow().group_of(member)
     }
 
     /// Members taken for primaries, and when they last said so.
-    pub fn leaders(&self) -> Vec<(GroupId, MemberId, Time)> {
-        self.0.table.borrow().leaders()
+    pub fn primaries(&self) -> Vec<(GroupId, MemberId, Time)> {
+        self.0.table.borrow().primaries()
     }
 
     /// What the decisions have learned of the members so far.
@@ -113,19 +118,19 @@
     }
 
     /// Requests without an end.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.0.table.borrow().in_flight().0
     }
 
     /// Clients can hold so many requests open here from now on.
-    pub fn allow_open(&self, most: u32) {
-        self.0.table.borrow_mut().allow_open(most);
+    pub fn set_max_open_requests(&self, most: u32) {
+        self.0.table.borrow_mut().set_max_open_requests(most);
         self.0.woken.notify_one();
     }
 
-    /// The place of the class that a new request names, and the class; see [`RequestTable::find`].
-    pub fn find(&self, now: Time, name: &str, keyed: bool) -> Option<(usize, Class)> {
-        self.0.table.borrow().find(now, name, keyed)
+    /// The place of the class that a new request names, and the class; see [`RequestTable::find_class`].
+    pub fn find_class(&self, now: Time, name: &str, keyed: bool) -> Option<(usize, Class)> {
+        self.0.table.borrow().find_class(now, name, keyed)
     }
 
     /// The longest that clients of this class wait; see [`RequestTable::longest_wait`].
@@ -134,13 +139,13 @@
     }
 
     /// Every request that is taken in from now on has its final answer by this time.
-    pub fn answer_by(&self, at: Time) {
-        self.0.table.borrow_mut().answer_by(at);
+    pub fn set_final_answer_by(&self, at: Time) {
+        self.0.table.borrow_mut().set_final_answer_by(at);
     }
 
-    /// The longest deadline of any class in force; see [`RequestTable::longest`].
-    pub fn longest(&self, now: Time) -> Time {
-        self.0.table.borrow().longest(now)
+    /// The longest deadline of any class in force; see [`RequestTable::longest_deadline`].
+    pub fn longest_deadline(&self, now: Time) -> Time {
+        self.0.table.borrow().longest_deadline(now)
     }
 
     /// Counts the settings that were in force, from 1.
@@ -149,13 +154,13 @@
     }
 
     /// Whether requests of the class of this place carry sessions.
-    pub fn carries(&self, class: usize) -> bool {
-        self.0.table.borrow().carries(class)
+    pub fn class_has_sessions(&self, class: usize) -> bool {
+        self.0.table.borrow().class_has_sessions(class)
     }
 
     /// Whether sessions are kept at all.
-    pub fn keeps_sessions(&self) -> bool {
-        self.0.table.borrow().keeps_sessions()
+    pub fn tracks_sessions(&self) -> bool {
+        self.0.table.borrow().tracks_sessions()
     }
 
     /// Stores the tokens that a client has set for its connection.
@@ -217,25 +222,25 @@
     }
 
     /// News of the list: whole, or only what changed.
-    pub fn list(&self, whole: bool, entries: Vec<Entry>) {
-        self.0.table.borrow_mut().list(whole, entries);
+    pub fn update_endpoints(&self, complete: bool, entries: Vec<Entry>) {
+        self.0.table.borrow_mut().update_endpoints(complete, entries);
         self.0.woken.notify_one();
     }
 
-    /// Takes what a member's word tells of the hosts' clock; see [`RequestTable::screen`].
-    pub fn screen(&self, now: Time, host: MemberId, said: &mut Outcome) -> bool {
-        self.0.table.borrow_mut().screen(now, host, None, said)
+    /// Takes what a member's word tells of the hosts' clock; see [`RequestTable::validate_times`].
+    pub fn validate_times(&self, now: Time, host: MemberId, said: &mut Outcome) -> bool {
+        self.0.table.borrow_mut().validate_times(now, host, None, said)
     }
 
     /// A member said this of itself outside of an attempt's report.
-    pub fn heard(&self, now: Time, host: MemberId, said: Outcome) {
-        self.0.table.borrow_mut().heard(now, host, said);
+    pub fn record_late_report(&self, now: Time, host: MemberId, said: Outcome) {
+        self.0.table.borrow_mut().record_late_report(now, host, said);
         self.0.woken.notify_one();
     }
 
     /// Whether the list may hold this group: it named it since it was last whole, or has named none so far.
-    pub fn may_serve(&self, group: GroupId) -> bool {
-        self.0.table.borrow().may_serve(group)
+    pub fn may_serve_group(&self, group: GroupId) -> bool {
+        self.0.table.borrow().may_serve_group(group)
     }
 
     /// Waits until something came in that a step has not seen.
@@ -265,7 +270,7 @@
                     let _ = inbox.send(Decision::Send(attempt));
                 }
             }
-            Order::Refuse { request, wait } => self.close(&request, Decision::Refuse { wait }),
+            Order::Reject { request, wait } => self.close(&request, Decision::Reject { wait }),
             Order::Fail { request } => self.close(&request, Decision::Fail),
             Order::Cancel { request, attempt } => {
                 if let Some(caller) = self.0.callers.borrow_mut().remove(&(request, attempt)) {
@@ -301,7 +306,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         self.facade.0.asking.borrow_mut().remove(&self.id);
-        self.facade.0.table.borrow_mut().withdraw(&self.id);
+        self.facade.0.table.borrow_mut().abandon(&self.id);
         // What is still in the inbox goes after this: that may be an attempt, which reports itself.
         self.facade.0.woken.notify_one();
     }
@@ -340,9 +345,9 @@
         !self.off && self.facade.0.table.borrow().may_send(now, &self.send)
     }
 
-    /// Takes what the answer tells of the hosts' clock, before it is reported; see [`RequestTable::screen`].
-    pub fn screen(&self, now: Time, outcome: &mut Outcome) -> bool {
-        self.facade.0.table.borrow_mut().screen(now, self.host, Some(&self.send), outcome)
+    /// Takes what the answer tells of the hosts' clock, before it is reported; see [`RequestTable::validate_times`].
+    pub fn validate_times(&self, now: Time, outcome: &mut Outcome) -> bool {
+        self.facade.0.table.borrow_mut().validate_times(now, self.host, Some(&self.send), outcome)
     }
 
     /// Reports how the attempt ended. True if the member answered and its request is still open: then what the member
--- a/src/gateway_process.rs
+++ b/src/gateway_process.rs
@@ -152,10 +152,10 @@
             return;
         }
         log::info!("gateway stopping");
-        let longest = self.facade.longest(self.clock.now());
+        let longest = self.facade.longest_deadline(self.clock.now());
         self.front.last.set(self.lifecycle.answer_deadline(longest));
         self.front.last_reads.set(self.lifecycle.read_deadlines(longest));
-        self.facade.answer_by(self.front.last.get());
+        self.facade.set_final_answer_by(self.front.last.get());
         self.leadership.iter().for_each(|leadership| leadership.stop());
     }
 
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -104,7 +104,7 @@
             (None, Some(flow)) => outcome(finished.end, flow.told(), &self.counters),
             (None, None) => Outcome::silent(finished.end.as_ending()),
         };
-        if !attempt.screen(now, &mut outcome) {
+        if !attempt.validate_times(now, &mut outcome) {
             self.counters.bad_reports.add();
         }
         let owed = attempt.report(now, outcome);
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -54,7 +54,7 @@
     /// Carries out what may be set here: the session's tokens. All other settings have no effect.
     fn set(&mut self, setting: Setting) -> Result<&'static str, Unusable> {
         match &setting {
-            Setting::Mark(text) if self.front.facade.keeps_sessions() => {
+            Setting::Mark(text) if self.front.facade.tracks_sessions() => {
                 let set = self.front.facade.set_tokens(&mut self.session_tokens, text);
                 set.map_err(|cause| ("22023", cause.to_string()))?;
             }
@@ -73,7 +73,7 @@
         at: Time,
     ) -> Result<Option<SessionRef>, Unusable> {
         let facade = &self.front.facade;
-        if !facade.carries(place) {
+        if !facade.class_has_sessions(place) {
             return Ok(None);
         }
         let name = statement.session.as_ref().unwrap_or(&statement.name);
@@ -85,7 +85,7 @@
 
     fn read_statement(&self, text: &Bytes, at: Time) -> Result<Taken, Unusable> {
         let statement = Statement::parse(text).map_err(|cause| ("42601", cause.to_string()))?;
-        let named = self.front.facade.find(at, &statement.class, statement.keyed);
+        let named = self.front.facade.find_class(at, &statement.class, statement.keyed);
         let unusable = |code: &'static str, cause: &str| Err((code, cause.to_string()));
         let Some((place, class)) = named else { return unusable("22023", "no such class") };
         if statement.write != (class.need == Need::Write) {
@@ -99,7 +99,7 @@
         if wait > self.front.facade.longest_wait(at, &class.name).saturating_mul(2) {
             return unusable("22023", "its class gives no request so long a time");
         }
-        if !self.front.facade.may_serve(statement.cluster) {
+        if !self.front.facade.may_serve_group(statement.cluster) {
             return unusable("22023", "no such cluster");
         }
         let session = self.session_of(place, &statement, at)?;
@@ -111,7 +111,7 @@
             class: place,
             group: statement.cluster,
             until: at.saturating_add(wait),
-            repeat: statement.repeat,
+            is_retry: statement.repeat,
             at,
             after: statement.after_ms.filter(|_| reads_session).map(|ms| (ms as Time).saturating_mul(1000)),
             session,
@@ -196,10 +196,10 @@
             () = self.reader.read_ahead() => return Err(End::ClientLeft),
         };
         let now = front.clock.now();
-        if !front.facade.screen(now, host, &mut said) {
+        if !front.facade.validate_times(now, host, &mut said) {
             front.counters.bad_reports.add();
         }
-        front.facade.heard(now, host, said);
+        front.facade.record_late_report(now, host, said);
         out.extend_from_slice(&complete);
         front.put_mark(&mut out, taken.session_key());
         pg::put_ready(&mut out);
@@ -233,7 +233,7 @@
                         attempt = Some(tokio::task::spawn_local(sent));
                         Event::AttemptStarted
                     }
-                    Decision::Refuse { wait } => Event::Rejected { wait },
+                    Decision::Reject { wait } => Event::Rejected { wait },
                     Decision::Fail => Event::Failed,
                 },
                 () = &mut cancelled => Event::Cancelled,
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -96,9 +96,9 @@
     /// The decisions.
     pub facade: Facade,
     /// Requests that clients can hold open.
-    pub most_open: u32,
+    pub max_open_requests: u32,
     /// Longest that a read is held for a replica (microseconds).
-    pub hold: Time,
+    pub read_wait_bound: Time,
     gateways: u32,
     /// Where the watermark broadcasts of other gateways are received.
     exchange: Option<SocketAddr>,
@@ -113,11 +113,11 @@
     pub fn new(config: &Config, now: Time) -> Result<Decisions, ControlError> {
         let mut settings = settings(config)?;
         let (sessions, exchange) = sessions(config, &settings.classes, now)?;
-        let hold = sessions.as_ref().map_or(0, |(tracker, _)| tracker.settings().max_read_wait);
-        settings.hold = hold;
-        let (most_open, gateways) = (settings.most_open, settings.routers);
+        let read_wait_bound = sessions.as_ref().map_or(0, |(tracker, _)| tracker.settings().max_read_wait);
+        settings.read_wait_bound = read_wait_bound;
+        let (max_open_requests, gateways) = (settings.max_open_requests, settings.routers);
         let facade = Facade::with_sessions(settings, config.seed, sessions)?;
-        Ok(Decisions { facade, most_open, hold, gateways, exchange })
+        Ok(Decisions { facade, max_open_requests, read_wait_bound, gateways, exchange })
     }
 }
 
@@ -231,17 +231,18 @@
 pub fn reload(
     new: Config,
     old: &Config,
-    hold: Time,
+    read_wait_bound: Time,
     now: Time,
     facade: &Facade,
     hosts: &Hosts,
 ) -> Result<(Config, u32), ControlError> {
     let mut settings = settings(&new)?;
     let carrying = carrying(&new, &settings.classes)?;
-    (settings.hold, settings.most_open) = (hold, settings.most_open.min(old.sockets as u32 / 3));
-    let open = settings.most_open;
+    (settings.read_wait_bound, settings.max_open_requests) =
+        (read_wait_bound, settings.max_open_requests.min(old.sockets as u32 / 3));
+    let open = settings.max_open_requests;
     let (connect, idle) = (new.info.connect_span(), new.info.idle_span());
-    facade.follow(now, settings, &carrying).map_err(ControlError::SettingsRejected)?;
+    facade.apply_settings(now, settings, &carrying).map_err(ControlError::SettingsRejected)?;
     hosts.follow(connect, idle);
     let unmoved = old.unmoved(&new);
     if !unmoved.is_empty() {
@@ -333,9 +334,9 @@
     settings.may_probe = false;
     settings.list_on_request = false;
     settings.clock_may_be_wrong = true;
-    settings.way = QUEUEING_ALLOWANCE;
+    settings.client_round_trip = QUEUEING_ALLOWANCE;
     // Clients hold at most a third of the descriptors.
-    settings.most_open = settings.most_open.min(config.sockets as u32 / 3);
+    settings.max_open_requests = settings.max_open_requests.min(config.sockets as u32 / 3);
     Ok(settings)
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -272,7 +272,7 @@
             "endpoint list applied revision={revision} entries={} complete={complete}",
             entries.len()
         );
-        self.facade.list(complete, entries);
+        self.facade.update_endpoints(complete, entries);
     }
 
     /// Takes out rows about an earlier run of a host: the decisions pass over them, and so does whoever connects to it.
--- a/src/net/endpoint_list.rs
+++ b/src/net/endpoint_list.rs
@@ -70,7 +70,7 @@
             zone: self.locality.clone(),
             weight: self.size,
             started: self.started(),
-            standing: match self.phase {
+            status: match self.phase {
                 Phase::Up => MemberStatus::Up,
                 Phase::Draining => MemberStatus::Draining,
                 Phase::Removed => MemberStatus::Removed,
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -318,14 +318,14 @@
 
 impl Enforcer {
     fn in_use(&self) -> Reservation {
-        Reservation { open: self.facade.open(), ..self.budget.held() }
+        Reservation { open: self.facade.open_requests(), ..self.budget.held() }
     }
 
     fn enforce(&mut self) {
         let limit = self.handover.limit(self.clock.now(), self.limits.get());
         if limit != self.enforced.replace(limit).unwrap_or(self.limits.get()) {
             self.budget.limit(limit.sockets, limit.memory);
-            self.facade.allow_open(limit.open as u32);
+            self.facade.set_max_open_requests(limit.open as u32);
         }
     }
 }
--- a/src/net/primary_discovery.rs
+++ b/src/net/primary_discovery.rs
@@ -70,7 +70,7 @@
         let Some(member) = self.names.by_hash(primary.member) else { return };
         self.counters.words.add();
         // It need not be sent back.
-        if let Some(group) = self.facade.group(member) {
+        if let Some(group) = self.facade.group_of(member) {
             self.announced.insert(now, group, member);
         }
         self.facade.gossiped_primary(now, member, primary.position);
@@ -86,7 +86,7 @@
         self.leaders = current;
         let (leaders, shards) = (&self.leaders, self.shards);
         self.announced.forget(|group| leaders[usize::from(shard_of(group, shards))].is_none());
-        self.facade.scout_every(self.attempt_interval(lease_manager));
+        self.facade.set_discovery_interval_factor(self.attempt_interval(lease_manager));
         self.log_leaders();
     }
 
@@ -148,7 +148,7 @@
     }
 
     fn known_primaries(&self) -> Vec<KnownPrimary> {
-        let leaders = self.facade.leaders().into_iter();
+        let leaders = self.facade.primaries().into_iter();
         leaders.map(|(group, member, position)| KnownPrimary { group, member, position }).collect()
     }
 
--- a/src/net/quota_lending.rs
+++ b/src/net/quota_lending.rs
@@ -3,7 +3,7 @@
 
 use crate::facade::Facade;
 use crate::net::clock::Clock;
-use crate::{GroupId, Share, Time};
+use crate::{GroupId, QuotaAdjustment, Time};
 use petrelgauge_ownership::quota::{
     GroupDemand, GroupGrant, MeanRate, Quota, QuotaPool, QuotaReport, QuotaTotals, RequestRates,
 };
@@ -34,7 +34,7 @@
     shards: Vec<Shard>,
     rates: RequestRates,
     /// What the decisions apply now, of groups whose quota is not the even one.
-    applied: BTreeMap<GroupId, Share>,
+    applied: BTreeMap<GroupId, QuotaAdjustment>,
     facade: Facade,
     clock: Clock,
     demand: Demand,
@@ -225,19 +225,19 @@
     /// Passes the quotas of these groups to the decisions, where they have changed.
     fn apply(&mut self, now: Time, groups: impl Iterator<Item = GroupId>) {
         for group in groups {
-            let share = self.shards[self.shard_of(group)].quota.current(now, group);
+            let adjustment = self.shards[self.shard_of(group)].quota.current(now, group);
             let before = self.applied.get(&group).copied().unwrap_or_default();
-            if share == before {
+            if adjustment == before {
                 continue;
             }
-            self.facade.share(group, share);
-            if share == Share::default() {
+            self.facade.adjust_quota(group, adjustment);
+            if adjustment == QuotaAdjustment::default() {
                 self.applied.remove(&group);
             } else {
-                self.applied.insert(group, share);
+                self.applied.insert(group, adjustment);
             }
         }
-        self.applied.retain(|_, share| now < share.until);
+        self.applied.retain(|_, adjustment| now < adjustment.until);
     }
 }
 
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -57,8 +57,8 @@
 ) -> Result<GatewayProcess, GatewayError> {
     let clock = Clock::start().ahead(config.operator.clock_shift);
     let decisions = Decisions::new(&config, clock.now())?;
-    let read_hold = decisions.hold;
-    let full_reservation = Rc::new(Cell::new(full_reservation(&config, decisions.most_open)));
+    let read_hold = decisions.read_wait_bound;
+    let full_reservation = Rc::new(Cell::new(full_reservation(&config, decisions.max_open_requests)));
     let resources = Resources::new(&config, clock, decisions.facade.clone());
     // Where the platform holds the clients' socket, another process of this gateway may run, or have run a moment ago.
     let shared = inherited.is_some();
@@ -127,7 +127,7 @@
             budget: self.budget.clone(),
             read_buffer: self.read_buffer.clone(),
             counters: self.counters.clone(),
-            demand: Rc::new(move || facade.asked()),
+            demand: Rc::new(move || facade.requests_by_group()),
             assigned,
         }
     }
@@ -177,8 +177,8 @@
 }
 
 /// The most that this process may reserve while it is the gateway's only one.
-pub fn full_reservation(config: &Config, most_open: u32) -> Reservation {
-    Reservation { sockets: config.sockets, memory: config.memory, open: most_open as usize }
+pub fn full_reservation(config: &Config, max_open_requests: u32) -> Reservation {
+    Reservation { sockets: config.sockets, memory: config.memory, open: max_open_requests as usize }
 }
 
 fn open_handover(config: &Config) -> Handover {
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -27,8 +27,10 @@
 impl Play {
     fn new() -> Play {
         let mut play = Play { facade: Facade::new(settings(), 11).expect("sound settings"), now: START };
-        play.facade
-            .list(true, (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect());
+        play.facade.update_endpoints(
+            true,
+            (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
+        );
         play.step();
         play
     }
@@ -41,7 +43,7 @@
     fn admit(&mut self, class: usize, left: Time) -> Ticket {
         let until = self.now + left;
         let (at, after, session) = (self.now, None, None);
-        self.facade.admit(Request { class, group: G, until, repeat: false, at, after, session })
+        self.facade.admit(Request { class, group: G, until, is_retry: false, at, after, session })
     }
 
     fn send(&mut self, ticket: &mut Ticket) -> Attempt {
@@ -58,10 +60,10 @@
 fn a_whole_list_tells_which_groups_there_are() {
     let play = Play::new();
     let other = Entry { group: G + 1, ..entry(4, MemberStatus::Up, true, 0) };
-    play.facade.list(false, vec![other.clone()]);
-    assert!(play.facade.may_serve(G) && play.facade.may_serve(G + 1));
-    play.facade.list(true, vec![other]);
-    assert!(!play.facade.may_serve(G) && play.facade.may_serve(G + 1));
+    play.facade.update_endpoints(false, vec![other.clone()]);
+    assert!(play.facade.may_serve_group(G) && play.facade.may_serve_group(G + 1));
+    play.facade.update_endpoints(true, vec![other]);
+    assert!(!play.facade.may_serve_group(G) && play.facade.may_serve_group(G + 1));
 }
 
 #[test]
@@ -140,7 +142,7 @@
 #[test]
 fn a_group_is_known_once_a_list_named_it() {
     let facade = Facade::new(settings(), 11).expect("sound settings");
-    assert!(facade.may_serve(99), "no list has come yet");
-    facade.list(true, vec![entry(1, MemberStatus::Up, true, 0)]);
-    assert!(facade.may_serve(G) && !facade.may_serve(99));
+    assert!(facade.may_serve_group(99), "no list has come yet");
+    facade.update_endpoints(true, vec![entry(1, MemberStatus::Up, true, 0)]);
+    assert!(facade.may_serve_group(G) && !facade.may_serve_group(99));
 }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -40,10 +40,13 @@
 impl Play {
     fn new(sessions: petrelgauge_sessions::Settings) -> Play {
         let tracker = SessionTracker::new(sessions, START).expect("sound settings");
-        let set = Settings { may_probe: false, hold: 30 * MS, ..settings() };
+        let set = Settings { may_probe: false, read_wait_bound: 30 * MS, ..settings() };
         let facade =
             Facade::with_sessions(set, 11, Some((tracker, vec![READ, WRITE]))).expect("sound settings");
-        facade.list(true, (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect());
+        facade.update_endpoints(
+            true,
+            (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
+        );
         let mut play = Play { facade, now: START };
         play.step();
         play
@@ -60,7 +63,7 @@
 
     fn admit(&mut self, class: usize, tokens: &[&str]) -> Ticket {
         let (at, until, session) = (self.now, self.now + 900 * MS, Some(self.session_ref(tokens)));
-        self.facade.admit(Request { class, group: G, until, repeat: false, at, after: None, session })
+        self.facade.admit(Request { class, group: G, until, is_retry: false, at, after: None, session })
     }
 
     fn send(&mut self, ticket: &mut Ticket) -> Attempt {
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -107,7 +107,10 @@
         let tracker =
             sessions.map(|set| (SessionTracker::new(set, now).expect("sound settings"), vec![READ, WRITE]));
         let facade = Facade::with_sessions(set, 11, tracker).expect("sound settings");
-        facade.list(true, (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect());
+        facade.update_endpoints(
+            true,
+            (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
+        );
         let mut shifted = Shifted { facade, now, offset };
         shifted.step();
         shifted
@@ -126,7 +129,7 @@
     fn send(&mut self, class: usize) -> (Ticket, Attempt) {
         let (at, until) = (self.now, self.now + 900 * MS);
         let session = self.facade.session_ref(at, G, "one", &[]).expect("no token");
-        let request = Request { class, group: G, until, repeat: false, at, after: None, session };
+        let request = Request { class, group: G, until, is_retry: false, at, after: None, session };
         let mut ticket = self.facade.admit(request);
         self.step();
         match ready(ticket.pick()) {
@@ -140,7 +143,7 @@
         self.now += 2 * MS;
         let silent = Outcome::silent(Ending::Served);
         let mut outcome = Outcome { position: Some(position), role: Some(role), ..silent };
-        attempt.screen(self.now, &mut outcome);
+        attempt.validate_times(self.now, &mut outcome);
         attempt.report(self.now, outcome)
     }
 
@@ -154,7 +157,7 @@
     }
 
     fn leader(&self) -> Option<MemberId> {
-        self.facade.leaders().first().map(|(_, member, _)| *member)
+        self.facade.primaries().first().map(|(_, member, _)| *member)
     }
 }
 
@@ -168,7 +171,7 @@
             wrong.write();
         }
         assert_eq!((right.leader(), wrong.leader()), (Some(1), Some(1)));
-        let told = |from: &Shifted| from.facade.leaders()[0].2;
+        let told = |from: &Shifted| from.facade.primaries()[0].2;
         let (by_right, by_wrong) = (told(&right), told(&wrong));
         assert!((by_right - by_wrong).abs() <= 20 * MS, "{shift_ms}: {by_right} and {by_wrong}");
         // Some time later member 2 has taken over, and one gateway had its answer.
