--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -2,14 +2,14 @@
 
 use crate::facade::{Attempt, Outcome};
 use crate::net::budget::Hold;
-use crate::net::flow::Flow;
+use crate::net::host_connection::Connection;
 use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
-use crate::net::link::Connection;
 use crate::net::pg::{Answer, Gather, Reply};
 use crate::net::read_buffer;
 use crate::net::socket::{self, SocketError};
 use crate::net::statement::Statement;
+use crate::net::streamed_row::Flow;
 use crate::MemberId;
 use bytes::Buf;
 use petrelgauge_lifecycle::ending::End;
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -4,11 +4,11 @@
 use crate::net::attempt::{AnswerBody, HostAnswer};
 use crate::net::client_session::ClientSession;
 use crate::net::ending::End;
-use crate::net::flow::Flow;
 use crate::net::front::{Claim, Front};
 use crate::net::pg::{self, Answer, Severity};
-use crate::net::set::{self, Setting};
+use crate::net::set_statement::{self, Setting};
 use crate::net::statement::Statement;
+use crate::net::streamed_row::Flow;
 use crate::{Effect, Need, Time};
 use bytes::{Buf, Bytes};
 use petrelgauge_lifecycle::client::QueryOutcome;
@@ -31,7 +31,7 @@
                 pg::put_error(&mut out, Severity::Error, "57P03", "this gateway is being drained", None);
             }
             None
-        } else if let Some(setting) = set::read(&text) {
+        } else if let Some(setting) = set_statement::read(&text) {
             self.set(setting).map(|tag| pg::put_complete(&mut out, tag)).err()
         } else {
             match self.read_statement(&text, at) {
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -8,7 +8,7 @@
 use crate::net::hosts::Hosts;
 use crate::net::pg;
 use crate::net::read_buffer::ReadBuffer;
-use crate::net::set;
+use crate::net::set_statement;
 use crate::Time;
 use petrelgauge_lifecycle::gateway::{ReadDeadlines, ServingState};
 use petrelgauge_sessions::SessionKey;
@@ -49,7 +49,7 @@
     /// Tells the session's token, where its client carries one.
     pub(super) fn put_mark(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
         if let Some(token) = session.and_then(|key| self.facade.token(self.clock.now(), key)) {
-            pg::put_status(out, set::MARK, &token);
+            pg::put_status(out, set_statement::MARK, &token);
         }
     }
 
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -3,8 +3,8 @@
 use crate::net::budget::{Budget, Idleness};
 use crate::net::clock::Clock;
 use crate::net::counters::{Counters, Gauge};
-use crate::net::link::Connection;
-pub use crate::net::link::Site;
+use crate::net::host_connection::Connection;
+pub use crate::net::host_connection::Site;
 use crate::net::pg::{self, Framer};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::socket::{self, SocketError};
--- a/src/net/flow.rs
+++ b/src/net/streamed_row.rs
@@ -3,9 +3,9 @@
 
 use crate::facade::Outcome;
 use crate::net::ending::End;
+use crate::net::host_connection::Connection;
 use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
-use crate::net::link::Connection;
 use crate::net::pg::{Answer, Gather};
 use crate::net::read_buffer;
 use crate::net::socket;
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use petrelgauge::net::discovery::List;
 use petrelgauge::net::pg::{self, Framer, Gather};
-use petrelgauge::net::set;
+use petrelgauge::net::set_statement;
 use petrelgauge::net::statement::Statement;
 use petrelgauge::operator::Operator;
 use petrelgauge_sessions::{
@@ -156,7 +156,7 @@
     ]);
     let mut read = 0u32;
     rounds(3, &corpus, |bytes| {
-        let _ = set::read(bytes);
+        let _ = set_statement::read(bytes);
         let text = Bytes::copy_from_slice(bytes);
         if let Ok(statement) = Statement::parse(&text) {
             read += 1;
