--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -84,7 +84,7 @@
                 if let Some(opening) = framer.opening().ok()? {
                     let Opening::Startup { minor } = opening else { return None };
                     let mut out = Vec::new();
-                    pg::put_welcome(&mut out, minor, CancelKey { process: 1, secret: 0 });
+                    pg::put_startup_answer(&mut out, minor, CancelKey { process: 1, secret: 0 });
                     stream.write_all(&out).await.ok()?;
                     open = true;
                     continue;
@@ -146,8 +146,8 @@
             told += self.boast.get() / 1000;
         }
         let role = if part == Part::Follows { "standby" } else { "primary" };
-        pg::put_status(&mut out, "replication_role", role);
-        pg::put_status(&mut out, "log_position", &told.to_string());
+        pg::put_parameter_status(&mut out, "replication_role", role);
+        pg::put_parameter_status(&mut out, "log_position", &told.to_string());
         pg::put_ready(&mut out);
         Some(out)
     }
--- a/src/gateway_process.rs
+++ b/src/gateway_process.rs
@@ -114,7 +114,7 @@
             Some(command) = self.commands.recv() => Ok(Wakeup::Command(command)),
             () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Due)),
             () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if stage == Stage::Closing => {
-                let (clients, attempts) = (self.front.open.get(), self.hosts.out());
+                let (clients, attempts) = (self.front.open_sessions.get(), self.hosts.open_attempts());
                 Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
             }
             Some(ended) = self.tasks.join_next(), if stage == Stage::Serving => Err(GatewayError::TaskEnded(ended)),
@@ -132,7 +132,7 @@
     /// Carries out an operator's command and answers it.
     fn execute(&mut self, command: CommandRequest) {
         let known = KnownState {
-            hosts: self.hosts.named(),
+            hosts: self.hosts.listed_count(),
             list_received: self.has_spoken.get(),
             accept_initial_list_at: self.list_deadline,
             version: self.facade.version(),
@@ -153,9 +153,9 @@
         }
         log::info!("gateway stopping");
         let longest = self.facade.longest_deadline(self.clock.now());
-        self.front.last.set(self.lifecycle.answer_deadline(longest));
-        self.front.last_reads.set(self.lifecycle.read_deadlines(longest));
-        self.facade.set_final_answer_by(self.front.last.get());
+        self.front.final_answer_deadline.set(self.lifecycle.answer_deadline(longest));
+        self.front.final_read_deadlines.set(self.lifecycle.read_deadlines(longest));
+        self.facade.set_final_answer_by(self.front.final_answer_deadline.get());
         self.leadership.iter().for_each(|leadership| leadership.stop());
     }
 
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -1,15 +1,15 @@
 //! One attempt on a connection to a database host.
 
 use crate::facade::{Attempt, Outcome};
-use crate::net::budget::Hold;
+use crate::net::budget::MemoryReservation;
 use crate::net::host_connection::Connection;
 use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
-use crate::net::pg::{Answer, Gather, Reply};
+use crate::net::pg::{Answer, AnswerAssembler, Reply};
 use crate::net::read_buffer;
 use crate::net::socket::{self, SocketError};
 use crate::net::statement::Statement;
-use crate::net::streamed_row::Flow;
+use crate::net::streamed_row::StreamedRow;
 use crate::MemberId;
 use bytes::Buf;
 use petrelgauge_lifecycle::ending::End;
@@ -30,9 +30,9 @@
         statement: Rc<Statement>,
     ) -> Option<HostAnswer> {
         self.counters.attempts.add();
-        let _out = self.out.enter();
+        let _out = self.open_attempts.enter();
         let (host, until) = (attempt.host, attempt.until);
-        let mut line = Line::new(self.reuse(host), self.budget.hold(false));
+        let mut line = Line::new(self.take_idle(host), self.budget.reserve_host_memory());
         let now = self.clock.now();
         let (began, reused, mut written) = (now, line.connection.is_some(), None);
         let mut life =
@@ -66,7 +66,7 @@
             written = written.or_else(|| life.may_have_run().then(|| self.clock.now()));
         }
         let now = self.clock.now();
-        let Line { connection, reply, hold, gather, .. } = line;
+        let Line { connection, reply, hold, assembler, .. } = line;
         if reply.as_ref().is_some_and(|reply| reply.ready) {
             life.host_is_ready();
         }
@@ -76,7 +76,7 @@
         match (connection, disposition) {
             (Some(connection), ConnectionDisposition::Reuse) => self.put_back(host, connection),
             (Some(connection), ConnectionDisposition::Lend) => {
-                flow = Some(Flow::new(self.clone(), host, connection, gather))
+                flow = Some(StreamedRow::new(self.clone(), host, connection, assembler))
             }
             (connection, disposition) => {
                 drop(connection);
@@ -100,8 +100,8 @@
         // What a host said counts only if that is how the attempt ended.
         let reply = reply.filter(|_| finished.end.is_answer());
         let mut outcome = match (&reply, &flow) {
-            (Some(reply), _) => outcome(finished.end, &reply.told, &self.counters),
-            (None, Some(flow)) => outcome(finished.end, flow.told(), &self.counters),
+            (Some(reply), _) => outcome(finished.end, &reply.parameters, &self.counters),
+            (None, Some(flow)) => outcome(finished.end, flow.parameters(), &self.counters),
             (None, None) => Outcome::silent(finished.end.as_ending()),
         };
         if !attempt.validate_times(now, &mut outcome) {
@@ -109,8 +109,8 @@
         }
         let owed = attempt.report(now, outcome);
         let answer = match (reply, flow) {
-            (Some(reply), _) => Some(AnswerBody::Whole(reply.answer)),
-            (None, flow) => flow.map(|flow| AnswerBody::Flow(Box::new(flow))),
+            (Some(reply), _) => Some(AnswerBody::Complete(reply.answer)),
+            (None, flow) => flow.map(|flow| AnswerBody::Streamed(Box::new(flow))),
         };
         answer.map(|answer| HostAnswer { answer, _hold: hold }).filter(|_| owed)
     }
@@ -158,7 +158,7 @@
         line: &mut Line,
     ) -> Option<Event> {
         let Some(connection) = &line.connection else { return Some(Event::Broke) };
-        let takes = self.takes(attempt.host, connection.site);
+        let takes = self.accepts(attempt.host, connection.endpoint);
         let now = self.clock.now();
         let wanted = takes && attempt.is_wanted(now);
         let Some(wait_ms) = life.remaining_wait_ms(now).filter(|_| wanted) else {
@@ -200,11 +200,11 @@
                     b'S' | b'K' | b'N' | b'v' => {}
                     b'Z' => return Event::Greeted,
                     b'E' => {
-                        let mut gather = Gather::default();
-                        if gather.take(message).is_err() {
+                        let mut assembler = AnswerAssembler::default();
+                        if assembler.push(message).is_err() {
                             return Event::Malformed;
                         }
-                        line.reply = gather.ended();
+                        line.reply = assembler.finish();
                         let end = line.reply.as_ref().map(judge);
                         return end.map_or(Event::Broke, Event::Rejected);
                     }
@@ -214,7 +214,7 @@
             if connection.read(&self.read_buffer, read_buffer::SIZE).await.is_err() {
                 return Event::Broke;
             }
-            if !line.hold.set(connection.framer.len()) {
+            if !line.hold.resize(connection.framer.len()) {
                 return Event::NoMemory;
             }
         }
@@ -229,17 +229,17 @@
                 let message = match connection.next() {
                     Ok(Some(message)) => message,
                     Ok(None) => break,
-                    Err(Event::Flows) if !line.gather.awaits_row() => return Event::Malformed,
+                    Err(Event::Flows) if !line.assembler.awaits_row() => return Event::Malformed,
                     Err(event) => return event,
                 };
                 line.taken += message.raw.len();
                 line.hash.write(&message.raw);
-                match line.gather.take(message) {
+                match line.assembler.push(message) {
                     Err(_) => return Event::Malformed,
                     Ok(None) => {}
                     Ok(Some(reply)) => {
                         let row = matches!(reply.answer, Answer::Row(_));
-                        let tells = reply.told.iter().any(|(name, _)| name == "log_position");
+                        let tells = reply.parameters.iter().any(|(name, _)| name == "log_position");
                         let this = is_distinguishable(row, tells).then(|| line.hash.finish());
                         let last = std::mem::replace(&mut connection.last, this);
                         let (end, copy) = (judge(&reply), is_copy(connection.recent, last, this));
@@ -253,11 +253,11 @@
                 return Event::Began;
             }
             if connection.read(&self.read_buffer, read_buffer::SIZE).await.is_err() {
-                line.reply = line.gather.ended();
+                line.reply = line.assembler.finish();
                 let end = line.reply.as_ref().map(judge);
                 return end.map_or(Event::Broke, |end| Event::Answered { end, copy: false });
             }
-            if !line.hold.set(line.taken + connection.framer.len()) {
+            if !line.hold.resize(line.taken + connection.framer.len()) {
                 return Event::NoMemory;
             }
             began = stage == Stage::Waiting;
@@ -269,15 +269,15 @@
 pub struct HostAnswer {
     /// What it said.
     pub answer: AnswerBody,
-    pub(super) _hold: Hold,
+    pub(super) _hold: MemoryReservation,
 }
 
 /// An answer, or the beginning of one.
 pub enum AnswerBody {
     /// A row, or an error that no other host would spare the client.
-    Whole(Answer),
+    Complete(Answer),
     /// A row so long that it is passed on as it comes.
-    Flow(Box<Flow>),
+    Streamed(Box<StreamedRow>),
 }
 
 /// How the work on an attempt went on.
@@ -295,21 +295,21 @@
     unwritten: Option<Box<dyn Buf>>,
     /// The first write failed for a shortage of this machine: it is repeated after a pause.
     write_failed_locally: bool,
-    gather: Gather,
+    assembler: AnswerAssembler,
     taken: usize,
     hash: DefaultHasher,
     reply: Option<Reply>,
-    hold: Hold,
+    hold: MemoryReservation,
 }
 
 impl Line {
-    fn new(connection: Option<Connection>, hold: Hold) -> Line {
-        let (gather, hash) = (Gather::default(), DefaultHasher::new());
+    fn new(connection: Option<Connection>, hold: MemoryReservation) -> Line {
+        let (assembler, hash) = (AnswerAssembler::default(), DefaultHasher::new());
         Line {
             connection,
             unwritten: None,
             write_failed_locally: false,
-            gather,
+            assembler,
             taken: 0,
             hash,
             reply: None,
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -65,50 +65,50 @@
 
     /// From now on the process may hold so many descriptors and so much memory. What is open beyond that is closed as
     /// it can be spared.
-    pub fn limit(&self, sockets: usize, memory: usize) {
+    pub fn set_limits(&self, sockets: usize, memory: usize) {
         self.sockets.set(sockets);
         self.most.set(most_of(sockets));
         self.most_bytes.set(memory / MESSAGES);
     }
 
     /// What is held now: descriptors, also those that are neither a client's nor a host's, and bytes.
-    pub fn held(&self) -> Reservation {
+    pub fn usage(&self) -> Reservation {
         Reservation { sockets: self.open.get() + OWN, memory: self.bytes.get(), open: 0 }
     }
 
     /// Counts a connection to a host for as long as the slot lives.
-    pub fn take(self: &Rc<Self>) -> Slot {
+    pub fn acquire_host_slot(self: &Rc<Self>) -> DescriptorSlot {
         self.slot(false)
     }
 
     /// Counts a client for as long as the slot lives.
-    pub fn take_client(self: &Rc<Self>) -> Slot {
+    pub fn acquire_client_slot(self: &Rc<Self>) -> DescriptorSlot {
         self.slot(true)
     }
 
-    fn slot(self: &Rc<Self>, client: bool) -> Slot {
+    fn slot(self: &Rc<Self>, client: bool) -> DescriptorSlot {
         self.open.set(self.open.get() + 1);
         self.clients.set(self.clients.get() + client as usize);
-        Slot { budget: self.clone(), client }
+        DescriptorSlot { budget: self.clone(), client }
     }
 
     /// No further connection fits.
-    pub fn spent(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.open.get() >= self.most.get()
     }
 
     /// How many clients there are beyond a quarter of all. Those that ask hold a third at most: what is left of
     /// it is for the next ones.
-    pub fn crowd(&self) -> usize {
+    pub fn excess_clients(&self) -> usize {
         self.clients.get().saturating_sub(self.sockets.get() / 4)
     }
 
     /// Marks a client as one that can be closed for as long as the mark lives, from `now` on.
-    pub fn idle(self: &Rc<Self>, why: Idleness, now: Time, client: &Rc<Notify>) -> Idle {
+    pub fn register_idle(self: &Rc<Self>, why: Idleness, now: Time, client: &Rc<Notify>) -> IdleGuard {
         let number = self.next.get();
         self.next.set(number + 1);
         self.idle.borrow_mut().insert((why, number), (now, client.clone()));
-        Idle { budget: self.clone(), place: (why, number) }
+        IdleGuard { budget: self.clone(), place: (why, number) }
     }
 
     /// Asks the client to close that can be closed for this reason for the longest, at least since `latest`.
@@ -120,20 +120,28 @@
         idle.remove(&place).map(|(_, client)| client.notify_one()).is_some()
     }
 
-    /// The bytes of a connection, none so far. Clients leave a quarter of all to what hosts answer.
-    pub fn hold(self: &Rc<Self>, client: bool) -> Hold {
-        let most = if client { self.most_bytes.get() / 4 * 3 } else { self.most_bytes.get() };
-        Hold { budget: self.clone(), bytes: 0, most, reserve: Cell::new(false) }
+    /// The bytes of a client connection, none so far. Clients leave a quarter of all to what hosts answer.
+    pub fn reserve_client_memory(self: &Rc<Self>) -> MemoryReservation {
+        self.reserve_memory(self.most_bytes.get() / 4 * 3)
+    }
+
+    /// The bytes of a connection to a host, none so far.
+    pub fn reserve_host_memory(self: &Rc<Self>) -> MemoryReservation {
+        self.reserve_memory(self.most_bytes.get())
+    }
+
+    fn reserve_memory(self: &Rc<Self>, most: usize) -> MemoryReservation {
+        MemoryReservation { budget: self.clone(), bytes: 0, most, reserve: Cell::new(false) }
     }
 }
 
 /// One open connection.
-pub struct Slot {
+pub struct DescriptorSlot {
     budget: Rc<Budget>,
     client: bool,
 }
 
-impl Drop for Slot {
+impl Drop for DescriptorSlot {
     fn drop(&mut self) {
         let budget = &self.budget;
         budget.open.set(budget.open.get() - 1);
@@ -142,19 +150,19 @@
 }
 
 /// One client that can be closed.
-pub struct Idle {
+pub struct IdleGuard {
     budget: Rc<Budget>,
     place: Place,
 }
 
-impl Drop for Idle {
+impl Drop for IdleGuard {
     fn drop(&mut self) {
         self.budget.idle.borrow_mut().remove(&self.place);
     }
 }
 
 /// The bytes that one connection holds.
-pub struct Hold {
+pub struct MemoryReservation {
     budget: Rc<Budget>,
     bytes: usize,
     most: usize,
@@ -162,9 +170,9 @@
     reserve: Cell<bool>,
 }
 
-impl Hold {
+impl MemoryReservation {
     /// So many they are now. False if that is too much beside what all others hold.
-    pub fn set(&mut self, bytes: usize) -> bool {
+    pub fn resize(&mut self, bytes: usize) -> bool {
         let all = &self.budget.bytes;
         all.set(all.get() - self.bytes + bytes);
         let before = std::mem::replace(&mut self.bytes, bytes);
@@ -176,7 +184,7 @@
 
     /// Takes the reserve of one message, if no other connection has it. Without it, messages that have begun could
     /// hold all memory, and none of them ever become whole.
-    pub fn take_reserve(&self) -> bool {
+    pub fn acquire_reserve(&self) -> bool {
         if !self.budget.reserved.replace(true) {
             self.reserve.set(true);
         }
@@ -184,7 +192,7 @@
     }
 
     /// Gives the reserve back, if it has it.
-    pub fn give_reserve(&self) {
+    pub fn release_reserve(&self) {
         if self.reserve.take() {
             self.budget.reserved.set(false);
             self.budget.freed.notify_waiters();
@@ -192,23 +200,23 @@
     }
 
     /// Bytes that this connection may hold beyond what it holds.
-    pub fn free(&self) -> usize {
+    pub fn available(&self) -> usize {
         if self.reserve.get() {
-            return pg::MOST;
+            return pg::MAX_MESSAGE_BYTES;
         }
         let shared = self.most.saturating_sub(self.budget.bytes.get());
         shared.max(USUAL.saturating_sub(self.bytes))
     }
 
     /// Ends when a connection holds fewer bytes than when this was called, or gives the reserve back.
-    pub fn freed(&self) -> Notified<'_> {
+    pub fn released(&self) -> Notified<'_> {
         self.budget.freed.notified()
     }
 }
 
-impl Drop for Hold {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.set(0);
-        self.give_reserve();
+        self.resize(0);
+        self.release_reserve();
     }
 }
--- a/src/net/cancel.rs
+++ b/src/net/cancel.rs
@@ -31,11 +31,11 @@
     }
 
     /// A key for the client of this number, which holds for as long as the value lives.
-    pub fn register(self: &Rc<Self>, process: u32) -> Registered {
+    pub fn register(self: &Rc<Self>, process: u32) -> RegisteredKey {
         let key = CancelKey { process, secret: self.secrets.borrow_mut().next_u32() };
         let cancelled = Rc::new(Notify::new());
         self.open.borrow_mut().insert(process, (key.secret, cancelled.clone()));
-        Registered { keys: self.clone(), key, cancelled }
+        RegisteredKey { keys: self.clone(), key, cancelled }
     }
 
     /// Ends the open query of the client with this key. Any other key does nothing.
@@ -48,14 +48,14 @@
 }
 
 /// One client's key.
-pub struct Registered {
+pub struct RegisteredKey {
     keys: Rc<CancelKeys>,
     /// The key.
     pub key: CancelKey,
     cancelled: Rc<Notify>,
 }
 
-impl Registered {
+impl RegisteredKey {
     /// Waits until the query that is open now is cancelled. A cancel that comes after this call is not missed, whenever
     /// the future is polled.
     pub fn cancelled(&self) -> impl Future<Output = ()> + '_ {
@@ -63,7 +63,7 @@
     }
 }
 
-impl Drop for Registered {
+impl Drop for RegisteredKey {
     fn drop(&mut self) {
         self.keys.open.borrow_mut().remove(&self.key.process);
     }
--- a/src/net/client_acceptor.rs
+++ b/src/net/client_acceptor.rs
@@ -1,7 +1,7 @@
 //! The accepting of clients, and the session that each of them gets.
 
 use crate::net::accept_loop::{AcceptLoop, ClientHandler};
-use crate::net::budget::Slot;
+use crate::net::budget::DescriptorSlot;
 use crate::net::client_reader::ClientReader;
 use crate::net::client_session::ClientSession;
 use crate::net::front::Front;
@@ -17,13 +17,13 @@
     /// comes next, whose they are.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, shared: bool) {
         // Whoever waits to be accepted is held too, up to the moment at which the listener is closed.
-        let _accepting = self.open.enter();
-        let accept_loop = AcceptLoop { clock: self.clock, state: self.door.clone(), shared };
+        let _accepting = self.open_sessions.enter();
+        let accept_loop = AcceptLoop { clock: self.clock, state: self.serving_state.clone(), shared };
         accept_loop.run(&listener, &Handler { front: self.clone(), accepted: Cell::new(0) }).await;
     }
 
-    async fn serve(self: Rc<Self>, mut stream: TcpStream, number: u32, _slot: Slot) {
-        let _open = self.open.enter();
+    async fn serve(self: Rc<Self>, mut stream: TcpStream, number: u32, _slot: DescriptorSlot) {
+        let _open = self.open_sessions.enter();
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.split();
         let mut session = ClientSession {
@@ -31,7 +31,7 @@
             reader: ClientReader::new(reader, &self),
             writer,
             shed: Rc::new(Notify::new()),
-            door: self.door.clone(),
+            serving_state: self.serving_state.clone(),
             close_from: 0,
             cancel_key: self.cancel_keys.register(number),
             session_tokens: SessionTokens::default(),
@@ -54,13 +54,13 @@
         let (front, number) = (&self.front, self.accepted.get().wrapping_add(1));
         self.accepted.set(number);
         front.counters.clients.add();
-        front.hosts.make_room();
+        front.hosts.ensure_descriptor();
         // Counted here: of many that come at once, each must see those before it.
-        let slot = front.budget.take_client();
+        let slot = front.budget.acquire_client_slot();
         tokio::task::spawn_local(front.clone().serve(stream, number, slot));
     }
 
     fn on_shortage(&self) {
-        self.front.hosts.make_room();
+        self.front.hosts.ensure_descriptor();
     }
 }
--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -1,6 +1,6 @@
 //! Reads one client's messages in order, a bounded number of them ahead of the one that is being answered.
 
-use crate::net::budget::Hold;
+use crate::net::budget::MemoryReservation;
 use crate::net::cancel::CancelKey;
 use crate::net::clock::Clock;
 use crate::net::counters::Counters;
@@ -29,7 +29,7 @@
     clock: Clock,
     read_buffer: Rc<ReadBuffer>,
     counters: Rc<Counters>,
-    hold: Hold,
+    memory: MemoryReservation,
     pub(super) framer: Framer,
     /// Bounded by [`petrelgauge_lifecycle::read_ahead::MAX_QUEUED`].
     queue: VecDeque<(Message, Time)>,
@@ -66,7 +66,7 @@
             clock: front.clock,
             read_buffer: front.read_buffer.clone(),
             counters: front.counters.clone(),
-            hold: front.budget.hold(true),
+            memory: front.budget.reserve_client_memory(),
             framer: Framer::default(),
             queue: VecDeque::new(),
             ahead: ReadAhead::new(),
@@ -80,7 +80,7 @@
         match self.error {
             // Nothing is kept behind an error: it is read only to notice the client leave.
             Some(_) => read_buffer::SIZE,
-            None => self.ahead.allowance().min(self.hold.free()),
+            None => self.ahead.allowance().min(self.memory.available()),
         }
     }
 
@@ -106,12 +106,12 @@
     async fn wait_for_allowance(&mut self) -> Result<usize, End> {
         loop {
             // Made before the look, so that nothing that is freed in between is missed.
-            let freed = self.hold.freed();
+            let freed = self.memory.released();
             let allowance = self.allowance();
             if allowance > 0 {
                 return Ok(allowance);
             }
-            if self.ahead.is_starved() && self.hold.take_reserve() {
+            if self.ahead.is_starved() && self.memory.acquire_reserve() {
                 continue;
             }
             if !self.ahead.is_paused() {
@@ -160,7 +160,7 @@
         };
         if self.error.is_none() {
             self.ahead.on_read(self.clock.now(), read, asked);
-            self.hold.set(self.ahead.buffered_bytes());
+            self.memory.resize(self.ahead.buffered_bytes());
         }
         // A client that sends without a pause must not keep the others from being served.
         tokio::task::yield_now().await;
@@ -221,14 +221,14 @@
                 Err(malformed) => self.fail(malformed.into()),
             }
         }
-        self.hold.set(self.ahead.buffered_bytes());
+        self.memory.resize(self.ahead.buffered_bytes());
     }
 
     /// Something that can be taken up lies here: a whole message, or a reason to cut the client off. What was read in a
     /// wait that was cancelled is here and nowhere else.
     pub(super) fn holds(&mut self, stage: Stage) -> bool {
         if stage == Stage::Opening {
-            return self.error.is_some() || self.framer.holds_opening();
+            return self.error.is_some() || self.framer.has_opening();
         }
         self.cut();
         self.error.is_some() || !self.queue.is_empty()
@@ -237,7 +237,7 @@
     /// The next message. May be cancelled without loss.
     async fn next(&mut self) -> Result<Result<(Message, Time), ProtocolError>, End> {
         self.ahead.on_done();
-        self.hold.give_reserve();
+        self.memory.release_reserve();
         loop {
             self.cut();
             // What came whole before an error is answered first.
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -4,11 +4,11 @@
 use crate::net::attempt::{AnswerBody, HostAnswer};
 use crate::net::client_session::ClientSession;
 use crate::net::ending::End;
-use crate::net::front::{Claim, Front};
+use crate::net::front::{Front, ReservedRequestId};
 use crate::net::pg::{self, Answer, Severity};
 use crate::net::set_statement::{self, Setting};
 use crate::net::statement::Statement;
-use crate::net::streamed_row::Flow;
+use crate::net::streamed_row::StreamedRow;
 use crate::{Effect, Need, Time};
 use bytes::{Buf, Bytes};
 use petrelgauge_lifecycle::client::QueryOutcome;
@@ -25,13 +25,13 @@
         let (mut out, mut used) = (Vec::new(), QueryOutcome::AnsweredLocally);
         let unusable_for = if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') {
             // So the front learns whether to send clients here.
-            if self.door.borrow().reports_ready() {
+            if self.serving_state.borrow().reports_ready() {
                 pg::put_empty(&mut out);
             } else {
                 pg::put_error(&mut out, Severity::Error, "57P03", "this gateway is being drained", None);
             }
             None
-        } else if let Some(setting) = set_statement::read(&text) {
+        } else if let Some(setting) = set_statement::parse(&text) {
             self.set(setting).map(|tag| pg::put_complete(&mut out, tag)).err()
         } else {
             match self.read_statement(&text, at) {
@@ -54,12 +54,12 @@
     /// Carries out what may be set here: the session's tokens. All other settings have no effect.
     fn set(&mut self, setting: Setting) -> Result<&'static str, Unusable> {
         match &setting {
-            Setting::Mark(text) if self.front.facade.tracks_sessions() => {
+            Setting::SetTokens(text) if self.front.facade.tracks_sessions() => {
                 let set = self.front.facade.set_tokens(&mut self.session_tokens, text);
                 set.map_err(|cause| ("22023", cause.to_string()))?;
             }
-            Setting::NoMark | Setting::Discard => self.session_tokens.clear(),
-            Setting::Mark(_) | Setting::Other | Setting::Reset => {}
+            Setting::ResetTokens | Setting::Discard => self.session_tokens.clear(),
+            Setting::SetTokens(_) | Setting::Other | Setting::Reset => {}
         }
         Ok(setting.tag())
     }
@@ -77,21 +77,24 @@
             return Ok(None);
         }
         let name = statement.session.as_ref().unwrap_or(&statement.name);
-        let brought =
-            statement.mark.iter().flat_map(|text| text.split('+')).filter(|token| !token.is_empty());
+        let brought = statement
+            .session_tokens
+            .iter()
+            .flat_map(|text| text.split('+'))
+            .filter(|token| !token.is_empty());
         let tokens: Vec<&str> = brought.chain(self.session_tokens.for_group(statement.cluster)).collect();
         facade.session_ref(at, statement.cluster, name, &tokens).map_err(|cause| ("22023", cause.to_string()))
     }
 
     fn read_statement(&self, text: &Bytes, at: Time) -> Result<Taken, Unusable> {
         let statement = Statement::parse(text).map_err(|cause| ("42601", cause.to_string()))?;
-        let named = self.front.facade.find_class(at, &statement.class, statement.keyed);
+        let named = self.front.facade.find_class(at, &statement.class, statement.has_idempotency_key);
         let unusable = |code: &'static str, cause: &str| Err((code, cause.to_string()));
         let Some((place, class)) = named else { return unusable("22023", "no such class") };
         if statement.write != (class.need == Need::Write) {
             return unusable("42601", "the statement does not fit its class");
         }
-        if matches!(class.effect, Effect::Keyed { .. }) && !statement.keyed {
+        if matches!(class.effect, Effect::Keyed { .. }) && !statement.has_idempotency_key {
             return unusable("22023", "its class asks for a key, and the comment names no k");
         }
         // Two tries' time would be generous; no client of the class waits longer than its deadline.
@@ -103,7 +106,7 @@
             return unusable("22023", "no such cluster");
         }
         let session = self.session_of(place, &statement, at)?;
-        let Some(claim) = self.front.claim(&statement.id) else {
+        let Some(claim) = self.front.reserve_request_id(&statement.id) else {
             return unusable("22023", "another open request has this id");
         };
         let reads_session = class.need == Need::Session;
@@ -134,20 +137,20 @@
             until - self.front.clock.now(),
         );
         match given {
-            RequestEnd::Answered(HostAnswer { answer: AnswerBody::Flow(flow), _hold }) => {
+            RequestEnd::Answered(HostAnswer { answer: AnswerBody::Streamed(flow), _hold }) => {
                 counters.served.add();
                 return self.pass_on(*flow, &taken).await;
             }
-            RequestEnd::Answered(HostAnswer { answer: AnswerBody::Whole(Answer::Row(row)), _hold }) => {
+            RequestEnd::Answered(HostAnswer { answer: AnswerBody::Complete(Answer::Row(row)), _hold }) => {
                 counters.served.add();
-                self.front.put_mark(&mut out, taken.session_key());
+                self.front.put_session_token(&mut out, taken.session_key());
                 pg::put_ready(&mut out);
                 let [first, second, third] =
                     [0, 1, 2].map(|place| row.get(place).cloned().unwrap_or_default());
                 let whole = first.chain(second).chain(third).chain(Bytes::from(out));
                 return self.write(whole, until).await;
             }
-            RequestEnd::Answered(HostAnswer { answer: AnswerBody::Whole(Answer::Error(code)), _hold }) => {
+            RequestEnd::Answered(HostAnswer { answer: AnswerBody::Complete(Answer::Error(code)), _hold }) => {
                 counters.bad_statements.add();
                 pg::put_error(
                     &mut out,
@@ -168,14 +171,14 @@
                 let text = "canceling statement due to user request";
                 pg::put_error(&mut out, Severity::Error, "57014", text, None);
                 // As with a failure: it may have written.
-                self.front.put_mark(&mut out, taken.session_key());
+                self.front.put_session_token(&mut out, taken.session_key());
             }
             RequestEnd::Failed => {
                 counters.failed.add();
                 let text = "no answer in time; it may have had an effect";
                 pg::put_error(&mut out, Severity::Error, "40003", text, None);
                 // It may have written: what its session reads next must be as new as this moment.
-                self.front.put_mark(&mut out, taken.session_key());
+                self.front.put_session_token(&mut out, taken.session_key());
             }
         }
         pg::put_ready(&mut out);
@@ -183,7 +186,7 @@
     }
 
     /// Passes a long row on as it comes. Cut off in the middle, the connection ends, so that its client can tell.
-    async fn pass_on(&mut self, mut flow: Flow, taken: &Taken) -> Result<(), End> {
+    async fn pass_on(&mut self, mut flow: StreamedRow, taken: &Taken) -> Result<(), End> {
         let (mut out, front) = (Vec::new(), self.front.clone());
         let host = flow.host();
         let passed = async {
@@ -201,7 +204,7 @@
         }
         front.facade.record_late_report(now, host, said);
         out.extend_from_slice(&complete);
-        front.put_mark(&mut out, taken.session_key());
+        front.put_session_token(&mut out, taken.session_key());
         pg::put_ready(&mut out);
         self.write(&out[..], front.clock.now()).await
     }
@@ -269,7 +272,7 @@
 struct Taken {
     request: Request,
     statement: Rc<Statement>,
-    _claim: Claim,
+    _claim: ReservedRequestId,
 }
 
 impl Taken {
@@ -301,9 +304,14 @@
 /// may have more time than that.
 async fn stop_deadline(front: &Front) {
     // The deadline is known from the stop on, well before the serving state says so.
-    let stopped = front.door.clone().wait_for(|door| *door == ServingState::Stopped).await.is_ok();
+    let stopped = front
+        .serving_state
+        .clone()
+        .wait_for(|serving_state| *serving_state == ServingState::Stopped)
+        .await
+        .is_ok();
     match stopped {
-        true => front.clock.sleep_until(front.last.get()).await,
+        true => front.clock.sleep_until(front.final_answer_deadline.get()).await,
         false => std::future::pending().await,
     }
 }
--- a/src/net/client_session.rs
+++ b/src/net/client_session.rs
@@ -1,7 +1,7 @@
 //! One client's connection: PostgreSQL's simple queries in, one final answer out for each.
 
 use crate::net::budget::Idleness;
-use crate::net::cancel::Registered;
+use crate::net::cancel::RegisteredKey;
 use crate::net::client_reader::{ClientEvent, ClientReader, ProtocolError, UNFINISHED, UNKNOWN};
 use crate::net::ending::End;
 use crate::net::front::Front;
@@ -34,11 +34,11 @@
     pub(super) reader: ClientReader<'a>,
     pub(super) writer: WriteHalf<'a>,
     pub(super) shed: Rc<Notify>,
-    pub(super) door: watch::Receiver<ServingState>,
+    pub(super) serving_state: watch::Receiver<ServingState>,
     /// A wish to close it is put off to this time.
     pub(super) close_from: Time,
     /// What cancels its open query.
-    pub(super) cancel_key: Registered,
+    pub(super) cancel_key: RegisteredKey,
     /// Session tokens that it set.
     pub(super) session_tokens: SessionTokens,
 }
@@ -78,7 +78,7 @@
                 Action::CutOff { unfinished: true, .. } => return self.cut_off(UNFINISHED).await,
                 Action::CutOff { .. } => return self.cut_off(event.error.unwrap_or(UNKNOWN)).await,
                 Action::DeclineEncryption => out.push(b'N'),
-                Action::AcceptStartup => pg::put_welcome(&mut out, event.minor, self.cancel_key.key),
+                Action::AcceptStartup => pg::put_startup_answer(&mut out, event.minor, self.cancel_key.key),
                 Action::Ready => pg::put_ready(&mut out),
                 Action::Unsupported { ready } => {
                     put_unsupported(&mut out);
@@ -93,7 +93,8 @@
 
     /// Waits for what happens next. What the client sent goes before every reason to close.
     async fn hear(&mut self, life: &Client) -> ClientEvent {
-        let (front, shed, mut door) = (self.front.clone(), self.shed.clone(), self.door.clone());
+        let (front, shed, mut serving_state) =
+            (self.front.clone(), self.shed.clone(), self.serving_state.clone());
         let clock = front.clock;
         if let Stage::Pausing { until } = life.stage() {
             return tokio::select! {
@@ -106,17 +107,18 @@
         }
         let (why, since) = life.idleness();
         // The process may be killed soon: nothing more is read, and what was read is answered first.
-        let over = clock.now() >= front.last_reads.get().of(why);
+        let over = clock.now() >= front.final_read_deadlines.get().of(why);
         let done = !self.reader.holds(life.stage()) && !self.reader.is_behind();
-        if door.borrow().closes_idle_clients() && over && done {
+        if serving_state.borrow().closes_idle_clients() && over && done {
             return Event::Stop { unread: false }.into();
         }
-        let _idle = front.budget.idle(why, since, &shed);
+        let _idle = front.budget.register_idle(why, since, &shed);
         // A client that has just come is about to say something.
         let close_from = self.close_from.max(if why == Idleness::New { since + FIRST_WORD } else { since });
         let closed = async {
-            let wished = door.wait_for(|door| door.closes_idle_clients()).await.is_ok();
-            clock.sleep_until(close_from.min(front.last.get())).await;
+            let wished =
+                serving_state.wait_for(|serving_state| serving_state.closes_idle_clients()).await.is_ok();
+            clock.sleep_until(close_from.min(front.final_answer_deadline.get())).await;
             wished
         };
         tokio::select! {
@@ -131,7 +133,7 @@
                 Event::Shed { unread }.into()
             }
             _ = closed => {
-                let last = front.last.get().min(since + LAST_MESSAGE);
+                let last = front.final_answer_deadline.get().min(since + LAST_MESSAGE);
                 let begun = !self.reader.framer.is_empty() && clock.now() < last;
                 let unread = self.unread(life.stage()).await;
                 self.close_from = if begun { clock.now() + LOOK } else { self.close_from };
@@ -164,7 +166,7 @@
 
     /// The last answers of a stop were due.
     pub(super) fn late(&self) -> bool {
-        self.front.clock.now() >= self.front.last.get()
+        self.front.clock.now() >= self.front.final_answer_deadline.get()
     }
 
     /// Says why the connection ends, and ends it.
@@ -176,7 +178,7 @@
         self.write(&out[..], clock.now()).await?;
         // Closed with bytes unread, the connection would be reset and the client not see the reason.
         let _ = self.writer.shutdown().await;
-        let _idle = self.front.budget.idle(Idleness::CutOff, clock.now(), &self.shed);
+        let _idle = self.front.budget.register_idle(Idleness::CutOff, clock.now(), &self.shed);
         let by = clock.now() + LINGER;
         tokio::select! {
             () = self.reader.discard() => {}
@@ -192,8 +194,8 @@
     async fn wait_for_close(&mut self) {
         let _ = self.writer.shutdown().await;
         let now = self.front.clock.now();
-        let by = (now + LINGER).min(self.front.last.get());
-        let _idle = self.front.budget.idle(Idleness::CutOff, now, &self.shed);
+        let by = (now + LINGER).min(self.front.final_answer_deadline.get());
+        let _idle = self.front.budget.register_idle(Idleness::CutOff, now, &self.shed);
         tokio::select! {
             () = self.reader.closed() => {}
             () = self.shed.notified() => {}
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -36,7 +36,7 @@
 /// Between two closings of idle connections that are of no more use (microseconds).
 const IDLE_SWEEP_INTERVAL: Time = 500_000;
 /// Between two checks for clients that are too many (microseconds).
-const THIN_OUT_INTERVAL: Time = 50_000;
+const SHED_INTERVAL: Time = 50_000;
 /// What a query waits here before it is read, the decisions before they are stepped, and a refusal before its client has
 /// it (microseconds): the 99th percentile of one of the three with the processor shared. More is no better: a client that
 /// is refused sooner has more time left than it is told to stay away, and comes back with nothing of it left.
@@ -243,7 +243,7 @@
     let open = settings.max_open_requests;
     let (connect, idle) = (new.info.connect_span(), new.info.idle_span());
     facade.apply_settings(now, settings, &carrying).map_err(ControlError::SettingsRejected)?;
-    hosts.follow(connect, idle);
+    hosts.reconfigure(connect, idle);
     let unmoved = old.unmoved(&new);
     if !unmoved.is_empty() {
         log::warn!("configuration keys need a restart keys={}", unmoved.join(","));
@@ -358,8 +358,8 @@
     loop {
         let by = clock.now() + IDLE_SWEEP_INTERVAL;
         while clock.now() < by {
-            clock.sleep_until(clock.now() + THIN_OUT_INTERVAL).await;
-            hosts.thin_out();
+            clock.sleep_until(clock.now() + SHED_INTERVAL).await;
+            hosts.shed_excess_clients();
         }
         hosts.sweep();
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -6,7 +6,7 @@
 pub use crate::net::endpoint_list::List;
 use crate::net::endpoint_list::{Phase, Row};
 use crate::net::host_names::HostNames;
-use crate::net::hosts::{Hosts, Site};
+use crate::net::hosts::{Endpoint, Hosts};
 pub use crate::net::lines::Lines;
 use crate::net::lines::Text;
 use crate::net::source::{call, open, Answer, SourceError};
@@ -305,7 +305,10 @@
         );
         match row.host_port {
             Some(address) if row.phase != Phase::Removed => {
-                self.hosts.place(id, Site { address, started: row.started(), up: row.phase == Phase::Up });
+                self.hosts.set_endpoint(
+                    id,
+                    Endpoint { address, started: row.started(), up: row.phase == Phase::Up },
+                );
             }
             _ => self.hosts.remove(id),
         }
@@ -325,7 +328,7 @@
 
     /// A complete list has come: hosts that it does not name are removed.
     fn remove_unlisted(&mut self, listed: &BTreeSet<MemberId>, now: Time) {
-        self.hosts.keep_only(&|id| listed.contains(&id));
+        self.hosts.retain_listed(&|id| listed.contains(&id));
         for host in self.hosts_by_name.values_mut().filter(|host| !listed.contains(&host.id)) {
             host.removed_at.get_or_insert(now);
         }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -32,42 +32,45 @@
     /// What is read into.
     pub read_buffer: Rc<ReadBuffer>,
     /// What is to be done with clients.
-    pub door: watch::Receiver<ServingState>,
+    pub serving_state: watch::Receiver<ServingState>,
     /// Sessions that are open.
-    pub open: Gauge,
+    pub open_sessions: Gauge,
     /// What clients may cancel their open queries with.
     pub cancel_keys: Rc<CancelKeys>,
     /// What clients call their open requests.
-    pub ids: RefCell<BTreeSet<Rc<str>>>,
+    pub open_request_ids: RefCell<BTreeSet<Rc<str>>>,
     /// Clock time of the last answers before the process may be killed, once it is to stop.
-    pub last: Cell<Time>,
+    pub final_answer_deadline: Cell<Time>,
     /// Up to when clients are read then.
-    pub last_reads: Cell<ReadDeadlines>,
+    pub final_read_deadlines: Cell<ReadDeadlines>,
 }
 
 impl Front {
     /// Tells the session's token, where its client carries one.
-    pub(super) fn put_mark(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
+    pub(super) fn put_session_token(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
         if let Some(token) = session.and_then(|key| self.facade.token(self.clock.now(), key)) {
-            pg::put_status(out, set_statement::MARK, &token);
+            pg::put_parameter_status(out, set_statement::TOKEN_SETTING, &token);
         }
     }
 
     /// Marks a request as open. None if another with that name is.
-    pub(super) fn claim(self: &Rc<Self>, id: &str) -> Option<Claim> {
+    pub(super) fn reserve_request_id(self: &Rc<Self>, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
-        self.ids.borrow_mut().insert(id.clone()).then(|| Claim { front: self.clone(), id })
+        self.open_request_ids
+            .borrow_mut()
+            .insert(id.clone())
+            .then(|| ReservedRequestId { front: self.clone(), id })
     }
 }
 
 /// A request's name, its own for as long as it is open.
-pub(super) struct Claim {
+pub(super) struct ReservedRequestId {
     front: Rc<Front>,
     id: Rc<str>,
 }
 
-impl Drop for Claim {
+impl Drop for ReservedRequestId {
     fn drop(&mut self) {
-        self.front.ids.borrow_mut().remove(&self.id);
+        self.front.open_request_ids.borrow_mut().remove(&self.id);
     }
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -318,13 +318,13 @@
 
 impl Enforcer {
     fn in_use(&self) -> Reservation {
-        Reservation { open: self.facade.open_requests(), ..self.budget.held() }
+        Reservation { open: self.facade.open_requests(), ..self.budget.usage() }
     }
 
     fn enforce(&mut self) {
         let limit = self.handover.limit(self.clock.now(), self.limits.get());
         if limit != self.enforced.replace(limit).unwrap_or(self.limits.get()) {
-            self.budget.limit(limit.sockets, limit.memory);
+            self.budget.set_limits(limit.sockets, limit.memory);
             self.facade.set_max_open_requests(limit.open as u32);
         }
     }
--- a/src/net/host_connection.rs
+++ b/src/net/host_connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a database host: its messages, and what the kernel says of it.
 
-use crate::net::budget::Slot;
+use crate::net::budget::DescriptorSlot;
 use crate::net::pg::{self, Framer, Message};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::socket::{self, SocketError, Unread};
@@ -13,7 +13,7 @@
 /// Where a host listens and since when it runs. A connection to another address or an earlier run is of no
 /// more use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Site {
+pub struct Endpoint {
     /// Its address.
     pub address: SocketAddr,
     /// When it last started.
@@ -26,19 +26,19 @@
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) framer: Framer,
-    pub(super) site: Site,
+    pub(super) endpoint: Endpoint,
     /// The last answer, hashed, if no other can be alike to it but a copy.
     pub(super) last: Option<u64>,
     /// The last answer is so recent that a copy of it may come.
     pub(super) recent: bool,
-    pub(super) _slot: Slot,
+    pub(super) _slot: DescriptorSlot,
 }
 
 impl Connection {
     /// The next message, if it is there whole.
     pub(super) fn next(&mut self) -> Result<Option<Message>, Event> {
         match self.framer.kind() {
-            Some(kind) if !pg::FROM_HOST.contains(&kind) => Err(Event::Malformed),
+            Some(kind) if !pg::HOST_MESSAGE_TYPES.contains(&kind) => Err(Event::Malformed),
             Some(b'D') if self.framer.long_row().is_some() => Err(Event::Flows),
             _ => self.framer.message().map_err(|_| Event::Malformed),
         }
@@ -48,7 +48,7 @@
         IdleConnection { since, detects_copies: self.last.is_some() }
     }
 
-    /// Reads once, so many bytes at most. The framer bounds what is kept: no message is longer than `pg::MOST`.
+    /// Reads once, so many bytes at most. The framer bounds what is kept: no message is longer than `pg::MAX_MESSAGE_BYTES`.
     pub(super) async fn read(&mut self, room: &ReadBuffer, most: usize) -> Result<(), Event> {
         loop {
             self.stream.readable().await.map_err(|_| Event::Broke)?;
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -4,7 +4,7 @@
 use crate::net::clock::Clock;
 use crate::net::counters::{Counters, Gauge};
 use crate::net::host_connection::Connection;
-pub use crate::net::host_connection::Site;
+pub use crate::net::host_connection::Endpoint;
 use crate::net::pg::{self, Framer};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::socket::{self, SocketError};
@@ -27,7 +27,7 @@
 const CONNECT_ATTEMPTS: u32 = 3;
 
 struct Host {
-    site: Site,
+    endpoint: Endpoint,
     /// Idle connections with the time they were left, the latest last.
     idle: Vec<(Time, Connection)>,
     /// Connections in a row that did not come up.
@@ -43,7 +43,7 @@
     pub(super) read_buffer: Rc<ReadBuffer>,
     connect_timeout: Cell<ConnectTimeout>,
     idle_policy: Cell<IdlePolicy>,
-    pub(super) out: Gauge,
+    pub(super) open_attempts: Gauge,
 }
 
 impl Hosts {
@@ -65,22 +65,22 @@
             read_buffer,
             connect_timeout: Cell::new(ConnectTimeout::new(connect_span)),
             idle_policy: Cell::new(IdlePolicy::for_hosts(idle_span)),
-            out: Gauge::default(),
+            open_attempts: Gauge::default(),
         })
     }
 
     /// New settings: a connection must come up within `connect_span`; hosts close idle ones after `idle_span`.
-    pub fn follow(&self, connect_span: Time, idle_span: Time) {
+    pub fn reconfigure(&self, connect_span: Time, idle_span: Time) {
         self.connect_timeout.set(self.connect_timeout.get().with_limit(connect_span));
         self.idle_policy.set(IdlePolicy::for_hosts(idle_span));
     }
 
     /// Discovery told where a host is.
-    pub fn place(&self, id: MemberId, site: Site) {
+    pub fn set_endpoint(&self, id: MemberId, endpoint: Endpoint) {
         let mut hosts = self.hosts.borrow_mut();
-        let host = hosts.entry(id).or_insert_with(|| Host { site, idle: Vec::new(), missed: 0 });
-        if host.site != site {
-            (host.site, host.missed) = (site, 0);
+        let host = hosts.entry(id).or_insert_with(|| Host { endpoint, idle: Vec::new(), missed: 0 });
+        if host.endpoint != endpoint {
+            (host.endpoint, host.missed) = (endpoint, 0);
             host.idle.drain(..).for_each(|_| self.counters.ended(End::Retired));
         }
     }
@@ -92,19 +92,19 @@
     }
 
     /// Discovery no longer names any but these.
-    pub fn keep_only(&self, named: &dyn Fn(MemberId) -> bool) {
+    pub fn retain_listed(&self, named: &dyn Fn(MemberId) -> bool) {
         let ids: Vec<MemberId> = self.hosts.borrow().keys().copied().collect();
         ids.into_iter().filter(|id| !named(*id)).for_each(|id| self.remove(id));
     }
 
     /// Hosts that discovery names.
-    pub fn named(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.hosts.borrow().len()
     }
 
     /// Attempts that are out.
-    pub fn out(&self) -> usize {
-        self.out.get()
+    pub fn open_attempts(&self) -> usize {
+        self.open_attempts.get()
     }
 
     /// Closes idle connections that are too old or that their host has closed.
@@ -122,10 +122,10 @@
 
     /// Closes clients that can be spared while there are too many. Clients keep what they have once asked with,
     /// also the ones that never ask again, and with their share full of those nobody else gets through.
-    pub fn thin_out(&self) {
+    pub fn shed_excess_clients(&self) {
         let now = self.clock.now();
         let shed = |why, span| self.budget.shed_client(why, now - span);
-        for _ in 0..self.budget.crowd() {
+        for _ in 0..self.budget.excess_clients() {
             if !shed(Idleness::CutOff, QUIET)
                 && !shed(Idleness::New, QUIET)
                 && !shed(Idleness::Answered, QUIET)
@@ -138,10 +138,10 @@
 
     /// Closes a connection that can be spared if a further one would be too many, clients that say nothing
     /// first. False if nothing could be spared.
-    pub fn make_room(&self) -> bool {
+    pub fn ensure_descriptor(&self) -> bool {
         let (budget, now) = (&self.budget, self.clock.now());
         let shed = |why, span| budget.shed_client(why, now - span);
-        if !budget.spent() {
+        if !budget.is_exhausted() {
             return true;
         }
         let made = shed(Idleness::CutOff, 0)
@@ -167,7 +167,7 @@
     }
 
     /// A connection that rested and may carry a request.
-    pub(super) fn reuse(&self, id: MemberId) -> Option<Connection> {
+    pub(super) fn take_idle(&self, id: MemberId) -> Option<Connection> {
         let now = self.clock.now();
         let mut hosts = self.hosts.borrow_mut();
         let idle = &mut hosts.get_mut(&id)?.idle;
@@ -186,13 +186,13 @@
     }
 
     /// Whether a host is still where a connection to it leads, and takes new work.
-    pub(super) fn takes(&self, id: MemberId, site: Site) -> bool {
-        site.up && self.hosts.borrow().get(&id).is_some_and(|host| host.site == site)
+    pub(super) fn accepts(&self, id: MemberId, endpoint: Endpoint) -> bool {
+        endpoint.up && self.hosts.borrow().get(&id).is_some_and(|host| host.endpoint == endpoint)
     }
 
     pub(super) fn put_back(&self, id: MemberId, connection: Connection) {
         let mut hosts = self.hosts.borrow_mut();
-        let home = hosts.get_mut(&id).filter(|host| host.site == connection.site && host.site.up);
+        let home = hosts.get_mut(&id).filter(|host| host.endpoint == connection.endpoint && host.endpoint.up);
         match (self.idle_policy.get().may_keep(home.is_some()), home) {
             (Ok(()), Some(host)) => host.idle.push((self.clock.now(), connection)),
             (end, _) => self.counters.ended(end.err().unwrap_or(End::Retired)),
@@ -219,18 +219,25 @@
     }
 
     pub(super) async fn connect(&self, id: MemberId) -> Result<Connection, Event> {
-        let site = self.hosts.borrow().get(&id).map(|host| host.site).filter(|site| site.up);
-        let site = site.ok_or(Event::NotTried(End::NoAddress))?;
-        if !self.make_room() {
+        let endpoint = self.hosts.borrow().get(&id).map(|host| host.endpoint).filter(|endpoint| endpoint.up);
+        let endpoint = endpoint.ok_or(Event::NotTried(End::NoAddress))?;
+        if !self.ensure_descriptor() {
             return Err(Event::NotTried(End::NoDescriptor));
         }
-        let slot = self.budget.take();
+        let slot = self.budget.acquire_host_slot();
         self.counters.host_connects.add();
-        let connected = socket::through_shortages(CONNECT_ATTEMPTS, || socket::connect(site.address)).await;
+        let connected =
+            socket::through_shortages(CONNECT_ATTEMPTS, || socket::connect(endpoint.address)).await;
         let stream = connected.map_err(|error| after_failed_connect(&error))?;
         let _ = stream.set_nodelay(true);
-        let connection =
-            Connection { stream, framer: Framer::default(), site, last: None, recent: false, _slot: slot };
+        let connection = Connection {
+            stream,
+            framer: Framer::default(),
+            endpoint,
+            last: None,
+            recent: false,
+            _slot: slot,
+        };
         let mut startup = Vec::new();
         pg::put_startup(&mut startup);
         // It is up; that the host is gone again shows with the greeting.
--- a/src/net/ops.rs
+++ b/src/net/ops.rs
@@ -55,7 +55,7 @@
                     continue;
                 }
                 Err(_) => {
-                    command_listener.hosts.make_room();
+                    command_listener.hosts.ensure_descriptor();
                     let clock = command_listener.clock;
                     clock.sleep_until(clock.now() + ACCEPT_RETRY_PAUSE).await;
                     continue;
--- a/src/net/pg.rs
+++ b/src/net/pg.rs
@@ -5,15 +5,15 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Longest message taken from either side. A value has 64 KiB at most and twice that as hexadecimal digits.
-pub const MOST: usize = 160 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
 /// Length of a row's message beyond which it is passed on as it comes: a value of 64 KiB and what stands before it.
-pub const LONG: usize = 64 * 1024 + ROW_HEAD;
+pub const MAX_BUFFERED_ROW_BYTES: usize = 64 * 1024 + ROW_HEADER_BYTES;
 /// The longest row: a value of 4 MiB.
-pub const MOST_ROW: usize = 4 * 1024 * 1024 + ROW_HEAD;
+pub const MAX_ROW_BYTES: usize = 4 * 1024 * 1024 + ROW_HEADER_BYTES;
 /// Length, count of columns and length of the value, before the value itself.
-const ROW_HEAD: usize = 4 + 2 + 4;
+const ROW_HEADER_BYTES: usize = 4 + 2 + 4;
 /// A setting that a client is told of, beside what it asked for.
-pub fn put_status(out: &mut Vec<u8>, name: &str, value: &str) {
+pub fn put_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
     out.push(b'S');
     out.extend_from_slice(&(4 + name.len() as u32 + value.len() as u32 + 2).to_be_bytes());
     for text in [name, value] {
@@ -23,7 +23,7 @@
 }
 
 /// Longest startup message, as PostgreSQL has it.
-const MOST_STARTUP: usize = 10_000;
+const MAX_STARTUP_BYTES: usize = 10_000;
 
 /// The bytes of a peer make no sense; says why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -103,14 +103,14 @@
     }
 
     /// The opening message is there whole.
-    pub fn holds_opening(&self) -> bool {
+    pub fn has_opening(&self) -> bool {
         self.length_at(0).is_some_and(|length| self.buffer.len() >= length)
     }
 
     /// Takes the opening message, if it is there whole.
     pub fn opening(&mut self) -> Result<Option<Opening>, Malformed> {
         let Some(length) = self.length_at(0) else { return Ok(None) };
-        if !(8..=MOST_STARTUP).contains(&length) {
+        if !(8..=MAX_STARTUP_BYTES).contains(&length) {
             return Err(Malformed("invalid length of startup packet"));
         }
         if self.buffer.len() < length {
@@ -134,7 +134,7 @@
     /// Takes the next message, if it is there whole.
     pub fn message(&mut self) -> Result<Option<Message>, Malformed> {
         let Some(length) = self.length_at(1) else { return Ok(None) };
-        if !(4..=MOST).contains(&length) {
+        if !(4..=MAX_MESSAGE_BYTES).contains(&length) {
             return Err(Malformed("invalid message length"));
         }
         if self.buffer.len() < 1 + length {
@@ -150,14 +150,16 @@
 
     /// The next message begins a long row of one value: the bytes of all of it.
     pub fn long_row(&self) -> Option<usize> {
-        let length = self.length_at(1).filter(|length| (LONG + 1..=MOST_ROW).contains(length))?;
+        let length = self
+            .length_at(1)
+            .filter(|length| (MAX_BUFFERED_ROW_BYTES + 1..=MAX_ROW_BYTES).contains(length))?;
         let columns = self.buffer.get(5..7).filter(|columns| **columns == [0, 1]);
-        let fits = self.length_at(7).is_some_and(|value| value + ROW_HEAD == length);
+        let fits = self.length_at(7).is_some_and(|value| value + ROW_HEADER_BYTES == length);
         (self.buffer.first() == Some(&b'D') && columns.is_some() && fits).then_some(1 + length)
     }
 
     /// Takes what is there, so many bytes at most, whatever they mean.
-    pub fn take(&mut self, most: usize) -> Bytes {
+    pub fn take_raw(&mut self, most: usize) -> Bytes {
         let taken = self.buffer.split_to(most.min(self.buffer.len())).freeze();
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
@@ -201,7 +203,7 @@
 }
 
 /// The answer to a startup message: admitted, ready.
-pub fn put_welcome(out: &mut Vec<u8>, minor: u16, key: CancelKey) {
+pub fn put_startup_answer(out: &mut Vec<u8>, minor: u16, key: CancelKey) {
     if minor > 0 {
         put(out, b'v', |body| body.extend_from_slice(&[0; 8]));
     }
@@ -296,28 +298,28 @@
     /// The answer.
     pub answer: Answer,
     /// The ParameterStatus messages that came with it.
-    pub told: Vec<(String, String)>,
+    pub parameters: Vec<(String, String)>,
     /// The connection may carry another query.
     pub ready: bool,
 }
 
 /// Most ParameterStatus messages kept of one answer.
-const MOST_TOLD: usize = 16;
+const MAX_PARAMETERS: usize = 16;
 
 /// The types of messages that a host may send: what begins otherwise is noise, whatever its length says.
-pub const FROM_HOST: &[u8] = b"RSKvNTDCEZ";
+pub const HOST_MESSAGE_TYPES: &[u8] = b"RSKvNTDCEZ";
 
 /// Puts the messages of a host together to an answer.
 #[derive(Debug, Default)]
-pub struct Gather {
+pub struct AnswerAssembler {
     row: Vec<Bytes>,
     error: Option<String>,
-    told: Vec<(String, String)>,
+    parameters: Vec<(String, String)>,
 }
 
-impl Gather {
+impl AnswerAssembler {
     /// Takes a message; the reply is whole at ReadyForQuery.
-    pub fn take(&mut self, message: Message) -> Result<Option<Reply>, Malformed> {
+    pub fn push(&mut self, message: Message) -> Result<Option<Reply>, Malformed> {
         let body = message.body();
         match (message.kind(), self.row.len()) {
             (b'T', 0) if self.error.is_none() && describes_one(body) => self.row.push(message.raw),
@@ -328,8 +330,9 @@
                 self.error = Some(code.to_string());
             }
             (b'S', _) => {
-                if let (Some((name, value)), true) = (parameter(body), self.told.len() < MOST_TOLD) {
-                    self.told.push((name.to_string(), value.to_string()));
+                if let (Some((name, value)), true) = (parameter(body), self.parameters.len() < MAX_PARAMETERS)
+                {
+                    self.parameters.push((name.to_string(), value.to_string()));
                 }
             }
             (b'N', _) => {}
@@ -342,7 +345,7 @@
     }
 
     /// A long row follows, which is not kept. Gives what stood before it.
-    pub fn begun(&mut self) -> Bytes {
+    pub fn begin_streamed_row(&mut self) -> Bytes {
         let description = self.row.first().cloned().unwrap_or_default();
         self.row.push(Bytes::new());
         description
@@ -354,12 +357,12 @@
     }
 
     /// What the host has said of itself.
-    pub fn told(&self) -> &[(String, String)] {
-        &self.told
+    pub fn parameters(&self) -> &[(String, String)] {
+        &self.parameters
     }
 
     /// No more comes. A host may close after an error without saying that it is ready.
-    pub fn ended(&mut self) -> Option<Reply> {
+    pub fn finish(&mut self) -> Option<Reply> {
         self.error.as_ref()?;
         self.reply(false)
     }
@@ -370,7 +373,7 @@
             None if self.row.len() == 3 => Answer::Row(std::mem::take(&mut self.row)),
             None => return None,
         };
-        Some(Reply { answer, told: std::mem::take(&mut self.told), ready })
+        Some(Reply { answer, parameters: std::mem::take(&mut self.parameters), ready })
     }
 }
 
--- a/src/net/statement.rs
+++ b/src/net/statement.rs
@@ -21,13 +21,13 @@
     /// How long the client waits for the answer, in milliseconds.
     pub wait_ms: u64,
     /// It carries an idempotency key.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// The group.
     pub cluster: u64,
     /// Its session, where it is not the quoted key that names it.
     pub session: Option<String>,
     /// The session's tokens, parted by `+`.
-    pub mark: Option<String>,
+    pub session_tokens: Option<String>,
     /// Commit that a session read must see, in Unix milliseconds.
     pub after_ms: Option<u64>,
     /// Marked as a retry.
@@ -84,10 +84,10 @@
             id: id.filter(|id| !id.is_empty()).ok_or("the comment names no id")?.to_string(),
             class: class.ok_or("the comment names no c")?.to_string(),
             wait_ms,
-            keyed: key.is_some_and(|key| !key.is_empty()),
+            has_idempotency_key: key.is_some_and(|key| !key.is_empty()),
             cluster: cluster.ok_or("the comment names no cluster")?,
             session: session.filter(|name| !name.is_empty()).map(str::to_string),
-            mark: mark.map(str::to_string),
+            session_tokens: mark.map(str::to_string),
             after_ms: after,
             repeat: repeat == Some("1"),
             text: text.clone(),
--- a/src/net/streamed_row.rs
+++ b/src/net/streamed_row.rs
@@ -6,7 +6,7 @@
 use crate::net::host_connection::Connection;
 use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
-use crate::net::pg::{Answer, Gather};
+use crate::net::pg::{Answer, AnswerAssembler};
 use crate::net::read_buffer;
 use crate::net::socket;
 use crate::{MemberId, Time};
@@ -21,24 +21,29 @@
 const SILENCE: Time = 10_000_000;
 
 /// A row that has begun, and the connection that it comes on.
-pub struct Flow {
+pub struct StreamedRow {
     hosts: Rc<Hosts>,
     host: MemberId,
     connection: Connection,
-    gather: Gather,
+    assembler: AnswerAssembler,
     /// Bytes of the row's message that have not been passed on.
     left: usize,
 }
 
-impl Flow {
-    pub(super) fn new(hosts: Rc<Hosts>, host: MemberId, connection: Connection, gather: Gather) -> Flow {
+impl StreamedRow {
+    pub(super) fn new(
+        hosts: Rc<Hosts>,
+        host: MemberId,
+        connection: Connection,
+        assembler: AnswerAssembler,
+    ) -> StreamedRow {
         let left = connection.framer.long_row().unwrap_or_default();
-        Flow { hosts, host, connection, gather, left }
+        StreamedRow { hosts, host, connection, assembler, left }
     }
 
     /// What the host has said of itself so far.
-    pub(super) fn told(&self) -> &[(String, String)] {
-        self.gather.told()
+    pub(super) fn parameters(&self) -> &[(String, String)] {
+        self.assembler.parameters()
     }
 
     /// The host that it comes from.
@@ -48,13 +53,13 @@
 
     /// Passes the row on, up to its end.
     pub async fn pass(&mut self, writer: &mut WriteHalf<'_>) -> Result<(), End> {
-        let description = self.gather.begun();
+        let description = self.assembler.begin_streamed_row();
         self.write(writer, description).await?;
         while self.left > 0 {
             if self.connection.framer.is_empty() {
                 self.read(PIECE).await?;
             }
-            let piece = self.connection.framer.take(self.left);
+            let piece = self.connection.framer.take_raw(self.left);
             self.left -= piece.len();
             self.write(writer, piece).await?;
         }
@@ -73,15 +78,15 @@
                 }
                 Err(_) => return Err(End::HostMalformed),
             };
-            match self.gather.take(message) {
+            match self.assembler.push(message) {
                 Ok(Some(reply)) => break reply,
                 Ok(None) => {}
                 Err(_) => return Err(End::HostMalformed),
             }
         };
         let Answer::Row(mut row) = reply.answer else { return Err(End::HostMalformed) };
-        let said = outcome(End::Served, &reply.told, &self.hosts.counters);
-        let Flow { hosts, host, connection, .. } = self;
+        let said = outcome(End::Served, &reply.parameters, &self.hosts.counters);
+        let StreamedRow { hosts, host, connection, .. } = self;
         match (reply.ready, connection.framer.is_empty()) {
             (true, true) => hosts.put_back(host, connection),
             _ => hosts.counters.ended(End::HostSurplus),
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -146,12 +146,12 @@
             budget: self.budget.clone(),
             counters: self.counters.clone(),
             read_buffer: self.read_buffer.clone(),
-            door: serving_state,
-            open: Gauge::default(),
+            serving_state,
+            open_sessions: Gauge::default(),
             cancel_keys: CancelKeys::new(config.seed.rotate_left(16)),
-            ids: RefCell::default(),
-            last: Cell::new(Time::MAX),
-            last_reads: Cell::default(),
+            open_request_ids: RefCell::default(),
+            final_answer_deadline: Cell::new(Time::MAX),
+            final_read_deadlines: Cell::default(),
         }
     }
 
@@ -220,7 +220,7 @@
 ) {
     let clock = front.clock;
     let hosts_are_missing = || {
-        let incomplete = front.hosts.named() == 0 || !has_spoken.get();
+        let incomplete = front.hosts.listed_count() == 0 || !has_spoken.get();
         clock.now() < list_deadline && incomplete
     };
     while shared && hosts_are_missing() {
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use petrelgauge::net::discovery::List;
-use petrelgauge::net::pg::{self, Framer, Gather};
+use petrelgauge::net::pg::{self, AnswerAssembler, Framer};
 use petrelgauge::net::set_statement;
 use petrelgauge::net::statement::Statement;
 use petrelgauge::operator::Operator;
@@ -127,10 +127,10 @@
     let corpus = vec![row.concat(), error, message(b'R', &[0; 4])];
     let (mut replies, mut refused) = (0u32, 0u32);
     rounds(2, &corpus, |bytes| {
-        let (mut framer, mut gather) = (Framer::default(), Gather::default());
+        let (mut framer, mut assembler) = (Framer::default(), AnswerAssembler::default());
         framer.feed(bytes);
         while let Ok(Some(message)) = framer.message() {
-            match gather.take(message) {
+            match assembler.push(message) {
                 Ok(Some(_)) => replies += 1,
                 Ok(None) => {}
                 Err(_) => {
@@ -139,7 +139,7 @@
                 }
             }
         }
-        let _ = gather.ended();
+        let _ = assembler.finish();
     });
     assert!(replies > ROUNDS / 10 && refused > ROUNDS / 10, "{replies} and {refused}");
 }
@@ -156,7 +156,7 @@
     ]);
     let mut read = 0u32;
     rounds(3, &corpus, |bytes| {
-        let _ = set_statement::read(bytes);
+        let _ = set_statement::parse(bytes);
         let text = Bytes::copy_from_slice(bytes);
         if let Ok(statement) = Statement::parse(&text) {
             read += 1;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use bytes::Buf;
 use petrelgauge::net::discovery::Lines;
-use petrelgauge::net::pg::{self, Framer, Gather, Severity, MOST};
+use petrelgauge::net::pg::{self, AnswerAssembler, Framer, Severity, MAX_MESSAGE_BYTES};
 use petrelgauge::net::statement::Statement;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -49,7 +49,7 @@
                 Err(_) => return (found, true),
             }
         }
-        assert!(framer.len() <= MOST + piece.len(), "what waits stays bounded");
+        assert!(framer.len() <= MAX_MESSAGE_BYTES + piece.len(), "what waits stays bounded");
     }
     (found, false)
 }
@@ -79,13 +79,13 @@
 fn replies_are_put_together_whatever_the_cuts() {
     let parse = |pieces: &[&[u8]]| {
         let (messages, _) = frames(pieces, Framer::message);
-        let mut gather = Gather::default();
-        messages.into_iter().map(|message| gather.take(message)).collect::<Vec<_>>()
+        let mut assembler = AnswerAssembler::default();
+        messages.into_iter().map(|message| assembler.push(message)).collect::<Vec<_>>()
     };
     sturdy(&answers(), parse);
     let replies: Vec<_> = parse(&[&answers()]).into_iter().flatten().flatten().collect();
     assert_eq!(replies.len(), 2);
-    assert_eq!(replies[0].told, [("log_position".to_string(), "1767225600123".to_string())]);
+    assert_eq!(replies[0].parameters, [("log_position".to_string(), "1767225600123".to_string())]);
     assert_eq!(replies[1].answer, pg::Answer::Error("72000".into()));
 }
 
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_length_that_no_message_has_is_a_flaw_at_once() {
-    for length in [0u32, 3, MOST as u32 + 1, u32::MAX] {
+    for length in [0u32, 3, MAX_MESSAGE_BYTES as u32 + 1, u32::MAX] {
         let bytes = [&b"Q"[..], &length.to_be_bytes()].concat();
         assert!(frames(&[&bytes], Framer::message).1, "{length}");
         assert!(frames(&[&bytes[1..]], Framer::opening).1, "{length}");
@@ -196,8 +196,8 @@
             pg::put(&mut out, kind, |body| body.extend_from_slice(part));
         }
         let (messages, _) = frames(&[&out], Framer::message);
-        let mut gather = Gather::default();
-        messages.into_iter().map(|message| gather.take(message)).find(|taken| !matches!(taken, Ok(None)))
+        let mut assembler = AnswerAssembler::default();
+        messages.into_iter().map(|message| assembler.push(message)).find(|taken| !matches!(taken, Ok(None)))
     };
     let row = b"\0\x01\0\0\0\x02\x9f\x03";
     assert!(matches!(answer(COLUMN, row, b"SELECT 1\0", b"I"), Some(Ok(Some(_)))));
