--- a/crates/handover/tests/publication.rs
+++ b/crates/handover/tests/publication.rs
@@ -33,9 +33,9 @@
 #[test]
 fn a_refreshed_record_keeps_what_it_states_for_as_long_as_it_is_refreshed() {
     let mut publication = published();
-    for beat in 1..400 {
-        publication.failed(beat * HEARTBEAT_INTERVAL, true);
-        assert_eq!(publication.limit(beat * HEARTBEAT_INTERVAL, LIMITS, AVAILABLE), STATED);
+    for heartbeat in 1..400 {
+        publication.failed(heartbeat * HEARTBEAT_INTERVAL, true);
+        assert_eq!(publication.limit(heartbeat * HEARTBEAT_INTERVAL, LIMITS, AVAILABLE), STATED);
     }
 }
 
--- a/crates/handover/tests/records.rs
+++ b/crates/handover/tests/records.rs
@@ -77,7 +77,7 @@
 
 #[test]
 fn beliefs_are_restored_without_attempts_in_flight() {
-    let read = HandoverRecord::decode(&record().encode()).expect("whole");
+    let read = HandoverRecord::decode(&record().encode()).expect("complete");
     assert_eq!(format!("{:?}", read.learned_state), format!("{:?}", record().learned_state));
     assert_eq!((read.process, read.numbers.len()), (5, 2));
     let text = format!("{:?}", read.learned_state);
@@ -119,11 +119,11 @@
 
     #[test]
     fn a_cut_or_changed_record_is_rejected(cut in 0usize..4000, place in 0usize..4000, bit in 0u8..8) {
-        let whole = record().encode();
-        let short = &whole[..cut % whole.len()];
+        let complete = record().encode();
+        let short = &complete[..cut % complete.len()];
         prop_assert_eq!(HandoverRecord::decode(short).err(), Some(RecordError::Damaged));
-        let mut changed = whole.clone();
-        let place = place % whole.len();
+        let mut changed = complete.clone();
+        let place = place % complete.len();
         changed[place] ^= 1 << bit;
         prop_assert!(HandoverRecord::decode(&changed).is_err());
     }
@@ -132,7 +132,7 @@
 #[test]
 fn beliefs_of_other_settings_are_rejected_and_a_long_name_is_cut() {
     let record = HandoverRecord { settings: 7, ..record() };
-    let read = HandoverRecord::decode(&record.encode()).expect("whole");
+    let read = HandoverRecord::decode(&record.encode()).expect("complete");
     assert_eq!((read.check_settings(7), read.check_settings(8)), (Ok(()), Err(RecordError::OtherSettings)));
     let gateway = petrelgauge_handover::gateway_identity(&"ü".repeat(4000), "127.0.0.1:5433");
     assert!(gateway.len() <= 256 && gateway.starts_with("127.0.0.1:5433 ü"));
--- a/crates/handover/tests/retention.rs
+++ b/crates/handover/tests/retention.rs
@@ -21,9 +21,9 @@
 #[test]
 fn a_file_that_changes_is_kept_though_its_time_is_hours_off() {
     let mut tracker = RetentionTracker::default();
-    for beat in 0..1_000 {
-        let now = beat * HEARTBEAT_INTERVAL;
-        assert!(tracker.abandoned(now, &[file("a", beat, 3_600_000_000)]).is_empty());
+    for heartbeat in 0..1_000 {
+        let now = heartbeat * HEARTBEAT_INTERVAL;
+        assert!(tracker.abandoned(now, &[file("a", heartbeat, 3_600_000_000)]).is_empty());
     }
 }
 
--- a/crates/handover/tests/siblings.rs
+++ b/crates/handover/tests/siblings.rs
@@ -70,21 +70,21 @@
 fn a_sibling_whose_clock_differs_is_alive_while_its_record_changes() {
     for offset in [3_000_000, 60_000_000, HOUR, -3_000_000, -60_000_000, -HOUR] {
         let mut siblings = SiblingRegistry::default();
-        for beat in 0..40 {
-            let now = 2 * HOUR + beat * HEARTBEAT_INTERVAL;
+        for heartbeat in 0..40 {
+            let now = 2 * HOUR + heartbeat * HEARTBEAT_INTERVAL;
             read(&mut siblings, now, 1, now + offset, reserving(100, 40));
             assert_eq!(siblings.live_count(now), 1, "{offset} us apart");
         }
         let last = 2 * HOUR + 39 * HEARTBEAT_INTERVAL;
         // It writes no more, and is read as often as before.
-        for beat in 0..40 {
-            let now = last + beat * HEARTBEAT_INTERVAL;
+        for heartbeat in 0..40 {
+            let now = last + heartbeat * HEARTBEAT_INTERVAL;
             read(&mut siblings, now, 1, last + offset, reserving(100, 40));
             let alive = usize::from(now - last <= LIVENESS_TIMEOUT);
             assert_eq!(
                 siblings.live_count(now),
                 alive,
-                "{offset} us apart, {beat} heartbeats without a change"
+                "{offset} us apart, {heartbeat} heartbeats without a change"
             );
         }
     }
@@ -113,9 +113,9 @@
 fn an_unreadable_record_leaves_the_last_reservation_in_force_while_its_file_changes() {
     let mut siblings = SiblingRegistry::default();
     read(&mut siblings, 0, 1, 0, reserving(100, 40));
-    for beat in 1..40 {
-        let now = beat * HEARTBEAT_INTERVAL;
-        siblings.unreadable_record_seen(now, 1, beat as u64);
+    for heartbeat in 1..40 {
+        let now = heartbeat * HEARTBEAT_INTERVAL;
+        siblings.unreadable_record_seen(now, 1, heartbeat as u64);
         assert_eq!(siblings.available(now, WHOLE).sockets, 284);
     }
     let gone = 39 * HEARTBEAT_INTERVAL + LIVENESS_TIMEOUT + 1;
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -8,7 +8,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// A copy of the page and its figures, to be spoilt.
+/// A copy of the page and its figures, to be altered.
 struct Copy {
     page: PathBuf,
     figures: PathBuf,
@@ -47,17 +47,17 @@
 #[test]
 fn a_figure_that_was_changed_by_hand_is_found_and_written_anew() {
     let copy = copy("changed");
-    let whole = copy.text();
+    let original = copy.text();
     copy.spoil(
         &copy.page,
         "| gateway | bytes, in and out (B/s) | ",
         "| gateway | bytes, in and out (B/s) | 1",
     );
-    let spoilt = copy.text();
+    let altered = copy.text();
     assert!(matches!(page(&copy.page, &copy.figures, false), Err(CapacityError::Differs { .. })));
-    assert_eq!(copy.text(), spoilt, "a check writes nothing");
+    assert_eq!(copy.text(), altered, "a check writes nothing");
     page(&copy.page, &copy.figures, true).expect("it can be written");
-    assert_eq!(copy.text(), whole);
+    assert_eq!(copy.text(), original);
 }
 
 #[test]
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -50,7 +50,7 @@
     pub asked: usize,
     /// Writes that were turned away by a member that is no primary.
     pub misses: usize,
-    /// The member that the fleet was told of last, where one router tells all.
+    /// The primary that was announced last, where one router notifies all.
     pub announced_primary: Option<Option<MemberId>>,
 }
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stage for one router: three members of one group, and the words to play it.
+//! A test harness for one router: three members of one group, and the functions that drive it.
 #![allow(dead_code)]
 
 use petrelgauge_policy::*;
@@ -69,24 +69,24 @@
     Entry { member, group: G, zone: "a".into(), weight: 1.0, started, status, primary }
 }
 
-pub struct Stage {
+pub struct Harness {
     pub router: Router,
     pub now: Time,
     pub last: Vec<Action>,
     pub counts: std::collections::BTreeMap<RequestId, u32>,
 }
 
-impl Stage {
+impl Harness {
     /// Member 1 is listed as primary, 2 and 3 are replicas.
-    pub fn new(settings: Settings) -> Stage {
-        let mut stage = Stage::empty(settings);
+    pub fn new(settings: Settings) -> Harness {
+        let mut harness = Harness::empty(settings);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        stage.play(Event::List { complete: true, entries: list.into() });
-        stage
+        harness.play(Event::List { complete: true, entries: list.into() });
+        harness
     }
 
-    pub fn empty(settings: Settings) -> Stage {
-        Stage {
+    pub fn empty(settings: Settings) -> Harness {
+        Harness {
             router: Router::new(settings, 11).expect("sound settings"),
             now: START,
             last: Vec::new(),
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -29,7 +29,7 @@
     answers: bool,
 }
 
-/// An attempt whose outcome is not yet told.
+/// An attempt whose outcome is not yet known.
 struct InFlight {
     request: RequestId,
     attempt: u32,
@@ -305,9 +305,10 @@
         let member = self.checks.pop_first()?;
         let host = &self.hosts[&member];
         let role = if host.entry.primary { Role::Primary } else { Role::Replica };
-        let (ending, told) = if host.answers { (Ending::Served, true) } else { (Ending::TimedOut, false) };
-        let position = told.then_some(self.now - host.lag);
-        let report = Report { position, role: told.then_some(role), waiting: None, busy: Some(0.4) };
+        let (ending, answered) =
+            if host.answers { (Ending::Served, true) } else { (Ending::TimedOut, false) };
+        let position = answered.then_some(self.now - host.lag);
+        let report = Report { position, role: answered.then_some(role), waiting: None, busy: Some(0.4) };
         Some(Event::Probed { member, ending, report })
     }
 
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -34,10 +34,10 @@
     Event::GossipedPrimary { member: 1, at: START }
 }
 
-fn with_single_group(settings: Settings) -> Stage {
-    let mut stage = Stage::new(settings);
-    stage.play(only_member(MemberStatus::Up));
-    stage
+fn with_single_group(settings: Settings) -> Harness {
+    let mut harness = Harness::new(settings);
+    harness.play(only_member(MemberStatus::Up));
+    harness
 }
 
 fn sent(actions: &[Action], name: &str) -> bool {
@@ -48,83 +48,83 @@
     actions.iter().any(|action| matches!(action, Action::Probe { member } if *member == id))
 }
 
-fn is_known(stage: &Stage, id: MemberId) -> bool {
-    stage.router.group_of(id).is_some()
+fn is_known(harness: &Harness, id: MemberId) -> bool {
+    harness.router.group_of(id).is_some()
 }
 
 /// Takes over from a router, as the next process of a gateway does.
-fn taken_over(stage: &Stage, settings: Settings) -> Stage {
-    let learned_state = stage.router.learned_state();
-    let mut next = Stage::empty(settings);
-    next.now = stage.now;
+fn taken_over(harness: &Harness, settings: Settings) -> Harness {
+    let learned_state = harness.router.learned_state();
+    let mut next = Harness::empty(settings);
+    next.now = harness.now;
     next.router.adopt_learned_state(learned_state);
     next
 }
 
 #[test]
 fn a_request_waits_for_its_members_pause_and_goes_out_with_an_unrelated_event() {
-    let mut stage = with_single_group(settings());
-    assert!(sent(&stage.play(request_to(SINGLE, "r")), "r"));
-    let again = stage.end("r", 0, ONLY_MEMBER, Ending::QueueFull);
+    let mut harness = with_single_group(settings());
+    assert!(sent(&harness.play(request_to(SINGLE, "r")), "r"));
+    let again = harness.end("r", 0, ONLY_MEMBER, Ending::QueueFull);
     assert!(!sent(&again, "r"), "its member has just rejected it");
-    stage.now += 60 * MS;
-    assert!(sent(&stage.play(unrelated()), "r"));
+    harness.now += 60 * MS;
+    assert!(sent(&harness.play(unrelated()), "r"));
 }
 
 #[test]
 fn a_request_goes_out_when_another_frees_its_member() {
-    let mut stage = with_single_group(settings());
+    let mut harness = with_single_group(settings());
     for n in 0..FIRST_LIMIT {
-        assert!(sent(&stage.play(request_to(SINGLE, &format!("r{n}"))), &format!("r{n}")));
+        assert!(sent(&harness.play(request_to(SINGLE, &format!("r{n}"))), &format!("r{n}")));
     }
-    assert_eq!(sends(&stage.play(request_to(SINGLE, "waits"))), 0, "its member is at its limit");
-    assert_eq!(sends(&stage.play(request("elsewhere", 2, 900 * MS, None))), 1, "another group is not");
-    assert!(sent(&stage.end("r0", 0, ONLY_MEMBER, Ending::Served), "waits"));
+    assert_eq!(sends(&harness.play(request_to(SINGLE, "waits"))), 0, "its member is at its limit");
+    assert_eq!(sends(&harness.play(request("elsewhere", 2, 900 * MS, None))), 1, "another group is not");
+    assert!(sent(&harness.end("r0", 0, ONLY_MEMBER, Ending::Served), "waits"));
 }
 
 #[test]
 fn a_request_goes_out_when_a_list_change_brings_its_group_a_member() {
-    let mut stage = Stage::new(settings());
-    assert_eq!(sends(&stage.play(request_to(EMPTY, "r"))), 0);
-    assert_eq!(sends(&stage.play(only_member(MemberStatus::Up))), 0, "that is another group's member");
+    let mut harness = Harness::new(settings());
+    assert_eq!(sends(&harness.play(request_to(EMPTY, "r"))), 0);
+    assert_eq!(sends(&harness.play(only_member(MemberStatus::Up))), 0, "that is another group's member");
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
     let list_change = Event::List { complete: false, entries: vec![entry].into() };
-    assert!(sent(&stage.play(list_change), "r"));
+    assert!(sent(&harness.play(list_change), "r"));
 }
 
 #[test]
 fn requests_go_out_when_their_group_gets_a_larger_quota() {
-    let mut stage = with_single_group(settings());
+    let mut harness = with_single_group(settings());
     let quota = |extra| Event::QuotaAdjusted {
         group: SINGLE,
         adjustment: QuotaAdjustment { extra, until: START + 10_000 * MS },
     };
-    stage.play(quota(-0.5));
+    harness.play(quota(-0.5));
     let first: usize =
-        (0..FIRST_LIMIT).map(|n| sends(&stage.play(request_to(SINGLE, &format!("r{n}"))))).sum();
+        (0..FIRST_LIMIT).map(|n| sends(&harness.play(request_to(SINGLE, &format!("r{n}"))))).sum();
     assert_eq!(first, FIRST_LIMIT / 2);
-    assert_eq!(sends(&stage.play(unrelated())), 0);
-    assert_eq!(sends(&stage.play(quota(0.5))), FIRST_LIMIT / 2);
+    assert_eq!(sends(&harness.play(unrelated())), 0);
+    assert_eq!(sends(&harness.play(quota(0.5))), FIRST_LIMIT / 2);
 }
 
 #[test]
 fn a_request_goes_out_when_new_settings_allow_its_member() {
-    let mut stage = with_single_group(settings());
-    stage.play(only_member(MemberStatus::Removed));
-    assert_eq!(sends(&stage.play(request_to(SINGLE, "r"))), 0);
-    stage.router.apply_settings(Settings { soft_removal: true, ..settings() }).expect("sound settings");
-    assert!(sent(&stage.play(unrelated()), "r"));
+    let mut harness = with_single_group(settings());
+    harness.play(only_member(MemberStatus::Removed));
+    assert_eq!(sends(&harness.play(request_to(SINGLE, "r"))), 0);
+    harness.router.apply_settings(Settings { soft_removal: true, ..settings() }).expect("sound settings");
+    assert!(sent(&harness.play(unrelated()), "r"));
 }
 
 #[test]
 fn several_groups_are_served_in_the_step_that_makes_it_possible() {
-    let mut stage = Stage::new(settings());
+    let mut harness = Harness::new(settings());
     for group in EMPTY..EMPTY + 5 {
-        assert_eq!(sends(&stage.play(request_to(group, &format!("r{group}")))), 0);
+        assert_eq!(sends(&harness.play(request_to(group, &format!("r{group}")))), 0);
     }
     let member = |group| Entry { group, ..entry(group as MemberId + 100, MemberStatus::Up, true, 0) };
     let entries: Vec<Entry> = (EMPTY..EMPTY + 5).map(member).collect();
-    let sent = stage.play(Event::List { complete: false, entries: entries.into() });
+    let sent = harness.play(Event::List { complete: false, entries: entries.into() });
     let names: Vec<&str> = sent
         .iter()
         .filter_map(|action| match action {
@@ -137,9 +137,9 @@
 
 #[test]
 fn a_router_that_took_over_serves_its_own_requests_and_none_of_the_others() {
-    let mut stage = with_single_group(settings());
-    assert_eq!(sends(&stage.play(request_to(EMPTY, "old"))), 0);
-    let mut next = taken_over(&stage, settings());
+    let mut harness = with_single_group(settings());
+    assert_eq!(sends(&harness.play(request_to(EMPTY, "old"))), 0);
+    let mut next = taken_over(&harness, settings());
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
     let list_change = Event::List { complete: false, entries: vec![entry].into() };
     assert_eq!(sends(&next.play(list_change)), 0, "the other process has that request");
@@ -148,61 +148,61 @@
 
 #[test]
 fn a_router_that_took_over_checks_members_that_were_in_doubt() {
-    let mut stage = with_single_group(settings());
-    stage.play(request_to(SINGLE, "r"));
+    let mut harness = with_single_group(settings());
+    harness.play(request_to(SINGLE, "r"));
     // Not answered for well over half of the longest latency target.
     let mut probes = false;
     for _ in 0..8 {
-        probes |= probed(&stage.wait(50 * MS), ONLY_MEMBER);
+        probes |= probed(&harness.wait(50 * MS), ONLY_MEMBER);
     }
     assert!(probes, "a silent member is checked");
-    let mut next = taken_over(&stage, settings());
+    let mut next = taken_over(&harness, settings());
     assert!(probed(&next.wait(200 * MS), ONLY_MEMBER), "and by the next process too");
 }
 
 #[test]
 fn a_member_that_is_down_is_checked_until_it_answers() {
-    let mut stage = with_single_group(settings());
+    let mut harness = with_single_group(settings());
     let result = |ending| Event::Probed { member: ONLY_MEMBER, ending, report: Report::default() };
-    stage.play(result(Ending::TimedOut));
+    harness.play(result(Ending::TimedOut));
     for _ in 0..3 {
-        assert!(probed(&stage.wait(400 * MS), ONLY_MEMBER));
-        stage.play(result(Ending::TimedOut));
+        assert!(probed(&harness.wait(400 * MS), ONLY_MEMBER));
+        harness.play(result(Ending::TimedOut));
     }
-    stage.wait(400 * MS);
-    stage.play(result(Ending::Served));
-    assert!(!probed(&stage.wait(400 * MS), ONLY_MEMBER), "it has answered");
+    harness.wait(400 * MS);
+    harness.play(result(Ending::Served));
+    assert!(!probed(&harness.wait(400 * MS), ONLY_MEMBER), "it has answered");
 }
 
 #[test]
 fn a_member_is_forgotten_a_minute_after_it_left_and_not_before() {
-    let mut stage = with_single_group(settings());
-    stage.wait(100_000 * MS);
-    stage.play(only_member(MemberStatus::Removed));
-    stage.wait(59_000 * MS);
-    assert!(is_known(&stage, ONLY_MEMBER), "an old list may name it again");
-    stage.wait(2_000 * MS);
-    assert!(!is_known(&stage, ONLY_MEMBER));
+    let mut harness = with_single_group(settings());
+    harness.wait(100_000 * MS);
+    harness.play(only_member(MemberStatus::Removed));
+    harness.wait(59_000 * MS);
+    assert!(is_known(&harness, ONLY_MEMBER), "an old list may name it again");
+    harness.wait(2_000 * MS);
+    assert!(!is_known(&harness, ONLY_MEMBER));
 }
 
 #[test]
 fn a_member_that_came_back_in_time_stays_known() {
-    let mut stage = with_single_group(settings());
-    stage.play(only_member(MemberStatus::Removed));
-    stage.wait(30_000 * MS);
-    stage.play(only_member(MemberStatus::Up));
-    stage.wait(100_000 * MS);
-    assert!(is_known(&stage, ONLY_MEMBER));
-    stage.play(only_member(MemberStatus::Removed));
-    stage.wait(59_000 * MS);
-    assert!(is_known(&stage, ONLY_MEMBER), "its minute starts anew");
+    let mut harness = with_single_group(settings());
+    harness.play(only_member(MemberStatus::Removed));
+    harness.wait(30_000 * MS);
+    harness.play(only_member(MemberStatus::Up));
+    harness.wait(100_000 * MS);
+    assert!(is_known(&harness, ONLY_MEMBER));
+    harness.play(only_member(MemberStatus::Removed));
+    harness.wait(59_000 * MS);
+    assert!(is_known(&harness, ONLY_MEMBER), "its minute starts anew");
 }
 
 #[test]
 fn a_takeover_keeps_what_is_left_of_a_members_minute() {
-    let mut stage = with_single_group(settings());
-    stage.wait(100_000 * MS);
-    let mut next = taken_over(&stage, settings());
+    let mut harness = with_single_group(settings());
+    harness.wait(100_000 * MS);
+    let mut next = taken_over(&harness, settings());
     next.play(only_member(MemberStatus::Removed));
     next.wait(59_000 * MS);
     assert!(is_known(&next, ONLY_MEMBER), "it was in service when the other process ended");
@@ -213,30 +213,30 @@
 
 #[test]
 fn a_forgotten_member_that_comes_back_in_another_group_leaves_the_first_one() {
-    let mut stage = with_single_group(settings());
-    stage.play(only_member(MemberStatus::Removed));
-    stage.wait(61_000 * MS);
-    assert!(!is_known(&stage, ONLY_MEMBER));
+    let mut harness = with_single_group(settings());
+    harness.play(only_member(MemberStatus::Removed));
+    harness.wait(61_000 * MS);
+    assert!(!is_known(&harness, ONLY_MEMBER));
     let moved = Entry { group: EMPTY, ..entry(ONLY_MEMBER, MemberStatus::Up, true, 0) };
-    stage.play(Event::List { complete: false, entries: vec![moved].into() });
-    stage.play(Event::GossipedPrimary { member: ONLY_MEMBER, at: stage.now });
-    assert_eq!(stage.router.primaries(), [(EMPTY, ONLY_MEMBER, stage.now)]);
+    harness.play(Event::List { complete: false, entries: vec![moved].into() });
+    harness.play(Event::GossipedPrimary { member: ONLY_MEMBER, at: harness.now });
+    assert_eq!(harness.router.primaries(), [(EMPTY, ONLY_MEMBER, harness.now)]);
 }
 
 /// Reads that a member which has just started gets, after 400 served reads elsewhere, among 40 members that left.
 fn sent_to_a_warming_member(soft_removal: bool) -> usize {
-    let mut stage = Stage::new(settings());
+    let mut harness = Harness::new(settings());
     let left = (100..140).map(|id| entry(id, MemberStatus::Removed, false, 0));
-    stage.play(Event::List { complete: false, entries: left.collect() });
+    harness.play(Event::List { complete: false, entries: left.collect() });
     for n in 0..400 {
-        let sent = stage.ask(&format!("r{n}"), 2, 900 * MS);
-        stage.serve_all(sent, 20 * MS);
+        let sent = harness.ask(&format!("r{n}"), 2, 900 * MS);
+        harness.serve_all(sent, 20 * MS);
     }
-    let started = Entry { group: SINGLE, ..entry(ONLY_MEMBER, MemberStatus::Up, true, stage.now) };
-    stage.play(Event::List { complete: false, entries: vec![started].into() });
-    stage.wait(100 * MS);
-    stage.router.apply_settings(Settings { soft_removal, ..settings() }).expect("sound settings");
-    stage.wait(1_000 * MS);
+    let started = Entry { group: SINGLE, ..entry(ONLY_MEMBER, MemberStatus::Up, true, harness.now) };
+    harness.play(Event::List { complete: false, entries: vec![started].into() });
+    harness.wait(100 * MS);
+    harness.router.apply_settings(Settings { soft_removal, ..settings() }).expect("sound settings");
+    harness.wait(1_000 * MS);
     let read = |n| Event::Request {
         request: format!("s{n}").into(),
         class: 2,
@@ -245,7 +245,7 @@
         is_retry: false,
         minimum_position: None,
     };
-    (0..FIRST_LIMIT).map(|n| sends(&stage.play(read(n)))).sum()
+    (0..FIRST_LIMIT).map(|n| sends(&harness.play(read(n)))).sum()
 }
 
 #[test]
@@ -260,11 +260,11 @@
 
 /// When a request that nothing is sent for has its final answer, after settings changed in between.
 fn ended_after(before: Settings, after: Settings) -> Time {
-    let mut stage = Stage::new(before);
-    stage.play(request_to(EMPTY, "r"));
-    stage.router.apply_settings(after).expect("sound settings");
-    let ends = |stage: &mut Stage| stage.wait(5 * MS).iter().any(|action| is_final(action, "r"));
-    let ticks = (1..400).find(|_| ends(&mut stage)).expect("every request has its final answer");
+    let mut harness = Harness::new(before);
+    harness.play(request_to(EMPTY, "r"));
+    harness.router.apply_settings(after).expect("sound settings");
+    let ends = |harness: &mut Harness| harness.wait(5 * MS).iter().any(|action| is_final(action, "r"));
+    let ticks = (1..400).find(|_| ends(&mut harness)).expect("every request has its final answer");
     ticks * 5 * MS
 }
 
@@ -280,7 +280,7 @@
 
 #[test]
 fn requests_whose_time_ends_together_are_ended_in_the_order_they_came() {
-    let mut stage = Stage::new(settings());
+    let mut harness = Harness::new(settings());
     for n in 0..4 {
         // Those that come later end a little earlier.
         let time_left = (900 - n) * MS;
@@ -293,9 +293,9 @@
             is_retry: false,
             minimum_position: None,
         };
-        stage.play(event);
+        harness.play(event);
     }
-    let actions = stage.wait(600 * MS);
+    let actions = harness.wait(600 * MS);
     let ended: Vec<&str> = actions
         .iter()
         .filter_map(|action| match action {
@@ -308,16 +308,16 @@
 
 #[test]
 fn ended_requests_leave_nothing_behind() {
-    let mut stage = Stage::new(settings());
+    let mut harness = Harness::new(settings());
     let mut size_after = |rounds: usize| {
         for n in 0..rounds {
-            let sent = stage.ask(&format!("{}-{n}", stage.now), n % 6, 900 * MS);
-            stage.serve_all(sent, 20 * MS);
-            stage.wait(5 * MS);
+            let sent = harness.ask(&format!("{}-{n}", harness.now), n % 6, 900 * MS);
+            harness.serve_all(sent, 20 * MS);
+            harness.wait(5 * MS);
         }
         // Also those that were not served.
-        stage.wait(2_000 * MS);
-        format!("{:?}", stage.router).len()
+        harness.wait(2_000 * MS);
+        format!("{:?}", harness.router).len()
     };
     let first = size_after(500);
     let second = size_after(2_000);
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -70,7 +70,7 @@
 // Day roll+mass: 7 to 37 of 100 requests were refused, while hosts answered within a tenth of a second, by gateways that
 // held them back from a primary for seconds after each answer.
 #[test]
-fn three_hundred_uneven_routers_are_not_held_back_from_a_calm_primary() {
+fn three_hundred_uneven_routers_are_not_held_back_from_a_primary_below_overload() {
     let share = uneven_writes_at_a_calm_primary(300);
     assert!(share > 0.97, "{share:.3} of the writes served");
 }
@@ -110,7 +110,7 @@
 // Day zone+vast: 51 gateways found out 33 dead hosts one by one and tried each again every 640 ms: nearly every read
 // was sent to one of them first.
 #[test]
-fn a_lost_zone_is_told_by_a_few_of_its_members() {
+fn a_lost_zone_is_detected_by_a_few_of_its_members() {
     let (lost, served) = reads_with_a_zone_lost(100);
     assert!(lost < 900, "{lost} attempts of a hundred routers lost in a silent zone within 7 s");
     assert!(served > 0.97, "{served:.3} of the reads served");
@@ -120,17 +120,17 @@
 // client came again.
 #[test]
 fn late_work_that_is_out_is_left_to_its_member() {
-    let mut stage = Stage::new(Settings { may_probe: false, ..settings() });
-    let late = sent_to(&stage.ask("late", 2, 900 * MS)).expect("sent");
+    let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
+    let late = sent_to(&harness.ask("late", 2, 900 * MS)).expect("sent");
     let mut seen = Vec::new();
     for n in 0..120 {
         // The others answer all along; its member says nothing and is found silent.
-        let asked = stage.ask(&format!("r{n}"), 2, 900 * MS);
+        let asked = harness.ask(&format!("r{n}"), 2, 900 * MS);
         if let Some(member) = sent_to(&asked).filter(|member| *member != late) {
-            stage.end(&format!("r{n}"), 0, member, Ending::Served);
+            harness.end(&format!("r{n}"), 0, member, Ending::Served);
         }
         seen.extend(asked);
-        seen.extend(stage.wait(5 * MS));
+        seen.extend(harness.wait(5 * MS));
     }
     let given_up = |action: &Action| match action {
         Action::Cancel { request, .. } | Action::Reject { request, .. } => &**request == "late",
@@ -138,7 +138,7 @@
     };
     // 600 ms after it was sent, with an aim of 300 ms, and a client that waits for 900 ms.
     assert!(!seen.iter().any(given_up), "it is still out");
-    let rest: Vec<Action> = (0..70).flat_map(|_| stage.wait(5 * MS)).collect();
+    let rest: Vec<Action> = (0..70).flat_map(|_| harness.wait(5 * MS)).collect();
     assert!(rest.iter().any(given_up), "and has its one answer before its client leaves");
 }
 
@@ -162,7 +162,7 @@
 // A zone's hosts all come back cold while every gateway has work waiting, and the gateways have just started too: none
 // has a rate of its own to reckon a member's share by. Together they must not push one over.
 #[test]
-fn routers_that_just_started_keep_the_cold_budget_at_a_hundred_and_at_three_hundred() {
+fn routers_that_just_started_keep_the_warm_up_budget_at_a_hundred_and_at_three_hundred() {
     for routers in [100, 300] {
         let entries: Vec<Entry> = (1..=6).map(|id| entry(id, MemberStatus::Up, id == 1, START)).collect();
         let mut fleet = Fleet::new(routers, &entries, (1..=6).map(|id| (id, id == 1, 5, 100 * MS)).collect());
@@ -188,7 +188,7 @@
 }
 
 // Six in ten members are replaced while requests keep coming: nothing new goes to one that drains, from the step on in
-// which its router is told.
+// which its router is notified.
 #[test]
 fn replaced_members_get_nothing_new_once_they_drain() {
     let entries: Vec<Entry> = (1..=10).map(|id| entry(id, MemberStatus::Up, id == 10, 0)).collect();
@@ -251,12 +251,18 @@
 
 // 150 writes at 300 routers made 1035 misses, 6.9 each: every attempt but one was spent on members that were no primary.
 #[test]
-fn a_scouts_word_spares_a_large_fleet_most_misses_and_costs_no_service() {
+fn an_announced_primary_spares_a_large_fleet_most_misses_and_costs_no_service() {
     for routers in [5, 50, 300] {
         let (alone, served_alone) = misses_for_a_lost_primary(routers, false);
-        let (told, served_told) = misses_for_a_lost_primary(routers, true);
-        println!("{routers}: {alone:.2} misses a write and {served_alone:.3} served, told {told:.2}, {served_told:.3}");
-        assert!(served_told >= served_alone - 0.02, "{routers}: {served_told:.3} of {served_alone:.3}");
-        assert!(told < alone * if routers < 50 { 1.0 } else { 0.5 }, "{routers}: {told:.2} of {alone:.2}");
+        let (announced, served_announced) = misses_for_a_lost_primary(routers, true);
+        println!("{routers}: {alone:.2} misses a write and {served_alone:.3} served, announced {announced:.2}, {served_announced:.3}");
+        assert!(
+            served_announced >= served_alone - 0.02,
+            "{routers}: {served_announced:.3} of {served_alone:.3}"
+        );
+        assert!(
+            announced < alone * if routers < 50 { 1.0 } else { 0.5 },
+            "{routers}: {announced:.2} of {alone:.2}"
+        );
     }
 }
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -146,7 +146,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(20), ..Default::default() })]
 
     // Under sound evidence the true offset lies between the estimate and the evidence's slack, and a position that was
-    // told is never thrown away once it is trusted.
+    // reported is never thrown away once it is trusted.
     #[test]
     fn sound_evidence_never_misleads(
         offset in any_offset(),
@@ -186,7 +186,7 @@
 
 /// A router whose clock is wrong by this much, and members that answer by the hosts' clock.
 struct Shifted {
-    stage: Stage,
+    harness: Harness,
     offset: Time,
     /// How far each member is behind.
     lags: [Time; 3],
@@ -202,49 +202,49 @@
             clock_may_be_wrong: true,
             ..settings()
         };
-        let mut stage = Stage::empty(set);
-        stage.now = NOON;
+        let mut harness = Harness::empty(set);
+        harness.now = NOON;
         let entry = |member: MemberId| {
             let started = started[member as usize - 1];
             let started = if started > 0 { NOON + offset - started } else { 0 };
             entry(member, MemberStatus::Up, member == 1, started)
         };
-        stage.play(Event::List { complete: true, entries: (1..=3).map(entry).collect::<Vec<_>>().into() });
-        Shifted { stage, offset, lags, next: 0 }
+        harness.play(Event::List { complete: true, entries: (1..=3).map(entry).collect::<Vec<_>>().into() });
+        Shifted { harness, offset, lags, next: 0 }
     }
 
     /// A request of this class: the member that answered it, some milliseconds after it was sent.
     fn ask(&mut self, class: usize) -> Option<MemberId> {
         self.next += 1;
         let name = format!("r{}", self.next);
-        let mut actions = self.stage.ask(&name, class, 1_500 * MS);
+        let mut actions = self.harness.ask(&name, class, 1_500 * MS);
         for _ in 0..8 {
             if let Some(member) = sent_to(&actions) {
                 self.answer(&name, class, member);
                 return Some(member);
             }
-            actions = self.stage.wait(5 * MS);
+            actions = self.harness.wait(5 * MS);
         }
-        self.stage.play(Event::Abandoned { request: name.as_str().into() });
+        self.harness.play(Event::Abandoned { request: name.as_str().into() });
         None
     }
 
     fn answer(&mut self, name: &str, class: usize, member: MemberId) {
-        let sent = self.stage.now;
+        let sent = self.harness.now;
         // No two answers in a row take the same time.
         let took = (6 + self.next as Time * 7 % 10) * MS;
-        self.stage.now += took;
-        let (now, lag) = (self.stage.now, self.lags[member as usize - 1]);
-        // Told 2 ms before it arrives.
+        self.harness.now += took;
+        let (now, lag) = (self.harness.now, self.lags[member as usize - 1]);
+        // Reported 2 ms before it arrives.
         let reported = now + self.offset - 2 * MS - lag;
-        let clock = self.stage.router.fleet_clock_mut();
+        let clock = self.harness.router.fleet_clock_mut();
         if class >= 4 {
             clock.record_commit(member, reported, sent, now, true);
         } else {
             clock.record_position(member, reported, now);
         }
         let position = clock.is_plausible(reported, now).then_some(reported);
-        self.stage.play(Event::Outcome {
+        self.harness.play(Event::Outcome {
             request: name.into(),
             attempt: 0,
             member,
@@ -263,10 +263,10 @@
         for _ in 0..count {
             self.next += 1;
             let name = format!("b{}", self.next);
-            let actions = self.stage.ask(&name, 2, 1_500 * MS);
+            let actions = self.harness.ask(&name, 2, 1_500 * MS);
             match sent_to(&actions) {
                 Some(member) => sent.push((name, member)),
-                None => drop(self.stage.play(Event::Abandoned { request: name.as_str().into() })),
+                None => drop(self.harness.play(Event::Abandoned { request: name.as_str().into() })),
             }
         }
         let to_started = sent.iter().filter(|(_, member)| *member == 3).count();
@@ -284,7 +284,7 @@
                 let member = self.ask(0);
                 member.into_iter().for_each(|member| went[member as usize - 1] += 1);
             }
-            self.stage.wait(10 * MS);
+            self.harness.wait(10 * MS);
         }
         went
     }
@@ -334,13 +334,13 @@
 }
 
 #[test]
-fn members_are_taken_for_cold_only_while_the_clock_is_in_doubt() {
+fn members_count_as_warming_up_only_while_the_clock_is_in_doubt() {
     let mut shifted = Shifted::new(-3_600 * S, [0, 20 * MS, 20 * MS], [0, S, S]);
     // Reads alone show that something is wrong, and a write by how much.
     (0..20).for_each(|_| {
         shifted.ask(2);
     });
-    assert!(shifted.stage.router.fleet_clock().is_doubtful());
+    assert!(shifted.harness.router.fleet_clock().is_doubtful());
     shifted.ask(5);
-    assert!(!shifted.stage.router.fleet_clock().is_doubtful());
+    assert!(!shifted.harness.router.fleet_clock().is_doubtful());
 }
--- a/crates/policy/tests/floors.rs
+++ b/crates/policy/tests/floors.rs
@@ -4,28 +4,28 @@
 use common::*;
 use petrelgauge_policy::*;
 
-/// A stage whose members answered with these lags, member 1 as the primary.
-fn taught(settings: Settings, lags: [Time; 3]) -> Stage {
-    let mut stage = Stage::new(settings);
+/// A harness whose members answered with these lags, member 1 as the primary.
+fn taught(settings: Settings, lags: [Time; 3]) -> Harness {
+    let mut harness = Harness::new(settings);
     for n in 0..120 {
         let name = format!("t{n}");
         // Every third is a write: the primary has work of its own.
         let class = if n % 3 == 0 { 5 } else { 2 };
-        if let Some(member) = sent_to(&stage.ask(&name, class, 900 * MS)) {
+        if let Some(member) = sent_to(&harness.ask(&name, class, 900 * MS)) {
             let role = if member == 1 { Role::Primary } else { Role::Replica };
-            stage.end_as(&name, 0, member, Ending::Served, Some(lags[member as usize - 1]), Some(role));
+            harness.end_as(&name, 0, member, Ending::Served, Some(lags[member as usize - 1]), Some(role));
         }
-        stage.wait(5 * MS);
+        harness.wait(5 * MS);
     }
-    stage
+    harness
 }
 
 /// The primary serves a write, and so has no time to lend.
-fn write(stage: &mut Stage, n: u32) {
+fn write(harness: &mut Harness, n: u32) {
     let name = format!("w{n}");
-    assert_eq!(sent_to(&stage.ask(&name, 5, 900 * MS)), Some(1));
-    stage.now += 20 * MS;
-    stage.end_as(&name, 0, 1, Ending::Served, Some(0), Some(Role::Primary));
+    assert_eq!(sent_to(&harness.ask(&name, 5, 900 * MS)), Some(1));
+    harness.now += 20 * MS;
+    harness.end_as(&name, 0, 1, Ending::Served, Some(0), Some(Role::Primary));
 }
 
 fn holding() -> Settings {
@@ -33,28 +33,28 @@
 }
 
 /// Where a read of any data with this minimum_position goes, and after what wait.
-fn placed(stage: &mut Stage, class: usize, minimum_position: Time) -> (Option<MemberId>, Time) {
-    let began = stage.now;
+fn placed(harness: &mut Harness, class: usize, minimum_position: Time) -> (Option<MemberId>, Time) {
+    let began = harness.now;
     let name = format!("f{began}");
-    let mut actions = stage.play(request(&name, class, 900 * MS, Some(minimum_position)));
+    let mut actions = harness.play(request(&name, class, 900 * MS, Some(minimum_position)));
     for _ in 0..30 {
         if let Some(member) = sent_to(&actions) {
-            stage.end_as(&name, 0, member, Ending::Served, None, None);
-            return (Some(member), stage.now - began);
+            harness.end_as(&name, 0, member, Ending::Served, None, None);
+            return (Some(member), harness.now - began);
         }
-        actions = stage.wait(5 * MS);
+        actions = harness.wait(5 * MS);
     }
-    (None, stage.now - began)
+    (None, harness.now - began)
 }
 
 #[test]
 fn a_read_waits_for_a_replica_that_is_about_to_pass_its_floor() {
-    let mut stage = taught(holding(), [0, 20 * MS, 20 * MS]);
+    let mut harness = taught(holding(), [0, 20 * MS, 20 * MS]);
     let placings: Vec<_> = (0..20)
         .map(|n| {
-            write(&mut stage, n);
-            let now = stage.now;
-            placed(&mut stage, 2, now)
+            write(&mut harness, n);
+            let now = harness.now;
+            placed(&mut harness, 2, now)
         })
         .collect();
     let at_replicas = placings.iter().filter(|(member, _)| *member != Some(1)).count();
@@ -64,47 +64,47 @@
 
 #[test]
 fn it_does_not_wait_for_replicas_that_are_too_far_behind_or_where_none_is_to_be_waited_for() {
-    let mut stage = taught(holding(), [0, 500 * MS, 500 * MS]);
-    let now = stage.now;
-    assert_eq!(placed(&mut stage, 2, now), (Some(1), 0), "no replica will do in time");
-    let mut stage = taught(settings(), [0, 20 * MS, 20 * MS]);
-    let now = stage.now;
-    assert_eq!(placed(&mut stage, 2, now), (Some(1), 0), "nobody is to wait");
+    let mut harness = taught(holding(), [0, 500 * MS, 500 * MS]);
+    let now = harness.now;
+    assert_eq!(placed(&mut harness, 2, now), (Some(1), 0), "no replica will do in time");
+    let mut harness = taught(settings(), [0, 20 * MS, 20 * MS]);
+    let now = harness.now;
+    assert_eq!(placed(&mut harness, 2, now), (Some(1), 0), "nobody is to wait");
 }
 
 #[test]
 fn a_floor_and_a_bound_hold_together() {
     // Class 0 is bounded by 200 ms: replicas 100 ms behind will do, but not for a write 50 ms ago.
-    let mut stage = taught(settings(), [0, 100 * MS, 100 * MS]);
-    let now = stage.now;
-    assert_eq!(placed(&mut stage, 0, now - 50 * MS).0, Some(1));
-    assert_ne!(placed(&mut stage, 0, now - 5_000 * MS).0, Some(1), "an old write changes nothing");
+    let mut harness = taught(settings(), [0, 100 * MS, 100 * MS]);
+    let now = harness.now;
+    assert_eq!(placed(&mut harness, 0, now - 50 * MS).0, Some(1));
+    assert_ne!(placed(&mut harness, 0, now - 5_000 * MS).0, Some(1), "an old write changes nothing");
     // And an old minimum_position does not loosen the bound.
-    let mut stage = taught(settings(), [0, 500 * MS, 500 * MS]);
-    let now = stage.now;
-    assert_eq!(placed(&mut stage, 0, now - 5_000 * MS).0, Some(1));
+    let mut harness = taught(settings(), [0, 500 * MS, 500 * MS]);
+    let now = harness.now;
+    assert_eq!(placed(&mut harness, 0, now - 5_000 * MS).0, Some(1));
 }
 
 #[test]
 fn the_primary_serves_a_floor_that_lies_ahead_of_this_clock() {
-    let mut stage = taught(settings(), [0, 20 * MS, 20 * MS]);
-    let now = stage.now;
-    assert_eq!(placed(&mut stage, 2, now + 50 * MS), (Some(1), 0));
+    let mut harness = taught(settings(), [0, 20 * MS, 20 * MS]);
+    let now = harness.now;
+    assert_eq!(placed(&mut harness, 2, now + 50 * MS), (Some(1), 0));
 }
 
 #[test]
 fn a_floor_that_falls_lets_a_waiting_read_go() {
-    let mut stage = taught(holding(), [0, 50 * MS, 50 * MS]);
-    let now = stage.now;
-    assert_eq!(sent_to(&stage.play(request("w", 2, 900 * MS, Some(now)))), None, "it waits for a replica");
-    let actions =
-        stage.play(Event::MinimumPositionLowered { request: "w".into(), minimum_position: now - 1_000 * MS });
+    let mut harness = taught(holding(), [0, 50 * MS, 50 * MS]);
+    let now = harness.now;
+    assert_eq!(sent_to(&harness.play(request("w", 2, 900 * MS, Some(now)))), None, "it waits for a replica");
+    let actions = harness
+        .play(Event::MinimumPositionLowered { request: "w".into(), minimum_position: now - 1_000 * MS });
     assert!(sent_to(&actions).is_some(), "any member will do now");
     // One that rises changes nothing, and one of a request that is gone neither.
-    let now = stage.now;
-    stage.play(request("x", 2, 900 * MS, Some(now)));
-    stage.play(Event::MinimumPositionLowered { request: "x".into(), minimum_position: now + 900 * MS });
-    stage.play(Event::MinimumPositionLowered { request: "gone".into(), minimum_position: 0 });
-    let went = (0..12).find_map(|_| sent_to(&stage.wait(5 * MS)));
+    let now = harness.now;
+    harness.play(request("x", 2, 900 * MS, Some(now)));
+    harness.play(Event::MinimumPositionLowered { request: "x".into(), minimum_position: now + 900 * MS });
+    harness.play(Event::MinimumPositionLowered { request: "gone".into(), minimum_position: 0 });
+    let went = (0..12).find_map(|_| sent_to(&harness.wait(5 * MS)));
     assert!(went.is_some(), "a minimum_position that rises is none of its affair");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -7,13 +7,13 @@
 #[test]
 fn every_request_ends_once_before_its_client_gives_up() {
     for class in 0..6 {
-        let mut stage = Stage::new(settings());
+        let mut harness = Harness::new(settings());
         let mut ends = 0;
         let left = 400 * MS;
-        let actions = stage.ask("r", class, left);
+        let actions = harness.ask("r", class, left);
         ends += (refused(&actions) || failed(&actions)) as u32;
         for step in 1..=100 {
-            let actions = stage.wait(5 * MS);
+            let actions = harness.wait(5 * MS);
             if refused(&actions) || failed(&actions) {
                 ends += 1;
                 assert!(step * 5 * MS < left + 20 * MS, "class {class} ended late");
@@ -25,18 +25,18 @@
 }
 
 #[test]
-fn a_later_try_is_ended_by_its_own_time_left() {
-    let mut stage = Stage::new(settings());
+fn a_later_attempt_is_ended_by_its_own_time_left() {
+    let mut harness = Harness::new(settings());
     for n in 0..20 {
         let name = format!("first{n}");
-        let actions = stage.ask(&name, 4, 1_000 * MS);
+        let actions = harness.ask(&name, 4, 1_000 * MS);
         if let Some(member) = sent_to(&actions) {
-            stage.end_as(&name, 0, member, Ending::Served, None, Some(Role::Primary));
+            harness.end_as(&name, 0, member, Ending::Served, None, Some(Role::Primary));
         }
     }
-    stage.ask("again", 4, 60 * MS);
+    harness.ask("again", 4, 60 * MS);
     let ended = (0..12).any(|_| {
-        let actions = stage.wait(5 * MS);
+        let actions = harness.wait(5 * MS);
         failed(&actions) || refused(&actions)
     });
     assert!(ended, "the short try outlived its client");
@@ -55,11 +55,11 @@
         (Ending::Rejected, true),
     ];
     for (ending, harmless) in cases {
-        let mut stage = Stage::new(settings());
-        let member = sent_to(&stage.ask("w", 4, 900 * MS)).expect("a write is sent to the listed primary");
-        let mut all = stage.end("w", 0, member, ending);
+        let mut harness = Harness::new(settings());
+        let member = sent_to(&harness.ask("w", 4, 900 * MS)).expect("a write is sent to the listed primary");
+        let mut all = harness.end("w", 0, member, ending);
         for _ in 0..200 {
-            all.extend(stage.wait(5 * MS));
+            all.extend(harness.wait(5 * MS));
         }
         if harmless {
             // Sent again and left without an answer it must end as failed, else as refused.
@@ -78,14 +78,14 @@
 
 #[test]
 fn a_keyed_write_goes_out_again_only_within_its_window() {
-    let mut stage = Stage::new(settings());
-    let member = sent_to(&stage.ask("k", 5, 900 * MS)).expect("sent");
-    stage.now += 100 * MS;
-    let again = stage.end("k", 0, member, Ending::Error);
+    let mut harness = Harness::new(settings());
+    let member = sent_to(&harness.ask("k", 5, 900 * MS)).expect("sent");
+    harness.now += 100 * MS;
+    let again = harness.end("k", 0, member, Ending::Error);
     let mut early = sends(&again);
     let mut late = 0;
     for step in 0..150 {
-        let actions = stage.wait(5 * MS);
+        let actions = harness.wait(5 * MS);
         match 100 * MS + (step + 1) * 5 * MS {
             at if at < 400 * MS => early += sends(&actions),
             _ => late += sends(&actions),
@@ -98,29 +98,29 @@
 
 #[test]
 fn no_two_attempts_overlap_where_copies_are_barred() {
-    let mut stage = Stage::new(settings());
-    assert_eq!(sends(&stage.ask("r", 2, 900 * MS)), 1);
+    let mut harness = Harness::new(settings());
+    assert_eq!(sends(&harness.ask("r", 2, 900 * MS)), 1);
     for _ in 0..50 {
-        assert_eq!(sends(&stage.wait(5 * MS)), 0);
+        assert_eq!(sends(&harness.wait(5 * MS)), 0);
     }
 }
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_member() {
     for status in [MemberStatus::Draining, MemberStatus::Removed] {
-        let mut stage = Stage::new(settings());
+        let mut harness = Harness::new(settings());
         let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
-        stage.play(Event::List { complete: false, entries: list.into() });
+        harness.play(Event::List { complete: false, entries: list.into() });
         for n in 0..50 {
-            let actions = stage.ask(&format!("r{n}"), 2, 900 * MS);
+            let actions = harness.ask(&format!("r{n}"), 2, 900 * MS);
             assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}");
         }
     }
     // A whole list that leaves a member out says the same.
-    let mut stage = Stage::new(settings());
-    stage.play(Event::List { complete: true, entries: [entry(1, MemberStatus::Up, true, 0)].into() });
+    let mut harness = Harness::new(settings());
+    harness.play(Event::List { complete: true, entries: [entry(1, MemberStatus::Up, true, 0)].into() });
     for n in 0..50 {
-        assert!(matches!(stage.ask(&format!("r{n}"), 2, 900 * MS).as_slice(), a if sent_to(a) != Some(2)));
+        assert!(matches!(harness.ask(&format!("r{n}"), 2, 900 * MS).as_slice(), a if sent_to(a) != Some(2)));
     }
 }
 
@@ -128,21 +128,21 @@
 fn where_only_a_drain_binds_a_member_called_gone_is_used_as_long_as_it_answers() {
     // Standard days with a wrong list: running members called gone, or all of them, got no work.
     for complete in [false, true] {
-        let mut stage = Stage::new(Settings { soft_removal: true, ..settings() });
+        let mut harness = Harness::new(Settings { soft_removal: true, ..settings() });
         let gone: Vec<Entry> = (1..=3).map(|m| entry(m, MemberStatus::Removed, m == 1, 0)).collect();
-        stage.play(Event::List { complete, entries: if complete { [].into() } else { gone.into() } });
+        harness.play(Event::List { complete, entries: if complete { [].into() } else { gone.into() } });
         for n in 0..20 {
             let name = format!("g{n}");
-            let member = sent_to(&stage.ask(&name, 2, 900 * MS)).expect("running members keep serving");
-            stage.end(&name, 0, member, Ending::Served);
-            stage.wait(20 * MS);
+            let member = sent_to(&harness.ask(&name, 2, 900 * MS)).expect("running members keep serving");
+            harness.end(&name, 0, member, Ending::Served);
+            harness.wait(20 * MS);
         }
         // One that is gone indeed shows by itself, and is left alone.
-        let member = sent_to(&stage.ask("lost", 2, 900 * MS)).expect("sent");
-        stage.end("lost", 0, member, Ending::ConnectFailed);
-        stage.play(Event::Probed { member, ending: Ending::ConnectFailed, report: Report::default() });
+        let member = sent_to(&harness.ask("lost", 2, 900 * MS)).expect("sent");
+        harness.end("lost", 0, member, Ending::ConnectFailed);
+        harness.play(Event::Probed { member, ending: Ending::ConnectFailed, report: Report::default() });
         for n in 0..20 {
-            assert_ne!(sent_to(&stage.ask(&format!("h{n}"), 2, 900 * MS)), Some(member));
+            assert_ne!(sent_to(&harness.ask(&format!("h{n}"), 2, 900 * MS)), Some(member));
         }
     }
 }
@@ -150,51 +150,51 @@
 #[test]
 fn a_listed_drain_binds_until_a_new_start_whatever_later_lists_say() {
     for soft_removal in [false, true] {
-        let mut stage = Stage::new(Settings { soft_removal, ..settings() });
+        let mut harness = Harness::new(Settings { soft_removal, ..settings() });
         let drain = [entry(2, MemberStatus::Draining, false, 0), entry(3, MemberStatus::Draining, false, 0)];
-        stage.play(Event::List { complete: false, entries: drain.into() });
+        harness.play(Event::List { complete: false, entries: drain.into() });
         for status in [MemberStatus::Removed, MemberStatus::Up] {
             let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
-            stage.play(Event::List { complete: false, entries: list.into() });
+            harness.play(Event::List { complete: false, entries: list.into() });
             for n in 0..20 {
-                let actions = stage.ask(&format!("{status:?}{n}"), 2, 900 * MS);
+                let actions = harness.ask(&format!("{status:?}{n}"), 2, 900 * MS);
                 assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}, soft {soft_removal}");
             }
         }
         // A new start lifts it; the old list that comes again does not undo the new start.
         let start = START - 60_000 * MS;
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        stage.play(Event::List { complete: false, entries: old.into() });
+        harness.play(Event::List { complete: false, entries: old.into() });
         let up = [entry(2, MemberStatus::Up, false, start)];
-        let mut actions = stage.play(Event::List { complete: false, entries: up.into() });
+        let mut actions = harness.play(Event::List { complete: false, entries: up.into() });
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        actions.extend(stage.play(Event::List { complete: false, entries: old.into() }));
-        stage.now += 2_000 * MS;
-        actions.extend((0..20).flat_map(|n| stage.ask(&format!("new{n}"), 2, 900 * MS)));
+        actions.extend(harness.play(Event::List { complete: false, entries: old.into() }));
+        harness.now += 2_000 * MS;
+        actions.extend((0..20).flat_map(|n| harness.ask(&format!("new{n}"), 2, 900 * MS)));
         let hit = actions.iter().any(|a| matches!(a, Action::Send { member: 2, .. }));
         assert!(hit, "a member that started anew takes work");
     }
 }
 
 #[test]
-fn a_cold_member_gets_no_burst_however_many_routers_there_are() {
+fn a_warming_member_gets_no_burst_however_many_routers_there_are() {
     // Routers that know nothing of each other, one cold member as the only one up. Recorded days if22470 and
     // i115826: "at least two from each" pushed members over when hundreds of routers did it.
     for (routers, span) in [(8, 1_500 * MS), (400, 1_500 * MS)] {
         let mut together = 0;
         for seed in 0..routers {
             let settings = Settings { routers, ..settings() };
-            let mut stage = Stage::empty(settings.clone());
-            stage.router = Router::new(settings, seed as u64).expect("sound");
+            let mut harness = Harness::empty(settings.clone());
+            harness.router = Router::new(settings, seed as u64).expect("sound");
             let cold = entry(1, MemberStatus::Up, true, START - 100 * MS);
-            stage.play(Event::List { complete: true, entries: [cold].into() });
+            harness.play(Event::List { complete: true, entries: [cold].into() });
             let step = 50 * MS;
             for n in 0..span / step {
                 let name = format!("r{n}");
-                let actions = stage.ask(&name, 2, 900 * MS);
-                together += stage.serve_all(actions, 20 * MS);
-                let later = stage.wait(step);
-                together += stage.serve_all(later, 20 * MS);
+                let actions = harness.ask(&name, 2, 900 * MS);
+                together += harness.serve_all(actions, 20 * MS);
+                let later = harness.wait(step);
+                together += harness.serve_all(later, 20 * MS);
             }
         }
         // The member's budget: 4 times 0.15 of what a slow one carries warm, some 30 a second, for 1.5 s.
@@ -205,22 +205,22 @@
 
 #[test]
 fn where_members_do_not_check_a_read_goes_only_to_data_known_to_be_fresh() {
-    let mut stage = Stage::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
+    let mut harness = Harness::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     for n in 0..40 {
-        let actions = stage.ask(&format!("r{n}"), 0, 900 * MS);
+        let actions = harness.ask(&format!("r{n}"), 0, 900 * MS);
         assert!(!matches!(sent_to(&actions), Some(2 | 3)), "nothing is known of the replicas yet");
     }
 }
 
 #[test]
 fn a_former_primary_that_said_so_gets_no_strong_read_and_no_write() {
-    let mut stage = Stage::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
-    let member = sent_to(&stage.ask("w", 4, 900 * MS)).expect("sent");
+    let mut harness = Harness::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
+    let member = sent_to(&harness.ask("w", 4, 900 * MS)).expect("sent");
     assert_eq!(member, 1);
-    stage.end_as("w", 0, 1, Ending::Rejected, Some(0), Some(Role::Replica));
-    stage.now += 200 * MS;
+    harness.end_as("w", 0, 1, Ending::Rejected, Some(0), Some(Role::Replica));
+    harness.now += 200 * MS;
     for n in 0..10 {
-        assert_ne!(sent_to(&stage.ask(&format!("s{n}"), 3, 900 * MS)), Some(1));
+        assert_ne!(sent_to(&harness.ask(&format!("s{n}"), 3, 900 * MS)), Some(1));
     }
 }
 
@@ -229,8 +229,8 @@
 fn a_deployment_of_writes_alone_is_served() {
     let set = settings();
     let writes: Vec<Class> = set.classes.iter().filter(|class| class.need == Need::Write).cloned().collect();
-    let mut stage = Stage::new(Settings { classes: writes, ..set });
-    assert_eq!(sent_to(&stage.ask("w", 1, 900 * MS)), Some(1));
+    let mut harness = Harness::new(Settings { classes: writes, ..set });
+    assert_eq!(sent_to(&harness.ask("w", 1, 900 * MS)), Some(1));
 }
 
 // With nothing out and no attempt left, or behind the window of its key, a request waited for its end and could not be sent.
@@ -239,10 +239,10 @@
     let mut once = settings();
     once.classes.iter_mut().for_each(|class| class.attempts = 1);
     for class in [0, 2, 4, 5] {
-        let mut stage = Stage::new(once.clone());
-        let member = sent_to(&stage.ask("r", class, 900 * MS)).expect("sent");
-        let mut all = stage.end("r", 0, member, Ending::Rejected);
-        (0..4).for_each(|_| all.extend(stage.wait(5 * MS)));
+        let mut harness = Harness::new(once.clone());
+        let member = sent_to(&harness.ask("r", class, 900 * MS)).expect("sent");
+        let mut all = harness.end("r", 0, member, Ending::Rejected);
+        (0..4).for_each(|_| all.extend(harness.wait(5 * MS)));
         assert_eq!(
             (refused(&all), sends(&all)),
             (true, 0),
@@ -251,16 +251,16 @@
     }
     let mut many = settings();
     many.classes[5].attempts = 1_000;
-    let mut stage = Stage::new(many);
-    let mut next = sent_to(&stage.ask("k", 5, 900 * MS));
+    let mut harness = Harness::new(many);
+    let mut next = sent_to(&harness.ask("k", 5, 900 * MS));
     let (mut attempts, mut ended) = (0, None);
     for step in 0..180 {
         let mut actions = Vec::new();
         if let Some(member) = next.take() {
-            actions = stage.end("k", attempts, member, Ending::Error);
+            actions = harness.end("k", attempts, member, Ending::Error);
             attempts += 1;
         }
-        actions.extend(stage.wait(5 * MS));
+        actions.extend(harness.wait(5 * MS));
         next = sent_to(&actions);
         assert!(!refused(&actions), "it may have run, and its scope is the group");
         ended = ended.or(failed(&actions).then_some(step * 5));
@@ -277,17 +277,17 @@
 #[test]
 fn what_is_known_of_a_members_data_grows_old_while_an_attempt_is_on_its_way() {
     // Class 0 is bounded by 200 ms.
-    let mut stage = Stage::new(unchecked());
-    let taught = sent_to(&stage.ask("t", 2, 900 * MS)).expect("sent");
-    stage.end_as("t", 0, taught, Ending::Served, Some(50 * MS), Some(Role::Replica));
-    stage.wait(5 * MS);
+    let mut harness = Harness::new(unchecked());
+    let taught = sent_to(&harness.ask("t", 2, 900 * MS)).expect("sent");
+    harness.end_as("t", 0, taught, Ending::Served, Some(50 * MS), Some(Role::Replica));
+    harness.wait(5 * MS);
     for n in 0..20 {
         let name: RequestId = format!("r{n}").as_str().into();
-        if sent_to(&stage.ask(&name, 0, 900 * MS)) == Some(taught) {
-            let at = stage.now;
-            assert!(stage.router.is_fresh(at + 140 * MS, &name, taught));
+        if sent_to(&harness.ask(&name, 0, 900 * MS)) == Some(taught) {
+            let at = harness.now;
+            assert!(harness.router.is_fresh(at + 140 * MS, &name, taught));
             assert!(
-                !stage.router.is_fresh(at + 150 * MS, &name, taught),
+                !harness.router.is_fresh(at + 150 * MS, &name, taught),
                 "known to be 50 ms old at the start"
             );
             return;
@@ -298,20 +298,20 @@
 
 #[test]
 fn a_member_that_says_that_it_does_not_lead_is_not_fresh_enough_for_the_newest_data() {
-    let mut stage = Stage::new(unchecked());
+    let mut harness = Harness::new(unchecked());
     let name: RequestId = "strong".into();
-    assert_eq!(sent_to(&stage.ask(&name, 3, 900 * MS)), Some(1));
-    assert!(stage.router.is_fresh(stage.now, &name, 1));
-    stage.ask("any", 2, 900 * MS);
-    stage.play(Event::Probed {
+    assert_eq!(sent_to(&harness.ask(&name, 3, 900 * MS)), Some(1));
+    assert!(harness.router.is_fresh(harness.now, &name, 1));
+    harness.ask("any", 2, 900 * MS);
+    harness.play(Event::Probed {
         member: 1,
         ending: Ending::Served,
-        report: Report { position: Some(stage.now), role: Some(Role::Replica), ..Report::default() },
+        report: Report { position: Some(harness.now), role: Some(Role::Replica), ..Report::default() },
     });
-    assert!(!stage.router.is_fresh(stage.now, &name, 1));
+    assert!(!harness.router.is_fresh(harness.now, &name, 1));
     // Of a request that is over nothing goes out.
-    stage.play(Event::Abandoned { request: name.clone() });
-    assert!(!stage.router.is_fresh(stage.now, &name, 1));
+    harness.play(Event::Abandoned { request: name.clone() });
+    assert!(!harness.router.is_fresh(harness.now, &name, 1));
 }
 
 // Variant dike-log: a request's only attempt was taken for the last of several, which the primary gets. All reads went there.
@@ -319,41 +319,41 @@
 fn where_a_request_has_one_attempt_reads_use_the_replicas_and_a_lost_primary_is_sought() {
     let mut once = settings();
     once.classes.iter_mut().for_each(|class| class.attempts = 1);
-    let mut stage = Stage::new(once.clone());
+    let mut harness = Harness::new(once.clone());
     let mut at = [0; 4];
     for n in 0..60 {
         let name = format!("r{n}");
-        if let Some(member) = sent_to(&stage.ask(&name, 2, 900 * MS)) {
+        if let Some(member) = sent_to(&harness.ask(&name, 2, 900 * MS)) {
             at[member as usize] += 1;
             let role = if member == 1 { Role::Primary } else { Role::Replica };
-            stage.end_as(&name, 0, member, Ending::Served, Some(0), Some(role));
+            harness.end_as(&name, 0, member, Ending::Served, Some(0), Some(role));
         }
-        stage.wait(20 * MS);
+        harness.wait(20 * MS);
     }
     assert!(at[2] + at[3] >= 20, "{at:?}");
     // Nobody is known to lead: a write finds out.
-    let mut stage = Stage::empty(Settings { list_role: ListRole::Absent, ..once });
+    let mut harness = Harness::empty(Settings { list_role: ListRole::Absent, ..once });
     let list = (1..=3).map(|m| entry(m, MemberStatus::Up, false, 0)).collect::<Vec<_>>();
-    stage.play(Event::List { complete: true, entries: list.into() });
-    assert!(sent_to(&stage.ask("w", 5, 900 * MS)).is_some());
+    harness.play(Event::List { complete: true, entries: list.into() });
+    assert!(sent_to(&harness.ask("w", 5, 900 * MS)).is_some());
 }
 
 // What is answered counts as known 0.1 s later, also if the answer is lost: one that was taken for the primary may have said
 // meanwhile that it is none.
 #[test]
 fn one_that_leads_is_not_taken_at_its_word_while_an_answer_of_it_may_be_lost() {
-    let mut stage = Stage::new(unchecked());
-    let first = sent_to(&stage.ask("w", 5, 900 * MS)).expect("sent");
-    stage.end_as("w", 0, first, Ending::Served, Some(0), Some(Role::Primary));
-    assert_eq!((first, sent_to(&stage.ask("out", 5, 900 * MS))), (1, Some(1)));
+    let mut harness = Harness::new(unchecked());
+    let first = sent_to(&harness.ask("w", 5, 900 * MS)).expect("sent");
+    harness.end_as("w", 0, first, Ending::Served, Some(0), Some(Role::Primary));
+    assert_eq!((first, sent_to(&harness.ask("out", 5, 900 * MS))), (1, Some(1)));
     let name: RequestId = "strong".into();
-    stage.ask(&name, 3, 900 * MS);
-    let now = stage.now;
-    assert!(stage.router.is_fresh(now + 99 * MS, &name, 1));
-    assert!(!stage.router.is_fresh(now + 150 * MS, &name, 1), "the write has been out there for longer");
-    stage.now += 150 * MS;
-    stage.end_as("out", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
-    assert!(stage.router.is_fresh(stage.now, &name, 1), "it has spoken since");
+    harness.ask(&name, 3, 900 * MS);
+    let now = harness.now;
+    assert!(harness.router.is_fresh(now + 99 * MS, &name, 1));
+    assert!(!harness.router.is_fresh(now + 150 * MS, &name, 1), "the write has been out there for longer");
+    harness.now += 150 * MS;
+    harness.end_as("out", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
+    assert!(harness.router.is_fresh(harness.now, &name, 1), "it has spoken since");
 }
 
 // Variant tide-tables, split: the list shows roles as they were at the start of the day, and its old primary came back as a
@@ -361,15 +361,15 @@
 #[test]
 fn one_that_started_anew_is_not_taken_for_the_primary_that_the_list_says_it_was() {
     let strong = |role: ListRole, said: Option<Role>| {
-        let mut stage = Stage::new(Settings { list_role: role, ..unchecked() });
+        let mut harness = Harness::new(Settings { list_role: role, ..unchecked() });
         if let Some(said) = said {
-            let report = Report { position: Some(stage.now), role: Some(said), ..Report::default() };
-            stage.play(Event::Probed { member: 1, ending: Ending::Served, report });
+            let report = Report { position: Some(harness.now), role: Some(said), ..Report::default() };
+            harness.play(Event::Probed { member: 1, ending: Ending::Served, report });
         }
-        let again = entry(1, MemberStatus::Up, true, stage.now);
-        stage.play(Event::List { complete: false, entries: [again].into() });
-        stage.now += 20_000 * MS;
-        sent_to(&stage.ask("strong", 3, 900 * MS))
+        let again = entry(1, MemberStatus::Up, true, harness.now);
+        harness.play(Event::List { complete: false, entries: [again].into() });
+        harness.now += 20_000 * MS;
+        sent_to(&harness.ask("strong", 3, 900 * MS))
     };
     assert_eq!(strong(ListRole::Static, None), None);
     // A list that follows roles may be right about it, unless it has said itself that it does not lead.
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -1,4 +1,4 @@
-//! What the share-out of limits brings to hundreds of routers with uneven work: the decisions are told of shares as the
+//! What the share-out of limits brings to hundreds of routers with uneven work: the decisions are notified of shares as the
 //! machines of `petrelgauge-ownership` have them, over links that lose nothing.
 
 mod common;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn shares_of_limits_hold_back_less_than_even_parts_do() {
+fn quotas_of_limits_hold_back_less_than_even_quotas_do() {
     for routers in [30, 100, 300] {
         let (mut held, mut held_shared) = (0.0, 0.0);
         for seed in 1..=4 {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -36,7 +36,7 @@
 struct Start {
     at: Time,
     until: Time,
-    /// When the routers have all been told of it.
+    /// When the routers have all been notified of it.
     told_all_at: Time,
 }
 
@@ -46,7 +46,7 @@
     /// Requests that the host was sent, in parts of what it may be sent.
     part: f64,
     sent: usize,
-    /// Of these, from routers that had been told of the start.
+    /// Of these, from routers that had been notified of the start.
     informed: usize,
 }
 
@@ -94,7 +94,7 @@
         Play { fleet, case, due: (0.0, 0.0), starts: Vec::new() }
     }
 
-    /// The host starts; one in `hears` routers is told now, the others a second later.
+    /// The host starts; one in `hears` routers is notified now, the others a second later.
     fn start(&mut self) {
         let at = self.fleet.now;
         if let Some(last) = self.starts.last_mut() {
--- a/crates/policy/tests/trouble.rs
+++ b/crates/policy/tests/trouble.rs
@@ -5,52 +5,52 @@
 use petrelgauge_policy::*;
 
 /// Teaches the router lag and role of its members by served reads.
-fn teach(stage: &mut Stage, lags: [Time; 3], rounds: usize) {
+fn teach(harness: &mut Harness, lags: [Time; 3], rounds: usize) {
     for round in 0..rounds {
         for n in 0..6 {
-            let name = format!("t{}-{round}-{n}", stage.now);
-            if let Some(member) = sent_to(&stage.ask(&name, 2, 900 * MS)) {
+            let name = format!("t{}-{round}-{n}", harness.now);
+            if let Some(member) = sent_to(&harness.ask(&name, 2, 900 * MS)) {
                 let role = if member == 1 { Role::Primary } else { Role::Replica };
                 let lag = lags[member as usize - 1];
-                stage.end_as(&name, 0, member, Ending::Served, Some(lag), Some(role));
+                harness.end_as(&name, 0, member, Ending::Served, Some(lag), Some(role));
             }
         }
-        stage.wait(20 * MS);
+        harness.wait(20 * MS);
     }
 }
 
-fn share_of(stage: &mut Stage, class: usize, member: MemberId) -> f64 {
+fn share_of(harness: &mut Harness, class: usize, member: MemberId) -> f64 {
     let mut hits = 0;
     for n in 0..100 {
-        let name = format!("c{}-{n}", stage.now);
-        if let Some(got) = sent_to(&stage.ask(&name, class, 900 * MS)) {
+        let name = format!("c{}-{n}", harness.now);
+        if let Some(got) = sent_to(&harness.ask(&name, class, 900 * MS)) {
             hits += (got == member) as u32;
             let role = if got == 1 { Role::Primary } else { Role::Replica };
-            stage.end_as(&name, 0, got, Ending::Served, None, Some(role));
+            harness.end_as(&name, 0, got, Ending::Served, None, Some(role));
         }
-        stage.now += 10 * MS;
+        harness.now += 10 * MS;
     }
     hits as f64 / 100.0
 }
 
 #[test]
 fn lagging_replicas_lose_bounded_reads_and_keep_the_others() {
-    let mut stage = Stage::new(settings());
-    teach(&mut stage, [0, 10 * MS, 900 * MS], 20);
-    assert!(share_of(&mut stage, 0, 3) < 0.05, "bounded reads avoid the lagging replica");
-    let mut stage = Stage::new(settings());
-    teach(&mut stage, [0, 10 * MS, 900 * MS], 20);
-    assert!(share_of(&mut stage, 2, 3) > 0.1, "reads of any data do not");
+    let mut harness = Harness::new(settings());
+    teach(&mut harness, [0, 10 * MS, 900 * MS], 20);
+    assert!(share_of(&mut harness, 0, 3) < 0.05, "bounded reads avoid the lagging replica");
+    let mut harness = Harness::new(settings());
+    teach(&mut harness, [0, 10 * MS, 900 * MS], 20);
+    assert!(share_of(&mut harness, 2, 3) > 0.1, "reads of any data do not");
 }
 
 #[test]
 fn a_session_read_with_an_old_mark_may_use_a_lagging_replica() {
-    let mut stage = Stage::new(settings());
-    teach(&mut stage, [0, 500 * MS, 500 * MS], 20);
-    let old = stage.play(request("old", 1, 900 * MS, Some(stage.now - 5_000 * MS)));
+    let mut harness = Harness::new(settings());
+    teach(&mut harness, [0, 500 * MS, 500 * MS], 20);
+    let old = harness.play(request("old", 1, 900 * MS, Some(harness.now - 5_000 * MS)));
     assert!(sent_to(&old).is_some());
     for n in 0..3 {
-        let young = stage.play(request(&format!("young{n}"), 1, 900 * MS, Some(stage.now - 50 * MS)));
+        let young = harness.play(request(&format!("young{n}"), 1, 900 * MS, Some(harness.now - 50 * MS)));
         assert_eq!(sent_to(&young), Some(1), "only the primary has seen a write that young");
     }
 }
@@ -58,69 +58,69 @@
 #[test]
 fn a_member_that_fails_fast_draws_no_work() {
     // Recorded day i8e1da6: a member that rejected at once as full looked idle and drew 15% of sends.
-    let mut stage = Stage::new(settings());
-    teach(&mut stage, [0, 10 * MS, 10 * MS], 5);
+    let mut harness = Harness::new(settings());
+    teach(&mut harness, [0, 10 * MS, 10 * MS], 5);
     let mut drawn = 0;
     for n in 0..200 {
         let name = format!("f{n}");
-        let mut actions = stage.ask(&name, 2, 900 * MS);
+        let mut actions = harness.ask(&name, 2, 900 * MS);
         for attempt in 0..6 {
             match sent_to(&actions) {
                 Some(3) => {
                     drawn += 1;
-                    actions = stage.end(&name, attempt, 3, Ending::QueueFull);
+                    actions = harness.end(&name, attempt, 3, Ending::QueueFull);
                 }
-                Some(member) => actions = stage.end(&name, attempt, member, Ending::Served),
+                Some(member) => actions = harness.end(&name, attempt, member, Ending::Served),
                 None => break,
             }
         }
-        stage.wait(5 * MS);
+        harness.wait(5 * MS);
     }
     assert!((1..20).contains(&drawn), "{drawn} sends to the member that fails fast");
 }
 
 #[test]
-fn a_few_repeats_with_more_time_do_not_age_the_first_tries() {
+fn a_few_repeats_with_more_time_do_not_age_the_first_attempts() {
     // Recorded day ia66fa8: some repeats came with more time left than any first try.
-    let mut stage = Stage::new(settings());
-    teach(&mut stage, [0, 10 * MS, 10 * MS], 5);
+    let mut harness = Harness::new(settings());
+    teach(&mut harness, [0, 10 * MS, 10 * MS], 5);
     for n in 0..30 {
         let name = format!("r{n}");
         let left = if n % 10 == 9 { 960 * MS } else { 450 * MS };
-        let actions = stage.ask(&name, 0, left);
+        let actions = harness.ask(&name, 0, left);
         let member = sent_to(&actions).unwrap_or_else(|| panic!("request {n} was held beside idle members"));
-        stage.end(&name, 0, member, Ending::Served);
-        stage.wait(10 * MS);
+        harness.end(&name, 0, member, Ending::Served);
+        harness.wait(10 * MS);
     }
 }
 
 #[test]
 fn a_limit_that_fell_recovers() {
     // Recorded day i17f81a: after a scare a primary's limit stayed at one attempt beside an idle primary.
-    let mut stage = Stage::new(settings());
+    let mut harness = Harness::new(settings());
     for (round, took) in [(0, 400 * MS), (1, 20 * MS)] {
         for n in 0..40 {
             let mut sent = Vec::new();
             for k in 0..4 {
-                sent.extend(stage.ask(&format!("w{round}-{n}-{k}"), 4, 900 * MS));
+                sent.extend(harness.ask(&format!("w{round}-{n}-{k}"), 4, 900 * MS));
             }
-            stage.now += took;
-            stage.serve_all(sent, took);
-            let late = stage.wait(5 * MS);
-            stage.serve_all(late, took);
+            harness.now += took;
+            harness.serve_all(sent, took);
+            let late = harness.wait(5 * MS);
+            harness.serve_all(late, took);
         }
     }
-    let together: usize = (0..4).map(|n| sends(&stage.ask(&format!("now{n}"), 4, 900 * MS))).sum();
+    let together: usize = (0..4).map(|n| sends(&harness.ask(&format!("now{n}"), 4, 900 * MS))).sum();
     assert!(together >= 4, "only {together} writes may be out together");
 }
 
 #[test]
 fn a_switch_is_found_with_the_writes_held() {
     for list_role in [ListRole::Absent, ListRole::Static, ListRole::Trailing] {
-        let mut stage = Stage::new(Settings { list_role, ..settings() });
+        let mut harness = Harness::new(Settings { list_role, ..settings() });
         let mut actions = Vec::new();
         for n in 0..5 {
-            actions.extend(stage.ask(&format!("w{n}"), 4, 900 * MS));
+            actions.extend(harness.ask(&format!("w{n}"), 4, 900 * MS));
         }
         let mut served = 0;
         let mut attempts = 0;
@@ -136,10 +136,10 @@
                     _ => (Ending::Rejected, Role::Replica),
                 };
                 served += (member == 3) as u32;
-                actions.extend(stage.end_as(&request, *attempt, member, ending, Some(0), Some(role)));
+                actions.extend(harness.end_as(&request, *attempt, member, ending, Some(0), Some(role)));
                 *attempt += 1;
             }
-            actions.extend(stage.wait(5 * MS));
+            actions.extend(harness.wait(5 * MS));
         }
         assert_eq!(served, 5, "{list_role:?}: all writes reach the new primary");
         assert!(attempts <= 16, "{list_role:?}: {attempts} attempts burnt");
@@ -147,45 +147,45 @@
 }
 
 #[test]
-fn a_silent_member_is_left_and_comes_back() {
-    let mut stage = Stage::new(settings());
-    let member = sent_to(&stage.ask("r", 2, 900 * MS)).expect("sent");
+fn a_silent_member_is_ejected_and_comes_back() {
+    let mut harness = Harness::new(settings());
+    let member = sent_to(&harness.ask("r", 2, 900 * MS)).expect("sent");
     let mut probed = false;
     for _ in 0..40 {
-        let actions = stage.wait(5 * MS);
+        let actions = harness.wait(5 * MS);
         probed |= actions.contains(&Action::Probe { member });
     }
     assert!(probed, "a silent member is probed");
     let dead = Event::Probed { member, ending: Ending::TimedOut, report: Report::default() };
-    let actions = stage.play(dead);
-    assert!(actions.contains(&Action::Cancel { request: "r".into(), attempt: 0 }), "its read is called off");
-    let actions = stage.end("r", 0, member, Ending::Cancelled);
+    let actions = harness.play(dead);
+    assert!(actions.contains(&Action::Cancel { request: "r".into(), attempt: 0 }), "its read is cancelled");
+    let actions = harness.end("r", 0, member, Ending::Cancelled);
     assert!(sent_to(&actions).is_some_and(|other| other != member), "and goes elsewhere");
     for n in 0..20 {
-        assert_ne!(sent_to(&stage.ask(&format!("x{n}"), 2, 900 * MS)), Some(member));
+        assert_ne!(sent_to(&harness.ask(&format!("x{n}"), 2, 900 * MS)), Some(member));
     }
     let alive = Event::Probed { member, ending: Ending::Served, report: Report::default() };
-    let mut actions = stage.play(alive);
+    let mut actions = harness.play(alive);
     let mut back = false;
     for n in 0..200 {
         back |= actions.iter().any(|a| matches!(a, Action::Send { member: to, .. } if *to == member));
-        stage.serve_all(actions, 20 * MS);
-        stage.now += 20 * MS;
-        actions = stage.ask(&format!("y{n}"), 2, 900 * MS);
+        harness.serve_all(actions, 20 * MS);
+        harness.now += 20 * MS;
+        actions = harness.ask(&format!("y{n}"), 2, 900 * MS);
     }
-    assert!(back, "once it answers it takes work again, within a cold member's budget");
+    assert!(back, "once it answers it takes work again, within a warming member's budget");
 }
 
 #[test]
 fn odd_events_are_ordinary() {
-    let mut stage = Stage::new(settings());
-    stage.end("never-seen", 3, 99, Ending::Served);
-    stage.play(Event::Abandoned { request: "never-seen".into() });
-    stage.play(Event::Probed { member: 99, ending: Ending::TimedOut, report: Report::default() });
-    stage.play(Event::List { complete: true, entries: [].into() });
+    let mut harness = Harness::new(settings());
+    harness.end("never-seen", 3, 99, Ending::Served);
+    harness.play(Event::Abandoned { request: "never-seen".into() });
+    harness.play(Event::Probed { member: 99, ending: Ending::TimedOut, report: Report::default() });
+    harness.play(Event::List { complete: true, entries: [].into() });
     let odd = Report { position: Some(Time::MAX), role: None, waiting: Some(f64::NAN), busy: None };
-    stage.play(Event::Probed { member: 1, ending: Ending::Served, report: odd });
-    let unknown = stage.play(Event::Request {
+    harness.play(Event::Probed { member: 1, ending: Ending::Served, report: odd });
+    let unknown = harness.play(Event::Request {
         request: "far".into(),
         class: 99,
         group: 1,
@@ -194,10 +194,10 @@
         minimum_position: None,
     });
     assert!(refused(&unknown), "a class that no setting names still gets its one answer");
-    assert_eq!(sends(&stage.ask("r", 0, 900 * MS)), 0, "a group with no member up");
+    assert_eq!(sends(&harness.ask("r", 0, 900 * MS)), 0, "a group with no member up");
     let mut all = Vec::new();
     for _ in 0..250 {
-        all.extend(stage.wait(5 * MS));
+        all.extend(harness.wait(5 * MS));
     }
     assert!(refused(&all));
 }
@@ -222,8 +222,8 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = |others: bool| {
-        let mut one = Stage::new(settings());
-        let mut two = Stage::new(settings());
+        let mut one = Harness::new(settings());
+        let mut two = Harness::new(settings());
         let mut all = Vec::new();
         for n in 0..200 {
             let name = format!("r{n}");
@@ -245,11 +245,11 @@
 
 #[test]
 fn work_given_up_counts_against_a_member() {
-    // Recorded day i5bbe18: reads given up at their aim were never counted, and limits stayed high.
-    let mut stage = Stage::new(settings());
+    // Recorded day i5bbe18: reads given up at their latency target were never counted, and limits stayed high.
+    let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    stage.play(Event::List { complete: false, entries: list.into() });
-    let at_first: usize = (0..20).map(|n| sends(&stage.ask(&format!("a{n}"), 4, 900 * MS))).sum();
+    harness.play(Event::List { complete: false, entries: list.into() });
+    let at_first: usize = (0..20).map(|n| sends(&harness.ask(&format!("a{n}"), 4, 900 * MS))).sum();
     for n in 0..at_first {
         let event = Event::Outcome {
             request: format!("a{n}").as_str().into(),
@@ -262,19 +262,19 @@
             role: None,
             report: Report::default(),
         };
-        let later = stage.play(event);
-        stage.serve_all(later, 300 * MS);
+        let later = harness.play(event);
+        harness.serve_all(later, 300 * MS);
     }
-    let after: usize = (0..20).map(|n| sends(&stage.ask(&format!("b{n}"), 4, 900 * MS))).sum();
+    let after: usize = (0..20).map(|n| sends(&harness.ask(&format!("b{n}"), 4, 900 * MS))).sum();
     assert!(at_first > 1 && after < at_first, "{at_first} at first, {after} after");
 }
 
 #[test]
-fn a_marked_repeat_yields_to_first_tries() {
-    // Recorded day i5bbe18: repeats of hopeless reads took the room of first tries.
-    let mut stage = Stage::new(settings());
+fn a_marked_repeat_yields_to_first_attempts() {
+    // Recorded day i5bbe18: repeats of hopeless reads took the capacity of first attempts.
+    let mut harness = Harness::new(settings());
     for n in 0..60 {
-        stage.ask(&format!("fill{n}"), 4, 900 * MS);
+        harness.ask(&format!("fill{n}"), 4, 900 * MS);
     }
     let repeat = |name: &str, is_retry| Event::Request {
         request: name.into(),
@@ -284,78 +284,78 @@
         is_retry,
         minimum_position: None,
     };
-    assert!(!refused(&stage.play(repeat("first", false))), "a first try waits for room");
-    assert!(refused(&stage.play(repeat("again", true))), "a repeat past its hope does not");
+    assert!(!refused(&harness.play(repeat("first", false))), "a first attempt waits for capacity");
+    assert!(refused(&harness.play(repeat("again", true))), "a repeat without a chance does not");
 }
 
 #[test]
-fn all_replicas_lagging_leave_the_primary_room_for_writes() {
+fn all_replicas_lagging_leave_the_primary_capacity_for_writes() {
     // Recorded day i3ea088: with all replicas behind, reads crowded the primary.
-    let mut stage = Stage::new(settings());
-    teach(&mut stage, [0, 900 * MS, 900 * MS], 20);
+    let mut harness = Harness::new(settings());
+    teach(&mut harness, [0, 900 * MS, 900 * MS], 20);
     for n in 0..60 {
-        stage.ask(&format!("read{n}"), 0, 900 * MS);
+        harness.ask(&format!("read{n}"), 0, 900 * MS);
     }
-    assert_eq!(sent_to(&stage.ask("write", 4, 900 * MS)), Some(1), "the write still finds room");
+    assert_eq!(sent_to(&harness.ask("write", 4, 900 * MS)), Some(1), "the write still finds capacity");
 }
 
 #[test]
 fn a_lag_jump_shows_within_a_few_answers() {
-    let mut stage = Stage::new(settings());
-    teach(&mut stage, [0, 10 * MS, 10 * MS], 20);
+    let mut harness = Harness::new(settings());
+    teach(&mut harness, [0, 10 * MS, 10 * MS], 20);
     let mut wasted = 0;
     for n in 0..60 {
         let name = format!("j{n}");
-        let mut actions = stage.ask(&name, 0, 900 * MS);
+        let mut actions = harness.ask(&name, 0, 900 * MS);
         for attempt in 0..6 {
             match sent_to(&actions) {
                 Some(1) => {
-                    actions = stage.end_as(&name, attempt, 1, Ending::Served, Some(0), Some(Role::Primary))
+                    actions = harness.end_as(&name, attempt, 1, Ending::Served, Some(0), Some(Role::Primary))
                 }
                 Some(member) => {
                     wasted += 1;
                     let lag = Some(2_000 * MS);
                     actions =
-                        stage.end_as(&name, attempt, member, Ending::Rejected, lag, Some(Role::Replica));
+                        harness.end_as(&name, attempt, member, Ending::Rejected, lag, Some(Role::Replica));
                 }
                 None => break,
             }
         }
-        stage.wait(5 * MS);
+        harness.wait(5 * MS);
     }
     assert!((1..40).contains(&wasted), "{wasted} attempts spent on replicas that jumped behind");
 }
 
 #[test]
-fn lost_writes_do_not_hold_the_room_of_a_member_that_answers() {
+fn lost_writes_do_not_hold_the_capacity_of_a_member_that_answers() {
     // Recorded day if2b59f: a primary lost a share of its writes and stood at its limit with them.
-    let mut stage = Stage::new(settings());
+    let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    stage.play(Event::List { complete: false, entries: list.into() });
-    let lost: usize = (0..20).map(|n| sends(&stage.ask(&format!("l{n}"), 4, 1_000 * MS))).sum();
-    assert!((1..20).contains(&lost), "the first ones fill the room");
-    // One of them is answered; the others stay out past their aim.
-    stage.now += 100 * MS;
-    let freed = stage.end_as("l0", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
-    stage.now += 250 * MS;
-    stage.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
-    let later = stage.wait(5 * MS);
+    harness.play(Event::List { complete: false, entries: list.into() });
+    let lost: usize = (0..20).map(|n| sends(&harness.ask(&format!("l{n}"), 4, 1_000 * MS))).sum();
+    assert!((1..20).contains(&lost), "the first ones fill the capacity");
+    // One of them is answered; the others stay out past their latency target.
+    harness.now += 100 * MS;
+    let freed = harness.end_as("l0", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
+    harness.now += 250 * MS;
+    harness.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
+    let later = harness.wait(5 * MS);
     assert!(sends(&freed) + sends(&later) > 1, "what waits goes out although the lost ones are still out");
 }
 
 #[test]
-fn a_member_back_from_being_down_counts_as_cold() {
-    // Recorded day ia7e9ba: a restarted member fell over before the list told of its start.
-    let mut stage = Stage::new(settings());
+fn a_member_back_from_being_down_counts_as_warming_up() {
+    // Recorded day ia7e9ba: a restarted member fell over before the list showed its start.
+    let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    stage.play(Event::List { complete: false, entries: list.into() });
-    stage.play(Event::Probed { member: 1, ending: Ending::TimedOut, report: Report::default() });
-    stage.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
+    harness.play(Event::List { complete: false, entries: list.into() });
+    harness.play(Event::Probed { member: 1, ending: Ending::TimedOut, report: Report::default() });
+    harness.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
     let mut sent = 0;
     for n in 0..100 {
-        let actions = stage.ask(&format!("c{n}"), 2, 900 * MS);
-        sent += stage.serve_all(actions, 20 * MS);
-        stage.now += 5 * MS;
+        let actions = harness.ask(&format!("c{n}"), 2, 900 * MS);
+        sent += harness.serve_all(actions, 20 * MS);
+        harness.now += 5 * MS;
     }
     assert!((1..=4).contains(&sent), "{sent} sends to a member that may just have started");
 }
@@ -363,12 +363,12 @@
 #[test]
 fn a_strong_read_finds_a_primary_that_nobody_named() {
     // Recorded day i115826: strong reads waited for a primary that only writes went looking for.
-    let mut stage = Stage::new(Settings { list_role: ListRole::Absent, ..settings() });
-    let mut actions = stage.ask("s", 3, 900 * MS);
+    let mut harness = Harness::new(Settings { list_role: ListRole::Absent, ..settings() });
+    let mut actions = harness.ask("s", 3, 900 * MS);
     let mut found = false;
     for attempt in 0.. {
-        while sends(&actions) == 0 && stage.now < START + 250 * MS {
-            actions = stage.wait(5 * MS);
+        while sends(&actions) == 0 && harness.now < START + 250 * MS {
+            actions = harness.wait(5 * MS);
         }
         let Some(member) = sent_to(&actions) else { break };
         found = member == 3;
@@ -376,7 +376,7 @@
             break;
         }
         let role = Some(Role::Replica);
-        actions = stage.end_as("s", attempt, member, Ending::Rejected, Some(0), role);
+        actions = harness.end_as("s", attempt, member, Ending::Rejected, Some(0), role);
     }
     assert!(found, "it scouts the members one by one");
 }
@@ -385,17 +385,17 @@
 fn most_reads_leave_a_primary_that_has_writes_and_some_come_to_an_idle_one() {
     // Standard days of the later deployments: with hundreds of routers none sees how busy the primary is.
     let reads_at_primary = |writes: usize| {
-        let mut stage = Stage::new(settings());
+        let mut harness = Harness::new(settings());
         let mut hits = 0;
         for n in 0..300 {
             for k in 0..writes {
-                let actions = stage.ask(&format!("w{n}-{k}"), 4, 900 * MS);
-                stage.serve_all(actions, 40 * MS);
+                let actions = harness.ask(&format!("w{n}-{k}"), 4, 900 * MS);
+                harness.serve_all(actions, 40 * MS);
             }
-            let actions = stage.ask(&format!("r{n}"), 2, 900 * MS);
+            let actions = harness.ask(&format!("r{n}"), 2, 900 * MS);
             hits += (sent_to(&actions) == Some(1)) as usize;
-            stage.serve_all(actions, (40 + n % 7) as Time * MS);
-            stage.now += 50 * MS;
+            harness.serve_all(actions, (40 + n % 7) as Time * MS);
+            harness.now += 50 * MS;
         }
         hits
     };
@@ -408,14 +408,14 @@
 fn jammed_members_make_a_router_shed_reads_and_spare_writes() {
     // Standard overload of graz-main-later: 60 routers with one attempt each crowd every member.
     let shed = |took: Time, class: usize| {
-        let mut stage = Stage::new(settings());
+        let mut harness = Harness::new(settings());
         let mut refusals = 0;
         for n in 0..300 {
             let name = format!("x{n}");
-            let actions = stage.ask(&name, class, 900 * MS);
+            let actions = harness.ask(&name, class, 900 * MS);
             refusals += refused(&actions) as u32;
-            stage.now += took;
-            stage.serve_all(actions, took);
+            harness.now += took;
+            harness.serve_all(actions, took);
         }
         refusals
     };
@@ -425,24 +425,24 @@
 }
 
 #[test]
-fn a_cold_primary_keeps_its_budget_for_writes() {
+fn a_warming_primary_keeps_its_budget_for_writes() {
     // Standard day rough-2 of graz-main-later: reads spent the budget of a new primary, its writes ran out unsent.
-    let mut stage = Stage::empty(settings());
+    let mut harness = Harness::empty(settings());
     let list: Vec<Entry> = (1..=3)
         .map(|m| entry(m, MemberStatus::Up, m == 1, if m == 1 { START - 100 * MS } else { 0 }))
         .collect();
-    stage.play(Event::List { complete: true, entries: list.into() });
+    harness.play(Event::List { complete: true, entries: list.into() });
     let (mut reads, mut writes) = (0, 0);
     for n in 0..600 {
         let class = if n % 2 == 0 { 2 } else { 4 };
-        let actions = stage.ask(&format!("{class}-{n}"), class, 900 * MS);
+        let actions = harness.ask(&format!("{class}-{n}"), class, 900 * MS);
         for action in &actions {
             if let Action::Send { request, member: 1, .. } = action {
                 *(if request.starts_with('2') { &mut reads } else { &mut writes }) += 1;
             }
         }
-        stage.serve_all(actions, 20 * MS);
-        stage.now += 10 * MS;
+        harness.serve_all(actions, 20 * MS);
+        harness.now += 10 * MS;
     }
     assert_eq!(reads, 0, "reads have other members");
     assert!(writes > 20, "{writes} writes reach it");
@@ -453,11 +453,11 @@
 #[test]
 fn what_was_sent_to_no_member_by_half_its_time_is_refused() {
     let ends_after = |class: usize, client_round_trip: Time| {
-        let mut stage = Stage::empty(Settings { client_round_trip, ..settings() });
-        let mut actions = stage.ask("r", class, 400 * MS);
+        let mut harness = Harness::empty(Settings { client_round_trip, ..settings() });
+        let mut actions = harness.ask("r", class, 400 * MS);
         let mut steps = 0;
         while !refused(&actions) && steps < 100 {
-            actions = stage.wait(5 * MS);
+            actions = harness.wait(5 * MS);
             steps += 1;
         }
         steps * 5 * MS
@@ -469,18 +469,18 @@
         assert_eq!(ends_after(class, 30 * MS), end - 30 * MS, "class {class}");
         assert!(ends_after(class, 1_000 * MS) >= 85 * MS, "class {class}");
     }
-    let mut stage = Stage::new(Settings { may_probe: false, ..settings() });
-    let mut actions = stage.ask("w", 4, 400 * MS);
+    let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
+    let mut actions = harness.ask("w", 4, 400 * MS);
     let (mut attempt, mut steps) = (0, 0);
     while !refused(&actions) && steps < 100 {
         actions = match sent_to(&actions) {
             Some(member) => {
                 attempt += 1;
-                stage.end("w", attempt - 1, member, Ending::ConnectFailed)
+                harness.end("w", attempt - 1, member, Ending::ConnectFailed)
             }
             None => {
                 steps += 1;
-                stage.wait(5 * MS)
+                harness.wait(5 * MS)
             }
         };
     }
@@ -490,98 +490,98 @@
 // A cut between the data centres left reads at silent members for up to 2 s, and clients without connections.
 #[test]
 fn a_silent_member_loses_its_reads_soon_and_one_short_trial_brings_it_back() {
-    let mut stage = Stage::new(Settings { may_probe: false, ..settings() });
-    teach(&mut stage, [0, 10 * MS, 10 * MS], 5);
+    let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
+    teach(&mut harness, [0, 10 * MS, 10 * MS], 5);
     let names: Vec<String> = (0..12).map(|n| format!("q{n}")).collect();
     let sent: Vec<_> =
-        names.iter().filter_map(|name| Some((name, sent_to(&stage.ask(name, 2, 900 * MS))?))).collect();
+        names.iter().filter_map(|name| Some((name, sent_to(&harness.ask(name, 2, 900 * MS))?))).collect();
     let at_two = sent.iter().filter(|(_, member)| *member == 2).count();
     assert!(at_two > 1, "{at_two} reads at the member that falls silent");
-    stage.wait(20 * MS);
+    harness.wait(20 * MS);
     for (name, member) in sent.iter().filter(|(_, member)| *member != 2) {
-        stage.end(name, 0, *member, Ending::Served);
+        harness.end(name, 0, *member, Ending::Served);
     }
     let mut off = 0;
     for _ in 0..50 {
-        let actions = stage.wait(5 * MS);
+        let actions = harness.wait(5 * MS);
         for action in &actions {
             if let Action::Cancel { request, attempt } = action {
                 off += 1;
-                stage.end(request, *attempt, 2, Ending::Cancelled);
+                harness.end(request, *attempt, 2, Ending::Cancelled);
             }
         }
     }
-    assert_eq!(off, at_two, "they are called off before their aim is over");
-    // One trial at a time, for half its aim; the rest goes elsewhere.
+    assert_eq!(off, at_two, "they are cancelled before their latency target is over");
+    // One trial at a time, for half its latency target; the rest goes elsewhere.
     let (mut trials, mut others) = (Vec::new(), 0);
     for n in 0..40 {
         let name = format!("x{n}");
-        for action in stage.ask(&name, 2, 900 * MS) {
+        for action in harness.ask(&name, 2, 900 * MS) {
             match action {
-                Action::Send { request, member: 2, until } => trials.push((request, until - stage.now)),
+                Action::Send { request, member: 2, until } => trials.push((request, until - harness.now)),
                 Action::Send { request, member, .. } => {
                     others += 1;
-                    stage.end(&request, 0, member, Ending::Served);
+                    harness.end(&request, 0, member, Ending::Served);
                 }
                 _ => {}
             }
         }
-        stage.now += MS;
+        harness.now += MS;
     }
     assert!(trials.len() == 1 && trials[0].1 <= 150 * MS && others > 30, "{trials:?} {others}");
-    stage.end(&trials[0].0.clone(), 0, 2, Ending::Served);
-    assert!(share_of(&mut stage, 2, 2) > 0.1, "its answer brings it back");
+    harness.end(&trials[0].0.clone(), 0, 2, Ending::Served);
+    assert!(share_of(&mut harness, 2, 2) > 0.1, "its answer brings it back");
 }
 
 // With all their connections held, clients found none for 2762 requests of one day.
 #[test]
 fn what_has_least_to_gain_gives_way_before_clients_run_out() {
-    let mut stage = Stage::empty(Settings { max_open_requests: 20, ..settings() });
-    let asked = |stage: &mut Stage, class: usize, count: usize| -> usize {
+    let mut harness = Harness::empty(Settings { max_open_requests: 20, ..settings() });
+    let asked = |harness: &mut Harness, class: usize, count: usize| -> usize {
         let name = |n: usize| format!("{class}-{n}");
-        (0..count).filter(|n| refused(&stage.ask(&name(*n), class, 900 * MS))).count()
+        (0..count).filter(|n| refused(&harness.ask(&name(*n), class, 900 * MS))).count()
     };
-    assert_eq!(asked(&mut stage, 5, 10), 0);
-    assert!(asked(&mut stage, 2, 20) > 8, "those beyond are refused at once");
+    assert_eq!(asked(&mut harness, 5, 10), 0);
+    assert!(asked(&mut harness, 2, 20) > 8, "those beyond are refused at once");
     let mut gone = Vec::new();
     for _ in 0..20 {
-        gone.extend(stage.wait(5 * MS));
+        gone.extend(harness.wait(5 * MS));
     }
     assert!(!refused(&gone), "the others wait");
 }
 
-// After a cut between the data centres a silent primary stayed out of use for twice as long as now.
+// After a cut between the data centres a silent primary stayed ejected for twice as long as now.
 #[test]
-fn a_silent_primary_that_may_not_be_probed_is_tried_again_soon() {
-    let mut stage = Stage::new(Settings { may_probe: false, ..settings() });
-    assert_eq!(sent_to(&stage.ask("lost", 5, 300 * MS)), Some(1));
-    (0..60).for_each(|_| drop(stage.wait(5 * MS)));
-    stage.end("lost", 0, 1, Ending::TimedOut);
-    let mut actions = stage.ask("next", 5, 900 * MS);
+fn a_silent_primary_that_may_not_be_probed_is_retried_soon() {
+    let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
+    assert_eq!(sent_to(&harness.ask("lost", 5, 300 * MS)), Some(1));
+    (0..60).for_each(|_| drop(harness.wait(5 * MS)));
+    harness.end("lost", 0, 1, Ending::TimedOut);
+    let mut actions = harness.ask("next", 5, 900 * MS);
     let (mut steps, mut attempt) = (0, 0);
     while sent_to(&actions) != Some(1) && steps < 150 {
         if let Some(other) = sent_to(&actions) {
-            stage.end_as("next", attempt, other, Ending::Rejected, None, Some(Role::Replica));
+            harness.end_as("next", attempt, other, Ending::Rejected, None, Some(Role::Replica));
             attempt += 1;
         }
-        actions = stage.wait(5 * MS);
+        actions = harness.wait(5 * MS);
         steps += 1;
     }
     let span = steps * 5 * MS;
     assert!(span > 100 * MS && span < 450 * MS, "tried again after {span}");
 }
 
-// In a crowd, oldest first serves each just after its aim. Simulator, quick: 0.778 with the oldest first.
+// In a crowd, oldest first serves each just after its latency target. Simulator, quick: 0.778 with the oldest first.
 #[test]
-fn of_waiting_requests_of_equal_worth_the_newest_goes_first() {
-    let mut stage = Stage::empty(settings());
+fn of_waiting_requests_of_equal_priority_the_newest_goes_first() {
+    let mut harness = Harness::empty(settings());
     // Nobody is there to take them yet.
     for n in 0..30 {
-        assert_eq!(sent_to(&stage.ask(&format!("w{n:02}"), 2, 900 * MS)), None);
-        stage.now += MS;
+        assert_eq!(sent_to(&harness.ask(&format!("w{n:02}"), 2, 900 * MS)), None);
+        harness.now += MS;
     }
     let back = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-    let actions = stage.play(Event::List { complete: true, entries: back.into() });
+    let actions = harness.play(Event::List { complete: true, entries: back.into() });
     let sent: Vec<&str> = actions
         .iter()
         .filter_map(|action| match action {
@@ -598,23 +598,23 @@
 #[test]
 fn a_member_long_gone_is_forgotten_and_one_just_gone_is_not() {
     let back_after = |span: Time| {
-        let mut stage = Stage::new(settings());
+        let mut harness = Harness::new(settings());
         for status in [MemberStatus::Draining, MemberStatus::Removed] {
             let list = (1..=3).map(|m| entry(m, status, m == 1, 0)).collect::<Vec<_>>();
-            stage.play(Event::List { complete: true, entries: list.into() });
+            harness.play(Event::List { complete: true, entries: list.into() });
         }
-        stage.wait(span);
+        harness.wait(span);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        stage.play(Event::List { complete: true, entries: list.into() });
-        sent_to(&stage.ask("r", 2, 900 * MS)).is_some()
+        harness.play(Event::List { complete: true, entries: list.into() });
+        sent_to(&harness.ask("r", 2, 900 * MS)).is_some()
     };
     assert!(!back_after(10_000 * MS), "an old list does not undo a drain");
     assert!(back_after(61_000 * MS), "a name that comes back later is a new member");
 }
 
 #[test]
-fn where_nothing_is_ever_cold_no_member_is_held_back() {
-    let mut stage = Stage::new(Settings { slow_start_span: 0, ..settings() });
-    let sent: usize = (0..6).map(|n| sends(&stage.ask(&format!("r{n}"), 2, 900 * MS))).sum();
+fn where_nothing_ever_warms_up_no_member_is_held_back() {
+    let mut harness = Harness::new(Settings { slow_start_span: 0, ..settings() });
+    let sent: usize = (0..6).map(|n| sends(&harness.ask(&format!("r{n}"), 2, 900 * MS))).sum();
     assert_eq!(sent, 6, "members that run for long are warm");
 }
--- a/crates/sessions/tests/restart.rs
+++ b/crates/sessions/tests/restart.rs
@@ -21,8 +21,8 @@
 fn exchange(trackers: &mut [SessionTracker; 2], now: [Time; 2]) {
     for pace in 1..6 {
         let at = now.map(|now| now + pace * 100 * MS);
-        let told = [trackers[0].due_broadcasts(at[0]), trackers[1].due_broadcasts(at[1])];
-        for (to, bytes) in [(1, &told[0]), (0, &told[1])] {
+        let broadcasts = [trackers[0].due_broadcasts(at[0]), trackers[1].due_broadcasts(at[1])];
+        for (to, bytes) in [(1, &broadcasts[0]), (0, &broadcasts[1])] {
             for datagram in bytes {
                 // Turned away where the two clocks differ.
                 let _ = trackers[to].receive(at[to] + MS, datagram);
@@ -72,7 +72,7 @@
         exchange(&mut trackers, [NOON + 1_400 * MS; 2]);
         let key = trackers[0].session_key(G, "one");
         for tracker in &mut trackers {
-            // It came well before the last interval that was told.
+            // It came well before the last interval that was broadcast.
             let minimum = tracker.begin_read(NOON + 1_600 * MS, key, None);
             assert_eq!(minimum.source, PositionSource::Peers, "{off}");
         }
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -1,8 +1,8 @@
-//! Clients whose connection ends: each query that was read whole has its final answer first, and what was written
+//! Clients whose connection ends: each query that was read completely has its final answer first, and what was written
 //! reaches the client.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::time::Duration;
 
 /// A message with a length that cannot be.
@@ -22,9 +22,9 @@
 // Both were dropped when the span in which the first could be answered was over.
 #[test]
 fn queries_before_malformed_bytes_are_answered_before_the_connection_ends() {
-    let stage = Stage::new(240);
-    let host = stage.host(vec![Say::Nothing]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(240);
+    let host = harness.host(vec![Reply::Nothing]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&[identified("1", 60_000), identified("2", 60_000), MALFORMED.to_vec()].concat());
     let answers = client.rest();
@@ -32,16 +32,16 @@
     // The first may have run; the second went nowhere.
     assert_eq!(codes(&answers), ["40003", "53300", "08P01"]);
     assert!(host.next_query().contains("id=1"));
-    host.left();
+    host.wait_for_disconnect();
     assert_eq!(host.queries(), 1);
     gateway.wait_for_counter("requests=2 served=0 refused=1 failed=1 ");
 }
 
 #[test]
 fn queries_before_malformed_bytes_are_served_where_their_host_is_quick() {
-    let stage = Stage::new(241);
-    let host = stage.host(vec![Say::Row(b"one"), Say::Row(b"two")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(241);
+    let host = harness.host(vec![Reply::Row(b"one"), Reply::Row(b"two")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&[identified("1", 60_000), identified("2", 60_000), MALFORMED.to_vec()].concat());
     let answers = client.rest();
@@ -54,9 +54,9 @@
 #[test]
 fn an_answer_that_is_taken_slowly_outlives_the_stop_and_a_query_behind_it() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
-    let stage = Stage::new(242);
-    let host = stage.host(vec![Say::WaitForGo(&VALUE)]);
-    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(242);
+    let host = harness.host(vec![Reply::WaitForGo(&VALUE)]);
+    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut idle, mut client) = (gateway.client(), gateway.narrow_client());
     client.write(&identified("1", 25_000));
     host.next_query();
@@ -79,9 +79,9 @@
 #[test]
 fn an_answer_that_is_taken_slowly_outlives_the_closing_for_age_and_a_query_behind_it() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
-    let stage = Stage::new(247);
-    let host = stage.host(vec![Say::Row(&VALUE)]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(247);
+    let host = harness.host(vec![Reply::Row(&VALUE)]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.narrow_client();
     client.write(&identified("1", 25_000));
     // By the clock: the connection is closed for writing after 2.1 s, and given up a second later.
@@ -110,9 +110,9 @@
 #[test]
 fn a_query_in_one_segment_with_the_startup_message_is_answered_or_not_read_while_the_gateway_stops() {
     const CLIENTS: usize = 150;
-    let stage = Stage::new(243);
-    let host = stage.host((0..CLIENTS).map(|_| Say::Row(b"v")).collect());
-    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(243);
+    let host = harness.host((0..CLIENTS).map(|_| Reply::Row(b"v")).collect());
+    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut clients = Vec::new();
     for number in 0..CLIENTS {
         if number == 20 {
@@ -146,9 +146,9 @@
 /// Opens more connections than the gateway may hold, and sends a query on each after this pause.
 fn queries_while_clients_are_shed(number: u8, pause: Duration) {
     const CLIENTS: usize = 60;
-    let stage = Stage::new(number).sockets(50);
-    let host = stage.host((0..CLIENTS).map(|_| Say::Row(b"v")).collect());
-    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(number).sockets(50);
+    let host = harness.host((0..CLIENTS).map(|_| Reply::Row(b"v")).collect());
+    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let idle: Vec<Client> = (0..30).map(|_| gateway.raw_client()).collect();
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.raw_client()).collect();
     std::thread::sleep(pause);
@@ -167,9 +167,9 @@
 // The second query was read with the startup message, long before the gateway began to close its clients.
 #[test]
 fn queries_in_one_segment_with_the_startup_message_are_all_answered_in_a_stop() {
-    let stage = Stage::new(245);
-    let host = stage.host(vec![Say::WaitForGo(b"one"), Say::Row(b"two")]);
-    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(245);
+    let host = harness.host(vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
+    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut idle, mut client) = (gateway.client(), gateway.raw_client());
     client.write(&[startup(), identified("1", 25_000), identified("2", 25_000)].concat());
     host.next_query();
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -1,26 +1,26 @@
 //! Whose settings: what belongs to another gateway, another customer or another moment stays out of this one.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::io::Write;
 use std::process::Command;
 
-fn rows() -> Vec<Say> {
-    (0..50).map(|_| Say::Row(b"v")).collect()
+fn rows() -> Vec<Reply> {
+    (0..50).map(|_| Reply::Row(b"v")).collect()
 }
 
-// A signal that nobody listened to yet ended the process: a new configuration, told of to a whole fleet while it starts.
+// A signal that nobody listened to yet ended the process: a new configuration, signalled to an entire fleet while it starts.
 #[test]
-fn a_new_configuration_that_is_told_of_while_the_old_one_is_read_is_read_too() {
-    let stage = Stage::new(205);
-    let host = stage.host(rows());
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config();
+fn a_new_configuration_that_is_signalled_while_the_old_one_is_read_is_read_too() {
+    let harness = Harness::new(205);
+    let host = harness.host(rows());
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config();
     // It reads its file for as long as the test likes.
-    let path = format!("{}/{}.pipe", env!("CARGO_TARGET_TMPDIR"), stage.listen);
+    let path = format!("{}/{}.pipe", env!("CARGO_TARGET_TMPDIR"), harness.listen);
     let _ = std::fs::remove_file(&path);
     assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo is there").success());
-    let gateway = stage.start_env(&config, &[("GW_CONFIG", &path)]);
+    let gateway = harness.start_env(&config, &[("GW_CONFIG", &path)]);
     let mut file = std::fs::OpenOptions::new().write(true).open(&path).expect("it reads");
     file.write_all(&config.as_bytes()[..20]).expect("it reads");
     gateway.signal("HUP");
@@ -36,11 +36,11 @@
 // learned, and kept to what the other left of its own limits.
 #[test]
 fn records_of_another_gateway_are_ignored() {
-    let (mut one, mut other) = (Stage::new(206).shared(), Stage::new(207).shared());
+    let (mut one, mut other) = (Harness::new(206).shared(), Harness::new(207).shared());
     let hosts = [one.host(rows()), other.host(rows())];
     one = one.list(&[(&hosts[0], "up", "primary")]);
     other = other.list(&[(&hosts[1], "up", "primary")]).share(one.folder());
-    [&one, &other].iter().for_each(|stage| stage.discover());
+    [&one, &other].iter().for_each(|harness| harness.discover());
     let first = one.beside();
     first.call_until(b"ready\n", "YES");
     assert_eq!(kinds(&first.client().ask(&select("a", "view", 20_000))), "TDCZ");
@@ -72,11 +72,11 @@
 // What its clients wait was held against the new deadline as soon as that was there.
 #[test]
 fn clients_that_do_not_know_of_a_shorter_deadline_yet_are_served() {
-    let stage = Stage::new(208);
-    let host = stage.host(rows());
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config();
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(208);
+    let host = harness.host(rows());
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config();
+    let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     assert_eq!(kinds(&client.ask(&select("a", "view", 25_000))), "TDCZ");
     gateway.configure(&config.replace("\"deadline_us\":30000000", "\"deadline_us\":6000000"));
@@ -103,13 +103,13 @@
         ("\"granularity_us\":5000", "\"granularity_us\":20000"),
         ("\"cancel\":true", "\"cancel\":false"),
     ];
-    let stage = Stage::new(209);
-    let host = stage.host((0..50).map(|_| Say::Row(b"v")).collect());
-    let stage = stage.list(&[(&host, "up", "primary")]);
+    let harness = Harness::new(209);
+    let host = harness.host((0..50).map(|_| Reply::Row(b"v")).collect());
+    let harness = harness.list(&[(&host, "up", "primary")]);
     for (usual, odd) in odd {
-        let config = stage.config();
+        let config = harness.config();
         assert!(config.contains(usual), "{usual}");
-        let mut gateway = stage.start_with(&config.replace(usual, odd));
+        let mut gateway = harness.start_with(&config.replace(usual, odd));
         gateway.line_with("gateway serving");
         assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ", "{odd}");
         gateway.signal("TERM");
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -1,24 +1,24 @@
 //! Daily running: the second address, draining and resuming. The program on sockets, as in `gateway.rs`.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::io::{Read, Write};
 
 const VIEW: &str = "view";
 
-/// A gateway at work with one host, as its staff knows it.
-fn at_work(number: u8, script: Vec<Say>) -> (Gateway, Host) {
-    let stage = Stage::new(number).ops();
-    let host = stage.host(script);
-    let line = list(42, true, &stage.entries(&[(&host, "up", "primary")]));
-    let gateway = stage.news(&[&line]).start();
+/// A gateway at work with one host, as its operators know it.
+fn at_work(number: u8, script: Vec<Reply>) -> (Gateway, Host) {
+    let harness = Harness::new(number).ops();
+    let host = harness.host(script);
+    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let gateway = harness.updates(&[&line]).start();
     gateway.call_until(b"ready\n", "YES");
     (gateway, host)
 }
 
 #[test]
 fn a_drained_gateway_says_no_closes_idle_clients_and_answers_what_it_took() {
-    let (gateway, host) = at_work(50, vec![Say::WaitForGo(b"late"), Say::Row(b"new")]);
+    let (gateway, host) = at_work(50, vec![Reply::WaitForGo(b"late"), Reply::Row(b"new")]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     busy.write(&query(&select("a", VIEW, 20000)));
     host.next_query();
@@ -40,7 +40,7 @@
 
 #[test]
 fn resume_brings_it_back_without_a_restart_and_calls_may_come_twice() {
-    let (gateway, _host) = at_work(51, vec![Say::Row(b"one")]);
+    let (gateway, _host) = at_work(51, vec![Reply::Row(b"one")]);
     for line in [b"drain\n", b"drain\n"] {
         assert!(gateway.call(line).starts_with("YES"));
     }
@@ -57,9 +57,9 @@
 
 #[test]
 fn it_is_not_ready_without_a_host_and_stays_drained_through_a_reload() {
-    let stage = Stage::new(52).ops();
-    let config = stage.config();
-    let gateway = stage.start();
+    let harness = Harness::new(52).ops();
+    let config = harness.config();
+    let gateway = harness.start();
     assert!(gateway.call(b"ready\n").starts_with("NO"));
     assert!(gateway.call(b"drain\n").starts_with("YES"), "also while the list is empty");
     gateway.configure(&config);
@@ -80,10 +80,10 @@
 #[test]
 fn bad_callers_get_a_plain_no_and_keep_nobody_out() {
     // So few descriptors that clients take all that they are given.
-    let stage = Stage::new(54).ops().sockets(64);
-    let host = stage.host(vec![]);
-    let line = list(42, true, &stage.entries(&[(&host, "up", "primary")]));
-    let gateway = stage.news(&[&line]).start();
+    let harness = Harness::new(54).ops().sockets(64);
+    let host = harness.host(vec![]);
+    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let gateway = harness.updates(&[&line]).start();
     for line in [&b"READY\n"[..], b"ready please\n", b"\n", b"dra", &[b'x'; 1 << 20]] {
         let mut caller = gateway.caller();
         let _ = caller.write_all(line);
@@ -100,15 +100,15 @@
     half.write_all(b"dy\n").expect("it is read");
     let mut answer = String::new();
     half.read_to_string(&mut answer).expect("an answer");
-    assert!(answer.starts_with("YES"), "half a line may become whole");
+    assert!(answer.starts_with("YES"), "half a line may become complete");
     drop(silent);
 }
 
 #[test]
 fn without_its_name_nothing_listens_and_a_bad_one_is_named() {
-    let stage = Stage::new(55);
-    let config = stage.config().replacen('{', r#"{"ops":"nowhere","#, 1);
-    let (code, log) = stage.start_with(&config).ended();
+    let harness = Harness::new(55);
+    let config = harness.config().replacen('{', r#"{"ops":"nowhere","#, 1);
+    let (code, log) = harness.start_with(&config).ended();
     assert_eq!(code, Some(2));
     assert!(log.contains("ops: \"nowhere\" is not an address with a port"), "{log}");
 }
@@ -128,11 +128,11 @@
 
 #[test]
 fn a_class_that_is_added_serves_at_once_and_one_that_is_dropped_ends_when_clients_know() {
-    let stage = Stage::new(56).ops();
-    let host = stage.host((0..4).map(|_| Say::Row(b"v")).collect());
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config();
-    let gateway = stage.start();
+    let harness = Harness::new(56).ops();
+    let host = harness.host((0..4).map(|_| Reply::Row(b"v")).collect());
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config();
+    let gateway = harness.start();
     let mut client = gateway.client();
     let extra = select("a", "extra", 20000);
     assert_eq!(field(&client.ask(&extra)[0].1, b'C'), "22023", "not yet");
@@ -152,11 +152,11 @@
 
 #[test]
 fn an_open_request_keeps_the_rules_it_came_with_and_the_next_one_has_the_new() {
-    let stage = Stage::new(57).ops();
-    let host = stage.host(vec![Say::CloseOnGo, Say::Row(b"again"), Say::Close]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config();
-    let gateway = stage.start();
+    let harness = Harness::new(57).ops();
+    let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"again"), Reply::Close]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config();
+    let gateway = harness.start();
     let mut client = gateway.client();
     client.write(&query(&insert("a", 20000)));
     host.next_query();
@@ -173,11 +173,11 @@
 
 #[test]
 fn a_broken_file_changes_nothing_and_is_named() {
-    let stage = Stage::new(58).ops();
-    let host = stage.host((0..20).map(|_| Say::Row(b"v")).collect());
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config();
-    let gateway = stage.start();
+    let harness = Harness::new(58).ops();
+    let host = harness.host((0..20).map(|_| Reply::Row(b"v")).collect());
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config();
+    let gateway = harness.start();
     let mut client = gateway.client();
     let grown = grown(&config);
     let broken = [
@@ -213,19 +213,19 @@
 
 #[test]
 fn a_row_of_four_mib_passes_through_a_slow_client_and_the_connection_is_used_again() {
-    let stage = Stage::new(60);
-    let whole: &'static [u8] = long_row(4 << 20).leak();
+    let harness = Harness::new(60);
+    let complete: &'static [u8] = long_row(4 << 20).leak();
     let after: &'static [u8] =
-        [whole, &message(b'S', b"replication_role\0primary\0")[..], &message(b'Z', b"I")].concat().leak();
-    let host = stage.host(vec![Say::Bytes(after), Say::Row(b"short"), Say::Bytes(after)]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+        [complete, &message(b'S', b"replication_role\0primary\0")[..], &message(b'Z', b"I")].concat().leak();
+    let host = harness.host(vec![Reply::Bytes(after), Reply::Row(b"short"), Reply::Bytes(after)]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", VIEW, 20000)));
     // The first bytes come although nobody takes the rest.
     let mut got = client.bytes(1000);
     std::thread::sleep(std::time::Duration::from_millis(700));
-    got.extend(client.bytes(whole.len() - 1000));
-    assert!(got == whole, "every byte in its place");
+    got.extend(client.bytes(complete.len() - 1000));
+    assert!(got == complete, "every byte in its place");
     assert_eq!(kinds(&client.until_ready()), "Z");
     gateway.rest();
     assert_eq!(client.ask(&select("b", VIEW, 20000))[1].1[6..], *b"short");
@@ -235,11 +235,11 @@
 }
 
 #[test]
-fn a_host_that_stops_in_the_middle_of_a_long_row_ends_the_client_and_nothing_is_tried_again() {
-    let stage = Stage::new(61);
+fn a_host_that_stops_in_the_middle_of_a_long_row_ends_the_client_and_nothing_is_retried() {
+    let harness = Harness::new(61);
     let begun: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
-    let host = stage.host(vec![Say::Cut(begun), Say::Row(b"other")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let host = harness.host(vec![Reply::Cut(begun), Reply::Row(b"other")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", VIEW, 20000)));
     let mut got = client.bytes(begun.len());
@@ -251,19 +251,19 @@
 
 #[test]
 fn a_row_longer_than_any_value_makes_no_sense() {
-    let stage = Stage::new(62);
+    let harness = Harness::new(62);
     let begun: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
-    let host = stage.host(vec![Say::Bytes(begun), Say::Row(b"other")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let host = harness.host(vec![Reply::Bytes(begun), Reply::Row(b"other")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"other");
     gateway.wait_for_counter("HostMalformed=1");
 }
 
 #[test]
 fn a_short_answer_in_pieces_is_put_together() {
-    let stage = Stage::new(63);
-    let host = stage.host(vec![Say::Pieces(b"in pieces", 20, 40)]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(63);
+    let host = harness.host(vec![Reply::Pieces(b"in pieces", 20, 40)]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
     assert_eq!(host.queries(), 1);
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,8 +1,8 @@
 //! What one deployment's settings and hosts have and another's lack: it is used, or passed over, and never a reason to
 //! fail.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 
 fn unix_s() -> f64 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_secs_f64()
@@ -10,9 +10,13 @@
 
 /// A row, and this load report behind it.
 fn with_report(report: &str) -> &'static [u8] {
-    let told = |name: &str, value: &str| message(b'S', format!("{name}\0{value}\0").as_bytes());
-    let parts =
-        [row(b"v"), told("replication_role", "primary"), told("pressure", report), message(b'Z', b"I")];
+    let parameter_status = |name: &str, value: &str| message(b'S', format!("{name}\0{value}\0").as_bytes());
+    let parts = [
+        row(b"v"),
+        parameter_status("replication_role", "primary"),
+        parameter_status("pressure", report),
+        message(b'Z', b"I"),
+    ];
     parts.concat().leak()
 }
 
@@ -21,9 +25,9 @@
     let ahead = format!("x0={:.3},x1=1", unix_s() + 60.0);
     let sound = format!("x0={:.3},x1=1", unix_s() - 1.0);
     let reports = ["x0=-5,x1=1", "x0=NaN", "x0=inf", "x0", "q=-1", &ahead, &sound, "inflight=7,util=0.61"];
-    let stage = Stage::new(235);
-    let host = stage.host(reports.iter().map(|report| Say::Bytes(with_report(report))).collect());
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(235);
+    let host = harness.host(reports.iter().map(|report| Reply::Bytes(with_report(report))).collect());
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     for report in reports {
         assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ", "{report}");
@@ -33,15 +37,15 @@
 
 #[test]
 fn a_keyed_class_without_its_window_is_one_sentence_and_keeps_the_old_settings() {
-    let stage = Stage::new(236);
-    let host = stage.host(vec![Say::Row(b"v")]);
-    let config = stage.config();
+    let harness = Harness::new(236);
+    let host = harness.host(vec![Reply::Row(b"v")]);
+    let config = harness.config();
     let without = config.replace("\"window_us\":30000000,", "");
-    let (code, log) = stage.start_with(&without).ended();
+    let (code, log) = harness.start_with(&without).ended();
     assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
     assert!(log.contains("class \"post\" is keyed and names no window_us"), "{log}");
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let gateway = stage.start();
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let gateway = harness.start();
     gateway.configure(&without);
     gateway.line_with("configuration rejected");
     assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
@@ -49,11 +53,11 @@
 
 #[test]
 fn settings_that_are_not_known_are_named_once_and_change_nothing() {
-    let stage = Stage::new(237);
-    let host = stage.host(vec![Say::Row(b"v")]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config().replace("\"balancers\":1,", "\"balancers\":1,\"weather\":{\"rain\":1},");
-    let gateway = stage.start_with(&config);
+    let harness = Harness::new(237);
+    let host = harness.host(vec![Reply::Row(b"v")]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config().replace("\"balancers\":1,", "\"balancers\":1,\"weather\":{\"rain\":1},");
+    let gateway = harness.start_with(&config);
     let line = gateway.line_with("unknown setting ignored");
     assert!(line.contains("weather"), "{line}");
     gateway.line_with("gateway serving");
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,8 +1,8 @@
-//! A drain that is told, a window that closes or an address that changes while an attempt is on its way to its first
+//! A drain that is announced, a window that closes or an address that changes while an attempt is on its way to its first
 //! byte: a host welcomes a connection only when the test says so.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 
 fn patient(config: &str) -> String {
     config.replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000")
@@ -10,25 +10,25 @@
 
 // The attempt was written as soon as its connection was up, however long the host had been known to drain.
 #[test]
-fn a_host_whose_drain_is_told_while_a_connection_comes_up_gets_nothing_on_it() {
+fn a_host_whose_drain_is_announced_while_a_connection_comes_up_gets_nothing_on_it() {
     for (number, change) in (190..).zip(["draining", "removed", "another address", "another run"]) {
-        let stage = Stage::new(number);
-        let (slow, next) = (stage.slow_host(0, vec![]), stage.host(vec![Say::Row(b"next")]));
-        let up = stage.entries(&[(&slow, "up", "primary")]);
-        let news = match change {
-            "another address" => stage.entries(&[(&next, "up", "primary")]),
-            "another run" => stage.entries(&[(&next, "up", "primary")]).replace("ms\":0", "ms\":1000"),
-            phase => stage.entries(&[(&slow, phase, "standby"), (&next, "up", "primary")]),
+        let harness = Harness::new(number);
+        let (slow, next) = (harness.slow_host(0, vec![]), harness.host(vec![Reply::Row(b"next")]));
+        let up = harness.entries(&[(&slow, "up", "primary")]);
+        let updates = match change {
+            "another address" => harness.entries(&[(&next, "up", "primary")]),
+            "another run" => harness.entries(&[(&next, "up", "primary")]).replace("ms\":0", "ms\":1000"),
+            phase => harness.entries(&[(&slow, phase, "standby"), (&next, "up", "primary")]),
         };
         let script = vec![
-            Act::Say(HEAD.to_vec()),
-            Act::Say(chunk(&format!("{}\n", list(42, true, &up)))),
-            Act::WaitForGo,
-            Act::Say(chunk(&format!("{}\n", list(43, false, &news)))),
-            Act::Beat,
+            Step::Write(HEAD.to_vec()),
+            Step::Write(chunk(&format!("{}\n", list(42, true, &up)))),
+            Step::WaitForGo,
+            Step::Write(chunk(&format!("{}\n", list(43, false, &updates)))),
+            Step::Heartbeat,
         ];
-        let config = patient(&stage.config());
-        let (gateway, source) = stage.start_scripted(&config, vec![script]);
+        let config = patient(&harness.config());
+        let (gateway, source) = harness.start_scripted(&config, vec![script]);
         gateway.wait_for("lists=", |count| count >= 2);
         let mut client = gateway.client();
         client.write(&query(&select("a", "view", 60_000)));
@@ -45,15 +45,15 @@
 // Its window was looked at when the repeat was decided on, and not when it was written.
 #[test]
 fn a_payment_is_not_repeated_behind_the_window_of_its_key_by_a_connection_that_came_up_late() {
-    let stage = Stage::new(194);
-    let host = stage.slow_host(1, vec![Say::Close]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = patient(&stage.config()).replace("\"window_us\":30000000", "\"window_us\":1500000");
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(194);
+    let host = harness.slow_host(1, vec![Reply::Close]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = patient(&harness.config()).replace("\"window_us\":30000000", "\"window_us\":1500000");
+    let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     client.write(&query(&insert("a", 6_000)));
     host.next_query();
-    host.left();
+    host.wait_for_disconnect();
     host.next_connection();
     // The one wait by the clock: up to the window's end, however long the way to here took.
     std::thread::sleep(std::time::Duration::from_millis(2_000));
@@ -66,11 +66,11 @@
 // Within the window it is.
 #[test]
 fn a_payment_is_repeated_within_the_window_of_its_key() {
-    let stage = Stage::new(195);
-    let host = stage.slow_host(1, vec![Say::Close, Say::Row(b"v")]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = patient(&stage.config());
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(195);
+    let host = harness.slow_host(1, vec![Reply::Close, Reply::Row(b"v")]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = patient(&harness.config());
+    let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     client.write(&query(&insert("a", 25_000)));
     host.next_query();
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -57,7 +57,7 @@
 
 // Named once is not named for good: groups would pile up for as long as the gateway runs.
 #[test]
-fn a_whole_list_tells_which_groups_there_are() {
+fn a_complete_list_names_the_groups_there_are() {
     let play = Play::new();
     let other = Entry { group: G + 1, ..entry(4, MemberStatus::Up, true, 0) };
     play.facade.update_endpoints(false, vec![other.clone()]);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_ticket_that_is_dropped_calls_its_attempt_off() {
+fn a_ticket_that_is_dropped_cancels_its_attempt() {
     let mut play = Play::new();
     let mut ticket = play.admit(2, 900 * MS);
     let mut attempt = play.send(&mut ticket);
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -1,8 +1,8 @@
 //! Customers whose hosts answer from whatever they have: the gateway alone keeps reads from old data, up to the first byte
 //! of each attempt. A host welcomes a connection only when the test says so, and meanwhile what was known of it grows old.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Hosts do not look at how far behind they are. Beside any data, there are reads of data no older than 4 s, and of the
@@ -38,12 +38,12 @@
 // How old the data may be was looked at when the attempt was decided on, and not when it was written.
 #[test]
 fn a_bounded_read_is_not_sent_once_what_is_known_of_its_host_has_grown_too_old() {
-    let stage = Stage::new(210);
+    let harness = Harness::new(210);
     let at = unix_ms();
-    let host = stage.slow_host(1, vec![Say::ReplicaAt(b"v", at), Say::Nothing, Say::Row(b"old")]);
-    let stage = stage.list(&[(&host, "up", "standby")]);
-    let config = unchecked(&stage.config());
-    let gateway = stage.start_as(&config);
+    let host = harness.slow_host(1, vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::Row(b"old")]);
+    let harness = harness.list(&[(&host, "up", "standby")]);
+    let config = unchecked(&harness.config());
+    let gateway = harness.start_as(&config);
     let (mut first, mut second, mut third) = (gateway.client(), gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
     assert_eq!(kinds(&first.until_ready()), "TDCZ");
@@ -65,11 +65,11 @@
 // The host said that it leads no more while the connection came up.
 #[test]
 fn a_read_of_the_newest_is_not_sent_to_a_host_that_has_said_meanwhile_that_it_does_not_lead() {
-    let stage = Stage::new(211);
-    let host = stage.slow_host(0, vec![Say::ReplicaAt(b"v", unix_ms()), Say::Row(b"old")]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = unchecked(&stage.config());
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(211);
+    let host = harness.slow_host(0, vec![Reply::ReplicaAt(b"v", unix_ms()), Reply::Row(b"old")]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = unchecked(&harness.config());
+    let gateway = harness.start_as(&config);
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
     host.next_connection();
@@ -91,13 +91,13 @@
 // What is fresh enough still goes out on a connection that came up late.
 #[test]
 fn a_bounded_read_is_sent_while_what_is_known_of_its_host_is_new_enough() {
-    let stage = Stage::new(212);
+    let harness = Harness::new(212);
     let at = unix_ms();
-    let script = vec![Say::ReplicaAt(b"v", at), Say::Nothing, Say::ReplicaAt(b"new", at)];
-    let host = stage.slow_host(1, script);
-    let stage = stage.list(&[(&host, "up", "standby")]);
-    let config = unchecked(&stage.config()).replace("4000000,0]", "60000000,0]");
-    let gateway = stage.start_as(&config);
+    let script = vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::ReplicaAt(b"new", at)];
+    let host = harness.slow_host(1, script);
+    let harness = harness.list(&[(&host, "up", "standby")]);
+    let config = unchecked(&harness.config()).replace("4000000,0]", "60000000,0]");
+    let gateway = harness.start_as(&config);
     let (mut first, mut second, mut third) = (gateway.client(), gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
     first.until_ready();
@@ -124,19 +124,19 @@
 
 /// A primary that drains as soon as a write of session `a` is out there, and a replica that is known to be as new as `at`.
 /// What the primary does with the write is up to the test.
-fn a_write_out_at_a_primary_that_drains(number: u8, does: Say, at: u64) -> (Gateway, [Host; 2], Client) {
-    let stage = Stage::new(number);
+fn a_write_out_at_a_primary_that_drains(number: u8, does: Reply, at: u64) -> (Gateway, [Host; 2], Client) {
+    let harness = Harness::new(number);
     let hosts =
-        [stage.host(vec![does]), stage.host((0..30).map(|_| Say::ReplicaAt(b"replica", at)).collect())];
-    let drains = stage.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
-    let stage = stage.later(&[&list(42, false, &drains)]);
-    let stage = stage.list(&[(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")]);
-    let config = with_sessions(&stage.config());
-    let gateway = stage.start_as(&config);
+        [harness.host(vec![does]), harness.host((0..30).map(|_| Reply::ReplicaAt(b"replica", at)).collect())];
+    let drains = harness.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
+    let harness = harness.later_updates(&[&list(42, false, &drains)]);
+    let harness = harness.list(&[(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")]);
+    let config = with_sessions(&harness.config());
+    let gateway = harness.start_as(&config);
     let mut writer = gateway.client();
     writer.write(&write("1", 25_000));
     hosts[0].next_query();
-    gateway.tell_later();
+    gateway.send_later_updates();
     gateway.wait_for("lists=", |count| count >= 2);
     let mut client = gateway.client();
     client.write(&ask("view", "2", 25_000));
@@ -149,7 +149,7 @@
 // after it was written, and reads of its session went to replicas that lacked it.
 #[test]
 fn a_read_of_a_session_whose_write_is_out_without_an_answer_sees_what_it_may_have_made() {
-    let (gateway, hosts, writer) = a_write_out_at_a_primary_that_drains(215, Say::Nothing, unix_ms());
+    let (gateway, hosts, writer) = a_write_out_at_a_primary_that_drains(215, Reply::Nothing, unix_ms());
     // The one wait by the clock: the answer could have been written and lost for longer than it takes to be known.
     std::thread::sleep(Duration::from_millis(400));
     let mut reader = gateway.client();
@@ -167,7 +167,7 @@
 #[test]
 fn a_read_of_a_session_sees_a_write_that_was_answered_behind_its_clients_leaving() {
     let start = unix_ms();
-    let (does, at) = (Say::RowAtOnGo(b"v", start + 1_100), start + 900);
+    let (does, at) = (Reply::RowAtOnGo(b"v", start + 1_100), start + 900);
     let (gateway, hosts, writer) = a_write_out_at_a_primary_that_drains(216, does, at);
     drop(writer);
     // Whatever it may have made is taken to be made by now: the replica has it.
@@ -183,15 +183,15 @@
     assert_eq!(hosts[1].queries(), 0);
 }
 
-// Told by its own answer that it does not lead, and how old its data are.
+// Known by its own answer that it does not lead, and how old its data are.
 #[test]
 fn an_answer_that_shows_by_itself_that_its_data_are_too_old_is_not_given() {
-    let stage = Stage::new(217);
+    let harness = Harness::new(217);
     let old = unix_ms() - 60_000;
-    let deposed = stage.host(vec![Say::ReplicaAt(b"old", old)]);
-    let stage = stage.list(&[(&deposed, "up", "primary")]);
-    let config = unchecked(&stage.config());
-    let gateway = stage.start_as(&config);
+    let deposed = harness.host(vec![Reply::ReplicaAt(b"old", old)]);
+    let harness = harness.list(&[(&deposed, "up", "primary")]);
+    let config = unchecked(&harness.config());
+    let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     client.write(&ask("bounded", "1", 2_000));
     let answer = client.until_ready();
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -94,7 +94,7 @@
         [message(b'P', b"\0SELECT 1\0\0\0"), message(b'S', b"")].concat(),
         vec![0, 0, 0, 8, 4, 210, 22, 47],
     ];
-    let mut whole = 0u32;
+    let mut complete = 0u32;
     rounds(1, &corpus, |bytes| {
         // Fed in two pieces, as it may come; what is kept never grows past what came.
         let mut framer = Framer::default();
@@ -103,14 +103,14 @@
             framer.feed(piece);
             let _ = framer.opening();
             while let Ok(Some(message)) = framer.message() {
-                whole += 1;
+                complete += 1;
                 assert!(message.raw.len() <= bytes.len());
                 let _ = message.text();
             }
             assert!(framer.len() <= bytes.len());
         }
     });
-    assert!(whole > ROUNDS / 10, "some make sense: {whole}");
+    assert!(complete > ROUNDS / 10, "some make sense: {complete}");
 }
 
 #[test]
--- a/tests/gateway_fleet/mod.rs
+++ b/tests/gateway_fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Five processes of the program, three of them acceptors, and a sixth address among their peers that reads what they send.
 
-use crate::stage::*;
+use crate::harness::*;
 use petrelgauge_ownership::{Fence, LeadershipRole, LeaseHolder, Message, Notification, Settings, Term};
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -92,7 +92,7 @@
 }
 
 pub struct Fleet {
-    pub stages: Vec<(Stage, String)>,
+    pub harnesses: Vec<(Harness, String)>,
     pub gateways: Vec<Option<Gateway>>,
     pub ledger: Ledger,
     pub _host: Host,
@@ -112,36 +112,36 @@
     peers.push(ledger.socket.local_addr().expect("an address").to_string());
     drop(sockets);
     let list_of = peers.iter().map(|peer| format!("\"{peer}\"")).collect::<Vec<_>>().join(",");
-    let first = Stage::new(number);
-    let host = first.host((0..500).map(|_| Say::RowAt(b"v", 1_700_000_000_000)).collect());
-    let mut stages = vec![first];
-    stages.extend((1..GATEWAYS).map(|place| Stage::new(number + place as u8)));
-    let stages: Vec<(Stage, String)> = stages
+    let first = Harness::new(number);
+    let host = first.host((0..500).map(|_| Reply::RowAt(b"v", 1_700_000_000_000)).collect());
+    let mut harnesses = vec![first];
+    harnesses.extend((1..GATEWAYS).map(|place| Harness::new(number + place as u8)));
+    let harnesses: Vec<(Harness, String)> = harnesses
         .into_iter()
         .enumerate()
-        .map(|(place, stage)| {
-            let stage = stage.list(&[(&host, "up", "primary")]).operator(file);
+        .map(|(place, harness)| {
+            let harness = harness.list(&[(&host, "up", "primary")]).operator(file);
             let more = format!("{{\"peer_listen\":\"{}\",\"peers\":[{list_of}],", peers[place]);
-            let config = stage.config().replacen('{', &more, 1);
-            (stage, config)
+            let config = harness.config().replacen('{', &more, 1);
+            (harness, config)
         })
         .collect();
-    let mut fleet = Fleet { stages, gateways: (0..GATEWAYS).map(|_| None).collect(), ledger, _host: host };
+    let mut fleet = Fleet { harnesses, gateways: (0..GATEWAYS).map(|_| None).collect(), ledger, _host: host };
     (0..GATEWAYS).for_each(|place| fleet.start(place));
     fleet
 }
 
 impl Fleet {
     pub fn start(&mut self, place: usize) {
-        let (stage, config) = &self.stages[place];
-        let gateway = stage.start_with(config);
+        let (harness, config) = &self.harnesses[place];
+        let gateway = harness.start_with(config);
         gateway.line_with("gateway serving");
         self.gateways[place] = Some(gateway);
     }
 
     /// Where it hears the others.
     pub fn address(&self, place: u16) -> String {
-        let (_, config) = &self.stages[place as usize];
+        let (_, config) = &self.harnesses[place as usize];
         let at = config.find("peer_listen\":\"").expect("it names one") + 14;
         config[at..].split('"').next().expect("an address").to_string()
     }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,23 +1,23 @@
 //! Replacing the process: two and three processes of one gateway before the same hosts and the same listening socket,
 //! with a stop, a stall or a crash of either at each step.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
-fn shared(number: u8, answers: usize) -> (Stage, Host) {
-    let stage = Stage::new(number).shared();
-    let host = stage.host((0..answers).map(|_| Say::Row(b"v")).collect());
-    let line = list(42, true, &stage.entries(&[(&host, "up", "primary")]));
-    let stage = stage.news(&[&line]);
-    stage.discover();
-    (stage, host)
+fn shared(number: u8, answers: usize) -> (Harness, Host) {
+    let harness = Harness::new(number).shared();
+    let host = harness.host((0..answers).map(|_| Reply::Row(b"v")).collect());
+    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let harness = harness.updates(&[&line]);
+    harness.discover();
+    (harness, host)
 }
 
-/// Clients that ask without a pause until they are told to stop; gives how many answers there were.
+/// Clients that ask without a pause until they are stopped; gives how many answers there were.
 struct Load {
     over: Arc<AtomicBool>,
     answers: Arc<AtomicUsize>,
@@ -62,14 +62,14 @@
 
 #[test]
 fn a_process_takes_over_under_load_and_no_request_is_lost() {
-    let (mut stage, _host) = shared(70, 200_000);
-    let mut old = stage.beside();
+    let (mut harness, _host) = shared(70, 200_000);
+    let mut old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 4);
     load.goes_on();
     // Its record tells what it has learned by now.
     thread::sleep(Duration::from_millis(600));
-    let new = stage.beside();
+    let new = harness.beside();
     new.call_until(b"ready\n", "YES");
     old.line_with("sibling processes changed live=1");
     old.signal("TERM");
@@ -77,20 +77,20 @@
     load.goes_on();
     load.end();
     new.wait_for("requests=", |count| count > 0);
-    let left = std::fs::read_dir(stage.folder()).expect("a folder").count();
+    let left = std::fs::read_dir(harness.folder()).expect("a folder").count();
     assert_eq!(left, 1, "the old one removed its record");
 }
 
 #[test]
 fn one_that_starts_beside_another_starts_from_what_that_one_learned() {
-    let (mut stage, _host) = shared(71, 200_000);
-    let old = stage.beside();
+    let (mut harness, _host) = shared(71, 200_000);
+    let old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 2);
     load.goes_on();
     thread::sleep(Duration::from_millis(600));
-    let ops = stage.reserve_port();
-    let mut new = stage.start_env(&stage.config(), &[("GW_OPS", &ops)]);
+    let ops = harness.reserve_port();
+    let mut new = harness.start_env(&harness.config(), &[("GW_OPS", &ops)]);
     assert!(new.line_with("learned state adopted").contains(" hosts=1 "));
     new.line_with("gateway serving");
     new.signal("TERM");
@@ -101,12 +101,12 @@
 
 #[test]
 fn a_new_process_that_dies_before_its_yes_changes_nothing() {
-    let (mut stage, _host) = shared(72, 200_000);
-    let old = stage.beside();
+    let (mut harness, _host) = shared(72, 200_000);
+    let old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 3);
     for _ in 0..3 {
-        let new = stage.beside();
+        let new = harness.beside();
         new.signal("KILL");
         load.goes_on();
     }
@@ -117,11 +117,11 @@
 
 #[test]
 fn an_old_process_that_stands_still_keeps_nobody_from_the_new_one() {
-    let (mut stage, _host) = shared(73, 1000);
-    let mut old = stage.beside();
+    let (mut harness, _host) = shared(73, 1000);
+    let mut old = harness.beside();
     old.call_until(b"ready\n", "YES");
     old.signal("STOP");
-    let new = stage.beside();
+    let new = harness.beside();
     new.call_until(b"ready\n", "YES");
     for _ in 0..8 {
         assert_eq!(kinds(&new.client().ask(&select("a", "view", 20000))), "TDCZ");
@@ -135,15 +135,15 @@
 
 #[test]
 fn an_old_process_that_is_killed_while_it_drains_leaves_the_new_one_alone() {
-    let (mut stage, host) = shared(74, 0);
+    let (mut harness, host) = shared(74, 0);
     drop(host);
-    let host = stage.host(vec![Say::Nothing, Say::Row(b"v"), Say::Row(b"v")]);
-    let line = list(43, true, &stage.entries(&[(&host, "up", "primary")]));
-    stage = stage.news(&[&line]);
-    stage.discover();
-    let old = stage.beside();
+    let host = harness.host(vec![Reply::Nothing, Reply::Row(b"v"), Reply::Row(b"v")]);
+    let line = list(43, true, &harness.entries(&[(&host, "up", "primary")]));
+    harness = harness.updates(&[&line]);
+    harness.discover();
+    let old = harness.beside();
     old.call_until(b"ready\n", "YES");
-    let new = stage.beside();
+    let new = harness.beside();
     new.call_until(b"ready\n", "YES");
     old.signal("TERM");
     old.signal("KILL");
@@ -153,14 +153,14 @@
 
 #[test]
 fn a_damaged_record_is_logged_and_a_third_process_is_counted() {
-    let (mut stage, _host) = shared(75, 1000);
+    let (mut harness, _host) = shared(75, 1000);
     for (name, bytes) in [("1", &b"petrel\x01torn"[..]), ("2", b""), ("3", &[7; 5000])] {
-        std::fs::write(format!("{}/petrelgauge-{name}.letter", stage.folder()), bytes).expect("written");
+        std::fs::write(format!("{}/petrelgauge-{name}.letter", harness.folder()), bytes).expect("written");
     }
-    let free = stage.start_with(&stage.config());
+    let free = harness.start_with(&harness.config());
     assert!(free.line_with("handover record rejected").contains("it is incomplete or damaged"));
     free.line_with("gateway serving");
-    let processes = [stage.beside(), stage.beside()];
+    let processes = [harness.beside(), harness.beside()];
     free.line_with("sibling processes changed live=2");
     for gateway in &processes {
         gateway.call_until(b"ready\n", "YES");
@@ -171,24 +171,25 @@
 /// Two processes whose wall clocks were this far apart when they started: the later one starts from what the other
 /// learned, and each counts the other for as long as both run.
 fn clocks_apart(number: u8, old_shift: &str, new_shift: &str) {
-    let (stage, _host) = shared(number, 200_000);
-    let mut stage = stage.operator(&format!("clock_shift: {old_shift}"));
-    let mut old = stage.beside();
+    let (harness, _host) = shared(number, 200_000);
+    let mut harness = harness.operator(&format!("clock_shift: {old_shift}"));
+    let mut old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 1);
     load.goes_on();
     thread::sleep(Duration::from_millis(600));
-    let stage = stage.operator(&format!("clock_shift: {new_shift}"));
+    let harness = harness.operator(&format!("clock_shift: {new_shift}"));
     let free = std::net::TcpListener::bind(format!("127.77.{number}.3:0")).expect("a free port");
     let ops = free.local_addr().expect("an address").to_string();
     drop(free);
-    let mut new = stage.start_env(&stage.config(), &[("GW_OPS", &ops)]);
+    let mut new = harness.start_env(&harness.config(), &[("GW_OPS", &ops)]);
     // Longer than a record may stay unchanged, and no wait for a line that never comes.
     thread::sleep(Duration::from_secs(6));
     load.goes_on();
     load.end();
     // A record that is being replaced has the beginning of the next one beside it.
-    let names = std::fs::read_dir(stage.folder()).expect("a folder").flatten().map(|entry| entry.file_name());
+    let names =
+        std::fs::read_dir(harness.folder()).expect("a folder").flatten().map(|entry| entry.file_name());
     let records = names.filter(|name| name.to_string_lossy().ends_with(".letter")).count();
     assert_eq!(records, 2, "both run");
     new.signal("TERM");
@@ -225,25 +226,25 @@
 
 #[test]
 fn a_directory_that_vanishes_for_a_while_is_logged_once_and_the_process_goes_on() {
-    let (mut stage, _host) = shared(83, 1_000);
-    let gateway = stage.beside();
+    let (mut harness, _host) = shared(83, 1_000);
+    let gateway = harness.beside();
     gateway.call_until(b"ready\n", "YES");
-    std::fs::remove_dir_all(stage.folder()).expect("it was there");
+    std::fs::remove_dir_all(harness.folder()).expect("it was there");
     gateway.line_with("handover record not written");
     assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
-    std::fs::create_dir_all(stage.folder()).expect("a place to write");
+    std::fs::create_dir_all(harness.folder()).expect("a place to write");
     gateway.line_with("handover record written again");
     assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
 }
 
 #[test]
 fn a_descriptor_that_is_no_socket_is_named() {
-    let stage = Stage::new(76);
-    let config = stage.config();
+    let harness = Harness::new(76);
+    let config = harness.config();
     for (text, cause) in
         [("three", "is not the number of a descriptor"), ("1", "is not the number"), ("999", "GW_ACCEPT_FD")]
     {
-        let (code, log) = stage.start_env(&config, &[("GW_ACCEPT_FD", text)]).ended();
+        let (code, log) = harness.start_env(&config, &[("GW_ACCEPT_FD", text)]).ended();
         assert_eq!(code, Some(2));
         assert!(log.starts_with("petrelgauge: GW_ACCEPT_FD") && log.contains(cause), "{log}");
     }
--- a/tests/handover_directory.rs
+++ b/tests/handover_directory.rs
@@ -172,14 +172,14 @@
         let mut machine = Machine::new();
         machine.start(IN_USE, Faults::default());
         machine.start(Reservation::default(), Faults::default());
-        machine.beat();
-        machine.beat();
+        machine.heartbeat();
+        machine.heartbeat();
         assert_eq!(machine.limit(1), REST);
         machine
     }
 
     /// A heartbeat of every process, one after the other, and the pause until the next.
-    fn beat(&mut self) {
+    fn heartbeat(&mut self) {
         for process in &self.processes {
             let heartbeat = process.handover.begin(self.now, process.in_use, Knowledge::default());
             process.handover.finish(self.now, heartbeat.run());
@@ -202,7 +202,7 @@
         let most = LIMITS.saturating_add(LIMITS.minimum_share());
         let end = self.now + span;
         while self.now < end {
-            self.beat();
+            self.heartbeat();
             let (one, other) = (self.limit(0), self.limit(1));
             let all = one.min(IN_USE).max(LIMITS.minimum_share().min(one)).saturating_add(other);
             assert_eq!(all.min(most), all, "{one:?} and {other:?} at {}", self.now);
@@ -221,16 +221,16 @@
     let mut machine = Machine::pair();
     machine.fault(0, FULL);
     for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-        machine.beat();
+        machine.heartbeat();
         assert_eq!((machine.limit(0), machine.limit(1)), (IN_USE, REST));
     }
     // Its own use does not count while it cannot be stated.
     machine.processes[0].in_use = Reservation { sockets: 5, ..IN_USE };
-    machine.beat();
+    machine.heartbeat();
     assert_eq!(machine.limit(1), REST);
     machine.fault(0, Faults::default());
-    machine.beat();
-    machine.beat();
+    machine.heartbeat();
+    machine.heartbeat();
     assert_eq!(machine.limit(1).sockets, LIMITS.sockets - 5);
 }
 
@@ -241,7 +241,7 @@
         machine.fault(0, fault);
         let mut taken = false;
         for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-            machine.beat();
+            machine.heartbeat();
             let (blind, sibling) = (machine.limit(0), machine.limit(1));
             assert!(sibling == REST || blind == LIMITS.minimum_share(), "{blind:?} beside {sibling:?}");
             assert_eq!(blind.min(IN_USE), blind, "never more than it has stated");
@@ -269,13 +269,13 @@
 fn a_process_that_starts_on_a_full_disk_keeps_to_the_minimum_share() {
     let mut machine = Machine::new();
     machine.start(IN_USE, Faults::default());
-    machine.beat();
+    machine.heartbeat();
     machine.fault(0, FULL);
     let second = machine.start(Reservation::default(), FULL);
     // Before its first heartbeat nothing of the second can be seen.
-    machine.beat();
+    machine.heartbeat();
     for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-        machine.beat();
+        machine.heartbeat();
         assert_eq!(machine.limit(second), LIMITS.minimum_share());
         assert_eq!(machine.limit(0).min(IN_USE), machine.limit(0));
     }
@@ -288,7 +288,7 @@
     for fault in [BROKEN, FULL, Faults { list: Some(ErrorKind::Other), ..BROKEN }] {
         machine.fault(0, fault);
         for _ in 0..2 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-            machine.beat();
+            machine.heartbeat();
             assert_eq!(machine.limit(0), LIMITS);
         }
     }
@@ -298,9 +298,9 @@
 fn a_record_cut_at_any_byte_leaves_its_writers_reservation_in_force() {
     let mut machine = Machine::pair();
     let name = machine.record_name(0);
-    let whole = machine.files.lock().expect("no panic").by_name[&name].0.clone();
-    for cut in 0..whole.len() {
-        let cut = (whole[..cut].to_vec(), machine.now);
+    let complete = machine.files.lock().expect("no panic").by_name[&name].0.clone();
+    for cut in 0..complete.len() {
+        let cut = (complete[..cut].to_vec(), machine.now);
         machine.files.lock().expect("no panic").by_name.insert(name.clone(), cut);
         let process = &machine.processes[1];
         let heartbeat = process.handover.begin(machine.now, process.in_use, Knowledge::default());
@@ -311,8 +311,8 @@
     // One that starts now has never read it.
     let third = machine.start(Reservation::default(), Faults::default());
     assert_eq!(machine.limit(third).sockets, LIMITS.sockets / 2);
-    machine.beat();
-    machine.beat();
+    machine.heartbeat();
+    machine.heartbeat();
     assert_eq!(machine.limit(third), REST);
 }
 
@@ -321,8 +321,8 @@
     for cut in 0..200 {
         let mut machine = Machine::pair();
         machine.fault(0, Faults { write: Some((ErrorKind::StorageFull, cut)), ..FULL });
-        machine.beat();
-        machine.beat();
+        machine.heartbeat();
+        machine.heartbeat();
         assert_eq!((machine.limit(0), machine.limit(1)), (IN_USE, REST));
     }
 }
@@ -337,12 +337,12 @@
         let mut machine = Machine::pair();
         machine.fault(1, fault);
         for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-            machine.beat();
+            machine.heartbeat();
             let limit = machine.limit(1);
             assert_eq!(limit.min(REST), limit);
         }
         machine.fault(1, Faults::default());
-        (0..4).for_each(|_| machine.beat());
+        (0..4).for_each(|_| machine.heartbeat());
         assert_eq!(machine.limit(1), REST);
     }
 }
@@ -362,11 +362,11 @@
         machine.files.lock().expect("no panic").by_name.insert(name, (bytes, START + 7_200_000_000));
     }
     let count = |machine: &Machine| machine.files.lock().expect("no panic").by_name.len();
-    machine.beat();
+    machine.heartbeat();
     assert_eq!(count(&machine), 5);
     let end = machine.now + RECORD_RETENTION + 4 * HEARTBEAT_INTERVAL;
     while machine.now < end {
-        machine.beat();
+        machine.heartbeat();
         assert_eq!(machine.processes[0].handover.live_siblings(machine.now).min(1), 1);
     }
     assert_eq!(count(&machine), 2, "the records of the two that run are left");
@@ -378,14 +378,14 @@
     logged();
     for fault in [FULL, BROKEN, Faults { list: Some(ErrorKind::Other), ..BROKEN }] {
         machine.fault(0, fault);
-        (0..20).for_each(|_| machine.beat());
+        (0..20).for_each(|_| machine.heartbeat());
     }
     let first = logged();
     assert_eq!(first.iter().filter(|line| line.contains("handover record not written")).count(), 1);
     assert_eq!(first.iter().filter(|line| line.contains("handover records not read")).count(), 1);
     assert_eq!(first.len(), 2, "{first:?}");
     machine.fault(0, Faults::default());
-    (0..20).for_each(|_| machine.beat());
+    (0..20).for_each(|_| machine.heartbeat());
     let then = logged();
     assert_eq!(then.iter().filter(|line| line.contains("handover record written again")).count(), 1);
     assert_eq!(then.iter().filter(|line| line.contains("handover records read again")).count(), 1);
--- a/tests/stage/gateway.rs
+++ b/tests/harness/gateway.rs
@@ -35,7 +35,7 @@
     /// A caller of its second address.
     pub fn caller(&self) -> TcpStream {
         let stream =
-            TcpStream::connect(self.ops.as_ref().expect("it listens to its staff")).expect("it accepts");
+            TcpStream::connect(self.ops.as_ref().expect("it has an operations address")).expect("it accepts");
         stream.set_read_timeout(Some(NEVER)).expect("a limit");
         stream
     }
@@ -93,7 +93,7 @@
         Some(Client(stream, address))
     }
 
-    /// Replaces its configuration and tells it so.
+    /// Replaces its configuration and signals the change.
     pub fn configure(&self, config: &str) {
         std::fs::write(config_path(&self.address), config).expect("a place to write");
         self.signal("HUP");
@@ -124,7 +124,7 @@
         loop {
             let mut line = String::new();
             let read = log.read_line(&mut line).expect("its log");
-            assert!(read > 0, "it ended before it said {text:?}; its last word: {last:?}");
+            assert!(read > 0, "it ended before it said {text:?}; its last line: {last:?}");
             if line.contains(text) {
                 return line;
             }
@@ -187,7 +187,7 @@
     }
 
     /// Lets the watch bring what was kept for later.
-    pub fn tell_later(&self) {
+    pub fn send_later_updates(&self) {
         self.end_watch();
     }
 
--- a/tests/stage/host.rs
+++ b/tests/harness/host.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What a scripted host does with a query.
-pub enum Say {
+pub enum Reply {
     Row(&'static [u8]),
     /// A row at this position, in Unix milliseconds.
     RowAt(&'static [u8], u64),
@@ -57,12 +57,12 @@
 }
 
 impl Host {
-    pub(super) fn start(ip: &str, script: Vec<Say>) -> Host {
+    pub(super) fn start(ip: &str, script: Vec<Reply>) -> Host {
         Host::slow_from(ip, script, usize::MAX)
     }
 
     /// From this connection on, counted from 0, it welcomes none before the test says so.
-    pub(super) fn slow_from(ip: &str, script: Vec<Say>, slow_from: usize) -> Host {
+    pub(super) fn slow_from(ip: &str, script: Vec<Reply>, slow_from: usize) -> Host {
         let listener = TcpListener::bind((ip, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
         let ((saw, seen), (end, ended), (go, gone), (come, came)) =
@@ -99,7 +99,7 @@
     }
 
     /// A connection to it has ended.
-    pub fn left(&self) {
+    pub fn wait_for_disconnect(&self) {
         self.ended.recv_timeout(NEVER).expect("the gateway closes");
     }
 
@@ -111,7 +111,7 @@
 #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
 fn serve(
     mut stream: TcpStream,
-    script: &Mutex<impl Iterator<Item = Say>>,
+    script: &Mutex<impl Iterator<Item = Reply>>,
     saw: &Sender<String>,
     go: &Mutex<Receiver<()>>,
     come: Option<&Sender<()>>,
@@ -136,67 +136,68 @@
         assert_eq!(kind, b'Q', "only simple queries");
         let query = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
         let _ = saw.send(query.clone());
-        let say = script.lock().expect("a script").next();
-        let role = if matches!(say, Some(Say::ReplicaAt(..) | Say::ReplicaByClock(..) | Say::ErrorAt(..))) {
-            "standby"
-        } else {
-            "primary"
-        };
-        let answer = match say {
-            Some(Say::Row(value)) => row(value),
-            Some(Say::RowAt(value, at) | Say::ReplicaAt(value, at)) => {
+        let reply = script.lock().expect("a script").next();
+        let role =
+            if matches!(reply, Some(Reply::ReplicaAt(..) | Reply::ReplicaByClock(..) | Reply::ErrorAt(..))) {
+                "standby"
+            } else {
+                "primary"
+            };
+        let answer = match reply {
+            Some(Reply::Row(value)) => row(value),
+            Some(Reply::RowAt(value, at) | Reply::ReplicaAt(value, at)) => {
                 [row(value), message(b'S', format!("log_position\0{at}\0").as_bytes())].concat()
             }
-            Some(Say::RowByClock(value, ahead)) => row_by_clock(value, ahead),
-            Some(Say::ReplicaByClock(value, ahead, behind)) => row_by_clock(value, ahead - behind),
-            Some(Say::Bytes(bytes)) => {
+            Some(Reply::RowByClock(value, ahead)) => row_by_clock(value, ahead),
+            Some(Reply::ReplicaByClock(value, ahead, behind)) => row_by_clock(value, ahead - behind),
+            Some(Reply::Bytes(bytes)) => {
                 let _ = stream.write_all(bytes);
                 continue;
             }
-            Some(Say::Surplus(value, behind)) => {
+            Some(Reply::Surplus(value, behind)) => {
                 let _ = stream.write_all(&[row(value), ready.clone(), behind.to_vec()].concat());
                 continue;
             }
-            Some(Say::Cut(bytes)) => {
+            Some(Reply::Cut(bytes)) => {
                 let _ = stream.write_all(bytes);
                 return;
             }
-            Some(Say::Pieces(value, size, apart)) => {
-                let whole = [row(value), ready.clone()].concat();
-                for piece in whole.chunks(size) {
+            Some(Reply::Pieces(value, size, apart)) => {
+                let complete = [row(value), ready.clone()].concat();
+                for piece in complete.chunks(size) {
                     let _ = stream.write_all(piece);
                     thread::sleep(Duration::from_millis(apart));
                 }
                 continue;
             }
-            Some(Say::ResetOnGo(value)) => {
+            Some(Reply::ResetOnGo(value)) => {
                 let _ = stream.write_all(&[row(value), ready.clone()].concat());
                 go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
                 return reset(stream);
             }
-            Some(Say::WaitForGo(value)) => {
+            Some(Reply::WaitForGo(value)) => {
                 go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
                 row(value)
             }
-            Some(Say::RowAtOnGo(value, at)) => {
+            Some(Reply::RowAtOnGo(value, at)) => {
                 go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
                 [row(value), message(b'S', format!("log_position\0{at}\0").as_bytes())].concat()
             }
-            Some(Say::CloseOnGo) => {
+            Some(Reply::CloseOnGo) => {
                 return go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
             }
-            Some(Say::Error(code)) => message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
-            Some(Say::ErrorAt(code, at)) => {
+            Some(Reply::Error(code)) => message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
+            Some(Reply::ErrorAt(code, at)) => {
                 let error = message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes());
                 [error, message(b'S', format!("log_position\0{at}\0").as_bytes())].concat()
             }
-            Some(Say::Nothing) => continue,
-            Some(Say::NothingTo(text, _)) if query.contains(text) => continue,
-            Some(Say::NothingTo(_, value)) => row(value),
-            Some(Say::Close) | None => return,
+            Some(Reply::Nothing) => continue,
+            Some(Reply::NothingTo(text, _)) if query.contains(text) => continue,
+            Some(Reply::NothingTo(_, value)) => row(value),
+            Some(Reply::Close) | None => return,
         };
-        let told = message(b'S', format!("replication_role\0{role}\0").as_bytes());
-        if stream.write_all(&[answer, told, ready.clone()].concat()).is_err() {
+        let role_status = message(b'S', format!("replication_role\0{role}\0").as_bytes());
+        if stream.write_all(&[answer, role_status, ready.clone()].concat()).is_err() {
             return;
         }
     }
--- a/tests/stage/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A stage for one gateway: the program itself, and the scripted peers it talks to.
+//! A test harness for one gateway: the program itself, and the scripted peers it talks to.
 
 #![allow(dead_code, unused_imports)]
 
@@ -7,9 +7,9 @@
 mod port;
 mod source;
 pub use gateway::{Client, Gateway};
-pub use host::{row, Host, Say};
+pub use host::{row, Host, Reply};
 pub use port::ReservedPort;
-pub use source::{chunk, Act, WatchScripts, HEAD};
+pub use source::{chunk, ScriptedDiscovery, Step, HEAD};
 
 use std::cell::{Cell, RefCell};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -83,37 +83,37 @@
 }
 
 /// What a test sets up before the gateway starts.
-pub struct Stage {
+pub struct Harness {
     ip: String,
     /// Where the gateway is to listen.
     pub listen: String,
-    /// The ports of its gateways, for as long as the stage or one of them is there.
+    /// The ports of its gateways, for as long as the harness or one of them is there.
     ports: Vec<Rc<ReservedPort>>,
     discovery: TcpListener,
     known: String,
-    news: Vec<String>,
-    later: Vec<String>,
+    updates: Vec<String>,
+    later_updates: Vec<String>,
     sockets: usize,
     operator: Option<String>,
     ops: Option<String>,
     shared: Option<(TcpListener, String)>,
 }
 
-impl Stage {
+impl Harness {
     /// Each test has a number, and with it an address, of its own.
-    pub fn new(number: u8) -> Stage {
+    pub fn new(number: u8) -> Harness {
         let ip = format!("127.77.{number}.1");
         let discovery = TcpListener::bind((ip.as_str(), 0)).expect("a free port");
         let port = ReservedPort::at(&format!("127.77.{number}.2"));
         let listen = port.address();
-        Stage {
+        Harness {
             ip,
             listen,
             ports: vec![Rc::new(port)],
             discovery,
             known: String::new(),
-            news: Vec::new(),
-            later: Vec::new(),
+            updates: Vec::new(),
+            later_updates: Vec::new(),
             sockets: 1024,
             operator: None,
             ops: None,
@@ -121,12 +121,12 @@
         }
     }
 
-    pub fn host(&self, script: Vec<Say>) -> Host {
+    pub fn host(&self, script: Vec<Reply>) -> Host {
         Host::start(&self.ip, script)
     }
 
     /// A host that welcomes no connection, from this one on, before the test says so.
-    pub fn slow_host(&self, from: usize, script: Vec<Say>) -> Host {
+    pub fn slow_host(&self, from: usize, script: Vec<Reply>) -> Host {
         Host::slow_from(&self.ip, script, from)
     }
 
@@ -149,31 +149,31 @@
     }
 
     /// What the gateway knows at its start.
-    pub fn list(mut self, hosts: &[(&Host, &str, &str)]) -> Stage {
+    pub fn list(mut self, hosts: &[(&Host, &str, &str)]) -> Harness {
         self.known = self.entries(hosts);
         self
     }
 
     /// The lines that the first watch brings when the test says so.
-    pub fn later(mut self, lines: &[&str]) -> Stage {
-        self.later = lines.iter().map(|line| line.to_string()).collect();
+    pub fn later_updates(mut self, lines: &[&str]) -> Harness {
+        self.later_updates = lines.iter().map(|line| line.to_string()).collect();
         self
     }
 
     /// The lines that the first watch brings.
-    pub fn news(mut self, lines: &[&str]) -> Stage {
-        self.news = lines.iter().map(|line| line.to_string()).collect();
+    pub fn updates(mut self, lines: &[&str]) -> Harness {
+        self.updates = lines.iter().map(|line| line.to_string()).collect();
         self
     }
 
     /// The operator's file.
-    pub fn operator(mut self, text: &str) -> Stage {
+    pub fn operator(mut self, text: &str) -> Harness {
         self.operator = Some(text.to_string());
         self
     }
 
     /// The clients' socket is held by the platform, and the gateway's processes share a folder.
-    pub fn shared(mut self) -> Stage {
+    pub fn shared(mut self) -> Harness {
         let folder = format!("{}/{}", env!("CARGO_TARGET_TMPDIR"), self.listen);
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a place to write");
@@ -182,7 +182,7 @@
     }
 
     /// Its processes share the folder of another gateway.
-    pub fn share(mut self, folder: &str) -> Stage {
+    pub fn share(mut self, folder: &str) -> Harness {
         self.shared.as_mut().expect("it is shared").1 = folder.to_string();
         self
     }
@@ -200,27 +200,28 @@
         gateway
     }
 
-    /// Serves discovery with the news of this stage; each watch gets them.
+    /// Serves discovery with the updates of this harness; each watch gets them.
     pub fn discover(&self) {
-        let (listener, news) = (self.discovery.try_clone().expect("a second handle"), self.news.clone());
+        let (listener, updates) =
+            (self.discovery.try_clone().expect("a second handle"), self.updates.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let news = news.clone();
+                let updates = updates.clone();
                 thread::spawn(move || {
                     let ((saw, _watches), (_end, ends)) = (channel(), channel());
-                    watch(stream.expect("a watch"), [news, Vec::new()], &saw, &ends);
+                    watch(stream.expect("a watch"), [updates, Vec::new()], &saw, &ends);
                 });
             }
         });
     }
 
-    /// The gateway listens to its staff too.
-    pub fn ops(mut self) -> Stage {
+    /// The gateway has an operations address too.
+    pub fn ops(mut self) -> Harness {
         self.ops = Some(self.reserve_port());
         self
     }
 
-    /// A further port that is free for a gateway of this stage: its address.
+    /// A further port that is free for a gateway of this harness: its address.
     pub fn reserve_port(&mut self) -> String {
         let port = ReservedPort::at(&self.ip);
         let address = port.address();
@@ -228,7 +229,7 @@
         address
     }
 
-    pub fn sockets(mut self, sockets: usize) -> Stage {
+    pub fn sockets(mut self, sockets: usize) -> Harness {
         self.sockets = sockets;
         self
     }
@@ -298,36 +299,40 @@
     pub fn start_as(self, config: &str) -> Gateway {
         let mut gateway = self.start_with(config);
         gateway.line_with("gateway serving");
-        (gateway.watches, gateway.end_watch) = source(self.discovery, self.news, self.later);
+        (gateway.watches, gateway.end_watch) = source(self.discovery, self.updates, self.later_updates);
         gateway
     }
 
     /// Starts the program as it is configured so, before a discovery whose connections follow these scripts.
-    pub fn start_scripted(self, config: &str, scripts: Vec<Vec<Act>>) -> (Gateway, WatchScripts) {
+    pub fn start_scripted(self, config: &str, scripts: Vec<Vec<Step>>) -> (Gateway, ScriptedDiscovery) {
         let gateway = self.start_with(config);
         gateway.line_with("gateway serving");
-        (gateway, WatchScripts::play(self.discovery, scripts))
+        (gateway, ScriptedDiscovery::play(self.discovery, scripts))
     }
 
     /// A further source of discovery that brings these lines: its address, and the heads of its watches.
-    pub fn other_source(&self, news: &[&str]) -> (String, Receiver<String>) {
+    pub fn other_source(&self, updates: &[&str]) -> (String, Receiver<String>) {
         let listener = TcpListener::bind((self.ip.as_str(), 0)).expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
-        let news = news.iter().map(|line| line.to_string()).collect();
-        let (watches, end) = source(listener, news, Vec::new());
+        let updates = updates.iter().map(|line| line.to_string()).collect();
+        let (watches, end) = source(listener, updates, Vec::new());
         // Its watch lasts as long as the test.
         std::mem::forget(end);
         (address, watches)
     }
 }
 
-fn source(listener: TcpListener, news: Vec<String>, later: Vec<String>) -> (Receiver<String>, Sender<()>) {
+fn source(
+    listener: TcpListener,
+    updates: Vec<String>,
+    later_updates: Vec<String>,
+) -> (Receiver<String>, Sender<()>) {
     let ((saw, watches), (end_watch, ends)) = (channel(), channel());
-    let (mut news, mut later) = (news, later);
+    let (mut updates, mut later_updates) = (updates, later_updates);
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (news, later) = (std::mem::take(&mut news), std::mem::take(&mut later));
-            watch(stream.expect("a watch"), [news, later], &saw, &ends);
+            let (updates, later_updates) = (std::mem::take(&mut updates), std::mem::take(&mut later_updates));
+            watch(stream.expect("a watch"), [updates, later_updates], &saw, &ends);
         }
     });
     (watches, end_watch)
@@ -337,9 +342,9 @@
     format!("{}/{listen}.json", env!("CARGO_TARGET_TMPDIR"))
 }
 
-/// Serves one watch: its news at once, more when the test says so, and the empty line that shows that it
+/// Serves one watch: its updates at once, more when the test says so, and the empty line that shows that it
 /// lives. When the test says so again, it ends.
-fn watch(mut stream: TcpStream, news: [Vec<String>; 2], saw: &Sender<String>, ends: &Receiver<()>) {
+fn watch(mut stream: TcpStream, updates: [Vec<String>; 2], saw: &Sender<String>, ends: &Receiver<()>) {
     let mut head = String::new();
     let mut lines = BufReader::new(stream.try_clone().expect("a second handle"));
     while !head.ends_with("\r\n\r\n") {
@@ -349,22 +354,22 @@
     }
     let _ = saw.send(head);
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let [news, later] = news;
-    tell(&mut stream, &news);
-    if !later.is_empty() {
-        beat(&mut stream, ends);
-        tell(&mut stream, &later);
+    let [updates, later_updates] = updates;
+    write_updates(&mut stream, &updates);
+    if !later_updates.is_empty() {
+        write_heartbeats(&mut stream, ends);
+        write_updates(&mut stream, &later_updates);
     }
-    beat(&mut stream, ends);
+    write_heartbeats(&mut stream, ends);
 }
 
-fn tell(stream: &mut TcpStream, lines: &[String]) {
+fn write_updates(stream: &mut TcpStream, lines: &[String]) {
     for line in lines {
         let _ = stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
     }
 }
 
 /// Writes the empty line until the test says that it goes on.
-fn beat(stream: &mut TcpStream, go_on: &Receiver<()>) {
+fn write_heartbeats(stream: &mut TcpStream, go_on: &Receiver<()>) {
     while stream.write_all(b"1\r\n\n\r\n").is_ok() && go_on.recv_timeout(Duration::from_secs(1)).is_err() {}
 }
--- a/tests/stage/source.rs
+++ b/tests/harness/source.rs
@@ -18,43 +18,43 @@
 
 /// What a connection does next, once it was asked.
 #[derive(Clone)]
-pub enum Act {
+pub enum Step {
     /// Writes these bytes.
-    Say(Vec<u8>),
+    Write(Vec<u8>),
     /// Writes these bytes in segments of one byte each.
-    SayBytesApart(Vec<u8>),
+    WriteBytesApart(Vec<u8>),
     /// Waits until the test says so.
     WaitForGo,
     /// Writes these bytes again and again, up to the connection's end.
     Trickle(Vec<u8>),
     /// Writes the empty line each second, up to the connection's end.
-    Beat,
+    Heartbeat,
     /// Says nothing more, for good.
     Silence,
 }
 
 /// The discovery. A connection that has no script gets no answer.
-pub struct WatchScripts {
+pub struct ScriptedDiscovery {
     address: SocketAddr,
-    asked: Receiver<String>,
+    requests: Receiver<String>,
     go: Sender<()>,
 }
 
-impl WatchScripts {
+impl ScriptedDiscovery {
     /// Serves connections side by side, each by the next script. At its end a connection is closed.
-    pub fn play(listener: TcpListener, scripts: Vec<Vec<Act>>) -> WatchScripts {
+    pub fn play(listener: TcpListener, scripts: Vec<Vec<Step>>) -> ScriptedDiscovery {
         let address = listener.local_addr().expect("an address");
-        let ((ask, asked), (go, gone)) = (channel(), channel());
+        let ((seen, requests), (go, gone)) = (channel(), channel());
         let gone = Arc::new(Mutex::new(gone));
         thread::spawn(move || {
             let mut scripts = scripts.into_iter();
             for stream in listener.incoming() {
-                let script = scripts.next().unwrap_or_else(|| vec![Act::Silence]);
-                let (ask, gone) = (ask.clone(), gone.clone());
-                thread::spawn(move || serve(stream.expect("a connection"), script, &ask, &gone));
+                let script = scripts.next().unwrap_or_else(|| vec![Step::Silence]);
+                let (seen, gone) = (seen.clone(), gone.clone());
+                thread::spawn(move || serve(stream.expect("a connection"), script, &seen, &gone));
             }
         });
-        WatchScripts { address, asked, go }
+        ScriptedDiscovery { address, requests, go }
     }
 
     /// Where it answers.
@@ -64,7 +64,7 @@
 
     /// The first line of the next question.
     pub fn next(&self) -> String {
-        self.asked.recv_timeout(NEVER).expect("it asks")
+        self.requests.recv_timeout(NEVER).expect("it asks")
     }
 
     /// Lets the connection that waits go on.
@@ -73,7 +73,7 @@
     }
 }
 
-fn serve(mut stream: TcpStream, script: Vec<Act>, ask: &Sender<String>, go: &Mutex<Receiver<()>>) {
+fn serve(mut stream: TcpStream, script: Vec<Step>, seen: &Sender<String>, go: &Mutex<Receiver<()>>) {
     let mut lines = BufReader::new(stream.try_clone().expect("a second handle"));
     let (mut first, mut head) = (String::new(), String::new());
     while !head.ends_with("\r\n\r\n") {
@@ -84,24 +84,24 @@
             first = head.trim_end().to_string();
         }
     }
-    let _ = ask.send(first);
+    let _ = seen.send(first);
     for act in script {
         match act {
-            Act::Say(bytes) => {
+            Step::Write(bytes) => {
                 let _ = stream.write_all(&bytes);
             }
-            Act::SayBytesApart(bytes) => {
+            Step::WriteBytesApart(bytes) => {
                 stream.set_nodelay(true).expect("an option");
                 for byte in bytes {
                     let _ = stream.write_all(&[byte]);
                     thread::sleep(Duration::from_millis(1));
                 }
             }
-            Act::WaitForGo => go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on"),
-            Act::Trickle(bytes) => while pause(1) && stream.write_all(&bytes).is_ok() {},
-            Act::Beat => while stream.write_all(&chunk("\n")).is_ok() && pause(5) {},
+            Step::WaitForGo => go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on"),
+            Step::Trickle(bytes) => while pause(1) && stream.write_all(&bytes).is_ok() {},
+            Step::Heartbeat => while stream.write_all(&chunk("\n")).is_ok() && pause(5) {},
             // Up to the end of the connection: the gateway says nothing more.
-            Act::Silence => while lines.read_line(&mut head).unwrap_or(0) > 0 {},
+            Step::Silence => while lines.read_line(&mut head).unwrap_or(0) > 0 {},
         }
     }
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,8 +1,8 @@
 //! A client that leaves while its request waits: from then on nothing of it goes out. Each test forces the crossing by
 //! the order of events, with a host that welcomes a connection only when the test says so.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::time::Duration;
 
 /// Bytes of a value that takes its statement near the longest message, and how many of them follow a query: several reads,
@@ -42,8 +42,8 @@
 }
 
 /// Connections may take their time, and work that is out may be called off, or not.
-fn config(stage: &Stage, cancel: bool) -> String {
-    let config = stage.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000");
+fn config(harness: &Harness, cancel: bool) -> String {
+    let config = harness.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000");
     config.replace("\"cancel\":true", &format!("\"cancel\":{cancel}"))
 }
 
@@ -56,11 +56,11 @@
         for how in WAYS {
             for cancel in [false, true] {
                 scope.spawn(move || {
-                    let stage = Stage::new(number);
-                    let host = stage.slow_host(0, vec![Say::Row(b"second")]);
-                    let stage = stage.list(&[(&host, "up", "primary")]);
-                    let config = config(&stage, cancel);
-                    let gateway = stage.start_as(&config);
+                    let harness = Harness::new(number);
+                    let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
+                    let harness = harness.list(&[(&host, "up", "primary")]);
+                    let config = config(&harness, cancel);
+                    let gateway = harness.start_as(&config);
                     let mut client = gateway.client();
                     client.write(&named("first", "9b1f"));
                     host.next_connection();
@@ -93,9 +93,9 @@
 #[test]
 fn a_query_behind_another_is_not_sent_when_their_client_leaves() {
     for (number, how) in (156..).zip(WAYS) {
-        let stage = Stage::new(number);
-        let host = stage.host(vec![Say::WaitForGo(b"first"), Say::Row(b"third")]);
-        let gateway = stage.list(&[(&host, "up", "primary")]).start();
+        let harness = Harness::new(number);
+        let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"third")]);
+        let gateway = harness.list(&[(&host, "up", "primary")]).start();
         let mut client = gateway.client();
         client.write(&[named("first", "9b1f"), named("second", "9b20")].concat());
         assert!(host.next_query().contains("'first'"));
@@ -113,18 +113,18 @@
 #[test]
 fn a_request_that_waits_for_a_host_is_forgotten_with_its_client() {
     for (number, how) in (160..).zip(WAYS) {
-        let stage = Stage::new(number);
-        let host = stage.host(vec![Say::Row(b"second")]);
-        let up = stage.entries(&[(&host, "up", "primary")]);
-        let stage = stage.list(&[(&host, "draining", "primary")]);
+        let harness = Harness::new(number);
+        let host = harness.host(vec![Reply::Row(b"second")]);
+        let up = harness.entries(&[(&host, "up", "primary")]);
+        let harness = harness.list(&[(&host, "draining", "primary")]);
         let script = vec![
-            Act::Say(HEAD.to_vec()),
-            Act::WaitForGo,
-            Act::Say(chunk(&format!("{}\n", list(42, true, &up.replace("s-0", "s-1"))))),
-            Act::Beat,
+            Step::Write(HEAD.to_vec()),
+            Step::WaitForGo,
+            Step::Write(chunk(&format!("{}\n", list(42, true, &up.replace("s-0", "s-1"))))),
+            Step::Heartbeat,
         ];
-        let config = stage.config();
-        let (gateway, source) = stage.start_scripted(&config, vec![script]);
+        let config = harness.config();
+        let (gateway, source) = harness.start_scripted(&config, vec![script]);
         let mut client = gateway.client();
         client.write(&named("first", "9b1f"));
         gateway.wait_for_counter("requests=1 ");
@@ -145,11 +145,11 @@
 #[test]
 fn a_client_that_sends_much_at_once_and_goes_leaves_nothing_behind() {
     for (number, how) in (164..).zip([Leave::Fin, Leave::Reset]) {
-        let stage = Stage::new(number);
-        let host = stage.slow_host(0, vec![Say::Row(b"second")]);
-        let stage = stage.list(&[(&host, "up", "primary")]);
-        let config = config(&stage, false);
-        let gateway = stage.start_as(&config);
+        let harness = Harness::new(number);
+        let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
+        let harness = harness.list(&[(&host, "up", "primary")]);
+        let config = config(&harness, false);
+        let gateway = harness.start_as(&config);
         let mut client = gateway.client();
         client.write(&named("first", "9b1f").repeat(200));
         host.next_connection();
@@ -172,11 +172,11 @@
 
 #[test]
 fn a_request_that_its_client_cancels_is_not_sent_and_no_other_key_cancels_it() {
-    let stage = Stage::new(234);
-    let host = stage.slow_host(0, vec![Say::Row(b"second")]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = config(&stage, true);
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(234);
+    let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = config(&harness, true);
+    let gateway = harness.start_as(&config);
     let mut client = gateway.raw_client();
     client.write(&startup());
     let welcome = client.until_ready();
@@ -227,9 +227,9 @@
 // The wait for the cancel began anew behind each other event, and a cancel in the turn of one was lost.
 #[test]
 fn a_cancel_in_the_turn_in_which_an_attempt_breaks_leaves_no_retry() {
-    let stage = Stage::new(238);
-    let host = stage.host(vec![Say::CloseOnGo, Say::Row(b"second")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(238);
+    let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut client, (process, secret)) = client_with_key(&gateway);
     let mut other = gateway.raw_client();
     client.write(&named("first", "9b1f"));
@@ -237,7 +237,7 @@
     gateway.wait_for("clients=", |count| count >= 2);
     while_stopped(&gateway, || {
         host.go();
-        host.left();
+        host.wait_for_disconnect();
         other.write(&cancel_request(process, secret));
     });
     let answer = client.until_ready();
@@ -250,10 +250,10 @@
 #[test]
 fn a_query_with_much_unread_behind_it_is_not_sent_when_its_client_has_left() {
     for (number, how) in (239..).zip([Leave::Fin, Leave::Reset]) {
-        let stage = Stage::new(number);
-        let script = std::iter::repeat_with(|| Say::Row(b"any")).take(WARM_QUERIES + 2);
-        let host = stage.host(script.collect());
-        let gateway = stage.list(&[(&host, "up", "primary")]).start();
+        let harness = Harness::new(number);
+        let script = std::iter::repeat_with(|| Reply::Row(b"any")).take(WARM_QUERIES + 2);
+        let host = harness.host(script.collect());
+        let gateway = harness.list(&[(&host, "up", "primary")]).start();
         let mut client = gateway.client();
         let large = query(&insert("large", 60_000).replace("9f03", &"9f".repeat(LARGE)));
         // The kernel takes more from a client that has sent much.
@@ -278,11 +278,11 @@
 #[test]
 fn a_retry_that_is_due_with_a_reload_is_not_made_when_its_client_has_left() {
     for (number, how) in (241..).zip(WAYS) {
-        let stage = Stage::new(number);
-        let host = stage.host(vec![Say::CloseOnGo, Say::Row(b"second")]);
-        let stage = stage.list(&[(&host, "up", "primary")]);
-        let config = config(&stage, false);
-        let gateway = stage.start_as(&config);
+        let harness = Harness::new(number);
+        let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
+        let harness = harness.list(&[(&host, "up", "primary")]);
+        let config = config(&harness, false);
+        let gateway = harness.start_as(&config);
         let mut client = gateway.client();
         client.write(&named("first", "9b1f"));
         assert!(host.next_query().contains("'first'"));
@@ -290,7 +290,7 @@
         while_stopped(&gateway, || {
             gateway.configure(&config.replace("\"attempts_cap\":8", "\"attempts_cap\":4"));
             host.go();
-            host.left();
+            host.wait_for_disconnect();
             kept = leave(client, how);
         });
         gateway.line_with("configuration reloaded");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,7 +1,7 @@
 //! The last descriptor, taken while a request is on its way: it still gets its one final answer.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 
 /// The gateway keeps 40 descriptors for itself: with so many more, clients and hosts share three.
 const THREE: usize = 43;
@@ -12,9 +12,9 @@
 
 #[test]
 fn a_request_that_finds_no_descriptor_for_its_connection_is_sent_when_one_is_free() {
-    let stage = Stage::new(213).sockets(THREE);
-    let host = stage.host(vec![Say::WaitForGo(b"first"), Say::Row(b"second")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(213).sockets(THREE);
+    let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"second")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.write(&named("1"));
     assert!(host.next_query().contains("id=1"));
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,12 +2,12 @@
 //! and restarted. Their effects are read outside of them, by a sixth address among their peers.
 
 mod gateway_fleet;
-mod stage;
+mod harness;
 
 use gateway_fleet::*;
+use harness::*;
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, QuotaReport, Thousandths};
 use petrelgauge_ownership::{LeaseHolder, Message, Notification, Settings, Term};
-use stage::*;
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -115,15 +115,15 @@
         ("duties: [\"scouts\"]", "duties are"),
         ("drift_percent: 18\n  duties: [\"shares\"]", "shares need a lower drift"),
     ];
-    let stage = Stage::new(110);
-    let config = stage.config();
+    let harness = Harness::new(110);
+    let config = harness.config();
     for (line, cause) in cases {
         let key = line.split(':').next().expect("a key");
         let mut lines: Vec<&str> = FILE.lines().filter(|one| !one.trim_start().starts_with(key)).collect();
         lines.insert(1, line);
         let file = lines.join("\n");
-        let stage = Stage::new(110).operator(&file);
-        let (code, log) = stage.start_with(&config).ended();
+        let harness = Harness::new(110).operator(&file);
+        let (code, log) = harness.start_with(&config).ended();
         assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
         assert!(log.contains(".cue:") && log.contains(cause), "{log} should name {cause}");
     }
@@ -254,7 +254,7 @@
 // listens: its number says which of them it is.
 #[test]
 fn a_gateway_listed_under_another_address_is_known_by_its_number() {
-    let stage = Stage::new(124).operator(FILE);
+    let harness = Harness::new(124).operator(FILE);
     let heard = UdpSocket::bind("127.77.124.7:0").expect("a free port");
     let other = UdpSocket::bind("127.77.124.7:0").expect("a free port");
     heard.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
@@ -264,12 +264,12 @@
     let [heard_at, other_at] = [&heard, &other].map(|one| one.local_addr().expect("an address"));
     let peers =
         format!("{{\"peer_listen\":\"{listen}\",\"peers\":[\"{heard_at}\",\"{other_at}\",\"{heard_at}\"],");
-    let config = stage.config().replacen('{', &peers, 1);
-    let (code, log) = stage.start_with(&config).ended();
+    let config = harness.config().replacen('{', &peers, 1);
+    let (code, log) = harness.start_with(&config).ended();
     assert_eq!(code, Some(2));
     assert!(log.contains("this gateway is none of the peers"), "{log}");
     let config = config.replacen("\"settings\":{", "\"settings\":{\"my_number\":1,", 1);
-    let gateway = stage.start_with(&config);
+    let gateway = harness.start_with(&config);
     gateway.line_with("gateway serving");
     // As number 1 of three acceptors it sends requests to the other two.
     let (mut bytes, fleet) = (
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -20,12 +20,12 @@
 /// Whatever the cuts, `parse` finds the same in `valid`; and it neither panics nor grows on garbage, alone
 /// or behind something valid. It takes the pieces as they come and tells what it found.
 fn sturdy<T: PartialEq + std::fmt::Debug>(valid: &[u8], parse: impl Fn(&[&[u8]]) -> T) {
-    let whole = parse(&[valid]);
+    let complete = parse(&[valid]);
     check(vec(0..=valid.len(), 0..12), |mut cuts| {
         cuts.extend([0, valid.len()]);
         cuts.sort_unstable();
         let pieces: Vec<&[u8]> = cuts.windows(2).map(|cut| &valid[cut[0]..cut[1]]).collect();
-        prop_assert_eq!(&parse(&pieces), &whole);
+        prop_assert_eq!(&parse(&pieces), &complete);
         Ok(())
     });
     check((0..=valid.len(), vec(any::<u8>(), 0..600)), |(keep, garbage)| {
@@ -34,7 +34,7 @@
     });
 }
 
-/// Feeds the pieces and takes what is whole after each, up to the first flaw.
+/// Feeds the pieces and takes what is complete after each, up to the first flaw.
 fn frames<T>(
     pieces: &[&[u8]],
     take: impl Fn(&mut Framer) -> Result<Option<T>, pg::Malformed>,
@@ -187,7 +187,7 @@
     }
 }
 
-// An answer that does not fit its type is spoilt: passed on, the client would take it for the value.
+// An answer that does not fit its type is malformed: passed on, the client would take it for the value.
 #[test]
 fn answers_that_do_not_fit_their_types_are_flaws() {
     let answer = |column: &[u8], row: &[u8], tag: &[u8], status: &[u8]| {
