--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -1,8 +1,8 @@
 //! Clients that send many queries at once. The gateway reads a bounded part of them ahead, leaves the others in the
 //! kernel, and answers all of them in order.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 
 /// More than may be queued, and in bytes more than one read takes: a part of it stays in the kernel.
 const BATCH: usize = 1_000;
@@ -30,9 +30,9 @@
 }
 
 /// A host that answers the first query only when the test says so, and the others at once.
-fn script(count: usize) -> Vec<Say> {
-    let others = (1..count).map(|number| Say::Row(value(number)));
-    std::iter::once(Say::WaitForGo(value(0))).chain(others).collect()
+fn script(count: usize) -> Vec<Reply> {
+    let others = (1..count).map(|number| Reply::Row(value(number)));
+    std::iter::once(Reply::WaitForGo(value(0))).chain(others).collect()
 }
 
 fn expect_rows(client: &mut Client, count: usize) {
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn a_batch_over_the_bound_of_messages_is_answered_whole_and_in_order() {
-    let stage = Stage::new(220);
-    let host = stage.host(script(BATCH));
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+fn a_batch_over_the_bound_of_messages_is_answered_completely_and_in_order() {
+    let harness = Harness::new(220);
+    let host = harness.host(script(BATCH));
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 60_000), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -66,11 +66,11 @@
 }
 
 #[test]
-fn a_batch_over_the_bound_of_bytes_is_answered_whole_and_in_order() {
+fn a_batch_over_the_bound_of_bytes_is_answered_completely_and_in_order() {
     const COUNT: usize = 40;
-    let stage = Stage::new(221);
-    let host = stage.host(script(COUNT));
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(221);
+    let host = harness.host(script(COUNT));
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| write(number, LARGE), COUNT));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -82,16 +82,16 @@
 
 // With one megabyte, clients together may have 192 KiB waiting: less than two of these messages each.
 #[test]
-fn batches_over_the_memory_of_all_are_answered_whole() {
+fn batches_over_the_memory_of_all_are_answered_completely() {
     const COUNT: usize = 8;
     const CLIENTS: usize = 3;
-    let stage = Stage::new(222);
-    let mut script: Vec<Say> = (0..CLIENTS).map(|_| Say::WaitForGo(b"first")).collect();
-    script.extend((0..CLIENTS * (COUNT - 1)).map(|_| Say::Row(b"later")));
-    let host = stage.host(script);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config().replace("\"memory_mb\":192", "\"memory_mb\":1");
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(222);
+    let mut script: Vec<Reply> = (0..CLIENTS).map(|_| Reply::WaitForGo(b"first")).collect();
+    script.extend((0..CLIENTS * (COUNT - 1)).map(|_| Reply::Row(b"later")));
+    let host = harness.host(script);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config().replace("\"memory_mb\":192", "\"memory_mb\":1");
+    let gateway = harness.start_as(&config);
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     let mut writers = Vec::new();
     for (place, client) in clients.iter().enumerate() {
@@ -128,9 +128,9 @@
 #[test]
 fn a_client_that_leaves_while_nothing_is_read_from_it_is_noticed() {
     for (number, how) in (223..).zip([Leave::Fin, Leave::Reset, Leave::Terminate]) {
-        let stage = Stage::new(number);
-        let host = stage.host(vec![Say::WaitForGo(b"first"), Say::Row(b"other")]);
-        let gateway = stage.list(&[(&host, "up", "primary")]).start();
+        let harness = Harness::new(number);
+        let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
+        let gateway = harness.list(&[(&host, "up", "primary")]).start();
         let mut client = gateway.client();
         client.write(&batch(|number| read(number, 60_000), BATCH));
         host.next_query();
@@ -148,9 +148,9 @@
 #[test]
 fn a_client_that_sends_without_end_holds_bounded_memory_and_keeps_nobody_from_being_served() {
     const MOST: usize = 64 * 1024 * 1024;
-    let stage = Stage::new(226);
-    let host = stage.host(vec![Say::WaitForGo(b"first"), Say::Row(b"other")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(226);
+    let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     let before = gateway.memory();
     let written = client.flood(&batch(|number| read(number, 60_000), 1000), MOST);
@@ -164,9 +164,9 @@
 
 #[test]
 fn requests_that_wait_unread_behind_others_end_in_their_time_and_in_order() {
-    let stage = Stage::new(227);
-    let host = stage.host(vec![Say::Nothing, Say::Row(b"after")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(227);
+    let host = harness.host(vec![Reply::Nothing, Reply::Row(b"after")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 1_500), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -183,9 +183,9 @@
 
 #[test]
 fn a_stop_answers_also_what_was_not_read_yet() {
-    let stage = Stage::new(228);
-    let host = stage.host(script(BATCH));
-    let mut gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(228);
+    let host = harness.host(script(BATCH));
+    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 25_000), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -211,12 +211,12 @@
 // kernel was taken before the stop.
 #[test]
 fn a_stop_answers_also_what_is_unread_in_its_second_half() {
-    let stage = Stage::new(229);
-    let host = stage.host(vec![Say::Row(b"before"), Say::Nothing]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config().replace("\"deadline_us\":30000000", "\"deadline_us\":1000000");
+    let harness = Harness::new(229);
+    let host = harness.host(vec![Reply::Row(b"before"), Reply::Nothing]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config().replace("\"deadline_us\":30000000", "\"deadline_us\":1000000");
     let config = config.replace("\"aim_us\":4000000", "\"aim_us\":900000");
-    let mut gateway = stage.start_as(&config);
+    let mut gateway = harness.start_as(&config);
     let mut client = gateway.client();
     assert_eq!(kinds(&client.ask(&select("before", "view", 900))), "TDCZ");
     let written = client.write_behind(batch(|number| read(number, 2_000), BATCH));
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -2,8 +2,8 @@
 //! query, reloads in quick succession, a restart during a drain, requests with little time, a shutdown before hosts
 //! that hang.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::time::{Duration, Instant};
 
 /// What a client that stops in the middle of a request waits at the longest for its error.
@@ -21,8 +21,8 @@
 }
 
 /// A configuration by which connections come up however busy the machine is, and no attempt makes a second one.
-fn patient_config(stage: &Stage) -> String {
-    stage.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000")
+fn patient_config(harness: &Harness) -> String {
+    harness.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000")
 }
 
 /// The answer to a query, which must be there before it would be lost. A query on a connection that was closed before
@@ -44,12 +44,12 @@
 // Any client that had been served once was left 6 s.
 #[test]
 fn a_served_client_that_stops_in_the_middle_of_a_query_gets_its_error_in_time() {
-    let stage = Stage::new(246);
-    let host = stage.host(vec![Say::Row(b"v")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(246);
+    let host = harness.host(vec![Reply::Row(b"v")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     let text = identified(&select("a", "view", 5_000), "1");
-    // The second query comes in part behind a whole one.
+    // The second query comes in part behind a complete one.
     client.write(&[&text[..], &text[..20]].concat());
     assert_eq!(kinds(&client.until_ready()), "TDCZ");
     gateway.wait_by_its_timers(OWED_MS);
@@ -67,12 +67,12 @@
             [(247, select("a", "view", 1_000), "53300"), (254, insert("a", 1_000), "40003")]
         {
             scope.spawn(move || {
-                let stage = Stage::new(number);
-                let script = vec![Say::Row(b"one"), Say::Nothing, Say::Row(b"two"), Say::Row(b"two")];
-                let host = stage.host(script);
-                let stage = stage.list(&[(&host, "up", "primary")]);
-                let config = patient_config(&stage);
-                let gateway = stage.start_as(&config);
+                let harness = Harness::new(number);
+                let script = vec![Reply::Row(b"one"), Reply::Nothing, Reply::Row(b"two"), Reply::Row(b"two")];
+                let host = harness.host(script);
+                let harness = harness.list(&[(&host, "up", "primary")]);
+                let config = patient_config(&harness);
+                let gateway = harness.start_as(&config);
                 let mut client = gateway.client();
                 assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"one");
                 gateway.rest();
@@ -90,19 +90,19 @@
 #[test]
 fn a_request_behind_the_reset_of_an_idle_connection_goes_out_on_a_new_one() {
     for (number, text) in [(248, select("a", "view", 20_000)), (249, insert("a", 20_000))] {
-        let stage = Stage::new(number);
-        let host = stage.host(vec![Say::ResetOnGo(b"one"), Say::Row(b"two")]);
-        let stage = stage.list(&[(&host, "up", "primary")]);
-        let config = patient_config(&stage);
-        let gateway = stage.start_as(&config);
+        let harness = Harness::new(number);
+        let host = harness.host(vec![Reply::ResetOnGo(b"one"), Reply::Row(b"two")]);
+        let harness = harness.list(&[(&host, "up", "primary")]);
+        let config = patient_config(&harness);
+        let gateway = harness.start_as(&config);
         let mut client = gateway.client();
         assert_eq!(client.ask(&text)[1].1[6..], *b"one");
         gateway.rest();
         host.go();
-        host.left();
+        host.wait_for_disconnect();
         assert_eq!(client.ask(&text.replace("5c0f", "5c10"))[1].1[6..], *b"two");
         assert_eq!(host.queries(), 2, "one for each request");
-        // It was told of as closed while idle, and no attempt was made on it: nothing counts against the host.
+        // It was reported as closed while idle, and no attempt was made on it: nothing counts against the host.
         gateway.wait_for_counter(" HostClosedIdle=1");
         gateway.wait_for_counter("attempts=2 sent=2 host_connects=2 ");
     }
@@ -110,11 +110,11 @@
 
 #[test]
 fn requests_with_little_time_that_their_host_drops_are_answered_at_once() {
-    let stage = Stage::new(250);
-    let host = stage.host((0..9).map(|_| Say::Nothing).collect());
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = patient_config(&stage);
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(250);
+    let host = harness.host((0..9).map(|_| Reply::Nothing).collect());
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = patient_config(&harness);
+    let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     // However busy the machine is, the first of these times is enough to reach the host.
     for wait_ms in [2_000, 60, 8, 3, 1] {
@@ -128,11 +128,11 @@
 fn a_request_behind_one_with_little_time_that_its_host_dropped_is_served() {
     // However busy the machine is, the second of these times is enough to reach the host.
     for (wait_ms, arrives) in [(60, false), (2_000, true)] {
-        let stage = Stage::new(255);
-        let host = stage.host(vec![Say::NothingTo("id=1,", b"next"), Say::NothingTo("id=1,", b"next")]);
-        let stage = stage.list(&[(&host, "up", "primary")]);
-        let config = patient_config(&stage);
-        let gateway = stage.start_as(&config);
+        let harness = Harness::new(255);
+        let host = harness.host(vec![Reply::NothingTo("id=1,", b"next"), Reply::NothingTo("id=1,", b"next")]);
+        let harness = harness.list(&[(&host, "up", "primary")]);
+        let config = patient_config(&harness);
+        let gateway = harness.start_as(&config);
         let mut client = gateway.client();
         let first = identified(&select("a", "view", wait_ms), "1");
         client.write(&[first, identified(&insert("b", 20_000), "2")].concat());
@@ -149,9 +149,10 @@
 
 #[test]
 fn every_request_has_its_answer_before_the_kill_though_hosts_hang_through_the_whole_shutdown() {
-    let stage = Stage::new(251);
-    let (silent, mute) = (stage.host((0..9).map(|_| Say::Nothing).collect()), stage.slow_host(0, vec![]));
-    let mut gateway = stage.list(&[(&silent, "up", "primary"), (&mute, "up", "standby")]).start();
+    let harness = Harness::new(251);
+    let (silent, mute) =
+        (harness.host((0..9).map(|_| Reply::Nothing).collect()), harness.slow_host(0, vec![]));
+    let mut gateway = harness.list(&[(&silent, "up", "primary"), (&mute, "up", "standby")]).start();
     let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         let read = identified(&select("a", "view", 25_000), &format!("{number}a"));
@@ -161,7 +162,7 @@
     }
     silent.next_query();
     gateway.signal("TERM");
-    let told = Instant::now();
+    let stopping_since = Instant::now();
     for client in &mut clients {
         assert_eq!(kinds(&client.until_ready()), "EZ");
         assert_eq!(kinds(&client.until_ready()), "EZ");
@@ -170,18 +171,18 @@
     drop(clients);
     let (code, log) = gateway.ended();
     assert_eq!(code, Some(0), "{log}");
-    assert!(told.elapsed() < KILL + BUSY, "{:?}", told.elapsed());
+    assert!(stopping_since.elapsed() < KILL + BUSY, "{:?}", stopping_since.elapsed());
     assert!(log.contains("requests=8 served=0 "), "{log}");
 }
 
 #[test]
 fn reloads_in_quick_succession_lose_no_request_and_the_last_one_holds() {
     const RELOADS: usize = 25;
-    let stage = Stage::new(252);
-    let host = stage.host((0..=RELOADS).map(|_| Say::Row(b"v")).collect());
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config();
-    let gateway = stage.start();
+    let harness = Harness::new(252);
+    let host = harness.host((0..=RELOADS).map(|_| Reply::Row(b"v")).collect());
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config();
+    let gateway = harness.start();
     let mut client = gateway.client();
     let extra = r#""classes":[{"aim_us":4000000,"deadline_us":30000000,"idempotency":"safe","name":"extra","points":2.0},"#;
     let grown = config.replace(r#""classes":["#, extra);
@@ -205,18 +206,20 @@
 // The new process starts from an old list that names the host as up; discovery has the drain.
 #[test]
 fn a_restart_during_a_drain_sends_nothing_new_to_the_host_that_drains_and_answers_what_is_out() {
-    let mut stage = Stage::new(253).shared();
-    let hosts =
-        [stage.host(vec![Say::WaitForGo(b"late")]), stage.host((0..40).map(|_| Say::Row(b"new")).collect())];
-    let drained = stage.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
-    stage = stage.list(&[(&hosts[0], "up", "primary")]);
-    let mut old = stage.beside();
+    let mut harness = Harness::new(253).shared();
+    let hosts = [
+        harness.host(vec![Reply::WaitForGo(b"late")]),
+        harness.host((0..40).map(|_| Reply::Row(b"new")).collect()),
+    ];
+    let drained = harness.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
+    harness = harness.list(&[(&hosts[0], "up", "primary")]);
+    let mut old = harness.beside();
     let mut waits = old.client();
     waits.write(&identified(&select("a", "view", 20_000), "1"));
     hosts[0].next_query();
-    stage = stage.news(&[&list(42, true, &drained)]);
-    stage.discover();
-    let new = stage.beside();
+    harness = harness.updates(&[&list(42, true, &drained)]);
+    harness.discover();
+    let new = harness.beside();
     old.signal("TERM");
     new.wait_for("lists=", |count| count >= 2);
     hosts[0].go();
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -3,16 +3,16 @@
 
 #[path = "../crates/policy/tests/common/mod.rs"]
 mod common;
-mod stage;
+mod harness;
 
 use common::{entry, settings, G, MS, START};
+use harness::{insert, kinds, select, Harness, Reply};
 use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionRef, Ticket};
 use petrelgauge::operator::Operator;
 use petrelgauge::*;
 use petrelgauge_sessions::{
     BroadcastEntry, BroadcastSender, SessionTracker, Token, Watermark, WatermarkBroadcast,
 };
-use stage::{insert, kinds, select, Say, Stage};
 use std::future::Future;
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
@@ -145,7 +145,7 @@
 fn broadcasts_lower_what_a_waiting_read_needs() {
     let set = petrelgauge_sessions::Settings { instances: 2, tokens: false, ..Default::default() };
     let mut play = Play::new(set);
-    let told = |from: Time, until: Time| {
+    let broadcast = |from: Time, until: Time| {
         WatermarkBroadcast {
             sender: BroadcastSender { instance: 1, group: G, epoch: START - 9_000 * MS },
             from,
@@ -156,7 +156,7 @@
         .encode(0)
     };
     let (start, then) = (START - 9_000 * MS, START + 10 * MS);
-    play.facade.receive_broadcast(play.now, &told(start, START)).expect("sound");
+    play.facade.receive_broadcast(play.now, &broadcast(start, START)).expect("sound");
     let mut ticket = play.admit(READ, &[]);
     let arrived = play.now;
     let attempt = play.send(&mut ticket);
@@ -164,10 +164,10 @@
         !attempt.report(play.now, play.served(arrived - MS, Role::Replica)),
         "the other may have served a write"
     );
-    // The other has told all that it made before the read came, and nothing of this session.
+    // The other has announced all that it made before the read came, and nothing of this session.
     (0..10).for_each(|_| play.step());
     assert!(arrived < then);
-    play.facade.receive_broadcast(play.now, &told(START, then)).expect("sound");
+    play.facade.receive_broadcast(play.now, &broadcast(START, then)).expect("sound");
     let attempt = play.send(&mut ticket);
     assert!(attempt.report(play.now, play.served(arrived - MS, Role::Replica)), "nothing stands against it");
     let (counts, _) = play.facade.session_counts().expect("sessions are kept");
@@ -182,13 +182,16 @@
 }
 
 #[test]
-fn a_client_library_is_told_the_token_and_hands_it_back() {
-    let stage = Stage::new(60);
+fn a_client_library_receives_the_token_and_hands_it_back() {
+    let harness = Harness::new(60);
     let commit = ms();
-    let script =
-        vec![Say::RowAt(b"written", commit), Say::RowAt(b"one", commit + 1), Say::RowAt(b"two", commit + 2)];
-    let host = stage.host(script);
-    let gateway = stage.list(&[(&host, "up", "primary")]).operator(OPERATOR).start();
+    let script = vec![
+        Reply::RowAt(b"written", commit),
+        Reply::RowAt(b"one", commit + 1),
+        Reply::RowAt(b"two", commit + 2),
+    ];
+    let host = harness.host(script);
+    let gateway = harness.list(&[(&host, "up", "primary")]).operator(OPERATOR).start();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let address = gateway.address().to_string();
@@ -206,14 +209,14 @@
         let mut mark = mark;
         let (written, token) = mark(insert("a", 5000)).await;
         assert!(matches!(written.expect("a row")[..], [.., SimpleQueryMessage::CommandComplete(1)]));
-        let token = token.expect("a token is told");
+        let token = token.expect("a token is issued");
         let known = Token::decode(&token, 0x77).expect("it is sound");
         assert_eq!((known.key.group, known.watermark.written), (2, commit as Time * 1000));
         let with =
             |mark: &str| select("a", "view", 5000).replace("cluster=2", &format!("cluster=2,mark={mark}"));
         let (read, newer) = mark(with(&token)).await;
         assert!(read.is_ok());
-        let newer = newer.expect("a token is told");
+        let newer = newer.expect("a token is issued");
         assert!(Token::decode(&newer, 0x77).expect("it is sound").watermark.read > known.watermark.written);
         let code = |answer: Result<Vec<SimpleQueryMessage>, tokio_postgres::Error>| {
             answer.err().and_then(|cause| cause.code().cloned())
@@ -238,10 +241,10 @@
 // The one host that there is stays behind: refused in time, but never served from it.
 #[test]
 fn rather_no_answer_than_an_old_one() {
-    let stage = Stage::new(61);
+    let harness = Harness::new(61);
     let old = ms() - 60_000;
-    let host = stage.host((0..100).map(|_| Say::ReplicaAt(b"old", old)).collect());
-    let gateway = stage.list(&[(&host, "up", "standby")]).operator(OPERATOR).start();
+    let host = harness.host((0..100).map(|_| Reply::ReplicaAt(b"old", old)).collect());
+    let gateway = harness.list(&[(&host, "up", "standby")]).operator(OPERATOR).start();
     let answer = gateway.client().ask(&select("a", "view", 1000));
     assert_eq!(kinds(&answer), "EZ");
     assert!(answer[0].1.windows(6).any(|code| code == b"C53300"));
@@ -250,12 +253,12 @@
 }
 
 #[test]
-fn without_an_operators_file_nothing_is_told_or_taken() {
-    let stage = Stage::new(62);
-    let host = stage.host(vec![Say::Row(b"one")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+fn without_an_operators_file_no_token_is_issued_or_accepted() {
+    let harness = Harness::new(62);
+    let host = harness.host(vec![Reply::Row(b"one")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
-    assert_eq!(kinds(&client.ask(&select("a", "view", 5000))), "TDCZ", "no token is told");
+    assert_eq!(kinds(&client.ask(&select("a", "view", 5000))), "TDCZ", "no token is issued");
     assert_eq!(kinds(&client.ask("SET petrelgauge.mark = 'x'")), "CZ", "as any other setting");
 }
 
@@ -281,8 +284,8 @@
         [("\"view\"", "one class that writes"), ("\"view\", \"nope\"", "no class")].iter().enumerate()
     {
         let text = format!("sessions: {{classes: [{classes}], secret: \"1\"}}\n");
-        let stage = Stage::new(63 + number as u8).operator(&text);
-        let (code, log) = stage.start_with(&stage.config()).ended();
+        let harness = Harness::new(63 + number as u8).operator(&text);
+        let (code, log) = harness.start_with(&harness.config()).ended();
         assert_eq!(code, Some(2), "{log}");
         assert!(log.contains(cause) && log.trim().lines().count() == 1, "{log}");
     }
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_duties.rs
@@ -1,8 +1,8 @@
 //! Duties in shards: five processes of the program, three of them electors, with a path of its own between each two of
 //! them, over which datagrams get lost, one way or both. Owners are killed, stand still, and are cut off with their region.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -61,7 +61,7 @@
 }
 
 struct Fleet {
-    stages: Vec<(Stage, String)>,
+    harnesses: Vec<(Harness, String)>,
     gateways: Vec<Option<Gateway>>,
     links: Links,
     _host: Host,
@@ -75,32 +75,32 @@
     let listen: Vec<String> =
         free.iter().map(|one| one.local_addr().expect("an address").to_string()).collect();
     drop(free);
-    let first = Stage::new(number);
-    let host = first.host((0..50).map(|_| Say::RowAt(b"v", 1_700_000_000_000)).collect());
-    let mut stages = vec![first];
-    stages.extend((1..GATEWAYS).map(|place| Stage::new(number + place as u8)));
-    let stages = stages.into_iter().enumerate().map(|(me, stage)| {
+    let first = Harness::new(number);
+    let host = first.host((0..50).map(|_| Reply::RowAt(b"v", 1_700_000_000_000)).collect());
+    let mut harnesses = vec![first];
+    harnesses.extend((1..GATEWAYS).map(|place| Harness::new(number + place as u8)));
+    let harnesses = harnesses.into_iter().enumerate().map(|(me, harness)| {
         let peers = (0..GATEWAYS).map(|to| match to == me {
             true => listen[to].clone(),
             false => links.open(&format!("127.77.{number}.9"), (me, to), listen[to].clone()),
         });
         let peers: Vec<String> = peers.map(|peer| format!("\"{peer}\"")).collect();
-        let stage = stage.list(&[(&host, "up", "primary")]).operator(FILE);
+        let harness = harness.list(&[(&host, "up", "primary")]).operator(FILE);
         let more = format!("{{\"peer_listen\":\"{}\",\"peers\":[{}],", listen[me], peers.join(","));
-        let config = stage.config().replacen('{', &more, 1);
-        (stage, config)
+        let config = harness.config().replacen('{', &more, 1);
+        (harness, config)
     });
-    let stages = stages.collect();
+    let harnesses = harnesses.collect();
     let gateways = (0..GATEWAYS).map(|_| None).collect();
-    let mut fleet = Fleet { stages, gateways, links, _host: host };
+    let mut fleet = Fleet { harnesses, gateways, links, _host: host };
     (0..GATEWAYS).for_each(|place| fleet.start(place));
     fleet
 }
 
 impl Fleet {
     fn start(&mut self, place: usize) {
-        let (stage, config) = &self.stages[place];
-        let gateway = stage.start_with(config);
+        let (harness, config) = &self.harnesses[place];
+        let gateway = harness.start_with(config);
         gateway.line_with("gateway serving");
         self.gateways[place] = Some(gateway);
     }
--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -1,8 +1,8 @@
-//! Peers that send one byte at a time: clients, hosts, discovery and the staff. The program on sockets, as in
+//! Peers that send one byte at a time: clients, hosts, discovery and operators. The program on sockets, as in
 //! `gateway.rs`; each test has a loopback address of its own.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     }
 }
 
-/// What comes up to the first message of this type that is whole.
+/// What comes up to the first message of this type that is complete.
 fn read_until(stream: &mut TcpStream, kind: u8) -> Vec<(u8, Vec<u8>)> {
     stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
     let mut messages = Vec::new();
@@ -33,9 +33,9 @@
 
 #[test]
 fn a_client_and_a_host_that_send_one_byte_at_a_time_understand_each_other() {
-    let stage = Stage::new(245);
-    let host = stage.host(vec![Say::Pieces(b"first", 1, 1), Say::Pieces(b"second", 1, 1)]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(245);
+    let host = harness.host(vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = TcpStream::connect(gateway.address()).expect("it accepts");
     write_bytes_apart(&mut client, &startup());
     read_until(&mut client, b'Z');
@@ -50,15 +50,16 @@
 
 #[test]
 fn a_list_that_comes_one_byte_at_a_time_is_used() {
-    let stage = Stage::new(246);
-    let rows = |value| (0..20).map(|_| Say::Row(value)).collect();
-    let hosts = [stage.host(rows(b"drains")), stage.host(rows(b"stays"))];
-    let entries = |first: &str| stage.entries(&[(&hosts[0], first, "standby"), (&hosts[1], "up", "primary")]);
+    let harness = Harness::new(246);
+    let rows = |value| (0..20).map(|_| Reply::Row(value)).collect();
+    let hosts = [harness.host(rows(b"drains")), harness.host(rows(b"stays"))];
+    let entries =
+        |first: &str| harness.entries(&[(&hosts[0], first, "standby"), (&hosts[1], "up", "primary")]);
     let line = chunk(&format!("{}\n", list(42, true, &entries("draining"))));
-    let script = vec![Act::SayBytesApart([HEAD, &line].concat()), Act::Beat];
-    let stage = stage.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
-    let config = stage.config();
-    let (gateway, _source) = stage.start_scripted(&config, vec![script]);
+    let script = vec![Step::WriteBytesApart([HEAD, &line].concat()), Step::Heartbeat];
+    let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
+    let config = harness.config();
+    let (gateway, _source) = harness.start_scripted(&config, vec![script]);
     // The first is the one that it was configured with.
     gateway.wait_for("lists=", |count| count >= 2);
     let mut client = gateway.client();
@@ -69,11 +70,11 @@
 }
 
 #[test]
-fn a_call_of_the_staff_that_comes_one_byte_at_a_time_is_answered() {
-    let stage = Stage::new(247).ops();
-    let host = stage.host(vec![]);
-    let line = list(42, true, &stage.entries(&[(&host, "up", "primary")]));
-    let gateway = stage.news(&[&line]).start();
+fn an_operations_call_that_comes_one_byte_at_a_time_is_answered() {
+    let harness = Harness::new(247).ops();
+    let host = harness.host(vec![]);
+    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let gateway = harness.updates(&[&line]).start();
     gateway.call_until(b"ready\n", "YES");
     let mut caller = gateway.caller();
     write_bytes_apart(&mut caller, b"drain\n");
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -1,15 +1,15 @@
 //! Discovery that is away: at a start, while hosts begin to drain, and while idle clients hold all descriptors.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// A change counts as told this long after discovery had it and could be reached (the protocol page).
-const TOLD: Duration = Duration::from_secs(6);
+/// A change counts as notified this long after discovery had it and could be reached (the protocol page).
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 /// A process that was started again serves by then (the page of the standing test).
 const READY: Duration = Duration::from_secs(10);
-/// Longer than any pause between two tries.
+/// Longer than any pause between two attempts.
 const AWAY: Duration = Duration::from_secs(8);
 
 /// An address at which nobody listens for now.
@@ -27,26 +27,26 @@
 
 impl Refused {
     fn new(number: u8, sockets: usize) -> Refused {
-        let stage = Stage::new(number).sockets(sockets);
-        let rows = |value| (0..40).map(|_| Say::Row(value)).collect();
-        let hosts = [stage.host(rows(b"old")), stage.host(rows(b"new"))];
-        let drained = stage.entries(&[(&hosts[0], "draining", "standby"), (&hosts[1], "up", "primary")]);
-        let stage = stage.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
+        let harness = Harness::new(number).sockets(sockets);
+        let rows = |value| (0..40).map(|_| Reply::Row(value)).collect();
+        let hosts = [harness.host(rows(b"old")), harness.host(rows(b"new"))];
+        let drained = harness.entries(&[(&hosts[0], "draining", "standby"), (&hosts[1], "up", "primary")]);
+        let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
         let discovery = nobody(number);
-        let gateway = stage.start_env(&stage.config(), &[("GW_DISCOVERY", &discovery.address())]);
+        let gateway = harness.start_env(&harness.config(), &[("GW_DISCOVERY", &discovery.address())]);
         gateway.line_with("gateway serving");
         Refused { gateway, discovery, hosts, drained }
     }
 
-    /// Discovery is back and tells of the drain. From then on nothing goes to the host that drains.
+    /// Discovery is back and announces the drain. From then on nothing goes to the host that drains.
     fn back(&self) {
         let listener = TcpListener::bind(self.discovery.address()).expect("the port is still free");
         let begun = Instant::now();
         let line = format!("{}\n", list(42, true, &self.drained));
-        let script = vec![Act::Say(HEAD.to_vec()), Act::Say(chunk(&line)), Act::Beat];
-        let source = WatchScripts::play(listener, vec![script]);
+        let script = vec![Step::Write(HEAD.to_vec()), Step::Write(chunk(&line)), Step::Heartbeat];
+        let source = ScriptedDiscovery::play(listener, vec![script]);
         source.next();
-        assert!(begun.elapsed() < TOLD, "asked only after {:?}", begun.elapsed());
+        assert!(begun.elapsed() < NOTIFIED_WITHIN, "asked only after {:?}", begun.elapsed());
         self.gateway.wait_for("lists=", |count| count >= 2);
         let before = self.hosts[0].queries();
         let mut client = self.gateway.client();
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn a_gateway_with_a_whole_list_is_ready_in_time_while_discovery_is_slow_or_refuses() {
+fn a_gateway_with_a_complete_list_is_ready_in_time_while_discovery_is_slow_or_refuses() {
     const HOSTS: usize = 120;
     for (number, refuses) in [(232, false), (233, true)] {
-        let stage = Stage::new(number);
-        let host = stage.host(vec![]);
+        let harness = Harness::new(number);
+        let host = harness.host(vec![]);
         let hosts = vec![(&host, "up", "standby"); HOSTS];
-        let stage = stage.list(&hosts);
-        let silent = WatchScripts::play(
+        let harness = harness.list(&hosts);
+        let silent = ScriptedDiscovery::play(
             TcpListener::bind((format!("127.77.{number}.4"), 0)).expect("a free port"),
             vec![],
         );
@@ -95,7 +95,7 @@
         let closed = nobody(number);
         let discovery = if refuses { closed.address() } else { slow };
         let begun = Instant::now();
-        let gateway = stage.start_env(&stage.config(), &[("GW_DISCOVERY", &discovery)]);
+        let gateway = harness.start_env(&harness.config(), &[("GW_DISCOVERY", &discovery)]);
         gateway.line_with("gateway serving");
         assert_eq!(kinds(&gateway.client().ask("")), "IZ");
         assert!(begun.elapsed() < READY, "ready only after {:?}", begun.elapsed());
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,7 +1,7 @@
 //! The stop of a gateway whose classes give little time: whatever stays open is closed before the platform may kill it.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::time::Duration;
 
 /// All deadlines are 0.2 s: after SIGTERM the process may be killed at 0.9 s.
@@ -14,11 +14,11 @@
 // process was killed before it was answered.
 #[test]
 fn a_query_whose_end_comes_when_the_process_may_be_killed_finds_its_connection_closed() {
-    let stage = Stage::new(200);
-    let host = stage.host(vec![Say::Row(b"v")]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = brief(&stage.config());
-    let mut gateway = stage.start_as(&config);
+    let harness = Harness::new(200);
+    let host = harness.host(vec![Reply::Row(b"v")]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = brief(&harness.config());
+    let mut gateway = harness.start_as(&config);
     let mut client = gateway.client();
     let text = query(&select("a", "view", 200));
     client.write(&text[..20]);
@@ -35,11 +35,11 @@
 
 #[test]
 fn the_end_comes_before_the_kill_whatever_clients_have_begun() {
-    let stage = Stage::new(201);
-    let host = stage.host(vec![Say::Nothing]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = brief(&stage.config());
-    let mut gateway = stage.start_as(&config);
+    let harness = Harness::new(201);
+    let host = harness.host(vec![Reply::Nothing]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = brief(&harness.config());
+    let mut gateway = harness.start_as(&config);
     // One has a query open that no host answers, one has begun another, one has said nothing, one not who it is.
     let (mut asks, mut began, new, mut opening) =
         (gateway.client(), gateway.client(), gateway.client(), gateway.raw_client());
@@ -48,34 +48,34 @@
     opening.write(&startup()[..9]);
     host.next_query();
     gateway.signal("TERM");
-    let told = std::time::Instant::now();
+    let stopping_since = std::time::Instant::now();
     gateway.line_with("stopping");
     let answer = asks.until_ready();
     assert_eq!(kinds(&answer), "EZ");
     assert_eq!(gateway.ended().0, Some(0));
     // 0.65 s and what the machine needs; it was 2 s and more.
-    assert!(told.elapsed() < Duration::from_millis(1_600), "{:?}", told.elapsed());
+    assert!(stopping_since.elapsed() < Duration::from_millis(1_600), "{:?}", stopping_since.elapsed());
     drop(new);
 }
 
 // The classes in force when the signal comes need not be those that the platform reckons with.
 #[test]
 fn deadlines_that_a_reload_has_just_made_longer_do_not_put_the_end_off() {
-    let stage = Stage::new(202);
-    let host = stage.host(vec![Say::Nothing]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let long = stage.config();
-    let mut gateway = stage.start_as(&brief(&long));
+    let harness = Harness::new(202);
+    let host = harness.host(vec![Reply::Nothing]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let long = harness.config();
+    let mut gateway = harness.start_as(&brief(&long));
     let mut client = gateway.client();
     gateway.configure(&long);
     gateway.line_with("configuration reloaded");
     gateway.signal("TERM");
     gateway.line_with("stopping");
     // Taken in a stop, it would be waited for up to 25 s, and up to 3.45 s by the new deadlines.
-    let told = std::time::Instant::now();
+    let stopping_since = std::time::Instant::now();
     client.write(&query(&select("a", "view", 25_000)));
     let answer = client.until_ready();
     assert_eq!(kinds(&answer), "EZ");
     assert_eq!(gateway.ended().0, Some(0));
-    assert!(told.elapsed() < Duration::from_millis(2_500), "{:?}", told.elapsed());
+    assert!(stopping_since.elapsed() < Duration::from_millis(2_500), "{:?}", stopping_since.elapsed());
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -206,10 +206,10 @@
     }
 
     fn try_write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
-        let whole: Vec<u8> = slices.iter().flat_map(|slice| slice.iter().copied()).collect();
+        let complete: Vec<u8> = slices.iter().flat_map(|slice| slice.iter().copied()).collect();
         let mut written = self.written.borrow_mut();
-        let count = self.next_transfer(whole.len().min(self.takes - written.len()))?;
-        written.extend_from_slice(&whole[..count]);
+        let count = self.next_transfer(complete.len().min(self.takes - written.len()))?;
+        written.extend_from_slice(&complete[..count]);
         match (count, self.broken) {
             (0, Some(number)) => Err(error(number)),
             _ => Ok(count),
@@ -285,7 +285,7 @@
     }
 }
 
-// An interrupted peek was taken for a closed connection; the connection rests and is whole.
+// An interrupted peek was taken for a closed connection; the connection rests and is complete.
 #[test]
 fn a_peek_that_is_interrupted_is_made_again() {
     let cases: [(Result<usize, i32>, Unread); 7] = [
@@ -314,7 +314,7 @@
 
 // An interrupted read ended the caller's connection without an answer.
 #[test]
-fn a_line_of_the_staff_survives_interrupted_and_short_reads() {
+fn an_operations_call_survives_interrupted_and_short_reads() {
     for seed in 0..SEEDS {
         let stream = FaultyStream::new(seed, b"STATUS\nand no more of it");
         let line = block_on(ops::line(&stream));
@@ -322,7 +322,7 @@
     }
 }
 
-// An interrupted read ended the watch, and with it what it was about to tell.
+// An interrupted read ended the watch, and with it what it was about to announce.
 #[test]
 fn a_list_of_discovery_survives_interrupted_and_short_reads() {
     let list = r#"{"revision":7,"complete":true,"members":[]}"#;
--- a/tests/time_told.rs
+++ b/tests/time_left.rs
@@ -1,40 +1,40 @@
-//! The time that a gateway tells a database host is at most what its client has left, however long the way to the host's
+//! The time that a gateway states to a database host is at most what its client has left, however long the way to the host's
 //! first byte took. The waits by the clock only ever make less time be left, so that a slow machine changes no verdict.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 use std::time::Duration;
 
 /// How long the clients wait (milliseconds).
 const WAIT_MS: u64 = 20_000;
 /// Span between a client's query and the moment at which it can be passed on (milliseconds).
 const DELAY_MS: u64 = 1_000;
-/// What a host may be told more than is left (milliseconds).
+/// What a host may be given beyond what is left (milliseconds).
 const SLACK_MS: u64 = 150;
 
 fn delay() {
     std::thread::sleep(Duration::from_millis(DELAY_MS));
 }
 
-/// The time that a query tells, in milliseconds.
-fn told(text: &str) -> u64 {
-    let from = text.find(",d=").expect("it tells a time") + 3;
+/// The time that a query states, in milliseconds.
+fn time_left(text: &str) -> u64 {
+    let from = text.find(",d=").expect("it states a time") + 3;
     let digits: String = text[from..].chars().take_while(char::is_ascii_digit).collect();
     digits.parse().expect("a number")
 }
 
 fn expect_delay_taken_off(text: &str) {
-    let told = told(text);
-    assert!(told > 0 && told <= WAIT_MS - DELAY_MS + SLACK_MS, "{told} told in {text}");
+    let stated = time_left(text);
+    assert!(stated > 0 && stated <= WAIT_MS - DELAY_MS + SLACK_MS, "{stated} stated in {text}");
 }
 
 #[test]
 fn a_connection_that_came_up_late_has_its_time_taken_off() {
-    let stage = Stage::new(240);
-    let host = stage.slow_host(0, vec![Say::Row(b"a")]);
-    let stage = stage.list(&[(&host, "up", "primary")]);
-    let config = stage.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000");
-    let gateway = stage.start_as(&config);
+    let harness = Harness::new(240);
+    let host = harness.slow_host(0, vec![Reply::Row(b"a")]);
+    let harness = harness.list(&[(&host, "up", "primary")]);
+    let config = harness.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000");
+    let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     host.next_connection();
@@ -46,12 +46,12 @@
 
 #[test]
 fn a_retry_has_the_time_of_the_attempt_before_it_taken_off() {
-    let stage = Stage::new(241);
-    let host = stage.host(vec![Say::CloseOnGo, Say::Row(b"a")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(241);
+    let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"a")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
-    assert!(told(&host.next_query()) <= WAIT_MS);
+    assert!(time_left(&host.next_query()) <= WAIT_MS);
     delay();
     host.go();
     assert_eq!(kinds(&client.until_ready()), "TDCZ");
@@ -60,9 +60,9 @@
 
 #[test]
 fn a_query_behind_another_has_the_time_of_the_other_taken_off() {
-    let stage = Stage::new(242);
-    let host = stage.host(vec![Say::WaitForGo(b"a"), Say::Row(b"b")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let harness = Harness::new(242);
+    let host = harness.host(vec![Reply::WaitForGo(b"a"), Reply::Row(b"b")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)).repeat(2));
     host.next_query();
@@ -76,10 +76,10 @@
 // Nothing was read while an answer was being written, so that a query which came meanwhile was taken for a new one.
 #[test]
 fn a_query_that_comes_while_an_answer_is_written_has_the_time_up_to_its_end_taken_off() {
-    let stage = Stage::new(243);
+    let harness = Harness::new(243);
     let value: &'static [u8] = vec![7; 4 << 20].leak();
-    let host = stage.host(vec![Say::Row(value), Say::Row(b"b")]);
-    let gateway = stage.list(&[(&host, "up", "primary")]).start();
+    let host = harness.host(vec![Reply::Row(value), Reply::Row(b"b")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     host.next_query();
--- a/tests/unreachable_hosts.rs
+++ b/tests/unreachable_hosts.rs
@@ -1,7 +1,7 @@
 //! Hosts that this machine has no route to. The program on sockets, as in `gateway.rs`.
 
-mod stage;
-use stage::*;
+mod harness;
+use harness::*;
 
 /// Linux makes no TCP connection to the broadcast address: the call fails with ENETUNREACH.
 const NO_ROUTE: &str = "255.255.255.255:9";
@@ -9,15 +9,15 @@
 // It counted as the host's refusal.
 #[test]
 fn a_host_without_a_route_to_it_is_not_taken_to_have_refused() {
-    let stage = Stage::new(248);
-    let rows = (0..40).map(|_| Say::Row(b"served")).collect();
-    let hosts = [stage.closed_host(), stage.host(rows)];
-    let known = stage.entries(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
+    let harness = Harness::new(248);
+    let rows = (0..40).map(|_| Reply::Row(b"served")).collect();
+    let hosts = [harness.closed_host(), harness.host(rows)];
+    let known = harness.entries(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
     let address = known.split("\"host_port\":\"").nth(1).and_then(|rest| rest.split('"').next());
     let closed = address.expect("an address").to_string();
-    let stage = stage.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
-    let config = stage.config().replace(&closed, NO_ROUTE);
-    let mut gateway = stage.start_as(&config);
+    let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
+    let config = harness.config().replace(&closed, NO_ROUTE);
+    let mut gateway = harness.start_as(&config);
     let mut client = gateway.client();
     for _ in 0..30 {
         assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"served");
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -3,13 +3,13 @@
 
 #[path = "../crates/policy/tests/common/mod.rs"]
 mod common;
-mod stage;
+mod harness;
 
 use common::{entry, settings, G, MS};
+use harness::*;
 use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, Ticket};
 use petrelgauge::*;
 use petrelgauge_sessions::SessionTracker;
-use stage::*;
 use std::future::Future;
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
@@ -36,14 +36,14 @@
 /// What answered so many bounded reads, one after the other, from a primary, a fresh replica and one whose data are about as
 /// old as the machine's clock is behind the hosts'.
 fn bounded_reads(number: u8, shift_ms: i64, count: usize) -> [usize; 3] {
-    let stage = Stage::new(number);
+    let harness = Harness::new(number);
     let stale_ms = shift_ms.max(3_000) - 200;
     let hosts = [
-        stage.host((0..300).map(|_| Say::RowByClock(b"primary", shift_ms)).collect()),
-        stage.host((0..300).map(|_| Say::ReplicaByClock(b"fresh", shift_ms, 10)).collect()),
-        stage.host((0..300).map(|_| Say::ReplicaByClock(b"stale", shift_ms, stale_ms)).collect()),
+        harness.host((0..300).map(|_| Reply::RowByClock(b"primary", shift_ms)).collect()),
+        harness.host((0..300).map(|_| Reply::ReplicaByClock(b"fresh", shift_ms, 10)).collect()),
+        harness.host((0..300).map(|_| Reply::ReplicaByClock(b"stale", shift_ms, stale_ms)).collect()),
     ];
-    let stage = stage.list(&[
+    let harness = harness.list(&[
         (&hosts[0], "up", "primary"),
         (&hosts[1], "up", "standby"),
         (&hosts[2], "up", "standby"),
@@ -51,8 +51,8 @@
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
     let started_ms = now_ms + shift_ms - 1_800_000;
     let config =
-        unchecked(&stage.config()).replace(r#""up_since_ms":0"#, &format!(r#""up_since_ms":{started_ms}"#));
-    let gateway = stage.start_as(&config);
+        unchecked(&harness.config()).replace(r#""up_since_ms":0"#, &format!(r#""up_since_ms":{started_ms}"#));
+    let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     let mut answered = [0; 3];
     for round in 0..count {
@@ -161,7 +161,7 @@
     }
 }
 
-// One gateway alone is wrong: what the others tell it of a take-over must count, and its own word must not outlive the truth.
+// One gateway alone is wrong: what the others announce of a takeover must count, and its own announcement must not outlive the truth.
 #[test]
 fn a_gossiped_leader_counts_whatever_the_clocks_of_the_gateways() {
     for shift_ms in SHIFTS_MS {
@@ -171,8 +171,8 @@
             wrong.write();
         }
         assert_eq!((right.leader(), wrong.leader()), (Some(1), Some(1)));
-        let told = |from: &Shifted| from.facade.primaries()[0].2;
-        let (by_right, by_wrong) = (told(&right), told(&wrong));
+        let announced_at = |from: &Shifted| from.facade.primaries()[0].2;
+        let (by_right, by_wrong) = (announced_at(&right), announced_at(&wrong));
         assert!((by_right - by_wrong).abs() <= 20 * MS, "{shift_ms}: {by_right} and {by_wrong}");
         // Some time later member 2 has taken over, and one gateway had its answer.
         for gateway in [&mut right, &mut wrong] {
