--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -41,7 +41,7 @@
                 }
                 let class = open.class;
                 let effect = self.rules.class(class).effect;
-                let write_by = open.ran_from.map_or(Time::MAX, |first| effect.repeat_by(first));
+                let write_by = open.ran_from.map_or(Time::MAX, |first| effect.retry_deadline(first));
                 let writes = open.watch.as_ref().filter(|watch| watch.floor.is_none());
                 let writes = writes.map(|watch| (watch.key, watch.arrived));
                 self.out.insert((request.clone(), attempt), OutAttempt { class, at: now, first, writes });
--- a/crates/lifecycle/tests/repeats.rs
+++ b/crates/lifecycle/tests/repeats.rs
@@ -1,7 +1,9 @@
 //! By when a repeat of a keyed request is ordered to be written.
 
 use petrelgauge_lifecycle::request_table::{Order, Outcome, Request, RequestTable, Send};
-use petrelgauge_policy::{Class, Effect, Ending, Entry, MemberStatus, Need, Scope, Settings, Time, HOLD_UP};
+use petrelgauge_policy::{
+    Class, Effect, Ending, Entry, MemberStatus, Need, Scope, Settings, Time, RETRY_WINDOW_MARGIN,
+};
 
 const SECOND: Time = 1_000_000;
 const WINDOW: Time = 5 * SECOND;
@@ -70,5 +72,5 @@
     let broke_at = first.at + SECOND / 10;
     assert!(!table.report(broke_at, &first, Outcome::silent(Ending::ConnectionLost)));
     let repeat = next_send(&mut table, broke_at);
-    assert_eq!(repeat.write_by, first.at + WINDOW - HOLD_UP);
+    assert_eq!(repeat.write_by, first.at + WINDOW - RETRY_WINDOW_MARGIN);
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -88,5 +88,5 @@
 #[cfg(feature = "mutants")]
 pub use mutant::inject_mutant;
 pub use mutant::{mutant, Mutant};
-pub use repeat_window::HOLD_UP;
+pub use repeat_window::RETRY_WINDOW_MARGIN;
 pub use router::Router;
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -197,10 +197,10 @@
     }
 
     /// Cancels work at a member that does not answer, so that it can go elsewhere while there is time.
-    fn cancel_attempts_at(&mut self, id: MemberId, is_repeatable: impl Fn(Effect) -> bool) {
+    fn cancel_attempts_at(&mut self, id: MemberId, is_retriable: impl Fn(Effect) -> bool) {
         let mut cancelled = Vec::new();
         for (sequence, request) in &self.requests {
-            if is_repeatable(self.settings.classes[request.class].effect) && !self.is_start_late(request) {
+            if is_retriable(self.settings.classes[request.class].effect) && !self.is_start_late(request) {
                 cancelled.push(*sequence);
             }
         }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -208,7 +208,7 @@
     /// which the first attempt that may have run opened.
     pub(crate) fn is_exhausted(&self, class: &Class, by: Time) -> bool {
         let closes = match self.first_possible_execution() {
-            Some(first) if !mutant(RetriedAfterKeyWindow) => class.effect.repeat_by(first.sent),
+            Some(first) if !mutant(RetriedAfterKeyWindow) => class.effect.retry_deadline(first.sent),
             _ => Time::MAX,
         };
         closes <= by || self.attempts.len() >= class.attempts as usize
--- a/crates/policy/tests/repeat_window.rs
+++ b/crates/policy/tests/repeat_window.rs
@@ -1,6 +1,6 @@
 //! By when a keyed request may be sent again.
 
-use petrelgauge_policy::{Effect, Scope, HOLD_UP};
+use petrelgauge_policy::{Effect, Scope, RETRY_WINDOW_MARGIN};
 
 const SECOND: i64 = 1_000_000;
 
@@ -10,23 +10,23 @@
 
 #[test]
 fn a_repeat_that_is_held_up_is_still_inside_its_window() {
-    assert_eq!(HOLD_UP, 150_000);
+    assert_eq!(RETRY_WINDOW_MARGIN, 150_000);
     for window in [5 * SECOND, 30 * SECOND] {
-        assert_eq!(keyed(window).repeat_by(7 * SECOND) + HOLD_UP, 7 * SECOND + window);
+        assert_eq!(keyed(window).retry_deadline(7 * SECOND) + RETRY_WINDOW_MARGIN, 7 * SECOND + window);
     }
 }
 
 #[test]
 fn a_short_window_keeps_most_of_its_span() {
     for window in [0, 1, 40_000, 400_000, 4 * SECOND] {
-        let usable = keyed(window).repeat_by(0);
+        let usable = keyed(window).retry_deadline(0);
         assert!(usable <= window && usable >= window - window / 32, "{usable} of {window}");
     }
 }
 
 #[test]
 fn what_has_no_window_may_be_written_at_any_time_and_a_far_one_does_not_overflow() {
-    assert_eq!(Effect::Safe.repeat_by(0), i64::MAX);
-    assert_eq!(Effect::Unsafe.repeat_by(0), i64::MAX);
-    assert_eq!(keyed(i64::MAX).repeat_by(i64::MAX), i64::MAX);
+    assert_eq!(Effect::Safe.retry_deadline(0), i64::MAX);
+    assert_eq!(Effect::Unsafe.retry_deadline(0), i64::MAX);
+    assert_eq!(keyed(i64::MAX).retry_deadline(i64::MAX), i64::MAX);
 }
--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -92,7 +92,7 @@
         log::debug!(
             "attempt ended host={host} class={} group={} end={:?} took_us={} written_us={} reused={reused}",
             statement.class,
-            statement.cluster,
+            statement.group,
             finished.end,
             now - began,
             written.map_or(-1, |at| at - began),
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -82,8 +82,8 @@
             .iter()
             .flat_map(|text| text.split('+'))
             .filter(|token| !token.is_empty());
-        let tokens: Vec<&str> = brought.chain(self.session_tokens.for_group(statement.cluster)).collect();
-        facade.session_ref(at, statement.cluster, name, &tokens).map_err(|cause| ("22023", cause.to_string()))
+        let tokens: Vec<&str> = brought.chain(self.session_tokens.for_group(statement.group)).collect();
+        facade.session_ref(at, statement.group, name, &tokens).map_err(|cause| ("22023", cause.to_string()))
     }
 
     fn read_statement(&self, text: &Bytes, at: Time) -> Result<Taken, Unusable> {
@@ -91,7 +91,7 @@
         let named = self.front.facade.find_class(at, &statement.class, statement.has_idempotency_key);
         let unusable = |code: &'static str, cause: &str| Err((code, cause.to_string()));
         let Some((place, class)) = named else { return unusable("22023", "no such class") };
-        if statement.write != (class.need == Need::Write) {
+        if statement.is_write != (class.need == Need::Write) {
             return unusable("42601", "the statement does not fit its class");
         }
         if matches!(class.effect, Effect::Keyed { .. }) && !statement.has_idempotency_key {
@@ -102,7 +102,7 @@
         if wait > self.front.facade.longest_wait(at, &class.name).saturating_mul(2) {
             return unusable("22023", "its class gives no request so long a time");
         }
-        if !self.front.facade.may_serve_group(statement.cluster) {
+        if !self.front.facade.may_serve_group(statement.group) {
             return unusable("22023", "no such cluster");
         }
         let session = self.session_of(place, &statement, at)?;
@@ -112,9 +112,9 @@
         let reads_session = class.need == Need::Session;
         let request = Request {
             class: place,
-            group: statement.cluster,
+            group: statement.group,
             until: at.saturating_add(wait),
-            is_retry: statement.repeat,
+            is_retry: statement.is_retry,
             at,
             after: statement.after_ms.filter(|_| reads_session).map(|ms| (ms as Time).saturating_mul(1000)),
             session,
@@ -131,7 +131,7 @@
             "request ended request={} class={} group={} end={} took_us={} left_us={}",
             taken.statement.id,
             taken.statement.class,
-            taken.statement.cluster,
+            taken.statement.group,
             given.word(),
             self.front.clock.now() - taken.request.at,
             until - self.front.clock.now(),
--- a/src/net/statement.rs
+++ b/src/net/statement.rs
@@ -11,7 +11,7 @@
     text: Bytes,
     digits: Range<usize>,
     /// It writes.
-    pub write: bool,
+    pub is_write: bool,
     /// The quoted key, as it stands between the quotes.
     pub name: String,
     /// What its client calls the request.
@@ -23,7 +23,7 @@
     /// It carries an idempotency key.
     pub has_idempotency_key: bool,
     /// The group.
-    pub cluster: u64,
+    pub group: u64,
     /// Its session, where it is not the quoted key that names it.
     pub session: Option<String>,
     /// The session's tokens, parted by `+`.
@@ -31,7 +31,7 @@
     /// Commit that a session read must see, in Unix milliseconds.
     pub after_ms: Option<u64>,
     /// Marked as a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// Longest value, which is quoted as `\x` and two digits a byte; and the longest word of a comment.
@@ -79,17 +79,17 @@
         let (wait_ms, digits) = wait.ok_or("the comment names no d")?;
         Ok(Statement {
             digits,
-            write,
+            is_write: write,
             name: word(&name).map_err(|_| "the quoted key is not UTF-8")?.to_string(),
             id: id.filter(|id| !id.is_empty()).ok_or("the comment names no id")?.to_string(),
             class: class.ok_or("the comment names no c")?.to_string(),
             wait_ms,
             has_idempotency_key: key.is_some_and(|key| !key.is_empty()),
-            cluster: cluster.ok_or("the comment names no cluster")?,
+            group: cluster.ok_or("the comment names no cluster")?,
             session: session.filter(|name| !name.is_empty()).map(str::to_string),
             session_tokens: mark.map(str::to_string),
             after_ms: after,
-            repeat: repeat == Some("1"),
+            is_retry: repeat == Some("1"),
             text: text.clone(),
         })
     }
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -168,8 +168,8 @@
             let again =
                 Statement::parse(&sent.slice(5..sent.len() - 1)).expect("what was read once is read again");
             assert_eq!(
-                (again.id, again.class, again.cluster),
-                (statement.id, statement.class, statement.cluster)
+                (again.id, again.class, again.group),
+                (statement.id, statement.class, statement.group)
             );
         }
     });
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -126,7 +126,7 @@
 fn a_statement_goes_on_unaltered_but_for_its_wait() {
     sturdy(READ.as_bytes(), |pieces| Statement::parse(&pieces.concat().into()));
     let statement = Statement::parse(&READ.into()).expect("a sound statement");
-    assert_eq!((statement.class.as_str(), statement.wait_ms, statement.cluster), ("view", 480, 2));
+    assert_eq!((statement.class.as_str(), statement.wait_ms, statement.group), ("view", 480, 2));
     assert_eq!(statement.name, "it''s /* d=1 */");
     check(any::<u64>(), |wait| {
         let mut query = statement.query(wait);
