--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -1,73 +1,75 @@
 //! The life of a client's connection, from its opening to its end.
 //!
 //! ```text
-//! Opening --Opened--> Idle --Message(Query)--> Asking --Answered--> Idle
-//!    |                 |                          |  \--Answered, unusable--> Pausing --Rested--> Idle
-//!    +-----------------+--- Flawed --> CutOff     +--- Left --> Ended
+//! Opening --StartupReceived--> Idle --Message(Query)--> AwaitingAnswer --Answered--> Idle
+//!    |                          |                          |  \--Answered(Unusable)--> Pausing --PauseOver--> Idle
+//!    +--------------------------+--- ProtocolError --> CutOff  +--- Disconnected --> Ended
 //! ```
 //!
-//! What a client has sent goes before every wish to close its connection: whoever tells [`Event::Shed`],
-//! [`Event::Stop`] or [`Event::Due`] says whether something lies there unread, and then it is read first. A connection
-//! with a query open is not closed for age, room or the stop.
+//! What a client has sent takes precedence over every reason to close its connection: whoever steps the machine with
+//! [`Event::Shed`], [`Event::Stop`] or [`Event::Due`] says whether unread bytes are available, and those are read first.
+//! A connection with an open query is not closed for its age, to free its descriptor or for a stop.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Span in which a client must say who it is (microseconds).
+/// Time within which a client must send its startup message (microseconds).
 pub const STARTUP_TIMEOUT: Time = 2_000_000;
-/// Span without an open query after which a client is closed (microseconds): others need its descriptor.
+/// Time without an open query after which a client is closed (microseconds): others need its descriptor.
 pub const IDLE_TIMEOUT: Time = 2_100_000;
-/// Span in which a message that has begun must be whole (microseconds): a new client is owed a word within 3 s, one
-/// that was served before may be slow.
+/// Time within which a message that has begun must be complete (microseconds) if the client is new: it has to get an
+/// answer or an error within 3 s.
 pub const NEW_CLIENT_MESSAGE_TIMEOUT: Time = 2_500_000;
-/// The same for a client that has been served.
+/// The same for a client that has been served before, which may be slow.
 pub const MESSAGE_TIMEOUT: Time = 6_000_000;
-/// Span without a further byte of a message that has begun after which a client is cut off (microseconds): one that is
-/// slow goes on, and one that stays without going on is owed an error within 3 s.
+/// Time without a further byte of an incomplete message after which a client is cut off (microseconds): a slow client
+/// may continue, one that has stopped has to get an error within 3 s.
 pub const STALL_TIMEOUT: Time = 2_500_000;
-/// Pause after a statement that could not be used before the next is read, doubled for each in a row up to the longest
-/// (microseconds): a client that sends the same again at once must not cost the others time.
+/// Pause after an unusable statement before the next one is read (microseconds), doubled for each further one in a row:
+/// a client that repeats it at once must not cost the others processor time.
 pub const MIN_BACKOFF: Time = 1_000;
-/// The longest such pause.
+/// The longest such pause (microseconds).
 pub const MAX_BACKOFF: Time = 64_000;
+/// Unusable statements in a row are counted up to this (count), so that the shift can't overflow.
+const MAX_COUNTED_UNUSABLE: u32 = 16;
 
-/// Why a client can be closed to make room. In this order they are.
+/// Why a client may be closed to free its descriptor. Clients are closed in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Idleness {
-    /// It has been told why its connection ends, and may still read it.
+    /// It has been sent the reason why its connection ends, and may still read it.
     CutOff,
-    /// It has asked for nothing yet.
+    /// It has sent no query yet.
     New,
-    /// It has its answers.
+    /// All its queries have been answered.
     Answered,
 }
 
-/// Where a connection stands.
+/// The stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// The client has not said who it is.
+    /// The client has not sent its startup message.
     Opening,
     /// No query is open.
     Idle,
     /// A query is open.
     AwaitingAnswer,
-    /// A statement could not be used; the next is read after a pause.
+    /// A statement was unusable; the next one is read after a pause.
     Pausing {
-        /// Clock time.
+        /// Clock time at which the pause is over.
         until: Time,
     },
-    /// It is told why it ends.
+    /// The client is sent the reason why its connection ends.
     CutOff,
     /// Over.
     Ended(End),
 }
 
-/// A message, by what it asks for.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MessageKind {
-    /// Goodbye.
+    /// Terminate: the client closes its connection.
     Terminate,
-    /// The end of a row of extended messages.
+    /// Sync: the end of a sequence of extended query messages.
     Sync,
     /// A simple query.
     Query,
@@ -75,14 +77,14 @@
     Extended,
     /// A function call.
     Function,
-    /// Flush, and what belongs to a copy: neither is a sign of use.
+    /// Flush, and what belongs to a copy: neither counts as use of the connection.
     Ignored,
-    /// None that there is.
+    /// Not a message of the protocol.
     Unknown,
 }
 
 impl MessageKind {
-    /// The kind of a message of this type.
+    /// The kind of a message with this type byte.
     pub fn of(kind: u8) -> MessageKind {
         match kind {
             b'X' => MessageKind::Terminate,
@@ -96,51 +98,51 @@
     }
 }
 
-/// What a query was of use for.
+/// What became of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QueryOutcome {
-    /// A request.
+    /// It was a request, which has its final answer.
     Request,
-    /// Something that the gateway answers by itself.
+    /// The gateway answered it by itself.
     AnsweredLocally,
-    /// Nothing: it could not be used.
+    /// It could not be used and was answered with an error.
     Unusable,
 }
 
-/// What happens.
+/// What happens on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It asks for encryption.
+    /// The client asks for encryption.
     Encryption,
-    /// It wants something cancelled.
+    /// The client asks to cancel a query of another connection.
     Cancel,
-    /// It said who it is.
+    /// The startup message was received.
     StartupReceived,
-    /// A whole message.
+    /// A complete message was received.
     Message(MessageKind),
-    /// Its query was answered.
+    /// The open query was answered.
     Answered(QueryOutcome),
     /// The pause is over.
     PauseOver,
-    /// What it sent makes no sense, is too much or too long.
+    /// What the client sent breaks the protocol or a limit.
     ProtocolError(End),
-    /// It has left, or does not take what it is told.
+    /// The client closed the connection, or does not read what it is sent.
     Disconnected(End),
-    /// It is asked to make room.
+    /// The connection should be closed to free its descriptor.
     Shed {
-        /// Something lies there unread.
+        /// Unread bytes are available.
         unread: bool,
     },
     /// The gateway stops.
     Stop {
-        /// Something lies there unread.
+        /// Unread bytes are available.
         unread: bool,
     },
-    /// The time that [`Client::due`] named has come.
+    /// The time that [`Client::due`] gave has come.
     Due {
-        /// Something lies there unread.
+        /// Unread bytes are available.
         unread: bool,
-        /// When the last part of a message that has begun and is not complete came, if there is one.
+        /// When the last bytes of an incomplete message were received, if there is one.
         partial_at: Option<Time>,
     },
 }
@@ -148,34 +150,34 @@
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Wait for what comes next.
+    /// Wait for the next event.
     Wait,
     /// Decline encryption.
     DeclineEncryption,
-    /// Welcome it.
+    /// Accept the startup message.
     AcceptStartup,
-    /// Say that it may go on.
+    /// Send ReadyForQuery.
     Ready,
-    /// Say that this is not served, and that it may go on, if so.
+    /// Send the error that the message is not supported.
     Unsupported {
-        /// It may go on at once.
+        /// Send ReadyForQuery after it.
         ready: bool,
     },
-    /// Answer its query.
+    /// Answer the query.
     Answer,
-    /// Read nothing up to this time.
+    /// Read nothing until this time.
     Pause {
         /// Clock time.
         until: Time,
     },
-    /// Say why it is cut off, and let it read that.
+    /// Send the reason why the connection ends, and leave the client time to read it.
     CutOff {
-        /// Its message is of no kind that there is; else the reason is known to whoever told it.
+        /// The message is of an unknown kind; else the caller knows the reason.
         unknown: bool,
-        /// A message did not become whole in time.
+        /// A message was not complete in time.
         unfinished: bool,
     },
-    /// Close it.
+    /// Close the connection.
     Close(End),
 }
 
@@ -183,55 +185,62 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
     stage: Stage,
-    idle_by: Time,
-    whole_by: Time,
-    why: Idleness,
-    since: Time,
-    /// After an error in extended queries nothing counts up to Sync.
+    /// Clock time at which the connection is closed if no query is open.
+    idle_until: Time,
+    /// Clock time by which a message that has begun must be complete.
+    message_deadline: Time,
+    idleness: Idleness,
+    idle_since: Time,
+    /// After an error in extended query messages everything up to Sync is skipped.
     skipping: bool,
-    /// It has sent a statement that could be used.
+    /// It has sent a usable request.
     trusted: bool,
-    /// Statements in a row that could not be used.
-    flaws: u32,
+    /// Unusable statements in a row.
+    unusable_in_a_row: u32,
 }
 
 impl Client {
-    /// One that has just been accepted.
+    /// A connection that has just been accepted.
     pub fn new(now: Time) -> Client {
         Client {
             stage: Stage::Opening,
-            idle_by: now + IDLE_TIMEOUT,
-            whole_by: now + NEW_CLIENT_MESSAGE_TIMEOUT,
-            why: Idleness::New,
-            since: now,
+            idle_until: now + IDLE_TIMEOUT,
+            message_deadline: now + NEW_CLIENT_MESSAGE_TIMEOUT,
+            idleness: Idleness::New,
+            idle_since: now,
             skipping: false,
             trusted: false,
-            flaws: 0,
+            unusable_in_a_row: 0,
         }
     }
 
-    /// Where it stands.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Why, and since when, it could be closed to make room.
+    /// Why the connection could be closed to free its descriptor, and since when.
     pub fn idleness(&self) -> (Idleness, Time) {
-        (self.why, self.since)
+        (self.idleness, self.idle_since)
     }
 
-    /// Clock time at which [`Event::Due`] is to be told while no query is open.
+    /// Clock time at which [`Event::Due`] is due while no query is open.
     pub fn due(&self) -> Time {
         match self.stage {
-            Stage::Opening => self.since + STARTUP_TIMEOUT,
-            _ => self.idle_by,
+            Stage::Opening => self.idle_since + STARTUP_TIMEOUT,
+            _ => self.idle_until,
         }
     }
 
-    /// Something happened. What does not fit the stage is nothing.
+    /// Steps the machine. An event that does not fit the stage changes nothing.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
-        let to_do = self.next(now, event);
-        self.stage = match to_do {
+        let action = self.action(now, event);
+        self.stage = self.next_stage(event, action);
+        action
+    }
+
+    fn next_stage(&self, event: Event, action: Action) -> Stage {
+        match action {
             Action::AcceptStartup => Stage::Idle,
             Action::Answer => Stage::AwaitingAnswer,
             Action::Pause { until } => Stage::Pausing { until },
@@ -244,11 +253,10 @@
                     (stage, _) => stage,
                 }
             }
-        };
-        to_do
+        }
     }
 
-    fn next(&mut self, now: Time, event: Event) -> Action {
+    fn action(&mut self, now: Time, event: Event) -> Action {
         match (self.stage, event) {
             (Stage::Ended(end), _) => Action::Close(end),
             (Stage::CutOff, Event::Disconnected(end)) => Action::Close(end),
@@ -256,28 +264,19 @@
             (_, Event::Disconnected(end)) => Action::Close(end),
 
             (Stage::Opening, Event::Encryption) => Action::DeclineEncryption,
-            // There is nothing to cancel by key: a client that no longer waits closes its connection.
+            // Nothing can be cancelled by key: a client that no longer waits closes its connection.
             (Stage::Opening, Event::Cancel) => Action::Close(End::ClientTerminated),
             (Stage::Opening, Event::StartupReceived) => Action::AcceptStartup,
             (Stage::Opening, Event::Due { unread: false, .. }) => Action::Close(End::ClientSilent),
 
-            (Stage::Idle, Event::Message(kind)) => self.message(now, kind),
-            (Stage::Idle, Event::Due { unread: false, partial_at }) => match partial_at {
-                None => Action::Close(End::ClientIdle),
-                Some(at) => {
-                    self.idle_by = self.whole_by.min(at + STALL_TIMEOUT);
-                    match now >= self.idle_by {
-                        true => Action::CutOff { unknown: false, unfinished: true },
-                        false => Action::Wait,
-                    }
-                }
-            },
+            (Stage::Idle, Event::Message(kind)) => self.on_message(now, kind),
+            (Stage::Idle, Event::Due { unread: false, partial_at }) => self.on_idle_due(now, partial_at),
 
             (Stage::AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedBeforeAnswer) => {
                 Action::Close(End::Stopped)
             }
             (Stage::Idle, Event::Stop { .. }) if mutant(Mutant::ClosedUnread) => Action::Close(End::Stopped),
-            (Stage::AwaitingAnswer, Event::Answered(outcome)) => self.answered(now, outcome),
+            (Stage::AwaitingAnswer, Event::Answered(outcome)) => self.on_answered(now, outcome),
             (Stage::Pausing { .. }, Event::PauseOver) => Action::Wait,
 
             (Stage::Opening | Stage::Idle, Event::ProtocolError(_)) => {
@@ -289,8 +288,19 @@
         }
     }
 
-    fn message(&mut self, now: Time, kind: MessageKind) -> Action {
-        let to_do = match kind {
+    /// The idle timeout of a client that has sent nothing more, or has sent a part of a message.
+    fn on_idle_due(&mut self, now: Time, partial_at: Option<Time>) -> Action {
+        let Some(partial_at) = partial_at else { return Action::Close(End::ClientIdle) };
+        self.idle_until = self.message_deadline.min(partial_at + STALL_TIMEOUT);
+        if now >= self.idle_until {
+            Action::CutOff { unknown: false, unfinished: true }
+        } else {
+            Action::Wait
+        }
+    }
+
+    fn on_message(&mut self, now: Time, kind: MessageKind) -> Action {
+        let action = match kind {
             MessageKind::Terminate => return Action::Close(End::ClientTerminated),
             MessageKind::Sync => {
                 self.skipping = false;
@@ -306,28 +316,31 @@
             MessageKind::Ignored => return Action::Wait,
             MessageKind::Unknown => return Action::CutOff { unknown: true, unfinished: false },
         };
-        self.used(now);
-        to_do
+        self.record_use(now);
+        action
     }
 
-    fn answered(&mut self, now: Time, outcome: QueryOutcome) -> Action {
+    fn on_answered(&mut self, now: Time, outcome: QueryOutcome) -> Action {
         self.trusted |= outcome == QueryOutcome::Request;
-        self.used(now);
-        self.flaws = match outcome {
+        self.record_use(now);
+        self.unusable_in_a_row = match outcome {
             QueryOutcome::Request => 0,
-            QueryOutcome::AnsweredLocally => self.flaws,
-            QueryOutcome::Unusable => (self.flaws + 1).min(16),
+            QueryOutcome::AnsweredLocally => self.unusable_in_a_row,
+            QueryOutcome::Unusable => (self.unusable_in_a_row + 1).min(MAX_COUNTED_UNUSABLE),
         };
-        match self.flaws {
+        match self.unusable_in_a_row {
             0 => Action::Wait,
-            flaws => Action::Pause { until: now + (MIN_BACKOFF << (flaws - 1)).min(MAX_BACKOFF) },
+            count => Action::Pause { until: now + (MIN_BACKOFF << (count - 1)).min(MAX_BACKOFF) },
         }
     }
 
-    fn used(&mut self, now: Time) {
-        (self.since, self.why, self.idle_by) = (now, Idleness::Answered, now + IDLE_TIMEOUT);
+    /// The connection was used: its idle time and its message deadline start again.
+    fn record_use(&mut self, now: Time) {
+        self.idle_since = now;
+        self.idleness = Idleness::Answered;
+        self.idle_until = now + IDLE_TIMEOUT;
         if self.trusted {
-            self.whole_by = now + MESSAGE_TIMEOUT;
+            self.message_deadline = now + MESSAGE_TIMEOUT;
         }
     }
 }
--- a/crates/lifecycle/src/connect_timeout.rs
+++ b/crates/lifecycle/src/connect_timeout.rs
@@ -1,21 +1,23 @@
 //! The timeout for establishing a connection to a host, estimated from recent connections.
 //!
 //! The settings give a generous upper limit. Where connections are established within a millisecond, one that
-//! takes forty leads to a machine that is gone, and the waiting request could be answered by another host in
-//! that time. When a zone is lost, each gateway of a fleet finds that out host by host, by its own requests.
+//! takes forty most likely leads to a machine that is down, and the waiting request could be answered by another
+//! host in that time. When a zone is lost, each gateway of a fleet learns it host by host, from its own requests.
 
 use petrelgauge_policy::Time;
 
 /// The timeout is this many times the longest recent connect time.
 const MARGIN: Time = 16;
-/// The shortest timeout (microseconds): longer than a process estimately waits to be scheduled.
+/// The shortest timeout (microseconds): longer than a process usually waits to be scheduled.
 pub const MIN_TIMEOUT: Time = 40_000;
 /// Established connections before an estimate is made.
 pub const MIN_SAMPLES: u32 = 8;
 /// With each established connection the longest connect time decays by one part in this many.
 const DECAY: Time = 64;
+/// Most doublings of the estimate (count), so that the shift can't overflow.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// The estimate over all hosts; of fixed size.
+/// The estimate over all hosts, of fixed size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectTimeout {
     /// Upper limit from the settings, in microseconds.
@@ -42,11 +44,11 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The timeout (microseconds) for a host with so many consecutive connect failures. Each doubles it: the
+    /// The timeout (microseconds) for a host with this many consecutive connect failures. Each failure doubles it: the
     /// host may be far away, or this gateway slow.
     pub fn timeout(&self, failures: u32) -> Time {
         let estimate = (self.longest.saturating_mul(MARGIN)).max(MIN_TIMEOUT);
-        let doubled = estimate.saturating_mul(1 << failures.min(16));
+        let doubled = estimate.saturating_mul(1 << failures.min(MAX_DOUBLINGS));
         if self.samples < MIN_SAMPLES {
             self.limit
         } else {
--- a/crates/lifecycle/src/ending.rs
+++ b/crates/lifecycle/src/ending.rs
@@ -7,70 +7,70 @@
 pub enum End {
     /// A database host served the request.
     Served,
-    /// It serves the request with a long row, which its client gets as it comes.
+    /// It serves the request with a long row, which is streamed to the client.
     Flows,
     /// It answered with an error; there may have been an effect.
     HostError,
-    /// It turned the request away untouched: not the primary, or too far behind.
+    /// It rejected the request without running it: not the primary, or its data are too old.
     Rejected,
-    /// It could not use the statement itself, and nor could any other host.
+    /// It can't execute the statement, and neither could any other host.
     Unusable,
-    /// It turned the request away unseen: queue full, draining, too many connections.
+    /// It rejected the request before reading it: queue full, draining, too many connections.
     QueueFull,
     /// It refused the connection.
     ConnectRefused,
-    /// The connection did not come up in time.
+    /// The connection was not established in time.
     ConnectSilent,
     /// The connection broke before the request's last byte was written.
     BrokenUnsent,
     /// The connection broke or ended after that.
     BrokenSent,
-    /// The host's bytes after that made no sense.
+    /// The host broke the protocol after that.
     HostMalformed,
-    /// Its answer was a copy of the one before.
+    /// Its answer was a copy of the previous one.
     HostRepeated,
-    /// Its answer began and did not go on.
+    /// Its answer began and was not continued.
     HostStalled,
-    /// Idle, and the host sent more than belonged to its last answer.
+    /// Idle, and the host sent bytes that belong to no answer.
     HostSurplus,
-    /// No answer by the time the attempt was to be given up.
+    /// No answer before the attempt's deadline.
     NoAnswer,
-    /// The decisions called the attempt off.
+    /// The router cancelled the attempt.
     Cancelled,
-    /// No descriptor was left for a connection.
+    /// No file descriptor was left for a connection.
     NoDescriptor,
     /// No address is known for the host.
     NoAddress,
-    /// Too many bytes were held already for its answer.
+    /// Too much memory was in use to buffer its answer.
     NoMemory,
-    /// Its time was over before it could be written.
+    /// Its deadline passed before it could be written.
     TooLate,
-    /// Its connection was ready for it, but by then its client had left or its host was no longer to get anything.
+    /// Its connection was ready, but by then its client had left or its host accepted no more requests.
     NotWanted,
-    /// Idle too long, or its host moved, started again or left: closed by the gateway.
+    /// Idle too long, or its host moved, restarted or was removed: closed by the gateway.
     Retired,
     /// Idle, and closed by the host.
     HostClosedIdle,
     /// The client closed its connection, or it broke.
     ClientLeft,
-    /// The client said goodbye.
+    /// The client sent a Terminate message.
     ClientTerminated,
-    /// The client's bytes made no sense.
+    /// The client broke the protocol.
     ClientMalformed,
-    /// The client did not say who it is in time.
+    /// The client did not send its startup message in time.
     ClientSilent,
-    /// It had its answers and asked for nothing more.
+    /// The client had its answers and sent no further query.
     ClientIdle,
-    /// The client did not take its answer in time.
+    /// The client did not read its answer in time.
     ClientStuck,
-    /// Idle, and closed to make room.
+    /// Idle, and closed to free its descriptor for another client.
     ClientShed,
-    /// Idle, and closed since the gateway stops.
+    /// Idle, and closed because the gateway stops.
     Stopped,
 }
 
 impl End {
-    /// All of them, in order.
+    /// All variants, in order.
     pub const ALL: [End; 31] = [
         End::Served,
         End::Flows,
@@ -105,12 +105,12 @@
         End::Stopped,
     ];
 
-    /// A host said so, in a whole answer of its own to this attempt.
+    /// Whether the host sent this end in a complete answer to the attempt.
     pub fn is_answer(self) -> bool {
         matches!(self, End::Served | End::HostError | End::Rejected | End::QueueFull | End::Unusable)
     }
 
-    /// What the decisions are told of an attempt that ended so.
+    /// What is reported to the router about an attempt that ended like this.
     pub fn as_ending(self) -> Ending {
         match self {
             End::Served | End::Flows => Ending::Served,
@@ -122,9 +122,9 @@
                 Ending::ConnectionLost
             }
             End::NoAnswer => Ending::TimedOut,
-            // It was sent, and then given up for want of memory here: the host is not to blame.
+            // It was sent, and then given up because memory ran out here: not a fault of the host.
             End::Cancelled | End::NoMemory => Ending::Cancelled,
-            // Nothing the host did: it must not be blamed for it.
+            // Not a fault of the host: it must not count against it.
             End::NoDescriptor | End::NoAddress | End::TooLate | End::NotWanted | End::Unusable => {
                 Ending::NotSent
             }
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The life of one attempt, from its order to its report.
+//! The life of one attempt to have a request served by a host, from its start to its report.
 //!
 //! ```text
 //!            Connected          Greeted           Written            Began
@@ -7,43 +7,43 @@
 //!     +--------------------+-----------------+----------------+-------------------+--> Ended(end)
 //! ```
 //!
-//! With the first bytes of a long row an attempt ends as [`End::Flows`], and its connection is lent to whoever passes
-//! the row on: the request has its answer.
+//! With the first bytes of a long row an attempt ends as [`End::Flows`]: the request has its answer, and the connection
+//! is lent to the client's session, which streams the row.
 //!
 //! A reused connection begins in Writing. Whatever the state, an attempt ends once, by [`Exchange::on`], and its
 //! connection is disposed of (kept idle or closed) before the end may be reported: [`Exchange::finish`] says how, and
-//! only its result holds the end. A second copy could else go out beside a connection that still carries the first.
+//! only its result holds the end. Otherwise a retry could be sent while a connection still carries the first attempt.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Span in which an answer that has begun must be whole (microseconds): hosts write it in one go. One that claims to
-/// go on and does not would else keep its request until its time is over.
+/// Time within which an answer that has begun must be complete (microseconds): hosts write an answer at once. A host that
+/// stalls in the middle would otherwise hold its request until the attempt's deadline.
 pub const ANSWER_TIMEOUT: Time = 300_000;
 
-/// The unit in which hosts are told how long an answer is waited for (microseconds).
+/// The unit of the remaining wait that is sent to hosts (microseconds).
 const MILLISECOND: Time = 1_000;
 
-/// Where an attempt stands.
+/// The stage of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// A connection is coming up; it must within the time given.
+    /// A connection is being established.
     Connecting {
-        /// Clock time.
+        /// Clock time by which the host must be ready.
         by: Time,
     },
-    /// It is up, and the host has not said that it is ready.
+    /// The connection is established, and the host has not said that it is ready.
     Greeting {
-        /// Clock time.
+        /// Clock time by which the host must be ready.
         by: Time,
     },
     /// The request is being written.
     Writing,
-    /// It was written whole. From here on it may have run.
+    /// The request was written completely. From here on it may have run.
     Waiting,
     /// The answer has begun.
     Answering {
-        /// Clock time by which it must be whole.
+        /// Clock time by which it must be complete.
         by: Time,
     },
     /// Over.
@@ -53,41 +53,41 @@
 /// What happens to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The connection is up.
+    /// The connection was established.
     Connected,
-    /// The host refused it.
+    /// The host refused the connection.
     Refused,
-    /// There was no descriptor for it, or no address.
+    /// No connection could be tried: there was no descriptor, or no address.
     NotTried(End),
     /// The host is ready for a request.
     Greeted,
-    /// The host turned the connection away with an error of its own.
+    /// The host rejected the connection with an error.
     Rejected(End),
-    /// Before the first byte of the request: its client has left, it was called off, or its host is no longer to get
-    /// anything.
+    /// Before the first byte of the request: its client has left, it was cancelled, or its host accepts no more
+    /// requests.
     Unwanted,
     /// The last byte of the request was written.
     Written,
-    /// The first bytes of an answer came.
+    /// The first bytes of an answer were received.
     Began,
-    /// The answer is whole, and judged so. `copy`: it is the last one again.
+    /// A complete answer was received.
     Answered {
-        /// What it says of the attempt.
+        /// How the attempt ended according to it.
         end: End,
-        /// It is alike to the last answer of the connection to the last bit.
+        /// It equals the previous answer on the connection byte for byte.
         copy: bool,
     },
-    /// A long row has begun: its client gets it as it comes.
+    /// A long row has begun: it is streamed to the client.
     Flows,
-    /// The host's bytes make no sense.
+    /// The host broke the protocol.
     Malformed,
     /// The connection broke or ended.
     Broke,
-    /// There is no room for more of the answer.
+    /// There is no memory to buffer more of the answer.
     NoMemory,
-    /// The decisions want it given up.
+    /// The router cancelled the attempt.
     Cancelled,
-    /// The time that [`Exchange::due`] named has come.
+    /// The time that [`Exchange::due`] gave has come.
     Due,
 }
 
@@ -96,19 +96,19 @@
 pub enum ConnectionDisposition {
     /// It is kept idle and may carry another request.
     Reuse,
-    /// It is handed to the client's session with the row that has begun on it.
+    /// It is handed to the client's session, which streams the row that has begun on it.
     Lend,
-    /// It is closed: more came than belonged to the answer, and more of it may follow.
+    /// It is closed: bytes were received that belong to no answer, and more may follow.
     CloseSurplus,
-    /// It is closed, as the attempt's own end says.
+    /// It is closed because of the way the attempt ended.
     Close,
 }
 
-/// An attempt under way.
+/// An attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Exchange {
     stage: Stage,
-    /// Clock time at which it is given up.
+    /// Clock time at which it is abandoned.
     until: Time,
     /// Clock time by which its request must be written, if at all.
     write_by: Time,
@@ -124,26 +124,27 @@
 }
 
 impl Exchange {
-    /// On a connection that rested; else on a new one, which must be up by `up_by`.
-    pub fn new(reused: bool, now: Time, up_by: Time, until: Time) -> Exchange {
+    /// An attempt on a reused connection, or else on a new one, whose host must be ready by `connect_by`. It is abandoned
+    /// at `until`.
+    pub fn new(reused: bool, now: Time, connect_by: Time, until: Time) -> Exchange {
         let stage = match reused {
             true if now >= until => Stage::Ended(End::TooLate),
             true => Stage::Writing,
-            false => Stage::Connecting { by: up_by.min(until) },
+            false => Stage::Connecting { by: connect_by.min(until) },
         };
         Exchange { stage, until, write_by: until, ready: false }
     }
 
-    /// The same, with a request that must be written by then or not at all: behind the window of its key a repeat would
-    /// be a second effect, however long its connection took to come up.
+    /// The same attempt, with a request that must be written by then or not at all: after the window of its idempotency
+    /// key a retry would have a second effect, however long its connection took to be established.
     pub fn written_by(self, at: Time) -> Exchange {
         let write_by = if mutant(Mutant::RetryWrittenLate) { self.until } else { self.until.min(at) };
         Exchange { write_by, ..self }
     }
 
-    /// The time in whole milliseconds that the host may be told that the answer is waited for, if the first byte of
-    /// the request is written now. None if it is not to be begun any more: less than a millisecond is left, which can't
-    /// be told, or it would come too late.
+    /// How many whole milliseconds the host still has to answer if the first byte of the request is written now, to be
+    /// sent with it. None if the request must not be written any more: less than a millisecond is left, which can't be
+    /// expressed, or it would be too late.
     pub fn remaining_wait_ms(&self, now: Time) -> Option<u64> {
         if now >= self.write_by {
             return None;
@@ -151,7 +152,7 @@
         u64::try_from((self.until - now) / MILLISECOND).ok().filter(|left| *left > 0)
     }
 
-    /// Where it stands.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
@@ -164,12 +165,12 @@
         }
     }
 
-    /// Whether its request has been written whole, and so may have run.
+    /// Whether its request has been written completely, and so may have run.
     pub fn may_have_run(&self) -> bool {
         matches!(self.stage, Stage::Waiting | Stage::Answering { .. })
     }
 
-    /// Clock time at which [`Event::Due`] is to be told.
+    /// Clock time at which [`Event::Due`] is due.
     pub fn due(&self) -> Time {
         match self.stage {
             Stage::Connecting { by } | Stage::Greeting { by } => by.min(self.write_by),
@@ -179,8 +180,8 @@
         }
     }
 
-    /// Something happened. What does not fit the stage changes nothing: a connection that is being put away may
-    /// still say something.
+    /// Steps the machine. An event that does not fit the stage changes nothing: a connection that is being disposed of
+    /// may still cause some.
     pub fn on(&mut self, now: Time, event: Event) {
         self.stage = self.next(now, event);
     }
@@ -189,7 +190,7 @@
         use Stage::*;
         match (self.stage, event) {
             (Ended(end), _) => Ended(end),
-            // It was called off; whether it ran is not known.
+            // Whether a cancelled request ran is not known.
             (_, Event::Cancelled) => Ended(End::Cancelled),
             (Connecting { .. }, Event::NotTried(end)) => Ended(end),
 
@@ -200,7 +201,7 @@
             (Greeting { .. }, Event::Rejected(end)) => Ended(end),
             (Greeting { .. }, Event::Broke | Event::Malformed) => Ended(End::BrokenUnsent),
             (Greeting { .. }, Event::NoMemory) => Ended(End::NoDescriptor),
-            // No more time for it, which says nothing of the host.
+            // The attempt is out of time, which is no sign of a fault of the host.
             (Connecting { by } | Greeting { by }, Event::Due) if self.write_by <= now && now < by => {
                 Ended(End::TooLate)
             }
@@ -212,12 +213,12 @@
             }
             (Writing, Event::Written) => Waiting,
             (Writing, Event::Broke) => Ended(End::BrokenUnsent),
-            // Not written whole: it never ran.
+            // Not written completely: it never ran.
             (Writing, Event::Due) if now >= self.write_by => Ended(End::ConnectSilent),
 
             (Waiting, Event::Began) => Answering { by: now + ANSWER_TIMEOUT },
             (Waiting | Answering { .. }, Event::Answered { copy: true, .. }) => {
-                // Whose answer this is nobody knows, and whether the request has run neither.
+                // It is not known to which request this answer belongs, nor whether the request has run.
                 Ended(if mutant(Mutant::DuplicateAnswerAccepted) { End::Served } else { End::HostRepeated })
             }
             (Waiting | Answering { .. }, Event::Answered { end, .. }) => Ended(end),
@@ -238,8 +239,9 @@
         self.ready = true;
     }
 
-    /// What becomes of the connection, once the attempt has ended: it rests only if the host gave a whole answer of
-    /// its own and is ready for more. `unread`: bytes of it lie there that belong to no answer.
+    /// What is to be done with the connection, and the result, once the attempt has ended. The connection is reused only
+    /// if the host sent a complete answer and is ready for another request. `unread`: bytes are available on it that
+    /// belong to no answer. None while the attempt is in flight.
     pub fn finish(self, unread: bool) -> Option<(ConnectionDisposition, FinishedAttempt)> {
         let end = self.ended()?;
         if end == End::Flows {
@@ -252,9 +254,9 @@
                 FinishedAttempt { end },
             ));
         }
-        // Nothing was written on one that was not wanted: it is as fresh as it was.
-        let fit = end.is_answer() && self.ready || end == End::NotWanted;
-        let disposition = match (fit, unread && !mutant(Mutant::UnreadConnectionPooled)) {
+        // Nothing was written for an unwanted attempt: its connection is as it was.
+        let reusable = end.is_answer() && self.ready || end == End::NotWanted;
+        let disposition = match (reusable, unread && !mutant(Mutant::UnreadConnectionPooled)) {
             (true, false) => ConnectionDisposition::Reuse,
             (true, true) => ConnectionDisposition::CloseSurplus,
             (false, _) if mutant(Mutant::ReportedBeforeClose) => ConnectionDisposition::Reuse,
--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -1,104 +1,106 @@
-//! The life of the gateway itself: serving, emptied and back, its last clients, closing, ended.
+//! The life of the gateway itself: serving, draining and resuming, graceful shutdown.
 //!
 //! ```text
-//!    +------------Resume-----------+
-//!    v                             |
-//! Serving --Drain--> Turning --Due--> Empty
-//!    |                  |              +--------Stop-------+
+//!    +------------Resume------------------+
+//!    v                                    |
+//! Serving --Drain--> DrainAnnounced --Due--> Drained
+//!    |                  |                      +---Stop----+
 //!    |                  |                                  v
-//!    +-------Stop-------+--> LastClients --Due--------> Closing --Held(0, 0)--> Ended
+//!    +-------Stop-------+--> StopAnnounced --Due------> Closing --Remaining(0, 0)--> Ended
 //! ```
 //!
-//! What the front does at a time is its [`ServingState`], which follows from the stage alone. A drained gateway keeps its
-//! process, its list and what it has learned, and accepts whoever still comes: it only wants nobody to.
+//! How clients are treated is the [`ServingState`], which follows from the stage alone. A drained gateway keeps its
+//! process, its endpoint list and what it has learned, and still accepts new clients; it only asks the load balancer in
+//! front of it (the front) to send none.
 //!
-//! After SIGTERM clients are accepted for a while: the front learns of it only then. Idle ones are closed after that,
-//! the others get their answers, and it ends when nothing is held any more.
+//! After SIGTERM new clients are accepted for a while, since the front learns of the stop with a delay. Idle clients are
+//! closed after that, the others get their answers, and the process ends when no connection and no attempt is left.
 
 use crate::client::Idleness;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// After SIGTERM, and after the call to drain, clients are served as before for this span (microseconds): the front
-/// learns of it only then.
+/// After SIGTERM, and after the command to drain, clients are served as before for this time (microseconds): the front
+/// needs it to notice and to send no more clients.
 pub const FRONT_NOTICE: Time = 450_000;
 
-/// After SIGTERM the platform leaves a process the longest deadline, counted as 3 s where it is longer, and 0.7 s more
-/// (microseconds; the protocol page).
-const MOST_DEADLINE: Time = 3_000_000;
-const LEFT: Time = 700_000;
-/// How much sooner the last answers are given (microseconds): a machine that is short of processor time takes some
-/// tenths of a second to carry them out.
-const SOONER: Time = 250_000;
+/// After SIGTERM the platform leaves a process the longest deadline of its classes, up to this limit, and
+/// [`KILL_DELAY`] more before it is killed (microseconds; as the platform's protocol says).
+const MAX_COUNTED_DEADLINE: Time = 3_000_000;
+/// See [`MAX_COUNTED_DEADLINE`] (microseconds).
+const KILL_DELAY: Time = 700_000;
+/// How long before the kill the last answers are given (microseconds): a machine that is short of processor time takes
+/// some tenths of a second to send them.
+const KILL_MARGIN: Time = 250_000;
 
-/// Where it stands.
+/// The stage of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
     /// It serves.
     Serving,
-    /// It is to be emptied; the front is told so, and up to this time clients are served as before.
+    /// It is to be drained: the readiness check fails, and clients are served as before.
     DrainAnnounced {
-        /// Clock time.
+        /// Clock time until which they are.
         until: Time,
     },
-    /// It is emptied: clients are closed as soon as nothing is owed to them.
+    /// Clients are closed as soon as they have their answers.
     Drained,
-    /// It is to stop, and serves up to this time as before.
+    /// It is to stop, and clients are served as before.
     StopAnnounced {
-        /// Clock time.
+        /// Clock time until which they are.
         until: Time,
     },
-    /// Nobody new is accepted, and idle clients are closed.
+    /// No new client is accepted, and idle ones are closed.
     Closing,
     /// Over.
     Ended,
 }
 
-/// What the front does with clients.
+/// How clients are treated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ServingState {
-    /// All are welcome.
+    /// They are accepted and served.
     #[default]
     Serving,
-    /// The empty query is answered with no, all else as before.
+    /// The readiness check (the empty query) fails, all else is as before.
     Unready,
-    /// The same, and clients are closed as soon as nothing is owed to them.
+    /// The same, and clients are closed as soon as they have their answers.
     Draining,
-    /// Nobody new is accepted either.
+    /// No new client is accepted either.
     Stopped,
 }
 
 impl ServingState {
-    /// The empty query is answered so that the front goes on sending clients.
+    /// Whether the readiness check succeeds, so that the front continues to send clients.
     pub fn reports_ready(self) -> bool {
         // A stop is announced by the platform itself.
         matches!(self, ServingState::Serving | ServingState::Stopped)
     }
 
-    /// Clients to whom nothing is owed are closed.
+    /// Whether clients that have their answers are closed.
     pub fn closes_idle_clients(self) -> bool {
         matches!(self, ServingState::Draining | ServingState::Stopped)
     }
 }
 
-/// What happens.
+/// What happens to the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// SIGTERM or SIGINT.
     Stop,
-    /// The staff wants it emptied.
+    /// An operator's command to drain.
     Drain,
-    /// The staff wants it back at work.
+    /// An operator's command to serve again.
     Resume,
-    /// SIGHUP, and whether the file that was read then can be used.
+    /// SIGHUP: the settings were read again.
     Reload {
-        /// It can.
+        /// The new settings can be used.
         usable: bool,
     },
-    /// The time that [`Gateway::due`] named has come.
+    /// The time that [`Gateway::due`] gave has come.
     Due,
-    /// So much is held.
+    /// What has not ended yet.
     Remaining {
-        /// Clients' connections, those included that wait to be accepted.
+        /// Clients' connections, including those that wait to be accepted.
         clients: usize,
         /// Attempts without a report.
         attempts: usize,
@@ -108,37 +110,38 @@
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Go on.
+    /// Nothing.
     Wait,
-    /// Follow what the new file says.
+    /// Apply the new settings.
     ApplySettings,
-    /// The old configuration holds; say so.
+    /// Keep the old settings, and report that the new ones can't be used.
     KeepSettings,
-    /// Do as the door says now.
+    /// Treat clients as [`Gateway::serving_state`] says now.
     ApplyServingState,
-    /// End.
+    /// End the process.
     End,
 }
 
-/// Up to when clients are read in a stop (clock times).
+/// Until when messages of clients are read during a stop (clock times).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadDeadlines {
-    /// Those without any answer so far: to be closed without one costs them, and so they are read up to the last answers.
+    /// Clients that have had no answer: they are read until the last answers are given, so that none is closed without
+    /// one.
     new: Time,
-    /// Those that have had one. What is read from them has half of the time that is left to be answered: later it would be
-    /// refused for want of time, and unread its client sends it once more to another gateway.
+    /// Clients that have had one. What is read from them has half of the remaining time to be answered: later it would be
+    /// rejected for lack of time, while the client of an unread query sends it again to another gateway.
     answered: Time,
 }
 
 impl Default for ReadDeadlines {
-    /// No stop.
+    /// No stop: messages are always read.
     fn default() -> ReadDeadlines {
         ReadDeadlines { new: Time::MAX, answered: Time::MAX }
     }
 }
 
 impl ReadDeadlines {
-    /// For a client that would be closed for this reason.
+    /// The deadline for a client with this idleness.
     pub fn of(self, why: Idleness) -> Time {
         match why {
             Idleness::Answered => self.answered,
@@ -147,13 +150,14 @@
     }
 }
 
-/// The gateway.
+/// The life of one gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Gateway {
     stage: Stage,
-    /// The platform holds the clients' listening socket: whoever comes after a stop is for the next process.
+    /// The listening socket for clients outlives this process: those that connect after a stop are accepted by the next
+    /// process.
     shared: bool,
-    /// When it was told to stop.
+    /// Clock time of the first SIGTERM.
     stopped_at: Option<Time>,
 }
 
@@ -164,35 +168,35 @@
 }
 
 impl Gateway {
-    /// One at work. `shared`: the clients' listening socket outlives this process.
+    /// A serving gateway. `shared`: the listening socket for clients outlives this process.
     pub fn new(shared: bool) -> Gateway {
         Gateway { stage: Stage::Serving, shared, stopped_at: None }
     }
 
-    /// Where it stands.
+    /// The stage of the gateway.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Clock time up to which whatever is taken in from now on is to be answered, whatever its client would wait: the
-    /// process is killed soon after. `longest`: the longest deadline of any class.
+    /// Clock time by which every request admitted from now on must be answered, however long its client would wait: the
+    /// process is killed soon after. `longest`: the longest deadline of any class (microseconds).
     pub fn answer_deadline(&self, longest: Time) -> Time {
-        let limit = longest.min(MOST_DEADLINE) + LEFT - SOONER;
+        let limit = longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         self.stopped_at.map_or(Time::MAX, |at| at + limit)
     }
 
-    /// Up to when what is read in a stop. `longest`: the longest deadline of any class.
+    /// Until when messages of clients are read. `longest`: the longest deadline of any class (microseconds).
     pub fn read_deadlines(&self, longest: Time) -> ReadDeadlines {
         let Some(at) = self.stopped_at else { return ReadDeadlines::default() };
         let new = self.answer_deadline(longest);
         ReadDeadlines { new, answered: at + ((new - at) / 2).max(FRONT_NOTICE) }
     }
 
-    fn at_work(&self) -> bool {
+    fn is_running(&self) -> bool {
         matches!(self.stage, Stage::Serving | Stage::DrainAnnounced { .. } | Stage::Drained)
     }
 
-    /// What the front is to do now.
+    /// How clients are to be treated now.
     pub fn serving_state(&self) -> ServingState {
         match self.stage {
             Stage::Serving | Stage::StopAnnounced { .. } => ServingState::Serving,
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Clock time at which [`Event::Due`] is to be told, if any.
+    /// Clock time at which [`Event::Due`] is due, if any.
     pub fn due(&self) -> Option<Time> {
         match self.stage {
             Stage::StopAnnounced { until } | Stage::DrainAnnounced { until } => Some(until),
@@ -210,14 +214,15 @@
         }
     }
 
-    /// Something happened.
+    /// Steps the machine. An event that does not fit the stage changes nothing: a second SIGTERM hurries nothing, and a
+    /// stopping gateway neither applies new settings nor drains or resumes.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
         if event == Event::Stop {
             self.stopped_at.get_or_insert(now);
         }
         match (self.stage, event) {
-            // Nobody comes any more, or whoever does is accepted by the next process.
-            (stage, Event::Stop) if stage == Stage::Drained || (self.shared && self.at_work()) => {
+            // No client connects any more, or those that do are accepted by the next process.
+            (stage, Event::Stop) if stage == Stage::Drained || (self.shared && self.is_running()) => {
                 self.stage = Stage::Closing;
                 Action::ApplyServingState
             }
@@ -254,8 +259,6 @@
                 self.stage = Stage::Ended;
                 Action::End
             }
-            // A second SIGTERM hurries nothing, a stopping gateway has no use for a new file, and neither drains nor
-            // comes back.
             _ => Action::Wait,
         }
     }
--- a/crates/lifecycle/src/idle_connection.rs
+++ b/crates/lifecycle/src/idle_connection.rs
@@ -12,7 +12,7 @@
 /// An idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdleConnection {
-    /// Since when.
+    /// Clock time since which it is idle.
     pub since: Time,
     /// A copy of its last answer would be recognized.
     pub detects_copies: bool,
--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -8,11 +8,11 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Longest line of a caller in bytes, without its end.
+/// Longest line of a caller, without its end (bytes).
 pub const MAX_LINE_BYTES: usize = 64;
 /// Time within which a caller's line must be complete (microseconds).
 pub const LINE_TIMEOUT: Time = 3_000_000;
-/// Concurrent callers. A further one replaces the one that has waited longest.
+/// Concurrent callers (count). A further one replaces the one that has waited longest.
 pub const MAX_CALLERS: usize = 16;
 
 /// What a caller asks for.
@@ -29,7 +29,7 @@
 /// Why a caller's line is no command. The texts are sent to the caller.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
-    /// It is none of the commands.
+    /// No command of this name exists.
     #[error("the calls are ready, drain and resume")]
     Unknown,
     /// It is longer than [`MAX_LINE_BYTES`].
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// A line that is too long or no command.
+/// The line is too long or no command.
 pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
     match line.trim_ascii() {
         _ if line.len() > MAX_LINE_BYTES => Err(CommandError::TooLong),
--- a/crates/lifecycle/src/read_ahead.rs
+++ b/crates/lifecycle/src/read_ahead.rs
@@ -1,19 +1,20 @@
-//! How far a client's messages are read ahead of the one that is being answered, and when each of them came.
+//! How far a client's messages are read ahead of the one that is being answered, and when each was received.
 //!
-//! The bounds are kept by back pressure: at a bound nothing more is read from the connection until messages have been
-//! taken up, and what the client goes on sending waits in the kernel's socket buffer. Nothing is read that cannot be
-//! answered, and no client is cut off for sending quickly.
+//! The bounds are enforced by back pressure: at a bound nothing more is read from the connection until queued messages
+//! have been dequeued, and what the client continues to send waits in the kernel's socket buffer. Nothing is read that
+//! can't be answered, and no client is cut off for sending quickly.
 //!
-//! A message that waited in the kernel came at an unknown time. [`ReadAhead::arrived`] gives the earliest possible one, so
-//! that a client's wait is never taken for longer than it is.
+//! A message that waited in the kernel arrived at an unknown time. [`ReadAhead::arrived`] gives the earliest possible
+//! one, so that a client's remaining wait is never overestimated.
 //!
-//! Sizes are in bytes, times in microseconds. State is of fixed size.
+//! Sizes are in bytes, times in microseconds. The state is of fixed size.
 
 use petrelgauge_policy::Time;
 
-/// Messages that may wait while one is being answered. A deeper queue would only wait here in place of the kernel.
+/// Messages that may be queued while one is being answered (count). In a longer queue they would only wait here instead of
+/// in the kernel.
 pub const MAX_QUEUED: usize = 64;
-/// Bytes that may wait, the part of a message that is not whole included: twice the longest message, so that a whole one
+/// Bytes that may be queued, including those of an incomplete message: twice the longest message, so that a complete one
 /// fits beside the beginning of the next.
 pub const MAX_BYTES: usize = 320 * 1024;
 
@@ -22,13 +23,13 @@
 pub struct ReadAhead {
     queued: usize,
     queued_bytes: usize,
-    /// Bytes that are not cut into messages yet.
+    /// Bytes that have not been parsed into messages yet.
     unparsed: usize,
-    /// Weight of the message that was taken up last.
+    /// Size of the message that was dequeued last.
     current: usize,
-    /// Nothing was read for a while although something may have come.
+    /// Reading has paused, although bytes may have been received by the kernel.
     paused: bool,
-    /// The last read left nothing in the kernel.
+    /// The last read left nothing in the kernel's buffer.
     drained: bool,
     last_read: Time,
     arrived: Time,
@@ -40,78 +41,79 @@
         ReadAhead { drained: true, ..ReadAhead::default() }
     }
 
-    /// Bytes that may be read now by the connection's own bounds. None: reading has to pause.
+    /// How many bytes may be read now within the connection's own bounds. 0: reading has to pause.
     pub fn allowance(&self) -> usize {
-        match self.queued >= MAX_QUEUED {
-            true => 0,
-            false => MAX_BYTES.saturating_sub(self.queued_bytes + self.unparsed),
+        if self.queued >= MAX_QUEUED {
+            return 0;
         }
+        MAX_BYTES.saturating_sub(self.queued_bytes + self.unparsed)
     }
 
-    /// No message of it is queued or being answered: it can free nothing by itself, and waits for memory of others.
+    /// Whether no message is queued or being answered: the connection can free no memory by itself, and depends on others
+    /// to do so.
     pub fn is_starved(&self) -> bool {
         self.queued == 0 && self.current == 0
     }
 
-    /// Bytes that the connection holds in all.
+    /// All bytes that the connection has in memory.
     pub fn buffered_bytes(&self) -> usize {
         self.current + self.queued_bytes + self.unparsed
     }
 
-    /// Reading pauses: what comes from now on is read later.
+    /// Reading pauses: what is received from now on is read later.
     pub fn pause(&mut self) {
         self.paused = true;
     }
 
-    /// Reading pauses, and nothing was read since.
+    /// Whether reading has paused and nothing was read since.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
-    /// `read` of at most `asked` bytes were read.
-    pub fn on_read(&mut self, now: Time, read: usize, asked: usize) {
+    /// `read` bytes were read into a buffer of `capacity` bytes.
+    pub fn on_read(&mut self, now: Time, read: usize, capacity: usize) {
         self.arrived = match (self.drained, self.paused) {
-            // What the last read left behind may be as old as what it took.
+            // What the last read left in the kernel may be as old as what it returned.
             (false, _) => self.arrived,
             (true, true) => self.last_read,
             (true, false) => now,
         };
         self.unparsed += read;
-        self.drained = read < asked;
+        self.drained = read < capacity;
         self.paused = false;
         self.last_read = now;
     }
 
-    /// Whether another message may be cut off the bytes that were read.
+    /// Whether another message may be parsed and queued.
     pub fn may_queue(&self) -> bool {
         self.queued < MAX_QUEUED
     }
 
-    /// A message of `weight` bytes was cut off, after which `unparsed` bytes are left.
-    pub fn on_queued(&mut self, weight: usize, unparsed: usize) {
+    /// A message of `size` bytes was parsed and queued, after which `unparsed` bytes are left.
+    pub fn on_queued(&mut self, size: usize, unparsed: usize) {
         self.queued += 1;
-        self.queued_bytes += weight;
+        self.queued_bytes += size;
         self.unparsed = unparsed;
     }
 
-    /// A queued message of `weight` bytes is taken up. The one before it is done with.
-    pub fn on_taken(&mut self, weight: usize) {
+    /// A queued message of `size` bytes was dequeued. The one before it is finished.
+    pub fn on_taken(&mut self, size: usize) {
         self.queued = self.queued.saturating_sub(1);
-        self.queued_bytes = self.queued_bytes.saturating_sub(weight);
-        self.current = weight;
+        self.queued_bytes = self.queued_bytes.saturating_sub(size);
+        self.current = size;
     }
 
-    /// The message that was taken up is done with.
+    /// The message that was dequeued last is finished.
     pub fn on_done(&mut self) {
         self.current = 0;
     }
 
-    /// The bytes that are not cut were taken up in another way or dropped; so many are left.
+    /// The unparsed bytes were consumed in another way or dropped; this many are left.
     pub fn set_unparsed_bytes(&mut self, unparsed: usize) {
         self.unparsed = unparsed;
     }
 
-    /// Something may lie in the kernel that came before the last read.
+    /// Whether the kernel may have bytes that were received before the last read.
     pub fn is_behind(&self) -> bool {
         !self.drained
     }
@@ -121,7 +123,7 @@
         self.last_read
     }
 
-    /// The earliest time at which the message that is cut off next can have come whole.
+    /// The earliest time at which the message that is parsed next can have been completely received.
     pub fn arrived(&self) -> Time {
         self.arrived
     }
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,54 +1,54 @@
-//! The life of a client's request at the front: one answer, and which one where several are due at a time.
+//! The life of a client's request: it has exactly one final answer, and the first event that ends it decides which.
 //!
-//! An answer that a host gave goes before what the decisions say, and both go before the client's leaving: the front
-//! asks [`RequestState`] for each thing that happened, in whatever order it learned of them.
+//! An answer that a host gave takes precedence over what the router decides, and both over the client's disconnecting: the
+//! caller steps [`RequestState`] with the events in that order when it learns of several at a time.
 
 use petrelgauge_policy::Time;
 
 /// What happens to a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The decisions want an attempt made.
+    /// The router has an attempt made.
     AttemptStarted,
-    /// The attempt ended; `owed`: with the request's answer.
+    /// The attempt ended.
     AttemptEnded {
-        /// The host's answer is the request's.
+        /// The host's answer is the final answer of the request.
         answered: bool,
     },
-    /// The decisions refuse it.
+    /// The router rejects it.
     Rejected {
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries (microseconds).
         wait: Time,
     },
-    /// The decisions give it up.
+    /// The router gives it up: it failed.
     Failed,
     /// The client cancelled it.
     Cancelled,
-    /// The client left.
+    /// The client disconnected.
     Disconnected,
     /// Its connection or the process is about to end, and the time for an answer before that is over.
     GracePeriodOver,
 }
 
-/// How it ended.
+/// The final answer of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
     /// The answer that a host gave.
     HostAnswer,
-    /// Refused.
+    /// It was rejected, and has not run.
     Rejected {
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries (microseconds).
         wait: Time,
     },
-    /// Failed.
+    /// It failed, and may have run.
     Failed,
-    /// Its client cancelled it, and is told so.
+    /// Its client cancelled it, and is notified of that.
     Cancelled,
-    /// Nobody waits for an answer.
+    /// Its client no longer waits for an answer.
     Abandoned,
 }
 
-/// A request that has no answer yet, or has just got it.
+/// A request and its final answer, once it has one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestState {
     attempt_in_flight: bool,
@@ -58,12 +58,12 @@
 }
 
 impl RequestState {
-    /// An attempt is being made.
+    /// Whether an attempt is in flight.
     pub fn attempt_in_flight(&self) -> bool {
         self.attempt_in_flight
     }
 
-    /// Something happened. Gives the request's end when that is it; nothing changes it afterwards.
+    /// Steps the machine. Returns the final answer if the event ends the request; later events change nothing.
     pub fn on(&mut self, event: Event) -> Option<FinalAnswer> {
         if self.ended.is_some() {
             return None;
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -1,55 +1,54 @@
-//! What is taken in: requests, settings, lists.
+//! Input of the request table: requests, settings, endpoint lists.
 
 use super::*;
 use crate::class_table::TooManyClasses;
 
-/// The settings with all classes that are in use.
-pub(super) fn with_all_classes(settings: &Settings, rules: &ClassTable) -> Settings {
-    Settings { classes: rules.table().to_vec(), ..settings.clone() }
-}
-
 impl RequestTable {
-    /// Clients can hold so many requests open here from now on.
+    /// Sets how many requests clients can have open from now on.
     pub fn set_max_open_requests(&mut self, most: u32) {
         self.settings.max_open_requests = most;
-        // They were sound before, and the module makes nothing of this figure.
-        let _ = self.router.apply_settings(with_all_classes(&self.settings, &self.rules));
+        // The settings were valid before, and this value can't make them invalid.
+        let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// The place of the class that a new request names, and the class; `keyed`: the request carries a key.
+    /// The index of the class that a new request names, and the class; `keyed`: the request carries an idempotency key.
     pub fn find_class(&self, now: Time, name: &str, keyed: bool) -> Option<(usize, Class)> {
-        let place = self.rules.find(now, name, keyed)?;
-        Some((place, self.rules.class(place).clone()))
+        let index = self.classes.find(now, name, keyed)?;
+        Some((index, self.classes.class(index).clone()))
     }
 
-    /// The longest that clients of this class wait; see [`ClassTable::longest_wait`].
+    /// The longest that clients of this class wait (microseconds); see [`ClassTable::longest_wait`].
     pub fn longest_wait(&self, now: Time, name: &str) -> Time {
-        self.rules.longest_wait(now, name)
+        self.classes.longest_wait(now, name)
     }
 
-    /// Every request that is taken in from now on has its final answer by this time.
+    /// Every request that is admitted from now on has its final answer by this time.
     pub fn set_final_answer_by(&mut self, at: Time) {
         self.settings.final_answer_by = at;
-        // They were sound before, and the module makes nothing of this figure.
-        let _ = self.router.apply_settings(with_all_classes(&self.settings, &self.rules));
+        // The settings were valid before, and this value can't make them invalid.
+        let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// The longest deadline of any class in force; shortly after a change, when others may not know of it, that of the
-    /// classes before it if that is shorter.
+    /// The longest deadline of any class in force (microseconds); shortly after a change, when others may not know of it,
+    /// that of the previous classes if it is shorter.
     pub fn longest_deadline(&self, now: Time) -> Time {
-        let longest = |places: &[usize]| places.iter().map(|place| self.rules.class(*place).deadline).max();
-        let force = longest(self.rules.in_force()).unwrap_or(0);
-        longest(self.rules.previous(now)).map_or(force, |before| before.min(force))
+        let longest =
+            |indexes: &[usize]| indexes.iter().map(|index| self.classes.class(*index).deadline).max();
+        let in_force = longest(self.classes.in_force()).unwrap_or(0);
+        longest(self.classes.previous(now)).map_or(in_force, |previous| previous.min(in_force))
     }
 
-    /// Counts the settings that were in force, from 1.
+    /// How many settings have been in force so far, from 1.
     pub fn version(&self) -> u64 {
-        self.rules.version()
+        self.classes.version()
     }
 
-    /// New settings hold from now on, for requests to come; those that are open, and their attempts, keep the classes
-    /// that they were admitted with. `carrying` are the places, in these settings, of classes that carry sessions.
-    /// What is wrong with them is said before anything has changed.
+    /// Applies new settings to requests that are admitted from now on. Open requests and their attempts keep the classes
+    /// that they were admitted with. `carrying` are the positions, in these settings, of classes with sessions.
+    ///
+    /// # Errors
+    ///
+    /// Why the settings were rejected. Nothing has changed then.
     pub fn apply_settings(
         &mut self,
         now: Time,
@@ -60,60 +59,45 @@
         if self.session_tracker.is_none() && !carrying.is_empty() {
             return Err(SettingsRejected::SessionsDisabled);
         }
-        let out = self.out.values().map(|errand| errand.class);
-        let used = self.open.values().map(|open| open.class).chain(out).collect();
-        let mut rules = self.rules.clone();
-        let classes = std::mem::take(&mut settings.classes);
-        rules.update(now, classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
+        let of_attempts = self.in_flight.values().map(|attempt| attempt.class);
+        let used = self.open.values().map(|open| open.class).chain(of_attempts).collect();
+        let mut classes = self.classes.clone();
+        let new_classes = std::mem::take(&mut settings.classes);
+        classes.update(now, new_classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
         (settings.discovery_interval_factor, settings.final_answer_by) =
             (self.settings.discovery_interval_factor, self.settings.final_answer_by);
         self.settings = settings;
         self.granularity = self.settings.granularity;
-        self.router
-            .apply_settings(with_all_classes(&self.settings, &rules))
-            .map_err(SettingsRejected::Invalid)?;
-        let still = |place: &usize| rules.table()[*place] == *self.rules.class(*place);
-        self.carrying.retain(|place| *place < rules.table().len() && still(place));
-        self.carrying.extend(carrying.iter().map(|place| rules.in_force()[*place]));
-        self.rules = rules;
+        let with_classes = Settings { classes: classes.table().to_vec(), ..self.settings.clone() };
+        self.router.apply_settings(with_classes).map_err(SettingsRejected::Invalid)?;
+        let is_unchanged = |index: &usize| classes.table()[*index] == *self.classes.class(*index);
+        self.session_classes.retain(|index| *index < classes.table().len() && is_unchanged(index));
+        self.session_classes.extend(carrying.iter().map(|position| classes.in_force()[*position]));
+        self.classes = classes;
         Ok(())
     }
 
-    /// Takes a request in: it is open from now on, under a name of its own. What clients call their requests may
-    /// come twice.
+    /// The settings with all classes of the table.
+    pub(super) fn settings_with_classes(&self) -> Settings {
+        Settings { classes: self.classes.table().to_vec(), ..self.settings.clone() }
+    }
+
+    /// Admits a request. It is open from now on, and identified by the returned id: the identifiers that clients use for
+    /// their requests need not be unique.
     pub fn admit(&mut self, request: Request) -> RequestId {
-        let id: RequestId = self.next.to_string().into();
-        self.next += 1;
+        let id: RequestId = self.next_id.to_string().into();
+        self.next_id += 1;
         if self.groups.contains(&request.group) {
-            *self.asked.entry(request.group).or_default() += 1;
+            *self.request_counts.entry(request.group).or_default() += 1;
         }
-        self.look(request.at);
-        let write = self.rules.class(request.class).need == Need::Write;
-        let hosts_now = self.hosts_now(request.at);
-        let watch = match (&mut self.session_tracker, request.session) {
-            (Some(tracker), Some(SessionRef { key, token })) => {
-                let floor = (!write).then(|| tracker.begin_read(hosts_now, key, token.as_ref()));
-                // Of a write that is out nobody knows here whether it was committed and answered.
-                let may_be_known = request.at - ASSUMED_KNOWN_AFTER;
-                let writes = |errand: &OutAttempt| errand.writes.is_some_and(|(written, _)| written == key);
-                let under_way = self.out.values().any(|out| writes(out) && out.at <= may_be_known);
-                let floor = floor.map(|floor| {
-                    if under_way {
-                        floor.with_pending_write(hosts_now - ASSUMED_KNOWN_AFTER)
-                    } else {
-                        floor
-                    }
-                });
-                if let (true, Some(token)) = (write, &token) {
-                    tracker.merge_token(hosts_now, key, token);
-                }
-                Some(SessionWatch { key, arrived: request.at, floor, before: None })
-            }
-            _ => None,
-        };
-        let needed = watch.as_ref().and_then(|watch| watch.floor).map(|floor| floor.position());
-        let Request { class, is_retry, .. } = request;
-        self.open.insert(id.clone(), Open { class, attempts: 0, ran_from: None, is_retry, watch });
+        self.record_unconfirmed_writes(request.at);
+        let session = self.session_need(&request);
+        let needed =
+            session.as_ref().and_then(|session| session.minimum_position).map(|floor| floor.position());
+        let is_retry = request.is_retry;
+        let open =
+            OpenRequest { class: request.class, attempts: 0, may_have_run_since: None, is_retry, session };
+        self.open.insert(id.clone(), open);
         self.queue.push(Event::Request {
             request: id.clone(),
             class: request.class,
@@ -125,7 +109,44 @@
         id
     }
 
-    /// News of the list: whole, or only what changed.
+    /// What the session of a new request needs, if it has one: a read a minimum position of the answer's data.
+    fn session_need(&mut self, request: &Request) -> Option<SessionNeed> {
+        let hosts_now = self.hosts_now(request.at);
+        let is_write = self.classes.class(request.class).need == Need::Write;
+        let tracker = self.session_tracker.as_mut()?;
+        let SessionRef { key, token } = request.session.as_ref()?;
+        let key = *key;
+        if is_write {
+            if let Some(token) = token {
+                tracker.merge_token(hosts_now, key, token);
+            }
+            return Some(SessionNeed {
+                key,
+                arrived: request.at,
+                minimum_position: None,
+                position_at_send: None,
+            });
+        }
+        let minimum = tracker.begin_read(hosts_now, key, token.as_ref());
+        // Whether a write in flight has been committed and answered is not known here.
+        let may_be_known = request.at - ASSUMED_KNOWN_AFTER;
+        let is_pending = |attempt: &AttemptInFlight| {
+            attempt.writes.is_some_and(|(written, _)| written == key) && attempt.at <= may_be_known
+        };
+        let minimum = if self.in_flight.values().any(is_pending) {
+            minimum.with_pending_write(hosts_now - ASSUMED_KNOWN_AFTER)
+        } else {
+            minimum
+        };
+        Some(SessionNeed {
+            key,
+            arrived: request.at,
+            minimum_position: Some(minimum),
+            position_at_send: None,
+        })
+    }
+
+    /// An update of the endpoint list: the complete list, or only the changed entries.
     pub fn update_endpoints(&mut self, complete: bool, entries: Vec<Entry>) {
         if complete {
             self.groups.clear();
@@ -141,12 +162,13 @@
                 MemberStatus::Up | MemberStatus::Draining => self.listed.insert(entry.member),
             };
         }
-        self.told.retain(|id, _| self.listed.contains(id));
-        self.asked.retain(|group, _| self.groups.contains(group));
+        self.reported_positions.retain(|id, _| self.listed.contains(id));
+        self.request_counts.retain(|group, _| self.groups.contains(group));
         self.queue.push(Event::List { complete, entries: entries.into() });
     }
 
-    /// Whether the list may hold this group: it named it since it was last whole, or has named none so far.
+    /// Whether requests for this group may be served: the endpoint list has named it since it was last complete, or has
+    /// named no group so far.
     pub fn may_serve_group(&self, group: GroupId) -> bool {
         self.groups.is_empty() || self.groups.contains(&group)
     }
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -1,87 +1,87 @@
-//! What comes to the request table and what it orders, in no protocol's words.
+//! The input of the request table and its orders, independent of any protocol.
 
 use petrelgauge_policy::*;
 use petrelgauge_sessions::{SessionKey, Token};
 
-/// A request, in no protocol's words.
+/// A request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Place of its class, as [`RequestTable::find_class`](super::RequestTable::find_class) gave it.
+    /// Index of its class, as [`RequestTable::find_class`](super::RequestTable::find_class) gave it.
     pub class: usize,
     /// Its group.
     pub group: GroupId,
-    /// Clock time at which the client gives it up.
+    /// Clock time at which the client stops waiting.
     pub until: Time,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub is_retry: bool,
-    /// Clock time at which it came.
+    /// Clock time at which it arrived.
     pub at: Time,
-    /// Commit that its client says its data must hold.
+    /// A commit that the data of the answer must include, as required by the client.
     pub after: Option<Time>,
-    /// Its session, if its class carries sessions.
+    /// Its session, if its class has sessions.
     pub session: Option<SessionRef>,
 }
 
-/// A session's request.
+/// The session of a request.
 #[derive(Clone, Debug)]
 pub struct SessionRef {
     /// The session in the request's group.
     pub key: SessionKey,
-    /// The token that the client brought.
+    /// The token that the client sent.
     pub token: Option<Token>,
 }
 
-/// How an attempt ended and what the member said with it.
+/// How an attempt ended and what the member reported with its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     /// How it ended.
     pub ending: Ending,
-    /// Clock time up to which the member has applied all commits; for a served write its commit.
+    /// Time of the hosts' clock up to which the member has applied all commits; for a served write its commit.
     pub position: Option<Time>,
     /// The member's role.
     pub role: Option<Role>,
     /// The member's load report.
     pub report: Report,
-    /// The member says that the request itself cannot be used: that is its answer, and no other is asked.
+    /// The member can't execute the request itself: that is the final answer, and no other member is tried.
     pub unusable: bool,
 }
 
 impl Outcome {
-    /// An ending with which nobody said anything.
+    /// An ending without a report of the member.
     pub fn silent(ending: Ending) -> Outcome {
         Outcome { ending, position: None, role: None, report: Report::default(), unusable: false }
     }
 }
 
-/// What is to be done, in order.
+/// What the caller has to do. Orders are carried out in sequence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Make this attempt.
     Send(Send),
-    /// The request has its end: refused, harmless to try again, after `wait` if that is not 0.
+    /// The request ends: rejected, and safe to retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries (microseconds), if not 0.
         wait: Time,
     },
-    /// The request has its end: failed, nothing promised.
+    /// The request ends: failed, and it may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Give up an attempt before its time: close its connection, then report it.
+    /// Cancel an attempt: close its connection, then report it.
     Cancel {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// A line for the staff.
+    /// A line for the log.
     Log(String),
 }
 
-/// An attempt to make. It must be reported once.
+/// An attempt to make. It must be reported exactly once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send {
     /// Its request.
@@ -90,22 +90,22 @@
     pub attempt: u32,
     /// The member to send to.
     pub host: MemberId,
-    /// Clock time at which to give it up.
+    /// Clock time at which to abandon it.
     pub until: Time,
-    /// Clock time by which it must be written, if at all: a repeat with a key, within the key's window.
+    /// Clock time by which it must be written, if at all: the end of the window of its idempotency key for a retry.
     pub write_by: Time,
-    /// When it was ordered.
+    /// Clock time at which it was ordered.
     pub at: Time,
 }
 
-/// Why new settings were not taken.
+/// Why new settings were rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SettingsRejected {
-    /// They make no sense.
+    /// They are invalid.
     Invalid(SettingsError),
-    /// There are open requests of too many classes.
+    /// Open requests have too many different classes.
     TooManyClasses,
-    /// They ask for sessions, which are switched on at the start only.
+    /// They have classes with sessions, which are switched on at the start only.
     SessionsDisabled,
 }
 
--- a/crates/lifecycle/src/watch.rs
+++ b/crates/lifecycle/src/watch.rs
@@ -1,8 +1,9 @@
-//! What is held of discovery's list, what is asked for next, and whether something is still owed by it.
+//! Which revision of the discovery service's endpoint list is known, which update is requested next, and whether the
+//! complete list is needed.
 //!
-//! A line that cannot be used carried a change that no later line repeats: from then on the whole list is **owed**, and
-//! asked for by a call beside the watch, which goes on. So it is after a revision that goes back on one watch. A watch
-//! that is opened while the list is owed asks for all of it.
+//! An unusable line held a change that no later line repeats. From then on the complete list is needed, and requested by a
+//! separate call while the watch continues. The same holds after a revision that is lower than an earlier one of the same
+//! watch. A watch that is opened while the complete list is needed requests it.
 //!
 //! ```
 //! use petrelgauge_lifecycle::watch::WatchState;
@@ -11,7 +12,7 @@
 //! assert!(state.on_update(7, true) && state.on_update(8, false));
 //! assert_eq!(state.resume_after(), Some(8));
 //! state.on_unusable_line();
-//! assert!(state.on_update(10, false), "what can be used is used");
+//! assert!(state.on_update(10, false), "usable changes are applied");
 //! assert_eq!((state.needs_complete_list(), state.resume_after()), (true, None));
 //! assert!(state.on_complete_list(10));
 //! assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(10)));
@@ -19,81 +20,84 @@
 
 use petrelgauge_policy::Time;
 
-/// Discovery writes an empty line every 2 s; without a line for this span (microseconds), a watch is taken for dead.
-/// What it has to tell counts as told after 6 s, so little of that may be spent on waiting. Bytes that make no line are
-/// no sign of life.
+/// The discovery service writes an empty line every 2 s. A watch without a line for this time (microseconds) is considered
+/// dead. An update has to be known after 6 s, so little of that may be spent on waiting. Bytes that form no line don't
+/// count.
 pub const WATCH_TIMEOUT: Time = 3_000_000;
-/// Lines that could not be used, or a list that is long in coming, are called for again after this span at the earliest
-/// (microseconds): what is owed binds in 8 s.
+/// Shortest time between two requests for the complete list (microseconds): what it holds must be applied within 8 s.
 pub const COMPLETE_LIST_INTERVAL: Time = 500_000;
 
-/// What is held of the list.
+/// What is known of the endpoint list's revisions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchState {
+    /// The revision that is in use.
     revision: Option<u64>,
-    /// Of the present watch.
-    newest: Option<u64>,
-    owed: bool,
-    /// The last whole list that was called for was older than what is held.
-    older: bool,
+    /// The newest revision of the present watch.
+    newest_of_watch: Option<u64>,
+    needs_complete_list: bool,
+    /// The last complete list that was requested by a call was older than the revision in use.
+    last_call_was_older: bool,
 }
 
 impl WatchState {
-    /// A watch is opened.
+    /// A watch was opened.
     pub fn on_watch_opened(&mut self) {
-        self.newest = None;
+        self.newest_of_watch = None;
     }
 
-    /// Another source is asked from now on. Whether it counts its revisions alike is not known.
+    /// Another source is used from now on. Its revisions may be numbered differently.
     pub fn on_source_changed(&mut self) {
-        *self = WatchState { owed: self.owed, ..WatchState::default() };
+        *self = WatchState { needs_complete_list: self.needs_complete_list, ..WatchState::default() };
     }
 
-    /// The revision after which changes are asked for; none if the whole list is.
+    /// The revision after which changes are requested; none if the complete list is.
     pub fn resume_after(&self) -> Option<u64> {
-        self.revision.filter(|_| !self.owed)
+        self.revision.filter(|_| !self.needs_complete_list)
     }
 
-    /// No list was held so far, or not from this source.
+    /// Whether no list has been received so far, or none from this source.
     pub fn is_first_list(&self) -> bool {
         self.revision.is_none()
     }
 
-    /// The whole list is owed.
+    /// Whether the complete list is needed.
     pub fn needs_complete_list(&self) -> bool {
-        self.owed
+        self.needs_complete_list
     }
 
-    /// Something came that could not be used.
+    /// A line was received that can't be used.
     pub fn on_unusable_line(&mut self) {
-        self.owed = true;
+        self.needs_complete_list = true;
     }
 
-    /// A list came on the watch. Whether it is to be used: changes that are older than others before them are not.
-    pub fn on_update(&mut self, revision: u64, whole: bool) -> bool {
-        if !whole && self.newest.is_some_and(|newest| revision < newest) {
-            self.owed = true;
+    /// The watch brought an update, either the complete list or changes. Returns whether it is to be applied: changes
+    /// older than earlier ones of the watch are not.
+    pub fn on_update(&mut self, revision: u64, complete: bool) -> bool {
+        if !complete && self.newest_of_watch.is_some_and(|newest| revision < newest) {
+            self.needs_complete_list = true;
             return false;
         }
-        self.hold(revision, whole);
+        self.set_revision(revision, complete);
         true
     }
 
-    /// A whole list came that was called for beside the watch. Whether it is to be used: one that is older than what
-    /// the watch brought meanwhile is called for again, and is used if it is so still.
+    /// A separate call brought the complete list. Returns whether it is to be applied: a list older than what the watch
+    /// brought meanwhile is requested again, and applied if it is still as old.
     pub fn on_complete_list(&mut self, revision: u64) -> bool {
-        let older = self.revision.is_some_and(|held| revision < held);
-        if older && !std::mem::replace(&mut self.older, true) {
+        let older = self.revision.is_some_and(|current| revision < current);
+        if older && !std::mem::replace(&mut self.last_call_was_older, true) {
             return false;
         }
-        self.hold(revision, true);
+        self.set_revision(revision, true);
         true
     }
 
-    fn hold(&mut self, revision: u64, whole: bool) {
-        (self.revision, self.newest) = (Some(revision), Some(revision));
-        if whole {
-            (self.owed, self.older) = (false, false);
+    fn set_revision(&mut self, revision: u64, complete: bool) {
+        self.revision = Some(revision);
+        self.newest_of_watch = Some(revision);
+        if complete {
+            self.needs_complete_list = false;
+            self.last_call_was_older = false;
         }
     }
 }
--- a/crates/lifecycle/tests/backoff.rs
+++ b/crates/lifecycle/tests/backoff.rs
@@ -1,11 +1,11 @@
-//! Pauses before a watch of discovery is retried: bounds, jitter and the load on an overbooked service.
+//! Pauses before a watch of the discovery service is retried: bounds, jitter and the load on an overloaded service.
 
 use petrelgauge_lifecycle::backoff::*;
 use petrelgauge_policy::Time;
 
-/// Plays gateways that all start at 0 before a service that takes 60 ms for a call, in turn, and turns away what has
-/// waited for 2 s, which takes its time all the same; gives when the last one got through (microseconds), if all
-/// did within 20 s.
+/// Simulates gateways that all start at 0 with a service that handles one call at a time, each in 60 ms, and rejects calls
+/// that have waited for 2 s after the same work. Returns when the last gateway succeeded (microseconds), if all did within
+/// 20 s.
 fn all_through(gateways: u32, pauses: impl Fn(&mut Backoff) -> Time) -> Option<Time> {
     let starts = (0..gateways).map(|n| Backoff::new(gateways, 77 + u64::from(n)));
     let mut calls: Vec<(Time, Backoff)> = starts.map(|one| (0, one)).collect();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_hundred_gateways_get_through_to_a_service_that_a_fixed_pause_keeps_overbooked() {
+fn a_hundred_gateways_get_through_to_a_service_that_a_fixed_pause_keeps_overloaded() {
     let fixed = |_: &mut Backoff| FIRST_MEAN;
     assert_eq!(all_through(100, fixed), None, "all of them at once, each time");
     let jittered = |one: &mut Backoff| one.pause(Cause::Rejected);
@@ -36,9 +36,9 @@
     assert!(all_through(70, jittered).is_some_and(|last| last <= 12_000_000));
 }
 
-// News counts as told 6 s after it happened and binds 2 s later. A watch is found silent after 3 s.
+// An update must be known after 6 s and applied 2 s later. A watch times out after 3 s.
 #[test]
-fn two_silent_watches_in_a_row_are_over_before_news_binds_in_a_fleet_of_any_size() {
+fn two_silent_watches_in_a_row_are_over_before_an_update_must_be_applied_in_a_fleet_of_any_size() {
     let worst = |gateways, seed| {
         let mut one = Backoff::new(gateways, seed);
         2 * 3_000_000 + one.pause(Cause::Lost) + one.pause(Cause::Lost)
@@ -48,9 +48,9 @@
     }
 }
 
-// With a pause of up to 1.6 s, 0.4 s were left for the way and the first line.
+// With a pause of up to 1.6 s, 0.4 s would be left for the connection and the first line.
 #[test]
-fn however_long_nobody_answered_a_pause_leaves_time_to_heed_what_comes_with_the_return() {
+fn however_long_calls_were_unanswered_a_pause_leaves_time_to_apply_the_updates_at_the_return() {
     for seed in 0..50 {
         let mut one = Backoff::new(300, seed);
         let pauses: Vec<Time> = (0..40).map(|_| one.pause(Cause::Lost)).collect();
--- a/crates/lifecycle/tests/class_table.rs
+++ b/crates/lifecycle/tests/class_table.rs
@@ -25,65 +25,65 @@
 
 #[test]
 fn what_is_the_same_keeps_its_place_and_what_is_in_use_is_left_alone() {
-    let mut rules = two();
-    let classes = vec![class("b", KEYED), class("c", Effect::Safe), class("a", Effect::Unsafe)];
-    rules.update(0, classes, &[0].into()).expect("room");
-    assert_eq!(rules.find(0, "b", true), Some(1));
-    assert_eq!(rules.class(0).effect, Effect::Safe, "an open request still has it");
-    let places: BTreeSet<usize> = rules.in_force().iter().copied().collect();
-    assert_eq!((places.len(), rules.table().len(), rules.version()), (3, 4, 2));
+    let mut classes = two();
+    let changed = vec![class("b", KEYED), class("c", Effect::Safe), class("a", Effect::Unsafe)];
+    classes.update(0, changed, &[0].into()).expect("a free index");
+    assert_eq!(classes.find(0, "b", true), Some(1));
+    assert_eq!(classes.class(0).effect, Effect::Safe, "an open request still has it");
+    let places: BTreeSet<usize> = classes.in_force().iter().copied().collect();
+    assert_eq!((places.len(), classes.table().len(), classes.version()), (3, 4, 2));
 }
 
 #[test]
 fn a_name_that_is_dropped_is_found_until_clients_know_of_it() {
-    let mut rules = two();
-    rules.update(0, vec![class("b", KEYED)], &BTreeSet::new()).expect("room");
-    assert_eq!(rules.find(OVERLAP - 1, "a", false), Some(0));
-    assert_eq!(rules.find(OVERLAP, "a", false), None);
+    let mut classes = two();
+    classes.update(0, vec![class("b", KEYED)], &BTreeSet::new()).expect("a free index");
+    assert_eq!(classes.find(OVERLAP - 1, "a", false), Some(0));
+    assert_eq!(classes.find(OVERLAP, "a", false), None);
 }
 
 #[test]
 fn clients_wait_as_the_class_before_a_change_has_it_until_they_know() {
-    let mut rules = two();
+    let mut classes = two();
     let longer = Class { deadline: 9, ..class("a", Effect::Safe) };
-    rules.update(0, vec![longer, class("b", KEYED)], &BTreeSet::new()).expect("room");
-    rules.update(OVERLAP, vec![class("a", Effect::Safe)], &BTreeSet::new()).expect("room");
-    assert_eq!(rules.longest_wait(2 * OVERLAP - 1, "a"), 9);
-    assert_eq!(rules.longest_wait(2 * OVERLAP, "a"), 2);
-    assert_eq!(rules.longest_wait(2 * OVERLAP, "c"), 0);
+    classes.update(0, vec![longer, class("b", KEYED)], &BTreeSet::new()).expect("a free index");
+    classes.update(OVERLAP, vec![class("a", Effect::Safe)], &BTreeSet::new()).expect("a free index");
+    assert_eq!(classes.longest_wait(2 * OVERLAP - 1, "a"), 9);
+    assert_eq!(classes.longest_wait(2 * OVERLAP, "a"), 2);
+    assert_eq!(classes.longest_wait(2 * OVERLAP, "c"), 0);
 }
 
 #[test]
 fn a_class_that_comes_to_ask_for_a_key_is_as_before_for_clients_that_bring_none() {
-    let mut rules = two();
-    rules.update(0, vec![class("a", KEYED), class("b", KEYED)], &BTreeSet::new()).expect("room");
-    let effect = |at, keyed| rules.find(at, "a", keyed).map(|place| rules.class(place).effect);
+    let mut classes = two();
+    classes.update(0, vec![class("a", KEYED), class("b", KEYED)], &BTreeSet::new()).expect("a free index");
+    let effect = |at, keyed| classes.find(at, "a", keyed).map(|place| classes.class(place).effect);
     assert_eq!(effect(0, false), Some(Effect::Safe));
     assert_eq!(effect(0, true), Some(KEYED));
     assert_eq!(effect(OVERLAP, false), Some(KEYED), "which then refuses it");
     // One that always asked for it gets no other rule.
-    assert_eq!(rules.find(0, "b", false), Some(1));
+    assert_eq!(classes.find(0, "b", false), Some(1));
 }
 
 #[test]
 fn the_table_does_not_grow_with_the_number_of_changes_and_has_a_bound() {
-    let mut rules = two();
+    let mut classes = two();
     for change in 0..1000 {
-        let classes = vec![class(&format!("n{change}"), Effect::Safe), class("b", KEYED)];
-        rules.update(change * OVERLAP, classes, &BTreeSet::new()).expect("room");
+        let changed = vec![class(&format!("n{change}"), Effect::Safe), class("b", KEYED)];
+        classes.update(change * OVERLAP, changed, &BTreeSet::new()).expect("a free index");
     }
-    assert!(rules.table().len() <= 4, "{}", rules.table().len());
-    let version = rules.version();
+    assert!(classes.table().len() <= 4, "{}", classes.table().len());
+    let version = classes.version();
     let many = (0..=MAX_CLASSES).map(|number| class(&format!("m{number}"), Effect::Safe)).collect();
-    assert_eq!(rules.update(0, many, &BTreeSet::new()), Err(TooManyClasses));
-    assert_eq!((rules.version(), rules.find(0, "b", true)), (version, Some(1)), "nothing has changed");
+    assert_eq!(classes.update(0, many, &BTreeSet::new()), Err(TooManyClasses));
+    assert_eq!((classes.version(), classes.find(0, "b", true)), (version, Some(1)), "nothing has changed");
 }
 
 #[test]
 fn a_place_that_nobody_needs_holds_no_class_of_another_time() {
-    let mut rules = two();
-    rules.update(0, vec![class("c", Effect::Safe)], &[1].into()).expect("room");
-    rules.update(OVERLAP, vec![class("c", Effect::Safe)], &[1].into()).expect("room");
-    assert_eq!(rules.table()[0].name, "c");
-    assert_eq!(rules.class(1).name, "b");
+    let mut classes = two();
+    classes.update(0, vec![class("c", Effect::Safe)], &[1].into()).expect("a free index");
+    classes.update(OVERLAP, vec![class("c", Effect::Safe)], &[1].into()).expect("a free index");
+    assert_eq!(classes.table()[0].name, "c");
+    assert_eq!(classes.class(1).name, "b");
 }
--- a/crates/lifecycle/tests/client.rs
+++ b/crates/lifecycle/tests/client.rs
@@ -14,7 +14,7 @@
     client
 }
 
-/// Plays a client that sends a part of a message at each of these times; gives when it is cut off.
+/// Simulates a client that sends a part of a message at each of these times. Returns when it is cut off.
 fn cut_off_at(client: &mut Client, parts: &[Time]) -> Time {
     for _ in 0..100 {
         let now = client.due();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_client_that_goes_on_slowly_has_the_time_for_a_whole_message() {
+fn a_client_that_continues_slowly_has_the_time_for_a_complete_message() {
     let parts: Vec<Time> = (1..100).map(|number| number * SECOND).collect();
     assert_eq!(cut_off_at(&mut served(0), &parts), MESSAGE_TIMEOUT);
 }
--- a/crates/lifecycle/tests/gateway.rs
+++ b/crates/lifecycle/tests/gateway.rs
@@ -10,20 +10,20 @@
     for (longest, kill) in
         [(second, 17 * second / 10), (3 * second, 37 * second / 10), (30 * second, 37 * second / 10)]
     {
-        let mut life = Gateway::new(false);
+        let mut gateway = Gateway::new(false);
         assert_eq!(
-            (life.answer_deadline(longest), life.read_deadlines(longest)),
+            (gateway.answer_deadline(longest), gateway.read_deadlines(longest)),
             (Time::MAX, ReadDeadlines::default())
         );
-        life.on(5 * second, Event::Stop);
-        let by = life.answer_deadline(longest);
+        gateway.on(5 * second, Event::Stop);
+        let by = gateway.answer_deadline(longest);
         assert!((5 * second + kill - 300_000..5 * second + kill - 200_000).contains(&by), "{by}");
-        let reads = life.read_deadlines(longest);
+        let reads = gateway.read_deadlines(longest);
         assert_eq!((reads.of(Idleness::New), reads.of(Idleness::CutOff)), (by, by));
         let answered = reads.of(Idleness::Answered);
         assert!(answered >= 5 * second + FRONT_NOTICE, "{answered}");
         assert!(answered <= by - (by - 5 * second) / 4, "{answered}");
-        life.on(6 * second, Event::Stop);
-        assert_eq!(life.answer_deadline(longest), by);
+        gateway.on(6 * second, Event::Stop);
+        assert_eq!(gateway.answer_deadline(longest), by);
     }
 }
--- a/crates/lifecycle/tests/idle_connection.rs
+++ b/crates/lifecycle/tests/idle_connection.rs
@@ -1,4 +1,4 @@
-//! Which connection to a host may carry a request after it has rested.
+//! Which idle connection to a host may carry a request.
 
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::idle_connection::{IdleConnection, IdlePolicy, SocketState, COPY_WINDOW, SETTLE};
--- a/crates/lifecycle/tests/outage.rs
+++ b/crates/lifecycle/tests/outage.rs
@@ -1,15 +1,16 @@
-//! An outage of discovery of over a minute, in steps of a clock of the test's own: the calls go on, soon enough that what
-//! comes with the return is heeded, and ask for what changed meanwhile.
+//! An outage of the discovery service of over a minute, with a simulated clock: the gateway retries soon enough that the
+//! updates after the return are applied in time, and requests the changes that it missed.
 
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
 use petrelgauge_lifecycle::watch::{WatchState, WATCH_TIMEOUT};
 use petrelgauge_policy::Time;
 
 const SECOND: Time = 1_000_000;
-/// What discovery brings at its return is to be heeded within this span.
-const HEEDED: Time = 2 * SECOND;
+/// Updates at the return of the discovery service are to be applied within this time (microseconds).
+const APPLIED_WITHIN: Time = 2 * SECOND;
 
-/// Plays a gateway whose calls fail after `call` each from 0 on; gives the pause after that in which discovery returns.
+/// Simulates a gateway whose calls fail after `call` each from 0 on. Returns how long after the return of the discovery
+/// service the next call begins.
 fn pause_at_return(gateways: u32, seed: u64, call: Time, returns: Time) -> (Time, Backoff) {
     let mut backoff = Backoff::new(gateways, seed);
     let mut now = 0;
@@ -27,16 +28,16 @@
     for gateways in [1, 20, 300, 900, 10_000] {
         for seed in 0..40 {
             for returns in [61, 75, 90, 600].map(|seconds| seconds * SECOND + seed as Time * 37_003) {
-                // Refused at once: only the pause is waited for.
+                // Rejected at once: the gateway only waits for the pause.
                 let (late, mut backoff) = pause_at_return(gateways, seed, 1_000, returns);
-                assert!(late < HEEDED / 2, "{gateways} gateways, seed {seed}: {late} us late");
-                // Calls that nobody answers: the one that is out when it returns takes its time.
+                assert!(late < APPLIED_WITHIN / 2, "{gateways} gateways, seed {seed}: {late} us late");
+                // Calls that are not answered: the one in flight at the return has to time out.
                 let (late, _) = pause_at_return(gateways, seed, WATCH_TIMEOUT, returns);
                 assert!(
-                    late < WATCH_TIMEOUT + HEEDED / 2,
+                    late < WATCH_TIMEOUT + APPLIED_WITHIN / 2,
                     "{gateways} gateways, seed {seed}: {late} us late"
                 );
-                // The outage has left no mark: the next fault is met with a short pause.
+                // The outage leaves no trace: the pause after the next fault is short.
                 backoff.reset();
                 assert!(backoff.pause(Cause::Lost) < SECOND / 2);
             }
@@ -53,7 +54,7 @@
         assert_eq!(state.resume_after(), Some(41), "what changed during the outage is asked for");
     }
     assert!(state.on_update(60, false));
-    // A service that lost its state begins to count anew, with a complete list.
+    // A service that lost its state restarts its numbering, with a complete list.
     state.on_watch_opened();
     assert!(state.on_update(3, true));
     assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(3)));
--- a/crates/lifecycle/tests/repeats.rs
+++ b/crates/lifecycle/tests/retries.rs
@@ -1,4 +1,4 @@
-//! By when a repeat of a keyed request is ordered to be written.
+//! The time by which the retry of a request with an idempotency key must be written.
 
 use petrelgauge_lifecycle::request_table::{Order, Outcome, Request, RequestTable, Send};
 use petrelgauge_policy::{
@@ -35,7 +35,7 @@
     }
 }
 
-/// Steps up to the next attempt; gives when it was ordered.
+/// Steps the request table until it orders the next attempt, which is returned.
 fn next_send(table: &mut RequestTable, from: Time) -> Send {
     let mut now = from;
     while now < from + 2 * SECOND {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_repeat_is_to_be_written_so_early_that_a_process_held_up_is_inside_the_window() {
+fn a_retry_is_to_be_written_so_early_that_a_process_held_up_is_inside_the_window() {
     let start = 100 * SECOND;
     let mut table = RequestTable::new(settings(), 7, None).expect("sound settings");
     table.update_endpoints(true, vec![primary()]);
@@ -71,6 +71,6 @@
     assert_eq!(first.write_by, Time::MAX, "no window is open");
     let broke_at = first.at + SECOND / 10;
     assert!(!table.report(broke_at, &first, Outcome::silent(Ending::ConnectionLost)));
-    let repeat = next_send(&mut table, broke_at);
-    assert_eq!(repeat.write_by, first.at + WINDOW - RETRY_WINDOW_MARGIN);
+    let retry = next_send(&mut table, broke_at);
+    assert_eq!(retry.write_by, first.at + WINDOW - RETRY_WINDOW_MARGIN);
 }
--- a/crates/lifecycle/tests/watch.rs
+++ b/crates/lifecycle/tests/watch.rs
@@ -1,31 +1,31 @@
-//! The revision of the endpoint list that is held, and whether the complete list has to be requested.
+//! The revision of the endpoint list that is in use, and whether the complete list has to be requested.
 
 use petrelgauge_lifecycle::watch::*;
 
 #[test]
-fn changes_that_go_back_are_not_used_and_the_whole_list_is_owed() {
+fn changes_with_a_lower_revision_are_not_used_and_the_complete_list_is_needed() {
     let mut state = WatchState::default();
     assert!(state.on_update(41, true) && state.on_update(42, false));
     assert!(!state.on_update(40, false));
     assert_eq!((state.needs_complete_list(), state.resume_after()), (true, None));
-    // A source that has begun anew says so with a whole list, whatever its number.
+    // A source that restarted its numbering sends the complete list, whatever its revision.
     assert!(state.on_update(3, true));
     assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(3)));
 }
 
 #[test]
-fn a_call_that_was_overtaken_by_the_watch_is_made_again_and_a_source_that_began_anew_is_believed() {
+fn a_call_that_was_overtaken_by_the_watch_is_repeated_and_a_source_that_restarted_is_believed() {
     let mut state = WatchState::default();
     state.on_unusable_line();
     assert!(state.on_update(9, false));
     assert!(!state.on_complete_list(8));
     assert!(state.needs_complete_list());
-    assert!(state.on_complete_list(8), "twice the same: so it stands there");
+    assert!(state.on_complete_list(8), "the same revision twice: it is the source's current one");
     assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(8)));
 }
 
 #[test]
-fn what_is_owed_stays_owed_through_a_move_and_through_changes() {
+fn the_complete_list_is_needed_still_after_a_change_of_the_source_and_after_changes() {
     let mut state = WatchState::default();
     assert!(state.on_update(5, true));
     state.on_unusable_line();
