--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -7,10 +7,10 @@
 //!
 //! | file | model |
 //! | --- | --- |
-//! | `attempts.rs` | requests, members and attempts before the real decision module: models `attempt`, `primary`, `desk` |
-//! | `connection.rs` | one connection that is used again: model `connection` |
+//! | `attempts/` | requests, members and attempts before the real decision module: models `attempt`, `primary`, `desk` |
+//! | `connection/` | one connection that is used again: model `connection` |
 //! | `stop.rs` | SIGTERM, drain, resume and reload with requests open: model `stop` |
-//! | `marks.rs` | sessions' marks between two instances: model `marks` |
+//! | `watermarks.rs` | sessions' marks between two instances: model `marks` |
 //! | `rules.rs` | settings that change under open requests: model `rules` |
 //! | `ownership.rs` | acceptors, candidates and a fence: model `ownership` |
 //! | `placement.rs` | which acceptor should hold which shard: model `placement` |
@@ -24,12 +24,12 @@
 pub mod check;
 pub mod connection;
 pub mod coverage;
-pub mod marks;
 pub mod ownership;
 pub mod placement;
 pub mod quota;
 pub mod rules;
 pub mod stop;
+pub mod watermarks;
 
 use check::Report;
 use petrelgauge_policy::Mutant;
@@ -103,7 +103,7 @@
     Named {
         name: "marks",
         plays: "two instances, one session; messages lost, late and out of order, one restart",
-        run: marks::run,
+        run: watermarks::run,
     },
 ];
 
