--- /dev/null
+++ b/crates/models/src/attempts/orders.rs
@@ -0,0 +1,137 @@
+//! Carrying out the orders of the request table, and reporting attempts. Most properties are checked here.
+
+use super::*;
+use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::exchange::Event;
+use petrelgauge_lifecycle::request_table::{Order, Outcome};
+
+/// Time that an attempt has to be connected (microseconds).
+const CONNECT_TIMEOUT: Time = 3 * GRANULE;
+/// By how much the data of replicas are behind (microseconds).
+const REPLICA_LAG: Time = 20_000;
+
+impl Attempts {
+    /// Steps the router and carries out its orders.
+    pub(super) fn step_router(&mut self) {
+        let (orders, _) = self.table.tick(self.now);
+        orders.into_iter().for_each(|order| self.carry_out(order));
+        self.compare_in_flight();
+    }
+
+    fn carry_out(&mut self, order: Order) {
+        match order {
+            Order::Send(send) => self.start_attempt(send),
+            Order::Reject { request, .. } => {
+                if self.effect_of(&request) != Effect::Safe && self.may_have_run_since(&request).is_some() {
+                    self.violate(SAFE_REJECTION);
+                }
+                self.answer(self.request_index(&request));
+            }
+            Order::Fail { request } => self.answer(self.request_index(&request)),
+            Order::Cancel { request, attempt } => {
+                for one in &mut self.attempts {
+                    one.cancelled |= one.send.request == request && one.send.attempt == attempt;
+                }
+            }
+            Order::Log(_) => {}
+        }
+    }
+
+    fn start_attempt(&mut self, send: Send) {
+        self.check_start(&send);
+        // All connections are new here: the model `connection` has reused ones.
+        let exchange =
+            Exchange::new(false, self.now, self.now + CONNECT_TIMEOUT, send.until).written_by(send.write_by);
+        self.attempts.push(Attempt {
+            send,
+            exchange,
+            may_have_run: false,
+            cancelled: false,
+            reported: false,
+        });
+    }
+
+    fn check_start(&mut self, send: &Send) {
+        let request = &self.requests[self.request_index(&send.request)];
+        if !request.is_open() || self.now >= request.until {
+            self.violate(ABANDONED);
+        }
+        if self.attempts_of(&send.request).any(|attempt| !attempt.reported) {
+            self.violate(ONE_ATTEMPT);
+        }
+        if self.attempts_of(&send.request).count() >= MAX_ATTEMPTS {
+            self.violate(ATTEMPTS);
+        }
+        if self.draining.is_some_and(|(member, at)| member == send.host && self.now > at + DRAIN_GRACE) {
+            self.violate(DRAINED);
+        }
+        let may_start = match (self.effect_of(&send.request), self.may_have_run_since(&send.request)) {
+            (_, None) | (Effect::Safe, _) => true,
+            (Effect::Keyed { window, .. }, Some(first)) => self.now <= first + window,
+            (Effect::Unsafe, Some(_)) => false,
+        };
+        if !may_start {
+            self.violate(RETRY);
+        }
+    }
+
+    /// The window of a key applies to when a retry was written, however long its connection took.
+    pub(super) fn check_written(&mut self, index: usize) {
+        let request = self.attempts[index].send.request.clone();
+        let Effect::Keyed { window, .. } = self.effect_of(&request) else { return };
+        if self.may_have_run_since(&request).is_some_and(|first| self.now > first + window) {
+            self.violate(RETRY);
+        }
+    }
+
+    /// The client of this request gets a final answer.
+    fn answer(&mut self, index: usize) {
+        let request = &mut self.requests[index];
+        request.answers += 1;
+        if request.answers > 1 {
+            self.violate(ONE_ANSWER);
+        }
+    }
+
+    /// Steps an attempt, and reports it if it has ended.
+    pub(super) fn on_event(&mut self, index: usize, event: Event) {
+        let now = self.now;
+        let attempt = &mut self.attempts[index];
+        attempt.exchange.on(now, event);
+        let Some(end) = attempt.exchange.ended() else { return };
+        // The connection is disposed of before the attempt is reported: there is no other way to learn the end.
+        let Some((_, finished)) = attempt.exchange.clone().finish(false) else { return };
+        if matches!(end, End::Rejected | End::QueueFull) {
+            attempt.may_have_run = false;
+        }
+        attempt.reported = true;
+        let send = attempt.send.clone();
+        let outcome = self.outcome(send.host, finished.end);
+        if self.table.report(now, &send, outcome) {
+            self.answer(self.request_index(&send.request));
+        }
+        self.compare_in_flight();
+    }
+
+    /// What the gateway learns from an attempt at this host that ended like this.
+    fn outcome(&self, host: MemberId, end: End) -> Outcome {
+        let silent = Outcome::silent(end.as_ending());
+        if !end.is_answer() {
+            return silent;
+        }
+        let (role, position) = if host == self.primary {
+            (Role::Primary, self.now)
+        } else {
+            (Role::Replica, self.now - REPLICA_LAG)
+        };
+        Outcome { role: Some(role), position: Some(position), ..silent }
+    }
+
+    /// The request table knows exactly the attempts that are in flight.
+    fn compare_in_flight(&mut self) {
+        let in_flight = self.attempts.iter().filter(|attempt| !attempt.reported).count();
+        if self.table.in_flight().1 != in_flight {
+            self.violate(REPORTED);
+        }
+    }
+}
--- /dev/null
+++ b/crates/models/src/connection/apply.rs
@@ -0,0 +1,131 @@
+//! What each step changes.
+
+use super::*;
+use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::exchange::Event;
+use petrelgauge_lifecycle::idle_connection::is_copy;
+
+/// How long before the attempt's deadline a late answer begins (microseconds): less than the time limit of an answer.
+const LATE_MARGIN: Time = 100_000;
+
+impl Connections {
+    pub(super) fn apply_step(&mut self, step: &Step) {
+        match step {
+            Step::Send => self.begin(),
+            Step::Wait(span) => (self.now, self.waited) = (self.now + span, true),
+            Step::Proceed => self.proceed(),
+            Step::Cancel => self.on_event(Event::Cancelled),
+            Step::Unwanted => self.on_event(Event::Unwanted),
+            Step::ResourcesExhausted if self.is_connecting() => {
+                self.on_event(Event::NotTried(End::NoDescriptor))
+            }
+            Step::ResourcesExhausted => self.on_event(Event::NoMemory),
+            Step::Break if self.is_connecting() => self.on_event(Event::Refused),
+            Step::Break => self.on_event(Event::Broke),
+            Step::GreetingFails { rejected: true } => self.on_event(Event::Rejected(End::QueueFull)),
+            Step::GreetingFails { rejected: false } => self.on_event(Event::Malformed),
+            Step::GreetedLate => {
+                // The gateway was held up past the deadline of the whole attempt.
+                self.now = self.now.max(START + ATTEMPT_TIMEOUT) + ATTEMPT_TIMEOUT;
+                self.on_event(Event::Greeted);
+            }
+            Step::Due => {
+                self.now = self.due().max(self.now);
+                self.on_event(Event::Due);
+            }
+            Step::Read => self.read(),
+            Step::BeginAnswerLate => {
+                self.now = self.due().max(self.now + LATE_MARGIN) - LATE_MARGIN;
+                self.apply_host_step(step);
+            }
+            _ => self.apply_host_step(step),
+        }
+    }
+
+    fn is_connecting(&self) -> bool {
+        matches!(self.stage(), Some(Stage::Connecting { .. }))
+    }
+
+    /// What the attempt waits for happens.
+    fn proceed(&mut self) {
+        match self.stage() {
+            Some(Stage::Connecting { .. }) => {
+                if let Some(attempt) = &mut self.attempt {
+                    attempt.connection = Some(Connection::default());
+                }
+                self.on_event(Event::Connected);
+            }
+            Some(Stage::Greeting { .. }) => self.on_event(Event::Greeted),
+            _ => {
+                let request = self.attempt.as_ref().map_or(0, |attempt| attempt.request);
+                if let Some(connection) = self.connection_mut() {
+                    connection.unanswered.push(request);
+                }
+                self.on_event(Event::Written);
+            }
+        }
+    }
+
+    /// The host writes something, or closes the connection.
+    fn apply_host_step(&mut self, step: &Step) {
+        let now = self.now;
+        let Some(connection) = self.connection_mut() else { return };
+        match *step {
+            Step::BeginAnswer | Step::BeginAnswerLate => connection.unread.push(Bytes::Part),
+            // The host still has to write the rest of the row.
+            Step::BeginRow => connection.unread.push(Bytes::Row(connection.unanswered[0])),
+            Step::AnswerMalformed => {
+                connection.unanswered.remove(0);
+                connection.unread.push(Bytes::Garbage);
+            }
+            Step::Answer { has_position } => {
+                let request = connection.unanswered.remove(0);
+                connection.unread.push(Bytes::Answer { request, has_position });
+                connection.written = Some(WrittenAnswer { request, has_position, at: now });
+            }
+            Step::DuplicateAnswer => {
+                if let Some(WrittenAnswer { request, has_position, .. }) = connection.written.take() {
+                    connection.unread.push(Bytes::Answer { request, has_position });
+                }
+            }
+            Step::WriteGarbage => {
+                connection.written = None;
+                connection.unread.push(Bytes::Garbage);
+            }
+            Step::HostCloses => {
+                connection.closed_by_host = true;
+                connection.unread.push(Bytes::End);
+            }
+            _ => {}
+        }
+    }
+
+    /// The gateway reads the next of the unread bytes.
+    fn read(&mut self) {
+        let Some(connection) = self.connection_mut() else { return };
+        match connection.unread.remove(0) {
+            Bytes::Part => {
+                self.answer_begun = true;
+                self.on_event(Event::Began);
+            }
+            Bytes::Row(request) => {
+                (self.answered, self.answer_begun) = (Some(request), true);
+                self.on_event(Event::Flows);
+            }
+            Bytes::Garbage => self.on_event(Event::Malformed),
+            Bytes::End => self.on_event(Event::Broke),
+            Bytes::Answer { request, has_position } => {
+                let this = answer_hash(request, has_position);
+                let last = std::mem::replace(&mut connection.last_answer, this);
+                let copy = is_copy(connection.copy_expected, last, this);
+                (self.answered, self.answer_begun) = (Some(request), true);
+                self.on_event(Event::Answered { end: End::Served, copy });
+            }
+        }
+    }
+}
+
+/// The hash of an answer, as the gateway remembers it: only if it has a position, so that a copy can be recognized.
+fn answer_hash(request: u8, has_position: bool) -> Option<u64> {
+    has_position.then_some(u64::from(request) + 1)
+}
--- /dev/null
+++ b/crates/models/src/connection/attempt.rs
@@ -0,0 +1,99 @@
+//! The gateway's side of the model: it chooses a connection for each request, steps the attempt, and disposes of the
+//! connection as the state machines say. The properties are checked here.
+
+use super::*;
+use crate::coverage::record_transition;
+use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event};
+use petrelgauge_lifecycle::idle_connection::{IdleConnection, SocketState};
+
+impl Connections {
+    /// Begins the attempt of the next request.
+    pub(super) fn begin(&mut self) {
+        let request = self.next_request;
+        self.next_request += 1;
+        (self.answered, self.answer_begun) = (None, false);
+        let connection = self.reuse();
+        let (reused, now) = (connection.is_some(), self.now);
+        let exchange = Exchange::new(reused, now, now + CONNECT_TIMEOUT, now + ATTEMPT_TIMEOUT);
+        self.attempt = Some(Attempt { request, exchange, connection });
+    }
+
+    /// The idle connection, if it may be reused now. One that may not is closed.
+    fn reuse(&mut self) -> Option<Connection> {
+        let (since, mut connection) = self.idle.take()?;
+        let idle = IdleConnection { since, detects_copies: connection.last_answer.is_some() };
+        if IDLE_POLICY.choose(self.now, [idle].into_iter()).is_none() {
+            self.idle = Some((since, connection));
+            return None;
+        }
+        let socket = match (connection.unread.first(), connection.closed_by_host) {
+            (Some(Bytes::End), _) | (None, true) => SocketState::Closed,
+            (Some(_), _) => SocketState::UnexpectedBytes,
+            (None, false) => SocketState::Quiet,
+        };
+        connection.copy_expected = IDLE_POLICY.may_use(self.now, idle, socket).ok()?;
+        if !connection.unread.is_empty() {
+            self.violated = Some(UNREAD);
+        }
+        if self.now - since > IDLE_POLICY.span {
+            self.violated = Some(TOO_OLD);
+        }
+        Some(connection)
+    }
+
+    /// Steps the attempt. If it has ended, disposes of its connection and reports it.
+    pub(super) fn on_event(&mut self, event: Event) {
+        let Some(mut attempt) = self.attempt.take() else { return };
+        let before = attempt.exchange.stage();
+        attempt.exchange.on(self.now, event);
+        record_transition(before, event, attempt.exchange.stage());
+        if attempt.exchange.ended().is_none() {
+            self.attempt = Some(attempt);
+            return;
+        }
+        self.finish(attempt);
+    }
+
+    fn finish(&mut self, attempt: Attempt) {
+        let Attempt { request, mut exchange, connection } = attempt;
+        if self.answered.is_some() {
+            exchange.host_is_ready();
+        }
+        // A copy or garbage may have been read together with the answer.
+        let unread = connection
+            .as_ref()
+            .is_some_and(|connection| connection.unread.first().is_some_and(|bytes| *bytes != Bytes::End));
+        let Some((disposition, finished)) = exchange.finish(unread) else {
+            self.violated = Some(ONCE);
+            return;
+        };
+        self.reports += 1;
+        self.waited = false;
+        self.check_end(request, finished.end);
+        let unanswered =
+            connection.as_ref().is_some_and(|connection| connection.unanswered.contains(&request));
+        if !finished.end.is_answer()
+            && disposition == ConnectionDisposition::Reuse
+            && (unanswered || finished.end != End::NotWanted)
+        {
+            self.violated = Some(CLOSED);
+        }
+        if let (ConnectionDisposition::Reuse, Some(connection)) = (disposition, connection) {
+            if unread {
+                self.violated = Some(UNREAD);
+            }
+            // This model has one idle connection at most; the older one is closed.
+            self.idle = Some((self.now, connection));
+        }
+    }
+
+    fn check_end(&mut self, request: u8, end: End) {
+        if matches!(end, End::Served | End::Flows) && self.answered != Some(request) {
+            self.violated = Some(OWN_ANSWER);
+        }
+        if end == End::HostStalled && !self.answer_begun {
+            self.violated = Some(STALLED_EARLY);
+        }
+    }
+}
--- /dev/null
+++ b/crates/models/src/connection/steps.rs
@@ -0,0 +1,80 @@
+//! The steps that are possible in a state.
+
+use super::*;
+use petrelgauge_lifecycle::idle_connection::{COPY_WINDOW, SETTLE};
+
+/// Unread pieces on a connection at most (count), to keep the model small.
+const MAX_UNREAD: usize = 2;
+
+impl Connections {
+    pub(super) fn possible_steps(&self) -> Vec<Step> {
+        let mut steps = Vec::new();
+        match self.stage() {
+            None => self.steps_between_attempts(&mut steps),
+            Some(stage) => self.steps_of_attempt(stage, &mut steps),
+        }
+        if let Some(connection) = self.connection().filter(|connection| !connection.closed_by_host) {
+            let is_reading = matches!(self.stage(), Some(Stage::Waiting | Stage::Answering { .. }));
+            if is_reading && !connection.unread.is_empty() {
+                steps.push(Step::Read);
+            }
+            if connection.unread.len() < MAX_UNREAD {
+                self.steps_of_host(connection, &mut steps);
+            }
+        }
+        steps
+    }
+
+    fn steps_between_attempts(&self, steps: &mut Vec<Step>) {
+        if self.next_request >= self.max_requests {
+            return;
+        }
+        steps.push(Step::Send);
+        if self.idle.is_some() && !self.waited {
+            let spans = [SETTLE / 2, SETTLE, COPY_WINDOW, IDLE_POLICY.span + 1];
+            steps.extend(spans.map(Step::Wait));
+        }
+    }
+
+    fn steps_of_attempt(&self, stage: Stage, steps: &mut Vec<Step>) {
+        steps.extend([Step::Cancel, Step::Due]);
+        steps.push(if stage == Stage::Writing { Step::Unwanted } else { Step::ResourcesExhausted });
+        if matches!(stage, Stage::Greeting { .. }) {
+            let failures = [true, false].map(|rejected| Step::GreetingFails { rejected });
+            steps.extend(failures);
+            steps.push(Step::GreetedLate);
+        }
+        if !matches!(stage, Stage::Waiting | Stage::Answering { .. }) {
+            steps.extend([Step::Proceed, Step::Break]);
+        } else if self.connection().is_some_and(|connection| connection.unread.is_empty()) {
+            steps.push(Step::Break);
+        }
+    }
+
+    fn steps_of_host(&self, connection: &Connection, steps: &mut Vec<Step>) {
+        if !connection.unanswered.is_empty() {
+            steps.extend([true, false].map(|has_position| Step::Answer { has_position }));
+            steps.push(Step::AnswerMalformed);
+            if connection.unread.is_empty() {
+                steps.push(Step::BeginRow);
+            }
+            if !connection.unread.contains(&Bytes::Part) && !self.answer_begun {
+                steps.extend([Step::BeginAnswer, Step::BeginAnswerLate]);
+            }
+        }
+        if let Some(written) = connection.written {
+            let age = self.now - written.at;
+            // Surplus bytes follow an answer within the settling time; a copy that can be recognized may come later.
+            let copy_window = if written.has_position { COPY_WINDOW } else { SETTLE };
+            if age < copy_window {
+                steps.push(Step::DuplicateAnswer);
+            }
+            if age < SETTLE && connection.unanswered.is_empty() {
+                steps.push(Step::WriteGarbage);
+            }
+        }
+        if connection.unanswered.is_empty() {
+            steps.push(Step::HostCloses);
+        }
+    }
+}
--- a/crates/models/src/coverage.rs
+++ b/crates/models/src/coverage.rs
@@ -1,5 +1,5 @@
-//! Which transitions of the machine of an attempt the models take, against all that it has: those are read off the
-//! machine itself, by telling it every event in every stage, before its limits and at them.
+//! Which transitions of an attempt's state machine the models take. All that exist are found by stepping the machine with
+//! every event in every stage, before its time limits and at them.
 
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::{Event, Exchange, Stage};
@@ -10,27 +10,27 @@
 static TAKEN: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
 fn name(before: Stage, event: Event, after: Stage) -> Option<String> {
-    let word = |text: String| text.split([' ', '{', '(']).next().unwrap_or("").to_string();
+    let variant = |text: String| text.split([' ', '{', '(']).next().unwrap_or("").to_string();
     let stage = |stage: Stage| match stage {
         Stage::Ended(end) => format!("{end:?}"),
-        other => word(format!("{other:?}")),
+        other => variant(format!("{other:?}")),
     };
-    let told = match event {
+    let event = match event {
         Event::Answered { copy: true, .. } => "Answered, a copy".to_string(),
-        other => word(format!("{other:?}")),
+        other => variant(format!("{other:?}")),
     };
-    (before != after).then(|| format!("{} --{told}--> {}", stage(before), stage(after)))
+    (before != after).then(|| format!("{} --{event}--> {}", stage(before), stage(after)))
 }
 
-/// A machine was told an event.
-pub fn took(before: Stage, event: Event, after: Stage) {
+/// Records that a model has stepped an attempt.
+pub fn record_transition(before: Stage, event: Event, after: Stage) {
     if let (Some(name), Ok(mut taken)) = (name(before, event, after), TAKEN.lock()) {
         taken.insert(name);
     }
 }
 
-/// All transitions that the machine has, and of these the ones that no model has taken in this process.
-pub fn missing() -> (BTreeSet<String>, Vec<String>) {
+/// All transitions of the machine, and those of them that no model has taken in this process.
+pub fn transitions() -> (BTreeSet<String>, Vec<String>) {
     let (now, by, until): (Time, Time, Time) = (1_000, 200_000, 900_000);
     let path = [Event::Connected, Event::Greeted, Event::Written, Event::Began];
     let answered = |copy| Event::Answered { end: End::Served, copy };
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -1,24 +1,24 @@
-//! Exhaustive models: every order of events in small cases, played on the code that runs in the gateway.
+//! Exhaustive models: every order of events in small cases, executed on the code that runs in the gateway.
 //!
-//! A model is a world around that code: clients, hosts, a list, time. From each state it names every event that could
-//! come next; the checker plays them all, breadth first, so that the first broken property comes with a shortest run.
-//! The machines of an attempt, of a connection, the desk with the real decision module, and the session tracker are
-//! cloned with each state; what tells two states apart is a 128-bit hash of all that the code and the world hold.
+//! A model adds a world to that code: clients, hosts, an endpoint list, time. For each state it lists every step that could
+//! come next; the checker takes them all, breadth first, so that the first violation is found with a shortest run. The
+//! state machines of attempts and connections, the request table with the real router, and the session tracker are cloned
+//! with each state. Two states are the same if all that the code and the world contain has the same 128-bit hash.
 //!
 //! | file | model |
 //! | --- | --- |
-//! | `attempts/` | requests, members and attempts before the real decision module: models `attempt`, `primary`, `desk` |
-//! | `connection/` | one connection that is used again: model `connection` |
+//! | `attempts/` | requests, members and attempts with the real router: models `attempt`, `primary`, `desk` |
+//! | `connection/` | connections to one host that are reused: model `connection` |
 //! | `stop.rs` | SIGTERM, drain, resume and reload with requests open: model `stop` |
-//! | `watermarks.rs` | sessions' marks between two instances: model `marks` |
+//! | `watermarks.rs` | watermarks of a session, broadcast between two gateways: model `marks` |
 //! | `rules.rs` | settings that change under open requests: model `rules` |
 //! | `ownership.rs` | acceptors, candidates and a fence: model `ownership` |
 //! | `placement.rs` | which acceptor should hold which shard: model `placement` |
 //! | `quota.rs` | quotas lent and granted: model `shares` |
-//! | `coverage.rs` | the transitions that the models take, against those that there are |
-//! | `check.rs` | the checker, its report, and how a run is told and replayed |
+//! | `coverage.rs` | the transitions that the models take, of those that exist |
+//! | `check.rs` | the checker, its report, and the replay of a run |
 //!
-//! The bugs of [`petrelgauge_policy::Mutant`] are compiled in here and nowhere else.
+//! The injected bugs of [`petrelgauge_policy::Mutant`] are compiled in for this crate only.
 
 pub mod attempts;
 pub mod check;
@@ -34,81 +34,81 @@
 use check::Report;
 use petrelgauge_policy::Mutant;
 
-/// How large a model is played.
+/// The size of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Size {
-    /// For CI: all of them in under a minute.
+    /// For CI.
     Small,
     /// Minutes on four cores.
     Large,
 }
 
 /// A model by name.
-pub struct Named {
+pub struct ModelEntry {
     /// Its name.
     pub name: &'static str,
-    /// What it plays.
-    pub plays: &'static str,
-    /// Plays it; an empty path plays all, else that one run.
+    /// What it explores.
+    pub description: &'static str,
+    /// Explores all runs if the path is empty, else replays that one run.
     pub run: fn(Size, &[String]) -> Report,
 }
 
 /// All models.
-pub const MODELS: [Named; 10] = [
-    Named {
+pub const MODELS: [ModelEntry; 10] = [
+    ModelEntry {
         name: "attempt",
-        plays: "one payment, two members, three attempts, one drain; time-out against late answer",
+        description: "one payment, two members, three attempts, one drain; time-out against late answer",
         run: attempts::attempt,
     },
-    Named {
+    ModelEntry {
         name: "primary",
-        plays: "a payment and a bounded read, two members, one a stale primary; one list change, one host restart",
+        description: "a payment and a bounded read, two members, one a stale primary; one list change, one host restart",
         run: attempts::primary,
     },
-    Named {
+    ModelEntry {
         name: "desk",
-        plays: "a write that must not run twice and a read; outcome, refusal, withdrawal, call-off in every order",
-        run: attempts::desk,
+        description: "a write that must not run twice and a read; outcome, rejection, abandonment, cancellation in every order",
+        run: attempts::request_table,
     },
-    Named {
+    ModelEntry {
         name: "connection",
-        plays: "one host, requests one after the other; reuse, idle close, surplus, copies, stalls, retiring",
+        description: "one host, requests one after the other; reuse, idle close, unexpected bytes, copies, stalls, age limit",
         run: connection::run,
     },
-    Named {
+    ModelEntry {
         name: "stop",
-        plays: "SIGTERM, drain, resume and reloads while clients come, ask, wait and leave",
+        description: "SIGTERM, drain, resume and reloads while clients connect, send queries, wait and leave",
         run: stop::run,
     },
-    Named {
+    ModelEntry {
         name: "rules",
-        plays: "three changes of settings while two requests come, stay open and end",
+        description: "three changes of settings while two requests are admitted, stay open and end",
         run: rules::run,
     },
-    Named {
+    ModelEntry {
         name: "ownership",
-        plays: "three acceptors, two candidates; messages lost, late and duplicated, one restart, a stalled lease holder",
+        description: "three acceptors, two candidates; messages lost, late and duplicated, one restart, a stalled lease holder",
         run: ownership::run,
     },
-    Named {
+    ModelEntry {
         name: "shares",
-        plays: "two lease holders, a lender to both, two borrowers; reports and grants lost or late, one restart",
+        description: "two lease holders, a lender to both, two borrowers; reports and grants lost or late, one restart",
         run: quota::run,
     },
-    Named {
+    ModelEntry {
         name: "placement",
-        plays: "three acceptors, three shards of a role; acceptors stop and start, heartbeats are lost",
+        description: "three acceptors, three shards of a role; acceptors stop and start, heartbeats are lost",
         run: placement::run,
     },
-    Named {
+    ModelEntry {
         name: "marks",
-        plays: "two instances, one session; messages lost, late and out of order, one restart",
+        description: "two instances, one session; messages lost, late and out of order, one restart",
         run: watermarks::run,
     },
 ];
 
-/// The model that is to find a bug.
-pub fn finder(bug: Mutant) -> &'static str {
+/// The name of the model that has to find an injected bug.
+pub fn model_for(bug: Mutant) -> &'static str {
     match bug {
         Mutant::DrainIgnored
         | Mutant::RetriedAfterKeyWindow
--- a/crates/models/src/main.rs
+++ b/crates/models/src/main.rs
@@ -1,13 +1,13 @@
-//! `petrelgauge-models`: plays the exhaustive models, with a planted bug or without.
+//! `petrelgauge-models`: runs the exhaustive models, with an injected bug or without.
 
 use clap::Parser;
-use petrelgauge_models::{finder, Named, Size, MODELS};
+use petrelgauge_models::{model_for, ModelEntry, Size, MODELS};
 use petrelgauge_policy::{inject_mutant, Mutant};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Plays every order of events in small cases on the gateway's own code
+/// Explores every order of events in small cases on the gateway's own code
 #[derive(Parser)]
 #[command(name = "petrelgauge-models", version)]
 struct Arguments {
@@ -17,13 +17,13 @@
     /// The large sizes: minutes
     #[arg(long)]
     large: bool,
-    /// Plant a bug, which must be found; `all` for each of them in turn
+    /// Inject a bug, which must be found; `all` for each of them in turn
     #[arg(long)]
     mutant: Option<String>,
-    /// Play the one run of this file again
+    /// Replay the run of this file
     #[arg(long)]
     replay: Option<PathBuf>,
-    /// Write stories and a summary into this folder
+    /// Write traces and a summary into this folder
     #[arg(long)]
     report: Option<PathBuf>,
 }
@@ -52,24 +52,24 @@
             vec![Some(known.ok_or(format!("there is no bug {name:?}"))?)]
         }
     };
-    let mut sound = true;
+    let mut passed = true;
     for bug in bugs {
-        for model in MODELS.iter().filter(|model| wanted(arguments, bug, model)) {
+        for model in MODELS.iter().filter(|model| is_selected(arguments, bug, model)) {
             inject_mutant(bug);
             let report = (model.run)(size, &[]);
             inject_mutant(None);
-            sound &= report.broken.is_some() == bug.is_some() && report.complete();
-            let planted = bug.map_or(String::new(), |bug| format!(" with {bug:?}"));
+            passed &= report.violated.is_some() == bug.is_some() && report.complete();
+            let injected = bug.map_or(String::new(), |bug| format!(" with {bug:?}"));
             println!(
-                "{}{planted}: {} states, {} different, {} events deep, {} ms: {}",
+                "{}{injected}: {} states, {} different, {} events deep, {} ms: {}",
                 model.name,
                 report.states,
                 report.unique,
                 report.depth,
                 report.took_ms,
-                report.broken.map_or("every property holds".to_string(), |what| format!("BROKEN: {what}")),
+                report.violated.map_or("every property holds".to_string(), |what| format!("BROKEN: {what}")),
             );
-            report.story.iter().enumerate().for_each(|(number, line)| println!("  {:2}. {line}", number + 1));
+            report.trace.iter().enumerate().for_each(|(number, line)| println!("  {:2}. {line}", number + 1));
             if let Some(folder) = &arguments.report {
                 let name = bug.map_or(model.name.to_string(), |bug| format!("{}-{bug:?}", model.name));
                 let value = json!({ "model": model.name, "bug": bug.map(|bug| format!("{bug:?}")), "report": report.json() });
@@ -80,24 +80,24 @@
         }
     }
     if arguments.mutant.is_none() && arguments.model.is_none() {
-        let (all, missing) = petrelgauge_models::coverage::missing();
+        let (all, missing) = petrelgauge_models::coverage::transitions();
         println!("transitions of an attempt: {} of {} taken", all.len() - missing.len(), all.len());
         all.iter()
             .for_each(|one| println!("  {} {one}", if missing.contains(one) { "MISSING" } else { "taken" }));
-        sound &= missing.is_empty();
+        passed &= missing.is_empty();
     }
-    Ok(sound)
+    Ok(passed)
 }
 
-fn wanted(arguments: &Arguments, bug: Option<Mutant>, model: &Named) -> bool {
+fn is_selected(arguments: &Arguments, bug: Option<Mutant>, model: &ModelEntry) -> bool {
     match (&arguments.model, bug) {
         (Some(name), _) => model.name == name,
-        (None, Some(bug)) => model.name == finder(bug),
+        (None, Some(bug)) => model.name == model_for(bug),
         (None, None) => true,
     }
 }
 
-/// Plays the run of a story's file, with its bug: true if it breaks what it broke then.
+/// Replays the run of a report's file with its bug. Returns whether it violates the same property.
 fn replay(file: &Path, size: Size) -> Result<bool, String> {
     let text =
         std::fs::read_to_string(file).map_err(|cause| format!("cannot read {}: {cause}", file.display()))?;
@@ -112,7 +112,7 @@
     );
     let report = (model.run)(size, &texts(&value["report"]["path"]));
     inject_mutant(None);
-    report.story.iter().enumerate().for_each(|(number, line)| println!("  {:2}. {line}", number + 1));
-    println!("{}", report.broken.unwrap_or("nothing is broken"));
-    Ok(report.broken == value["report"]["broken"].as_str())
+    report.trace.iter().enumerate().for_each(|(number, line)| println!("  {:2}. {line}", number + 1));
+    println!("{}", report.violated.unwrap_or("nothing is broken"));
+    Ok(report.violated == value["report"]["broken"].as_str())
 }
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -18,9 +18,9 @@
 const LEASE: Time = 8_000;
 const ACCEPTORS: u16 = 3;
 
-/// An event.
+/// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
+pub enum Step {
     /// Which faults may occur: all of them at once would be more states than can be explored.
     Faults(usize),
     /// A candidate's deadline has passed, and it runs.
@@ -33,7 +33,7 @@
     Halved(usize, [u16; 2]),
     /// The request reaches no acceptor now, and this one late.
     Delayed(usize, u16),
-    /// Something late arrives.
+    /// A late message arrives.
     Arrives(usize),
     /// An acceptor restarts.
     Restarts(u16),
@@ -72,7 +72,7 @@
     begun: bool,
     spans: &'static [Time],
     large: bool,
-    broken: Option<&'static str>,
+    violated: Option<&'static str>,
 }
 
 /// How often each fault may occur.
@@ -111,7 +111,7 @@
             Action::Send(request) => self.requests[who] = Some(request),
             Action::Acquired(term) => {
                 if self.last.is_some_and(|(other, last)| other != who && term <= last) {
-                    self.broken = Some(RISES);
+                    self.violated = Some(RISES);
                 }
                 self.last = Some((who, term));
             }
@@ -159,12 +159,12 @@
         let late = [(third, response), (pair[0], responses[0])].into_iter();
         let late = late.filter_map(|(acceptor, response)| Some(Late::Response(who, acceptor, response?)));
         self.late.extend(late);
-        (0..2).for_each(|place| self.respond(who, pair[place], responses[place]));
+        (0..2).for_each(|index| self.respond(who, pair[index], responses[index]));
     }
 
     /// A late message arrives.
-    fn arrive(&mut self, place: usize) {
-        match self.late.remove(place) {
+    fn arrive(&mut self, index: usize) {
+        match self.late.remove(index) {
             Late::Request(who, acceptor, request) => {
                 let response = self.request(who, acceptor, request);
                 self.respond(who, acceptor, response);
@@ -174,133 +174,133 @@
     }
 
     /// An effect arrives at a receiver, whose fence admits or rejects it.
-    fn take_effect(&mut self, place: usize) {
-        let term = self.effects.remove(place);
+    fn take_effect(&mut self, index: usize) {
+        let term = self.effects.remove(index);
         let passed = self.fence.admit(ROLE, term).is_ok();
         if passed != (term >= self.admitted) {
-            self.broken = Some(FENCED);
+            self.violated = Some(FENCED);
         }
         self.admitted = self.admitted.max(term);
     }
 }
 
 impl World for Fleet {
-    type Move = Move;
+    type Step = Step;
 
     const PROPERTIES: &'static [&'static str] = &[ONE, RISES, FENCED];
 
-    fn moves(&self) -> Vec<Move> {
+    fn steps(&self) -> Vec<Step> {
         if !self.begun {
-            return (0..FAULTS.len()).map(Move::Faults).collect();
+            return (0..FAULTS.len()).map(Step::Faults).collect();
         }
-        let mut moves = Vec::new();
+        let mut steps = Vec::new();
         for who in 0..self.candidates.len() {
             if self.deadlines[who] > 0 && self.now >= self.candidates[who].next_deadline() {
-                moves.push(Move::Deadline(who));
+                steps.push(Step::Deadline(who));
             }
             if self.requests[who].is_some() {
                 for pair in [[0, 1], [1, 2], [2, 0]] {
-                    moves.push(Move::Reaches(who, pair));
+                    steps.push(Step::Reaches(who, pair));
                     if self.may_be_late > 0 {
-                        moves.extend([Move::Doubled(who, pair), Move::Halved(who, pair)]);
+                        steps.extend([Step::Doubled(who, pair), Step::Halved(who, pair)]);
                     }
                 }
                 if self.may_be_late > 0 {
-                    moves.extend((0..ACCEPTORS).map(|acceptor| Move::Delayed(who, acceptor)));
+                    steps.extend((0..ACCEPTORS).map(|acceptor| Step::Delayed(who, acceptor)));
                 }
             }
             if self.acts[who] > 0 && self.candidates[who].held_term(self.now).is_some() {
-                moves.push(Move::Acts(who));
+                steps.push(Step::Acts(who));
             }
         }
-        moves.extend((0..self.late.len()).map(Move::Arrives));
-        moves.extend((0..self.effects.len()).map(Move::Admitted));
+        steps.extend((0..self.late.len()).map(Step::Arrives));
+        steps.extend((0..self.effects.len()).map(Step::Admitted));
         if self.restarts > 0 {
-            moves.extend((0..ACCEPTORS).map(Move::Restarts));
+            steps.extend((0..ACCEPTORS).map(Step::Restarts));
         }
         if self.waits > 0 {
-            moves.extend(self.spans.iter().copied().map(Move::Waits));
+            steps.extend(self.spans.iter().copied().map(Step::Waits));
         }
-        moves
+        steps
     }
 
-    fn play(&mut self, event: &Move) {
-        match *event {
-            Move::Faults(which) => self.begin(FAULTS[which]),
-            Move::Deadline(who) => {
+    fn apply(&mut self, step: &Step) {
+        match *step {
+            Step::Faults(which) => self.begin(FAULTS[which]),
+            Step::Deadline(who) => {
                 self.deadlines[who] -= 1;
                 let action = self.candidates[who].on_deadline(self.now);
                 self.apply(who, action);
             }
-            Move::Reaches(who, pair) => {
+            Step::Reaches(who, pair) => {
                 let (_, responses) = self.reaches(who, pair);
-                (0..2).for_each(|place| self.respond(who, pair[place], responses[place]));
+                (0..2).for_each(|index| self.respond(who, pair[index], responses[index]));
             }
-            Move::Doubled(who, pair) => self.double(who, pair),
-            Move::Halved(who, pair) => {
+            Step::Doubled(who, pair) => self.double(who, pair),
+            Step::Halved(who, pair) => {
                 self.may_be_late -= 1;
                 let (_, [first, second]) = self.reaches(who, pair);
                 self.late.extend(second.map(|response| Late::Response(who, pair[1], response)));
                 self.respond(who, pair[0], first);
             }
-            Move::Delayed(who, acceptor) => {
+            Step::Delayed(who, acceptor) => {
                 self.may_be_late -= 1;
                 let request = self.requests[who].take();
                 self.late.extend(request.map(|request| Late::Request(who, acceptor, request)));
             }
-            Move::Arrives(place) => self.arrive(place),
-            Move::Restarts(acceptor) => {
+            Step::Arrives(index) => self.arrive(index),
+            Step::Restarts(acceptor) => {
                 self.restarts -= 1;
                 self.acceptors[acceptor as usize] = Acceptor::new(&self.settings, self.now);
             }
-            Move::Acts(who) => {
+            Step::Acts(who) => {
                 self.acts[who] -= 1;
                 self.effects.extend(self.candidates[who].held_term(self.now));
             }
-            Move::Admitted(place) => self.take_effect(place),
-            Move::Waits(span) => {
+            Step::Admitted(index) => self.take_effect(index),
+            Step::Waits(span) => {
                 self.waits -= 1;
                 self.now += span;
             }
         }
         if self.candidates.iter().filter(|candidate| candidate.held_term(self.now).is_some()).count() > 1 {
-            self.broken = Some(ONE);
+            self.violated = Some(ONE);
         }
     }
 
-    fn told(&self, event: &Move) -> String {
-        let what = match event {
-            Move::Faults(which) => format!("faults that may occur: {:?}", FAULTS[*which]),
-            Move::Deadline(who) => format!("candidate {who} runs, its deadline has passed"),
-            Move::Reaches(who, [a, b]) => {
+    fn describe(&self, step: &Step) -> String {
+        let what = match step {
+            Step::Faults(which) => format!("faults that may occur: {:?}", FAULTS[*which]),
+            Step::Deadline(who) => format!("candidate {who} runs, its deadline has passed"),
+            Step::Reaches(who, [a, b]) => {
                 format!("candidate {who} sends to acceptors {a} and {b} and gets their responses")
             }
-            Move::Doubled(who, [a, b]) => {
+            Step::Doubled(who, [a, b]) => {
                 format!(
                     "candidate {who} sends to all; {a} and {b} respond, the third response and a duplicate are late"
                 )
             }
-            Move::Halved(who, [a, b]) => {
+            Step::Halved(who, [a, b]) => {
                 format!("candidate {who} sends to {a} and {b}; {a} responds, {b} is late")
             }
-            Move::Delayed(who, acceptor) => {
+            Step::Delayed(who, acceptor) => {
                 format!("the request of candidate {who} is late, and reaches {acceptor}")
             }
-            Move::Arrives(place) => format!("a late message arrives: {:?}", self.late.get(*place)),
-            Move::Restarts(acceptor) => format!("acceptor {acceptor} restarts"),
-            Move::Acts(who) => format!("candidate {who} acts as lease holder"),
-            Move::Admitted(place) => format!("an effect arrives, term {:?}", self.effects.get(*place)),
-            Move::Waits(span) => format!("{span} pass"),
+            Step::Arrives(index) => format!("a late message arrives: {:?}", self.late.get(*index)),
+            Step::Restarts(acceptor) => format!("acceptor {acceptor} restarts"),
+            Step::Acts(who) => format!("candidate {who} acts as lease holder"),
+            Step::Admitted(index) => format!("an effect arrives, term {:?}", self.effects.get(*index)),
+            Step::Waits(span) => format!("{span} pass"),
         };
         format!("at {} {what}", self.now)
     }
 
-    fn broken(&self) -> Option<&'static str> {
-        self.broken
+    fn violated(&self) -> Option<&'static str> {
+        self.violated
     }
 }
 
-/// Plays it.
+/// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
     let settings = |me| Settings {
         self_id: me,
@@ -332,7 +332,7 @@
         begun: false,
         spans: &[],
         large: size == Size::Large,
-        broken: None,
+        violated: None,
     };
     check(start, path)
 }
--- a/crates/models/src/placement.rs
+++ b/crates/models/src/placement.rs
@@ -1,6 +1,6 @@
 //! Model `placement`: three acceptors and three shards of a role; acceptors go and come back, heartbeats are lost, time
-//! passes. Each acceptor's placement is the gateway's; who owns a shard is kept by the world as leases would have it: one at
-//! a time, and one that yields or goes leaves it free.
+//! passes. Each acceptor's placement is the gateway's own code; the model records who holds a shard as leases would: one at a
+//! time, and a holder that yields or stops leaves it free.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -14,17 +14,17 @@
 const ACCEPTORS: usize = 3;
 const SHARDS: u16 = 3;
 const LEASE: Time = 1_000;
-/// Leases after which everything is as it should be: absent, wanted, won.
+/// Leases (count) after which each shard has its holder: the old one is absent, the new one campaigns and wins.
 const SETTLED: u8 = 6;
-/// Half leases after which one has stayed.
+/// Half leases (count) after which an acceptor that is up may take back its shards.
 const STAYED: u8 = 4;
 
-/// An event.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
-    /// An acceptor stops, or starts anew.
+pub enum Step {
+    /// An acceptor stops, or restarts.
     Toggle(usize),
-    /// Half a lease passes; the heartbeats of this acceptor are lost meanwhile, of nobody's if it is none.
+    /// Half a lease passes; the heartbeats of this acceptor, if one is named, are lost meanwhile.
     Pass(Option<usize>),
 }
 
@@ -32,18 +32,19 @@
 struct Fleet {
     now: Time,
     placements: Vec<Option<Placement>>,
-    /// Who owns each shard.
+    /// The holder of each shard.
     holders: Vec<Option<usize>>,
-    /// Half leases that this acceptor has been up for, or was when it stopped.
-    steady: Vec<u8>,
+    /// Half leases that each acceptor has been up for, or was when it stopped.
+    up_for: Vec<u8>,
     /// Half leases since it stopped.
-    gone: Vec<u8>,
-    /// Half leases since anything but time happened.
-    quiet: u8,
-    toggles: u8,
-    losses: u8,
-    steps: u8,
-    hasty: bool,
+    down_for: Vec<u8>,
+    /// Half leases since a fault.
+    undisturbed_for: u8,
+    toggles_left: u8,
+    losses_left: u8,
+    steps_left: u8,
+    /// A shard was given up for an acceptor that has not stayed.
+    yielded_early: bool,
 }
 
 fn settings(me: usize) -> Settings {
@@ -52,12 +53,13 @@
 }
 
 impl Fleet {
-    fn admit(&mut self, unheard: Option<usize>) {
+    /// Half a lease passes: heartbeats are exchanged, but for those of the `lost` acceptor, and shards change hands.
+    fn pass(&mut self, lost: Option<usize>) {
         self.now += LEASE / 2;
         for from in 0..ACCEPTORS {
             let Some(placement) = &mut self.placements[from] else { continue };
             let to = placement.due_heartbeats(self.now);
-            if unheard == Some(from) {
+            if lost == Some(from) {
                 continue;
             }
             for to in to {
@@ -72,82 +74,82 @@
         }
     }
 
-    /// A lease holder that yields gives its shard up.
+    /// The holder of a shard gives it up if it should yield.
     fn release(&mut self, shard: usize) {
         let Some(holder) = self.holders[shard] else { return };
         let Some(placement) = &self.placements[holder] else { return };
         if placement.should_yield(self.now, shard as u16) {
-            // Whoever it yields to stands before it in the shard's order.
-            let before =
-                (0..ACCEPTORS).map(|place| (shard + place) % ACCEPTORS).take_while(|one| *one != holder);
-            // One that has just stopped was there a moment ago.
-            let there = |one: usize| self.placements[one].is_some() || self.gone[one] <= 2;
-            let stayed = before.into_iter().any(|one| there(one) && self.steady[one] >= STAYED);
-            self.hasty |= !stayed;
+            // The acceptors that it yields to precede it in the shard's order of preference.
+            let preferred =
+                (0..ACCEPTORS).map(|rank| (shard + rank) % ACCEPTORS).take_while(|one| *one != holder);
+            // An acceptor that has just stopped may not be known to be down.
+            let may_be_up = |one: usize| self.placements[one].is_some() || self.down_for[one] <= 2;
+            let stayed = preferred.into_iter().any(|one| may_be_up(one) && self.up_for[one] >= STAYED);
+            self.yielded_early |= !stayed;
             self.holders[shard] = None;
         }
     }
 
-    /// A free shard goes to one that wants it.
+    /// A free shard goes to an acceptor that campaigns for it.
     fn take(&mut self, shard: usize) {
         if self.holders[shard].is_some() {
             return;
         }
-        let wants = |one: &usize| {
+        let campaigns = |one: &usize| {
             let placement = self.placements[*one].as_ref();
             placement.is_some_and(|placement| placement.should_campaign(self.now, shard as u16))
         };
-        self.holders[shard] = (0..ACCEPTORS).rev().find(wants);
+        self.holders[shard] = (0..ACCEPTORS).rev().find(campaigns);
     }
 }
 
 impl World for Fleet {
-    type Move = Move;
+    type Step = Step;
 
     const PROPERTIES: &'static [&'static str] = &[ORPHANED, RETURNED, STEADY];
 
-    fn moves(&self) -> Vec<Move> {
-        if self.steps == 0 {
+    fn steps(&self) -> Vec<Step> {
+        if self.steps_left == 0 {
             return Vec::new();
         }
-        let mut moves = vec![Move::Pass(None)];
-        if self.toggles > 0 {
-            moves.extend((0..ACCEPTORS).map(Move::Toggle));
+        let mut steps = vec![Step::Pass(None)];
+        if self.toggles_left > 0 {
+            steps.extend((0..ACCEPTORS).map(Step::Toggle));
         }
-        if self.losses > 0 {
-            moves.extend((0..ACCEPTORS).map(|one| Move::Pass(Some(one))));
+        if self.losses_left > 0 {
+            steps.extend((0..ACCEPTORS).map(|one| Step::Pass(Some(one))));
         }
-        moves
+        steps
     }
 
-    fn play(&mut self, event: &Move) {
-        match *event {
-            Move::Toggle(one) => {
-                self.toggles -= 1;
-                self.quiet = 0;
+    fn apply(&mut self, step: &Step) {
+        match *step {
+            Step::Toggle(one) => {
+                self.toggles_left -= 1;
+                self.undisturbed_for = 0;
                 match self.placements[one].take() {
-                    // Its leases run out by themselves.
+                    // Its leases expire by themselves.
                     Some(_) => {
-                        self.gone[one] = 0;
+                        self.down_for[one] = 0;
                         let owned = self.holders.iter_mut().filter(|holder| **holder == Some(one));
                         owned.for_each(|holder| *holder = None);
                     }
                     None => {
-                        self.steady[one] = 0;
+                        self.up_for[one] = 0;
                         self.placements[one] = Some(Placement::new(&settings(one), SHARDS, self.now));
                     }
                 }
             }
-            Move::Pass(unheard) => {
-                self.steps -= 1;
-                self.losses -= u8::from(unheard.is_some());
-                self.quiet = if unheard.is_some() { 0 } else { self.quiet + 1 };
-                self.admit(unheard);
+            Step::Pass(lost) => {
+                self.steps_left -= 1;
+                self.losses_left -= u8::from(lost.is_some());
+                self.undisturbed_for = if lost.is_some() { 0 } else { self.undisturbed_for + 1 };
+                self.pass(lost);
                 for one in 0..ACCEPTORS {
                     let counter = if self.placements[one].is_some() {
-                        &mut self.steady[one]
+                        &mut self.up_for[one]
                     } else {
-                        &mut self.gone[one]
+                        &mut self.down_for[one]
                     };
                     *counter = (*counter + 1).min(2 * SETTLED);
                 }
@@ -155,21 +157,23 @@
         }
     }
 
-    fn told(&self, event: &Move) -> String {
-        match event {
-            Move::Toggle(one) if self.placements[*one].is_some() => format!("acceptor {one} stops"),
-            Move::Toggle(one) => format!("acceptor {one} starts anew"),
-            Move::Pass(None) => "half a lease passes".into(),
-            Move::Pass(Some(one)) => format!("half a lease passes, and nobody hears acceptor {one}"),
+    fn describe(&self, step: &Step) -> String {
+        match step {
+            Step::Toggle(one) if self.placements[*one].is_some() => format!("acceptor {one} stops"),
+            Step::Toggle(one) => format!("acceptor {one} restarts"),
+            Step::Pass(None) => "half a lease passes".into(),
+            Step::Pass(Some(one)) => {
+                format!("half a lease passes, and the heartbeats of acceptor {one} are lost")
+            }
         }
     }
 
-    fn broken(&self) -> Option<&'static str> {
+    fn violated(&self) -> Option<&'static str> {
         let up = self.placements.iter().filter(|one| one.is_some()).count();
-        if self.hasty {
+        if self.yielded_early {
             return Some(STEADY);
         }
-        if up == 0 || self.quiet < 2 * SETTLED {
+        if up == 0 || self.undisturbed_for < 2 * SETTLED {
             return None;
         }
         if self.holders.iter().any(Option::is_none) {
@@ -180,20 +184,20 @@
     }
 }
 
-/// Plays it.
+/// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
     let large = u8::from(size == Size::Large);
     let start = Fleet {
         now: 100_000,
         placements: (0..ACCEPTORS).map(|me| Some(Placement::new(&settings(me), SHARDS, 100_000))).collect(),
         holders: vec![None; usize::from(SHARDS)],
-        steady: vec![0; ACCEPTORS],
-        gone: vec![0; ACCEPTORS],
-        quiet: 0,
-        toggles: 2 + large,
-        losses: 1 + large,
-        steps: 22 + 4 * large,
-        hasty: false,
+        up_for: vec![0; ACCEPTORS],
+        down_for: vec![0; ACCEPTORS],
+        undisturbed_for: 0,
+        toggles_left: 2 + large,
+        losses_left: 1 + large,
+        steps_left: 22 + 4 * large,
+        yielded_early: false,
     };
     check(start, path)
 }
--- a/crates/models/src/quota.rs
+++ b/crates/models/src/quota.rs
@@ -1,6 +1,6 @@
-//! Model `shares`: two gateways that both take themselves for the lease holder of the share-out, each with one gateway that asks
-//! of it, and one gateway that lends to both; reports and grants lost or late, one restart of the lender. Quota and pool
-//! are the gateway's. Time passes only where the world says so.
+//! Model `shares`: two gateways that both act as the lease holder of the quotas, each with one gateway that borrows from
+//! it, and one gateway that lends to both; reports and grants are lost or late, and the lender restarts once. `Quota` and
+//! `QuotaPool` are the gateway's own code. Time passes only by steps of the model.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -16,9 +16,9 @@
 const LENDER: usize = 0;
 const RATES: [u32; 3] = [100, 1_000, 1_000];
 
-/// What becomes of something on its way.
+/// What becomes of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Delivery {
     /// It is lost.
     Lost,
     /// It arrives.
@@ -27,13 +27,13 @@
     Late,
 }
 
-/// An event.
+/// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
+pub enum Step {
     /// Which faults may occur: all of them at once would be more states than can be explored.
     Faults(usize),
     /// This lease holder opens a round; what becomes of the lender's report, and of the grant to the borrower.
-    Round(usize, Way, Way),
+    Round(usize, Delivery, Delivery),
     /// A late message arrives.
     Arrives(usize),
     /// The lender restarts.
@@ -98,18 +98,18 @@
         self.quotas[who].on_grant(self.now, number, granted);
     }
 
-    /// A report arrives at a lease holder: what it grants.
+    /// A report arrives at a lease holder. Returns what it grants.
     fn report(&mut self, holder: usize, who: usize, report: &QuotaReport) -> Vec<GroupGrant> {
         self.pools[holder].on_report(self.now, who as u16, report.round, &report.demands)
     }
 
     /// A lease holder opens a round, the lender reports for it, and then the borrower, which is granted something.
-    fn play_round(&mut self, holder: usize, loan: Way, grant: Way) {
+    fn run_round(&mut self, holder: usize, loan: Delivery, grant: Delivery) {
         self.rounds[holder] -= 1;
         let term = self.pools[holder].term();
         let round = self.pools[holder].open_round(self.now);
         let mean_rates = round.parts.first().cloned().unwrap_or_default();
-        if loan != Way::Lost {
+        if loan != Delivery::Lost {
             self.quotas[LENDER].on_round(self.now, term, round.number, &mean_rates);
             self.lend(holder, loan);
         }
@@ -118,9 +118,9 @@
         self.borrow(holder, borrower, grant);
     }
 
-    fn lend(&mut self, holder: usize, way: Way) {
+    fn lend(&mut self, holder: usize, delivery: Delivery) {
         for report in self.quotas[LENDER].due_reports(self.now, &rates(LENDER)) {
-            if way == Way::Late {
+            if delivery == Delivery::Late {
                 self.may_be_late -= 1;
                 self.late.push(Late::Report(holder, report));
             } else {
@@ -129,13 +129,13 @@
         }
     }
 
-    fn borrow(&mut self, holder: usize, borrower: usize, way: Way) {
+    fn borrow(&mut self, holder: usize, borrower: usize, delivery: Delivery) {
         for report in self.quotas[borrower].due_reports(self.now, &rates(borrower)) {
             let granted = self.report(holder, borrower, &report);
-            match way {
-                Way::Lost => {}
-                Way::Now => self.grant(borrower, report.number, &granted),
-                Way::Late => {
+            match delivery {
+                Delivery::Lost => {}
+                Delivery::Now => self.grant(borrower, report.number, &granted),
+                Delivery::Late => {
                     self.may_be_late = self.may_be_late.saturating_sub(1);
                     self.late.push(Late::Grant(borrower, report.number, granted));
                 }
@@ -145,87 +145,88 @@
 }
 
 impl World for Fleet {
-    type Move = Move;
+    type Step = Step;
 
     const PROPERTIES: &'static [&'static str] = &[SUM];
 
-    fn moves(&self) -> Vec<Move> {
+    fn steps(&self) -> Vec<Step> {
         if !self.begun {
-            return (0..FAULTS.len()).map(Move::Faults).collect();
+            return (0..FAULTS.len()).map(Step::Faults).collect();
         }
-        let mut moves = Vec::new();
+        let mut steps = Vec::new();
         for holder in (0..2).filter(|holder| self.rounds[*holder] > 0) {
-            for lends in [Way::Lost, Way::Now, Way::Late] {
-                for granted in [Way::Lost, Way::Now, Way::Late] {
-                    let late = [lends, granted].iter().filter(|way| **way == Way::Late).count();
+            for lends in [Delivery::Lost, Delivery::Now, Delivery::Late] {
+                for granted in [Delivery::Lost, Delivery::Now, Delivery::Late] {
+                    let late =
+                        [lends, granted].iter().filter(|delivery| **delivery == Delivery::Late).count();
                     if late <= usize::from(self.may_be_late) {
-                        moves.push(Move::Round(holder, lends, granted));
+                        steps.push(Step::Round(holder, lends, granted));
                     }
                 }
             }
         }
-        moves.extend((0..self.late.len()).map(Move::Arrives));
-        moves.extend((self.restarts > 0).then_some(Move::Restarts));
+        steps.extend((0..self.late.len()).map(Step::Arrives));
+        steps.extend((self.restarts > 0).then_some(Step::Restarts));
         if self.waits > 0 {
-            moves.extend([LEASE / 4, LEASE / 2, LEASE / 4 * 3].map(Move::Waits));
+            steps.extend([LEASE / 4, LEASE / 2, LEASE / 4 * 3].map(Step::Waits));
         }
-        moves
+        steps
     }
 
-    fn play(&mut self, event: &Move) {
-        match *event {
-            Move::Faults(which) => {
+    fn apply(&mut self, step: &Step) {
+        match *step {
+            Step::Faults(which) => {
                 let Faults { rounds, late, restarts, waits } = FAULTS[which];
                 let more = u8::from(self.large);
                 self.begun = true;
                 (self.rounds, self.may_be_late) = (rounds, late);
                 (self.restarts, self.waits) = (restarts, waits + more);
             }
-            Move::Round(holder, loan, grant) => self.play_round(holder, loan, grant),
-            Move::Arrives(place) => match self.late.remove(place) {
+            Step::Round(holder, loan, grant) => self.run_round(holder, loan, grant),
+            Step::Arrives(index) => match self.late.remove(index) {
                 Late::Report(holder, report) => {
                     self.report(holder, LENDER, &report);
                 }
                 Late::Grant(who, number, granted) => self.grant(who, number, &granted),
             },
-            Move::Restarts => {
+            Step::Restarts => {
                 self.restarts -= 1;
                 self.quotas[LENDER] = Quota::new(settings(), self.now, 1_000);
             }
-            Move::Waits(span) => {
+            Step::Waits(span) => {
                 self.waits -= 1;
                 self.now += span;
             }
         }
     }
 
-    fn told(&self, event: &Move) -> String {
-        let what = match event {
-            Move::Faults(which) => format!("faults that may occur: {:?}", FAULTS[*which]),
-            Move::Round(holder, lends, granted) => {
+    fn describe(&self, step: &Step) -> String {
+        let what = match step {
+            Step::Faults(which) => format!("faults that may occur: {:?}", FAULTS[*which]),
+            Step::Round(holder, lends, granted) => {
                 format!(
                     "holder {holder} opens a round; the lender's report: {lends:?}, the grant: {granted:?}"
                 )
             }
-            Move::Arrives(place) => format!("a late message arrives: {:?}", self.late.get(*place)),
-            Move::Restarts => "the lender restarts".to_string(),
-            Move::Waits(span) => format!("{span} pass"),
+            Step::Arrives(index) => format!("a late message arrives: {:?}", self.late.get(*index)),
+            Step::Restarts => "the lender restarts".to_string(),
+            Step::Waits(span) => format!("{span} pass"),
         };
         format!("at {} {what}", self.now)
     }
 
-    fn broken(&self) -> Option<&'static str> {
+    fn violated(&self) -> Option<&'static str> {
         let extra = |quota: &Quota| quota.current(self.now, GROUP).at(self.now) - 1.0;
         (self.quotas.iter().map(extra).sum::<f64>() > 1e-6).then_some(SUM)
     }
 }
 
-/// Plays it.
+/// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
     let now = 100_000;
     let mut pools: Vec<QuotaPool> = [5, 6].map(|term: Term| QuotaPool::new(settings(), term)).into();
     for (holder, pool) in pools.iter_mut().enumerate() {
-        // Both have heard rates, so that the means are known from the first round on, and what is asked for.
+        // Both have received reports, so that mean rates and demands are known from the first round on.
         let round = pool.open_round(now - 1).number;
         for who in [LENDER, 1 + holder] {
             let requested = if who == LENDER { 0 } else { 500 };
--- a/crates/models/src/rules.rs
+++ b/crates/models/src/rules.rs
@@ -1,4 +1,5 @@
-//! Model `rules`: settings change while requests come, stay open and end. The table of classes is the gateway's.
+//! Model `rules`: settings change while requests are admitted, stay open and end. The class table is the gateway's own
+//! code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -6,33 +7,40 @@
 use petrelgauge_policy::{Class, Effect, Need, Scope, Time};
 use std::collections::BTreeSet;
 
-const KEPT: &str = "an open request keeps the class that it was admitted with";
-const NAMED: &str = "a name in force is found with its newest rules, but by those who cannot know them yet";
+const UNCHANGED: &str = "an open request keeps the class that it was admitted with";
+const CURRENT: &str = "a name in force is found with its newest rules, but by those who cannot know them yet";
 const BOUNDED: &str = "the table holds no more than what is in force, was, and is open";
 
-/// An event.
+/// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
-    /// A request names this class, with a key or without.
-    Comes(usize, bool),
-    /// The open request of this place ends.
-    Ends(usize),
-    /// These settings are to hold.
-    Follows(usize),
+pub enum Step {
+    /// A request names this class, with an idempotency key or without.
+    RequestArrives(usize, bool),
+    /// The open request with this index ends.
+    RequestEnds(usize),
+    /// These settings are applied.
+    SettingsChange(usize),
     /// Clients know of the last change.
-    Passes,
+    ClientsCatchUp,
+}
+
+/// An open request, with its class and that class's index at its admission.
+#[derive(Clone, Debug)]
+struct OpenRequest {
+    index: usize,
+    class: Class,
 }
 
 #[derive(Clone, Debug)]
 struct Changes {
     now: Time,
-    rules: ClassTable,
-    force: usize,
-    /// Place and class at its admission.
-    open: Vec<(usize, Class)>,
-    comes: u8,
-    follows: u8,
-    broken: Option<&'static str>,
+    table: ClassTable,
+    /// Which settings are in force.
+    in_force: usize,
+    open: Vec<OpenRequest>,
+    requests_left: u8,
+    changes_left: u8,
+    violated: Option<&'static str>,
 }
 
 const NAMES: [&str; 3] = ["view", "post", "extra"];
@@ -51,7 +59,7 @@
     }
 }
 
-/// The settings that may hold: a class comes, another goes, and effects change.
+/// The settings that may be applied: a class is added, another removed, and effects change.
 fn settings(which: usize) -> Vec<Class> {
     let keyed = Effect::Keyed { window: 5_000_000, scope: Scope::Group };
     match which {
@@ -63,88 +71,90 @@
 
 impl Changes {
     fn used(&self) -> BTreeSet<usize> {
-        self.open.iter().map(|(place, _)| *place).collect()
+        self.open.iter().map(|request| request.index).collect()
     }
 
-    fn look(&mut self) {
-        if self.open.iter().any(|(place, class)| self.rules.class(*place) != class) {
-            self.broken = Some(KEPT);
+    fn check(&mut self) {
+        if self.open.iter().any(|request| *self.table.class(request.index) != request.class) {
+            self.violated = Some(UNCHANGED);
         }
-        for class in settings(self.force) {
-            // Whoever brings a key is never held to an older rule.
-            let found = self.rules.find(self.now, &class.name, true);
-            if found.is_none_or(|place| *self.rules.class(place) != class) {
-                self.broken = Some(NAMED);
+        for class in settings(self.in_force) {
+            // A request with a key never gets the previous class.
+            let found = self.table.find_class(self.now, &class.name, true);
+            if found.is_none_or(|index| *self.table.class(index) != class) {
+                self.violated = Some(CURRENT);
             }
         }
-        // Two settings of three classes at most side by side, and a place for each open request.
-        if self.rules.table().len() > 6 + self.open.len() {
-            self.broken = Some(BOUNDED);
+        // Two settings of three classes at most side by side, and one class for each open request.
+        if self.table.table().len() > 2 * NAMES.len() + self.open.len() {
+            self.violated = Some(BOUNDED);
         }
     }
 }
 
 impl World for Changes {
-    type Move = Move;
+    type Step = Step;
 
-    const PROPERTIES: &'static [&'static str] = &[KEPT, NAMED, BOUNDED];
+    const PROPERTIES: &'static [&'static str] = &[UNCHANGED, CURRENT, BOUNDED];
 
-    fn moves(&self) -> Vec<Move> {
-        let mut moves = Vec::new();
-        if self.comes > 0 {
-            moves.extend(
-                (0..NAMES.len()).flat_map(|name| [Move::Comes(name, true), Move::Comes(name, false)]),
+    fn steps(&self) -> Vec<Step> {
+        let mut steps = Vec::new();
+        if self.requests_left > 0 {
+            steps.extend(
+                (0..NAMES.len())
+                    .flat_map(|name| [Step::RequestArrives(name, true), Step::RequestArrives(name, false)]),
             );
         }
-        moves.extend((0..self.open.len()).map(Move::Ends));
-        if self.follows > 0 {
-            moves.extend((0..3).map(Move::Follows));
+        steps.extend((0..self.open.len()).map(Step::RequestEnds));
+        if self.changes_left > 0 {
+            steps.extend((0..3).map(Step::SettingsChange));
         }
-        moves.push(Move::Passes);
-        moves
+        steps.push(Step::ClientsCatchUp);
+        steps
     }
 
-    fn play(&mut self, event: &Move) {
-        match *event {
-            Move::Comes(name, keyed) => {
-                self.comes -= 1;
-                if let Some(place) = self.rules.find(self.now, NAMES[name], keyed) {
-                    self.open.push((place, self.rules.class(place).clone()));
+    fn apply(&mut self, step: &Step) {
+        match *step {
+            Step::RequestArrives(name, keyed) => {
+                self.requests_left -= 1;
+                if let Some(index) = self.table.find_class(self.now, NAMES[name], keyed) {
+                    self.open.push(OpenRequest { index, class: self.table.class(index).clone() });
                 }
             }
-            Move::Ends(place) => drop(self.open.remove(place)),
-            Move::Follows(which) => {
-                self.follows -= 1;
+            Step::RequestEnds(index) => drop(self.open.remove(index)),
+            Step::SettingsChange(which) => {
+                self.changes_left -= 1;
                 let used = self.used();
-                if self.rules.update(self.now, settings(which), &used).is_ok() {
-                    self.force = which;
+                if self.table.update(self.now, settings(which), &used).is_ok() {
+                    self.in_force = which;
                 }
             }
-            // Counted from the last change alone: a run that only waits comes to no new state.
-            Move::Passes => self.now = OVERLAP * (1 + self.rules.version() as Time),
+            // A time that depends on the last change alone: a run that only waits reaches no new state.
+            Step::ClientsCatchUp => self.now = OVERLAP * (1 + self.table.version() as Time),
         }
-        self.look();
+        self.check();
     }
 
-    fn told(&self, event: &Move) -> String {
-        match event {
-            Move::Comes(name, keyed) => {
-                format!("a request of class {} comes, with a key: {keyed}", NAMES[*name])
+    fn describe(&self, step: &Step) -> String {
+        match step {
+            Step::RequestArrives(name, keyed) => {
+                format!("a request of class {} arrives, with a key: {keyed}", NAMES[*name])
             }
-            Move::Ends(place) => format!("open request {place} ends"),
-            Move::Follows(which) => format!("SIGHUP, settings {which}"),
-            Move::Passes => "clients know of the last change".into(),
+            Step::RequestEnds(index) => format!("open request {index} ends"),
+            Step::SettingsChange(which) => format!("SIGHUP, settings {which}"),
+            Step::ClientsCatchUp => "clients know of the last change".into(),
         }
     }
 
-    fn broken(&self) -> Option<&'static str> {
-        self.broken
+    fn violated(&self) -> Option<&'static str> {
+        self.violated
     }
 }
 
-/// Plays it.
+/// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
-    let (comes, follows) = if size == Size::Small { (2, 3) } else { (4, 4) };
-    let (rules, open) = (ClassTable::new(settings(0)), Vec::new());
-    check(Changes { now: 0, rules, force: 0, open, comes, follows, broken: None }, path)
+    let (requests_left, changes_left) = if size == Size::Small { (2, 3) } else { (4, 4) };
+    let (table, open) = (ClassTable::new(settings(0)), Vec::new());
+    let start = Changes { now: 0, table, in_force: 0, open, requests_left, changes_left, violated: None };
+    check(start, path)
 }
--- a/crates/models/src/stop.rs
+++ b/crates/models/src/stop.rs
@@ -1,36 +1,36 @@
-//! Model `stop`: SIGTERM, draining, resuming and reloads while clients come, ask, wait and leave. The machines of the gateway, of each
-//! client's connection and of its request are the gateway's.
+//! Model `stop`: SIGTERM, draining, resuming and reloads while clients connect, send queries, wait and leave. The state
+//! machines of the gateway, of each client's connection and of its request are the gateway's own code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
 use petrelgauge_lifecycle::client::{self, Action, Client, MessageKind, QueryOutcome, Stage};
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::gateway::{self, Gateway};
+use petrelgauge_lifecycle::gateway::{self, Gateway, ServingState};
 use petrelgauge_lifecycle::request::{self, FinalAnswer, RequestState};
 use petrelgauge_policy::Time;
 
 const ANSWERED: &str = "what a client sent before its connection was closed is answered";
 const ONCE: &str = "a query is answered once";
-const HELD: &str = "the gateway ends only when nothing is held";
-const OLD: &str = "a file that cannot be used changes nothing";
+const IN_FLIGHT: &str = "the gateway ends only when nothing is held";
+const OLD_SETTINGS: &str = "a file that cannot be used changes nothing";
 const ENDS: &str = "after SIGTERM it ends";
-const BACK: &str = "a gateway that was called back admits clients, and one that drains does not";
+const READINESS: &str = "a gateway that was called back admits clients, and one that drains does not";
 
-/// An event.
+/// A step of the model. Clients are named by their index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
-    /// A client connects and says who it is.
+pub enum Step {
+    /// A client connects and sends its startup message.
     Connects(usize),
-    /// It is accepted and welcomed.
+    /// Its connection is accepted.
     Accepted(usize),
     /// It sends a query.
     Sends(usize),
-    /// What it sent is heard.
-    Heard(usize),
-    /// A host answers it.
+    /// Its query is read.
+    QueryRead(usize),
+    /// A host answers its request.
     Served(usize),
-    /// The decisions refuse it.
-    Refused(usize),
+    /// The router rejects its request.
+    Rejected(usize),
     /// It leaves.
     Leaves(usize),
     /// Its connection is asked to close for the stop.
@@ -39,256 +39,301 @@
     Idle(usize),
     /// SIGTERM.
     Term,
-    /// The staff calls drain.
+    /// An operator's command to drain.
     Drain,
-    /// The staff calls resume.
+    /// An operator's command to serve again.
     Resume,
     /// SIGHUP with a file that can, or cannot, be used.
     Reload(bool),
-    /// The last clients' time is over.
+    /// The time in which clients are served as before is over.
     Due,
-    /// The gateway looks at what is held.
-    Looks,
+    /// The gateway checks what has not ended yet.
+    CheckRemaining,
 }
 
 #[derive(Clone, Debug)]
-enum At {
-    Away,
-    Backlog,
-    Open { life: Client, unread: u8, asked: Option<RequestState> },
-    Gone,
+enum Connection {
+    NotConnected,
+    WaitsForAccept,
+    Open(OpenConnection),
+    Closed,
 }
 
+#[derive(Clone, Debug)]
+struct OpenConnection {
+    client: Client,
+    /// Queries that were sent and not read.
+    unread: u8,
+    /// The open request.
+    request: Option<RequestState>,
+}
+
+/// The state of the model.
 #[derive(Clone, Debug)]
 struct Stops {
     now: Time,
     gateway: Gateway,
-    clients: Vec<At>,
-    queries: Vec<u8>,
-    reloads: u8,
-    drains: u8,
-    discovery: u8,
-    broken: Option<&'static str>,
+    connections: Vec<Connection>,
+    /// How many queries each client may still send.
+    queries_left: Vec<u8>,
+    reloads_left: u8,
+    drains_left: u8,
+    /// Settings that were applied so far.
+    applied_settings: u8,
+    violated: Option<&'static str>,
 }
 
 impl Stops {
-    fn held(&self) -> (usize, usize) {
-        let clients = self.clients.iter().filter(|at| matches!(at, At::Open { .. } | At::Backlog)).count();
-        let asking = |at: &&At| matches!(at, At::Open { asked: Some(_), .. });
-        (clients, self.clients.iter().filter(asking).count())
+    /// Connections and requests that have not ended.
+    fn remaining(&self) -> (usize, usize) {
+        let is_connected = |connection: &&Connection| {
+            matches!(connection, Connection::Open { .. } | Connection::WaitsForAccept)
+        };
+        let has_request =
+            |connection: &&Connection| matches!(connection, Connection::Open(open) if open.request.is_some());
+        (
+            self.connections.iter().filter(is_connected).count(),
+            self.connections.iter().filter(has_request).count(),
+        )
     }
 
-    fn tell(&mut self, place: usize, event: client::Event) {
+    fn open_connection(&mut self, index: usize) -> Option<&mut OpenConnection> {
+        match &mut self.connections[index] {
+            Connection::Open(open) => Some(open),
+            _ => None,
+        }
+    }
+
+    /// Steps a client's connection.
+    fn on_client_event(&mut self, index: usize, event: client::Event) {
         let now = self.now;
-        let At::Open { life, unread, asked } = &mut self.clients[place] else { return };
-        match life.on(now, event) {
-            Action::Answer => *asked = Some(RequestState::default()),
+        let Some(open) = self.open_connection(index) else { return };
+        match open.client.on(now, event) {
+            Action::Answer => open.request = Some(RequestState::default()),
             Action::Close(end) => {
-                if end != End::ClientLeft && (*unread > 0 || asked.is_some()) {
-                    self.broken = Some(ANSWERED);
+                if end != End::ClientLeft && (open.unread > 0 || open.request.is_some()) {
+                    self.violated = Some(ANSWERED);
                 }
-                self.clients[place] = At::Gone;
+                self.connections[index] = Connection::Closed;
             }
             _ => {}
         }
     }
 
-    fn ends(&mut self, place: usize, event: request::Event) {
-        let At::Open { asked, .. } = &mut self.clients[place] else { return };
-        let Some(one) = asked else { return };
-        let _ = one.on(request::Event::AttemptStarted);
-        let ended = one.on(event);
-        if one.on(request::Event::Failed).is_some() {
-            self.broken = Some(ONCE);
-        }
-        *asked = None;
-        match ended {
-            Some(FinalAnswer::Abandoned) => self.tell(place, client::Event::Disconnected(End::ClientLeft)),
-            _ => self.tell(place, client::Event::Answered(QueryOutcome::Request)),
+    /// The open request of a client ends with this event.
+    fn end_request(&mut self, index: usize, event: request::Event) {
+        let Some(open) = self.open_connection(index) else { return };
+        let Some(mut request) = open.request.take() else { return };
+        let _ = request.on(request::Event::AttemptStarted);
+        let answer = request.on(event);
+        if request.on(request::Event::Failed).is_some() {
+            self.violated = Some(ONCE);
         }
+        let event = match answer {
+            Some(FinalAnswer::Abandoned) => client::Event::Disconnected(End::ClientLeft),
+            _ => client::Event::Answered(QueryOutcome::Request),
+        };
+        self.on_client_event(index, event);
     }
-}
-
-impl World for Stops {
-    type Move = Move;
 
-    const PROPERTIES: &'static [&'static str] = &[ANSWERED, ONCE, HELD, OLD, ENDS, BACK];
-
-    fn moves(&self) -> Vec<Move> {
-        let mut moves = Vec::new();
-        let stage = self.gateway.stage();
-        if stage == gateway::Stage::Ended {
-            return moves;
-        }
-        for (place, at) in self.clients.iter().enumerate() {
-            match at {
-                // The front deals out no connection once it has learned of the stop.
-                At::Away if self.gateway.serving_state() != gateway::ServingState::Stopped => {
-                    moves.push(Move::Connects(place))
+    fn client_steps(&self, index: usize, steps: &mut Vec<Step>) {
+        match &self.connections[index] {
+            // The front sends no client any more once it has learned of the stop.
+            Connection::NotConnected if self.gateway.serving_state() != ServingState::Stopped => {
+                steps.push(Step::Connects(index));
+            }
+            Connection::NotConnected | Connection::Closed => {}
+            Connection::WaitsForAccept => steps.push(Step::Accepted(index)),
+            Connection::Open(open) => {
+                if self.queries_left[index] > 0 {
+                    steps.push(Step::Sends(index));
+                }
+                steps.push(Step::Leaves(index));
+                if open.request.is_some() {
+                    steps.extend([Step::Served(index), Step::Rejected(index)]);
+                } else if open.unread > 0 {
+                    steps.push(Step::QueryRead(index));
+                }
+                if self.gateway.serving_state().closes_idle_clients() {
+                    steps.push(Step::Stopped(index));
                 }
-                At::Away | At::Gone => {}
-                At::Backlog => moves.push(Move::Accepted(place)),
-                At::Open { life, unread, asked } => {
-                    if self.queries[place] > 0 {
-                        moves.push(Move::Sends(place));
-                    }
-                    moves.push(Move::Leaves(place));
-                    if asked.is_some() {
-                        moves.extend([Move::Served(place), Move::Refused(place)]);
-                    } else if *unread > 0 {
-                        moves.push(Move::Heard(place));
-                    }
-                    if self.gateway.serving_state().closes_idle_clients() {
-                        moves.push(Move::Stopped(place));
-                    }
-                    if life.stage() == Stage::Idle {
-                        moves.push(Move::Idle(place));
-                    }
+                if open.client.stage() == Stage::Idle {
+                    steps.push(Step::Idle(index));
                 }
             }
         }
+    }
+
+    fn gateway_steps(&self, steps: &mut Vec<Step>) {
+        let stage = self.gateway.stage();
         match stage {
             gateway::Stage::Serving | gateway::Stage::DrainAnnounced { .. } | gateway::Stage::Drained => {
-                moves.push(Move::Term);
+                steps.push(Step::Term);
                 if self.gateway.due().is_some() {
-                    moves.push(Move::Due);
+                    steps.push(Step::Due);
                 }
                 match stage {
-                    gateway::Stage::Serving if self.drains > 0 => moves.push(Move::Drain),
+                    gateway::Stage::Serving if self.drains_left > 0 => steps.push(Step::Drain),
                     gateway::Stage::Serving => {}
-                    _ => moves.push(Move::Resume),
+                    _ => steps.push(Step::Resume),
                 }
-                if self.reloads > 0 {
-                    moves.extend([Move::Reload(true), Move::Reload(false)]);
+                if self.reloads_left > 0 {
+                    steps.extend([Step::Reload(true), Step::Reload(false)]);
                 }
             }
-            gateway::Stage::StopAnnounced { .. } => moves.push(Move::Due),
-            _ => moves.push(Move::Looks),
+            gateway::Stage::StopAnnounced { .. } => steps.push(Step::Due),
+            _ => steps.push(Step::CheckRemaining),
         }
-        moves
     }
 
-    #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
-    fn play(&mut self, event: &Move) {
-        let now = self.now;
-        match *event {
-            Move::Connects(place) => self.clients[place] = At::Backlog,
-            Move::Accepted(place) => {
-                self.clients[place] = At::Open { life: Client::new(now), unread: 0, asked: None };
-                self.tell(place, client::Event::StartupReceived);
+    fn apply_client_step(&mut self, step: &Step) {
+        match *step {
+            Step::Connects(index) => self.connections[index] = Connection::WaitsForAccept,
+            Step::Accepted(index) => {
+                let client = Client::new(self.now);
+                self.connections[index] =
+                    Connection::Open(OpenConnection { client, unread: 0, request: None });
+                self.on_client_event(index, client::Event::StartupReceived);
             }
-            Move::Sends(place) => {
-                self.queries[place] -= 1;
-                if let At::Open { unread, .. } = &mut self.clients[place] {
-                    *unread += 1;
+            Step::Sends(index) => {
+                self.queries_left[index] -= 1;
+                if let Some(open) = self.open_connection(index) {
+                    open.unread += 1;
                 }
             }
-            Move::Heard(place) => {
-                if let At::Open { unread, .. } = &mut self.clients[place] {
-                    *unread -= 1;
+            Step::QueryRead(index) => {
+                if let Some(open) = self.open_connection(index) {
+                    open.unread -= 1;
                 }
-                self.tell(place, client::Event::Message(MessageKind::Query));
+                self.on_client_event(index, client::Event::Message(MessageKind::Query));
+            }
+            Step::Served(index) => {
+                self.end_request(index, request::Event::AttemptEnded { answered: true });
             }
-            Move::Served(place) => self.ends(place, request::Event::AttemptEnded { answered: true }),
-            Move::Refused(place) => self.ends(place, request::Event::Rejected { wait: 0 }),
-            Move::Leaves(place) => {
-                let asking = matches!(self.clients[place], At::Open { asked: Some(_), .. });
-                match asking {
-                    true => self.ends(place, request::Event::Disconnected),
-                    false => self.tell(place, client::Event::Disconnected(End::ClientLeft)),
+            Step::Rejected(index) => self.end_request(index, request::Event::Rejected { wait: 0 }),
+            Step::Leaves(index) => {
+                if self.open_connection(index).is_some_and(|open| open.request.is_some()) {
+                    self.end_request(index, request::Event::Disconnected);
+                } else {
+                    self.on_client_event(index, client::Event::Disconnected(End::ClientLeft));
                 }
             }
-            Move::Stopped(place) | Move::Idle(place) => {
-                let At::Open { life, unread, .. } = &self.clients[place] else { return };
-                let unread = *unread > 0;
-                let due = client::Event::Due { unread, partial_at: None };
-                let _ = life;
-                let told = if *event == Move::Stopped(place) { client::Event::Stop { unread } } else { due };
-                self.tell(place, told);
+            Step::Stopped(index) => {
+                let unread = self.open_connection(index).is_some_and(|open| open.unread > 0);
+                self.on_client_event(index, client::Event::Stop { unread });
             }
-            Move::Term => drop(self.gateway.on(now, gateway::Event::Stop)),
-            Move::Drain => {
-                self.drains -= 1;
-                self.gateway.on(now, gateway::Event::Drain);
-                if self.gateway.serving_state().reports_ready() {
-                    self.broken = Some(BACK);
-                }
+            Step::Idle(index) => {
+                let unread = self.open_connection(index).is_some_and(|open| open.unread > 0);
+                self.on_client_event(index, client::Event::Due { unread, partial_at: None });
             }
-            Move::Resume => {
-                self.gateway.on(now, gateway::Event::Resume);
-                if !self.gateway.serving_state().reports_ready() {
-                    self.broken = Some(BACK);
-                }
+            _ => {}
+        }
+    }
+
+    /// An operator's command, after which the readiness check has to succeed or to fail.
+    fn command(&mut self, event: gateway::Event, is_ready: bool) {
+        self.gateway.on(self.now, event);
+        if self.gateway.serving_state().reports_ready() != is_ready {
+            self.violated = Some(READINESS);
+        }
+    }
+
+    fn reload(&mut self, usable: bool) {
+        self.reloads_left -= 1;
+        if self.gateway.on(self.now, gateway::Event::Reload { usable }) == gateway::Action::ApplySettings {
+            self.applied_settings += 1;
+            if !usable {
+                self.violated = Some(OLD_SETTINGS);
             }
-            Move::Reload(usable) => {
-                self.reloads -= 1;
-                let before = self.discovery;
-                if self.gateway.on(now, gateway::Event::Reload { usable }) == gateway::Action::ApplySettings {
-                    self.discovery += 1;
-                }
-                if !usable && self.discovery != before {
-                    self.broken = Some(OLD);
-                }
+        }
+    }
+
+    fn check_remaining(&mut self) {
+        let (clients, attempts) = self.remaining();
+        let action = self.gateway.on(self.now, gateway::Event::Remaining { clients, attempts });
+        if action == gateway::Action::End && (clients, attempts) != (0, 0) {
+            self.violated = Some(IN_FLIGHT);
+        }
+        // The gateway checks again and again: a run of nothing but checks would never be over.
+        if (clients, attempts) == (0, 0) && self.gateway.stage() != gateway::Stage::Ended {
+            self.violated = Some(ENDS);
+        }
+    }
+}
+
+impl World for Stops {
+    type Step = Step;
+
+    const PROPERTIES: &'static [&'static str] = &[ANSWERED, ONCE, IN_FLIGHT, OLD_SETTINGS, ENDS, READINESS];
+
+    fn steps(&self) -> Vec<Step> {
+        let mut steps = Vec::new();
+        if self.gateway.stage() != gateway::Stage::Ended {
+            (0..self.connections.len()).for_each(|index| self.client_steps(index, &mut steps));
+            self.gateway_steps(&mut steps);
+        }
+        steps
+    }
+
+    fn apply(&mut self, step: &Step) {
+        match *step {
+            Step::Term => drop(self.gateway.on(self.now, gateway::Event::Stop)),
+            Step::Drain => {
+                self.drains_left -= 1;
+                self.command(gateway::Event::Drain, false);
             }
-            Move::Due => {
-                self.now = self.gateway.due().unwrap_or(now);
+            Step::Resume => self.command(gateway::Event::Resume, true),
+            Step::Reload(usable) => self.reload(usable),
+            Step::Due => {
+                self.now = self.gateway.due().unwrap_or(self.now);
                 self.gateway.on(self.now, gateway::Event::Due);
             }
-            Move::Looks => {
-                let (clients, attempts) = self.held();
-                let ended = self.gateway.on(now, gateway::Event::Remaining { clients, attempts });
-                if ended == gateway::Action::End && (clients, attempts) != (0, 0) {
-                    self.broken = Some(HELD);
-                }
-                // The look comes again and again: a run that only looks would never be over.
-                if (clients, attempts) == (0, 0) && self.gateway.stage() != gateway::Stage::Ended {
-                    self.broken = Some(ENDS);
-                }
-            }
+            Step::CheckRemaining => self.check_remaining(),
+            _ => self.apply_client_step(step),
         }
     }
 
-    fn told(&self, event: &Move) -> String {
-        match event {
-            Move::Connects(place) => format!("client {place} connects"),
-            Move::Accepted(place) => format!("client {place} is accepted and welcomed"),
-            Move::Sends(place) => format!("client {place} sends a query"),
-            Move::Heard(place) => format!("the query of client {place} is read"),
-            Move::Served(place) => format!("a host answers client {place}"),
-            Move::Refused(place) => format!("client {place} is refused"),
-            Move::Leaves(place) => format!("client {place} leaves"),
-            Move::Stopped(place) => format!("client {place} is to be closed for the stop"),
-            Move::Idle(place) => format!("client {place} has been idle for its span"),
-            Move::Term => "SIGTERM".into(),
-            Move::Drain => "the staff calls drain".into(),
-            Move::Resume => "the staff calls resume".into(),
-            Move::Reload(usable) => format!("SIGHUP; the file can be used: {usable}"),
-            Move::Due => "the span of the last clients is over".into(),
-            Move::Looks => "the gateway looks whether anything is held".into(),
+    fn describe(&self, step: &Step) -> String {
+        match step {
+            Step::Connects(index) => format!("client {index} connects"),
+            Step::Accepted(index) => format!("client {index} is accepted"),
+            Step::Sends(index) => format!("client {index} sends a query"),
+            Step::QueryRead(index) => format!("the query of client {index} is read"),
+            Step::Served(index) => format!("a host answers client {index}"),
+            Step::Rejected(index) => format!("the request of client {index} is rejected"),
+            Step::Leaves(index) => format!("client {index} leaves"),
+            Step::Stopped(index) => format!("client {index} is to be closed for the stop"),
+            Step::Idle(index) => format!("client {index} has been idle for too long"),
+            Step::Term => "SIGTERM".into(),
+            Step::Drain => "an operator drains the gateway".into(),
+            Step::Resume => "an operator has the gateway serve again".into(),
+            Step::Reload(usable) => format!("SIGHUP; the file can be used: {usable}"),
+            Step::Due => "the time in which clients are served as before is over".into(),
+            Step::CheckRemaining => "the gateway checks what has not ended yet".into(),
         }
     }
 
-    fn broken(&self) -> Option<&'static str> {
-        self.broken
+    fn violated(&self) -> Option<&'static str> {
+        self.violated
     }
 
-    fn broken_at_end(&self) -> Option<&'static str> {
+    fn violated_at_end(&self) -> Option<&'static str> {
         (self.gateway.stage() != gateway::Stage::Ended).then_some(ENDS)
     }
 }
 
-/// Plays it.
+/// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
-    let count = if size == Size::Small { 2 } else { 3 };
+    let clients = if size == Size::Small { 2 } else { 3 };
     let start = Stops {
         now: 1_000_000,
         gateway: Gateway::default(),
-        clients: vec![At::Away; count],
-        queries: vec![2; count],
-        reloads: 2,
-        drains: 1,
-        discovery: 0,
-        broken: None,
+        connections: vec![Connection::NotConnected; clients],
+        queries_left: vec![2; clients],
+        reloads_left: 2,
+        drains_left: 1,
+        applied_settings: 0,
+        violated: None,
     };
     check(start, path)
 }
--- a/crates/models/src/watermarks.rs
+++ b/crates/models/src/watermarks.rs
@@ -1,5 +1,6 @@
 //! Model `marks`: one session that writes and reads through two instances which broadcast its watermarks to each other; messages
-//! are lost, late and out of order, and one instance restarts without a snapshot. The trackers are the gateway's.
+//! are lost, late and out of order, and one instance restarts without a snapshot. The session trackers are the gateway's
+//! own code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -8,23 +9,29 @@
     AnswerEvidence, MinimumPosition, Promise, SessionKey, SessionTracker, Settings, Verdict,
 };
 
+/// Clock time at the start (microseconds).
 const START: Time = 1_000_000_000;
-/// Time that each event takes.
+/// Time that each step takes (microseconds).
 const STEP: Time = 10_000;
+/// Time between two broadcasts of an instance (microseconds).
 const BROADCAST_INTERVAL: Time = 20_000;
 const GROUP: u64 = 2;
+/// Datagrams in transit at most (count), to keep the model small.
+const MAX_IN_TRANSIT: usize = 3;
+/// The oldest data that a replica can have, in half steps (count).
+const MAX_AGE: i64 = 30;
 
-const LOW: &str = "no read is answered from data below its session's watermark";
-const LET: &str = "the true primary's answer is never held back";
+const TOO_OLD: &str = "no read is answered from data below its session's watermark";
+const PRIMARY: &str = "the true primary's answer is never held back";
 
-/// An event.
+/// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
+pub enum Step {
     /// The session writes at this instance.
     Writes(usize),
     /// It reads at this instance.
     Reads(usize),
-    /// The read is answered from the oldest data that passes, of data this many steps old at most.
+    /// The read is answered from the oldest data that the session tracker accepts.
     Answered,
     /// An instance broadcasts its watermarks.
     Broadcasts(usize),
@@ -36,21 +43,40 @@
     Restarts(usize),
 }
 
+/// A read of the session that has not been answered.
+#[derive(Clone, Copy, Debug)]
+struct OpenRead {
+    instance: usize,
+    minimum: MinimumPosition,
+    /// The session's last commit when the read began.
+    last_commit: Time,
+    /// The newest data that the session had seen when the read began.
+    last_seen: Time,
+}
+
+/// A broadcast on its way to an instance.
+#[derive(Clone, Debug)]
+struct Datagram {
+    to: usize,
+    bytes: Vec<u8>,
+}
+
 #[derive(Clone, Debug)]
-struct Pair {
+struct Instances {
     now: Time,
     trackers: [SessionTracker; 2],
     key: SessionKey,
-    /// What the session has seen: its last commit, and the newest data that it saw.
-    written: Time,
-    saw: Time,
-    reading: Option<(usize, MinimumPosition, Time, Time)>,
-    /// Datagrams on their way to an instance.
-    flying: Vec<(usize, Vec<u8>)>,
-    events: usize,
-    most: usize,
-    restarts: usize,
-    broken: Option<&'static str>,
+    /// Commit time of the session's last write.
+    last_commit: Time,
+    /// The newest data that the session has seen.
+    last_seen: Time,
+    read: Option<OpenRead>,
+    /// Datagrams in transit.
+    in_transit: Vec<Datagram>,
+    steps_taken: usize,
+    max_steps: usize,
+    restarts_left: usize,
+    violated: Option<&'static str>,
 }
 
 fn settings(instance: u16) -> Settings {
@@ -79,125 +105,130 @@
     AnswerEvidence { position: Some(position), position_at_send: None, role: Some(role) }
 }
 
-impl World for Pair {
-    type Move = Move;
+impl Instances {
+    /// The open read is answered from the oldest data that the session tracker accepts, or else by the primary.
+    fn answer(&mut self) {
+        let Some(OpenRead { instance, minimum, last_commit, last_seen }) = self.read.take() else { return };
+        let (now, key) = (self.now, self.key);
+        let tracker = &mut self.trackers[instance];
+        let minimum = tracker.recheck_read(now, key, &minimum).unwrap_or(minimum);
+        let mut accepts =
+            |position, role| tracker.verify_answer(&minimum, &evidence(position, role)) == Verdict::Proven;
+        let mut positions = (0..MAX_AGE).rev().map(|age| now - age * STEP / 2);
+        let replica = positions.find(|position| accepts(*position, Role::Replica));
+        if !accepts(now, Role::Primary) {
+            self.violated = Some(PRIMARY);
+        }
+        let seen = replica.unwrap_or(now);
+        if seen < last_commit || seen < last_seen {
+            self.violated = Some(TOO_OLD);
+        }
+        tracker.record_read(now, key, &minimum, seen);
+        self.last_seen = self.last_seen.max(seen);
+    }
+}
+
+impl World for Instances {
+    type Step = Step;
 
-    const PROPERTIES: &'static [&'static str] = &[LOW, LET];
+    const PROPERTIES: &'static [&'static str] = &[TOO_OLD, PRIMARY];
 
-    fn moves(&self) -> Vec<Move> {
-        let mut moves = Vec::new();
-        if self.events >= self.most {
-            return moves;
+    fn steps(&self) -> Vec<Step> {
+        let mut steps = Vec::new();
+        if self.steps_taken >= self.max_steps {
+            return steps;
         }
-        if self.reading.is_some() {
-            moves.push(Move::Answered);
+        if self.read.is_some() {
+            steps.push(Step::Answered);
         } else {
-            moves.extend((0..2).flat_map(|place| [Move::Writes(place), Move::Reads(place)]));
+            steps.extend((0..2).flat_map(|instance| [Step::Writes(instance), Step::Reads(instance)]));
         }
-        let due =
-            |place: &usize| self.trackers[*place].next_broadcast_at().is_some_and(|due| self.now >= due);
-        if self.flying.len() < 3 {
-            moves.extend((0..2).filter(due).map(Move::Broadcasts));
+        let is_due = |instance: &usize| {
+            self.trackers[*instance].next_broadcast_at().is_some_and(|due| self.now >= due)
+        };
+        if self.in_transit.len() < MAX_IN_TRANSIT {
+            steps.extend((0..2).filter(is_due).map(Step::Broadcasts));
         }
-        moves.extend((0..self.flying.len()).flat_map(|place| [Move::Arrives(place), Move::Lost(place)]));
-        if self.restarts > 0 {
-            moves.extend((0..2).map(Move::Restarts));
+        let datagrams = 0..self.in_transit.len();
+        steps.extend(datagrams.flat_map(|index| [Step::Arrives(index), Step::Lost(index)]));
+        if self.restarts_left > 0 {
+            steps.extend((0..2).map(Step::Restarts));
         }
-        moves
+        steps
     }
 
-    fn play(&mut self, event: &Move) {
-        self.events += 1;
+    fn apply(&mut self, step: &Step) {
+        self.steps_taken += 1;
         self.now += STEP;
         let (now, key) = (self.now, self.key);
-        match *event {
-            Move::Writes(place) => {
+        match *step {
+            Step::Writes(instance) => {
                 let commit = now - STEP / 2;
-                self.trackers[place].record_write(now, key, now - STEP, Some(commit));
-                self.written = commit;
+                self.trackers[instance].record_write(now, key, now - STEP, Some(commit));
+                self.last_commit = commit;
             }
-            Move::Reads(place) => {
-                let floor = self.trackers[place].begin_read(now, key, None);
-                self.reading = Some((place, floor, self.written, self.saw));
-            }
-            Move::Answered => {
-                let Some((place, floor, written, saw)) = self.reading.take() else { return };
-                let floor = self.trackers[place].recheck_read(now, key, &floor).unwrap_or(floor);
-                let tracker = &mut self.trackers[place];
-                // The oldest data that a replica can show and that is let pass.
-                let ages = (0..30).rev().map(|steps| now - steps * STEP / 2);
-                let mut shown = None;
-                for position in ages {
-                    if tracker.verify_answer(&floor, &evidence(position, Role::Replica)) == Verdict::Proven {
-                        shown = Some(position);
-                        break;
-                    }
-                }
-                if tracker.verify_answer(&floor, &evidence(now, Role::Primary)) != Verdict::Proven {
-                    self.broken = Some(LET);
-                }
-                let shown = shown.unwrap_or(now);
-                if shown < written || shown < saw {
-                    self.broken = Some(LOW);
-                }
-                tracker.record_read(now, key, &floor, shown);
-                self.saw = self.saw.max(shown);
+            Step::Reads(instance) => {
+                let minimum = self.trackers[instance].begin_read(now, key, None);
+                let (last_commit, last_seen) = (self.last_commit, self.last_seen);
+                self.read = Some(OpenRead { instance, minimum, last_commit, last_seen });
             }
-            Move::Broadcasts(place) => {
-                let broadcasts = self.trackers[place].due_broadcasts(now);
-                self.flying.extend(broadcasts.into_iter().map(|bytes| (1 - place, bytes)));
+            Step::Answered => self.answer(),
+            Step::Broadcasts(instance) => {
+                let broadcasts = self.trackers[instance].due_broadcasts(now);
+                let to = 1 - instance;
+                self.in_transit.extend(broadcasts.into_iter().map(|bytes| Datagram { to, bytes }));
             }
-            Move::Arrives(place) => {
-                let (to, bytes) = self.flying.remove(place);
+            Step::Arrives(index) => {
+                let Datagram { to, bytes } = self.in_transit.remove(index);
                 if self.trackers[to].receive(now, &bytes).is_err() {
-                    self.broken = Some(LET);
+                    self.violated = Some(PRIMARY);
                 }
             }
-            Move::Lost(place) => drop(self.flying.remove(place)),
-            Move::Restarts(place) => {
-                self.restarts -= 1;
-                self.trackers[place] = tracker(place, now);
-                // A read that it had is gone with it.
-                self.reading = self.reading.filter(|(at, ..)| *at != place);
+            Step::Lost(index) => drop(self.in_transit.remove(index)),
+            Step::Restarts(instance) => {
+                self.restarts_left -= 1;
+                self.trackers[instance] = tracker(instance, now);
+                // The open read of a restarted instance is lost.
+                self.read = self.read.filter(|read| read.instance != instance);
             }
         }
     }
 
-    fn told(&self, event: &Move) -> String {
+    fn describe(&self, step: &Step) -> String {
         let at = (self.now - START) / 1000;
-        let name = |place: &usize| ["the first gateway", "the second gateway"][*place];
-        let what = match event {
-            Move::Writes(place) => format!("the session pays at {}", name(place)),
-            Move::Reads(place) => format!("the session reads at {}", name(place)),
-            Move::Answered => "the read is answered from the oldest data that passes".into(),
-            Move::Broadcasts(place) => format!("{} broadcasts its watermarks", name(place)),
-            Move::Arrives(place) => format!("a datagram arrives at {}", name(&self.flying[*place].0)),
-            Move::Lost(place) => format!("a datagram to {} is lost", name(&self.flying[*place].0)),
-            Move::Restarts(place) => format!("{} restarts and knows nothing", name(place)),
+        let name = |instance: &usize| ["the first gateway", "the second gateway"][*instance];
+        let what = match step {
+            Step::Writes(instance) => format!("the session writes at {}", name(instance)),
+            Step::Reads(instance) => format!("the session reads at {}", name(instance)),
+            Step::Answered => "the read is answered from the oldest data that the tracker accepts".into(),
+            Step::Broadcasts(instance) => format!("{} broadcasts its watermarks", name(instance)),
+            Step::Arrives(index) => format!("a datagram arrives at {}", name(&self.in_transit[*index].to)),
+            Step::Lost(index) => format!("a datagram to {} is lost", name(&self.in_transit[*index].to)),
+            Step::Restarts(instance) => format!("{} restarts and knows nothing", name(instance)),
         };
         format!("after {at} ms {what}")
     }
 
-    fn broken(&self) -> Option<&'static str> {
-        self.broken
+    fn violated(&self) -> Option<&'static str> {
+        self.violated
     }
 }
 
-/// Plays it.
+/// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
     let trackers = [tracker(0, START), tracker(1, START)];
-    let start = Pair {
+    let start = Instances {
         now: START + 100 * STEP,
         key: trackers[0].session_key(GROUP, "one"),
         trackers,
-        written: 0,
-        saw: 0,
-        reading: None,
-        flying: Vec::new(),
-        events: 0,
-        most: if size == Size::Small { 7 } else { 8 },
-        restarts: 1,
-        broken: None,
+        last_commit: 0,
+        last_seen: 0,
+        read: None,
+        in_transit: Vec::new(),
+        steps_taken: 0,
+        max_steps: if size == Size::Small { 7 } else { 8 },
+        restarts_left: 1,
+        violated: None,
     };
     check(start, path)
 }
