--- a/crates/models/src/rules.rs
+++ b/crates/models/src/rules.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 struct Changes {
     now: Time,
-    table: ClassTable,
+    classes: ClassTable,
     /// Which settings are in force.
     in_force: usize,
     open: Vec<OpenRequest>,
@@ -75,18 +75,18 @@
     }
 
     fn check(&mut self) {
-        if self.open.iter().any(|request| *self.table.class(request.index) != request.class) {
+        if self.open.iter().any(|request| *self.classes.class(request.index) != request.class) {
             self.violated = Some(UNCHANGED);
         }
         for class in settings(self.in_force) {
             // A request with a key never gets the previous class.
-            let found = self.table.find_class(self.now, &class.name, true);
-            if found.is_none_or(|index| *self.table.class(index) != class) {
+            let found = self.classes.find(self.now, &class.name, true);
+            if found.is_none_or(|index| *self.classes.class(index) != class) {
                 self.violated = Some(CURRENT);
             }
         }
         // Two settings of three classes at most side by side, and one class for each open request.
-        if self.table.table().len() > 2 * NAMES.len() + self.open.len() {
+        if self.classes.table().len() > 2 * NAMES.len() + self.open.len() {
             self.violated = Some(BOUNDED);
         }
     }
@@ -117,20 +117,20 @@
         match *step {
             Step::RequestArrives(name, keyed) => {
                 self.requests_left -= 1;
-                if let Some(index) = self.table.find_class(self.now, NAMES[name], keyed) {
-                    self.open.push(OpenRequest { index, class: self.table.class(index).clone() });
+                if let Some(index) = self.classes.find(self.now, NAMES[name], keyed) {
+                    self.open.push(OpenRequest { index, class: self.classes.class(index).clone() });
                 }
             }
             Step::RequestEnds(index) => drop(self.open.remove(index)),
             Step::SettingsChange(which) => {
                 self.changes_left -= 1;
                 let used = self.used();
-                if self.table.update(self.now, settings(which), &used).is_ok() {
+                if self.classes.update(self.now, settings(which), &used).is_ok() {
                     self.in_force = which;
                 }
             }
             // A time that depends on the last change alone: a run that only waits reaches no new state.
-            Step::ClientsCatchUp => self.now = OVERLAP * (1 + self.table.version() as Time),
+            Step::ClientsCatchUp => self.now = OVERLAP * (1 + self.classes.version() as Time),
         }
         self.check();
     }
@@ -154,7 +154,7 @@
 /// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
     let (requests_left, changes_left) = if size == Size::Small { (2, 3) } else { (4, 4) };
-    let (table, open) = (ClassTable::new(settings(0)), Vec::new());
-    let start = Changes { now: 0, table, in_force: 0, open, requests_left, changes_left, violated: None };
+    let (classes, open) = (ClassTable::new(settings(0)), Vec::new());
+    let start = Changes { now: 0, classes, in_force: 0, open, requests_left, changes_left, violated: None };
     check(start, path)
 }
