--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -41,4 +41,6 @@
 pub mod socket;
 pub mod source;
 pub mod statement;
+pub mod statement_error;
+mod statement_scanner;
 pub mod streamed_row;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -183,7 +183,7 @@
     for (text, from, to, cause) in cases {
         let text = text.replacen(from, to, 1);
         let flaw = Statement::parse(&text.clone().into()).expect_err(&text);
-        assert!(flaw.contains(cause), "{:.200}: {flaw}", text);
+        assert!(flaw.to_string().contains(cause), "{:.200}: {flaw}", text);
     }
 }
 
