--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -1,82 +1,168 @@
-//! One attempt on a connection to a database host.
+//! One attempt to have a request served by a database host: take an idle connection or make one, write the query, read
+//! the answer, give the connection back or close it, report.
+//!
+//! What happens to an attempt is decided by its state machine ([`Exchange`]); this module does the waiting for it, and
+//! [`attempt_io`](crate::net::attempt_io) the input and output.
 
 use crate::facade::{Attempt, Outcome};
+use crate::net::attempt_io::{AttemptIo, Progress};
 use crate::net::budget::MemoryReservation;
 use crate::net::host_connection::Connection;
 use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
 use crate::net::pg::{Answer, AnswerAssembler, Reply};
-use crate::net::read_buffer;
-use crate::net::socket::{self, SocketError};
 use crate::net::statement::Statement;
 use crate::net::streamed_row::StreamedRow;
-use crate::MemberId;
-use bytes::Buf;
+use crate::{MemberId, Time};
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange, Stage};
-use petrelgauge_lifecycle::idle_connection::{is_copy, is_distinguishable};
-use petrelgauge_lifecycle::verdict;
-use std::collections::hash_map::DefaultHasher;
-use std::hash::Hasher;
+use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange};
 use std::pin::pin;
 use std::rc::Rc;
 
+/// What `written_us` of the log line is of an attempt whose query was not written.
+const NOT_WRITTEN: Time = -1;
+
+/// A host's answer, with the memory that is accounted for it.
+pub struct HostAnswer {
+    /// The answer.
+    pub answer: AnswerBody,
+    pub(super) _memory: MemoryReservation,
+}
+
+/// An answer, or the beginning of one.
+pub enum AnswerBody {
+    /// A row, or an error that no other host would spare the client.
+    Complete(Answer),
+    /// A row so long that it is passed on as it comes.
+    Streamed(Box<StreamedRow>),
+}
+
+/// An attempt under way.
+struct AttemptRun {
+    exchange: Exchange,
+    io: AttemptIo,
+    started_at: Time,
+    /// When the last byte of the query was seen to be written.
+    written_at: Option<Time>,
+    reused: bool,
+}
+
 impl Hosts {
-    /// Makes one attempt and reports it. Gives what the host said if it is the request's final answer.
-    #[expect(clippy::too_many_lines, reason = "to be split by its steps")]
+    /// Makes one attempt and reports it. Gives the host's answer if it is the request's final answer.
+    ///
+    /// Not cancel safe: dropped before its end, the attempt would be reported as not sent although its query may be
+    /// out. It runs in a task of its own.
     pub async fn attempt(
         self: Rc<Self>,
         mut attempt: Attempt,
         statement: Rc<Statement>,
     ) -> Option<HostAnswer> {
         self.counters.attempts.add();
-        let _out = self.open_attempts.enter();
-        let (host, until) = (attempt.host, attempt.until);
-        let mut line = Line::new(self.take_idle(host), self.budget.reserve_host_memory());
+        let _open_attempt = self.open_attempts.enter();
+        let mut run = self.start(&attempt);
+        self.run_to_end(&mut run, &mut attempt, &statement).await;
+        self.conclude(run, attempt, &statement)
+    }
+
+    /// Takes an idle connection, if there is one; else one will be made.
+    fn start(&self, attempt: &Attempt) -> AttemptRun {
+        let io = AttemptIo::new(self.take_idle(attempt.host), self.budget.reserve_host_memory());
         let now = self.clock.now();
-        let (began, reused, mut written) = (now, line.connection.is_some(), None);
-        let mut life =
-            Exchange::new(reused, now, now + self.connect_timeout(host), until).written_by(attempt.write_by);
-        // One timer for as long as the limit is the same.
-        let mut due = life.due();
+        let reused = io.connection.is_some();
+        let up_by = now + self.connect_timeout(attempt.host);
+        let exchange = Exchange::new(reused, now, up_by, attempt.until).written_by(attempt.write_by);
+        AttemptRun { exchange, io, started_at: now, written_at: None, reused }
+    }
+
+    /// Does what the attempt's stage asks for, until it has ended. What the connection brings goes before a
+    /// cancellation, and both before the deadline.
+    async fn run_to_end(&self, run: &mut AttemptRun, attempt: &mut Attempt, statement: &Statement) {
+        let host = attempt.host;
+        // One timer for as long as the deadline is the same.
+        let mut due = run.exchange.due();
         let mut timer = pin!(self.clock.sleep_until(due));
-        while life.ended().is_none() {
-            if life.due() != due {
-                due = life.due();
+        while run.exchange.ended().is_none() {
+            if run.exchange.due() != due {
+                due = run.exchange.due();
                 timer.set(self.clock.sleep_until(due));
             }
             let progress = tokio::select! {
                 biased;
-                progress = self.work(life.stage(), host, &mut line) => progress,
+                progress = self.advance(run.exchange.stage(), host, &mut run.io) => progress,
                 () = attempt.cancelled() => Progress::Event(Event::Cancelled),
                 () = &mut timer => {
                     timer.set(self.clock.sleep_until(due));
                     Progress::Event(Event::Due)
                 }
             };
-            let begun = match progress {
+            let event = match progress {
                 Progress::Event(event) => Some(event),
-                Progress::MayBegin => self.begin(&life, &mut attempt, &statement, &mut line),
+                Progress::MayBegin => self.begin_query(&run.exchange, attempt, statement, &mut run.io),
             };
-            let Some(event) = begun else { continue };
-            life.on(self.clock.now(), event);
-            if event == Event::Greeted {
-                self.came_up(host, self.clock.now() - began);
+            if let Some(event) = event {
+                self.on_event(run, host, event);
             }
-            written = written.or_else(|| life.may_have_run().then(|| self.clock.now()));
         }
-        let now = self.clock.now();
-        let Line { connection, reply, hold, assembler, .. } = line;
+    }
+
+    fn on_event(&self, run: &mut AttemptRun, host: MemberId, event: Event) {
+        run.exchange.on(self.clock.now(), event);
+        if event == Event::Greeted {
+            self.record_connected(host, self.clock.now() - run.started_at);
+        }
+        if run.written_at.is_none() && run.exchange.may_have_run() {
+            run.written_at = Some(self.clock.now());
+        }
+    }
+
+    /// Releases the connection of an attempt that has ended, and then reports it.
+    fn conclude(
+        self: &Rc<Self>,
+        run: AttemptRun,
+        attempt: Attempt,
+        statement: &Statement,
+    ) -> Option<HostAnswer> {
+        let ended_at = self.clock.now();
+        let AttemptRun { mut exchange, io, started_at, written_at, reused } = run;
+        let AttemptIo { connection, reply, memory, assembler, .. } = io;
         if reply.as_ref().is_some_and(|reply| reply.ready) {
-            life.host_is_ready();
+            exchange.host_is_ready();
         }
         let unread = connection.as_ref().is_some_and(|connection| !connection.framer.is_empty());
-        let (disposition, finished) = life.finish(unread)?;
-        let mut flow = None;
+        let (disposition, finished) = exchange.finish(unread)?;
+        let end = finished.end;
+        let streamed = self.release(attempt.host, connection, assembler, disposition);
+        self.count_end(attempt.host, end);
+        log::debug!(
+            "attempt ended host={} class={} group={} end={end:?} took_us={} written_us={} reused={reused}",
+            attempt.host,
+            statement.class,
+            statement.group,
+            ended_at - started_at,
+            written_at.map_or(NOT_WRITTEN, |at| at - started_at),
+        );
+        // What a host sent counts only if that is how the attempt ended.
+        let reply = reply.filter(|_| end.is_answer());
+        let owed = self.report(attempt, ended_at, self.outcome_of(end, reply.as_ref(), streamed.as_ref()));
+        let answer = match reply {
+            Some(reply) => Some(AnswerBody::Complete(reply.answer)),
+            None => streamed.map(|row| AnswerBody::Streamed(Box::new(row))),
+        };
+        answer.map(|answer| HostAnswer { answer, _memory: memory }).filter(|_| owed)
+    }
+
+    /// Gives a connection back, lends it to the row that has begun on it, or closes it.
+    fn release(
+        self: &Rc<Self>,
+        host: MemberId,
+        connection: Option<Connection>,
+        assembler: AnswerAssembler,
+        disposition: ConnectionDisposition,
+    ) -> Option<StreamedRow> {
         match (connection, disposition) {
             (Some(connection), ConnectionDisposition::Reuse) => self.put_back(host, connection),
             (Some(connection), ConnectionDisposition::Lend) => {
-                flow = Some(StreamedRow::new(self.clone(), host, connection, assembler))
+                return Some(StreamedRow::new(self.clone(), host, connection, assembler));
             }
             (connection, disposition) => {
                 drop(connection);
@@ -85,243 +171,30 @@
                 }
             }
         }
-        self.counters.ended(finished.end);
-        if finished.end == End::ConnectSilent {
-            self.count_missed(host, |missed| missed.saturating_add(1));
-        }
-        log::debug!(
-            "attempt ended host={host} class={} group={} end={:?} took_us={} written_us={} reused={reused}",
-            statement.class,
-            statement.group,
-            finished.end,
-            now - began,
-            written.map_or(-1, |at| at - began),
-        );
-        // What a host said counts only if that is how the attempt ended.
-        let reply = reply.filter(|_| finished.end.is_answer());
-        let mut outcome = match (&reply, &flow) {
-            (Some(reply), _) => outcome(finished.end, &reply.parameters, &self.counters),
-            (None, Some(flow)) => outcome(finished.end, flow.parameters(), &self.counters),
-            (None, None) => Outcome::silent(finished.end.as_ending()),
-        };
-        if !attempt.validate_times(now, &mut outcome) {
-            self.counters.bad_reports.add();
-        }
-        let owed = attempt.report(now, outcome);
-        let answer = match (reply, flow) {
-            (Some(reply), _) => Some(AnswerBody::Complete(reply.answer)),
-            (None, flow) => flow.map(|flow| AnswerBody::Streamed(Box::new(flow))),
-        };
-        answer.map(|answer| HostAnswer { answer, _hold: hold }).filter(|_| owed)
+        None
     }
 
-    /// Does what the stage of an attempt asks for, until something happens. May be cancelled without loss.
-    async fn work(&self, stage: Stage, host: MemberId, line: &mut Line) -> Progress {
-        let Some(connection) = &mut line.connection else {
-            return Progress::Event(match self.connect(host).await {
-                Ok(connection) => {
-                    line.connection = Some(connection);
-                    Event::Connected
-                }
-                Err(event) => event,
-            });
-        };
-        Progress::Event(match (stage, &mut line.unwritten) {
-            (Stage::Writing, None) => {
-                if line.write_failed_locally {
-                    socket::pause_after_shortage().await;
-                    line.write_failed_locally = false;
-                }
-                match socket::writable(&connection.stream).await {
-                    Ok(()) => return Progress::MayBegin,
-                    Err(_) => Event::Broke,
-                }
-            }
-            (Stage::Writing, Some(query)) => match socket::write_all(&connection.stream, query).await {
-                Ok(()) => self.written(),
-                Err(_) => Event::Broke,
-            },
-            (Stage::Connecting { .. } | Stage::Greeting { .. }, _) => self.greeting(line).await,
-            (Stage::Waiting | Stage::Answering { .. }, _) => self.answer(stage, line).await,
-            (Stage::Ended(_), _) => std::future::pending().await,
-        })
-    }
-
-    /// Writes the first bytes of an attempt, if it may still be made. Much may have happened while its connection came up
-    /// or did not take bytes; from the clock's reading here to the first byte nothing is waited for. None if that changed
-    /// nothing: either the query is written in part, or the connection took no byte and all of this is to be done anew.
-    fn begin(
-        &self,
-        life: &Exchange,
-        attempt: &mut Attempt,
-        statement: &Statement,
-        line: &mut Line,
-    ) -> Option<Event> {
-        let Some(connection) = &line.connection else { return Some(Event::Broke) };
-        let takes = self.accepts(attempt.host, connection.endpoint);
-        let now = self.clock.now();
-        let wanted = takes && attempt.is_wanted(now);
-        let Some(wait_ms) = life.remaining_wait_ms(now).filter(|_| wanted) else {
-            return Some(Event::Unwanted);
-        };
-        let mut query = statement.query(wait_ms);
-        match socket::write_now(&connection.stream, &mut query) {
-            Ok(()) if !query.has_remaining() => Some(self.written()),
-            Ok(()) => {
-                line.unwritten = Some(Box::new(query));
-                None
-            }
-            Err(SocketError::WouldBlock) => None,
-            Err(SocketError::OwnShortage(_)) => {
-                line.write_failed_locally = true;
-                None
-            }
-            Err(_) => Some(Event::Broke),
+    fn count_end(&self, host: MemberId, end: End) {
+        self.counters.ended(end);
+        if end == End::ConnectSilent {
+            self.record_connect_timeout(host);
         }
     }
 
-    fn written(&self) -> Event {
-        self.counters.sent.add();
-        Event::Written
-    }
-
-    /// What a host says before it takes requests.
-    async fn greeting(&self, line: &mut Line) -> Event {
-        let Some(connection) = &mut line.connection else { return Event::Broke };
-        loop {
-            loop {
-                let message = match connection.next() {
-                    Ok(Some(message)) => message,
-                    Ok(None) => break,
-                    Err(_) => return Event::Malformed,
-                };
-                match message.kind() {
-                    b'R' if message.body() == [0; 4] => {}
-                    b'S' | b'K' | b'N' | b'v' => {}
-                    b'Z' => return Event::Greeted,
-                    b'E' => {
-                        let mut assembler = AnswerAssembler::default();
-                        if assembler.push(message).is_err() {
-                            return Event::Malformed;
-                        }
-                        line.reply = assembler.finish();
-                        let end = line.reply.as_ref().map(judge);
-                        return end.map_or(Event::Broke, Event::Rejected);
-                    }
-                    _ => return Event::Malformed,
-                }
-            }
-            if connection.read(&self.read_buffer, read_buffer::SIZE).await.is_err() {
-                return Event::Broke;
-            }
-            if !line.hold.resize(connection.framer.len()) {
-                return Event::NoMemory;
-            }
-        }
-    }
-
-    /// What a host says to a request that was written.
-    async fn answer(&self, stage: Stage, line: &mut Line) -> Event {
-        let Some(connection) = &mut line.connection else { return Event::Broke };
-        let mut began = false;
-        loop {
-            loop {
-                let message = match connection.next() {
-                    Ok(Some(message)) => message,
-                    Ok(None) => break,
-                    Err(Event::Flows) if !line.assembler.awaits_row() => return Event::Malformed,
-                    Err(event) => return event,
-                };
-                line.taken += message.raw.len();
-                line.hash.write(&message.raw);
-                match line.assembler.push(message) {
-                    Err(_) => return Event::Malformed,
-                    Ok(None) => {}
-                    Ok(Some(reply)) => {
-                        let row = matches!(reply.answer, Answer::Row(_));
-                        let tells = reply.parameters.iter().any(|(name, _)| name == "log_position");
-                        let this = is_distinguishable(row, tells).then(|| line.hash.finish());
-                        let last = std::mem::replace(&mut connection.last, this);
-                        let (end, copy) = (judge(&reply), is_copy(connection.recent, last, this));
-                        line.reply = Some(reply);
-                        return Event::Answered { end, copy };
-                    }
-                }
-            }
-            // Most answers come whole; only of one that does not is it told that it has begun.
-            if began {
-                return Event::Began;
-            }
-            if connection.read(&self.read_buffer, read_buffer::SIZE).await.is_err() {
-                line.reply = line.assembler.finish();
-                let end = line.reply.as_ref().map(judge);
-                return end.map_or(Event::Broke, |end| Event::Answered { end, copy: false });
-            }
-            if !line.hold.resize(line.taken + connection.framer.len()) {
-                return Event::NoMemory;
-            }
-            began = stage == Stage::Waiting;
+    /// What the decisions learn from the attempt.
+    fn outcome_of(&self, end: End, reply: Option<&Reply>, streamed: Option<&StreamedRow>) -> Outcome {
+        match (reply, streamed) {
+            (Some(reply), _) => outcome(end, &reply.parameters, &self.counters),
+            (None, Some(row)) => outcome(end, row.parameters(), &self.counters),
+            (None, None) => Outcome::silent(end.as_ending()),
         }
     }
-}
-
-/// What a host said to a request, with its share of the memory.
-pub struct HostAnswer {
-    /// What it said.
-    pub answer: AnswerBody,
-    pub(super) _hold: MemoryReservation,
-}
 
-/// An answer, or the beginning of one.
-pub enum AnswerBody {
-    /// A row, or an error that no other host would spare the client.
-    Complete(Answer),
-    /// A row so long that it is passed on as it comes.
-    Streamed(Box<StreamedRow>),
-}
-
-/// How the work on an attempt went on.
-enum Progress {
-    /// Something happened.
-    Event(Event),
-    /// The connection takes bytes, and the first of the query can be written.
-    MayBegin,
-}
-
-/// An attempt's connection and what has been read of its answer.
-struct Line {
-    connection: Option<Connection>,
-    /// What is left of a query of which a part has been written.
-    unwritten: Option<Box<dyn Buf>>,
-    /// The first write failed for a shortage of this machine: it is repeated after a pause.
-    write_failed_locally: bool,
-    assembler: AnswerAssembler,
-    taken: usize,
-    hash: DefaultHasher,
-    reply: Option<Reply>,
-    hold: MemoryReservation,
-}
-
-impl Line {
-    fn new(connection: Option<Connection>, hold: MemoryReservation) -> Line {
-        let (assembler, hash) = (AnswerAssembler::default(), DefaultHasher::new());
-        Line {
-            connection,
-            unwritten: None,
-            write_failed_locally: false,
-            assembler,
-            taken: 0,
-            hash,
-            reply: None,
-            hold,
+    /// Reports the attempt. True if the host's answer is owed to the client.
+    fn report(&self, attempt: Attempt, now: Time, mut outcome: Outcome) -> bool {
+        if !attempt.validate_times(now, &mut outcome) {
+            self.counters.bad_reports.add();
         }
-    }
-}
-
-/// How an answered attempt ended.
-fn judge(reply: &Reply) -> End {
-    match &reply.answer {
-        Answer::Row(_) => End::Served,
-        Answer::Error(code) => verdict::end_for_code(code),
+        attempt.report(now, outcome)
     }
 }
--- /dev/null
+++ b/src/net/attempt_io.rs
@@ -0,0 +1,277 @@
+//! Input and output of one attempt: connects to the database host, reads its greeting, writes the query and reads the
+//! answer, each as far as the attempt's stage asks for.
+
+use crate::facade::Attempt;
+use crate::net::budget::MemoryReservation;
+use crate::net::host_connection::Connection;
+use crate::net::hosts::Hosts;
+use crate::net::pg::{Answer, AnswerAssembler, Message, Reply};
+use crate::net::read_buffer;
+use crate::net::socket::{self, SocketError};
+use crate::net::statement::Statement;
+use crate::MemberId;
+use bytes::Buf;
+use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::exchange::{Event, Exchange, Stage};
+use petrelgauge_lifecycle::idle_connection::{is_copy, is_distinguishable};
+use petrelgauge_lifecycle::verdict;
+use std::collections::hash_map::DefaultHasher;
+use std::hash::Hasher;
+
+/// Body of an Authentication message that asks for nothing more (AuthenticationOk).
+const AUTHENTICATION_OK: [u8; 4] = [0; 4];
+/// The parameter in which a host reports its log position.
+const LOG_POSITION: &str = "log_position";
+
+/// What a step of input or output led to.
+pub(super) enum Progress {
+    /// Something happened that the attempt's state machine has to know.
+    Event(Event),
+    /// The connection takes bytes: the first of the query can be written.
+    MayBegin,
+}
+
+/// An attempt's connection, and what has been written and read on it.
+pub(super) struct AttemptIo {
+    pub(super) connection: Option<Connection>,
+    /// The rest of a query of which a part has been written.
+    unwritten: Option<Box<dyn Buf>>,
+    /// The first write failed for a shortage of this machine: it is repeated after a pause.
+    write_failed_locally: bool,
+    pub(super) assembler: AnswerAssembler,
+    /// Bytes of the answer's messages that were taken out of the framer.
+    answer_bytes: usize,
+    answer_hash: DefaultHasher,
+    pub(super) reply: Option<Reply>,
+    pub(super) memory: MemoryReservation,
+}
+
+impl AttemptIo {
+    /// On an idle connection, or on none yet.
+    pub(super) fn new(connection: Option<Connection>, memory: MemoryReservation) -> AttemptIo {
+        AttemptIo {
+            connection,
+            unwritten: None,
+            write_failed_locally: false,
+            assembler: AnswerAssembler::default(),
+            answer_bytes: 0,
+            answer_hash: DefaultHasher::new(),
+            reply: None,
+            memory,
+        }
+    }
+
+    /// Takes the messages of a greeting that were read. None if it goes on.
+    fn take_greeting(&mut self) -> Option<Event> {
+        let Some(connection) = &mut self.connection else { return Some(Event::Broke) };
+        loop {
+            let message = match connection.next() {
+                Ok(Some(message)) => message,
+                Ok(None) => return None,
+                Err(_) => return Some(Event::Malformed),
+            };
+            match message.kind() {
+                b'R' if message.body() == AUTHENTICATION_OK => {}
+                b'S' | b'K' | b'N' | b'v' => {}
+                b'Z' => return Some(Event::Greeted),
+                b'E' => return Some(self.take_rejection(message)),
+                _ => return Some(Event::Malformed),
+            }
+        }
+    }
+
+    /// The host rejects the connection with an error.
+    fn take_rejection(&mut self, message: Message) -> Event {
+        let mut assembler = AnswerAssembler::default();
+        if assembler.push(message).is_err() {
+            return Event::Malformed;
+        }
+        self.reply = assembler.finish();
+        let end = self.reply.as_ref().map(end_of_reply);
+        end.map_or(Event::Broke, Event::Rejected)
+    }
+
+    /// Takes the messages of an answer that were read. None if it goes on.
+    fn take_answer(&mut self) -> Option<Event> {
+        let Some(connection) = &mut self.connection else { return Some(Event::Broke) };
+        loop {
+            let message = match connection.next() {
+                Ok(Some(message)) => message,
+                Ok(None) => return None,
+                Err(Event::Flows) if !self.assembler.awaits_row() => return Some(Event::Malformed),
+                Err(event) => return Some(event),
+            };
+            self.answer_bytes += message.raw.len();
+            self.answer_hash.write(&message.raw);
+            match self.assembler.push(message) {
+                Err(_) => return Some(Event::Malformed),
+                Ok(None) => {}
+                Ok(Some(reply)) => return Some(self.complete_answer(reply)),
+            }
+        }
+    }
+
+    /// The answer is complete: whether it is a copy of the connection's last one is told by their hashes.
+    fn complete_answer(&mut self, reply: Reply) -> Event {
+        let Some(connection) = &mut self.connection else { return Event::Broke };
+        let is_row = matches!(reply.answer, Answer::Row(_));
+        let reports_position = reply.parameters.iter().any(|(name, _)| name == LOG_POSITION);
+        let hash = is_distinguishable(is_row, reports_position).then(|| self.answer_hash.finish());
+        let last_hash = std::mem::replace(&mut connection.last_answer_hash, hash);
+        let copy = is_copy(connection.last_answer_is_recent, last_hash, hash);
+        let end = end_of_reply(&reply);
+        self.reply = Some(reply);
+        Event::Answered { end, copy }
+    }
+
+    /// The connection ended while an answer was awaited. An error that came before counts as the answer.
+    fn end_of_connection(&mut self) -> Event {
+        self.reply = self.assembler.finish();
+        let end = self.reply.as_ref().map(end_of_reply);
+        end.map_or(Event::Broke, |end| Event::Answered { end, copy: false })
+    }
+
+    /// Accounts for the bytes that are held. False if that is more than may be.
+    fn reserve_memory(&mut self) -> bool {
+        let unparsed = self.connection.as_ref().map_or(0, |connection| connection.framer.len());
+        self.memory.resize(self.answer_bytes + unparsed)
+    }
+}
+
+impl Hosts {
+    /// Does what the stage of an attempt asks for, until something happens.
+    ///
+    /// Cancel safe: what was connected, written and read is kept in `io`, and a new call goes on from there. Only a
+    /// connect that is under way begins anew.
+    pub(super) async fn advance(&self, stage: Stage, host: MemberId, io: &mut AttemptIo) -> Progress {
+        if io.connection.is_none() {
+            return Progress::Event(self.open_connection(host, io).await);
+        }
+        match stage {
+            Stage::Connecting { .. } | Stage::Greeting { .. } => {
+                Progress::Event(self.read_greeting(io).await)
+            }
+            Stage::Writing => self.write_query(io).await,
+            Stage::Waiting | Stage::Answering { .. } => Progress::Event(self.read_answer(stage, io).await),
+            Stage::Ended(_) => std::future::pending().await,
+        }
+    }
+
+    async fn open_connection(&self, host: MemberId, io: &mut AttemptIo) -> Event {
+        match self.connect(host).await {
+            Ok(connection) => {
+                io.connection = Some(connection);
+                Event::Connected
+            }
+            Err(event) => event,
+        }
+    }
+
+    /// Waits until the query can be begun, or writes the rest of one that has been.
+    async fn write_query(&self, io: &mut AttemptIo) -> Progress {
+        let Some(connection) = &io.connection else { return Progress::Event(Event::Broke) };
+        if let Some(rest) = &mut io.unwritten {
+            return Progress::Event(match socket::write_all(&connection.stream, rest).await {
+                Ok(()) => self.on_query_written(),
+                Err(_) => Event::Broke,
+            });
+        }
+        if io.write_failed_locally {
+            socket::pause_after_shortage().await;
+            io.write_failed_locally = false;
+        }
+        match socket::writable(&connection.stream).await {
+            Ok(()) => Progress::MayBegin,
+            Err(_) => Progress::Event(Event::Broke),
+        }
+    }
+
+    /// Writes the first bytes of the query, if the attempt may still be made. Much may have happened while its
+    /// connection came up or did not take bytes; from the clock's reading here to the first byte nothing is waited for.
+    ///
+    /// None if the attempt's stage stays: either the query is written in part, or the connection took no byte and all
+    /// of this is to be done anew.
+    pub(super) fn begin_query(
+        &self,
+        exchange: &Exchange,
+        attempt: &mut Attempt,
+        statement: &Statement,
+        io: &mut AttemptIo,
+    ) -> Option<Event> {
+        let Some(connection) = &io.connection else { return Some(Event::Broke) };
+        let host_accepts = self.accepts(attempt.host, connection.endpoint);
+        let now = self.clock.now();
+        if !host_accepts || !attempt.is_wanted(now) {
+            return Some(Event::Unwanted);
+        }
+        let Some(wait_ms) = exchange.remaining_wait_ms(now) else { return Some(Event::Unwanted) };
+        let mut query = statement.query(wait_ms);
+        match socket::write_now(&connection.stream, &mut query) {
+            Ok(()) if !query.has_remaining() => Some(self.on_query_written()),
+            Ok(()) => {
+                io.unwritten = Some(Box::new(query));
+                None
+            }
+            Err(SocketError::WouldBlock) => None,
+            Err(SocketError::OwnShortage(_)) => {
+                io.write_failed_locally = true;
+                None
+            }
+            Err(_) => Some(Event::Broke),
+        }
+    }
+
+    fn on_query_written(&self) -> Event {
+        self.counters.sent.add();
+        Event::Written
+    }
+
+    /// Reads what a host sends before it takes queries.
+    async fn read_greeting(&self, io: &mut AttemptIo) -> Event {
+        loop {
+            if let Some(event) = io.take_greeting() {
+                return event;
+            }
+            if self.read_more(io).await.is_err() {
+                return Event::Broke;
+            }
+            if !io.reserve_memory() {
+                return Event::NoMemory;
+            }
+        }
+    }
+
+    /// Reads what a host sends to a query.
+    async fn read_answer(&self, stage: Stage, io: &mut AttemptIo) -> Event {
+        let mut has_begun = false;
+        loop {
+            if let Some(event) = io.take_answer() {
+                return event;
+            }
+            // Most answers come in one read; only of one that does not it is reported that it has begun.
+            if has_begun {
+                return Event::Began;
+            }
+            if self.read_more(io).await.is_err() {
+                return io.end_of_connection();
+            }
+            if !io.reserve_memory() {
+                return Event::NoMemory;
+            }
+            has_begun = stage == Stage::Waiting;
+        }
+    }
+
+    async fn read_more(&self, io: &mut AttemptIo) -> Result<(), Event> {
+        let connection = io.connection.as_mut().ok_or(Event::Broke)?;
+        connection.read(&self.read_buffer, read_buffer::SIZE).await
+    }
+}
+
+/// How an attempt ends that got this reply.
+fn end_of_reply(reply: &Reply) -> End {
+    match &reply.answer {
+        Answer::Row(_) => End::Served,
+        Answer::Error(code) => verdict::end_for_code(code),
+    }
+}
--- a/src/net/host_connection.rs
+++ b/src/net/host_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a database host: its messages, and what the kernel says of it.
+//! One connection to a database host: the messages that come on it, and what the kernel reports of it.
 
 use crate::net::budget::DescriptorSlot;
 use crate::net::pg::{self, Framer, Message};
@@ -10,32 +10,49 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Where a host listens and since when it runs. A connection to another address or an earlier run is of no
-/// more use.
+/// Where a host listens and since when it runs. A connection to another address, or to the host before its last start,
+/// is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its address.
+    /// Where it listens.
     pub address: SocketAddr,
-    /// When it last started.
+    /// When it last started (Unix time, microseconds).
     pub started: Time,
-    /// It takes new work.
+    /// It takes new requests: it is listed as up and is not draining.
     pub up: bool,
 }
 
-/// A connection that is up.
+/// A connection that is up. Its descriptor is counted for as long as it lives.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) framer: Framer,
     pub(super) endpoint: Endpoint,
-    /// The last answer, hashed, if no other can be alike to it but a copy.
-    pub(super) last: Option<u64>,
-    /// The last answer is so recent that a copy of it may come.
-    pub(super) recent: bool,
-    pub(super) _slot: DescriptorSlot,
+    /// Hash of the last answer, if only a copy of it can be equal to it.
+    pub(super) last_answer_hash: Option<u64>,
+    /// The last answer is so recent that a copy of it may still come.
+    pub(super) last_answer_is_recent: bool,
+    _slot: DescriptorSlot,
 }
 
 impl Connection {
-    /// The next message, if it is there whole.
+    /// On a stream that has just been connected.
+    pub(super) fn new(stream: TcpStream, endpoint: Endpoint, slot: DescriptorSlot) -> Connection {
+        Connection {
+            stream,
+            framer: Framer::default(),
+            endpoint,
+            last_answer_hash: None,
+            last_answer_is_recent: false,
+            _slot: slot,
+        }
+    }
+
+    /// Takes the next message, if it was read completely.
+    ///
+    /// # Errors
+    ///
+    /// [`Event::Flows`] if it is the beginning of a row to be streamed, [`Event::Malformed`] if it is no message of a
+    /// host.
     pub(super) fn next(&mut self) -> Result<Option<Message>, Event> {
         match self.framer.kind() {
             Some(kind) if !pg::HOST_MESSAGE_TYPES.contains(&kind) => Err(Event::Malformed),
@@ -44,16 +61,22 @@
         }
     }
 
-    pub(super) fn resting(&self, since: Time) -> IdleConnection {
-        IdleConnection { since, detects_copies: self.last.is_some() }
+    /// What the policy for idle connections has to know of it.
+    pub(super) fn idle(&self, since: Time) -> IdleConnection {
+        IdleConnection { since, detects_copies: self.last_answer_hash.is_some() }
     }
 
-    /// Reads once, so many bytes at most. The framer bounds what is kept: no message is longer than `pg::MAX_MESSAGE_BYTES`.
-    pub(super) async fn read(&mut self, room: &ReadBuffer, most: usize) -> Result<(), Event> {
+    /// Reads once, `max_bytes` at most, into the framer. The framer bounds what is kept: no message is longer than
+    /// [`pg::MAX_MESSAGE_BYTES`]. Cancel safe: nothing is read by a call that did not return.
+    ///
+    /// # Errors
+    ///
+    /// [`Event::Broke`] if the connection ended or broke.
+    pub(super) async fn read(&mut self, buffer: &ReadBuffer, max_bytes: usize) -> Result<(), Event> {
         loop {
             self.stream.readable().await.map_err(|_| Event::Broke)?;
             let stream = &self.stream;
-            match room.read(|bytes| stream.try_read(&mut bytes[..most]), Some(&mut self.framer)) {
+            match buffer.read(|bytes| stream.try_read(&mut bytes[..max_bytes]), Some(&mut self.framer)) {
                 Ok(Some(1..)) => return Ok(()),
                 Ok(None) => {}
                 Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
@@ -62,7 +85,7 @@
         }
     }
 
-    /// What the kernel says of it while it rests.
+    /// What the kernel reports of it while it is idle.
     pub(super) fn socket_state(&self) -> SocketState {
         match socket::unread_on(&self.stream) {
             Unread::Nothing => SocketState::Quiet,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod accept_loop;
 pub mod attempt;
+mod attempt_io;
 pub mod budget;
 pub mod cancel;
 pub mod clock;
@@ -36,10 +37,12 @@
 pub mod read_buffer;
 pub mod record_directory;
 pub mod record_store;
+mod request_parser;
 pub mod set_statement;
 pub mod signals;
 pub mod socket;
 pub mod source;
+pub mod sqlstate;
 pub mod statement;
 pub mod statement_error;
 mod statement_scanner;
--- /dev/null
+++ b/src/net/sqlstate.rs
@@ -0,0 +1,14 @@
+//! The SQLSTATE codes (PostgreSQL's appendix A) of the errors that the gateway itself sends.
+
+/// `statement_completion_unknown`: no answer came in time, and the statement may have run.
+pub const STATEMENT_COMPLETION_UNKNOWN: &str = "40003";
+/// `syntax_error`: the statement cannot be read.
+pub const SYNTAX_ERROR: &str = "42601";
+/// `invalid_parameter_value`: the statement can be read, and asks for what there is not.
+pub const INVALID_PARAMETER_VALUE: &str = "22023";
+/// `too_many_connections`: the request is shed.
+pub const TOO_MANY_CONNECTIONS: &str = "53300";
+/// `query_canceled`: the client cancelled the request.
+pub const QUERY_CANCELED: &str = "57014";
+/// `cannot_connect_now`: the gateway is draining.
+pub const CANNOT_CONNECT_NOW: &str = "57P03";
--- a/src/net/streamed_row.rs
+++ b/src/net/streamed_row.rs
@@ -1,12 +1,12 @@
-//! A long row on its way from a database host to a client, piece by piece. Once its first byte has gone out nothing is
-//! tried again: either the client gets all of it, or its connection ends in the middle, which it can tell.
+//! A long row that is passed on from a database host to a client piece by piece. Once its first byte has gone out there
+//! is no retry: either the client gets all of the row, or its connection ends in the middle, which the client can tell.
 
 use crate::facade::Outcome;
 use crate::net::ending::End;
 use crate::net::host_connection::Connection;
 use crate::net::host_report::outcome;
 use crate::net::hosts::Hosts;
-use crate::net::pg::{Answer, AnswerAssembler};
+use crate::net::pg::{Answer, AnswerAssembler, Reply};
 use crate::net::read_buffer;
 use crate::net::socket;
 use crate::{MemberId, Time};
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use tokio::net::tcp::WriteHalf;
 
-/// Bytes that are read at once: what a row holds here while its client does not take it.
-const PIECE: usize = 16 * 1024;
+/// Bytes that are read at once: what a row takes of the memory while its client does not read.
+const PIECE_BYTES: usize = 16 * 1024;
 /// Span in which the host must go on, and the client take something (microseconds). Either may be slow by seconds; one
 /// that vanished must not keep the other's connection for good.
-const SILENCE: Time = 10_000_000;
+const PROGRESS_TIMEOUT: Time = 10_000_000;
 
 /// A row that has begun, and the connection that it comes on.
 pub struct StreamedRow {
@@ -27,7 +27,15 @@
     connection: Connection,
     assembler: AnswerAssembler,
     /// Bytes of the row's message that have not been passed on.
-    left: usize,
+    remaining_bytes: usize,
+}
+
+/// What follows a row that was passed on.
+pub struct RowCompletion {
+    /// The CommandComplete message, for the client.
+    pub command_complete: Bytes,
+    /// What the host reported with it.
+    pub outcome: Outcome,
 }
 
 impl StreamedRow {
@@ -37,11 +45,11 @@
         connection: Connection,
         assembler: AnswerAssembler,
     ) -> StreamedRow {
-        let left = connection.framer.long_row().unwrap_or_default();
-        StreamedRow { hosts, host, connection, assembler, left }
+        let remaining_bytes = connection.framer.long_row().unwrap_or_default();
+        StreamedRow { hosts, host, connection, assembler, remaining_bytes }
     }
 
-    /// What the host has said of itself so far.
+    /// The parameters that the host has reported before the row.
     pub(super) fn parameters(&self) -> &[(String, String)] {
         self.assembler.parameters()
     }
@@ -51,25 +59,46 @@
         self.host
     }
 
-    /// Passes the row on, up to its end.
-    pub async fn pass(&mut self, writer: &mut WriteHalf<'_>) -> Result<(), End> {
+    /// Passes the row on, up to its end. Not cancel safe: a piece that was read and not written is lost.
+    ///
+    /// # Errors
+    ///
+    /// Who did not go on: the host ([`End::BrokenSent`], [`End::HostStalled`]) or the client ([`End::ClientLeft`],
+    /// [`End::ClientStuck`]).
+    pub async fn pass_on(&mut self, writer: &mut WriteHalf<'_>) -> Result<(), End> {
         let description = self.assembler.begin_streamed_row();
         self.write(writer, description).await?;
-        while self.left > 0 {
+        while self.remaining_bytes > 0 {
             if self.connection.framer.is_empty() {
-                self.read(PIECE).await?;
+                self.read(PIECE_BYTES).await?;
             }
-            let piece = self.connection.framer.take_raw(self.left);
-            self.left -= piece.len();
+            let piece = self.connection.framer.take_raw(self.remaining_bytes);
+            self.remaining_bytes -= piece.len();
             self.write(writer, piece).await?;
         }
         Ok(())
     }
 
-    /// What the host says behind the row: the message that completes it, for the client, and its word on itself. Its
-    /// connection then rests.
-    pub async fn end(mut self) -> Result<(Bytes, Outcome), End> {
-        let reply = loop {
+    /// Reads what the host sends behind the row, and gives the connection back.
+    ///
+    /// # Errors
+    ///
+    /// How the host failed: [`End::HostMalformed`], [`End::BrokenSent`] or [`End::HostStalled`].
+    pub async fn complete(mut self) -> Result<RowCompletion, End> {
+        let reply = self.read_reply().await?;
+        let Answer::Row(mut messages) = reply.answer else { return Err(End::HostMalformed) };
+        let outcome = outcome(End::Served, &reply.parameters, &self.hosts.counters);
+        let StreamedRow { hosts, host, connection, .. } = self;
+        if reply.ready && connection.framer.is_empty() {
+            hosts.put_back(host, connection);
+        } else {
+            hosts.counters.ended(End::HostSurplus);
+        }
+        Ok(RowCompletion { command_complete: messages.pop().unwrap_or_default(), outcome })
+    }
+
+    async fn read_reply(&mut self) -> Result<Reply, End> {
+        loop {
             let message = match self.connection.next() {
                 Ok(Some(message)) => message,
                 Ok(None) => {
@@ -79,39 +108,31 @@
                 Err(_) => return Err(End::HostMalformed),
             };
             match self.assembler.push(message) {
-                Ok(Some(reply)) => break reply,
+                Ok(Some(reply)) => return Ok(reply),
                 Ok(None) => {}
                 Err(_) => return Err(End::HostMalformed),
             }
-        };
-        let Answer::Row(mut row) = reply.answer else { return Err(End::HostMalformed) };
-        let said = outcome(End::Served, &reply.parameters, &self.hosts.counters);
-        let StreamedRow { hosts, host, connection, .. } = self;
-        match (reply.ready, connection.framer.is_empty()) {
-            (true, true) => hosts.put_back(host, connection),
-            _ => hosts.counters.ended(End::HostSurplus),
         }
-        Ok((row.pop().unwrap_or_default(), said))
     }
 
-    async fn read(&mut self, most: usize) -> Result<(), End> {
+    async fn read(&mut self, max_bytes: usize) -> Result<(), End> {
         let clock = self.hosts.clock;
-        let by = clock.now() + SILENCE;
+        let deadline = clock.now() + PROGRESS_TIMEOUT;
         tokio::select! {
             biased;
-            read = self.connection.read(&self.hosts.read_buffer, most) => read.map_err(|_| End::BrokenSent),
-            () = clock.sleep_until(by) => Err(End::HostStalled),
+            read = self.connection.read(&self.hosts.read_buffer, max_bytes) => read.map_err(|_| End::BrokenSent),
+            () = clock.sleep_until(deadline) => Err(End::HostStalled),
         }
     }
 
     async fn write(&self, writer: &mut WriteHalf<'_>, mut bytes: Bytes) -> Result<(), End> {
         let clock = self.hosts.clock;
         while bytes.has_remaining() {
-            let by = clock.now() + SILENCE;
+            let deadline = clock.now() + PROGRESS_TIMEOUT;
             tokio::select! {
                 biased;
                 written = socket::write(writer.as_ref(), &mut bytes) => written.map_err(|_| End::ClientLeft)?,
-                () = clock.sleep_until(by) => return Err(End::ClientStuck),
+                () = clock.sleep_until(deadline) => return Err(End::ClientStuck),
             }
         }
         Ok(())
