--- a/src/net/attempt_io.rs
+++ b/src/net/attempt_io.rs
@@ -5,7 +5,7 @@
 use crate::net::budget::MemoryReservation;
 use crate::net::host_connection::Connection;
 use crate::net::hosts::Hosts;
-use crate::net::pg::{Answer, AnswerAssembler, Message, Reply};
+use crate::net::pg::{message_type, Answer, AnswerAssembler, Message, Reply};
 use crate::net::read_buffer;
 use crate::net::socket::{self, SocketError};
 use crate::net::statement::Statement;
@@ -71,10 +71,13 @@
                 Err(_) => return Some(Event::Malformed),
             };
             match message.kind() {
-                b'R' if message.body() == AUTHENTICATION_OK => {}
-                b'S' | b'K' | b'N' | b'v' => {}
-                b'Z' => return Some(Event::Greeted),
-                b'E' => return Some(self.take_rejection(message)),
+                message_type::AUTHENTICATION if message.body() == AUTHENTICATION_OK => {}
+                message_type::PARAMETER_STATUS
+                | message_type::BACKEND_KEY_DATA
+                | message_type::NOTICE_RESPONSE
+                | message_type::NEGOTIATE_PROTOCOL_VERSION => {}
+                message_type::READY_FOR_QUERY => return Some(Event::Greeted),
+                message_type::ERROR_RESPONSE => return Some(self.take_rejection(message)),
                 _ => return Some(Event::Malformed),
             }
         }
--- a/src/net/host_connection.rs
+++ b/src/net/host_connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a database host: the messages that come on it, and what the kernel reports of it.
 
 use crate::net::budget::DescriptorSlot;
-use crate::net::pg::{self, Framer, Message};
+use crate::net::pg::{message_type, Framer, Message};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::socket::{self, SocketError, Unread};
 use crate::Time;
@@ -55,8 +55,8 @@
     /// host.
     pub(super) fn next(&mut self) -> Result<Option<Message>, Event> {
         match self.framer.kind() {
-            Some(kind) if !pg::HOST_MESSAGE_TYPES.contains(&kind) => Err(Event::Malformed),
-            Some(b'D') if self.framer.long_row().is_some() => Err(Event::Flows),
+            Some(kind) if !message_type::SENT_BY_HOSTS.contains(&kind) => Err(Event::Malformed),
+            Some(message_type::DATA_ROW) if self.framer.long_row().is_some() => Err(Event::Flows),
             _ => self.framer.message().map_err(|_| Event::Malformed),
         }
     }
@@ -67,7 +67,7 @@
     }
 
     /// Reads once, `max_bytes` at most, into the framer. The framer bounds what is kept: no message is longer than
-    /// [`pg::MAX_MESSAGE_BYTES`]. Cancel safe: nothing is read by a call that did not return.
+    /// [`MAX_MESSAGE_BYTES`](crate::net::pg::MAX_MESSAGE_BYTES). Cancel safe: nothing is read by a call that did not return.
     ///
     /// # Errors
     ///
--- /dev/null
+++ b/src/net/pg/writer.rs
@@ -0,0 +1,123 @@
+//! The messages that the gateway writes.
+
+use crate::net::cancel::CancelKey;
+use crate::net::pg::message_type;
+use bytes::{Buf, Bytes};
+
+/// Version 3.0 of the protocol, as a startup message has it.
+const PROTOCOL_VERSION: u32 = 3 << 16;
+/// Fields of an ErrorResponse.
+const SEVERITY_FIELD: u8 = b'S';
+const UNLOCALIZED_SEVERITY_FIELD: u8 = b'V';
+const CODE_FIELD: u8 = b'C';
+const MESSAGE_FIELD: u8 = b'M';
+const DETAIL_FIELD: u8 = b'D';
+/// State of a ReadyForQuery: outside of a transaction.
+const IDLE: u8 = b'I';
+/// Parameters that a client is told of at its start: what drivers ask for before they go on.
+const STARTUP_PARAMETERS: [(&str, &str); 3] =
+    [("server_version", "15.0"), ("client_encoding", "UTF8"), ("standard_conforming_strings", "on")];
+
+/// How bad an error is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Severity {
+    /// The command failed.
+    Error,
+    /// The connection ends.
+    Fatal,
+}
+
+/// Appends one message: its type, its length, and the body that `write` appends.
+pub fn put(out: &mut Vec<u8>, kind: u8, write: impl FnOnce(&mut Vec<u8>)) {
+    out.push(kind);
+    put_sized(out, write);
+}
+
+fn put_sized(out: &mut Vec<u8>, write: impl FnOnce(&mut Vec<u8>)) {
+    let start = out.len();
+    out.extend_from_slice(&[0; 4]);
+    write(out);
+    let length = (out.len() - start) as u32;
+    out[start..start + 4].copy_from_slice(&length.to_be_bytes());
+}
+
+fn put_text(out: &mut Vec<u8>, text: &str) {
+    out.extend_from_slice(text.as_bytes());
+    out.push(0);
+}
+
+/// The startup message of a client.
+pub fn put_startup(out: &mut Vec<u8>) {
+    put_sized(out, |body| {
+        body.extend_from_slice(&PROTOCOL_VERSION.to_be_bytes());
+        for text in ["user", "backend", "database", "store", ""] {
+            put_text(body, text);
+        }
+    });
+}
+
+/// The answer to a startup message that asks for this minor version: authenticated, ready for queries.
+pub fn put_startup_answer(out: &mut Vec<u8>, minor: u16, key: CancelKey) {
+    if minor > 0 {
+        put(out, message_type::NEGOTIATE_PROTOCOL_VERSION, |body| body.extend_from_slice(&[0; 8]));
+    }
+    put(out, message_type::AUTHENTICATION, |body| body.extend_from_slice(&[0; 4]));
+    for (name, value) in STARTUP_PARAMETERS {
+        put_parameter_status(out, name, value);
+    }
+    put(out, message_type::BACKEND_KEY_DATA, |body| {
+        body.extend_from_slice(&key.process.to_be_bytes());
+        body.extend_from_slice(&key.secret.to_be_bytes());
+    });
+    put_ready(out);
+}
+
+/// ParameterStatus.
+pub fn put_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
+    put(out, message_type::PARAMETER_STATUS, |body| {
+        put_text(body, name);
+        put_text(body, value);
+    });
+}
+
+/// ReadyForQuery, outside of a transaction.
+pub fn put_ready(out: &mut Vec<u8>) {
+    put(out, message_type::READY_FOR_QUERY, |body| body.push(IDLE));
+}
+
+/// EmptyQueryResponse.
+pub fn put_empty(out: &mut Vec<u8>) {
+    put(out, message_type::EMPTY_QUERY_RESPONSE, |_| {});
+}
+
+/// CommandComplete.
+pub fn put_complete(out: &mut Vec<u8>, tag: &str) {
+    put(out, message_type::COMMAND_COMPLETE, |body| put_text(body, tag));
+}
+
+/// ErrorResponse.
+pub fn put_error(out: &mut Vec<u8>, severity: Severity, code: &str, text: &str, detail: Option<&str>) {
+    let severity = if severity == Severity::Fatal { "FATAL" } else { "ERROR" };
+    let fields = [
+        (SEVERITY_FIELD, severity),
+        (UNLOCALIZED_SEVERITY_FIELD, severity),
+        (CODE_FIELD, code),
+        (MESSAGE_FIELD, text),
+    ];
+    put(out, message_type::ERROR_RESPONSE, |body| {
+        for (field, text) in fields.into_iter().chain(detail.map(|detail| (DETAIL_FIELD, detail))) {
+            body.push(field);
+            put_text(body, text);
+        }
+        body.push(0);
+    });
+}
+
+/// A simple query of a statement that comes in parts, which are not copied.
+pub fn query(parts: [Bytes; 3]) -> impl Buf {
+    let [first, second, third] = parts;
+    let length = (first.len() + second.len() + third.len() + 5) as u32;
+    let mut header = vec![message_type::QUERY];
+    header.extend_from_slice(&length.to_be_bytes());
+    Bytes::from(header).chain(first).chain(second).chain(third).chain(Bytes::from_static(&[0]))
+}
