--- a/src/net/cancel.rs
+++ b/src/net/cancel.rs
@@ -1,5 +1,5 @@
-//! Cancel requests of the protocol: each client is told a key at its welcome, and whoever brings that key on a connection
-//! of its own ends the query that this client has open.
+//! Cancel requests of the protocol: each client is sent a key with the answer to its startup message, and whoever brings
+//! that key on a connection of its own cancels the query that this client has open.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -20,34 +20,42 @@
 
 /// The keys of all open clients: one entry for each, so that descriptors bound it.
 pub struct CancelKeys {
-    open: RefCell<BTreeMap<u32, (u32, Rc<Notify>)>>,
+    open: RefCell<BTreeMap<u32, OpenClient>>,
     secrets: RefCell<Pcg64Mcg>,
 }
 
+/// What is kept for the number of an open client.
+struct OpenClient {
+    secret: u32,
+    cancelled: Rc<Notify>,
+}
+
 impl CancelKeys {
     /// No client yet. The seed is the only source of secrets.
     pub fn new(seed: u64) -> Rc<CancelKeys> {
         Rc::new(CancelKeys { open: RefCell::default(), secrets: RefCell::new(Pcg64Mcg::seed_from_u64(seed)) })
     }
 
-    /// A key for the client of this number, which holds for as long as the value lives.
+    /// A key for the client of this number, which is valid for as long as the value lives.
     pub fn register(self: &Rc<Self>, process: u32) -> RegisteredKey {
         let key = CancelKey { process, secret: self.secrets.borrow_mut().next_u32() };
         let cancelled = Rc::new(Notify::new());
-        self.open.borrow_mut().insert(process, (key.secret, cancelled.clone()));
+        let client = OpenClient { secret: key.secret, cancelled: cancelled.clone() };
+        self.open.borrow_mut().insert(process, client);
         RegisteredKey { keys: self.clone(), key, cancelled }
     }
 
-    /// Ends the open query of the client with this key. Any other key does nothing.
+    /// Cancels the open query of the client with this key. Any other key does nothing.
     pub fn cancel(&self, key: CancelKey) {
         let open = self.open.borrow();
-        let client = open.get(&key.process).filter(|(secret, _)| *secret == key.secret);
-        // Without a query open nobody waits, and nothing is kept for the next one.
-        client.into_iter().for_each(|(_, cancelled)| cancelled.notify_waiters());
+        if let Some(client) = open.get(&key.process).filter(|client| client.secret == key.secret) {
+            // Without an open query nobody waits, and nothing is kept for the next one.
+            client.cancelled.notify_waiters();
+        }
     }
 }
 
-/// One client's key.
+/// One client's key; dropped, it is no longer valid.
 pub struct RegisteredKey {
     keys: Rc<CancelKeys>,
     /// The key.
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -1,4 +1,5 @@
-//! What all client sessions share.
+//! What all client sessions share: the decisions, the database hosts, the process's limits, and what the gateway's own
+//! life means for them.
 
 use crate::facade::Facade;
 use crate::net::budget::Budget;
@@ -17,7 +18,7 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What all sessions share.
+/// What all client sessions share.
 pub struct Front {
     /// The decisions.
     pub facade: Facade,
@@ -29,41 +30,39 @@
     pub budget: Rc<Budget>,
     /// Counts.
     pub counters: Rc<Counters>,
-    /// What is read into.
+    /// What connections read into.
     pub read_buffer: Rc<ReadBuffer>,
-    /// What is to be done with clients.
+    /// Whether clients are accepted, and whether idle ones are closed.
     pub serving_state: watch::Receiver<ServingState>,
-    /// Sessions that are open.
+    /// How many sessions are open.
     pub open_sessions: Gauge,
-    /// What clients may cancel their open queries with.
+    /// Keys by which clients cancel their open queries.
     pub cancel_keys: Rc<CancelKeys>,
-    /// What clients call their open requests.
+    /// The ids of open requests, as their clients name them. Bounded by the clients: each has one open request.
     pub open_request_ids: RefCell<BTreeSet<Rc<str>>>,
-    /// Clock time of the last answers before the process may be killed, once it is to stop.
+    /// Once the gateway stops: clock time of the last answers before the process may be killed.
     pub final_answer_deadline: Cell<Time>,
-    /// Up to when clients are read then.
+    /// Once the gateway stops: up to when clients are read.
     pub final_read_deadlines: Cell<ReadDeadlines>,
 }
 
 impl Front {
-    /// Tells the session's token, where its client carries one.
+    /// Appends the session's token, where its client carries one.
     pub(super) fn put_session_token(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
         if let Some(token) = session.and_then(|key| self.facade.token(self.clock.now(), key)) {
             pg::put_parameter_status(out, set_statement::TOKEN_SETTING, &token);
         }
     }
 
-    /// Marks a request as open. None if another with that name is.
+    /// Reserves the id of a request for as long as the value lives. None if another open request has it.
     pub(super) fn reserve_request_id(self: &Rc<Self>, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
-        self.open_request_ids
-            .borrow_mut()
-            .insert(id.clone())
-            .then(|| ReservedRequestId { front: self.clone(), id })
+        let is_new = self.open_request_ids.borrow_mut().insert(id.clone());
+        is_new.then(|| ReservedRequestId { front: self.clone(), id })
     }
 }
 
-/// A request's name, its own for as long as it is open.
+/// The id of an open request; dropped, another request may have it.
 pub(super) struct ReservedRequestId {
     front: Rc<Front>,
     id: Rc<str>,
--- a/src/net/read_buffer.rs
+++ b/src/net/read_buffer.rs
@@ -1,5 +1,5 @@
-//! The room that all connections read into. One thread reads from one of them at a time, so that one room is
-//! enough, and a connection that waits holds none.
+//! The buffer that all connections read into. One thread reads from one of them at a time, so that one buffer is enough,
+//! and a connection that waits holds none.
 
 use crate::net::pg::Framer;
 use crate::net::socket::{uninterrupted, Call, SocketError};
@@ -7,20 +7,24 @@
 use std::io;
 use std::rc::Rc;
 
-/// Bytes that are read at once.
+/// Bytes that are read at once, at most: a usual row, or many small messages, in one call.
 pub const SIZE: usize = 64 * 1024;
 
-/// The room.
+/// A buffer of [`SIZE`] bytes, shared by all connections.
 pub struct ReadBuffer(RefCell<Box<[u8]>>);
 
 impl ReadBuffer {
-    /// A room, to be shared.
+    /// A buffer, to be shared.
     pub fn new() -> Rc<ReadBuffer> {
         Rc::new(ReadBuffer(RefCell::new(vec![0; SIZE].into())))
     }
 
-    /// Reads once, without waiting, and feeds the framer if there is one. Says how much came; nothing if it
-    /// was not ready after all. A call that a signal interrupts is repeated.
+    /// Reads once, without waiting, and feeds the framer if there is one. Gives how many bytes came, 0 at the end of the
+    /// stream, and None if the connection was not ready after all. A call that a signal interrupts is repeated.
+    ///
+    /// # Errors
+    ///
+    /// Whatever else the call fails with.
     pub fn read(
         &self,
         mut read: impl FnMut(&mut [u8]) -> io::Result<usize>,
@@ -29,7 +33,9 @@
         let mut bytes = self.0.borrow_mut();
         match uninterrupted(Call::Read, || read(&mut bytes)) {
             Ok(count) => {
-                framer.into_iter().for_each(|framer| framer.feed(&bytes[..count]));
+                if let Some(framer) = framer {
+                    framer.feed(&bytes[..count]);
+                }
                 Ok(Some(count))
             }
             Err(SocketError::WouldBlock) => Ok(None),
--- a/src/net/set_statement.rs
+++ b/src/net/set_statement.rs
@@ -1,14 +1,17 @@
-//! What drivers set at their start and would have no effect here, and the one setting that has: a session's token.
+//! Statements that the gateway answers by itself: what drivers set at their start, which has no effect here, and the one
+//! setting that has: the tokens of a client's sessions.
 
 use crate::net::statement::verb;
 
-/// The setting that holds a session's token, and the status that tells it.
+/// The setting that holds the tokens of a client's sessions, and the parameter that sends it a token.
 pub const TOKEN_SETTING: &str = "petrelgauge.mark";
+/// What may stand before the name of a setting, and makes no difference here.
+const SCOPES: [&str; 2] = ["SESSION ", "LOCAL "];
 
 /// A statement that the gateway answers by itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Setting {
-    /// `SET petrelgauge.mark`: tokens parted by `+`.
+    /// `SET petrelgauge.mark`: tokens separated by `+`.
     SetTokens(String),
     /// `RESET petrelgauge.mark`.
     ResetTokens,
@@ -31,13 +34,13 @@
     }
 }
 
-/// Reads a statement that sets something; none if it does not.
+/// Reads a statement that sets something; None if it does not.
 pub fn parse(text: &[u8]) -> Option<Setting> {
     let verb = verb(text);
     let rest = text.trim_ascii_start().get(verb.len()..).unwrap_or_default().trim_ascii();
     let rest = rest.strip_suffix(b";").unwrap_or(rest).trim_ascii_end();
     match verb.to_ascii_uppercase().as_slice() {
-        b"SET" => Some(mark(rest).map_or(Setting::Other, Setting::SetTokens)),
+        b"SET" => Some(token_value(rest).map_or(Setting::Other, Setting::SetTokens)),
         b"RESET" if rest.eq_ignore_ascii_case(TOKEN_SETTING.as_bytes()) => Some(Setting::ResetTokens),
         b"RESET" => Some(Setting::Reset),
         b"DISCARD" => Some(Setting::Discard),
@@ -46,15 +49,16 @@
 }
 
 /// The value of `[SESSION | LOCAL] petrelgauge.mark { = | TO } 'value'`.
-fn mark(rest: &[u8]) -> Option<String> {
-    let rest = ["SESSION ", "LOCAL "].iter().fold(rest, |rest, word| without(rest, word).unwrap_or(rest));
-    let rest = without(rest, TOKEN_SETTING)?.trim_ascii_start();
-    let value = rest.strip_prefix(b"=").or_else(|| without(rest, "TO "))?.trim_ascii();
+fn token_value(assignment: &[u8]) -> Option<String> {
+    let assignment = SCOPES.iter().fold(assignment, |rest, scope| strip_word(rest, scope).unwrap_or(rest));
+    let rest = strip_word(assignment, TOKEN_SETTING)?.trim_ascii_start();
+    let value = rest.strip_prefix(b"=").or_else(|| strip_word(rest, "TO "))?.trim_ascii();
     let value = value.strip_prefix(b"'").and_then(|value| value.strip_suffix(b"'")).unwrap_or(value);
     Some(String::from_utf8_lossy(value).into_owned())
 }
 
-fn without<'a>(text: &'a [u8], word: &str) -> Option<&'a [u8]> {
+/// What follows a word, which may be in any case, and the space behind it.
+fn strip_word<'a>(text: &'a [u8], word: &str) -> Option<&'a [u8]> {
     let (head, rest) = text.split_at_checked(word.len())?;
     head.eq_ignore_ascii_case(word.as_bytes()).then(|| rest.trim_ascii_start())
 }
