--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -26,7 +26,7 @@
 pub struct HostAnswer {
     /// The answer.
     pub answer: AnswerBody,
-    pub(super) _memory: MemoryReservation,
+    pub(super) memory: MemoryReservation,
 }
 
 /// An answer, or the beginning of one.
@@ -148,7 +148,7 @@
             Some(reply) => Some(AnswerBody::Complete(reply.answer)),
             None => streamed.map(|row| AnswerBody::Streamed(Box::new(row))),
         };
-        answer.map(|answer| HostAnswer { answer, _memory: memory }).filter(|_| owed)
+        answer.map(|answer| HostAnswer { answer, memory }).filter(|_| owed)
     }
 
     /// Gives a connection back, lends it to the row that has begun on it, or closes it.
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -119,7 +119,7 @@
         let front = self.front.clone();
         let counters = &front.counters;
         match end {
-            RequestEnd::Answered(HostAnswer { answer, _memory: memory }) => match answer {
+            RequestEnd::Answered(HostAnswer { answer, memory }) => match answer {
                 AnswerBody::Streamed(row) => {
                     counters.served.add();
                     self.pass_on(*row, &request).await
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,10 +2,15 @@
 //! Nothing here decides anything; every decision comes from the [facade](crate::facade).
 
 pub mod accept_loop;
+mod announced_primaries;
 pub mod attempt;
 mod attempt_io;
 pub mod budget;
 pub mod cancel;
+mod client_acceptor;
+mod client_reader;
+mod client_request;
+mod client_session;
 pub mod clock;
 pub mod config;
 pub mod control;
@@ -13,12 +18,6 @@
 pub mod datagram;
 pub mod discovery;
 pub mod endpoint_list;
-pub use petrelgauge_lifecycle::ending;
-mod announced_primaries;
-mod client_acceptor;
-mod client_reader;
-mod client_request;
-mod client_session;
 pub mod fleet_codec;
 pub mod front;
 pub mod handover;
@@ -47,3 +46,5 @@
 pub mod statement_error;
 mod statement_scanner;
 pub mod streamed_row;
+
+pub use petrelgauge_lifecycle::ending;
--- a/src/net/request_parser.rs
+++ b/src/net/request_parser.rs
@@ -93,7 +93,7 @@
             class: class_index,
             group: statement.group,
             until: at.saturating_add(wait),
-            is_retry: statement.is_retry,
+            repeat: statement.is_retry,
             at,
             after: statement.after_ms.filter(|_| reads_session).map(microseconds),
             session,
--- a/src/net/statement.rs
+++ b/src/net/statement.rs
@@ -50,12 +50,12 @@
     /// Why no host could use it.
     pub fn parse(text: &Bytes) -> Result<Statement, StatementError> {
         let mut scanner = StatementScanner::new(text);
-        let write = match verb(text).to_ascii_uppercase().as_slice() {
+        let is_write = match verb(text).to_ascii_uppercase().as_slice() {
             b"SELECT" => false,
             b"INSERT" => true,
             _ => return Err(StatementError::OtherVerb),
         };
-        let name = if write { scanner.insert()? } else { scanner.select()? };
+        let name = if is_write { scanner.insert()? } else { scanner.select()? };
         let comment = scanner.comment()?;
         scanner.end()?;
         let comment_text =
@@ -66,7 +66,7 @@
         let id = fields.id.filter(|id| !id.is_empty()).ok_or(StatementError::MissingField("id"))?;
         Ok(Statement {
             wait_digits,
-            is_write: write,
+            is_write,
             name: name.to_string(),
             id: id.to_string(),
             class: fields.class.ok_or(StatementError::MissingField("c"))?.to_string(),
