--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -2,7 +2,7 @@
 //! the answer, give the connection back or close it, report.
 //!
 //! What happens to an attempt is decided by its state machine ([`Exchange`]); this module does the waiting for it, and
-//! [`attempt_io`](crate::net::attempt_io) the input and output.
+//! `attempt_io` the input and output.
 
 use crate::facade::{Attempt, Outcome};
 use crate::net::attempt_io::{AttemptIo, Progress};
--- a/src/net/host_connection.rs
+++ b/src/net/host_connection.rs
@@ -1,7 +1,8 @@
 //! One connection to a database host: the messages that come on it, and what the kernel reports of it.
 
 use crate::net::budget::DescriptorSlot;
-use crate::net::pg::{message_type, Framer, Message};
+use crate::net::message_type;
+use crate::net::pg::{Framer, Message};
 use crate::net::read_buffer::ReadBuffer;
 use crate::net::socket::{self, SocketError, Unread};
 use crate::Time;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod accept_loop;
 mod announced_primaries;
+pub mod answer_assembler;
 pub mod attempt;
 mod attempt_io;
 pub mod budget;
@@ -19,6 +20,7 @@
 pub mod discovery;
 pub mod endpoint_list;
 pub mod fleet_codec;
+pub mod framer;
 pub mod front;
 pub mod handover;
 mod host_connection;
@@ -28,6 +30,9 @@
 pub mod inherited;
 pub mod leadership;
 pub mod lines;
+pub mod message;
+pub mod message_type;
+pub mod message_writer;
 pub mod ops;
 pub mod peers;
 pub mod pg;
--- a/src/net/pg/mod.rs
+++ b/src/net/pg.rs
@@ -4,16 +4,10 @@
 //!
 //! Everything that is read is bounded by [`MAX_MESSAGE_BYTES`], but for a row that is streamed: see [`Framer::long_row`].
 
-mod answer_assembler;
-mod framer;
-mod message;
-pub mod message_type;
-mod writer;
-
-pub use answer_assembler::{Answer, AnswerAssembler, Reply};
-pub use framer::{Framer, Opening, MAX_BUFFERED_ROW_BYTES, MAX_MESSAGE_BYTES, MAX_ROW_BYTES};
-pub use message::{error_field, parameter, Malformed, Message};
-pub use writer::{
+pub use crate::net::answer_assembler::{Answer, AnswerAssembler, Reply};
+pub use crate::net::framer::{Framer, Opening, MAX_BUFFERED_ROW_BYTES, MAX_MESSAGE_BYTES, MAX_ROW_BYTES};
+pub use crate::net::message::{error_field, parameter, Malformed, Message};
+pub use crate::net::message_writer::{
     put, put_complete, put_empty, put_error, put_parameter_status, put_ready, put_startup,
     put_startup_answer, query, Severity,
 };
