--- a/crates/config-language/src/record.rs
+++ b/crates/config-language/src/record.rs
@@ -35,6 +35,10 @@
 
 impl Record {
     /// Reads a file's text.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text is too long, is not in the language, or names a field twice.
     pub fn read(file: &str, text: &str) -> Result<Record, RecordError> {
         let source = Rc::new(Source { file: file.to_string(), text: text.to_string() });
         if text.len() > MAX_FILE_BYTES {
@@ -45,6 +49,10 @@
     }
 
     /// The record of this name.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not a record, or names a field of its own twice.
     pub fn record(&mut self, name: &str) -> Result<Option<Record>, RecordError> {
         match self.take(name) {
             None => Ok(None),
@@ -58,6 +66,10 @@
     }
 
     /// A string.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not a string.
     pub fn string(&mut self, name: &str) -> Result<Option<String>, RecordError> {
         match self.take(name) {
             None => Ok(None),
@@ -67,6 +79,10 @@
     }
 
     /// A string that is one of these; gives its index among them.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not a string, or none of the choices.
     pub fn one_of(&mut self, name: &str, choices: &[&str]) -> Result<Option<usize>, RecordError> {
         let offset = self.offset_of(name);
         let Some(text) = self.string(name)? else { return Ok(None) };
@@ -78,6 +94,10 @@
     }
 
     /// A list of strings.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not a list of strings.
     pub fn strings(&mut self, name: &str) -> Result<Option<Vec<String>>, RecordError> {
         let found = match self.take(name) {
             None => return Ok(None),
@@ -92,6 +112,10 @@
     }
 
     /// `true` or `false`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not `true` or `false`.
     pub fn boolean(&mut self, name: &str) -> Result<Option<bool>, RecordError> {
         match self.take(name) {
             None => Ok(None),
@@ -101,6 +125,10 @@
     }
 
     /// A whole number without a unit, 0 or more.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not a whole number without a unit, or is negative.
     pub fn unsigned(&mut self, name: &str) -> Result<Option<u64>, RecordError> {
         match self.take(name) {
             None => Ok(None),
@@ -112,12 +140,20 @@
     }
 
     /// A duration, in microseconds.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not a number with a unit of time, or is out of range.
     pub fn duration(&mut self, name: &str) -> Result<Option<i64>, RecordError> {
         let units = [("us", 1), ("ms", 1_000), ("s", 1_000_000), ("m", 60_000_000)];
         self.quantity(name, &units, "a span such as 20ms, 3s or 2m")
     }
 
     /// A size, in bytes.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is not a number with a unit of size, or is out of range.
     pub fn size(&mut self, name: &str) -> Result<Option<i64>, RecordError> {
         let units = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
         self.quantity(name, &units, "a size such as 64KiB or 8MiB")
@@ -128,7 +164,11 @@
         self.source.error(self.offset, reason.into())
     }
 
-    /// Nothing else is in it.
+    /// Checks that no other field is in the record.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a field is left that was not asked for.
     pub fn end(self) -> Result<(), RecordError> {
         match self.fields.first() {
             None => Ok(()),
--- a/crates/handover/src/record.rs
+++ b/crates/handover/src/record.rs
@@ -100,8 +100,11 @@
         bytes
     }
 
-    /// Reads the stored form. Fails if it is too long, damaged or of another version; whether the record is recent enough is
-    /// left to [`HandoverRecord::check_age`].
+    /// Reads the stored form. Whether the record is recent enough is left to [`HandoverRecord::check_age`].
+    ///
+    /// # Errors
+    ///
+    /// Fails if the bytes are too many, damaged or of another version.
     pub fn decode(bytes: &[u8]) -> Result<HandoverRecord, RecordError> {
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(RecordError::TooLong);
@@ -119,7 +122,11 @@
         }
     }
 
-    /// Fails if the learned_state were learned by settings with another digest.
+    /// Checks that the learned state was learned under settings with this digest.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the digest differs.
     pub fn check_settings(&self, settings: u64) -> Result<(), RecordError> {
         if self.settings == settings {
             Ok(())
@@ -131,7 +138,7 @@
     /// The record with its times moved to the reader's clock, on which its file was modified at `modified` (microseconds).
     ///
     /// Both clocks are taken to agree if the file was modified within a second after the record's own time. Otherwise the
-    /// difference is what they differ by: the times of the learned_state move by it, and lags of replicas, which were measured
+    /// difference is what they differ by: the times of the learned state move by it, and lags of replicas, which were measured
     /// against the writer's clock, are dropped.
     #[must_use]
     pub fn on_reader_clock(mut self, modified: Time) -> HandoverRecord {
@@ -143,7 +150,11 @@
         self
     }
 
-    /// The age of a record whose times are on the reader's clock (microseconds). Fails if that is over `max_age`, or negative.
+    /// The age of a record whose times are on the reader's clock (microseconds).
+    ///
+    /// # Errors
+    ///
+    /// Fails if the age is over `max_age`, or negative.
     pub fn check_age(&self, now: Time, max_age: Time) -> Result<Time, RecordError> {
         match now.saturating_sub(self.written) {
             age if age < 0 => Err(RecordError::InFuture),
--- a/crates/ownership/src/datagram.rs
+++ b/crates/ownership/src/datagram.rs
@@ -60,6 +60,11 @@
     }
 
     /// Decodes a datagram: the gateway that it claims to be from, and the message.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the datagram is malformed, of another version or fleet, or its checksum is not made with the
+    /// secret.
     pub fn read(bytes: &[u8], fleet: u32, secret: u64) -> Result<(GatewayId, Message), DatagramError> {
         let lengths = HEADER_BYTES + CHECKSUM_BYTES..=MAX_DATAGRAM_BYTES;
         if !lengths.contains(&bytes.len()) || !Message::has_mark(bytes) {
--- a/crates/ownership/src/fence.rs
+++ b/crates/ownership/src/fence.rs
@@ -29,6 +29,10 @@
 
 impl Fence {
     /// Checks an effect before it is applied, and remembers its term.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the term is lower than one seen before for this role, or is 2^62 or more.
     pub fn admit(&mut self, role: LeadershipRole, term: Term) -> Result<(), StaleTerm> {
         let highest = self.highest.get(&role).copied().unwrap_or(0);
         let reversed = mutant(Mutant::FenceReversed);
--- a/crates/ownership/src/lease_manager.rs
+++ b/crates/ownership/src/lease_manager.rs
@@ -80,6 +80,10 @@
 
 impl LeaseManager {
     /// The lease manager of a gateway that starts now. `seed` is its only source of randomness.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings are not valid; see [`Settings::check`].
     pub fn new(settings: Settings, now: Time, seed: u64) -> Result<LeaseManager, SettingsError> {
         settings.check()?;
         let acceptor = settings.is_acceptor().then(|| Acceptor::new(&settings, now));
--- a/crates/ownership/src/settings.rs
+++ b/crates/ownership/src/settings.rs
@@ -66,6 +66,10 @@
 
 impl Settings {
     /// Checks that the settings are valid.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the acceptors, the drift bound or the lease are out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_acceptors()?;
         if !(0.0..=MAX_DRIFT_BOUND).contains(&self.drift_bound) {
--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/fleet_clock.rs
@@ -20,29 +20,29 @@
 use std::collections::VecDeque;
 
 /// Step to which hosts round the times that they report (microseconds).
-const GRANULARITY: Time = 1_000;
+const REPORT_GRANULARITY: Time = 1_000;
 /// How far a reported time may lie ahead of what the hosts' clock can show (microseconds).
-const MOST_AHEAD: Time = 1_000_000;
+const MAX_LEAD: Time = 1_000_000;
 /// A position so near to the own clock confirms that the two are one (microseconds).
 const CONFIRMING_DISTANCE: Time = 1_000_000;
 /// Upper bounds kept (count): the last ones.
 const UPPER_BOUNDS: usize = 16;
 /// Of the upper bounds so many support the one that counts, itself included; fewer are not yet evidence
 /// enough to move the estimate by themselves (count).
-const SEVERAL: usize = 3;
+const MIN_SUPPORT: usize = 3;
 /// Longest that the quickest answers take from their host to here, rounding included (microseconds).
-const QUICKEST_ANSWER: Time = 5_000;
+const MAX_QUICKEST_TRANSIT: Time = 5_000;
 /// Members whose lower bounds are kept (count): the highest ones.
 const LOWER_BOUNDS: usize = 8;
 /// Bounds of two members that lie so near to each other support each other (microseconds): made-up values do
 /// not.
-const AGREEMENT: Time = 10_000_000;
+const MAX_AGREEING_DISTANCE: Time = 10_000_000;
 /// Lower bounds older than one to two of these spans are forgotten, as the clocks drift apart (microseconds).
 const EVIDENCE_SPAN: Time = 60_000_000;
 /// Two clocks drift apart by one part in so many.
 const DRIFT_DIVISOR: Time = 10_000;
 
-/// A lower bound of the offset, by what one member told.
+/// A lower bound of the offset, by what one member reported.
 #[derive(Clone, Copy, Debug)]
 struct LowerBound {
     offset: Time,
@@ -101,7 +101,7 @@
     largest_offset: Time,
     /// An upper bound holds.
     bounded_above: bool,
-    /// A member has told what lies ahead of the own clock by more than clocks may differ.
+    /// A member has reported a time ahead of the own clock by more than clocks may differ.
     contradicted: bool,
 }
 
@@ -115,19 +115,19 @@
     /// The list names a start of this member: it was no later than now.
     pub fn record_start(&mut self, member: MemberId, started: Time, now: Time) {
         if self.enabled && started > 0 {
-            self.add_lower(member, started, now);
+            self.add_lower_bound(member, started, now);
             self.update(now);
         }
     }
 
-    /// A member told a position, which arrived at this time.
+    /// A member reported a position, which arrived at this time.
     pub fn record_position(&mut self, member: MemberId, position: Time, received: Time) {
         if !self.enabled || position <= 0 {
             return;
         }
         self.has_evidence = true;
         self.confirmed |= (position - received).abs() <= CONFIRMING_DISTANCE;
-        self.add_lower(member, position, received);
+        self.add_lower_bound(member, position, received);
         self.update(received);
     }
 
@@ -144,7 +144,7 @@
             }
         }
         self.has_evidence = true;
-        self.add_lower(member, commit, received);
+        self.add_lower_bound(member, commit, received);
         self.update(received);
     }
 
@@ -200,9 +200,9 @@
         earliest
     }
 
-    /// Whether a host can have told this time by now: it does not lie in the hosts' future.
+    /// Whether a host can have reported this time by now: it does not lie in the hosts' future.
     pub fn is_plausible(&self, reported: Time, now: Time) -> bool {
-        reported <= self.latest_hosts_time(now).saturating_add(MOST_AHEAD)
+        reported <= self.latest_hosts_time(now).saturating_add(MAX_LEAD)
     }
 
     /// Whether the estimate may be used to call a replica fresh: commits bound the offset above, or the
@@ -211,18 +211,18 @@
         !self.enabled || self.bounded_above || (self.confirmed && !self.contradicted)
     }
 
-    /// Whether what hosts have told so far speaks against the estimate.
+    /// Whether what hosts have reported so far speaks against the estimate.
     pub fn is_doubtful(&self) -> bool {
         self.has_evidence && !self.is_trusted()
     }
 
-    fn add_lower(&mut self, member: MemberId, reported: Time, received: Time) {
+    fn add_lower_bound(&mut self, member: MemberId, reported: Time, received: Time) {
         if received - self.span_started > EVIDENCE_SPAN {
             self.lower.swap(0, 1);
             self.lower[0] = LowerBounds::default();
             self.span_started = received;
         }
-        let offset = reported.saturating_sub(received).saturating_sub(GRANULARITY);
+        let offset = reported.saturating_sub(received).saturating_sub(REPORT_GRANULARITY);
         self.lower[0].insert(LowerBound { offset, member });
     }
 
@@ -235,21 +235,21 @@
         }
         let lower = self.merged_lower_bounds();
         let mut pairs = lower.windows(2);
-        let agreeing = pairs.find(|pair| pair[0].saturating_sub(pair[1]) <= AGREEMENT);
+        let agreeing = pairs.find(|pair| pair[0].saturating_sub(pair[1]) <= MAX_AGREEING_DISTANCE);
         let corroborated = agreeing.map(|pair| pair[1]);
         let upper = self.upper_bound(now, corroborated.unwrap_or(Time::MIN));
         let below = |upper: Time| lower.iter().copied().find(|lower| *lower <= upper);
         let highest = upper.and_then(below);
-        let may_raise = if self.upper.len() >= SEVERAL { highest.or(corroborated) } else { corroborated };
+        let may_raise = if self.upper.len() >= MIN_SUPPORT { highest.or(corroborated) } else { corroborated };
         self.bounded_above = upper.is_some();
-        self.contradicted = lower.first().is_some_and(|highest| *highest > MOST_AHEAD);
+        self.contradicted = lower.first().is_some_and(|highest| *highest > MAX_LEAD);
         self.offset = match upper {
             Some(upper) if upper < 0 => highest.unwrap_or(upper),
             _ => may_raise.unwrap_or(0).max(0),
         };
         self.largest_offset = match (upper, highest) {
             (Some(upper), Some(highest)) if highest > 0 || upper < 0 => {
-                upper.min(highest.saturating_add(QUICKEST_ANSWER))
+                upper.min(highest.saturating_add(MAX_QUICKEST_TRANSIT))
             }
             _ => self.offset,
         };
@@ -270,6 +270,6 @@
         let widened = self.upper.iter().map(|bound| bound.widened(now));
         let mut bounds: Vec<Time> = widened.filter(|bound| *bound >= least).collect();
         bounds.sort_unstable();
-        bounds.get(SEVERAL - 1).or(bounds.last()).copied()
+        bounds.get(MIN_SUPPORT - 1).or(bounds.last()).copied()
     }
 }
--- a/crates/policy/src/interface/classes.rs
+++ b/crates/policy/src/interface/classes.rs
@@ -1,4 +1,4 @@
-//! Classes of requests: the data they need, what a retry does, and what an answer is worth.
+//! Classes of requests: the data they need, the effect of a retry, and the value of an answer.
 
 use super::ids::Time;
 
@@ -31,23 +31,23 @@
     }
 }
 
-/// What a repeat of a request does.
+/// What a retry of a request does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// May be repeated freely.
+    /// May be retried freely.
     Safe,
-    /// Repeats are dropped for `window` after the first attempt that may have run.
+    /// Idempotent by a key: members drop retries for `window` after the first attempt that may have run.
     Keyed {
-        /// How long repeats are remembered.
+        /// How long the key is remembered.
         window: Time,
-        /// Where they are remembered.
+        /// Where it is remembered.
         scope: Scope,
     },
     /// Must not run twice.
     Unsafe,
 }
 
-/// Members that share the memory of a keyed request.
+/// Members that share the memory of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Scope {
     /// All members.
@@ -65,13 +65,13 @@
     pub name: String,
     /// What data it needs.
     pub need: Need,
-    /// What a repeat does.
+    /// What a retry does.
     pub effect: Effect,
     /// Most attempts for one request.
     pub attempts: u32,
     /// An answer within this span has the full value (microseconds).
     pub latency_target: Time,
-    /// How long a client waits in all, over all its tries (microseconds).
+    /// How long a client waits in all, over all its attempts (microseconds).
     pub deadline: Time,
     /// Value of an answer within the latency target.
     pub priority_weight: f64,
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -52,18 +52,18 @@
         class: usize,
         /// Its group.
         group: GroupId,
-        /// Until the client gives up this try.
+        /// Time until the client gives up this request (microseconds).
         time_left: Time,
-        /// The client marked it as a repeat.
+        /// The client marked it as a retry.
         is_retry: bool,
-        /// Minimum position: the commit that the data read for it must include, beside what its class needs.
+        /// The commit that the data read for it must include, beside what its class needs.
         minimum_position: Option<Time>,
     },
     /// The minimum position of a waiting request is lower by now.
     MinimumPositionLowered {
         /// The request.
         request: RequestId,
-        /// The commit.
+        /// The commit that the data must include.
         minimum_position: Time,
     },
     /// An attempt ended.
@@ -94,14 +94,14 @@
         /// Time of that answer.
         at: Time,
     },
-    /// The router's quota for a group has changed.
+    /// This router's quota for a group differs from the even one from now on.
     QuotaAdjusted {
         /// The group.
         group: GroupId,
         /// The adjustment that holds from now on.
         adjustment: QuotaAdjustment,
     },
-    /// The client has given up the request.
+    /// The client no longer waits for the request.
     Abandoned {
         /// The request.
         request: RequestId,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -42,7 +42,7 @@
     pub zone: String,
     /// Least span between two batches.
     pub granularity: Time,
-    /// Most requests that clients can hold open at this router.
+    /// Most requests that clients can have open at this router.
     pub max_open_requests: u32,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
@@ -56,14 +56,14 @@
     pub max_retry_after: Time,
     /// Span past the client's end in which a final answer still counts.
     pub answer_slack: Time,
-    /// Time that a request takes from its client to the router, and its rejection back. A rejection of a
+    /// Time that a request takes from its client to the router and its rejection back. A rejection of a
     /// request never sent costs more once half of its time is over, by its client's clock.
     pub client_round_trip: Time,
     /// Clock time by which every admitted request has its final answer, whatever its client would wait.
     pub final_answer_by: Time,
-    /// Least share of its capacity that a started member has.
+    /// Share of its capacity that a member has right after its start (slow start).
     pub slow_start_initial_share: f64,
-    /// Span after which a started member has all of its capacity at the latest (slow start).
+    /// Span after which a started member has all of its capacity at the latest.
     pub slow_start_span: Time,
     /// A member in slow start fails if it is sent more than this multiple of its capacity ...
     pub overload_factor: f64,
@@ -71,7 +71,7 @@
     pub overload_span: Time,
     /// Span in which sends to a draining or removed member must end.
     pub drain_grace: Time,
-    /// A router that has not asked for the list for this long counts as notified of its changes.
+    /// A router that has not polled the list for this long counts as notified of its changes.
     pub list_poll_interval: Time,
     /// Only a member listed as draining gets no requests, not one merely missing from the list.
     pub soft_removal: bool,
@@ -81,8 +81,8 @@
     pub list_role: ListRole,
     /// Longest that a read waits for a replica about to reach its minimum position; 0 where none does.
     pub read_wait_bound: Time,
-    /// Primary discovery: members of a group without a primary are tried this many times less often than by a
-    /// single router (count).
+    /// Primary discovery: factor on the interval between two attempts to find the primary of a group; 1 for a
+    /// router that searches alone (count).
     pub discovery_interval_factor: Time,
     /// The router's clock may differ from the hosts' by any span: the difference is then estimated from their
     /// answers.
@@ -131,6 +131,10 @@
 
 impl Settings {
     /// Checks that every figure is in its valid range.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no class, or names the first class or figure that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -142,7 +146,7 @@
             (self.classes.iter().all(|class| class.attempts > 0), "the most attempts"),
             ((1..=MOST_ROUTERS).contains(&self.routers), "the number of routers"),
             (self.granularity > 0, "the granularity"),
-            (self.discovery_interval_factor > 0, "the rareness of scouting"),
+            (self.discovery_interval_factor > 0, "the factor on the interval of primary discovery"),
             (self.overload_factor > 0.0, "the overload factor"),
             ((0.0..=1.0).contains(&self.slow_start_initial_share), "the cold share"),
         ];
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -2,8 +2,8 @@
 //! next. Nothing here decides anything.
 //!
 //! All of it is stored with its time, on the clock of the router that learned it (see
-//! [`LearnedState::shift_clock`]): samples expire by themselves, and what a member reports outweighs all of it. What was in flight or waiting belongs to requests of the
-//! other process and is left out.
+//! [`LearnedState::shift_clock`]): samples expire by themselves, and what a member reports outweighs all of it.
+//! What was in flight or waiting belongs to requests of the other process and is left out.
 
 use crate::interface::{GroupId, MemberId, QuotaAdjustment, Time};
 use crate::router::Router;
@@ -30,7 +30,7 @@
     }
 
     /// Moves all times of the learning router's clock by `offset` (microseconds), for a reader whose clock differs. What
-    /// was never seen stays so, and times of others (starts, positions, commits) stay as they were told. Lags were
+    /// was never seen stays so, and times of others (starts, positions, commits) stay as they were reported. Lags were
     /// measured against the other clock and are dropped.
     pub fn shift_clock(&mut self, offset: Time) {
         self.members.values_mut().for_each(|member| shift_member(member, offset));
@@ -43,7 +43,7 @@
     }
 }
 
-/// The times 0 and 1 stand for "never" and "by the list's word alone".
+/// The times 0 and 1 stand for "never" and "by the endpoint list alone".
 fn shift(time: &mut Time, offset: Time) {
     if *time > 1 {
         *time = time.saturating_add(offset).max(2);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,4 @@
-//! The decision module: which member of a group gets a request, when to wait, when to try again, when to
-//! refuse.
+//! The decision module: which member of a group gets a request, and when to wait, to retry or to reject.
 //!
 //! A [`Router`] is a plain state machine. It has no clock, no threads and does no I/O: the embedding program
 //! calls [`Router::step`] once for each batch of events and carries out the actions it gets back.
@@ -12,7 +11,7 @@
 //! | `queue.rs` | the order of dispatch, expiry, eviction |
 //! | `completion.rs` | the final answer of a request, and cancelling its attempts |
 //! | `endpoints.rs` | what the endpoint list says |
-//! | `evidence.rs` | roles, positions and commits, as members tell them |
+//! | `evidence.rs` | roles, positions and commits, as members report them |
 //! | `outcomes.rs` | what the end of an attempt teaches |
 //! | `concurrency.rs` | the concurrency limit of a member, and this router's quota |
 //! | `overload.rs` | the share of reads that is shed |
@@ -30,8 +29,8 @@
 //! router can leave to the next; none of them decides. `fleet_clock.rs` relates the hosts' clock to the
 //! router's own.
 //!
-//! Bounds: requests by what clients can hold open ([`Settings::max_open_requests`]), members by the endpoint list and
-//! a minute more, samples by a fixed count for each member.
+//! Bounds: requests by what clients can hold open ([`Settings::max_open_requests`]), members by the endpoint
+//! list and a minute more, samples by a fixed count for each member.
 //!
 //! ```
 //! use petrelgauge_policy::*;
--- a/crates/policy/src/mutant.rs
+++ b/crates/policy/src/mutant.rs
@@ -6,9 +6,9 @@
 pub enum Mutant {
     /// Requests are sent to a member that the endpoint list calls draining.
     DrainIgnored,
-    /// A write is repeated after its key's window.
+    /// A write is retried after its key's window.
     RetriedAfterKeyWindow,
-    /// A write that may have run is repeated though its class allows none.
+    /// A write that may have run is retried though its class allows no retry.
     UnsafeRetried,
     /// A connection that broke after the request was written counts as one that never carried it.
     ResetCountsAsUnsent,
@@ -26,7 +26,7 @@
     CancellationUnreported,
     /// The limit for an answer that has begun ends one that has not.
     StallLimitBeforeAnswer,
-    /// A repeat is written whenever its connection comes up.
+    /// A retry is written whenever its connection comes up.
     RetryWrittenLate,
     /// A connection with unread bytes returns to the pool.
     UnreadConnectionPooled,
@@ -169,7 +169,7 @@
     false
 }
 
-/// Plants a bug in the code of this process, or takes it out again.
+/// Injects a bug into the code of this process, or removes it again.
 #[cfg(feature = "mutants")]
 pub fn inject_mutant(bug: Option<Mutant>) {
     ACTIVE.store(bug.map_or(0, |bug| bug as u8 + 1), std::sync::atomic::Ordering::Relaxed);
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Takes in an endpoint list: whole, or only the entries that changed.
+    /// Takes in an endpoint list: complete, or only the entries that changed.
     pub(super) fn update_endpoints(&mut self, complete: bool, entries: &[Entry]) {
         if complete {
             self.remove_unlisted(entries);
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -89,6 +89,10 @@
 
 impl Router {
     /// A router that knows nothing yet. The seed is its only source of random numbers.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings are not valid; see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         let mut router = Router {
             rng: SeededRng::seed_from_u64(seed),
@@ -102,8 +106,11 @@
         Ok(router)
     }
 
-    /// These settings hold from now on. Classes that requests or attempts in flight still have must keep
-    /// their places.
+    /// Replaces the settings. Classes of open requests and of attempts in flight must keep their places.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings are not valid; those before them stay in force then.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let latency_targets = || settings.classes.iter().map(|class| class.latency_target);
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -29,7 +29,7 @@
     answers: bool,
 }
 
-/// An attempt whose outcome is not yet known.
+/// An attempt whose outcome is not yet reported.
 struct InFlight {
     request: RequestId,
     attempt: u32,
@@ -122,8 +122,8 @@
 
     /// Plays so many steps and returns the digest of all actions.
     pub fn play(&mut self, steps: usize) -> u64 {
-        let complete = self.list(true, self.hosts.keys().copied().collect());
-        self.step(&[complete]);
+        let list = self.list(true, self.hosts.keys().copied().collect());
+        self.step(&[list]);
         for step in 0..steps {
             if step % PHASE == PHASE - 1 {
                 self.change_phase(step / PHASE + 1);
@@ -194,8 +194,8 @@
             self.router.adopt_learned_state(learned_state);
             self.timer_at = None;
             self.checks.clear();
-            let complete = self.list(true, self.hosts.keys().copied().collect());
-            self.step(&[complete]);
+            let list = self.list(true, self.hosts.keys().copied().collect());
+            self.step(&[list]);
         } else {
             self.router.apply_settings(settings).expect("sound settings");
         }
@@ -244,14 +244,14 @@
         // Some groups have most of the work, and some requests name a class that there is not.
         let groups = self.groups.len() as u64;
         let place = self.below(groups).min(self.below(groups)) as usize;
-        let minimum_position = self.below(5) == 0;
+        let has_minimum_position = self.below(5) == 0;
         Event::Request {
             request,
             class: if self.below(300) == 0 { 99 } else { self.below(6) as usize },
             group: self.groups[place],
             time_left: self.one_of(&[900, 900, 900, 950, 400, 120]) * MS,
             is_retry: self.below(10) == 0,
-            minimum_position: minimum_position.then(|| self.now - self.below(300) as Time * MS),
+            minimum_position: has_minimum_position.then(|| self.now - self.below(300) as Time * MS),
         }
     }
 
@@ -305,10 +305,10 @@
         let member = self.checks.pop_first()?;
         let host = &self.hosts[&member];
         let role = if host.entry.primary { Role::Primary } else { Role::Replica };
-        let (ending, answered) =
+        let (ending, is_reported) =
             if host.answers { (Ending::Served, true) } else { (Ending::TimedOut, false) };
-        let position = answered.then_some(self.now - host.lag);
-        let report = Report { position, role: answered.then_some(role), waiting: None, busy: Some(0.4) };
+        let position = is_reported.then_some(self.now - host.lag);
+        let report = Report { position, role: is_reported.then_some(role), waiting: None, busy: Some(0.4) };
         Some(Event::Probed { member, ending, report })
     }
 
@@ -331,7 +331,7 @@
             }
             8 => self.move_primary(group, member),
             9 => {
-                // A whole list that leaves one out.
+                // A complete list that leaves one out.
                 let others = self.hosts.keys().copied().filter(|id| *id != member).collect();
                 return self.list(true, others);
             }
--- a/crates/policy/tests/floors.rs
+++ b/crates/policy/tests/floors.rs
@@ -1,4 +1,4 @@
-//! A minimum_position on top of what a class needs, and the short wait for a replica about to pass it.
+//! A minimum position on top of what a class needs, and the short wait for a replica about to pass it.
 
 mod common;
 use common::*;
@@ -32,7 +32,7 @@
     Settings { read_wait_bound: 60 * MS, ..settings() }
 }
 
-/// Where a read of any data with this minimum_position goes, and after what wait.
+/// Where a read of any data with this minimum position goes, and after what wait.
 fn placed(harness: &mut Harness, class: usize, minimum_position: Time) -> (Option<MemberId>, Time) {
     let began = harness.now;
     let name = format!("f{began}");
@@ -79,7 +79,7 @@
     let now = harness.now;
     assert_eq!(placed(&mut harness, 0, now - 50 * MS).0, Some(1));
     assert_ne!(placed(&mut harness, 0, now - 5_000 * MS).0, Some(1), "an old write changes nothing");
-    // And an old minimum_position does not loosen the bound.
+    // And an old minimum position does not loosen the bound.
     let mut harness = taught(settings(), [0, 500 * MS, 500 * MS]);
     let now = harness.now;
     assert_eq!(placed(&mut harness, 0, now - 5_000 * MS).0, Some(1));
@@ -106,5 +106,5 @@
     harness.play(Event::MinimumPositionLowered { request: "x".into(), minimum_position: now + 900 * MS });
     harness.play(Event::MinimumPositionLowered { request: "gone".into(), minimum_position: 0 });
     let went = (0..12).find_map(|_| sent_to(&harness.wait(5 * MS)));
-    assert!(went.is_some(), "a minimum_position that rises is none of its affair");
+    assert!(went.is_some(), "a minimum position that rises is none of its affair");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -116,7 +116,7 @@
             assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}");
         }
     }
-    // A whole list that leaves a member out says the same.
+    // A complete list that leaves a member out says the same.
     let mut harness = Harness::new(settings());
     harness.play(Event::List { complete: true, entries: [entry(1, MemberStatus::Up, true, 0)].into() });
     for n in 0..50 {
