--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -77,7 +77,7 @@
 mod interface;
 mod learned_state;
 mod mutant;
-mod repeat_window;
+mod retry_window;
 mod router;
 mod state;
 
@@ -87,5 +87,5 @@
 #[cfg(feature = "mutants")]
 pub use mutant::inject_mutant;
 pub use mutant::{mutant, Mutant};
-pub use repeat_window::RETRY_WINDOW_MARGIN;
+pub use retry_window::RETRY_WINDOW_MARGIN;
 pub use router::Router;
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! What the share-out of limits brings to hundreds of routers with uneven work: the decisions are notified of shares as the
+//! What the share-out of limits brings to hundreds of routers with uneven work: the decisions are told of shares as the
 //! machines of `petrelgauge-ownership` have them, over links that lose nothing.
 
 mod common;
