--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -25,7 +25,7 @@
 mod steps;
 mod types;
 
-pub use types::{Order, Outcome, Request, Send, SessionRef, SettingsRejected};
+pub use types::{Order, Outcome, Request, Send, SessionRef, SessionTracking, SettingsRejected};
 
 use crate::class_table::ClassTable;
 use petrelgauge_policy::*;
@@ -110,9 +110,10 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        sessions: Option<(SessionTracker, Vec<usize>)>,
+        sessions: Option<SessionTracking>,
     ) -> Result<RequestTable, SettingsError> {
-        let (session_tracker, session_classes) = sessions.unzip();
+        let (session_tracker, session_classes) =
+            sessions.map(|SessionTracking { tracker, classes }| (tracker, classes)).unzip();
         Ok(RequestTable {
             granularity: settings.granularity,
             classes: ClassTable::new(settings.classes.clone()),
@@ -187,11 +188,14 @@
         self.router.group_of(member)
     }
 
-    /// The known primaries, and when they last reported that role, by the hosts' clock, which all gateways share.
-    pub fn primaries(&self) -> Vec<(GroupId, MemberId, Time)> {
+    /// The known primaries. Their evidence has its time by the hosts' clock, which all gateways share.
+    pub fn primaries(&self) -> Vec<KnownPrimary> {
         let fleet_clock = self.router.fleet_clock();
-        let leaders = self.router.primaries().into_iter();
-        leaders.map(|(group, member, at)| (group, member, fleet_clock.hosts_time(at))).collect()
+        let mut primaries = self.router.primaries();
+        for primary in &mut primaries {
+            primary.evidence_at = fleet_clock.hosts_time(primary.evidence_at);
+        }
+        primaries
     }
 
     /// What the router has learned about the members so far.
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -1,7 +1,7 @@
 //! The input of the request table and its orders, independent of any protocol.
 
 use petrelgauge_policy::*;
-use petrelgauge_sessions::{SessionKey, Token};
+use petrelgauge_sessions::{SessionKey, SessionTracker, Token};
 
 /// A request.
 #[derive(Clone, Debug)]
@@ -31,6 +31,15 @@
     pub token: Option<Token>,
 }
 
+/// The sessions that a request table tracks.
+#[derive(Clone, Debug)]
+pub struct SessionTracking {
+    /// The watermarks of the sessions.
+    pub tracker: SessionTracker,
+    /// Places, in the settings, of the classes whose requests belong to sessions.
+    pub classes: Vec<usize>,
+}
+
 /// How an attempt ended and what the member reported with its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -10,7 +10,7 @@
 
 pub use actions::Action;
 pub use classes::{Class, Effect, Need, Scope, ASSUMED_KNOWN_AFTER};
-pub use endpoints::{Entry, MemberStatus, QuotaAdjustment, Report, Role};
+pub use endpoints::{Entry, KnownPrimary, MemberStatus, QuotaAdjustment, Report, Role};
 pub use events::{Ending, Event};
 pub use ids::{GroupId, MemberId, RequestId, Time};
 pub use settings::{ListRole, Settings, SettingsError, StaleReadPolicy};
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -67,6 +67,17 @@
     Replica,
 }
 
+/// A member that is taken for the primary of its group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownPrimary {
+    /// The group.
+    pub group: GroupId,
+    /// The member.
+    pub member: MemberId,
+    /// When it last gave evidence of it by itself.
+    pub evidence_at: Time,
+}
+
 /// A load report of a member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -5,7 +5,7 @@
 //! [`LearnedState::shift_clock`]): samples expire by themselves, and what a member reports outweighs all of it.
 //! What was in flight or waiting belongs to requests of the other process and is left out.
 
-use crate::interface::{GroupId, MemberId, QuotaAdjustment, Time};
+use crate::interface::{GroupId, KnownPrimary, MemberId, QuotaAdjustment, Time};
 use crate::router::Router;
 use crate::state::{Group, Member, Samples, ServiceTime, SilentWaits};
 use serde::{Deserialize, Serialize};
@@ -106,17 +106,16 @@
         self.members.get(&member).map(|member| member.group)
     }
 
-    /// Members taken for the primaries of their groups, with when they last gave evidence of it by
-    /// themselves.
-    pub fn primaries(&self) -> Vec<(GroupId, MemberId, Time)> {
-        let leads = |group: &GroupId| {
-            let member = self.primary(*group)?;
-            // Evidence from the endpoint list alone has the time 1: every router knows it.
-            let at =
-                self.members.get(&member).map(|member| member.primary_evidence_at).filter(|at| *at > 1)?;
-            Some((*group, member, at))
-        };
-        self.groups.keys().filter_map(leads).collect()
+    /// The members taken for the primaries of their groups by evidence of their own.
+    pub fn primaries(&self) -> Vec<KnownPrimary> {
+        self.groups.keys().filter_map(|group| self.known_primary(*group)).collect()
+    }
+
+    fn known_primary(&self, group: GroupId) -> Option<KnownPrimary> {
+        let member = self.primary(group)?;
+        let evidence_at = self.members.get(&member)?.primary_evidence_at;
+        // Evidence from the endpoint list alone has the time 1: every router knows it.
+        (evidence_at > 1).then_some(KnownPrimary { group, member, evidence_at })
     }
 
     /// Starts from what another router has learned. To be called before the first step: the list that follows
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -220,7 +220,8 @@
     let moved = Entry { group: EMPTY, ..entry(ONLY_MEMBER, MemberStatus::Up, true, 0) };
     harness.play(Event::List { complete: false, entries: vec![moved].into() });
     harness.play(Event::GossipedPrimary { member: ONLY_MEMBER, at: harness.now });
-    assert_eq!(harness.router.primaries(), [(EMPTY, ONLY_MEMBER, harness.now)]);
+    let primary = KnownPrimary { group: EMPTY, member: ONLY_MEMBER, evidence_at: harness.now };
+    assert_eq!(harness.router.primaries(), [primary]);
 }
 
 /// Reads that a member which has just started gets, after 400 served reads elsewhere, among 40 members that left.
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -2,7 +2,7 @@
 //! other. It serves no client by itself. The program builds one and puts a front before it; the laboratory builds many
 //! in one process and gives each of them demand that nobody sent.
 
-use crate::facade::{Facade, SettingsRejected};
+use crate::facade::{Facade, SessionTracking, SettingsRejected};
 use crate::net::budget::Budget;
 use crate::net::clock::Clock;
 use crate::net::config::Config;
@@ -113,7 +113,8 @@
     pub fn new(config: &Config, now: Time) -> Result<Decisions, ControlError> {
         let mut settings = settings(config)?;
         let (sessions, exchange) = sessions(config, &settings.classes, now)?;
-        let read_wait_bound = sessions.as_ref().map_or(0, |(tracker, _)| tracker.settings().max_read_wait);
+        let read_wait_bound =
+            sessions.as_ref().map_or(0, |sessions| sessions.tracker.settings().max_read_wait);
         settings.read_wait_bound = read_wait_bound;
         let (max_open_requests, gateways) = (settings.max_open_requests, settings.routers);
         let facade = Facade::with_sessions(settings, config.seed, sessions)?;
@@ -282,13 +283,13 @@
 }
 
 /// The session tracker with the classes that carry sessions, and where broadcasts of others are received.
-type TrackedSessions = (Option<(SessionTracker, Vec<usize>)>, Option<SocketAddr>);
+type TrackedSessions = (Option<SessionTracking>, Option<SocketAddr>);
 
 /// The sessions that the operator has switched on, or else what the deployment asks for by itself: watermarks of this
 /// instance's own answers, since its start.
 fn sessions(config: &Config, classes: &[Class], now: Time) -> Result<TrackedSessions, ControlError> {
     if let Some(set) = &config.operator.sessions {
-        let (places, mut settings) = (carrying(config, classes)?, set.settings.clone());
+        let (classes, mut settings) = (carrying(config, classes)?, set.settings.clone());
         let mut exchange = None;
         if set.peers {
             let listen = config.peer_listen.ok_or(ControlError::MissingPeerListen { record: "sessions" })?;
@@ -297,10 +298,11 @@
                 (me as u16, config.peers.len().min(u16::MAX.into()) as u16);
             exchange = Some(listen);
         }
-        return Ok((Some((SessionTracker::new(settings, now)?, places)), exchange));
+        let tracker = SessionTracker::new(settings, now)?;
+        return Ok((Some(SessionTracking { tracker, classes }), exchange));
     }
-    let places = carrying(config, classes)?;
-    if places.is_empty() {
+    let classes = carrying(config, classes)?;
+    if classes.is_empty() {
         return Ok((None, None));
     }
     let (hosts_report_positions, hosts_enforce_positions) =
@@ -311,7 +313,8 @@
         ..Default::default()
     };
     let settings = petrelgauge_sessions::Settings { roams: false, tokens: false, ..told };
-    Ok((Some((SessionTracker::new(settings, 0)?, places)), None))
+    let tracker = SessionTracker::new(settings, 0)?;
+    Ok((Some(SessionTracking { tracker, classes }), None))
 }
 
 /// Places of the classes that carry sessions: those that the operator names, or else those that the deployment asks
--- a/src/net/primary_discovery.rs
+++ b/src/net/primary_discovery.rs
@@ -10,7 +10,7 @@
 use crate::net::counters::Counters;
 use crate::net::fleet_codec::{FleetCodec, OutgoingDatagram};
 use crate::net::host_names::HostNames;
-use crate::{GroupId, MemberId, Time};
+use crate::{KnownPrimary, Time};
 use petrelgauge_ownership::{
     shard_of, GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification,
     PrimaryAnnouncement, MAX_ANNOUNCEMENTS,
@@ -30,14 +30,6 @@
     LeadershipRole { kind: PRIMARY_DISCOVERY, shard: u64::from(shard) }
 }
 
-/// A member that this gateway takes for the primary of its group.
-struct KnownPrimary {
-    group: GroupId,
-    member: MemberId,
-    /// When it answered so.
-    position: Time,
-}
-
 /// This gateway's part in primary discovery.
 pub struct PrimaryDiscovery {
     shards: u16,
@@ -98,7 +90,7 @@
         lease_manager: &mut LeaseManager,
         codec: &FleetCodec,
     ) -> Vec<OutgoingDatagram> {
-        let known = self.known_primaries();
+        let known = self.facade.primaries();
         let mut datagrams = Vec::new();
         for shard in 0..self.shards {
             let leader = lease_manager.lease_holder(now, discovery_role(shard));
@@ -147,11 +139,6 @@
         }
     }
 
-    fn known_primaries(&self) -> Vec<KnownPrimary> {
-        let leaders = self.facade.primaries().into_iter();
-        leaders.map(|(group, member, position)| KnownPrimary { group, member, position }).collect()
-    }
-
     /// The primaries of a shard that are to be announced now. They count as announced from here on.
     fn due_announcements(
         &mut self,
@@ -163,11 +150,11 @@
         let limit = if self.shards == 1 { MAX_UNSHARDED_GROUPS } else { usize::MAX };
         let in_shard = known.iter().filter(|primary| shard_of(primary.group, self.shards) == shard);
         let mut due = Vec::new();
-        for KnownPrimary { group, member, position } in in_shard.take(limit) {
+        for KnownPrimary { group, member, evidence_at } in in_shard.take(limit) {
             let Some(hash) = self.names.hash(*member) else { continue };
             if self.announced.is_due(now, *group, *member, repeats) {
                 self.announced.insert(now, *group, *member);
-                due.push(PrimaryAnnouncement { member: hash, position: *position });
+                due.push(PrimaryAnnouncement { member: hash, position: *evidence_at });
             }
         }
         due
--- a/src/net/request_parser.rs
+++ b/src/net/request_parser.rs
@@ -82,7 +82,7 @@
         let statement = Statement::parse(text)?;
         let (class_index, class) = self
             .facade
-            .find(at, &statement.class, statement.has_idempotency_key)
+            .find_class(at, &statement.class, statement.has_idempotency_key)
             .ok_or(UnusableStatement::UnknownClass)?;
         let wait = microseconds(statement.wait_ms);
         self.check(&statement, &class, wait, at)?;
@@ -93,7 +93,7 @@
             class: class_index,
             group: statement.group,
             until: at.saturating_add(wait),
-            repeat: statement.is_retry,
+            is_retry: statement.is_retry,
             at,
             after: statement.after_ms.filter(|_| reads_session).map(microseconds),
             session,
--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{settings, MS};
-use petrelgauge::facade::Facade;
+use petrelgauge::facade::{Facade, SessionTracking};
 use petrelgauge::net::clock::Clock;
 use petrelgauge::net::counters::Counters;
 use petrelgauge::net::datagram::{self, DatagramSocket};
@@ -150,7 +150,8 @@
         petrelgauge_sessions::Settings { instances: 2, broadcast_interval: 5 * MS, ..Default::default() };
     let tracker = SessionTracker::new(interval, clock.now()).expect("sound settings");
     let set = petrelgauge::Settings { may_probe: false, ..settings() };
-    let facade = Facade::with_sessions(set, 11, Some((tracker, vec![2, 5]))).expect("sound settings");
+    let facade = Facade::with_sessions(set, 11, Some(SessionTracking { tracker, classes: vec![2, 5] }))
+        .expect("sound settings");
     let peers = Peers::new(socket, 0, vec![peer(), peer()]);
     block_on(async {
         tokio::select! {
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -7,7 +7,7 @@
 
 use common::{entry, settings, G, MS, START};
 use harness::{insert, kinds, select, Harness, Reply};
-use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionRef, Ticket};
+use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionRef, SessionTracking, Ticket};
 use petrelgauge::operator::Operator;
 use petrelgauge::*;
 use petrelgauge_sessions::{
@@ -42,7 +42,8 @@
         let tracker = SessionTracker::new(sessions, START).expect("sound settings");
         let set = Settings { may_probe: false, read_wait_bound: 30 * MS, ..settings() };
         let facade =
-            Facade::with_sessions(set, 11, Some((tracker, vec![READ, WRITE]))).expect("sound settings");
+            Facade::with_sessions(set, 11, Some(SessionTracking { tracker, classes: vec![READ, WRITE] }))
+                .expect("sound settings");
         facade.update_endpoints(
             true,
             (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -7,7 +7,7 @@
 
 use common::{entry, settings, G, MS};
 use harness::*;
-use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, Ticket};
+use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionTracking, Ticket};
 use petrelgauge::*;
 use petrelgauge_sessions::SessionTracker;
 use std::future::Future;
@@ -104,8 +104,10 @@
         let offset = shift_ms * MS;
         let now = NOON - offset;
         let set = Settings { may_probe: false, clock_may_be_wrong: true, ..settings() };
-        let tracker =
-            sessions.map(|set| (SessionTracker::new(set, now).expect("sound settings"), vec![READ, WRITE]));
+        let tracker = sessions.map(|set| SessionTracking {
+            tracker: SessionTracker::new(set, now).expect("sound settings"),
+            classes: vec![READ, WRITE],
+        });
         let facade = Facade::with_sessions(set, 11, tracker).expect("sound settings");
         facade.update_endpoints(
             true,
@@ -157,7 +159,7 @@
     }
 
     fn leader(&self) -> Option<MemberId> {
-        self.facade.primaries().first().map(|(_, member, _)| *member)
+        self.facade.primaries().first().map(|primary| primary.member)
     }
 }
 
@@ -171,7 +173,7 @@
             wrong.write();
         }
         assert_eq!((right.leader(), wrong.leader()), (Some(1), Some(1)));
-        let announced_at = |from: &Shifted| from.facade.primaries()[0].2;
+        let announced_at = |from: &Shifted| from.facade.primaries()[0].evidence_at;
         let (by_right, by_wrong) = (announced_at(&right), announced_at(&wrong));
         assert!((by_right - by_wrong).abs() <= 20 * MS, "{shift_ms}: {by_right} and {by_wrong}");
         // Some time later member 2 has taken over, and one gateway had its answer.
