--- a/src/bin/petrelgauge-simulator-adapter.rs
+++ b/src/bin/petrelgauge-simulator-adapter.rs
@@ -2,34 +2,49 @@
 //! It only translates; every decision is the library's.
 #![forbid(unsafe_code)]
 
+#[path = "petrelgauge-simulator-adapter/adapter.rs"]
+mod adapter;
+#[path = "petrelgauge-simulator-adapter/error.rs"]
+mod error;
+#[path = "petrelgauge-simulator-adapter/instance.rs"]
+mod instance;
+#[path = "petrelgauge-simulator-adapter/sessions.rs"]
+mod sessions;
 #[path = "petrelgauge-simulator-adapter/wire.rs"]
 mod wire;
 
+use adapter::Adapter;
+use error::AdapterError;
 use std::io::{BufRead, Write};
 
+/// Exit code when the reply cannot be written: the simulator has gone.
+const OUTPUT_CLOSED: i32 = 1;
+/// Exit code when a line cannot be read or used.
+const INPUT_UNUSABLE: i32 = 2;
+
 fn main() {
     let stdin = std::io::stdin();
     let mut input = stdin.lock();
     let mut output = std::io::BufWriter::new(std::io::stdout().lock());
-    let mut adapter = wire::Adapter::default();
+    let mut adapter = Adapter::default();
     let mut line = Vec::new();
     for number in 1u64.. {
         line.clear();
         let reply = match input.read_until(b'\n', &mut line) {
             Ok(0) => return,
             Ok(_) if line.iter().all(u8::is_ascii_whitespace) => continue,
-            Ok(_) => adapter.batch(&line),
-            Err(cause) => Err(format!("cannot read standard input: {cause}")),
+            Ok(_) => adapter.handle_batch(&line),
+            Err(cause) => Err(AdapterError::Input(cause)),
         };
         let sent = match reply {
             Ok(reply) => writeln!(output, "{reply}").and_then(|()| output.flush()),
             Err(cause) => {
                 eprintln!("petrelgauge-simulator-adapter: line {number}: {cause}");
-                std::process::exit(2);
+                std::process::exit(INPUT_UNUSABLE);
             }
         };
         if sent.is_err() {
-            std::process::exit(1);
+            std::process::exit(OUTPUT_CLOSED);
         }
     }
 }
--- /dev/null
+++ b/src/bin/petrelgauge-simulator-adapter/instance.rs
@@ -0,0 +1,157 @@
+//! One instance of the gateway in the simulator: its router, and the translation of its events.
+
+use crate::error::EventError;
+use crate::sessions::Sessions;
+use crate::wire::{self, OutcomeMessage, RequestMessage, WireEvent};
+use petrelgauge::settings::{self, Info};
+use petrelgauge::{Action, Ending, Entry, Event, GroupId, Need, Report, Router, Time};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// One instance of the gateway.
+pub struct Instance {
+    router: Router,
+    /// Places of the classes, by name.
+    class_places: BTreeMap<String, usize>,
+    /// What data the classes need, by place.
+    needs: Vec<Need>,
+    /// The clock time that positions are counted from.
+    position_origin: Time,
+    /// Names of the values in a load report, in their order.
+    report_names: Vec<String>,
+    sessions: Option<Sessions>,
+}
+
+impl Instance {
+    /// An instance with the settings of its deployment.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings cannot be used.
+    pub fn new(seed: u64, info: &Info) -> Result<Instance, EventError> {
+        let settings = info.settings()?;
+        let needs: Vec<Need> = settings.classes.iter().map(|class| class.need).collect();
+        let class_places =
+            settings.classes.iter().enumerate().map(|(place, class)| (class.name.clone(), place)).collect();
+        Ok(Instance {
+            sessions: Sessions::new(info, &needs),
+            needs,
+            class_places,
+            position_origin: info.origin(),
+            report_names: info.report_names().to_vec(),
+            router: Router::new(settings, seed)?,
+        })
+    }
+
+    /// Steps the router, and returns its actions.
+    pub fn step(&mut self, now: Time, events: &[Event]) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.router.step(now, events, &mut actions);
+        actions
+    }
+
+    /// The router's event for one of the simulator, if it concerns the router.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the event names what is not known.
+    pub fn translate(
+        &mut self,
+        now: Time,
+        event: WireEvent,
+        lists: &BTreeMap<u64, Arc<[Entry]>>,
+    ) -> Result<Option<Event>, EventError> {
+        Ok(match event {
+            WireEvent::List { mode, slot } => list_event(&mode, slot, lists)?,
+            WireEvent::Request(request) => Some(self.request_event(now, request)?),
+            WireEvent::Outcome(outcome) => Some(self.outcome_event(now, outcome)?),
+            WireEvent::Abandoned { request } => Some(Event::Abandoned { request }),
+            WireEvent::Timer { token } => Some(Event::Timer { token }),
+            WireEvent::ProbeResult { member, status, report } => Some(Event::Probed {
+                member,
+                ending: wire::parse_ending(&status)?,
+                report: self.load_report(report),
+            }),
+            WireEvent::Configure { .. }
+            | WireEvent::Teardown
+            | WireEvent::DefineList { .. }
+            | WireEvent::AttemptStarted {}
+            | WireEvent::PeerMessage {} => None,
+        })
+    }
+
+    fn request_event(&mut self, now: Time, message: RequestMessage) -> Result<Event, EventError> {
+        let class = *self
+            .class_places
+            .get(&message.class)
+            .ok_or_else(|| EventError::UnknownClass(message.class.clone()))?;
+        let group = message.group as GroupId;
+        let minimum_position = self.minimum_position(now, class, group, &message);
+        Ok(Event::Request {
+            class,
+            group,
+            time_left: message.time_left,
+            is_retry: message.is_marked_retry(),
+            minimum_position,
+            request: message.request,
+        })
+    }
+
+    /// The commit that a read must include: that of its session here, or else the one that its client names.
+    fn minimum_position(
+        &mut self,
+        now: Time,
+        class: usize,
+        group: GroupId,
+        message: &RequestMessage,
+    ) -> Option<Time> {
+        let need = self.needs[class];
+        let tracked = match (&mut self.sessions, &message.session) {
+            (Some(sessions), Some(name)) => sessions.begin_request(now, &message.request, need, group, name),
+            _ => None,
+        };
+        let named_age = message.commit_age().filter(|_| need == Need::Session);
+        tracked.or(named_age.map(|age| now - age))
+    }
+
+    fn outcome_event(&mut self, now: Time, message: OutcomeMessage) -> Result<Event, EventError> {
+        let position = message.stamp.position(self.position_origin);
+        let ending = wire::parse_ending(&message.status)?;
+        if let Some(sessions) = &mut self.sessions {
+            let commit = position.filter(|_| ending == Ending::Served);
+            sessions.end_attempt(now, &message.request, commit, message.is_final);
+        }
+        Ok(Event::Outcome {
+            request: message.request,
+            attempt: message.attempt,
+            member: message.member,
+            ending,
+            took: message.took,
+            closed: message.is_final,
+            position,
+            role: message.stamp.role(),
+            report: self.load_report(message.report),
+        })
+    }
+
+    fn load_report(&self, values: Option<Vec<f64>>) -> Report {
+        let names = self.report_names.iter().map(String::as_str);
+        settings::report(self.position_origin, names.zip(values.unwrap_or_default()))
+    }
+}
+
+/// The event for a delivery of the endpoint list. One that failed gives none: the last list stays in force.
+fn list_event(
+    mode: &str,
+    slot: u64,
+    lists: &BTreeMap<u64, Arc<[Entry]>>,
+) -> Result<Option<Event>, EventError> {
+    let complete = match mode {
+        "X" => return Ok(None),
+        "D" => false,
+        "F" | "C" => true,
+        other => return Err(EventError::UnknownMode(other.to_string())),
+    };
+    let entries = lists.get(&slot).ok_or(EventError::UnknownSlot(slot))?.clone();
+    Ok(Some(Event::List { complete, entries }))
+}
