--- a/crates/config-language/src/grammar.rs
+++ b/crates/config-language/src/grammar.rs
@@ -48,9 +48,9 @@
 
 /// Parses all fields of a file.
 pub fn file(text: &str) -> Result<Vec<Field>, SyntaxError> {
-    let whole = terminated(|input: &mut Input| fields(input, MAX_DEPTH), blank);
-    let mut whole = terminated(whole, winnow::combinator::eof.context(expected("a field")));
-    whole.parse(LocatingSlice::new(text)).map_err(|error| {
+    let all_fields = terminated(|input: &mut Input| fields(input, MAX_DEPTH), blank);
+    let mut file = terminated(all_fields, winnow::combinator::eof.context(expected("a field")));
+    file.parse(LocatingSlice::new(text)).map_err(|error| {
         let wanted = error.inner().context().find_map(|context| match context {
             StrContext::Expected(StrContextValue::Description(what)) => Some(*what),
             _ => None,
@@ -76,7 +76,7 @@
 }
 
 fn field(input: &mut Input, depth: usize) -> ModalResult<Field> {
-    let name = preceded(blank, located(alt((word, quoted)))).parse_next(input)?;
+    let name = preceded(blank, located(alt((plain_name, quoted)))).parse_next(input)?;
     cut_err((blank, ':')).context(expected("a colon")).parse_next(input)?;
     let value = cut_err(preceded(blank, located(|input: &mut Input| value(input, depth))))
         .context(expected("a value"))
@@ -93,7 +93,7 @@
     }
 }
 
-fn word(input: &mut Input) -> ModalResult<String> {
+fn plain_name(input: &mut Input) -> ModalResult<String> {
     let first = one_of(|c: char| c.is_ascii_alphabetic() || c == '_');
     let rest = take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-');
     (first, rest).map(|(first, rest): (char, &str)| format!("{first}{rest}")).parse_next(input)
--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -16,7 +16,7 @@
 //! **Covered:** fields with plain or quoted names, `//` comments, records, lists, strings in double quotes, whole
 //! numbers, `true` and `false`, durations (`500us`, `20ms`, `3s`, `2m`) and sizes (`64KiB`, `8MiB`). The same field twice
 //! is an error, also with the same value. Definitions, defaults, constraints and references are not read yet: they
-//! are refused where they stand.
+//! are rejected where they stand.
 //!
 //! **Bounds:** a file of 1 MiB, 16 records inside each other.
 
--- a/crates/handover/src/siblings.rs
+++ b/crates/handover/src/siblings.rs
@@ -119,8 +119,8 @@
         self.siblings.retain(|process, _| processes.contains(process));
     }
 
-    /// The directory could not be read for this span (microseconds): it told nothing, also not that a sibling stands
-    /// still.
+    /// The directory could not be read for this span (microseconds). What it does not show is no sign that a sibling
+    /// has stopped.
     pub fn unobserved_for(&mut self, span: Time) {
         self.siblings.values_mut().for_each(|known| known.changed_at = known.changed_at.saturating_add(span));
     }
--- a/crates/sessions/src/session_tracker.rs
+++ b/crates/sessions/src/session_tracker.rs
@@ -226,7 +226,7 @@
     }
 
     /// Records that an attempt of a write ended without an answer that can be trusted. If it has run, it was
-    /// committed before now; if it runs later, nobody has been told of it.
+    /// committed before now; if it runs later, nobody has seen its answer.
     pub fn record_unconfirmed_write(&mut self, now: Time, key: SessionKey) {
         let watermark = Watermark { written: self.latest_clock(now), read: 0 };
         self.record(now, key, watermark, 0);
