--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -49,7 +49,7 @@
         if !self.may_spend_trial(request) {
             return None;
         }
-        self.group_members(request.group).iter().copied().find(|id| self.may_try_suspected(*id))
+        self.group_members(request.group).iter().copied().find(|id| self.may_try_with(request, *id))
     }
 
     /// Whether the request may be sent to a suspected member beside others that are well: a short one,
@@ -64,15 +64,17 @@
     /// that is well again is found beside others that are not. Any attempt of a read may be spent on it: it
     /// has nowhere else to go.
     fn least_recently_tried(&self, request: &Request) -> Option<MemberId> {
-        let may_try = |id: &MemberId| {
-            self.may_try_suspected(*id)
-                && !self.was_just_tried(request, *id)
-                && self.is_fresh(self.now, &request.id, *id)
-        };
+        let may_try = |id: &MemberId| self.may_try_with(request, *id) && !self.was_just_tried(request, *id);
         let candidates = self.group_members(request.group).iter().copied().filter(may_try);
         candidates.min_by_key(|id| (self.members[id].ejected_until, *id))
     }
 
+    /// Whether this request may find out about a suspected member. One that needs fresher data than the
+    /// member is known to have would not be sent there, and must go to another.
+    fn may_try_with(&self, request: &Request, id: MemberId) -> bool {
+        self.may_try_suspected(id) && self.is_fresh(self.now, &request.id, id)
+    }
+
     /// Only one attempt is left, which the primary gets.
     fn is_last_attempt(&self, request: &Request) -> bool {
         let most = self.settings.classes[request.class].attempts as usize;
--- a/crates/policy/tests/suspected_groups.rs
+++ b/crates/policy/tests/suspected_groups.rs
@@ -8,6 +8,7 @@
 
 const MEMBERS: u32 = 3;
 const READ: usize = 2;
+const BOUNDED_READ: usize = 0;
 const READ_TIME: Time = 900 * MS;
 const SECOND: Time = 1_000 * MS;
 
@@ -114,3 +115,49 @@
     ask_slowly(&mut fleet, 5, 3 * SECOND);
     assert_eq!(sent(&fleet), before);
 }
+
+fn answer(harness: &mut Harness, name: &str, attempt: u32, member: MemberId) {
+    let role = if member == 1 { Role::Primary } else { Role::Replica };
+    harness.end_as(name, attempt, member, Ending::Served, Some(10 * MS), Some(role));
+}
+
+/// Asks for a read and waits for as long as it may take. Says where it went, if it was sent.
+fn place(harness: &mut Harness, name: &str, class: usize) -> Option<MemberId> {
+    let mut actions = harness.ask(name, class, READ_TIME);
+    while sent_to(&actions).is_none() && !refused(&actions) {
+        actions = harness.wait(5 * MS);
+    }
+    sent_to(&actions)
+}
+
+/// Where members answer reads from old data, a read must not be kept for a trial that it would not be sent to.
+#[test]
+fn a_bounded_read_is_not_kept_for_a_suspected_member_that_may_be_behind() {
+    let settings = Settings { may_probe: false, stale_read_policy: StaleReadPolicy::Serve, ..settings() };
+    let mut harness = Harness::new(settings);
+    let mut lost = 0;
+    for n in 0..200 {
+        let name = format!("read{n}");
+        match place(&mut harness, &name, READ) {
+            Some(2) if n >= 60 => {
+                lost += 1;
+                let retry = harness.end(&name, 0, 2, Ending::ConnectionLost);
+                sent_to(&retry).into_iter().for_each(|member| answer(&mut harness, &name, 1, member));
+            }
+            Some(member) => answer(&mut harness, &name, 0, member),
+            None => {}
+        }
+        harness.now += 20 * MS;
+        if lost == 2 {
+            break;
+        }
+    }
+    assert_eq!(lost, 2, "two connections in a row fail: member 2 is suspected");
+    for n in 0..20 {
+        harness.now += SECOND;
+        let name = format!("bounded{n}");
+        let member = place(&mut harness, &name, BOUNDED_READ);
+        assert!(member.is_some_and(|member| member != 2), "read {n} went to {member:?}");
+        member.into_iter().for_each(|member| answer(&mut harness, &name, 0, member));
+    }
+}
