--- a/crates/policy/src/indexes.rs
+++ b/crates/policy/src/indexes.rs
@@ -12,7 +12,7 @@
     waiting: BTreeSet<GroupId>,
     /// Members with attempts in flight at the last check: what they wait for is added up at each check.
     waited_for: BTreeSet<MemberId>,
-    /// All members that are suspected or down; also some that were so since the last check.
+    /// All members that are suspected or down.
     doubtful: BTreeSet<MemberId>,
     /// All members that are listed as removed; also those that were so since the last check. Of the members
     /// in it `Member::last_listed_at` is exact. All others were in service at the last check, if they were
@@ -22,6 +22,9 @@
     available_outdated: bool,
     /// No member has a `Member::last_loss_at` after this.
     newest_loss: Time,
+    /// Since the zones were checked last, a member was lost, listed anew or cleared of suspicion: without any
+    /// of that, all members of unreachable zones are suspected still.
+    zones_outdated: bool,
 }
 
 impl Indexes {
@@ -30,8 +33,12 @@
         self.waiting.iter().copied().collect()
     }
 
-    /// Members that may be silent, suspected or down, in ascending order.
-    pub(crate) fn members_to_check(&self) -> Vec<MemberId> {
+    /// Members that may be silent and, where they may be probed, those that are suspected or down; in
+    /// ascending order.
+    pub(crate) fn members_to_check(&self, may_probe: bool) -> Vec<MemberId> {
+        if !may_probe {
+            return self.waited_for.iter().copied().collect();
+        }
         self.waited_for.union(&self.doubtful).copied().collect()
     }
 
@@ -42,14 +49,39 @@
         self.note_doubt(id, member);
     }
 
-    /// Doubts about a member may have come up, or an attempt there have hung.
+    /// Doubts about a member may have come up or gone.
     pub(crate) fn note_doubt(&mut self, id: MemberId, member: &Member) {
-        self.newest_loss = self.newest_loss.max(member.last_loss_at);
         if member.suspected || member.down {
             self.doubtful.insert(id);
+        } else {
+            self.doubtful.remove(&id);
         }
     }
 
+    /// An attempt at this member has hung.
+    pub(crate) fn record_loss(&mut self, member: &mut Member, now: Time) {
+        member.last_loss_at = now;
+        self.newest_loss = self.newest_loss.max(now);
+        self.zones_outdated = true;
+    }
+
+    /// The member has answered.
+    pub(crate) fn clear_suspicion(&mut self, id: MemberId, member: &mut Member) {
+        self.zones_outdated |= member.suspected;
+        member.suspected = false;
+        self.note_doubt(id, member);
+    }
+
+    /// Whether a check of the zones may find members to suspect.
+    pub(crate) fn has_outdated_zones(&self) -> bool {
+        self.zones_outdated
+    }
+
+    /// The zones are checked now.
+    pub(crate) fn begin_zone_check(&mut self) {
+        self.zones_outdated = false;
+    }
+
     /// Who counts as in service may have changed.
     pub(crate) fn outdate_available(&mut self) {
         self.available_outdated = true;
@@ -70,7 +102,7 @@
         self.waited_for.insert(id);
     }
 
-    /// Begins a check: nothing is added up yet, and only those in doubt stay so.
+    /// Begins a check: nothing is added up yet.
     pub(crate) fn begin_check(&mut self, members: &mut BTreeMap<MemberId, Member>) {
         for id in std::mem::take(&mut self.waited_for) {
             if let Some(member) = members.get_mut(&id) {
@@ -78,7 +110,6 @@
                 member.silent_waits = SilentWaits::default();
             }
         }
-        self.doubtful.retain(|id| members.get(id).is_some_and(|member| member.suspected || member.down));
     }
 
     /// Requests wait in this group.
@@ -94,6 +125,7 @@
     /// The list names the status of this member. Says whether it is removed now and was not before.
     pub(crate) fn note_status(&mut self, id: MemberId, status: MemberStatus) -> bool {
         self.available_outdated = true;
+        self.zones_outdated = true;
         status == MemberStatus::Removed && self.delisted.insert(id)
     }
 
@@ -102,6 +134,11 @@
         self.delisted.contains(&id)
     }
 
+    /// The member is not known any more.
+    pub(crate) fn forget_member(&mut self, id: MemberId) {
+        self.doubtful.remove(&id);
+    }
+
     /// Keeps only those of the removed members for which this holds.
     pub(crate) fn retain_delisted(&mut self, keeps: impl FnMut(&MemberId) -> bool) {
         self.delisted.retain(keeps);
@@ -122,6 +159,7 @@
             doubtful: ids_of(|member| member.suspected || member.down),
             delisted: ids_of(|member| member.status == MemberStatus::Removed),
             available_outdated: true,
+            zones_outdated: true,
             newest_loss: members.values().map(|member| member.last_loss_at).max().unwrap_or(0),
         }
     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -7,6 +7,7 @@
 mod events;
 mod ids;
 mod settings;
+mod visits;
 
 pub use actions::Action;
 pub use classes::{Class, Effect, Need, Scope, ASSUMED_KNOWN_AFTER};
@@ -14,3 +15,4 @@
 pub use events::{Ending, Event};
 pub use ids::{GroupId, MemberId, RequestId, Time};
 pub use settings::{ListRole, Settings, SettingsError, StaleReadPolicy};
+pub use visits::VisitCounts;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,7 +25,7 @@
 //! | `dispatch.rs` | the rules that every send must pass |
 //!
 //! `interface.rs` names the types of the public interface (settings, events, actions), `state.rs` holds the
-//! state as plain data, `indexes.rs` which of it a step has to look at, and `learned_state.rs` what of it one
+//! state as plain data, `in_flight.rs` and `indexes.rs` which of it a step has to look at, and `learned_state.rs` what of it one
 //! router can leave to the next; none of them decides. `fleet_clock.rs` relates the hosts' clock to the
 //! router's own.
 //!
@@ -73,6 +73,7 @@
 //! ```
 
 mod fleet_clock;
+mod in_flight;
 mod indexes;
 mod interface;
 mod learned_state;
--- a/crates/policy/src/router/bookkeeping.rs
+++ b/crates/policy/src/router/bookkeeping.rs
@@ -39,7 +39,7 @@
     pub(super) fn forget_members(&mut self, is_kept: impl Fn(&Member) -> bool) {
         let now = self.now;
         let members = &mut self.members;
-        let count = members.len();
+        let mut forgotten = Vec::new();
         self.indexes.retain_delisted(|id| {
             let Some(member) = members.get_mut(id) else { return false };
             if is_kept(member) {
@@ -49,10 +49,14 @@
             let is_forgotten = now - member.last_listed_at >= FORGET_AFTER;
             if is_forgotten {
                 members.remove(id);
+                forgotten.push(*id);
             }
             is_removed && !is_forgotten
         });
-        if members.len() < count {
+        for id in &forgotten {
+            self.indexes.forget_member(*id);
+        }
+        if !forgotten.is_empty() {
             self.indexes.outdate_available();
             self.prune_groups();
         }
--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -71,8 +71,8 @@
         if now - member.primary_evidence_at <= span {
             return true;
         }
-        let others = self.in_flight.iter().filter(|(attempt_id, _)| attempt_id.request != *request);
-        !others.map(|(_, attempt)| attempt).any(|attempt| attempt.may_be_lost(id, now))
+        let mut at_member = self.in_flight.at_member(id);
+        !at_member.any(|(attempt_id, attempt)| attempt_id.request != *request && attempt.may_be_lost(now))
     }
 
     /// Sends a request to a member, if that is allowed.
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -50,6 +50,7 @@
             member.in_flight = earlier.in_flight;
             member.replica_evidence_at = earlier.replica_evidence_at;
         }
+        self.indexes.note_doubt(entry.member, &member);
         self.members.insert(entry.member, member);
     }
 
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -4,6 +4,7 @@
 use super::Router;
 use crate::interface::{Action, Effect, Ending, GroupId, MemberId, MemberStatus, Report, Time};
 use crate::state::{share_of, Member};
+use std::collections::BTreeSet;
 
 /// Failures in a row that a silent member counts as having (count): the first pause, in doublings of the
 /// granularity.
@@ -53,10 +54,11 @@
         if self.indexes.take_available_outdated() {
             self.available_members = self.members.values().filter(|member| self.is_available(member)).count();
         }
-        for id in self.indexes.members_to_check() {
+        for id in self.indexes.members_to_check(self.settings.may_probe) {
+            self.visits.members += 1;
             self.check_member(id);
         }
-        if self.has_recent_loss() {
+        if self.indexes.has_outdated_zones() && self.has_recent_loss() {
             self.check_zones();
         }
         self.probe_groups_without_primary();
@@ -66,17 +68,20 @@
         self.is_in_service(member) && !member.down
     }
 
-    fn has_recent_loss(&self) -> bool {
+    fn has_recent_loss(&mut self) -> bool {
         let span = self.shortest_latency_target;
-        self.indexes.lost_within(span, self.now)
-            && self.members.values().any(|member| self.now - member.last_loss_at < span)
+        if !self.indexes.lost_within(span, self.now) {
+            return false;
+        }
+        self.visits.members += self.members.len() as u64;
+        self.members.values().any(|member| self.now - member.last_loss_at < span)
     }
 
     /// Adds up the waits for each member. Work that a member drops while it answers the rest must not use up
     /// its capacity: it counts as lost. That covers lossy paths and hung requests of any kind; an overloaded
     /// member gets some more work.
     fn sum_up_waits(&mut self) {
-        for attempt in self.in_flight.values() {
+        for attempt in self.in_flight.iter() {
             let Some(member) = self.members.get_mut(&attempt.member) else { continue };
             self.indexes.await_member(attempt.member);
             let waited = self.now - attempt.sent;
@@ -131,7 +136,7 @@
     pub(super) fn suspect_silent_member(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.suspected = true;
-        member.last_loss_at = self.now;
+        self.indexes.record_loss(member, self.now);
         member.consecutive_failures = member.consecutive_failures.max(SILENCE_FAILURES);
         member.ejected_until = self.now + (self.settings.granularity << member.consecutive_failures);
         self.indexes.note_doubt(id, member);
@@ -167,7 +172,7 @@
         let unanswered = matches!(ending, Ending::TimedOut | Ending::ConnectFailed | Ending::ConnectionLost);
         if ending == Ending::Served {
             member.last_heard_at = self.now;
-            member.suspected = false;
+            self.indexes.clear_suspicion(id, member);
             if member.down {
                 self.mark_up(id, start_tokens);
             }
@@ -198,10 +203,13 @@
 
     /// Cancels work at a member that does not answer, so that it can go elsewhere while there is time.
     fn cancel_attempts_at(&mut self, id: MemberId, is_retriable: impl Fn(Effect) -> bool) {
-        let mut cancelled = Vec::new();
-        for (sequence, request) in &self.requests {
+        let mut cancelled = BTreeSet::new();
+        for (attempt_id, _) in self.in_flight.at_member(id) {
+            self.visits.requests += 1;
+            let Some(sequence) = self.sequences.get(&attempt_id.request) else { continue };
+            let Some(request) = self.requests.get(sequence) else { continue };
             if is_retriable(self.settings.classes[request.class].effect) && !self.is_start_late(request) {
-                cancelled.push(*sequence);
+                cancelled.insert(*sequence);
             }
         }
         for sequence in cancelled {
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -21,9 +21,12 @@
 mod zones;
 
 use crate::fleet_clock::FleetClock;
+use crate::in_flight::InFlightAttempts;
 use crate::indexes::Indexes;
-use crate::interface::{Action, Event, GroupId, MemberId, RequestId, Role, Settings, SettingsError, Time};
-use crate::state::{AttemptId, Group, InFlightAttempt, LoadState, Member, Request, SeededRng};
+use crate::interface::{
+    Action, Event, GroupId, MemberId, RequestId, Role, Settings, SettingsError, Time, VisitCounts,
+};
+use crate::state::{Group, LoadState, Member, Request, SeededRng};
 use admission::PROBE_BUDGET_SHARE;
 use evidence::Evidence;
 use std::collections::BTreeMap;
@@ -61,7 +64,7 @@
     requests: BTreeMap<u64, Request>,
     /// The sequence numbers of these requests.
     sequences: BTreeMap<RequestId, u64>,
-    in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    in_flight: InFlightAttempts,
     next_sequence: u64,
     /// Median of the time that first tries of each class come with (microseconds).
     typical_time_left: Vec<Time>,
@@ -83,6 +86,7 @@
     /// When health was last checked.
     pub(crate) watched_at: Time,
     pub(crate) indexes: Indexes,
+    visits: VisitCounts,
     /// Actions of the current step.
     actions: Vec<Action>,
 }
@@ -129,6 +133,11 @@
         &self.fleet_clock
     }
 
+    /// What the health checks have looked at so far.
+    pub fn visit_counts(&self) -> VisitCounts {
+        self.visits
+    }
+
     /// For whoever receives the hosts' answers, to pass on what they show of the hosts' clock when they
     /// arrive.
     pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -138,7 +138,7 @@
         }
         member.last_heard_at = self.now;
         if member.suspected {
-            member.suspected = false;
+            self.indexes.clear_suspicion(outcome.member, member);
             member.ejected_until = self.now;
         }
     }
@@ -184,7 +184,7 @@
         if matches!(outcome.ending, Ending::ConnectFailed | Ending::ConnectionLost) {
             member.suspected |= member.consecutive_failures > 0;
             if hung {
-                member.last_loss_at = self.now;
+                self.indexes.record_loss(member, self.now);
             }
         }
         self.indexes.note_doubt(outcome.member, member);
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -233,9 +233,8 @@
 }
 
 impl InFlightAttempt {
-    /// It was sent to this member so long ago that the answer counts as known, if it was written at once and
-    /// lost.
-    pub(crate) fn may_be_lost(&self, member: MemberId, now: Time) -> bool {
-        self.member == member && self.sent <= now - ASSUMED_KNOWN_AFTER
+    /// It was sent so long ago that the answer counts as known, if it was written at once and lost.
+    pub(crate) fn may_be_lost(&self, now: Time) -> bool {
+        self.sent <= now - ASSUMED_KNOWN_AFTER
     }
 }
