--- a/src/net/datagram.rs
+++ b/src/net/datagram.rs
@@ -4,7 +4,7 @@
 //! A datagram that cannot be sent is lost like any other, and no failure ends the exchange: the socket serves all peers, so
 //! what the kernel says of one of them, or of this machine for a moment, says nothing of the next call.
 
-use crate::net::socket::{classify, uninterrupted, Call, SocketError};
+use crate::net::socket::{self, classify, uninterrupted, Call, SocketError};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -30,6 +30,7 @@
     }
 
     async fn receive(&self, bytes: &mut [u8]) -> io::Result<usize> {
+        socket::begin(Call::ReceiveDatagram)?;
         Ok(self.recv_from(bytes).await?.0)
     }
 }
@@ -40,8 +41,12 @@
 ///
 /// Fails with a shortage that may pass, or because the address cannot be used.
 pub async fn bind(address: SocketAddr) -> Result<UdpSocket, SocketError> {
+    let call = || async {
+        socket::begin(Call::Listen)?;
+        UdpSocket::bind(address).await
+    };
     loop {
-        match UdpSocket::bind(address).await.map_err(|cause| classify(Call::Listen, cause)) {
+        match call().await.map_err(|cause| classify(Call::Listen, cause)) {
             Err(SocketError::Interrupted) => tokio::task::yield_now().await,
             bound => return bound,
         }
@@ -56,7 +61,7 @@
 pub fn send(socket: &impl DatagramSocket, bytes: &[u8], to: SocketAddr) -> Result<(), SocketError> {
     let mut sent = Ok(());
     for _ in 0..SEND_ATTEMPTS {
-        sent = uninterrupted(Call::SendDatagram, || socket.try_send(bytes, to));
+        sent = uninterrupted(Call::SendDatagram, |_| socket.try_send(bytes, to));
         // What the network said of an earlier datagram, to whichever peer, is reported in place of this call.
         if !matches!(sent, Err(SocketError::Unreachable(_))) {
             break;
--- a/src/net/host_connection.rs
+++ b/src/net/host_connection.rs
@@ -77,7 +77,11 @@
         loop {
             self.stream.readable().await.map_err(|_| Event::Broke)?;
             let stream = &self.stream;
-            match buffer.read(|bytes| stream.try_read(&mut bytes[..max_bytes]), Some(&mut self.framer)) {
+            let once = |bytes: &mut [u8]| {
+                let length = max_bytes.min(bytes.len());
+                stream.try_read(&mut bytes[..length])
+            };
+            match buffer.read(once, Some(&mut self.framer)) {
                 Ok(Some(1..)) => return Ok(()),
                 Ok(None) => {}
                 Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -51,5 +51,6 @@
 pub mod statement_error;
 mod statement_scanner;
 pub mod streamed_row;
+pub mod system_call;
 
 pub use petrelgauge_lifecycle::ending;
--- a/src/net/read_buffer.rs
+++ b/src/net/read_buffer.rs
@@ -31,7 +31,11 @@
         framer: Option<&mut Framer>,
     ) -> Result<Option<usize>, SocketError> {
         let mut bytes = self.0.borrow_mut();
-        match uninterrupted(Call::Read, || read(&mut bytes)) {
+        let once = |most: usize| {
+            let room = most.min(bytes.len());
+            read(&mut bytes[..room])
+        };
+        match uninterrupted(Call::Read, once) {
             Ok(count) => {
                 if let Some(framer) = framer {
                     framer.feed(&bytes[..count]);
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -6,6 +6,8 @@
 //! [`Acceptor`] and [`ByteStream`] let tests put a schedule of failures in place of the kernel; in the program they are
 //! implemented by tokio's types and cost nothing.
 
+pub use crate::net::system_call::Call;
+use crate::net::system_call::{next_fault, Fault};
 use bytes::Buf;
 use std::future::Future;
 use std::io::{self, IoSlice};
@@ -20,27 +22,6 @@
 /// Buffers that one write takes at most.
 const MAX_WRITE_SLICES: usize = 64;
 
-/// A system call on a socket. The same error number means different things to different calls.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Creates a socket and listens on it.
-    Listen,
-    /// Takes the next connection from a listener's backlog.
-    Accept,
-    /// Creates a socket and connects it.
-    Connect,
-    /// Reads bytes.
-    Read,
-    /// Writes bytes.
-    Write,
-    /// Reads bytes and leaves them in the kernel.
-    Peek,
-    /// Sends a datagram.
-    SendDatagram,
-    /// Receives a datagram.
-    ReceiveDatagram,
-}
-
 /// Why a call failed, by what follows from it.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketError {
@@ -143,10 +124,23 @@
     )
 }
 
-/// Makes a call that does not wait, again while signals interrupt it.
-pub fn uninterrupted<T>(call: Call, mut operation: impl FnMut() -> io::Result<T>) -> Result<T, SocketError> {
+/// To be called before each call to the kernel: the most bytes that it may move, or the failure that a test puts in its
+/// place.
+pub(super) fn begin(call: Call) -> io::Result<usize> {
+    match next_fault(call) {
+        None => Ok(usize::MAX),
+        Some(Fault::Short) => Ok(1),
+        Some(Fault::Error(number)) => Err(io::Error::from_raw_os_error(number)),
+    }
+}
+
+/// Makes a call that does not wait, again while signals interrupt it. The operation is told how many bytes it may move.
+pub fn uninterrupted<T>(
+    call: Call,
+    mut operation: impl FnMut(usize) -> io::Result<T>,
+) -> Result<T, SocketError> {
     loop {
-        match operation().map_err(|cause| classify(call, cause)) {
+        match begin(call).and_then(&mut operation).map_err(|cause| classify(call, cause)) {
             Err(SocketError::Interrupted) => {}
             done => return done,
         }
@@ -169,7 +163,7 @@
 
 /// Listens at an address.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
-    uninterrupted(Call::Listen, || {
+    uninterrupted(Call::Listen, |_| {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
         // A gateway that starts again finds connections of its last run still winding up.
         socket.set_reuseaddr(true)?;
@@ -191,6 +185,7 @@
     type Stream = TcpStream;
 
     async fn accept(&self) -> io::Result<TcpStream> {
+        begin(Call::Accept)?;
         Ok(TcpListener::accept(self).await?.0)
     }
 }
@@ -207,7 +202,11 @@
 
 /// Connects to a peer.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, SocketError> {
-    connect_with(|| TcpStream::connect(address)).await
+    let call = || async {
+        begin(Call::Connect)?;
+        TcpStream::connect(address).await
+    };
+    connect_with(call).await
 }
 
 /// Connects by this call, which makes a new socket each time.
@@ -264,7 +263,11 @@
         stream.readable().await.map_err(SocketError::Broken)?;
         // A peer that always has more must not keep other tasks from their turn.
         tokio::task::coop::consume_budget().await;
-        match uninterrupted(Call::Read, || stream.try_read(bytes)) {
+        let once = |most: usize| {
+            let room = most.min(bytes.len());
+            stream.try_read(&mut bytes[..room])
+        };
+        match uninterrupted(Call::Read, once) {
             Err(SocketError::WouldBlock) => {}
             Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
             done => return done,
@@ -281,7 +284,7 @@
 
 /// Writes something of it without waiting, and moves it on by what was taken. Nothing was written if it fails.
 pub fn write_now(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
-    match uninterrupted(Call::Write, || try_write(stream, bytes))? {
+    match uninterrupted(Call::Write, |most| try_write(stream, bytes, most))? {
         0 => Err(SocketError::Broken(io::ErrorKind::WriteZero.into())),
         count => {
             bytes.advance(count);
@@ -310,7 +313,10 @@
     Ok(())
 }
 
-fn try_write(stream: &impl ByteStream, bytes: &impl Buf) -> io::Result<usize> {
+fn try_write(stream: &impl ByteStream, bytes: &impl Buf, most: usize) -> io::Result<usize> {
+    if most < bytes.chunk().len() {
+        return stream.try_write(&[IoSlice::new(&bytes.chunk()[..most])]);
+    }
     let mut slices = [IoSlice::new(&[]); MAX_WRITE_SLICES];
     let count = bytes.chunks_vectored(&mut slices);
     stream.try_write(&slices[..count])
@@ -333,8 +339,8 @@
 }
 
 /// What this call, which peeks without waiting, finds unread.
-pub fn unread(peek: impl FnMut() -> io::Result<usize>) -> Unread {
-    match uninterrupted(Call::Peek, peek) {
+pub fn unread(mut peek: impl FnMut() -> io::Result<usize>) -> Unread {
+    match uninterrupted(Call::Peek, |_| peek()) {
         Ok(1..) => Unread::Bytes,
         Err(SocketError::WouldBlock | SocketError::OwnShortage(_)) => Unread::Nothing,
         Ok(0) | Err(_) => Unread::End,
--- a/tests/harness/host.rs
+++ b/tests/harness/host.rs
@@ -42,6 +42,8 @@
     Nothing,
     /// No answer to a query that holds this text, and a row to another.
     NothingTo(&'static str, &'static [u8]),
+    /// A row with the query's own text, from a host in this role.
+    Echo(&'static str),
 }
 
 /// A database host that takes one query after the other from its script.
@@ -93,6 +95,11 @@
         self.count.get() + self.seen.try_iter().count()
     }
 
+    /// The queries that it got and nobody has taken.
+    pub fn queries_by_now(&self) -> Vec<String> {
+        self.seen.try_iter().collect()
+    }
+
     /// A connection waits to be welcomed.
     pub fn next_connection(&self) {
         self.came.recv_timeout(NEVER).expect("a connection comes");
@@ -137,12 +144,11 @@
         let query = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
         let _ = saw.send(query.clone());
         let reply = script.lock().expect("a script").next();
-        let role =
-            if matches!(reply, Some(Reply::ReplicaAt(..) | Reply::ReplicaByClock(..) | Reply::ErrorAt(..))) {
-                "standby"
-            } else {
-                "primary"
-            };
+        let role = match reply {
+            Some(Reply::ReplicaAt(..) | Reply::ReplicaByClock(..) | Reply::ErrorAt(..)) => "standby",
+            Some(Reply::Echo(role)) => role,
+            _ => "primary",
+        };
         let answer = match reply {
             Some(Reply::Row(value)) => row(value),
             Some(Reply::RowAt(value, at) | Reply::ReplicaAt(value, at)) => {
@@ -194,6 +200,7 @@
             Some(Reply::Nothing) => continue,
             Some(Reply::NothingTo(text, _)) if query.contains(text) => continue,
             Some(Reply::NothingTo(_, value)) => row(value),
+            Some(Reply::Echo(_)) => row(query.as_bytes()),
             Some(Reply::Close) | None => return,
         };
         let role_status = message(b'S', format!("replication_role\0{role}\0").as_bytes());
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -73,7 +73,8 @@
     format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{entries}]}}")
 }
 
-fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
+/// The next message, if one comes complete.
+pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
--- a/tests/socket_calls.rs
+++ b/tests/socket_calls.rs
@@ -42,3 +42,24 @@
     assert!(files > 20, "only {files} files: has the net layer moved?");
     assert!(direct.is_empty(), "these calls miss their retry or their class: {direct:#?}");
 }
+
+/// Files below a folder whose text has this in it.
+fn files_with(folder: &std::path::Path, wanted: &str) -> Vec<String> {
+    let mut found = Vec::new();
+    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            found.extend(files_with(&path, wanted));
+        } else if std::fs::read_to_string(&path).is_ok_and(|text| text.contains(wanted)) {
+            found.push(path.file_name().expect("a name").to_string_lossy().into_owned());
+        }
+    }
+    found
+}
+
+#[test]
+fn no_program_lets_its_calls_fail() {
+    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
+    let found = ["src", "crates"].map(|folder| files_with(&root.join(folder), "set_fault_schedule")).concat();
+    assert_eq!(found, ["system_call.rs"]);
+}
