--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -1,12 +1,12 @@
 //! The tables of `docs/CAPACITY.md`, made from the committed JSON of scale runs.
 
-use super::metrics::{Prediction, Projection};
-use super::VERSION;
+use super::projection::{Prediction, Projection};
+use super::FIGURES_VERSION;
 use serde_json::Value;
 use std::path::Path;
 use thiserror::Error;
 
-/// Why the page cannot be checked or written.
+/// Why the capacity page cannot be checked or written.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// A file cannot be read or written.
@@ -26,7 +26,7 @@
         cause: String,
     },
     /// Its version is another.
-    #[error("{file}: its version is {found}, and {VERSION} is read here")]
+    #[error("{file}: its version is {found}, and {FIGURES_VERSION} is read here")]
     Version {
         /// The file.
         file: String,
@@ -54,7 +54,11 @@
 /// The reports that the page shows: names of files without their ending.
 const REPORTS: [&str; 2] = ["single-owner", "sharded"];
 
-/// Checks every table of the page against the JSON of this folder, or writes them anew.
+/// Checks every table of the page against the JSON of this folder, or rewrites them.
+///
+/// # Errors
+///
+/// Fails if a file cannot be used, or if a table that is only checked differs. Then the page stays as it was.
 pub fn page(page: &Path, folder: &Path, write: bool) -> Result<(), CapacityError> {
     let name = page.display().to_string();
     let read = |path: &Path| {
@@ -66,9 +70,9 @@
     for report in REPORTS {
         let file = folder.join(format!("{report}.json"));
         let figures = figures(&file.display().to_string(), &read(&file)?)?;
-        for (table, lines) in tables(&file.display().to_string(), &figures)? {
+        for Table { name: table, lines } in tables(&file.display().to_string(), &figures)? {
             let table = format!("{report} {table}");
-            text = replaced(&name, &text, &table, &lines, write)?;
+            text = with_table(&name, &text, &table, &lines, write)?;
         }
     }
     if write && text != before {
@@ -83,13 +87,19 @@
     let mut report: Value = serde_json::from_str(text).map_err(|cause| shape(cause.to_string()))?;
     let figures = report.get_mut("figures").map(Value::take).ok_or_else(|| shape("no figures".into()))?;
     match figures["version"].as_u64() {
-        Some(VERSION) => Ok(figures),
+        Some(FIGURES_VERSION) => Ok(figures),
         _ => Err(CapacityError::Version { file: file.into(), found: figures["version"].to_string() }),
     }
 }
 
 /// The page with this table between its marks. Where it is only to be checked, the table must be there already.
-fn replaced(page: &str, text: &str, table: &str, lines: &str, write: bool) -> Result<String, CapacityError> {
+fn with_table(
+    page: &str,
+    text: &str,
+    table: &str,
+    lines: &str,
+    write: bool,
+) -> Result<String, CapacityError> {
     let (begin, end) = (format!("<!-- begin {table} -->\n"), format!("<!-- end {table} -->"));
     let marks = || CapacityError::Marks { page: page.into(), table: table.into() };
     let from = text.find(&begin).ok_or_else(marks)? + begin.len();
@@ -100,19 +110,27 @@
     Ok(format!("{}{lines}{}", &text[..from], &text[to..]))
 }
 
-/// All tables of a report: their names, and their lines.
-fn tables(file: &str, figures: &Value) -> Result<Vec<(&'static str, String)>, CapacityError> {
+/// A table of the page.
+struct Table {
+    /// Its name in the page's marks, without the report's.
+    name: &'static str,
+    /// Its lines.
+    lines: String,
+}
+
+/// All tables of a report.
+fn tables(file: &str, figures: &Value) -> Result<Vec<Table>, CapacityError> {
     let shape =
         |cause: serde_json::Error| CapacityError::Shape { file: file.into(), cause: cause.to_string() };
-    let reckoned: Vec<Projection> = serde_json::from_value(figures["reckoned"].clone()).map_err(shape)?;
+    let projections: Vec<Projection> = serde_json::from_value(figures["reckoned"].clone()).map_err(shape)?;
     let predictions: Vec<Prediction> =
         serde_json::from_value(figures["predictions"].clone()).map_err(shape)?;
     Ok(vec![
-        ("run", run_table(figures)),
-        ("budgets", budgets(&reckoned)),
-        ("predictions", predicted(&predictions)),
-        ("compared", compared(figures)),
-        ("troubles", troubles(figures)),
+        Table { name: "run", lines: run_table(figures) },
+        Table { name: "budgets", lines: budget_table(&projections) },
+        Table { name: "predictions", lines: prediction_table(&predictions) },
+        Table { name: "compared", lines: comparison_table(figures) },
+        Table { name: "troubles", lines: fault_table(figures) },
     ])
 }
 
@@ -120,48 +138,50 @@
     let machine = &figures["machine"];
     format!(
         "| commit | cores | memory | lease | took | processes | short | furthest over its budget |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n| {} | {} | {} kB | {} ms | {} s | {} | {} | {} |\n",
-        word(&figures["commit"]),
+        text_or_none(&figures["commit"]),
         machine["cores"],
         machine["memory_kb"],
         figures["lease_ms"],
         figures["took_s"],
         figures["processes"],
         figures["short"],
-        word(&figures["missing_first"]),
+        text_or_none(&figures["missing_first"]),
     )
 }
 
-fn word(value: &Value) -> &str {
+fn text_or_none(value: &Value) -> &str {
     value.as_str().unwrap_or("none")
 }
 
-fn budgets(reckoned: &[Projection]) -> String {
+fn budget_table(projections: &[Projection]) -> String {
     let mut lines = String::from(
         "| role | figure | at the operators' size | budget | times the budget | slopes, with their spread |\n| --- | --- | --- | --- | --- | --- |\n",
     );
-    for one in reckoned {
+    for one in projections {
         let slopes: Vec<String> = one
             .columns
             .iter()
             .zip(one.fit.slopes.iter().zip(&one.fit.errors))
-            .map(|(column, (slope, error))| format!("{} ± {} a {column}", short(*slope), short(*error)))
+            .map(|(column, (slope, error))| {
+                format!("{} ± {} a {column}", three_digits(*slope), three_digits(*error))
+            })
             .collect();
         let budget = one.budget.map_or("-".to_string(), |budget| format!("{budget:.0}"));
-        let ratio = one.ratio().map_or("-".to_string(), short);
+        let ratio = one.ratio().map_or("-".to_string(), three_digits);
         let square = if one.square { ", **grows with the square**" } else { "" };
         lines += &format!(
             "| {} | {} ({}) | {}{square} | {budget} | {ratio} | {} |\n",
             one.role,
             one.name,
             one.unit,
-            short(one.value),
+            three_digits(one.value),
             slopes.join("; ")
         );
     }
     lines
 }
 
-fn predicted(predictions: &[Prediction]) -> String {
+fn prediction_table(predictions: &[Prediction]) -> String {
     let mut lines = String::from(
         "| figure | gateways | hosts | changes a minute | predicted | measured | within a quarter |\n| --- | --- | --- | --- | --- | --- | --- |\n",
     );
@@ -172,24 +192,24 @@
             one.size.gateways,
             one.size.hosts,
             one.size.changes * 60.0,
-            short(one.predicted),
-            short(one.measured),
+            three_digits(one.predicted),
+            three_digits(one.measured),
             if one.holds { "yes, or under its floor" } else { "**no**" },
         );
     }
     lines
 }
 
-fn compared(figures: &Value) -> String {
+fn comparison_table(figures: &Value) -> String {
     let mut lines = String::from("| a gateway without load, in | hollow | real |\n| --- | --- | --- |\n");
     for one in figures["compared"].as_array().into_iter().flatten() {
-        lines += &format!("| {} | {} | {} |\n", word(&one["figure"]), one["hollow"], one["real"]);
+        lines += &format!("| {} | {} | {} |\n", text_or_none(&one["figure"]), one["hollow"], one["real"]);
     }
     lines
 }
 
-fn troubles(figures: &Value) -> String {
-    let all = &figures["troubles"];
+fn fault_table(figures: &Value) -> String {
+    let faults = &figures["troubles"];
     let mut lines = String::from(
         "| trouble | bytes a gateway and second: mean, worst | processor time: mean, worst (us/s) | until all hold the newest list |\n| --- | --- | --- | --- |\n",
     );
@@ -200,27 +220,27 @@
         ("regions_cut", "regions cut for three leases"),
     ];
     for (key, name) in names {
-        let one = &all[key];
+        let one = &faults[key];
         let seconds = if one["seconds"].is_object() { &one["seconds"] } else { one };
-        let held = one["list_held_ms"].as_u64().map_or("-".to_string(), |held| format!("{held} ms"));
+        let list_held = one["list_held_ms"].as_u64().map_or("-".to_string(), |ms| format!("{ms} ms"));
         lines += &format!(
-            "| {name} | {}, {} | {}, {} | {held} |\n",
+            "| {name} | {}, {} | {}, {} | {list_held} |\n",
             seconds["mean_bytes"], seconds["worst_bytes"], seconds["mean_cpu_us"], seconds["worst_cpu_us"]
         );
     }
     lines += &format!(
         "\nA change of the list is held by all after {} ms, new settings after {} ms; after the cut all owners are known again after {} ms, and of {} duties {} had an owner at most at one look.\n",
-        all["list_held_by_all_ms"],
-        all["settings_held_by_all_ms"],
-        all["regions_cut"]["owners_known_after_ms"],
-        all["regions_cut"]["duties"],
-        all["regions_cut"]["most_owned"],
+        faults["list_held_by_all_ms"],
+        faults["settings_held_by_all_ms"],
+        faults["regions_cut"]["owners_known_after_ms"],
+        faults["regions_cut"]["duties"],
+        faults["regions_cut"]["most_owned"],
     );
     lines
 }
 
-/// A figure with three digits that count.
-fn short(value: f64) -> String {
+/// A figure with three significant digits.
+fn three_digits(value: f64) -> String {
     match value.abs() {
         0.0 => "0".into(),
         size if size >= 100.0 => format!("{value:.0}"),
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -1,197 +1,215 @@
-//! Troubles of a whole fleet: a tenth restarted at once, a zone gone, the regions cut and joined, a new list and new
-//! settings; what the worst second costs beside the mean, and how long it takes until all hold the newest.
+//! Faults of a whole fleet: a tenth restarted at once, a zone stopped and started, the regions cut and joined, a new list
+//! and new settings; what the worst second costs beside the mean, and how long it takes until all hold the newest.
 
 use super::addresses::{zone, ZONES};
 use super::fleet::{Fleet, Snapshot};
-use super::protocol::{Command, Stats};
+use super::protocol::{Command, GatewayStats, Stats};
+use crate::error::LabError;
 use crate::report::Verdict;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
-/// How long a list, or settings, may take to be in force everywhere (the operators' letter).
-const IN_FORCE: Duration = Duration::from_secs(10);
+/// How long a list, or settings, may take to be in force everywhere (the operators' terms).
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
+/// How long the experiment waits for a state before it gives up.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 /// One gateway in so many is restarted at once.
-const RESTARTED: usize = 10;
-/// Between two looks while something is going on.
-const LOOK: Duration = Duration::from_millis(250);
-
-/// Bytes and processor time of the whole fleet in a second, for each gateway.
+const RESTARTED_EVERY: usize = 10;
+/// Time between two snapshots while a fault lasts.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the fleet is observed without a fault, and after a restart.
+const OBSERVATION: Duration = Duration::from_secs(1);
+/// How many leases the regions stay cut.
+const CUT_LEASES: u32 = 3;
+
+/// What a gateway that is no acceptor spends in a second.
 #[derive(Clone, Copy, Default)]
-struct Second {
+struct Rate {
     bytes: f64,
     cpu_us: f64,
 }
 
-/// What happened in the seconds of one trouble.
+impl Rate {
+    fn between(fleet: &Fleet, before: &Snapshot, after: &Snapshot) -> Rate {
+        let gateway = fleet.costs(before, after).gateway;
+        Rate { bytes: gateway.control_bytes(), cpu_us: gateway.cpu_us }
+    }
+}
+
+/// The rates while one fault lasted.
 #[derive(Clone, Copy, Default)]
-struct Worst {
-    worst: Second,
-    sum: Second,
-    looks: f64,
-}
-
-impl Worst {
-    fn add(&mut self, one: Second) {
-        self.worst.bytes = self.worst.bytes.max(one.bytes);
-        self.worst.cpu_us = self.worst.cpu_us.max(one.cpu_us);
-        self.sum.bytes += one.bytes;
-        self.sum.cpu_us += one.cpu_us;
-        self.looks += 1.0;
+struct ObservedRates {
+    worst: Rate,
+    sum: Rate,
+    count: f64,
+}
+
+impl ObservedRates {
+    fn add(&mut self, rate: Rate) {
+        self.worst.bytes = self.worst.bytes.max(rate.bytes);
+        self.worst.cpu_us = self.worst.cpu_us.max(rate.cpu_us);
+        self.sum.bytes += rate.bytes;
+        self.sum.cpu_us += rate.cpu_us;
+        self.count += 1.0;
     }
 
     fn json(&self) -> Value {
-        let looks = self.looks.max(1.0);
+        let count = self.count.max(1.0);
         json!({
-            "worst_bytes": self.worst.bytes.round(), "mean_bytes": (self.sum.bytes / looks).round(),
-            "worst_cpu_us": self.worst.cpu_us.round(), "mean_cpu_us": (self.sum.cpu_us / looks).round(),
+            "worst_bytes": self.worst.bytes.round(), "mean_bytes": (self.sum.bytes / count).round(),
+            "worst_cpu_us": self.worst.cpu_us.round(), "mean_cpu_us": (self.sum.cpu_us / count).round(),
         })
     }
 }
 
-/// Plays all troubles and says what they cost.
-pub async fn play(
-    fleet: &mut Fleet,
-    lease: Duration,
-    verdict: &mut Verdict,
-) -> Result<Value, crate::error::LabError> {
-    let calm = look_for(fleet, Duration::from_secs(1)).await?;
-    let restart = restart(fleet, verdict).await?;
-    let zone_gone = zone_gone(fleet, lease, verdict).await?;
-    let cut = cut(fleet, lease, verdict).await?;
-    let list = newest_list(fleet).await?;
-    let settings = newest_settings(fleet).await?;
-    verdict.check(
-        format!("a change of the list is held by all within {IN_FORCE:?}: {list:?}"),
-        list <= IN_FORCE,
-    );
-    verdict.check(
-        format!("new settings are held by all within {IN_FORCE:?}: {settings:?}"),
-        settings <= IN_FORCE,
-    );
+/// The leases of a fleet, as its gateways report them.
+#[derive(Clone, Copy)]
+struct Leases {
+    /// Sum of the leases that gateways hold.
+    held: u64,
+    /// Leases whose holder is known, at the gateway that knows most.
+    known: u64,
+}
+
+impl Leases {
+    fn of(stats: &[Stats]) -> Leases {
+        let gateways = || stats.iter().flat_map(|process| &process.gateways);
+        Leases {
+            held: gateways().map(|gateway| gateway.held_leases).sum(),
+            known: gateways().map(|gateway| gateway.known_lease_holders).max().unwrap_or(0),
+        }
+    }
+}
+
+/// Plays all faults, checks the fleet, and returns the figures.
+///
+/// # Errors
+///
+/// Fails if a process ends, or if the fleet does not recover from a fault.
+pub async fn play(fleet: &mut Fleet, lease: Duration, verdict: &mut Verdict) -> Result<Value, LabError> {
+    let calm = observe(fleet, OBSERVATION).await?;
+    let restart = play_restart(fleet, verdict).await?;
+    let zone_gone = play_zone_outage(fleet, lease, verdict).await?;
+    let regions_cut = play_region_cut(fleet, lease, verdict).await?;
+    let list = publish_change(fleet).await?;
+    let settings = publish_settings(fleet).await?;
+    let limit = IN_FORCE_LIMIT;
+    verdict.check(format!("a change of the list is held by all within {limit:?}: {list:?}"), list <= limit);
+    verdict.check(format!("new settings are held by all within {limit:?}: {settings:?}"), settings <= limit);
     Ok(json!({
-        "calm": calm.json(), "restart": restart, "zone_gone": zone_gone, "regions_cut": cut,
+        "calm": calm.json(), "restart": restart, "zone_gone": zone_gone, "regions_cut": regions_cut,
         "list_held_by_all_ms": list.as_millis() as u64, "settings_held_by_all_ms": settings.as_millis() as u64,
     }))
 }
 
-/// Looks every second, or part of one, for this long.
-async fn look_for(fleet: &mut Fleet, span: Duration) -> Result<Worst, crate::error::LabError> {
-    let mut worst = Worst::default();
+/// Takes snapshots for this long.
+async fn observe(fleet: &mut Fleet, duration: Duration) -> Result<ObservedRates, LabError> {
+    let mut rates = ObservedRates::default();
     let mut before = fleet.snapshot().await?;
-    let until = tokio::time::Instant::now() + span;
-    while tokio::time::Instant::now() < until {
-        tokio::time::sleep(LOOK).await;
+    let end = Instant::now() + duration;
+    while Instant::now() < end {
+        tokio::time::sleep(SNAPSHOT_INTERVAL).await;
         let after = fleet.snapshot().await?;
-        worst.add(second(fleet, &before, &after));
+        rates.add(Rate::between(fleet, &before, &after));
         before = after;
     }
-    Ok(worst)
-}
-
-fn second(fleet: &Fleet, before: &Snapshot, after: &Snapshot) -> Second {
-    let costs = fleet.costs(before, after);
-    let bytes = costs.gateway.bytes_in + costs.gateway.bytes_out + costs.gateway.list_bytes;
-    Second { bytes, cpu_us: costs.gateway.cpu_us }
+    Ok(rates)
 }
 
 /// Hollow gateways that are no acceptors.
-fn plain(fleet: &Fleet) -> BTreeSet<usize> {
-    let acceptors: BTreeSet<usize> = fleet.plan.acceptors.iter().copied().collect();
-    let hollow = fleet.hollow.iter().flat_map(|one| one.gateways.iter().copied());
-    hollow.filter(|number| !acceptors.contains(number)).collect()
+fn plain_hollow_gateways(fleet: &Fleet) -> BTreeSet<usize> {
+    let hollow = fleet.hollow.iter().flat_map(|process| process.gateways.iter().copied());
+    hollow.filter(|number| !fleet.plan.acceptors.contains(number)).collect()
 }
 
-async fn restart(fleet: &mut Fleet, verdict: &mut Verdict) -> Result<Value, crate::error::LabError> {
-    let restarted: BTreeSet<usize> = plain(fleet).into_iter().step_by(RESTARTED).collect();
+async fn play_restart(fleet: &mut Fleet, verdict: &mut Verdict) -> Result<Value, LabError> {
+    let restarted: BTreeSet<usize> =
+        plain_hollow_gateways(fleet).into_iter().step_by(RESTARTED_EVERY).collect();
     let count = restarted.len();
     fleet.request_all(&Command::Start(restarted)).await?;
-    let took = until_newest(fleet).await?;
-    let worst = look_for(fleet, Duration::from_secs(1)).await?;
-    verdict.check(
-        format!("a tenth that starts at once holds the list within {IN_FORCE:?}: {took:?}"),
-        took <= IN_FORCE,
-    );
-    Ok(json!({ "gateways": count, "list_held_ms": took.as_millis() as u64, "seconds": worst.json() }))
+    let duration = wait_for_newest_list(fleet).await?;
+    let rates = observe(fleet, OBSERVATION).await?;
+    let limit = IN_FORCE_LIMIT;
+    let text = format!("a tenth that starts at once holds the list within {limit:?}: {duration:?}");
+    verdict.check(text, duration <= limit);
+    Ok(json!({ "gateways": count, "list_held_ms": duration.as_millis() as u64, "seconds": rates.json() }))
 }
 
-async fn zone_gone(
+async fn play_zone_outage(
     fleet: &mut Fleet,
     lease: Duration,
     verdict: &mut Verdict,
-) -> Result<Value, crate::error::LabError> {
-    let gone: BTreeSet<usize> =
-        plain(fleet).into_iter().filter(|number| zone(*number) == ZONES - 1).collect();
-    let count = gone.len();
-    fleet.request_all(&Command::Stop(gone.clone())).await?;
-    let away = look_for(fleet, lease).await?;
-    fleet.request_all(&Command::Start(gone)).await?;
-    let took = until_newest(fleet).await?;
-    verdict.check(
-        format!("a zone that comes back holds the list within {IN_FORCE:?}: {took:?}"),
-        took <= IN_FORCE,
-    );
-    Ok(json!({ "gateways": count, "list_held_ms": took.as_millis() as u64, "seconds": away.json() }))
-}
-
-/// The regions hear nothing of each other for several leases.
-async fn cut(
+) -> Result<Value, LabError> {
+    let gateways = plain_hollow_gateways(fleet).into_iter();
+    let stopped: BTreeSet<usize> = gateways.filter(|number| zone(*number) == ZONES - 1).collect();
+    let count = stopped.len();
+    fleet.request_all(&Command::Stop(stopped.clone())).await?;
+    let rates = observe(fleet, lease).await?;
+    fleet.request_all(&Command::Start(stopped)).await?;
+    let duration = wait_for_newest_list(fleet).await?;
+    let limit = IN_FORCE_LIMIT;
+    let text = format!("a zone that comes back holds the list within {limit:?}: {duration:?}");
+    verdict.check(text, duration <= limit);
+    Ok(json!({ "gateways": count, "list_held_ms": duration.as_millis() as u64, "seconds": rates.json() }))
+}
+
+/// The regions are cut off from each other for several leases.
+async fn play_region_cut(
     fleet: &mut Fleet,
     lease: Duration,
     verdict: &mut Verdict,
-) -> Result<Value, crate::error::LabError> {
-    let known = |all: &[Stats]| {
-        let gateways = || all.iter().flat_map(|stats| &stats.gateways);
-        (
-            gateways().map(|one| one.owned).sum::<u64>(),
-            gateways().map(|one| one.known_lease_holders).max().unwrap_or(0),
-        )
-    };
-    let (_, duties) = known(&fleet.request_all(&Command::Stats).await?);
+) -> Result<Value, LabError> {
+    let leases = Leases::of(&fleet.request_all(&Command::Stats).await?).known;
     fleet.request_all(&Command::Cut(true)).await?;
-    let until = tokio::time::Instant::now() + 3 * lease;
-    let (mut most_held, mut worst) = (0, Worst::default());
+    let (most_held, rates) = observe_leases(fleet, CUT_LEASES * lease).await?;
+    let list = publish_change(fleet).await?;
+    fleet.request_all(&Command::Cut(false)).await?;
+    let all_known = |gateway: &GatewayStats| gateway.known_lease_holders >= leases;
+    let joined = fleet.wait_until(WAIT_LIMIT, "all owners", all_known).await?;
+    let limit = IN_FORCE_LIMIT;
+    verdict.check("somebody owned each duty before the cut", leases > 0);
+    let text = format!("no duty has two owners while regions are cut: {most_held} of {leases}");
+    verdict.check(text, most_held <= leases);
+    let text = format!("lists reach all while regions are cut, within {limit:?}: {list:?}");
+    verdict.check(text, list <= limit);
+    Ok(json!({
+        "duties": leases, "most_owned": most_held, "list_held_ms": list.as_millis() as u64,
+        "owners_known_after_ms": joined.as_millis() as u64, "seconds": rates.json(),
+    }))
+}
+
+/// Takes snapshots for this long; also returns the most leases that were held at one time.
+async fn observe_leases(fleet: &mut Fleet, duration: Duration) -> Result<(u64, ObservedRates), LabError> {
+    let (mut most_held, mut rates) = (0, ObservedRates::default());
+    let end = Instant::now() + duration;
     let mut before = fleet.snapshot().await?;
-    while tokio::time::Instant::now() < until {
-        tokio::time::sleep(LOOK).await;
-        most_held = most_held.max(known(&fleet.request_all(&Command::Stats).await?).0);
+    while Instant::now() < end {
+        tokio::time::sleep(SNAPSHOT_INTERVAL).await;
+        most_held = most_held.max(Leases::of(&fleet.request_all(&Command::Stats).await?).held);
         let after = fleet.snapshot().await?;
-        worst.add(second(fleet, &before, &after));
+        rates.add(Rate::between(fleet, &before, &after));
         before = after;
     }
-    let list = newest_list(fleet).await?;
-    fleet.request_all(&Command::Cut(false)).await?;
-    let joined =
-        fleet.until(Duration::from_secs(30), "all owners", |one| one.known_lease_holders >= duties).await?;
-    verdict.check("somebody owned each duty before the cut", duties > 0);
-    verdict.check(
-        format!("no duty has two owners while regions are cut: {most_held} of {duties}"),
-        most_held <= duties,
-    );
-    verdict.check(
-        format!("lists reach all while regions are cut, within {IN_FORCE:?}: {list:?}"),
-        list <= IN_FORCE,
-    );
-    Ok(json!({
-        "duties": duties, "most_owned": most_held, "list_held_ms": list.as_millis() as u64,
-        "owners_known_after_ms": joined.as_millis() as u64, "seconds": worst.json(),
-    }))
+    Ok((most_held, rates))
 }
 
-async fn until_newest(fleet: &mut Fleet) -> Result<Duration, crate::error::LabError> {
+async fn wait_for_newest_list(fleet: &mut Fleet) -> Result<Duration, LabError> {
     let revision = fleet.service.revision();
-    fleet.until(Duration::from_secs(30), "the newest list", |one| one.revision >= revision).await
+    fleet.wait_until(WAIT_LIMIT, "the newest list", |gateway| gateway.list_revision >= revision).await
 }
 
-async fn newest_list(fleet: &mut Fleet) -> Result<Duration, crate::error::LabError> {
+/// Changes the list; returns how long it takes until all hold the change.
+async fn publish_change(fleet: &mut Fleet) -> Result<Duration, LabError> {
     fleet.service.change(0, 0);
-    until_newest(fleet).await
+    wait_for_newest_list(fleet).await
 }
 
-async fn newest_settings(fleet: &mut Fleet) -> Result<Duration, crate::error::LabError> {
-    let begun = std::time::Instant::now();
+/// Changes the settings; returns how long it takes until all hold them.
+async fn publish_settings(fleet: &mut Fleet) -> Result<Duration, LabError> {
+    let began_at = Instant::now();
     fleet.change_settings()?;
     fleet.request_all(&Command::Reload).await?;
-    fleet.until(Duration::from_secs(30), "the new settings", |one| one.version >= 2).await?;
-    Ok(begun.elapsed())
+    fleet.wait_until(WAIT_LIMIT, "the new settings", |gateway| gateway.settings_version >= 2).await?;
+    Ok(began_at.elapsed())
 }
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -1,4 +1,4 @@
-//! Least squares of a measured figure over what it depends on.
+//! Least squares fits of a measured value over what it depends on.
 
 use nalgebra::{DMatrix, DVector};
 use serde::{Deserialize, Serialize};
@@ -32,11 +32,12 @@
             };
             let least = (0..kept.len()).min_by(|a, b| f64::total_cmp(&scaled(a), &scaled(b)))?;
             if fit.slopes[least] >= 0.0 || kept.len() == 1 {
-                let mut whole = Fit { slopes: vec![0.0; columns], errors: vec![0.0; columns] };
+                let mut complete = Fit { slopes: vec![0.0; columns], errors: vec![0.0; columns] };
                 for (place, column) in kept.iter().enumerate() {
-                    (whole.slopes[*column], whole.errors[*column]) = (fit.slopes[place], fit.errors[place]);
+                    (complete.slopes[*column], complete.errors[*column]) =
+                        (fit.slopes[place], fit.errors[place]);
                 }
-                return Some(whole);
+                return Some(complete);
             }
             kept.remove(least);
         }
@@ -53,16 +54,16 @@
         let matrix = DMatrix::from_fn(rows.len(), columns, |r, c| rows[r][c] / scale[c]);
         let vector = DVector::from_column_slice(values);
         let solved = matrix.clone().svd(true, true).solve(&vector, EPSILON).ok()?;
-        let left = &matrix * &solved - &vector;
+        let residual = &matrix * &solved - &vector;
         let freedom = rows.len().saturating_sub(columns).max(1) as f64;
-        let variance = left.norm_squared() / freedom;
+        let variance = residual.norm_squared() / freedom;
         let inverse = (matrix.transpose() * &matrix).pseudo_inverse(EPSILON).ok()?;
         let errors = (0..columns).map(|c| (variance * inverse[(c, c)]).max(0.0).sqrt() / scale[c]).collect();
         let slopes: Vec<f64> = (0..columns).map(|c| solved[c] / scale[c]).collect();
         slopes.iter().all(|slope| slope.is_finite()).then_some(Fit { slopes, errors })
     }
 
-    /// The figure at these columns.
+    /// The value at these columns.
     pub fn at(&self, columns: &[f64]) -> f64 {
         self.slopes.iter().zip(columns).map(|(slope, column)| slope * column).sum()
     }
--- /dev/null
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -0,0 +1,223 @@
+//! A hollow gateway: the control part of a gateway, with an address of its own and no clients. It reports demand drawn
+//! from the seed, and learns of primaries as a gateway does that serves.
+
+use super::addresses::{gateway_address, gateway_number, in_second_region};
+use super::configuration_files::{config_path, operator_path};
+use super::list_service::{member_name, FIRST_LISTED_ONLY_GROUP};
+use super::protocol::{GatewayStats, HollowPlan, InjectedFault};
+use crate::error::LabError;
+use petrelgauge::facade::{Facade, Outcome};
+use petrelgauge::net::budget::Budget;
+use petrelgauge::net::clock::Clock;
+use petrelgauge::net::config::{Config, ConfigError};
+use petrelgauge::net::control::{reload, Control, Decisions, Environment};
+use petrelgauge::net::counters::Counters;
+use petrelgauge::net::datagram::{self, DatagramSocket};
+use petrelgauge::net::host_names::HostNames;
+use petrelgauge::net::read_buffer::ReadBuffer;
+use petrelgauge::{Ending, GroupId, Role, Time};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use tokio::net::UdpSocket;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+/// Requests a second that a usual gateway gets for each group: 4.7 million a second over 1,500 gateways and 480 groups.
+const REQUESTS_PER_GROUP: f64 = 6.5;
+/// One gateway in so many is busier than the others.
+const BUSY_EVERY: usize = 10;
+/// The remainder of the numbers of busy gateways.
+const BUSY_REMAINDER: usize = 3;
+/// How many times the others' requests a busy gateway gets.
+const BUSY_FACTOR: f64 = 5.0;
+/// How often a gateway learns of each group's primary (microseconds).
+const PRIMARY_INTERVAL: Time = 1_000_000;
+/// It learns of one of so many parts of them at a time.
+const PRIMARY_PARTS: u64 = 4;
+
+/// What all gateways of a hollow process share.
+pub(super) struct SharedState {
+    pub(super) plan: HollowPlan,
+    /// The port at which all gateways of the fleet listen for datagrams.
+    pub(super) port: u16,
+    /// The regions are cut off from each other.
+    pub(super) regions_cut: Cell<bool>,
+    /// Datagrams that the injected fault keeps.
+    pub(super) hoard: RefCell<Vec<Vec<u8>>>,
+}
+
+/// The socket of a hollow gateway: datagrams between the regions can be cut.
+struct RegionSocket {
+    socket: UdpSocket,
+    number: usize,
+    shared: Rc<SharedState>,
+}
+
+impl RegionSocket {
+    fn is_cut_from(&self, other: SocketAddr) -> bool {
+        let is_other_region = in_second_region(gateway_number(other)) != in_second_region(self.number);
+        self.shared.regions_cut.get() && is_other_region
+    }
+
+    /// The injected fault: a datagram goes to every gateway of the fleet.
+    fn send_to_all(&self, bytes: &[u8]) {
+        for number in 0..self.shared.plan.fleet {
+            let _ = DatagramSocket::try_send(&self.socket, bytes, gateway_address(number, self.shared.port));
+        }
+    }
+}
+
+impl DatagramSocket for RegionSocket {
+    fn try_send(&self, bytes: &[u8], to: SocketAddr) -> std::io::Result<()> {
+        if self.shared.plan.injected_fault == Some(InjectedFault::Flood) {
+            self.send_to_all(bytes);
+            return Ok(());
+        }
+        if self.is_cut_from(to) {
+            return Ok(());
+        }
+        DatagramSocket::try_send(&self.socket, bytes, to)
+    }
+
+    async fn receive(&self, bytes: &mut [u8]) -> std::io::Result<usize> {
+        loop {
+            let (count, from) = self.socket.recv_from(bytes).await?;
+            if self.is_cut_from(from) {
+                continue;
+            }
+            if self.shared.plan.injected_fault == Some(InjectedFault::Hoard) {
+                self.shared.hoard.borrow_mut().push(bytes[..count].to_vec());
+            }
+            return Ok(count);
+        }
+    }
+}
+
+/// One hollow gateway. Dropping it ends its tasks.
+pub(super) struct HollowGateway {
+    number: usize,
+    control: Control<RegionSocket>,
+    counters: Rc<Counters>,
+    config: Config,
+    read_wait_bound: Time,
+    clock: Clock,
+    _tasks: JoinSet<()>,
+    _discovery: watch::Sender<SocketAddr>,
+}
+
+/// The variables that name a gateway's files.
+fn variable(folder: &Path, number: usize, name: &str) -> Option<String> {
+    let path = match name {
+        "GW_CONFIG" => config_path(folder, number),
+        "PETRELGAUGE_FILE" => operator_path(folder),
+        _ => return None,
+    };
+    path.to_str().map(str::to_string)
+}
+
+/// Reads a gateway's configuration.
+pub(super) fn read_config(folder: &Path, number: usize) -> Result<Config, ConfigError> {
+    Config::read(|name| variable(folder, number, name))
+}
+
+/// Requests a second of a gateway for a group: the same for one seed.
+fn request_rate(plan: &HollowPlan, number: usize, group: GroupId) -> f64 {
+    if plan.idle.contains(&number) {
+        return 0.0;
+    }
+    let mixed = (number as u64 ^ group.rotate_left(20) ^ plan.seed.rotate_left(40))
+        .wrapping_mul(0x9E37_79B9_7F4A_7C15);
+    let spread = 0.5 + (mixed >> 40) as f64 / (1u64 << 24) as f64;
+    let busy = if number % BUSY_EVERY == BUSY_REMAINDER { BUSY_FACTOR } else { 1.0 };
+    REQUESTS_PER_GROUP * busy * spread
+}
+
+/// Requests that a gateway has got for each group since it began.
+fn demand(facade: &Facade, plan: &HollowPlan, number: usize, seconds: f64) -> BTreeMap<GroupId, u64> {
+    let requests = |group| (request_rate(plan, number, group) * seconds) as u64;
+    facade.requests_by_group().into_keys().map(|group| (group, requests(group))).collect()
+}
+
+impl HollowGateway {
+    /// Builds the control part of a gateway and starts its tasks.
+    pub(super) async fn start(shared: &Rc<SharedState>, number: usize) -> Result<HollowGateway, LabError> {
+        let mut config = read_config(&shared.plan.folder, number)?;
+        let clock = Clock::start();
+        let began_at = clock.now();
+        let decisions = Decisions::new(&config, began_at)?;
+        let (facade, read_wait_bound) = (decisions.facade.clone(), decisions.read_wait_bound);
+        let counters = Rc::new(Counters::default());
+        let (demand_facade, demand_shared) = (facade.clone(), shared.clone());
+        let environment = Environment {
+            clock,
+            budget: Budget::new(config.sockets, config.memory),
+            read_buffer: ReadBuffer::new(),
+            counters: counters.clone(),
+            demand: Rc::new(move || {
+                let seconds = (clock.now() - began_at) as f64 / 1e6;
+                demand(&demand_facade, &demand_shared.plan, number, seconds)
+            }),
+            assigned: Vec::new(),
+        };
+        let bind = |listen: SocketAddr| async move {
+            let socket = datagram::bind(listen).await?;
+            Ok(RegionSocket { socket, number, shared: shared.clone() })
+        };
+        let mut control = Control::new(&mut config, decisions, environment, bind).await?;
+        let (discovery, discovery_changes) = watch::channel(config.discovery);
+        let mut tasks = JoinSet::new();
+        control.start(&mut tasks, discovery_changes);
+        if !shared.plan.idle.contains(&number) {
+            tasks.spawn_local(learn_primaries(facade, control.names.clone(), clock, number as u64));
+        }
+        let (_tasks, _discovery) = (tasks, discovery);
+        Ok(HollowGateway { number, control, counters, config, read_wait_bound, clock, _tasks, _discovery })
+    }
+
+    pub(super) fn stats(&self) -> GatewayStats {
+        let Counters { told, told_bytes, heard, heard_bytes, list_bytes, .. } = &*self.counters;
+        let leadership = self.control.leadership.as_ref();
+        GatewayStats {
+            number: self.number,
+            datagrams_sent: told.get(),
+            bytes_sent: told_bytes.get(),
+            datagrams_received: heard.get(),
+            bytes_received: heard_bytes.get(),
+            list_bytes: list_bytes.get(),
+            list_revision: self.control.revision.get(),
+            settings_version: self.control.facade.version(),
+            entries: self.control.entries() as u64,
+            held_leases: leadership.map_or(0, |leadership| leadership.held_leases() as u64),
+            known_lease_holders: leadership.map_or(0, |leadership| leadership.known_lease_holders() as u64),
+        }
+    }
+
+    /// Reads the configuration again and follows it.
+    pub(super) fn reload(&mut self, folder: &Path) -> Result<(), LabError> {
+        let new = self.config.reread(|name| variable(folder, self.number, name))?;
+        let Control { facade, hosts, .. } = &self.control;
+        let (config, _) = reload(new, &self.config, self.read_wait_bound, self.clock.now(), facade, hosts)?;
+        self.config = config;
+        Ok(())
+    }
+}
+
+/// Lets members answer as primaries now and then, as they do where requests are served.
+async fn learn_primaries(facade: Facade, names: Rc<HostNames>, clock: Clock, number: u64) {
+    let mut turn = number;
+    loop {
+        clock.sleep_until(clock.now() + PRIMARY_INTERVAL / PRIMARY_PARTS as Time).await;
+        turn += 1;
+        let groups = facade.requests_by_group().into_keys().filter(|group| *group >= FIRST_LISTED_ONLY_GROUP);
+        for group in groups.filter(|group| (group + turn).is_multiple_of(PRIMARY_PARTS)) {
+            let Some(member) = names.by_name(&member_name(group, 0)) else { continue };
+            let now = clock.now();
+            let outcome =
+                Outcome { role: Some(Role::Primary), position: Some(now), ..Outcome::silent(Ending::Served) };
+            facade.record_late_report(now, member, outcome);
+        }
+    }
+}
--- a/crates/lab/src/scale/list_service.rs
+++ b/crates/lab/src/scale/list_service.rs
@@ -1,98 +1,98 @@
-//! The emulated list service: thousands of entries in groups, changed at a stated rate and pushed to every watch. It
-//! counts what its clients get.
+//! The emulated list service of a fleet: thousands of entries in groups, changed at a stated rate and pushed to every
+//! watch. It counts what its clients receive.
 
 use super::addresses::zone_name;
+use crate::endpoint_list::{chunk, list_line, read_request_head, Endpoint, LAST_CHUNK, RESPONSE_HEAD};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use std::time::{Duration, SystemTime};
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
 /// Members of each group of entries that stand for no host.
-pub const MEMBERS: usize = 6;
+pub const MEMBERS_OF_GROUP: usize = 6;
 /// Groups of such entries are numbered from here.
-pub const FIRST_GROUP: u64 = 1_000;
-/// Changes that are remembered for watches that come back.
-const REMEMBERED: usize = 20_000;
-/// An empty line is sent this often (the protocol page).
-const BEAT: Duration = Duration::from_secs(2);
-/// Longest request.
-const MOST_HEAD: usize = 8_192;
-
-#[derive(Clone)]
-struct Entry {
-    name: String,
-    address: SocketAddr,
-    zone: usize,
-    group: u64,
-    primary: bool,
-    draining: bool,
-    started_ms: u64,
+pub const FIRST_LISTED_ONLY_GROUP: u64 = 1_000;
+/// Changes that are kept for watches that come back.
+const MAX_LOGGED_CHANGES: usize = 20_000;
+/// How often a watch without changes gets a heartbeat, as the protocol page states.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Port of entries that stand for no host.
+const LISTED_ONLY_PORT: u16 = 5_433;
+/// Entries for each value of an address's third byte.
+const ENTRIES_PER_NET: usize = 250;
+/// The kind of machine that entries state.
+const MACHINE_TYPE: &str = "m2";
+
+/// A change of the list.
+struct Change {
+    revision: u64,
+    /// The entry that changed, as JSON.
+    entry: String,
 }
 
-impl Entry {
-    fn json(&self) -> String {
-        let Entry { name, address, zone, group, primary, draining, started_ms } = self;
-        let (zone, phase) = (zone_name(*zone), if *draining { "draining" } else { "up" });
-        let role = if *primary { "primary" } else { "standby" };
-        format!(
-            r#"{{"id":"{name}","host_port":"{address}","locality":"{zone}","flavor":"m2","cell":{group},"phase":"{phase}","replication":"{role}","size":1.0,"up_since_ms":{started_ms}}}"#
-        )
-    }
-}
-
-#[derive(Default)]
-struct State {
-    entries: Vec<Entry>,
-    /// Entries of real emulated hosts, as JSON: they never change.
-    fixed: String,
-    /// Revision and entry of each change.
-    log: VecDeque<(u64, String)>,
+struct ListState {
+    endpoints: Vec<Endpoint>,
+    /// Entries of emulated hosts, as JSON: they never change.
+    fixed_entries: String,
+    log: VecDeque<Change>,
 }
 
 /// The service.
 pub struct ListService {
-    state: RefCell<State>,
+    state: RefCell<ListState>,
     revision: watch::Sender<u64>,
     /// Bytes that were sent.
-    pub bytes: Cell<u64>,
-    /// Whole lists that were sent.
-    pub complete_lists: Cell<u64>,
-    /// Bytes of the last whole list.
+    pub bytes_sent: Cell<u64>,
+    /// Bytes of the last complete list.
     pub complete_list_bytes: Cell<u64>,
     /// Changes that were made.
     pub changes: Cell<u64>,
 }
 
-/// The name of a member of a group of entries that stand for no host; the first one is its primary.
+/// The name of a member of a group of entries that stand for no host; member 0 is its primary.
 pub fn member_name(group: u64, member: usize) -> String {
     format!("h{group}-{member}")
 }
 
+fn listed_only_endpoint(index: usize) -> Endpoint {
+    let group = FIRST_LISTED_ONLY_GROUP + (index / MEMBERS_OF_GROUP) as u64;
+    let member = index % MEMBERS_OF_GROUP;
+    // Nobody listens there, and no client asks for these groups.
+    let ip = [127, 21, (index / ENTRIES_PER_NET) as u8, (index % ENTRIES_PER_NET) as u8 + 1];
+    Endpoint {
+        name: member_name(group, member),
+        address: SocketAddr::from((ip, LISTED_ONLY_PORT)),
+        zone: zone_name(index),
+        machine_type: Some(MACHINE_TYPE),
+        group,
+        draining: false,
+        primary: member == 0,
+        started_ms: 0,
+    }
+}
+
 impl ListService {
-    /// Starts it with so many entries that stand for no host, beside the fixed ones.
+    /// Starts the service and returns its address. It lists this many entries that stand for no host, beside the fixed
+    /// ones.
+    ///
+    /// # Errors
+    ///
+    /// Fails if its listening socket cannot be opened.
     pub async fn start(
-        count: usize,
-        fixed: String,
-    ) -> Result<(Rc<ListService>, SocketAddr), crate::error::LabError> {
+        listed_only: usize,
+        fixed_entries: String,
+    ) -> std::io::Result<(Rc<ListService>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let entry = |place: usize| {
-            let (group, member) = (FIRST_GROUP + (place / MEMBERS) as u64, place % MEMBERS);
-            // Nobody listens there, and no client asks for these groups.
-            let address = SocketAddr::from(([127, 21, (place / 250) as u8, (place % 250) as u8 + 1], 5_433));
-            let name = member_name(group, member);
-            Entry { name, address, zone: place, group, primary: member == 0, draining: false, started_ms: 0 }
-        };
-        let state = State { entries: (0..count).map(entry).collect(), fixed, log: VecDeque::new() };
+        let endpoints = (0..listed_only).map(listed_only_endpoint).collect();
         let service = Rc::new(ListService {
-            state: RefCell::new(state),
+            state: RefCell::new(ListState { endpoints, fixed_entries, log: VecDeque::new() }),
             revision: watch::channel(1).0,
-            bytes: Cell::new(0),
-            complete_lists: Cell::new(0),
+            bytes_sent: Cell::new(0),
             complete_list_bytes: Cell::new(0),
             changes: Cell::new(0),
         });
@@ -105,71 +105,61 @@
         *self.revision.borrow()
     }
 
-    /// Changes the entry of this place: one that is up begins to drain, one that drains has started anew.
-    pub fn change(&self, place: usize, now_ms: u64) {
+    /// Changes the entry of this index: one that is up begins to drain, one that drains has been started anew.
+    pub fn change(&self, index: usize, now_ms: i64) {
         let mut state = self.state.borrow_mut();
-        let count = state.entries.len();
-        let Some(entry) = state.entries.get_mut(place % count.max(1)) else { return };
-        if entry.draining {
-            entry.started_ms = now_ms;
+        let count = state.endpoints.len().max(1);
+        let Some(endpoint) = state.endpoints.get_mut(index % count) else { return };
+        if endpoint.draining {
+            endpoint.started_ms = now_ms;
         }
-        entry.draining = !entry.draining;
-        let (json, revision) = (entry.json(), self.revision() + 1);
-        state.log.push_back((revision, json));
-        if state.log.len() > REMEMBERED {
+        endpoint.draining = !endpoint.draining;
+        let (entry, revision) = (endpoint.json(), self.revision() + 1);
+        state.log.push_back(Change { revision, entry });
+        if state.log.len() > MAX_LOGGED_CHANGES {
             state.log.pop_front();
         }
         self.changes.set(self.changes.get() + 1);
         self.revision.send_replace(revision);
     }
 
-    /// Makes changes at a steady rate, for good.
+    /// Makes changes at a steady rate, for ever.
     pub async fn keep_changing(self: Rc<Self>, per_minute: f64, seed: u64) {
         let pause = Duration::from_secs_f64(60.0 / per_minute);
         let mut next = tokio::time::Instant::now();
-        let mut place = seed as usize;
+        let mut index = seed as usize;
         loop {
             next += pause;
             tokio::time::sleep_until(next).await;
-            place = place.wrapping_mul(5).wrapping_add(1_013);
-            let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-            self.change(place, now.as_millis() as u64);
+            index = index.wrapping_mul(5).wrapping_add(1_013);
+            let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+            self.change(index, now.as_millis() as i64);
         }
     }
 
     fn complete_list(&self) -> String {
         let state = self.state.borrow();
-        let mut members: Vec<String> = state.entries.iter().map(Entry::json).collect();
-        members.extend((!state.fixed.is_empty()).then(|| state.fixed.clone()));
-        self.complete_lists.set(self.complete_lists.get() + 1);
-        let line = format!(
-            r#"{{"revision":{},"complete":true,"members":[{}]}}"#,
-            self.revision(),
-            members.join(",")
-        );
+        let mut entries: Vec<String> = state.endpoints.iter().map(Endpoint::json).collect();
+        entries.extend((!state.fixed_entries.is_empty()).then(|| state.fixed_entries.clone()));
+        let line = list_line(self.revision(), true, &entries.join(","));
         self.complete_list_bytes.set(line.len() as u64);
         line
     }
 
-    /// What a watch that holds this revision has to be told.
-    fn since(&self, revision: u64) -> String {
-        let changed: Option<Vec<String>> = {
-            let state = self.state.borrow();
-            let first = state.log.front().map_or(u64::MAX, |(first, _)| *first);
-            let held = revision > 0 && revision + 1 >= first.min(self.revision() + 1);
-            held.then(|| {
-                let newer = state.log.iter().filter(|(one, _)| *one > revision);
-                newer.map(|(_, json)| json.clone()).collect()
-            })
-        };
-        match changed {
-            Some(changed) => {
-                format!(
-                    r#"{{"revision":{},"complete":false,"members":[{}]}}"#,
-                    self.revision(),
-                    changed.join(",")
-                )
-            }
+    /// The entries that changed after this revision; none if the log does not reach back so far.
+    fn changed_entries(&self, revision: u64) -> Option<String> {
+        let state = self.state.borrow();
+        let first = state.log.front().map_or(u64::MAX, |change| change.revision);
+        let is_logged = revision > 0 && revision + 1 >= first.min(self.revision() + 1);
+        let newer = state.log.iter().filter(|change| change.revision > revision);
+        let entries: Vec<&str> = newer.map(|change| change.entry.as_str()).collect();
+        is_logged.then(|| entries.join(","))
+    }
+
+    /// What a watch that holds this revision has to receive.
+    fn update_since(&self, revision: u64) -> String {
+        match self.changed_entries(revision) {
+            Some(entries) => list_line(self.revision(), false, &entries),
             None => self.complete_list(),
         }
     }
@@ -182,42 +172,43 @@
     }
 
     async fn serve(&self, mut stream: TcpStream) -> Option<()> {
-        let (mut head, mut bytes) = (Vec::new(), [0; 512]);
-        while !head.ends_with(b"\r\n\r\n") {
-            let count = stream.read(&mut bytes).await.ok()?;
-            if count == 0 || head.len() > MOST_HEAD {
-                return None;
-            }
-            head.extend_from_slice(&bytes[..count]);
-        }
-        let head = String::from_utf8_lossy(&head).into_owned();
+        let head = read_request_head(&mut stream).await?;
         let _ = stream.set_nodelay(true);
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
-        if !head.contains("watch=1") {
+        stream.write_all(RESPONSE_HEAD).await.ok()?;
+        if head.contains("watch=1") {
+            self.serve_watch(&mut stream, revision_of_request(&head)).await
+        } else {
             self.send(&mut stream, &self.complete_list()).await?;
-            return stream.write_all(b"0\r\n\r\n").await.ok();
+            stream.write_all(LAST_CHUNK).await.ok()
         }
-        let after = head.split_once("after=").map_or("", |(_, rest)| rest);
-        let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
-        let mut held: u64 = digits.parse().unwrap_or(0);
+    }
+
+    async fn serve_watch(&self, stream: &mut TcpStream, mut sent: u64) -> Option<()> {
         let mut revision = self.revision.subscribe();
         loop {
             let newest = *revision.borrow_and_update();
-            if newest > held || held == 0 {
-                let line = self.since(held);
-                held = newest;
-                self.send(&mut stream, &line).await?;
+            if newest > sent || sent == 0 {
+                let line = self.update_since(sent);
+                sent = newest;
+                self.send(stream, &line).await?;
             }
             tokio::select! {
                 changed = revision.changed() => changed.ok()?,
-                () = tokio::time::sleep(BEAT) => self.send(&mut stream, "").await?,
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => self.send(stream, "").await?,
             }
         }
     }
 
     async fn send(&self, stream: &mut TcpStream, line: &str) -> Option<()> {
-        let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-        self.bytes.set(self.bytes.get() + chunk.len() as u64);
+        let chunk = chunk(line);
+        self.bytes_sent.set(self.bytes_sent.get() + chunk.len() as u64);
         stream.write_all(chunk.as_bytes()).await.ok()
     }
 }
+
+/// The revision that a watch says it holds; 0 for none.
+fn revision_of_request(head: &str) -> u64 {
+    let after = head.split_once("after=").map_or("", |(_, rest)| rest);
+    let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
+    digits.parse().unwrap_or(0)
+}
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -1,98 +1,89 @@
-//! The processes of a fleet, as the experiment speaks to them.
+//! The processes of a fleet, as the experiment controls them.
 
 use super::protocol::{Command, GatewayStats, Stats};
+use crate::child_process::ChildProcess;
+use crate::error::LabError;
+use crate::gateways::{counter_lines, logged_counter};
 use crate::measure::{cpu_ns, resident_kb};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command as Process};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// A hollow process, as the experiment speaks to it.
-pub struct Hollow {
-    /// Its gateways.
+/// How often a real gateway's log is read until it holds new counters.
+const LOG_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How many times it is read: one second in all.
+const LOG_POLLS: usize = 200;
+
+/// A process of hollow gateways.
+pub struct HollowProcess {
+    /// Numbers of its gateways.
     pub gateways: Vec<usize>,
-    pub(super) child: Child,
-    pub(super) stream: BufReader<TcpStream>,
+    stream: BufReader<TcpStream>,
+    _process: ChildProcess,
 }
 
-impl Hollow {
-    /// Asks for something and waits for the answer.
-    pub async fn ask(&mut self, command: &Command) -> Result<Stats, crate::error::LabError> {
-        let line = serde_json::to_string(command).map_err(std::io::Error::other)? + "\n";
+impl HollowProcess {
+    pub(super) fn new(
+        gateways: Vec<usize>,
+        process: ChildProcess,
+        stream: BufReader<TcpStream>,
+    ) -> HollowProcess {
+        HollowProcess { gateways, stream, _process: process }
+    }
+
+    /// Sends a command and waits for the answer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the process has ended or its answer cannot be read.
+    pub async fn request(&mut self, command: &Command) -> Result<Stats, LabError> {
+        let line = serde_json::to_string(command)? + "\n";
         self.stream.get_mut().write_all(line.as_bytes()).await?;
         let mut answer = String::new();
         if self.stream.read_line(&mut answer).await? == 0 {
-            return Err(crate::error::LabError::HollowProcessEnded);
+            return Err(LabError::HollowProcessEnded);
         }
         Ok(serde_json::from_str(&answer)?)
     }
 }
 
-impl Drop for Hollow {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
 /// A real gateway.
-pub(super) struct Real {
-    pub(super) child: Child,
+pub(super) struct RealGateway {
+    pub(super) process: ChildProcess,
     pub(super) listen: SocketAddr,
     pub(super) log: PathBuf,
     pub(super) number: usize,
 }
 
-impl Drop for Real {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-impl Real {
-    /// Its counters, asked for by a signal and read from its log.
-    pub(super) async fn stats(&self) -> Result<Stats, crate::error::LabError> {
-        let id = self.child.id();
-        let lines = |text: &str| text.matches("requests=").count();
-        let before = lines(&std::fs::read_to_string(&self.log)?);
-        let sent = Process::new("kill").args(["-USR1", &id.to_string()]).status()?;
-        if !sent.success() {
-            return Err(crate::error::LabError::GatewayDown(self.number));
+impl RealGateway {
+    /// Its statistics, requested by a signal and read from its log.
+    pub(super) async fn stats(&self) -> Result<Stats, LabError> {
+        let lines_before = counter_lines(&std::fs::read_to_string(&self.log)?);
+        if !self.process.signal("USR1")? {
+            return Err(LabError::GatewayDown(self.number));
         }
-        for _ in 0..200 {
-            let text = std::fs::read_to_string(&self.log)?;
-            if lines(&text) > before {
-                let last = text.lines().rev().find(|line| line.contains("requests=")).unwrap_or_default();
-                return Ok(Stats {
-                    cpu_ns: cpu_ns(id)?,
-                    rss_kb: resident_kb(id)?,
-                    base_kb: 0,
-                    gateways: vec![self.counted(last)],
-                });
+        for _ in 0..LOG_POLLS {
+            let log = std::fs::read_to_string(&self.log)?;
+            if counter_lines(&log) > lines_before {
+                let id = self.process.id();
+                let gateways = vec![self.gateway_stats(&log)];
+                return Ok(Stats { cpu_ns: cpu_ns(id)?, rss_kb: resident_kb(id)?, base_kb: 0, gateways });
             }
-            tokio::time::sleep(Duration::from_millis(5)).await;
+            tokio::time::sleep(LOG_POLL_INTERVAL).await;
         }
-        Err(crate::error::LabError::CountersMissing(self.number))
+        Err(LabError::CountersMissing(self.number))
     }
 
-    fn counted(&self, line: &str) -> GatewayStats {
-        let count = |name: &str| {
-            let mut words = line.split_ascii_whitespace();
-            let value =
-                words.find_map(|word| word.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok());
-            value.unwrap_or(0)
-        };
+    fn gateway_stats(&self, log: &str) -> GatewayStats {
         GatewayStats {
             number: self.number,
-            up: true,
-            told: count("told"),
-            told_bytes: count("told_bytes"),
-            heard: count("heard"),
-            heard_bytes: count("heard_bytes"),
-            list_bytes: count("list_bytes"),
+            datagrams_sent: logged_counter(log, "told"),
+            bytes_sent: logged_counter(log, "told_bytes"),
+            datagrams_received: logged_counter(log, "heard"),
+            bytes_received: logged_counter(log, "heard_bytes"),
+            list_bytes: logged_counter(log, "list_bytes"),
             ..GatewayStats::default()
         }
     }
--- a/crates/lab/src/scale/protocol.rs
+++ b/crates/lab/src/scale/protocol.rs
@@ -1,11 +1,11 @@
-//! What the experiment and its hollow processes say to each other: one JSON object a line, over TCP on loopback.
+//! The protocol between the experiment and its hollow processes: one JSON object a line, over TCP on loopback.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a hollow process is told at its start, in a file.
+/// The plan of a hollow process, which reads it from a file at its start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowPlan {
     /// Where the experiment listens.
@@ -14,9 +14,9 @@
     pub folder: PathBuf,
     /// The gateways of this process.
     pub gateways: Vec<usize>,
-    /// Those that report no demand and hear of no primary.
-    pub quiet: BTreeSet<usize>,
-    /// Gateways in all.
+    /// Gateways that report no demand and learn of no primary.
+    pub idle: BTreeSet<usize>,
+    /// Gateways of the whole fleet.
     pub fleet: usize,
     /// Seed of the demand.
     pub seed: u64,
@@ -27,28 +27,28 @@
 /// Faults that a scale run must notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InjectedFault {
-    /// A message for one gateway goes to all.
+    /// A datagram for one gateway goes to all.
     Flood,
     /// A table keeps what it should forget.
     Hoard,
 }
 
-/// What the experiment wants of a hollow process.
+/// A command of the experiment to a hollow process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// Tell all figures.
+    /// Report all statistics.
     Stats,
-    /// Nothing passes between the regions any more, or again.
+    /// Cut the regions off from each other, or join them again.
     Cut(bool),
-    /// These gateways stand still: their tasks end.
+    /// Stop these gateways.
     Stop(BTreeSet<usize>),
-    /// These gateways start anew.
+    /// Start these gateways anew.
     Start(BTreeSet<usize>),
-    /// All read their settings again.
+    /// Let all gateways read their configuration again.
     Reload,
 }
 
-/// What a hollow process answers.
+/// The answer of a hollow process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Stats {
     /// Processor time of the process so far (nanoseconds).
@@ -61,31 +61,29 @@
     pub gateways: Vec<GatewayStats>,
 }
 
-/// Figures of one gateway since its start.
+/// Statistics of one gateway since its start.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct GatewayStats {
     /// Its number.
     pub number: usize,
-    /// It runs.
-    pub up: bool,
     /// Datagrams sent.
-    pub told: u64,
-    /// Bytes of them.
-    pub told_bytes: u64,
+    pub datagrams_sent: u64,
+    /// Bytes of these datagrams.
+    pub bytes_sent: u64,
     /// Datagrams received.
-    pub heard: u64,
-    /// Bytes of them.
-    pub heard_bytes: u64,
-    /// Bytes of discovery's watch.
+    pub datagrams_received: u64,
+    /// Bytes of these datagrams.
+    pub bytes_received: u64,
+    /// Bytes received from the list service.
     pub list_bytes: u64,
-    /// Revision of the list that it holds.
-    pub revision: u64,
+    /// Revision of the endpoint list that it holds.
+    pub list_revision: u64,
     /// Version of the settings that it holds.
-    pub version: u64,
+    pub settings_version: u64,
     /// Entries of state that grow with the fleet.
     pub entries: u64,
-    /// Duties that it owns.
-    pub owned: u64,
-    /// Duties whose owner it knows.
+    /// Leases that it holds.
+    pub held_leases: u64,
+    /// Leadership roles whose lease holder it knows.
     pub known_lease_holders: u64,
 }
--- a/crates/lab/src/scale/role_costs.rs
+++ b/crates/lab/src/scale/role_costs.rs
@@ -1,19 +1,21 @@
 //! What gateways of each role cost.
 
 use super::protocol::GatewayStats;
+use std::iter::Sum;
+use std::ops::{Add, Mul};
 
-/// What one gateway of a role costs in a second.
+/// What one gateway costs in a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Datagrams heard.
+    /// Datagrams received.
     pub datagrams_in: f64,
-    /// Datagrams told.
+    /// Datagrams sent.
     pub datagrams_out: f64,
-    /// Bytes heard in datagrams.
+    /// Bytes received in datagrams.
     pub bytes_in: f64,
-    /// Bytes told in datagrams.
+    /// Bytes sent in datagrams.
     pub bytes_out: f64,
-    /// Bytes of discovery's watch.
+    /// Bytes received from the list service.
     pub list_bytes: f64,
     /// Processor time (microseconds).
     pub cpu_us: f64,
@@ -24,8 +26,45 @@
 }
 
 impl Cost {
-    /// So many times this cost; what is there once, entries and memory, included.
-    pub(super) fn times(self, factor: f64) -> Cost {
+    /// All bytes for control, in and out.
+    pub fn control_bytes(&self) -> f64 {
+        self.bytes_in + self.bytes_out + self.list_bytes
+    }
+
+    /// The mean of several costs; zero for none.
+    pub(super) fn mean(costs: &[Cost]) -> Cost {
+        costs.iter().copied().sum::<Cost>() * (1.0 / costs.len().max(1) as f64)
+    }
+}
+
+impl Add for Cost {
+    type Output = Cost;
+
+    fn add(self, other: Cost) -> Cost {
+        Cost {
+            datagrams_in: self.datagrams_in + other.datagrams_in,
+            datagrams_out: self.datagrams_out + other.datagrams_out,
+            bytes_in: self.bytes_in + other.bytes_in,
+            bytes_out: self.bytes_out + other.bytes_out,
+            list_bytes: self.list_bytes + other.list_bytes,
+            cpu_us: self.cpu_us + other.cpu_us,
+            rss_kb: self.rss_kb + other.rss_kb,
+            entries: self.entries + other.entries,
+        }
+    }
+}
+
+impl Sum for Cost {
+    fn sum<I: Iterator<Item = Cost>>(costs: I) -> Cost {
+        costs.fold(Cost::default(), Add::add)
+    }
+}
+
+impl Mul<f64> for Cost {
+    type Output = Cost;
+
+    /// So many times this cost; entries and memory, which are there once, included.
+    fn mul(self, factor: f64) -> Cost {
         Cost {
             datagrams_in: self.datagrams_in * factor,
             datagrams_out: self.datagrams_out * factor,
@@ -44,15 +83,15 @@
 pub struct Costs {
     /// A gateway that is no acceptor: the mean.
     pub gateway: Cost,
-    /// An owner of duties: all that acceptors cost, over those that share the work.
-    pub owner: Cost,
+    /// A lease holder: all that acceptors cost, over those that share the work.
+    pub lease_holder: Cost,
     /// A real gateway: the mean.
     pub real: Cost,
     /// A hollow gateway without demand: the mean.
-    pub quiet: Cost,
+    pub idle: Cost,
     /// Bytes that the list service sent in a second.
     pub service_bytes: f64,
-    /// Bytes of a whole list.
+    /// Bytes of a complete list.
     pub complete_list_bytes: f64,
     /// Changes of the list in a second.
     pub changes: f64,
@@ -64,50 +103,35 @@
         let least = |one: Cost, other: Cost| Cost { cpu_us: one.cpu_us.min(other.cpu_us), ..one };
         Costs {
             gateway: least(self.gateway, other.gateway),
-            owner: least(self.owner, other.owner),
+            lease_holder: least(self.lease_holder, other.lease_holder),
             real: least(self.real, other.real),
-            quiet: least(self.quiet, other.quiet),
+            idle: least(self.idle, other.idle),
             ..self
         }
     }
 }
 
-/// What one gateway cost between two looks, in a second.
-pub(super) fn cost(
-    earlier: Option<&GatewayStats>,
-    one: &GatewayStats,
-    seconds: f64,
-    cpu_us: f64,
-    rss_kb: f64,
-) -> Cost {
-    let zero = GatewayStats::default();
-    let earlier = earlier.unwrap_or(&zero);
-    // One that was started anew counts from 0 again.
-    let rate = |after: u64, before: u64| after.saturating_sub(before) as f64 / seconds;
-    Cost {
-        datagrams_in: rate(one.heard, earlier.heard),
-        datagrams_out: rate(one.told, earlier.told),
-        bytes_in: rate(one.heard_bytes, earlier.heard_bytes),
-        bytes_out: rate(one.told_bytes, earlier.told_bytes),
-        list_bytes: rate(one.list_bytes, earlier.list_bytes),
-        cpu_us,
-        rss_kb,
-        entries: one.entries as f64,
-    }
+/// What the process of some gateways used between two snapshots, for each of its gateways.
+pub(super) struct ProcessUse {
+    /// Time between the snapshots.
+    pub(super) seconds: f64,
+    /// Processor time in a second (microseconds).
+    pub(super) cpu_us: f64,
+    /// Resident memory (kB).
+    pub(super) rss_kb: f64,
 }
 
-/// The mean of several.
-pub(super) fn mean(costs: &[Cost]) -> Cost {
-    let count = costs.len().max(1) as f64;
-    let of = |figure: fn(&Cost) -> f64| costs.iter().map(figure).sum::<f64>() / count;
+/// What one gateway cost in a second between two snapshots. One that was started anew counts from 0 again.
+pub(super) fn cost(before: &GatewayStats, after: &GatewayStats, process: &ProcessUse) -> Cost {
+    let rate = |after: u64, before: u64| after.saturating_sub(before) as f64 / process.seconds;
     Cost {
-        datagrams_in: of(|cost| cost.datagrams_in),
-        datagrams_out: of(|cost| cost.datagrams_out),
-        bytes_in: of(|cost| cost.bytes_in),
-        bytes_out: of(|cost| cost.bytes_out),
-        list_bytes: of(|cost| cost.list_bytes),
-        cpu_us: of(|cost| cost.cpu_us),
-        rss_kb: of(|cost| cost.rss_kb),
-        entries: of(|cost| cost.entries),
+        datagrams_in: rate(after.datagrams_received, before.datagrams_received),
+        datagrams_out: rate(after.datagrams_sent, before.datagrams_sent),
+        bytes_in: rate(after.bytes_received, before.bytes_received),
+        bytes_out: rate(after.bytes_sent, before.bytes_sent),
+        list_bytes: rate(after.list_bytes, before.list_bytes),
+        cpu_us: process.cpu_us,
+        rss_kb: process.rss_kb,
+        entries: after.entries as f64,
     }
 }
--- a/crates/lab/src/scale/run_parameters.rs
+++ b/crates/lab/src/scale/run_parameters.rs
@@ -1,121 +1,154 @@
-//! How duties are carried in a run, its spans, and the sizes that it plays.
+//! The parameters of a scale run: how leadership roles are spread, its durations, and the sizes that it plays.
 
 use std::time::Duration;
 
-/// How duties are carried.
+/// How leadership roles are spread over the fleet.
 pub struct Mode {
     /// The experiment's name.
     pub name: &'static str,
     /// How many acceptors there are.
     pub acceptors: usize,
-    /// More of the record `ownership`.
+    /// More of the record `ownership` of the operator's file.
     pub record: &'static str,
-    /// How many of them share the owners' work.
-    pub owners: usize,
-    /// Duties that there are.
-    pub duties: u64,
-    /// Groups whose limits are shared out at most.
-    pub shared: f64,
+    /// How many of the acceptors share the lease holders' work.
+    pub lease_holders: usize,
+    /// How many leases there are.
+    pub leases: u64,
+    /// How many groups have shared quotas at most.
+    pub quota_groups: f64,
 }
 
-/// One owner for all groups.
+/// One lease holder for all groups.
 pub const SINGLE_OWNER: Mode = Mode {
     name: "scale-single-owner",
     acceptors: 3,
     record: "duties: [\"scout\", \"shares\"]\n",
-    owners: 1,
-    duties: 2,
-    shared: 256.0,
+    lease_holders: 1,
+    leases: 2,
+    quota_groups: 256.0,
 };
 
-/// Each duty in nine shards over nine acceptors, as many as the operators set machines aside.
+/// Each role in nine shards over nine acceptors, as many as the operators set machines aside.
 pub const SHARDED: Mode = Mode {
     name: "scale",
     acceptors: 9,
     record: "duties: [\"scout\", \"shares\"]\nshards: 9\n",
-    owners: 9,
-    duties: 18,
-    shared: f64::MAX,
+    lease_holders: 9,
+    leases: 18,
+    quota_groups: f64::MAX,
 };
 
-/// Spans of a run.
+/// Durations of a run.
 #[derive(Clone, Copy)]
-pub(super) struct Spans {
-    /// The lease (milliseconds).
+pub(super) struct RunDurations {
+    /// A lease (milliseconds).
     pub(super) lease_ms: u64,
-    /// From when all duties have owners to the first look.
-    pub(super) warm: Duration,
-    /// Between two looks: some times the 1.05 s after which a leader is told again.
+    /// From the first lease holders to the first snapshot.
+    pub(super) warm_up: Duration,
+    /// From the first to the last snapshot: some times the 1.05 s after which a lease holder repeats its notifications.
     pub(super) window: Duration,
 }
 
-impl Spans {
-    pub(super) fn of(short: bool) -> Spans {
-        match short {
-            true => Spans {
-                lease_ms: 500,
-                warm: Duration::from_millis(300),
-                window: Duration::from_millis(2_200),
-            },
-            false => {
-                Spans { lease_ms: 2_000, warm: Duration::from_secs(2), window: Duration::from_millis(5_250) }
-            }
+const FULL_DURATIONS: RunDurations =
+    RunDurations { lease_ms: 2_000, warm_up: Duration::from_secs(2), window: Duration::from_millis(5_250) };
+const SHORT_DURATIONS: RunDurations =
+    RunDurations { lease_ms: 500, warm_up: Duration::from_millis(300), window: Duration::from_millis(2_200) };
+
+impl RunDurations {
+    pub(super) fn new(short: bool) -> RunDurations {
+        if short {
+            SHORT_DURATIONS
+        } else {
+            FULL_DURATIONS
         }
     }
 }
 
-/// A fleet's size: gateways, entries of the list, changes of it a minute.
-pub(super) type Played = (usize, usize, f64);
+/// A fleet's size as it is planned.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PlannedSize {
+    /// Gateways.
+    pub gateways: usize,
+    /// Entries of the endpoint list.
+    pub hosts: usize,
+    /// Changes of the endpoint list.
+    pub changes_per_minute: f64,
+}
 
-/// Sizes of a run: gateways, hosts and changes of the list a minute. The last of each axis is the largest.
+/// The sizes of a run. The last of each axis is the largest.
 pub(super) struct Axes {
-    pub(super) base: Played,
-    pub(super) gateways: [usize; 4],
-    pub(super) hosts: [usize; 4],
-    pub(super) changes: [f64; 4],
-    /// Gateways of the fleets that exchange marks, and hosts of all of these.
-    pub(super) sessions: ([usize; 3], usize),
+    pub(super) base: PlannedSize,
+    gateways: [usize; 4],
+    hosts: [usize; 4],
+    changes_per_minute: [f64; 4],
+    /// Gateways of the fleets that exchange watermarks.
+    session_gateways: [usize; 3],
+    /// Hosts of each of these fleets.
+    session_hosts: usize,
 }
 
+/// Changes of the list in the fleets that exchange watermarks, a minute.
+const SESSION_CHANGES_PER_MINUTE: f64 = 60.0;
+
+const FULL_AXES: Axes = Axes {
+    base: PlannedSize { gateways: 150, hosts: 600, changes_per_minute: 600.0 },
+    gateways: [50, 150, 400, 800],
+    hosts: [120, 600, 1_500, 2_900],
+    changes_per_minute: [0.0, 600.0, 1_800.0, 3_000.0],
+    session_gateways: [12, 20, 36],
+    session_hosts: 80,
+};
+const SHORT_AXES: Axes = Axes {
+    base: PlannedSize { gateways: 40, hosts: 240, changes_per_minute: 600.0 },
+    gateways: [40, 80, 120, 160],
+    hosts: [240, 480, 720, 960],
+    changes_per_minute: [0.0, 600.0, 1_800.0, 3_000.0],
+    session_gateways: [12, 16, 24],
+    session_hosts: 50,
+};
+
 impl Axes {
-    pub(super) fn of(short: bool) -> Axes {
-        match short {
-            true => Axes {
-                base: (40, 240, 600.0),
-                gateways: [40, 80, 120, 160],
-                hosts: [240, 480, 720, 960],
-                changes: [0.0, 600.0, 1_800.0, 3_000.0],
-                sessions: ([12, 16, 24], 50),
-            },
-            false => Axes {
-                base: (150, 600, 600.0),
-                gateways: [50, 150, 400, 800],
-                hosts: [120, 600, 1_500, 2_900],
-                changes: [0.0, 600.0, 1_800.0, 3_000.0],
-                sessions: ([12, 20, 36], 80),
-            },
+    pub(super) fn new(short: bool) -> Axes {
+        if short {
+            SHORT_AXES
+        } else {
+            FULL_AXES
         }
     }
 
-    /// All sizes: first those from which the others are predicted, then the largest of each axis.
-    pub(super) fn sizes(&self) -> (Vec<Played>, Vec<Played>) {
-        let (gateways, hosts, changes) = self.base;
-        let mut small = vec![self.base];
-        small.extend(self.gateways[..3].iter().map(|count| (*count, hosts, changes)));
-        small.extend(self.hosts[..3].iter().map(|count| (gateways, *count, changes)));
-        small.extend(self.changes[..3].iter().map(|rate| (gateways, hosts, *rate)));
-        small.dedup();
-        let mut seen = Vec::new();
-        small.retain(|size| {
-            let new = !seen.contains(size);
-            seen.push(*size);
-            new
-        });
-        let largest = vec![
-            (self.gateways[3], hosts, changes),
-            (gateways, self.hosts[3], changes),
-            (gateways, hosts, self.changes[3]),
-        ];
-        (small, largest)
+    /// The sizes from which the largest ones are predicted, each once.
+    pub(super) fn small_sizes(&self) -> Vec<PlannedSize> {
+        let base = self.base;
+        let gateways = self.gateways[..3].iter().map(|gateways| PlannedSize { gateways: *gateways, ..base });
+        let hosts = self.hosts[..3].iter().map(|hosts| PlannedSize { hosts: *hosts, ..base });
+        let changes = self.changes_per_minute[..3]
+            .iter()
+            .map(|changes| PlannedSize { changes_per_minute: *changes, ..base });
+        let mut sizes = vec![base];
+        for size in gateways.chain(hosts).chain(changes) {
+            if !sizes.contains(&size) {
+                sizes.push(size);
+            }
+        }
+        sizes
+    }
+
+    /// The largest size of each axis.
+    pub(super) fn largest_sizes(&self) -> [PlannedSize; 3] {
+        let base = self.base;
+        [
+            PlannedSize { gateways: self.gateways[3], ..base },
+            PlannedSize { hosts: self.hosts[3], ..base },
+            PlannedSize { changes_per_minute: self.changes_per_minute[3], ..base },
+        ]
+    }
+
+    /// The sizes of the fleets that exchange watermarks.
+    pub(super) fn session_sizes(&self) -> [PlannedSize; 3] {
+        self.session_gateways.map(|gateways| PlannedSize {
+            gateways,
+            hosts: self.session_hosts,
+            changes_per_minute: SESSION_CHANGES_PER_MINUTE,
+        })
     }
 }
