--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -26,12 +26,12 @@
     for n in 0..60 {
         harness.ask(&format!("fill{n}"), 4, 900 * MS);
     }
-    let repeat = |name: &str, repeat| Event::Request {
+    let repeat = |name: &str, is_retry| Event::Request {
         request: name.into(),
         class: 3,
         group: G,
         time_left: 900 * MS,
-        repeat,
+        is_retry,
         minimum_position: None,
     };
     assert!(!refused(&harness.play(repeat("first", false))), "a first attempt waits for capacity");
@@ -62,8 +62,8 @@
 // what had only met members that could not be reached.
 #[test]
 fn what_was_sent_to_no_member_by_half_its_time_is_refused() {
-    let ends_after = |class: usize, way: Time| {
-        let mut harness = Harness::empty(Settings { way, ..settings() });
+    let ends_after = |class: usize, client_round_trip: Time| {
+        let mut harness = Harness::empty(Settings { client_round_trip, ..settings() });
         let mut actions = harness.ask("r", class, 400 * MS);
         let mut steps = 0;
         while !refused(&actions) && steps < 100 {
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -5,17 +5,16 @@
 use harness::*;
 
 fn unix_s() -> f64 {
-    std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_secs_f64()
+    unix_ms() as f64 / 1_000.0
 }
 
 /// A row, and this load report behind it.
 fn with_report(report: &str) -> &'static [u8] {
-    let parameter_status = |name: &str, value: &str| message(b'S', format!("{name}\0{value}\0").as_bytes());
     let parts = [
         row(b"v"),
         parameter_status("replication_role", "primary"),
         parameter_status("pressure", report),
-        message(b'Z', b"I"),
+        ready_for_query(),
     ];
     parts.concat().leak()
 }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -4,10 +4,6 @@
 mod harness;
 use harness::*;
 
-fn patient(config: &str) -> String {
-    config.replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000")
-}
-
 // The attempt was written as soon as its connection was up, however long the host had been known to drain.
 #[test]
 fn a_host_whose_drain_is_announced_while_a_connection_comes_up_gets_nothing_on_it() {
@@ -27,7 +23,7 @@
             Step::Write(chunk(&format!("{}\n", list(43, false, &updates)))),
             Step::Heartbeat,
         ];
-        let config = patient(&harness.config());
+        let config = with_long_connect_timeout(&harness.config());
         let (gateway, source) = harness.start_scripted(&config, vec![script]);
         gateway.wait_for("lists=", |count| count >= 2);
         let mut client = gateway.client();
@@ -48,7 +44,8 @@
     let harness = Harness::new(194);
     let host = harness.slow_host(1, vec![Reply::Close]);
     let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = patient(&harness.config()).replace("\"window_us\":30000000", "\"window_us\":1500000");
+    let config = with_long_connect_timeout(&harness.config())
+        .replace("\"window_us\":30000000", "\"window_us\":1500000");
     let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     client.write(&query(&insert("a", 6_000)));
@@ -69,7 +66,7 @@
     let harness = Harness::new(195);
     let host = harness.slow_host(1, vec![Reply::Close, Reply::Row(b"v")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = patient(&harness.config());
+    let config = with_long_connect_timeout(&harness.config());
     let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     client.write(&query(&insert("a", 25_000)));
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -3,32 +3,17 @@
 
 mod harness;
 use harness::*;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 /// Hosts do not look at how far behind they are. Beside any data, there are reads of data no older than 4 s, and of the
-/// newest. Connections may take their time, and work that is out is not called off.
+/// newest. Connections may take their time, and work that is out is not cancelled.
 fn unchecked(config: &str) -> String {
-    let class = |name| {
-        format!(
-            r#"{{"aim_us":4000000,"deadline_us":30000000,"idempotency":"safe","name":"{name}","points":2.0,"late_share":0.2}}"#
-        )
-    };
-    let changes = [
-        ("\"when_behind\":\"bounce\"", "\"when_behind\":\"off\"".to_string()),
-        ("[\"eventual\",\"mutate\"]", "[\"eventual\",\"mutate\",\"lag_bound\",\"strong\"]".to_string()),
-        ("\"staleness_bound_us\":[0,0]", "\"staleness_bound_us\":[0,0,4000000,0]".to_string()),
-        ("\"late_share\":0.5}]", format!("\"late_share\":0.5}},{},{}]", class("bounded"), class("newest"))),
-        ("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000".to_string()),
-        ("\"cancel\":true", "\"cancel\":false".to_string()),
+    let classes = [
+        ReadClass { name: "bounded", read_level: "lag_bound", staleness_bound_us: 4_000_000 },
+        ReadClass { name: "newest", read_level: "strong", staleness_bound_us: 0 },
     ];
-    changes.iter().fold(config.to_string(), |config, (old, new)| {
-        assert!(config.contains(old), "{old}");
-        config.replace(old, new)
-    })
-}
-
-fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+    let config = with_long_connect_timeout(&with_unchecked_reads(config, &classes));
+    replace_parts(&config, &[("\"cancel\":true", "\"cancel\":false")])
 }
 
 fn ask(class: &str, id: &str, wait_ms: u64) -> Vec<u8> {
@@ -113,9 +98,7 @@
 
 /// The same, and reads of what their session has written. Of the sessions, `a` is the one that writes.
 fn with_sessions(config: &str) -> String {
-    let config = unchecked(config);
-    assert!(config.contains("\"strong\"]"));
-    config.replace("\"strong\"]", "\"causal\"]")
+    replace_parts(&unchecked(config), &[("\"strong\"]", "\"causal\"]")])
 }
 
 fn write(id: &str, wait_ms: u64) -> Vec<u8> {
--- a/tests/harness/gateway.rs
+++ b/tests/harness/gateway.rs
@@ -1,6 +1,7 @@
 //! The program, as it runs, and its clients.
 
-use super::{config_path, kinds, query, read_message, startup, ReservedPort, NEVER};
+use super::messages::{kinds, query, read_message, startup};
+use super::{config_path, ReservedPort, NEVER};
 use petrelgauge_lifecycle::client::{MAX_BACKOFF, MIN_BACKOFF};
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
--- a/tests/harness/host.rs
+++ b/tests/harness/host.rs
@@ -1,50 +1,14 @@
 //! A database host that takes one query after the other from its script.
 
-use super::{message, read_message, ReservedPort, NEVER};
+use super::messages::{message, read_message, ready_for_query, row};
+use super::{Reply, ReservedPort, NEVER};
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-
-/// What a scripted host does with a query.
-pub enum Reply {
-    Row(&'static [u8]),
-    /// A row at this position, in Unix milliseconds.
-    RowAt(&'static [u8], u64),
-    /// The same from a replica.
-    ReplicaAt(&'static [u8], u64),
-    /// A row of a host whose clock shows `ahead` milliseconds more than the machine's, at the position of this moment.
-    RowByClock(&'static [u8], i64),
-    /// The same from a replica that is so many milliseconds behind, in the second place.
-    ReplicaByClock(&'static [u8], i64, i64),
-    /// A row, and these bytes right behind it.
-    Surplus(&'static [u8], &'static [u8]),
-    /// These bytes and no more.
-    Bytes(&'static [u8]),
-    /// These bytes, and the connection's end.
-    Cut(&'static [u8]),
-    /// A row, in so many bytes at a time and so many milliseconds apart.
-    Pieces(&'static [u8], usize, u64),
-    /// A row, and the connection reset when the test says so.
-    ResetOnGo(&'static [u8]),
-    WaitForGo(&'static [u8]),
-    /// The same, at this position.
-    RowAtOnGo(&'static [u8], u64),
-    /// No answer, and the connection closed when the test says so.
-    CloseOnGo,
-    Error(&'static str),
-    /// The same from a replica at this position.
-    ErrorAt(&'static str, u64),
-    Close,
-    Nothing,
-    /// No answer to a query that holds this text, and a row to another.
-    NothingTo(&'static str, &'static [u8]),
-    /// A row with the query's own text, from a host in this role.
-    Echo(&'static str),
-}
+use std::time::{Duration, Instant};
 
 /// A database host that takes one query after the other from its script.
 pub struct Host {
@@ -115,7 +79,6 @@
     }
 }
 
-#[expect(clippy::too_many_lines, reason = "to be split by its steps")]
 fn serve(
     mut stream: TcpStream,
     script: &Mutex<impl Iterator<Item = Reply>>,
@@ -123,14 +86,9 @@
     go: &Mutex<Receiver<()>>,
     come: Option<&Sender<()>>,
 ) {
-    let mut length = [0; 4];
-    if stream.read_exact(&mut length).is_err() {
+    if !read_startup(&mut stream) {
         return;
     }
-    let mut rest = vec![0; u32::from_be_bytes(length) as usize - 4];
-    stream.read_exact(&mut rest).expect("a startup message");
-    let ready = message(b'Z', b"I");
-    let welcome = [message(b'R', &[0; 4]), ready.clone()].concat();
     if let Some(come) = come {
         // One at a time waits to be let go on, in the order in which the test hears of them.
         let turn = go.lock().expect("a signal");
@@ -138,76 +96,79 @@
         turn.recv_timeout(NEVER).expect("it may go on");
     }
     // The gateway may have left meanwhile.
-    let _ = stream.write_all(&welcome);
+    let _ = stream.write_all(&[message(b'R', &[0; 4]), ready_for_query()].concat());
     while let Some((kind, body)) = read_message(&mut stream) {
         assert_eq!(kind, b'Q', "only simple queries");
         let query = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
         let _ = saw.send(query.clone());
-        let reply = script.lock().expect("a script").next();
-        let role = match reply {
-            Some(Reply::ReplicaAt(..) | Reply::ReplicaByClock(..) | Reply::ErrorAt(..)) => "standby",
-            Some(Reply::Echo(role)) => role,
-            _ => "primary",
-        };
-        let answer = match reply {
-            Some(Reply::Row(value)) => row(value),
-            Some(Reply::RowAt(value, at) | Reply::ReplicaAt(value, at)) => {
-                [row(value), message(b'S', format!("log_position\0{at}\0").as_bytes())].concat()
-            }
-            Some(Reply::RowByClock(value, ahead)) => row_by_clock(value, ahead),
-            Some(Reply::ReplicaByClock(value, ahead, behind)) => row_by_clock(value, ahead - behind),
-            Some(Reply::Bytes(bytes)) => {
-                let _ = stream.write_all(bytes);
-                continue;
-            }
-            Some(Reply::Surplus(value, behind)) => {
-                let _ = stream.write_all(&[row(value), ready.clone(), behind.to_vec()].concat());
-                continue;
-            }
-            Some(Reply::Cut(bytes)) => {
-                let _ = stream.write_all(bytes);
-                return;
-            }
-            Some(Reply::Pieces(value, size, apart)) => {
-                let complete = [row(value), ready.clone()].concat();
-                for piece in complete.chunks(size) {
-                    let _ = stream.write_all(piece);
-                    thread::sleep(Duration::from_millis(apart));
-                }
-                continue;
-            }
-            Some(Reply::ResetOnGo(value)) => {
-                let _ = stream.write_all(&[row(value), ready.clone()].concat());
-                go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
-                return reset(stream);
-            }
-            Some(Reply::WaitForGo(value)) => {
-                go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
-                row(value)
-            }
-            Some(Reply::RowAtOnGo(value, at)) => {
-                go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
-                [row(value), message(b'S', format!("log_position\0{at}\0").as_bytes())].concat()
+        let Some(reply) = script.lock().expect("a script").next() else { return };
+        match send_reply(&mut stream, &query, reply, go) {
+            Next::Query => {}
+            Next::Close => return,
+            Next::Reset => return reset(stream),
+        }
+    }
+}
+
+/// Reads the startup message; whether there is one.
+fn read_startup(stream: &mut TcpStream) -> bool {
+    let mut length = [0; 4];
+    if stream.read_exact(&mut length).is_err() {
+        return false;
+    }
+    let mut rest = vec![0; u32::from_be_bytes(length) as usize - 4];
+    stream.read_exact(&mut rest).expect("a startup message");
+    true
+}
+
+/// What becomes of a connection after a reply.
+enum Next {
+    Query,
+    Close,
+    Reset,
+}
+
+fn send_reply(stream: &mut TcpStream, query: &str, reply: Reply, go: &Mutex<Receiver<()>>) -> Next {
+    let wait_for_go = || go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
+    match reply {
+        Reply::Nothing => {}
+        Reply::NothingTo(text, _) if query.contains(text) => {}
+        Reply::Close => return Next::Close,
+        Reply::CloseOnGo => {
+            wait_for_go();
+            return Next::Close;
+        }
+        Reply::Bytes(bytes) => {
+            let _ = stream.write_all(bytes);
+        }
+        Reply::Cut(bytes) => {
+            let _ = stream.write_all(bytes);
+            return Next::Close;
+        }
+        Reply::Surplus(value, behind) => {
+            let _ = stream.write_all(&[row(value), ready_for_query(), behind.to_vec()].concat());
+        }
+        Reply::Pieces(value, size, apart) => {
+            for piece in [row(value), ready_for_query()].concat().chunks(size) {
+                let _ = stream.write_all(piece);
+                thread::sleep(Duration::from_millis(apart));
             }
-            Some(Reply::CloseOnGo) => {
-                return go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
+        }
+        Reply::ResetOnGo(value) => {
+            let _ = stream.write_all(&[row(value), ready_for_query()].concat());
+            wait_for_go();
+            return Next::Reset;
+        }
+        complete => {
+            if matches!(complete, Reply::WaitForGo(..) | Reply::RowAtOnGo(..)) {
+                wait_for_go();
             }
-            Some(Reply::Error(code)) => message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
-            Some(Reply::ErrorAt(code, at)) => {
-                let error = message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes());
-                [error, message(b'S', format!("log_position\0{at}\0").as_bytes())].concat()
+            if stream.write_all(&complete.messages(query)).is_err() {
+                return Next::Close;
             }
-            Some(Reply::Nothing) => continue,
-            Some(Reply::NothingTo(text, _)) if query.contains(text) => continue,
-            Some(Reply::NothingTo(_, value)) => row(value),
-            Some(Reply::Echo(_)) => row(query.as_bytes()),
-            Some(Reply::Close) | None => return,
-        };
-        let role_status = message(b'S', format!("replication_role\0{role}\0").as_bytes());
-        if stream.write_all(&[answer, role_status, ready.clone()].concat()).is_err() {
-            return;
         }
     }
+    Next::Query
 }
 
 /// Resets a connection, and waits until the reset has reached the gateway's socket. It is sent only when the last copy
@@ -234,15 +195,3 @@
     let SocketAddr::V4(address) = address else { panic!("hosts have IPv4 addresses") };
     format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
 }
-
-/// A row at the machine's time, this much later (milliseconds).
-fn row_by_clock(value: &[u8], later: i64) -> Vec<u8> {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
-    [row(value), message(b'S', format!("log_position\0{}\0", now + later).as_bytes())].concat()
-}
-
-pub fn row(value: &[u8]) -> Vec<u8> {
-    let description = message(b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
-    let data = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
-    [description, message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
-}
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -2,85 +2,39 @@
 
 #![allow(dead_code, unused_imports)]
 
+mod config;
+mod discovery;
 mod gateway;
 mod host;
+mod messages;
 mod port;
+mod reply;
 mod source;
+pub use config::*;
+pub use discovery::list;
 pub use gateway::{Client, Gateway};
-pub use host::{row, Host, Reply};
+pub use host::Host;
+pub use messages::*;
 pub use port::ReservedPort;
+pub use reply::Reply;
 pub use source::{chunk, ScriptedDiscovery, Step, HEAD};
 
+use discovery::{source, watch};
 use std::cell::{Cell, RefCell};
-use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::process::{Child, Command, Stdio};
+use std::io::BufReader;
+use std::net::TcpListener;
+use std::process::{Command, Stdio};
 use std::rc::Rc;
-use std::sync::mpsc::{channel, Receiver, Sender};
-use std::sync::{Arc, Mutex};
+use std::sync::mpsc::{channel, Receiver};
 use std::thread;
-use std::time::Duration;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Nothing that works takes so long; what does not work fails then and does not hang.
 const NEVER: Duration = Duration::from_secs(60);
 
-const SETTINGS: &str = r#"{"balancers":1,"zone":"a","granularity_us":5000,"membership_mode":"pushed",
-"bounds":{"attempts_cap":8,"cancel":true,"conn_idle_us":30000000,"connect_timeout_us":250000,
-"max_retry_after_us":500000,"retry_after":true,"probes":false,"second_copies":false},
-"classes":[{"aim_us":4000000,"deadline_us":30000000,"idempotency":"safe","name":"view","points":2.0,
-"late_share":0.2},{"aim_us":4000000,"deadline_us":30000000,"idempotency":"keyed","group":"cell",
-"window_us":30000000,"name":"post","points":4.0,"late_share":0.5}],
-"family_info":{"read_level":["eventual","mutate"],"staleness_bound_us":[0,0],"when_behind":"bounce",
-"shows_role":"trailing","session_marks":"kept","stamps":true},
-"obligations":{"answer_slack_us":20000,"cold_from":0.24,"cold_us":16000000,"drain_grace_us":2000000,
-"fall_us":1000000,"overload_factor":4.0}}"#;
-
-pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
-    [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
-}
-
-pub fn query(text: &str) -> Vec<u8> {
-    message(b'Q', &[text.as_bytes(), &[0]].concat())
-}
-
-pub fn startup() -> Vec<u8> {
-    let body = b"\0\x03\0\0user\0backend\0database\0store\0\0";
-    [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
-}
-
-/// The clients of a test take turns, or name their requests themselves.
-pub fn select(name: &str, class: &str, wait_ms: u64) -> String {
-    format!("SELECT content FROM kv WHERE name = '{name}' /* id=9b1f,c={class},d={wait_ms},cluster=2 */")
-}
-
-pub fn insert(name: &str, wait_ms: u64) -> String {
-    let comment = format!("/* id=9b1f,c=post,d={wait_ms},k=5c0f,cluster=2 */");
-    format!("INSERT INTO kv (name, content) VALUES ('{name}', '\\x9f03') RETURNING content {comment}")
-}
-
-/// The types of these messages, as one word.
-pub fn kinds(messages: &[(u8, Vec<u8>)]) -> String {
-    messages.iter().map(|(kind, _)| *kind as char).collect()
-}
-
-/// A field of an ErrorResponse.
-pub fn field(body: &[u8], wanted: u8) -> String {
-    let mut fields = body.split(|byte| *byte == 0).filter(|field| field.first() == Some(&wanted));
-    String::from_utf8(fields.next().map_or(vec![], |field| field[1..].to_vec())).expect("text")
-}
-
-pub fn list(revision: u64, complete: bool, entries: &str) -> String {
-    format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{entries}]}}")
-}
-
-/// The next message, if one comes complete.
-pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
-    let mut head = [0; 5];
-    stream.read_exact(&mut head).ok()?;
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-    let mut body = vec![0; length - 4];
-    stream.read_exact(&mut body).ok()?;
-    Some((head[0], body))
+/// The machine's time, in milliseconds.
+pub fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
 /// What a test sets up before the gateway starts.
@@ -323,54 +277,6 @@
     }
 }
 
-fn source(
-    listener: TcpListener,
-    updates: Vec<String>,
-    later_updates: Vec<String>,
-) -> (Receiver<String>, Sender<()>) {
-    let ((saw, watches), (end_watch, ends)) = (channel(), channel());
-    let (mut updates, mut later_updates) = (updates, later_updates);
-    thread::spawn(move || {
-        for stream in listener.incoming() {
-            let (updates, later_updates) = (std::mem::take(&mut updates), std::mem::take(&mut later_updates));
-            watch(stream.expect("a watch"), [updates, later_updates], &saw, &ends);
-        }
-    });
-    (watches, end_watch)
-}
-
 fn config_path(listen: &str) -> String {
     format!("{}/{listen}.json", env!("CARGO_TARGET_TMPDIR"))
 }
-
-/// Serves one watch: its updates at once, more when the test says so, and the empty line that shows that it
-/// lives. When the test says so again, it ends.
-fn watch(mut stream: TcpStream, updates: [Vec<String>; 2], saw: &Sender<String>, ends: &Receiver<()>) {
-    let mut head = String::new();
-    let mut lines = BufReader::new(stream.try_clone().expect("a second handle"));
-    while !head.ends_with("\r\n\r\n") {
-        if lines.read_line(&mut head).unwrap_or(0) == 0 {
-            return;
-        }
-    }
-    let _ = saw.send(head);
-    let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let [updates, later_updates] = updates;
-    write_updates(&mut stream, &updates);
-    if !later_updates.is_empty() {
-        write_heartbeats(&mut stream, ends);
-        write_updates(&mut stream, &later_updates);
-    }
-    write_heartbeats(&mut stream, ends);
-}
-
-fn write_updates(stream: &mut TcpStream, lines: &[String]) {
-    for line in lines {
-        let _ = stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
-    }
-}
-
-/// Writes the empty line until the test says that it goes on.
-fn write_heartbeats(stream: &mut TcpStream, go_on: &Receiver<()>) {
-    while stream.write_all(b"1\r\n\n\r\n").is_ok() && go_on.recv_timeout(Duration::from_secs(1)).is_err() {}
-}
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -20,11 +20,6 @@
     query(&text.replace("9b1f", id))
 }
 
-/// A configuration by which connections come up however busy the machine is, and no attempt makes a second one.
-fn patient_config(harness: &Harness) -> String {
-    harness.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000")
-}
-
 /// The answer to a query, which must be there before it would be lost. A query on a connection that was closed before
 /// it was read is sent again, as clients do.
 fn answer_in_time(gateway: &Gateway, client: &mut Client, text: &str, wait_ms: u64) -> Vec<(u8, Vec<u8>)> {
@@ -71,7 +66,7 @@
                 let script = vec![Reply::Row(b"one"), Reply::Nothing, Reply::Row(b"two"), Reply::Row(b"two")];
                 let host = harness.host(script);
                 let harness = harness.list(&[(&host, "up", "primary")]);
-                let config = patient_config(&harness);
+                let config = with_long_connect_timeout(&harness.config());
                 let gateway = harness.start_as(&config);
                 let mut client = gateway.client();
                 assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"one");
@@ -93,7 +88,7 @@
         let harness = Harness::new(number);
         let host = harness.host(vec![Reply::ResetOnGo(b"one"), Reply::Row(b"two")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
-        let config = patient_config(&harness);
+        let config = with_long_connect_timeout(&harness.config());
         let gateway = harness.start_as(&config);
         let mut client = gateway.client();
         assert_eq!(client.ask(&text)[1].1[6..], *b"one");
@@ -113,7 +108,7 @@
     let harness = Harness::new(250);
     let host = harness.host((0..9).map(|_| Reply::Nothing).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = patient_config(&harness);
+    let config = with_long_connect_timeout(&harness.config());
     let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     // However busy the machine is, the first of these times is enough to reach the host.
@@ -131,7 +126,7 @@
         let harness = Harness::new(255);
         let host = harness.host(vec![Reply::NothingTo("id=1,", b"next"), Reply::NothingTo("id=1,", b"next")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
-        let config = patient_config(&harness);
+        let config = with_long_connect_timeout(&harness.config());
         let gateway = harness.start_as(&config);
         let mut client = gateway.client();
         let first = identified(&select("a", "view", wait_ms), "1");
--- a/tests/time_left.rs
+++ b/tests/time_left.rs
@@ -33,7 +33,7 @@
     let harness = Harness::new(240);
     let host = harness.slow_host(0, vec![Reply::Row(b"a")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = harness.config().replace("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000");
+    let config = with_long_connect_timeout(&harness.config());
     let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
