--- /dev/null
+++ b/tests/facade_simulation/mod.rs
@@ -0,0 +1,90 @@
+//! The decisions of one gateway behind their facade, in simulated time, before three members of one group.
+
+#![allow(dead_code, unused_imports)]
+
+#[path = "../../crates/policy/tests/common/mod.rs"]
+mod common;
+
+pub use common::{entry, settings, G, MS, START};
+use petrelgauge::facade::{Attempt, Decision, Facade, Request, SessionRef, SessionTracking, Ticket};
+use petrelgauge::*;
+use petrelgauge_sessions::SessionTracker;
+use std::future::Future;
+use std::pin::pin;
+use std::task::{Context, Poll, Waker};
+
+pub const STEP: Time = 5 * MS;
+/// Places of a read of any data and of a keyed write among the classes.
+pub const READ: usize = 2;
+pub const WRITE: usize = 5;
+
+/// The value of a future that needs to wait for nothing.
+pub fn ready<T>(future: impl Future<Output = T>) -> Option<T> {
+    match pin!(future).poll(&mut Context::from_waker(Waker::noop())) {
+        Poll::Ready(value) => Some(value),
+        Poll::Pending => None,
+    }
+}
+
+pub struct Simulation {
+    pub facade: Facade,
+    pub now: Time,
+    keeps_sessions: bool,
+}
+
+impl Simulation {
+    /// Member 1 is listed as the primary.
+    pub fn new(
+        now: Time,
+        settings: Settings,
+        sessions: Option<petrelgauge_sessions::Settings>,
+    ) -> Simulation {
+        let keeps_sessions = sessions.is_some();
+        let tracking = sessions.map(|set| SessionTracking {
+            tracker: SessionTracker::new(set, now).expect("sound settings"),
+            classes: vec![READ, WRITE],
+        });
+        let facade = Facade::with_sessions(settings, 11, tracking).expect("sound settings");
+        facade.update_endpoints(
+            true,
+            (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
+        );
+        let mut simulation = Simulation { facade, now, keeps_sessions };
+        simulation.step();
+        simulation
+    }
+
+    pub fn step(&mut self) -> Option<Time> {
+        self.now += STEP;
+        self.facade.tick(self.now)
+    }
+
+    pub fn session_ref(&self, tokens: &[&str]) -> Option<SessionRef> {
+        let session = self.facade.session_ref(self.now, G, "one", tokens).expect("sound tokens");
+        assert_eq!(session.is_some(), self.keeps_sessions);
+        session
+    }
+
+    /// A request of session `one`, where sessions are kept.
+    pub fn admit(&mut self, class: usize, time_left: Time, tokens: &[&str]) -> Ticket {
+        let (at, until, session) = (self.now, self.now + time_left, self.session_ref(tokens));
+        self.facade.admit(Request { class, group: G, until, is_retry: false, at, after: None, session })
+    }
+
+    /// The next attempt of this request, which has to be sent in one step.
+    pub fn send(&mut self, ticket: &mut Ticket) -> Attempt {
+        self.send_within(ticket, 1)
+    }
+
+    pub fn send_within(&mut self, ticket: &mut Ticket, steps: usize) -> Attempt {
+        for _ in 0..steps {
+            self.step();
+            match ready(ticket.pick()) {
+                Some(Decision::Send(attempt)) => return attempt,
+                Some(other) => panic!("no send but {other:?}"),
+                None => {}
+            }
+        }
+        panic!("nothing is decided");
+    }
+}
--- a/tests/gateway_fleet/mod.rs
+++ b/tests/gateway_fleet/mod.rs
@@ -1,152 +1,72 @@
-//! Five processes of the program, three of them acceptors, and a sixth address among their peers that reads what they send.
+//! Five processes of the program that are each other's peers, before one host.
 
 use crate::harness::*;
-use petrelgauge_ownership::{Fence, LeadershipRole, LeaseHolder, Message, Notification, Settings, Term};
 use std::net::UdpSocket;
-use std::time::{Duration, Instant};
 
-pub const GATEWAYS: usize = 5;
-pub const SECRET: u64 = 0x5e;
-pub const DISCOVERY: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
-pub const QUOTAS: LeadershipRole = LeadershipRole { kind: 2, shard: 0 };
-pub const FILE: &str =
-    "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n}\n";
+pub const GATEWAYS: u16 = 5;
 
-/// What arrived at the sixth address, as any gateway would admit it.
-pub struct Ledger {
-    pub socket: UdpSocket,
-    pub settings: Settings,
-    pub fence: Fence,
-    pub admitted: Vec<Admitted>,
+/// Addresses at which the gateways are to listen to each other.
+pub fn peer_addresses(number: u8) -> Vec<String> {
+    let bind = |_| UdpSocket::bind(format!("127.77.{number}.8:0")).expect("a free port");
+    let sockets: Vec<UdpSocket> = (0..GATEWAYS).map(bind).collect();
+    sockets.iter().map(|socket| socket.local_addr().expect("an address").to_string()).collect()
 }
 
-/// A notification that was admitted.
-pub struct Admitted {
-    pub holder: LeaseHolder,
-    pub notification: Notification,
-}
-
-impl Ledger {
-    pub fn new(ip: &str) -> Ledger {
-        let socket = UdpSocket::bind((ip, 0)).expect("a free port");
-        socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a limit");
-        // As the file has it for six gateways.
-        let settings = Settings {
-            self_id: 5,
-            gateways: 6,
-            acceptors: vec![0, 2, 4],
-            lease: 800_000,
-            max_delay: 40_000,
-            drift_bound: 0.01,
-        };
-        Ledger { socket, settings, fence: Fence::default(), admitted: Vec::new() }
-    }
-
-    /// Reads what arrives for so long. No two gateways may send under the same term.
-    pub fn read(&mut self, span: Duration) {
-        let until = Instant::now() + span;
-        let mut bytes = [0; 300];
-        while Instant::now() < until {
-            let Ok((count, _)) = self.socket.recv_from(&mut bytes) else { continue };
-            let read = Message::read(&bytes[..count], self.settings.fingerprint(), SECRET);
-            let (from, message) = read.expect("the gateways of this fleet write so");
-            let Message::Notification { role, term, notification } = message else { continue };
-            if self.fence.admit(role, term).is_ok() {
-                let holder = LeaseHolder { gateway: from, term };
-                let mut holders = self.admitted.iter().map(|admitted| admitted.holder);
-                let other = holders.find(|other| other.term == term && other.gateway != from);
-                assert!(other.is_none(), "two lease holders under term {term}: {other:?} and {from}");
-                self.admitted.push(Admitted { holder, notification });
-            }
-        }
-    }
-
-    /// Reads until a gateway holds a lease under a higher term than this.
-    pub fn holder_after(&mut self, term: Term) -> LeaseHolder {
-        let begun = Instant::now();
-        loop {
-            self.read(Duration::from_millis(50));
-            let mut holders = self.admitted.iter().rev().map(|admitted| admitted.holder);
-            if let Some(holder) = holders.find(|holder| holder.term > term) {
-                return holder;
-            }
-            assert!(begun.elapsed() < Duration::from_secs(30), "nobody holds the lease");
-        }
-    }
-
-    /// The primary that was announced last.
-    pub fn primary(&mut self) -> u64 {
-        let begun = Instant::now();
-        loop {
-            let announced = self.admitted.iter().rev().find_map(|admitted| match &admitted.notification {
-                Notification::Primary(primary) => Some(primary.member),
-                _ => None,
-            });
-            if let Some(member) = announced {
-                return member;
-            }
-            assert!(begun.elapsed() < Duration::from_secs(30), "no primary was announced");
-            self.read(Duration::from_millis(50));
-        }
-    }
+/// A gateway's place in a fleet: what it is started with, and its process while it runs.
+struct Member {
+    harness: Harness,
+    config: String,
+    process: Option<Gateway>,
 }
 
 pub struct Fleet {
-    pub harnesses: Vec<(Harness, String)>,
-    pub gateways: Vec<Option<Gateway>>,
-    pub ledger: Ledger,
-    pub _host: Host,
+    members: Vec<Member>,
+    _host: Host,
 }
 
-pub fn fleet(number: u8) -> Fleet {
-    fleet_with(number, FILE)
-}
-
-pub fn fleet_with(number: u8, file: &str) -> Fleet {
-    let ledger = Ledger::new(&format!("127.77.{number}.9"));
-    let sockets: Vec<UdpSocket> = (0..GATEWAYS)
-        .map(|_| UdpSocket::bind(format!("127.77.{number}.8:0")).expect("a free port"))
-        .collect();
-    let mut peers: Vec<String> =
-        sockets.iter().map(|one| one.local_addr().expect("an address").to_string()).collect();
-    peers.push(ledger.socket.local_addr().expect("an address").to_string());
-    drop(sockets);
-    let list_of = peers.iter().map(|peer| format!("\"{peer}\"")).collect::<Vec<_>>().join(",");
-    let first = Harness::new(number);
-    let host = first.host((0..500).map(|_| Reply::RowAt(b"v", 1_700_000_000_000)).collect());
-    let mut harnesses = vec![first];
-    harnesses.extend((1..GATEWAYS).map(|place| Harness::new(number + place as u8)));
-    let harnesses: Vec<(Harness, String)> = harnesses
-        .into_iter()
-        .enumerate()
-        .map(|(place, harness)| {
+impl Fleet {
+    /// Starts all gateways with this operator's file. Each listens to the others at its address in `peer_listen`, and reaches
+    /// them, itself included, at those that `peers_of` gives for its place.
+    pub fn start_all(
+        number: u8,
+        file: &str,
+        peer_listen: &[String],
+        peers_of: impl Fn(u16) -> Vec<String>,
+    ) -> Fleet {
+        let first = Harness::new(number);
+        let host = first.host((0..500).map(|_| Reply::RowAt(b"v", 1_700_000_000_000)).collect());
+        let others = (1..GATEWAYS).map(|place| Harness::new(number + place as u8));
+        let harnesses = std::iter::once(first).chain(others);
+        let members = (0..GATEWAYS).zip(harnesses).map(|(place, harness)| {
             let harness = harness.list(&[(&host, "up", "primary")]).operator(file);
-            let more = format!("{{\"peer_listen\":\"{}\",\"peers\":[{list_of}],", peers[place]);
+            let peers: Vec<String> = peers_of(place).iter().map(|peer| format!("\"{peer}\"")).collect();
+            let peer_listen = &peer_listen[usize::from(place)];
+            let more = format!("{{\"peer_listen\":\"{peer_listen}\",\"peers\":[{}],", peers.join(","));
             let config = harness.config().replacen('{', &more, 1);
-            (harness, config)
-        })
-        .collect();
-    let mut fleet = Fleet { harnesses, gateways: (0..GATEWAYS).map(|_| None).collect(), ledger, _host: host };
-    (0..GATEWAYS).for_each(|place| fleet.start(place));
-    fleet
-}
+            Member { harness, config, process: None }
+        });
+        let mut fleet = Fleet { members: members.collect(), _host: host };
+        (0..GATEWAYS).for_each(|place| fleet.start(place));
+        fleet
+    }
 
-impl Fleet {
-    pub fn start(&mut self, place: usize) {
-        let (harness, config) = &self.harnesses[place];
-        let gateway = harness.start_with(config);
+    pub fn start(&mut self, place: u16) {
+        let member = &mut self.members[usize::from(place)];
+        let gateway = member.harness.start_with(&member.config);
         gateway.line_with("gateway serving");
-        self.gateways[place] = Some(gateway);
+        member.process = Some(gateway);
+    }
+
+    /// Takes the process out of the fleet. It is killed when it is dropped.
+    pub fn take(&mut self, place: u16) -> Gateway {
+        self.members[usize::from(place)].process.take().expect("it runs")
     }
 
-    /// Where it hears the others.
-    pub fn address(&self, place: u16) -> String {
-        let (_, config) = &self.harnesses[place as usize];
-        let at = config.find("peer_listen\":\"").expect("it names one") + 14;
-        config[at..].split('"').next().expect("an address").to_string()
+    pub fn kill(&mut self, place: u16) {
+        drop(self.take(place));
     }
 
     pub fn gateway(&self, place: u16) -> &Gateway {
-        self.gateways[place as usize].as_ref().expect("it runs")
+        self.members[usize::from(place)].process.as_ref().expect("it runs")
     }
 }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -3,9 +3,11 @@
 
 mod gateway_fleet;
 mod harness;
+mod lease_ledger;
 
-use gateway_fleet::*;
+use gateway_fleet::GATEWAYS;
 use harness::*;
+use lease_ledger::*;
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, QuotaReport, Thousandths};
 use petrelgauge_ownership::{LeaseHolder, Message, Notification, Settings, Term};
 use std::collections::BTreeMap;
@@ -14,35 +16,35 @@
 
 #[test]
 fn a_killed_leader_is_replaced_within_the_takeover_bound_and_terms_increase() {
-    let mut fleet = fleet(80);
-    let mut holder = fleet.ledger.holder_after(0);
+    let (mut fleet, mut ledger) = fleet_with_ledger(80, FILE);
+    let mut holder = ledger.holder_after(0);
     for _ in 0..3 {
         assert!([0, 2, 4].contains(&holder.gateway), "acceptors are the candidates");
         let killed_at = Instant::now();
-        fleet.gateways[usize::from(holder.gateway)] = None;
-        let next = fleet.ledger.holder_after(holder.term);
+        fleet.kill(holder.gateway);
+        let next = ledger.holder_after(holder.term);
         assert!(next.term > holder.term);
-        let limit = Duration::from_micros(fleet.ledger.settings.takeover_bound() as u64);
+        let limit = Duration::from_micros(ledger.settings.takeover_bound() as u64);
         // A machine that is busy with other tests is given twice the span.
         assert!(killed_at.elapsed() < 2 * limit, "{:?} of {limit:?}", killed_at.elapsed());
         // Restarted, it has forgotten everything.
-        fleet.start(usize::from(holder.gateway));
+        fleet.start(holder.gateway);
         holder = next;
     }
 }
 
 #[test]
 fn a_leader_stalled_for_three_leases_has_lost_its_lease() {
-    let mut fleet = fleet(86);
-    let LeaseHolder { gateway: stalled, term } = fleet.ledger.holder_after(0);
+    let (fleet, mut ledger) = fleet_with_ledger(86, FILE);
+    let LeaseHolder { gateway: stalled, term } = ledger.holder_after(0);
     fleet.gateway(stalled).signal("STOP");
-    let next = fleet.ledger.holder_after(term);
+    let next = ledger.holder_after(term);
     assert_ne!(next.gateway, stalled);
-    fleet.ledger.read(Duration::from_millis(1600));
+    ledger.read(Duration::from_millis(1600));
     fleet.gateway(stalled).signal("CONT");
-    let before = fleet.ledger.admitted.len();
-    fleet.ledger.read(Duration::from_millis(1600));
-    let late = fleet.ledger.admitted[before..].iter().map(|admitted| admitted.holder);
+    let before = ledger.admitted.len();
+    ledger.read(Duration::from_millis(1600));
+    let late = ledger.admitted[before..].iter().map(|admitted| admitted.holder);
     let late = late.filter(|holder| holder.gateway == stalled && holder.term <= next.term);
     assert_eq!(late.count(), 0, "nothing of the old lease holder is admitted");
     fleet.gateway(stalled).wait_for("duties_lost=", |count| count >= 1);
@@ -50,39 +52,39 @@
 
 #[test]
 fn a_leader_that_stops_releases_its_lease_early() {
-    let mut fleet = fleet(92);
-    let LeaseHolder { gateway: leader, term } = fleet.ledger.holder_after(0);
-    let mut gateway = fleet.gateways[usize::from(leader)].take().expect("it runs");
+    let (mut fleet, mut ledger) = fleet_with_ledger(92, FILE);
+    let LeaseHolder { gateway: leader, term } = ledger.holder_after(0);
+    let mut gateway = fleet.take(leader);
     gateway.signal("TERM");
     assert_eq!(gateway.ended().0, Some(0));
-    assert!(fleet.ledger.holder_after(term).term > term);
+    assert!(ledger.holder_after(term).term > term);
 }
 
 #[test]
 fn an_announced_primary_reaches_all_and_is_on_the_list() {
-    let mut fleet = fleet(98);
-    fleet.ledger.holder_after(0);
-    for place in 0..GATEWAYS as u16 {
+    let (fleet, mut ledger) = fleet_with_ledger(98, FILE);
+    ledger.holder_after(0);
+    for place in 0..GATEWAYS {
         assert_eq!(kinds(&fleet.gateway(place).client().ask(&select("a", "view", 20000))), "TDCZ");
     }
-    let member = fleet.ledger.primary();
+    let member = ledger.primary();
     assert_eq!(member, xxhash_rust::xxh3::xxh3_64(b"s-0"));
-    let leader = fleet.ledger.holder_after(0).gateway;
-    let other = (0..GATEWAYS as u16).find(|place| *place != leader).expect("four others");
+    let leader = ledger.holder_after(0).gateway;
+    let other = (0..GATEWAYS).find(|place| *place != leader).expect("four others");
     fleet.gateway(other).wait_for("words=", |count| count >= 1);
 }
 
 #[test]
 fn unusable_datagrams_are_counted_and_change_nothing() {
-    let mut fleet = fleet(104);
-    let holder = fleet.ledger.holder_after(0);
-    let target = fleet.address(1);
+    let (fleet, mut ledger) = fleet_with_ledger(104, FILE);
+    let holder = ledger.holder_after(0);
+    let target = ledger.gateways[1].clone();
     let notification = Message::Notification {
         role: DISCOVERY,
         term: holder.term + 5,
         notification: Notification::LeaseHeld { remaining: 1_000_000 },
     };
-    let fleet_of = fleet.ledger.settings.fingerprint();
+    let fleet_of = ledger.settings.fingerprint();
     let complete = notification.write(3, fleet_of, SECRET);
     let bad = [
         complete[..complete.len() - 1].to_vec(),
@@ -96,12 +98,12 @@
         .write(3, fleet_of, SECRET),
     ];
     for bytes in &bad {
-        fleet.ledger.socket.send_to(bytes, &target).expect("sent");
+        ledger.socket.send_to(bytes, &target).expect("sent");
     }
     fleet.gateway(1).wait_for("bad_words=", |count| count >= 3);
     fleet.gateway(1).wait_for("words_turned=", |count| count >= 1);
-    fleet.ledger.read(Duration::from_millis(1200));
-    assert_eq!(fleet.ledger.holder_after(0), holder, "the lease holder goes on");
+    ledger.read(Duration::from_millis(1200));
+    assert_eq!(ledger.holder_after(0), holder, "the lease holder goes on");
 }
 
 #[test]
@@ -149,15 +151,15 @@
 }
 
 impl Borrower {
-    fn borrow(&mut self, fleet: &mut Fleet, span: Duration) {
+    fn borrow(&mut self, ledger: &mut Ledger, span: Duration) {
         let until = Instant::now() + span;
         let mut bytes = [0; 300];
         while Instant::now() < until {
-            let Ok((count, _)) = fleet.ledger.socket.recv_from(&mut bytes) else { continue };
-            let read = Message::read(&bytes[..count], fleet.ledger.settings.fingerprint(), SECRET);
+            let Ok((count, _)) = ledger.socket.recv_from(&mut bytes) else { continue };
+            let read = Message::read(&bytes[..count], ledger.settings.fingerprint(), SECRET);
             let (from, message) = read.expect("the gateways of this fleet write so");
             let Message::Notification { role: QUOTAS, term, notification } = message else { continue };
-            if fleet.ledger.fence.admit(QUOTAS, term).is_err() {
+            if ledger.fence.admit(QUOTAS, term).is_err() {
                 continue;
             }
             match notification {
@@ -167,11 +169,11 @@
                     let demands = vec![GroupDemand { group: 2, rate: 4_000_000, requested: 4_000 }];
                     let report =
                         Message::QuotaReport(QuotaReport { term, round, number: self.number, demands });
-                    let bytes = report.write(5, fleet.ledger.settings.fingerprint(), SECRET);
-                    fleet.ledger.socket.send_to(&bytes, fleet.address(from)).expect("sent");
+                    let bytes = report.write(5, ledger.settings.fingerprint(), SECRET);
+                    ledger.socket.send_to(&bytes, &ledger.gateways[usize::from(from)]).expect("sent");
                 }
                 Notification::QuotaGrant { number, granted } => {
-                    let life = Duration::from_micros(fleet.ledger.settings.grant_duration() as u64);
+                    let life = Duration::from_micros(ledger.settings.grant_duration() as u64);
                     let expires_at = self.reported_at[&number] + life;
                     let amounts = granted.iter().map(|GroupGrant { group, amount }| {
                         assert_eq!(*group, 2);
@@ -206,7 +208,7 @@
 #[test]
 fn no_lease_holder_grants_more_than_idle_gateways_lend_and_the_next_one_grants_again() {
     let file = FILE.replacen("  electors", "  duties: [\"scout\", \"shares\"]\n  electors", 1);
-    let mut fleet = fleet_with(116, &file);
+    let (mut fleet, mut ledger) = fleet_with_ledger(116, &file);
     let mut borrower = Borrower {
         reported_at: BTreeMap::new(),
         number: 0,
@@ -216,36 +218,35 @@
     };
     let begun = Instant::now();
     while borrower.most < 2_000 {
-        borrower.borrow(&mut fleet, Duration::from_millis(100));
+        borrower.borrow(&mut ledger, Duration::from_millis(100));
         assert!(begun.elapsed() < Duration::from_secs(30), "{} was granted at most", borrower.most);
     }
     for kill in [true, false] {
         let LeaseHolder { gateway: who, term } = *borrower.holders.last().expect("somebody grants");
         fleet.gateway(who).wait_for("pool_lent=", |lent| lent >= 2_000);
         if kill {
-            fleet.gateways[who as usize] = None;
+            fleet.kill(who);
         } else {
             fleet.gateway(who).signal("STOP");
         }
         let begun = Instant::now();
         while !borrower.holders.iter().any(|holder| holder.term > term) {
-            borrower.borrow(&mut fleet, Duration::from_millis(100));
+            borrower.borrow(&mut ledger, Duration::from_millis(100));
             assert!(begun.elapsed() < Duration::from_secs(30), "nobody else grants");
         }
         if kill {
-            fleet.start(who as usize);
+            fleet.start(who);
         } else {
             fleet.gateway(who).signal("CONT");
         }
-        borrower.borrow(&mut fleet, Duration::from_millis(1500));
+        borrower.borrow(&mut ledger, Duration::from_millis(1500));
     }
     assert!(borrower.most <= 2_500, "{} thousandths of a quota in force, of 2500 lent", borrower.most);
     // Without a lease holder a gateway returns to its even quota.
     let who = borrower.holders.last().expect("somebody grants").gateway;
-    let other = (0..GATEWAYS as u16).find(|place| *place != who).expect("four others");
+    let other = (0..GATEWAYS).find(|place| *place != who).expect("four others");
     fleet.gateway(other).wait_for("share_lent=", |lent| lent == 500);
-    let both: Vec<u16> = vec![0, 2, 4];
-    both.iter().for_each(|place| fleet.gateways[*place as usize] = None);
+    [0, 2, 4].into_iter().for_each(|place| fleet.kill(place));
     fleet.gateway(1).wait_for("share_lent=", |lent| lent == 0);
     assert_eq!(kinds(&fleet.gateway(1).client().ask(&select("a", "view", 20000))), "TDCZ");
 }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,143 +1,95 @@
 //! Sessions through the facade and on sockets: what a client library sees of tokens, and that no answer is given
 //! which its session would find too old.
 
-#[path = "../crates/policy/tests/common/mod.rs"]
-mod common;
+mod facade_simulation;
 mod harness;
 
-use common::{entry, settings, G, MS, START};
-use harness::{insert, kinds, select, Harness, Reply};
-use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionRef, SessionTracking, Ticket};
+use facade_simulation::*;
+use harness::{insert, kinds, select, unix_ms, Harness, Reply};
+use petrelgauge::facade::{Attempt, Outcome, Ticket};
 use petrelgauge::operator::Operator;
 use petrelgauge::*;
-use petrelgauge_sessions::{
-    BroadcastEntry, BroadcastSender, SessionTracker, Token, Watermark, WatermarkBroadcast,
-};
+use petrelgauge_sessions::{BroadcastEntry, BroadcastSender, Token, Watermark, WatermarkBroadcast};
 use std::future::Future;
 use std::pin::pin;
-use std::task::{Context, Poll, Waker};
-use std::time::{SystemTime, UNIX_EPOCH};
 use tokio_postgres::error::SqlState;
 use tokio_postgres::{NoTls, SimpleQueryMessage};
 
-const STEP: Time = 5 * MS;
-/// Places of a read of any data and of a keyed write.
-const READ: usize = 2;
-const WRITE: usize = 5;
+/// The most steps that a read may wait for its attempt.
+const MOST_STEPS: usize = 100;
 
-fn ready<T>(future: impl Future<Output = T>) -> Option<T> {
-    match pin!(future).poll(&mut Context::from_waker(Waker::noop())) {
-        Poll::Ready(value) => Some(value),
-        Poll::Pending => None,
-    }
+fn simulation(sessions: petrelgauge_sessions::Settings) -> Simulation {
+    let settings = Settings { may_probe: false, read_wait_bound: 30 * MS, ..settings() };
+    Simulation::new(START, settings, Some(sessions))
 }
 
-struct Play {
-    facade: Facade,
-    now: Time,
+fn admit(simulation: &mut Simulation, class: usize, tokens: &[&str]) -> Ticket {
+    simulation.admit(class, 900 * MS, tokens)
 }
 
-impl Play {
-    fn new(sessions: petrelgauge_sessions::Settings) -> Play {
-        let tracker = SessionTracker::new(sessions, START).expect("sound settings");
-        let set = Settings { may_probe: false, read_wait_bound: 30 * MS, ..settings() };
-        let facade =
-            Facade::with_sessions(set, 11, Some(SessionTracking { tracker, classes: vec![READ, WRITE] }))
-                .expect("sound settings");
-        facade.update_endpoints(
-            true,
-            (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
-        );
-        let mut play = Play { facade, now: START };
-        play.step();
-        play
-    }
-
-    fn step(&mut self) {
-        self.now += STEP;
-        self.facade.tick(self.now);
-    }
-
-    fn session_ref(&self, tokens: &[&str]) -> SessionRef {
-        self.facade.session_ref(self.now, G, "one", tokens).expect("sound tokens").expect("sessions are kept")
-    }
-
-    fn admit(&mut self, class: usize, tokens: &[&str]) -> Ticket {
-        let (at, until, session) = (self.now, self.now + 900 * MS, Some(self.session_ref(tokens)));
-        self.facade.admit(Request { class, group: G, until, is_retry: false, at, after: None, session })
-    }
-
-    fn send(&mut self, ticket: &mut Ticket) -> Attempt {
-        for _ in 0..100 {
-            self.step();
-            match ready(ticket.pick()) {
-                Some(Decision::Send(attempt)) => return attempt,
-                Some(other) => panic!("no send but {other:?}"),
-                None => {}
-            }
-        }
-        panic!("nothing is decided");
-    }
+fn send(simulation: &mut Simulation, ticket: &mut Ticket) -> Attempt {
+    simulation.send_within(ticket, MOST_STEPS)
+}
 
-    fn served(&self, position: Time, role: Role) -> Outcome {
-        Outcome { position: Some(position), role: Some(role), ..Outcome::silent(Ending::Served) }
-    }
+fn served(position: Time, role: Role) -> Outcome {
+    Outcome { position: Some(position), role: Some(role), ..Outcome::silent(Ending::Served) }
+}
 
-    /// A write that is served with this commit; gives the session's token.
-    fn write(&mut self, commit: Time) -> String {
-        let mut ticket = self.admit(WRITE, &[]);
-        let attempt = self.send(&mut ticket);
-        assert!(attempt.report(self.now, self.served(commit, Role::Primary)));
-        self.facade.token(self.now, self.session_ref(&[]).key).expect("tokens are on")
-    }
+/// A write that is served with this commit; gives the session's token.
+fn write(simulation: &mut Simulation, commit: Time) -> String {
+    let mut ticket = admit(simulation, WRITE, &[]);
+    let attempt = send(simulation, &mut ticket);
+    assert!(attempt.report(simulation.now, served(commit, Role::Primary)));
+    let session = simulation.session_ref(&[]).expect("sessions are kept");
+    simulation.facade.token(simulation.now, session.key).expect("tokens are on")
 }
 
 #[test]
 fn an_answer_that_its_session_would_find_too_old_is_not_given() {
-    let mut play = Play::new(petrelgauge_sessions::Settings::default());
-    let commit = play.now + MS;
-    let token = play.write(commit);
+    let mut simulation = simulation(petrelgauge_sessions::Settings::default());
+    let commit = simulation.now + MS;
+    let token = write(&mut simulation, commit);
     for _ in 0..10 {
-        play.step();
+        simulation.step();
     }
-    let mut ticket = play.admit(READ, &[&token]);
-    let attempt = play.send(&mut ticket);
-    assert!(!attempt.report(play.now, play.served(commit - 1, Role::Replica)), "it lacks the write");
-    let attempt = play.send(&mut ticket);
-    assert!(attempt.report(play.now, play.served(commit, Role::Replica)), "it has it");
+    let mut ticket = admit(&mut simulation, READ, &[&token]);
+    let attempt = send(&mut simulation, &mut ticket);
+    assert!(!attempt.report(simulation.now, served(commit - 1, Role::Replica)), "it lacks the write");
+    let attempt = send(&mut simulation, &mut ticket);
+    assert!(attempt.report(simulation.now, served(commit, Role::Replica)), "it has it");
     // Served from data 40 ms newer than the write, no later read may go back behind that.
-    let newer = play.now;
-    let mut ticket = play.admit(READ, &["new"]);
-    let attempt = play.send(&mut ticket);
-    assert!(attempt.report(play.now, play.served(newer, Role::Replica)));
-    let mut ticket = play.admit(READ, &["new"]);
-    let attempt = play.send(&mut ticket);
-    assert!(!attempt.report(play.now, play.served(newer - MS, Role::Replica)), "it would go back");
-    let (counts, _) = play.facade.session_counts().expect("sessions are kept");
+    let newer = simulation.now;
+    let mut ticket = admit(&mut simulation, READ, &["new"]);
+    let attempt = send(&mut simulation, &mut ticket);
+    assert!(attempt.report(simulation.now, served(newer, Role::Replica)));
+    let mut ticket = admit(&mut simulation, READ, &["new"]);
+    let attempt = send(&mut simulation, &mut ticket);
+    assert!(!attempt.report(simulation.now, served(newer - MS, Role::Replica)), "it would go back");
+    let (counts, _) = simulation.facade.session_counts().expect("sessions are kept");
     assert_eq!((counts.behind, counts.by_token), (2, 3));
 }
 
 #[test]
 fn a_write_whose_answer_is_lost_binds_the_reads_after_it() {
-    let mut play = Play::new(petrelgauge_sessions::Settings { roams: false, ..Default::default() });
+    let mut simulation = simulation(petrelgauge_sessions::Settings { roams: false, ..Default::default() });
     for lose in [true, false] {
-        let mut ticket = play.admit(WRITE, &["new"]);
-        let attempt = play.send(&mut ticket);
+        let mut ticket = admit(&mut simulation, WRITE, &["new"]);
+        let attempt = send(&mut simulation, &mut ticket);
         // Its client leaves, or its time runs out: the attempt may have run until then.
-        let mut unsure = play.now;
+        let mut unsure = simulation.now;
         if lose {
             drop(ticket);
         } else {
             while ready(ticket.pick()).is_none() {
-                play.step();
+                simulation.step();
             }
-            unsure = play.now;
+            unsure = simulation.now;
         }
         drop(attempt);
-        play.step();
-        let mut ticket = play.admit(READ, &["new"]);
-        let attempt = play.send(&mut ticket);
-        assert!(!attempt.report(play.now, play.served(unsure - MS, Role::Replica)));
+        simulation.step();
+        let mut ticket = admit(&mut simulation, READ, &["new"]);
+        let attempt = send(&mut simulation, &mut ticket);
+        assert!(!attempt.report(simulation.now, served(unsure - MS, Role::Replica)));
         drop(ticket);
     }
 }
@@ -145,7 +97,7 @@
 #[test]
 fn broadcasts_lower_what_a_waiting_read_needs() {
     let set = petrelgauge_sessions::Settings { instances: 2, tokens: false, ..Default::default() };
-    let mut play = Play::new(set);
+    let mut simulation = simulation(set);
     let broadcast = |from: Time, until: Time| {
         WatermarkBroadcast {
             sender: BroadcastSender { instance: 1, group: G, epoch: START - 9_000 * MS },
@@ -157,35 +109,33 @@
         .encode(0)
     };
     let (start, then) = (START - 9_000 * MS, START + 10 * MS);
-    play.facade.receive_broadcast(play.now, &broadcast(start, START)).expect("sound");
-    let mut ticket = play.admit(READ, &[]);
-    let arrived = play.now;
-    let attempt = play.send(&mut ticket);
+    simulation.facade.receive_broadcast(simulation.now, &broadcast(start, START)).expect("sound");
+    let mut ticket = admit(&mut simulation, READ, &[]);
+    let arrived = simulation.now;
+    let attempt = send(&mut simulation, &mut ticket);
     assert!(
-        !attempt.report(play.now, play.served(arrived - MS, Role::Replica)),
+        !attempt.report(simulation.now, served(arrived - MS, Role::Replica)),
         "the other may have served a write"
     );
     // The other has announced all that it made before the read came, and nothing of this session.
-    (0..10).for_each(|_| play.step());
+    for _ in 0..10 {
+        simulation.step();
+    }
     assert!(arrived < then);
-    play.facade.receive_broadcast(play.now, &broadcast(START, then)).expect("sound");
-    let attempt = play.send(&mut ticket);
-    assert!(attempt.report(play.now, play.served(arrived - MS, Role::Replica)), "nothing stands against it");
-    let (counts, _) = play.facade.session_counts().expect("sessions are kept");
+    simulation.facade.receive_broadcast(simulation.now, &broadcast(START, then)).expect("sound");
+    let attempt = send(&mut simulation, &mut ticket);
+    assert!(attempt.report(simulation.now, served(arrived - MS, Role::Replica)), "nothing stands against it");
+    let (counts, _) = simulation.facade.session_counts().expect("sessions are kept");
     assert_eq!((counts.settled, counts.received), (1, 2));
-    assert!(play.facade.receive_broadcast(play.now, b"garbage").is_err());
+    assert!(simulation.facade.receive_broadcast(simulation.now, b"garbage").is_err());
 }
 
 const OPERATOR: &str = "sessions: {classes: [\"view\", \"post\"], secret: \"77\"}\n";
 
-fn ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
-}
-
 #[test]
 fn a_client_library_receives_the_token_and_hands_it_back() {
     let harness = Harness::new(60);
-    let commit = ms();
+    let commit = unix_ms();
     let script = vec![
         Reply::RowAt(b"written", commit),
         Reply::RowAt(b"one", commit + 1),
@@ -243,7 +193,7 @@
 #[test]
 fn rather_no_answer_than_an_old_one() {
     let harness = Harness::new(61);
-    let old = ms() - 60_000;
+    let old = unix_ms() - 60_000;
     let host = harness.host((0..100).map(|_| Reply::ReplicaAt(b"old", old)).collect());
     let gateway = harness.list(&[(&host, "up", "standby")]).operator(OPERATOR).start();
     let answer = gateway.client().ask(&select("a", "view", 1000));
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_duties.rs
@@ -1,7 +1,10 @@
 //! Duties in shards: five processes of the program, three of them electors, with a path of its own between each two of
 //! them, over which datagrams get lost, one way or both. Owners are killed, stand still, and are cut off with their region.
 
+mod gateway_fleet;
 mod harness;
+
+use gateway_fleet::{peer_addresses, Fleet, GATEWAYS};
 use harness::*;
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -9,9 +12,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const GATEWAYS: usize = 5;
 /// Places of the electors among five peers.
-const ELECTORS: [usize; 3] = [0, 1, 3];
+const ELECTORS: [u16; 3] = [0, 1, 3];
 /// Two kinds of duties in six shards each.
 const DUTIES: u64 = 12;
 /// Each elector's fair part.
@@ -23,19 +25,19 @@
 #[derive(Clone, Default)]
 struct Links {
     /// From whom to whom nothing passes.
-    cut: Arc<Mutex<BTreeSet<(usize, usize)>>>,
+    cut: Arc<Mutex<BTreeSet<(u16, u16)>>>,
     /// How many of a thousand datagrams are lost.
     lost: Arc<AtomicU64>,
 }
 
 impl Links {
     /// Opens the path from one gateway to another: where the first has to send.
-    fn open(&self, ip: &str, link: (usize, usize), to: String) -> String {
+    fn open(&self, ip: &str, link: (u16, u16), to: String) -> String {
         let socket = UdpSocket::bind((ip, 0)).expect("a free port");
         let address = socket.local_addr().expect("an address").to_string();
         let links = self.clone();
         std::thread::spawn(move || {
-            let (mut bytes, mut drawn) = ([0; 300], link.0 as u64 * 31 + link.1 as u64);
+            let (mut bytes, mut drawn) = ([0; 300], u64::from(link.0) * 31 + u64::from(link.1));
             loop {
                 // A gateway that is down answers for itself; that is no reason to end.
                 let Ok((count, _)) = socket.recv_from(&mut bytes) else { continue };
@@ -50,7 +52,7 @@
     }
 
     /// Nothing passes from any of these to any of those.
-    fn cut(&self, from: &[usize], to: &[usize]) {
+    fn cut(&self, from: &[u16], to: &[u16]) {
         let links = from.iter().flat_map(|from| to.iter().map(|to| (*from, *to)));
         self.cut.lock().expect("no one panicked").extend(links);
     }
@@ -60,64 +62,31 @@
     }
 }
 
-struct Fleet {
-    harnesses: Vec<(Harness, String)>,
-    gateways: Vec<Option<Gateway>>,
-    links: Links,
-    _host: Host,
-}
-
-fn fleet(number: u8) -> Fleet {
+/// Five gateways with a link between each two.
+fn fleet(number: u8) -> (Fleet, Links) {
     let links = Links::default();
-    let ip = format!("127.77.{number}.8");
-    let free: Vec<UdpSocket> =
-        (0..GATEWAYS).map(|_| UdpSocket::bind((ip.as_str(), 0)).expect("a free port")).collect();
-    let listen: Vec<String> =
-        free.iter().map(|one| one.local_addr().expect("an address").to_string()).collect();
-    drop(free);
-    let first = Harness::new(number);
-    let host = first.host((0..50).map(|_| Reply::RowAt(b"v", 1_700_000_000_000)).collect());
-    let mut harnesses = vec![first];
-    harnesses.extend((1..GATEWAYS).map(|place| Harness::new(number + place as u8)));
-    let harnesses = harnesses.into_iter().enumerate().map(|(me, harness)| {
-        let peers = (0..GATEWAYS).map(|to| match to == me {
-            true => listen[to].clone(),
-            false => links.open(&format!("127.77.{number}.9"), (me, to), listen[to].clone()),
-        });
-        let peers: Vec<String> = peers.map(|peer| format!("\"{peer}\"")).collect();
-        let harness = harness.list(&[(&host, "up", "primary")]).operator(FILE);
-        let more = format!("{{\"peer_listen\":\"{}\",\"peers\":[{}],", listen[me], peers.join(","));
-        let config = harness.config().replacen('{', &more, 1);
-        (harness, config)
-    });
-    let harnesses = harnesses.collect();
-    let gateways = (0..GATEWAYS).map(|_| None).collect();
-    let mut fleet = Fleet { harnesses, gateways, links, _host: host };
-    (0..GATEWAYS).for_each(|place| fleet.start(place));
-    fleet
+    let ip = format!("127.77.{number}.9");
+    let listen = peer_addresses(number);
+    let peers_of = |me: u16| {
+        let reach = |(to, address): (u16, &String)| match to == me {
+            true => address.clone(),
+            false => links.open(&ip, (me, to), address.clone()),
+        };
+        (0..GATEWAYS).zip(&listen).map(reach).collect()
+    };
+    (Fleet::start_all(number, FILE, &listen, peers_of), links)
 }
 
 impl Fleet {
-    fn start(&mut self, place: usize) {
-        let (harness, config) = &self.harnesses[place];
-        let gateway = harness.start_with(config);
-        gateway.line_with("gateway serving");
-        self.gateways[place] = Some(gateway);
-    }
-
-    fn gateway(&self, place: usize) -> &Gateway {
-        self.gateways[place].as_ref().expect("it runs")
-    }
-
     /// Waits until each of these owns so many duties.
-    fn wait_until_owned(&self, owned: &[(usize, u64)]) {
+    fn wait_until_owned(&self, owned: &[(u16, u64)]) {
         for (place, owned) in owned {
             self.gateway(*place).wait_for("duties_owned=", |count| count == *owned);
         }
     }
 
     /// Waits until each of these knows the owner of so many duties.
-    fn wait_until_known(&self, places: &[usize], known: u64) {
+    fn wait_until_known(&self, places: &[u16], known: u64) {
         places.iter().for_each(|place| {
             self.gateway(*place).wait_for("duties_known=", |count| count == known);
         });
@@ -131,9 +100,9 @@
 
 #[test]
 fn shards_are_spread_evenly_and_those_of_a_killed_acceptor_fail_over_and_return() {
-    let mut fleet = fleet(140);
+    let (mut fleet, _links) = fleet(140);
     fleet.wait_until_even();
-    fleet.gateways[1] = None;
+    fleet.kill(1);
     // The next in order has the shards of the one that is gone beside its own.
     fleet.wait_until_owned(&[(0, EACH), (3, 2 * EACH)]);
     fleet.wait_until_known(&[0, 2, 3, 4], DUTIES);
@@ -143,7 +112,7 @@
 
 #[test]
 fn shards_of_a_stalled_acceptor_fail_over_and_it_has_lost_its_leases() {
-    let fleet = fleet(146);
+    let (fleet, _links) = fleet(146);
     fleet.wait_until_even();
     fleet.gateway(3).signal("STOP");
     fleet.wait_until_owned(&[(0, 2 * EACH), (1, EACH)]);
@@ -154,38 +123,38 @@
 
 #[test]
 fn in_a_partition_the_side_with_most_acceptors_leads_all_shards_and_the_other_serves_by_itself() {
-    let fleet = fleet(152);
+    let (fleet, links) = fleet(152);
     fleet.wait_until_even();
     let (most, rest) = ([0, 1, 2], [3, 4]);
-    fleet.links.cut(&most, &rest);
-    fleet.links.cut(&rest, &most);
+    links.cut(&most, &rest);
+    links.cut(&rest, &most);
     fleet.wait_until_owned(&[(0, 2 * EACH), (1, EACH), (3, 0)]);
     fleet.wait_until_known(&most, DUTIES);
     fleet.wait_until_known(&rest, 0);
     // Nothing is lent where nobody owns the share-out, and clients are served.
     fleet.gateway(4).wait_for("share_lent=", |lent| lent == 0);
     assert_eq!(kinds(&fleet.gateway(4).client().ask(&select("a", "view", 20000))), "TDCZ");
-    fleet.links.join();
+    links.join();
     fleet.wait_until_even();
 }
 
 #[test]
 fn an_acceptor_that_can_only_receive_loses_its_shards() {
-    let fleet = fleet(158);
+    let (fleet, links) = fleet(158);
     fleet.wait_until_even();
-    fleet.links.cut(&[1], &[0, 2, 3, 4]);
+    links.cut(&[1], &[0, 2, 3, 4]);
     fleet.wait_until_owned(&[(0, EACH), (1, 0), (3, 2 * EACH)]);
     fleet.wait_until_known(&[0, 2, 3, 4], DUTIES);
-    fleet.links.join();
+    links.join();
     fleet.wait_until_even();
 }
 
 #[test]
 fn with_a_fifth_of_datagrams_lost_shards_mostly_stay_with_their_leaders() {
-    let fleet = fleet(164);
+    let (fleet, links) = fleet(164);
     fleet.wait_until_even();
-    fleet.links.lost.store(200, Ordering::Relaxed);
+    links.lost.store(200, Ordering::Relaxed);
     std::thread::sleep(6 * LEASE);
-    fleet.links.lost.store(0, Ordering::Relaxed);
+    links.lost.store(0, Ordering::Relaxed);
     fleet.wait_until_even();
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,37 +1,20 @@
 //! Hosts whose clock differs from the machine's, as it does for a gateway whose machine has a wrong wall clock: hosts'
 //! positions and starts are shifted here, and the machine's clock is left alone.
 
-#[path = "../crates/policy/tests/common/mod.rs"]
-mod common;
+mod facade_simulation;
 mod harness;
 
-use common::{entry, settings, G, MS};
+use facade_simulation::*;
 use harness::*;
-use petrelgauge::facade::{Attempt, Decision, Facade, Outcome, Request, SessionTracking, Ticket};
+use petrelgauge::facade::{Attempt, Outcome, Ticket};
 use petrelgauge::*;
-use petrelgauge_sessions::SessionTracker;
-use std::future::Future;
-use std::pin::pin;
-use std::task::{Context, Poll, Waker};
-use std::time::{SystemTime, UNIX_EPOCH};
 
 /// How far the hosts' clock is ahead of the gateway's (milliseconds).
 const SHIFTS_MS: [i64; 7] = [0, 3_000, 60_000, 3_600_000, -3_000, -60_000, -3_600_000];
 
-/// Hosts do not look at how far behind they are, and there are reads of data no older than 1 s.
-fn unchecked(config: &str) -> String {
-    let bounded = r#"{"aim_us":4000000,"deadline_us":30000000,"idempotency":"safe","name":"bounded","points":2.0,"late_share":0.2}"#;
-    let changes = [
-        ("\"when_behind\":\"bounce\"", "\"when_behind\":\"off\"".to_string()),
-        ("[\"eventual\",\"mutate\"]", "[\"eventual\",\"mutate\",\"lag_bound\"]".to_string()),
-        ("\"staleness_bound_us\":[0,0]", "\"staleness_bound_us\":[0,0,1000000]".to_string()),
-        ("\"late_share\":0.5}]", format!("\"late_share\":0.5}},{bounded}]")),
-    ];
-    changes.iter().fold(config.to_string(), |config, (old, new)| {
-        assert!(config.contains(old), "{old}");
-        config.replace(old, new)
-    })
-}
+/// Reads of data no older than 1 s.
+const BOUNDED: ReadClass =
+    ReadClass { name: "bounded", read_level: "lag_bound", staleness_bound_us: 1_000_000 };
 
 /// What answered so many bounded reads, one after the other, from a primary, a fresh replica and one whose data are about as
 /// old as the machine's clock is behind the hosts'.
@@ -48,10 +31,9 @@
         (&hosts[1], "up", "standby"),
         (&hosts[2], "up", "standby"),
     ]);
-    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
-    let started_ms = now_ms + shift_ms - 1_800_000;
-    let config =
-        unchecked(&harness.config()).replace(r#""up_since_ms":0"#, &format!(r#""up_since_ms":{started_ms}"#));
+    let started_ms = unix_ms() as i64 + shift_ms - 1_800_000;
+    let config = with_unchecked_reads(&harness.config(), &[BOUNDED])
+        .replace(r#""up_since_ms":0"#, &format!(r#""up_since_ms":{started_ms}"#));
     let gateway = harness.start_as(&config);
     let mut client = gateway.client();
     let mut answered = [0; 3];
@@ -81,72 +63,42 @@
 
 /// Some time of the hosts' clock (microseconds).
 const NOON: Time = 1_000_000_000 * MS;
-const STEP: Time = 5 * MS;
-const READ: usize = 2;
-const WRITE: usize = 5;
-
-fn ready<T>(future: impl Future<Output = T>) -> Option<T> {
-    match pin!(future).poll(&mut Context::from_waker(Waker::noop())) {
-        Poll::Ready(value) => Some(value),
-        Poll::Pending => None,
-    }
-}
 
 /// The decisions of one gateway, whose clock shows the hosts' time less `offset`.
 struct Shifted {
-    facade: Facade,
-    now: Time,
+    simulation: Simulation,
     offset: Time,
 }
 
 impl Shifted {
     fn new(shift_ms: i64, sessions: Option<petrelgauge_sessions::Settings>) -> Shifted {
         let offset = shift_ms * MS;
-        let now = NOON - offset;
-        let set = Settings { may_probe: false, clock_may_be_wrong: true, ..settings() };
-        let tracker = sessions.map(|set| SessionTracking {
-            tracker: SessionTracker::new(set, now).expect("sound settings"),
-            classes: vec![READ, WRITE],
-        });
-        let facade = Facade::with_sessions(set, 11, tracker).expect("sound settings");
-        facade.update_endpoints(
-            true,
-            (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
-        );
-        let mut shifted = Shifted { facade, now, offset };
-        shifted.step();
-        shifted
+        let settings = Settings { may_probe: false, clock_may_be_wrong: true, ..settings() };
+        Shifted { simulation: Simulation::new(NOON - offset, settings, sessions), offset }
     }
 
     fn hosts_now(&self) -> Time {
-        self.now + self.offset
+        self.simulation.now + self.offset
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        self.facade.tick(self.now);
+        self.simulation.step();
     }
 
     /// A request of session `one`, and its first attempt.
     fn send(&mut self, class: usize) -> (Ticket, Attempt) {
-        let (at, until) = (self.now, self.now + 900 * MS);
-        let session = self.facade.session_ref(at, G, "one", &[]).expect("no token");
-        let request = Request { class, group: G, until, is_retry: false, at, after: None, session };
-        let mut ticket = self.facade.admit(request);
-        self.step();
-        match ready(ticket.pick()) {
-            Some(Decision::Send(attempt)) => (ticket, attempt),
-            other => panic!("no send but {other:?}"),
-        }
+        let mut ticket = self.simulation.admit(class, 900 * MS, &[]);
+        let attempt = self.simulation.send(&mut ticket);
+        (ticket, attempt)
     }
 
     /// The host of this attempt answers as served, at this position; whether that is the answer.
     fn answer(&mut self, attempt: Attempt, position: Time, role: Role) -> bool {
-        self.now += 2 * MS;
+        self.simulation.now += 2 * MS;
         let silent = Outcome::silent(Ending::Served);
         let mut outcome = Outcome { position: Some(position), role: Some(role), ..silent };
-        attempt.validate_times(self.now, &mut outcome);
-        attempt.report(self.now, outcome)
+        attempt.validate_times(self.simulation.now, &mut outcome);
+        attempt.report(self.simulation.now, outcome)
     }
 
     /// A write that the member which gets it has served: the member, and the commit.
@@ -159,7 +111,7 @@
     }
 
     fn leader(&self) -> Option<MemberId> {
-        self.facade.primaries().first().map(|primary| primary.member)
+        self.simulation.facade.primaries().first().map(|primary| primary.member)
     }
 }
 
@@ -173,14 +125,14 @@
             wrong.write();
         }
         assert_eq!((right.leader(), wrong.leader()), (Some(1), Some(1)));
-        let announced_at = |from: &Shifted| from.facade.primaries()[0].evidence_at;
+        let announced_at = |from: &Shifted| from.simulation.facade.primaries()[0].evidence_at;
         let (by_right, by_wrong) = (announced_at(&right), announced_at(&wrong));
         assert!((by_right - by_wrong).abs() <= 20 * MS, "{shift_ms}: {by_right} and {by_wrong}");
         // Some time later member 2 has taken over, and one gateway had its answer.
         for gateway in [&mut right, &mut wrong] {
-            gateway.now += 1_000 * MS;
+            gateway.simulation.now += 1_000 * MS;
             let at = by_right + 900 * MS;
-            gateway.facade.gossiped_primary(gateway.now, 2, at);
+            gateway.simulation.facade.gossiped_primary(gateway.simulation.now, 2, at);
             gateway.step();
             assert_eq!(gateway.leader(), Some(2), "{shift_ms}");
         }
@@ -219,14 +171,14 @@
         let mut shifted = Shifted::new(shift_ms, Some(kept.clone()));
         shifted.write();
         let (ticket, attempt) = shifted.send(WRITE);
-        shifted.now += 50 * MS;
+        shifted.simulation.now += 50 * MS;
         let lost = shifted.hosts_now();
-        assert!(!attempt.report(shifted.now, Outcome::silent(Ending::ConnectionLost)));
+        assert!(!attempt.report(shifted.simulation.now, Outcome::silent(Ending::ConnectionLost)));
         drop(ticket);
         shifted.step();
         let (_ticket, attempt) = shifted.send(READ);
         assert!(!shifted.answer(attempt, lost - 10 * MS, Role::Replica), "{shift_ms}: it may lack it");
-        shifted.now += 100 * MS;
+        shifted.simulation.now += 100 * MS;
         shifted.step();
         let (_ticket, attempt) = shifted.send(READ);
         assert!(shifted.answer(attempt, lost + 20 * MS, Role::Replica), "{shift_ms}: it has all of it");
