--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -76,7 +76,7 @@
     pub stale: usize,
     /// Reads that a replica's answer was accepted for.
     pub by_replicas: usize,
-    /// Of these, of these, for a minimum position that the other instances had covered.
+    /// Of these, for a minimum position that the other instances had covered.
     pub by_replicas_known_from_peers: usize,
     /// Answers of the primary that were rejected.
     pub blocked: usize,
@@ -96,127 +96,182 @@
     }
 }
 
-#[expect(clippy::too_many_lines, reason = "to be split by its steps")]
 pub fn run(scenario: &Scenario, seed: u64) -> Findings {
-    let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
-    let error = scenario.settings.clock_error;
-    let mut now: Time = 1_000_000_000;
-    let set = |instance: u16| Settings { instance, ..scenario.settings.clone() };
-    let mut instances: Vec<Instance> = (0..scenario.instances)
-        .map(|instance| {
+    let mut simulation = Simulation::new(scenario, seed);
+    for _ in 0..scenario.steps {
+        simulation.step();
+    }
+    simulation.findings
+}
+
+/// A datagram on its way.
+struct Datagram {
+    arrives: Time,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    rng: Pcg64Mcg,
+    now: Time,
+    instances: Vec<Instance>,
+    truth: BTreeMap<u64, Truth>,
+    tokens: BTreeMap<u64, Vec<String>>,
+    in_transit: Vec<Datagram>,
+    waiting: Vec<Read>,
+    findings: Findings,
+}
+
+impl Simulation<'_> {
+    fn new(scenario: &Scenario, seed: u64) -> Simulation<'_> {
+        let mut rng = Pcg64Mcg::new(u128::from(seed) * 2 + 1);
+        let error = scenario.settings.clock_error;
+        let now: Time = 1_000_000_000;
+        let instances = (0..scenario.instances).map(|instance| {
             let clock_offset = if error > 0 { rng.random_range(0..=error) } else { 0 };
-            let tracker = SessionTracker::new(set(instance), now + clock_offset).expect("sound settings");
+            let set = Settings { instance, ..scenario.settings.clone() };
+            let tracker = SessionTracker::new(set, now + clock_offset).expect("sound settings");
             Instance { runs: 0, tracker, clock_offset, saved: None }
-        })
-        .collect();
-    let mut truth: BTreeMap<u64, Truth> = BTreeMap::new();
-    let mut tokens: BTreeMap<u64, Vec<String>> = BTreeMap::new();
-    let mut in_transit: Vec<(Time, usize, Vec<u8>)> = Vec::new();
-    let mut findings = Findings::default();
-    let mut waiting: Vec<Read> = Vec::new();
-    for _ in 0..scenario.steps {
-        now += rng.random_range(100..4 * MS);
-        for place in 0..instances.len() {
-            let local = now + instances[place].clock_offset;
-            for bytes in instances[place].tracker.due_broadcasts(local) {
-                let bytes = match WatermarkBroadcast::decode(&bytes, scenario.settings.secret) {
-                    Ok(sent) if scenario.fault == InjectedFault::GapIgnored => {
-                        WatermarkBroadcast { from: sent.sender.epoch, ..sent }
-                            .encode(scenario.settings.secret)
+        });
+        let instances = instances.collect();
+        Simulation {
+            scenario,
+            rng,
+            now,
+            instances,
+            truth: BTreeMap::new(),
+            tokens: BTreeMap::new(),
+            in_transit: Vec::new(),
+            waiting: Vec::new(),
+            findings: Findings::default(),
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += self.rng.random_range(100..4 * MS);
+        self.send_broadcasts();
+        self.deliver_broadcasts();
+        self.answer_due_reads();
+        if self.rng.random_bool(self.scenario.restarts) {
+            let place = self.rng.random_range(0..self.instances.len());
+            let set = Settings { instance: place as u16, ..self.scenario.settings.clone() };
+            restart(&mut self.instances[place], set, self.now, self.scenario.fault, &mut self.rng);
+        }
+        self.request();
+    }
+
+    fn send_broadcasts(&mut self) {
+        let secret = self.scenario.settings.secret;
+        for place in 0..self.instances.len() {
+            let local = self.now + self.instances[place].clock_offset;
+            for bytes in self.instances[place].tracker.due_broadcasts(local) {
+                let bytes = match WatermarkBroadcast::decode(&bytes, secret) {
+                    Ok(sent) if self.scenario.fault == InjectedFault::GapIgnored => {
+                        WatermarkBroadcast { from: sent.sender.epoch, ..sent }.encode(secret)
                     }
                     _ => bytes,
                 };
-                for other in (0..instances.len()).filter(|other| *other != place) {
-                    for _ in 0..1 + usize::from(rng.random_bool(0.1)) {
-                        if !rng.random_bool(scenario.loss) {
-                            let long = if rng.random_bool(0.05) { 300 * MS } else { 11 * MS };
-                            in_transit.push((now + rng.random_range(1_300..long), other, bytes.clone()));
-                        }
-                    }
+                for other in (0..self.instances.len()).filter(|other| *other != place) {
+                    self.send_datagram(other, &bytes);
                 }
             }
         }
-        in_transit.retain(|(at, place, bytes)| {
-            let due = *at <= now;
+    }
+
+    /// Over a network that loses, doubles and delays datagrams.
+    fn send_datagram(&mut self, to: usize, bytes: &[u8]) {
+        for _ in 0..1 + usize::from(self.rng.random_bool(0.1)) {
+            if !self.rng.random_bool(self.scenario.loss) {
+                let long = if self.rng.random_bool(0.05) { 300 * MS } else { 11 * MS };
+                let arrives = self.now + self.rng.random_range(1_300..long);
+                self.in_transit.push(Datagram { arrives, to, bytes: bytes.to_vec() });
+            }
+        }
+    }
+
+    fn deliver_broadcasts(&mut self) {
+        let (now, instances) = (self.now, &mut self.instances);
+        self.in_transit.retain(|datagram| {
+            let due = datagram.arrives <= now;
             if due {
-                let local = now + instances[*place].clock_offset;
-                let _ = instances[*place].tracker.receive(local, bytes);
+                let instance = &mut instances[datagram.to];
+                let _ = instance.tracker.receive(now + instance.clock_offset, &datagram.bytes);
             }
             !due
         });
-        while let Some(at) = waiting.iter().position(|read| read.due <= now) {
-            let read = waiting.swap_remove(at);
-            let instance = &mut instances[read.place];
+    }
+
+    fn answer_due_reads(&mut self) {
+        while let Some(at) = self.waiting.iter().position(|read| read.due <= self.now) {
+            let read = self.waiting.swap_remove(at);
+            let instance = &mut self.instances[read.place];
             // Requests of an earlier run are not answered.
-            if instance.runs == read.run {
-                let shown =
-                    serve(&mut instance.tracker, &read, now, instance.clock_offset, &mut rng, &mut findings);
-                let known = truth.entry(read.name).or_default();
-                if scenario.settings.promise == Promise::WritesAndReads {
-                    known.read = known.read.max(shown);
-                }
-                replace(
-                    &mut tokens,
-                    read.name,
-                    &read.held,
-                    instance.tracker.issue_token(now + instance.clock_offset, read.key),
-                );
+            if instance.runs != read.run {
+                continue;
             }
+            let local = self.now + instance.clock_offset;
+            let (tracker, offset) = (&mut instance.tracker, instance.clock_offset);
+            let shown = serve(tracker, &read, self.now, offset, &mut self.rng, &mut self.findings);
+            let known = self.truth.entry(read.name).or_default();
+            if self.scenario.settings.promise == Promise::WritesAndReads {
+                known.read = known.read.max(shown);
+            }
+            replace(&mut self.tokens, read.name, &read.held, tracker.issue_token(local, read.key));
         }
-        if rng.random_bool(scenario.restarts) {
-            let place = rng.random_range(0..instances.len());
-            restart(&mut instances[place], set(place as u16), now, scenario.fault, &mut rng);
-        }
-        let name = rng.random_range(0..200u64).min(rng.random_range(0..200));
+    }
+
+    /// A client's request: the beginning of a read, or a write.
+    fn request(&mut self) {
+        let name = self.rng.random_range(0..200u64).min(self.rng.random_range(0..200));
         // A session that does not roam has an instance of its own.
-        let place = if scenario.settings.roams {
-            rng.random_range(0..instances.len())
+        let place = if self.scenario.settings.roams {
+            self.rng.random_range(0..self.instances.len())
         } else {
-            name as usize % instances.len()
+            name as usize % self.instances.len()
         };
-        let instance = &mut instances[place];
-        let local = now + instance.clock_offset;
+        let instance = &mut self.instances[place];
+        let local = self.now + instance.clock_offset;
         let key = instance.tracker.session_key(G, &name.to_string());
-        let known = truth.entry(name).or_default();
-        let held = if scenario.tokens { tokens.get(&name).cloned().unwrap_or_default() } else { Vec::new() };
-        let taken =
+        let held = match self.scenario.tokens {
+            true => self.tokens.get(&name).cloned().unwrap_or_default(),
+            false => Vec::new(),
+        };
+        let parsed =
             held.iter().map(|text| instance.tracker.parse_token(local, text, key).expect("its own token"));
-        let token = taken.reduce(Token::join).map(|token| match scenario.fault {
+        let token = parsed.reduce(Token::join).map(|token| match self.scenario.fault {
             InjectedFault::TokenUnverified => Token { watermark: Watermark::NONE, ..token },
             _ => token,
         });
-        if rng.random_bool(0.3) {
-            let commit = now;
-            if let Some(token) = &token {
-                instance.tracker.merge_token(local, key, token);
-            }
-            now += rng.random_range(10..2 * MS);
-            let answered = now + instance.clock_offset;
-            if rng.random_bool(0.1) {
-                instance.tracker.record_unconfirmed_write(answered, key);
-            } else {
-                let reported = (commit + MS - 1) / MS * MS;
-                instance.tracker.record_write(answered, key, local, Some(reported));
-                known.written = known.written.max(commit);
-                replace(&mut tokens, name, &held, instance.tracker.issue_token(answered, key));
-            }
+        if self.rng.random_bool(0.3) {
+            self.write(name, place, key, token.as_ref(), &held);
         } else {
-            findings.reads += 1;
+            self.findings.reads += 1;
             let minimum = instance.tracker.begin_read(local, key, token.as_ref());
-            let due = now + rng.random_range(10..90 * MS);
-            waiting.push(Read {
-                due,
-                place,
-                run: instance.runs,
-                name,
-                key,
-                minimum,
-                seen_before: *known,
-                held,
-            });
+            let due = self.now + self.rng.random_range(10..90 * MS);
+            let (run, seen_before) = (instance.runs, *self.truth.entry(name).or_default());
+            self.waiting.push(Read { due, place, run, name, key, minimum, held, seen_before });
+        }
+    }
+
+    fn write(&mut self, name: u64, place: usize, key: SessionKey, token: Option<&Token>, held: &[String]) {
+        let Instance { tracker, clock_offset, .. } = &mut self.instances[place];
+        let (commit, local) = (self.now, self.now + *clock_offset);
+        if let Some(token) = token {
+            tracker.merge_token(local, key, token);
+        }
+        self.now += self.rng.random_range(10..2 * MS);
+        let answered = self.now + *clock_offset;
+        if self.rng.random_bool(0.1) {
+            tracker.record_unconfirmed_write(answered, key);
+            return;
         }
+        let reported = (commit + MS - 1) / MS * MS;
+        tracker.record_write(answered, key, local, Some(reported));
+        let known = self.truth.entry(name).or_default();
+        known.written = known.written.max(commit);
+        replace(&mut self.tokens, name, held, tracker.issue_token(answered, key));
     }
-    findings
 }
 
 /// The token of an answer takes the place of those that came with its request.
