--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -7,9 +7,8 @@
 #[test]
 fn a_read_that_broke_goes_out_again_and_so_does_a_keyed_write() {
     for (number, text) in [(7, select("a", "view", 20000)), (8, insert("a", 20000))] {
-        let harness = Harness::new(number);
-        let host = harness.host(vec![Reply::Close, Reply::Error("25006"), Reply::Row(b"v")]);
-        let gateway = harness.list(&[(&host, "up", "primary")]).start();
+        let (host, gateway) =
+            gateway_with_primary(number, vec![Reply::Close, Reply::Error("25006"), Reply::Row(b"v")]);
         assert_eq!(kinds(&gateway.client().ask(&text)), "TDCZ");
         let ids = [host.next_query(), host.next_query(), host.next_query()]
             .map(|seen| seen.split("id=").nth(1).map(|rest| rest[..4].to_string()));
@@ -30,9 +29,7 @@
 
 #[test]
 fn a_write_whose_attempt_may_have_run_fails_and_is_not_refused() {
-    let harness = Harness::new(10);
-    let host = harness.host(vec![Reply::Nothing, Reply::Nothing]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(10, vec![Reply::Nothing, Reply::Nothing]);
     let answer = gateway.client().ask(&insert("a", 2000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "40003"));
     host.next_query();
@@ -66,9 +63,7 @@
 
 #[test]
 fn a_client_that_disconnects_has_its_attempt_cancelled() {
-    let harness = Harness::new(11);
-    let host = harness.host(vec![Reply::Nothing]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(11, vec![Reply::Nothing]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", 60_000)));
     host.next_query();
@@ -90,9 +85,8 @@
     std::thread::scope(|scope| {
         for (number, bytes) in (30..).zip(malformed) {
             scope.spawn(move || {
-                let harness = Harness::new(number);
-                let host = harness.host(vec![Reply::Bytes(bytes), Reply::Row(b"complete")]);
-                let gateway = harness.list(&[(&host, "up", "primary")]).start();
+                let (host, gateway) =
+                    gateway_with_primary(number, vec![Reply::Bytes(bytes), Reply::Row(b"complete")]);
                 let answer = gateway.client().ask(&select("a", "view", 20000));
                 assert_eq!((kinds(&answer).as_str(), &answer[1].1[6..]), ("TDCZ", &b"complete"[..]));
                 host.wait_for_disconnect();
@@ -122,15 +116,13 @@
 // A copy that comes when the next query has gone out already looks like its answer.
 #[test]
 fn a_copy_of_the_last_answer_is_not_the_next_one() {
-    let harness = Harness::new(37);
     let script = vec![
         Reply::RowAt(b"one", 5),
         Reply::RowAt(b"one", 5),
         Reply::RowAt(b"two", 6),
         Reply::RowAt(b"two", 7),
     ];
-    let host = harness.host(script);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (_host, gateway) = gateway_with_primary(37, script);
     let mut client = gateway.client();
     client.write(&[query(&select("a", "view", 20000)), query(&select("b", "view", 20000))].concat());
     assert_eq!(client.until_ready()[1].1[6..], *b"one");
@@ -143,10 +135,8 @@
 // away in the same words. Taken for copies, these cost their connections, and writes counted as run.
 #[test]
 fn two_misses_that_are_alike_are_two_misses() {
-    let harness = Harness::new(39);
     let script = vec![Reply::ErrorAt("25006", 5), Reply::ErrorAt("25006", 5), Reply::RowAt(b"one", 6)];
-    let host = harness.host(script);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (_host, gateway) = gateway_with_primary(39, script);
     let answer = gateway.client().ask(&insert("a", 20000));
     assert_eq!(answer[1].1[6..], *b"one");
     gateway.wait_for_counter("Served=1 Rejected=2");
@@ -155,9 +145,7 @@
 // Whatever the gateway overlooks, a host may not: its reply is the answer, and no further host is asked.
 #[test]
 fn a_statement_that_a_host_cannot_use_is_answered_at_once() {
-    let harness = Harness::new(36);
-    let host = harness.host(vec![Reply::Error("08P01")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(36, vec![Reply::Error("08P01")]);
     let answer = gateway.client().ask(&insert("a", 20000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "08P01"));
     assert_eq!(host.queries(), 1);
--- a/tests/client_protocol.rs
+++ b/tests/client_protocol.rs
@@ -22,9 +22,7 @@
 
 #[test]
 fn a_value_comes_back_as_the_host_gave_it_and_the_statement_goes_on_unaltered() {
-    let harness = Harness::new(2);
-    let host = harness.host(vec![Reply::Row(b"\x00\xffvalue")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(2, vec![Reply::Row(b"\x00\xffvalue")]);
     let mut client = gateway.client();
     let text = select("it''s /* no comment */", "view", 5000);
     let answer = client.ask(&text);
@@ -40,9 +38,7 @@
 #[test]
 fn the_largest_values_pass_both_ways() {
     static VALUE: [u8; 65536] = [b'v'; 65536];
-    let harness = Harness::new(24);
-    let host = harness.host(vec![Reply::Row(&VALUE), Reply::Row(&VALUE)]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(24, vec![Reply::Row(&VALUE), Reply::Row(&VALUE)]);
     let mut client = gateway.client();
     assert!(client.ask(&select("a", "view", 20000))[1].1.ends_with(&VALUE));
     host.next_query();
@@ -53,9 +49,8 @@
 
 #[test]
 fn pipelined_queries_are_answered_in_order() {
-    let harness = Harness::new(3);
-    let host = harness.host(vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (_host, gateway) =
+        gateway_with_primary(3, vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")]);
     let mut client = gateway.client();
     let texts = ["a", "b", "c"].map(|name| query(&select(name, "view", 5000)));
     client.write(&texts.concat());
@@ -67,9 +62,7 @@
 
 #[test]
 fn what_cannot_be_used_is_an_error_that_keeps_the_connection() {
-    let harness = Harness::new(4);
-    let host = harness.host(vec![Reply::Row(b"v")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (_host, gateway) = gateway_with_primary(4, vec![Reply::Row(b"v")]);
     let mut client = gateway.client();
     let good = select("a", "view", 5000);
     let bad = [
@@ -115,9 +108,7 @@
 // Each of them would keep a descriptor for as long as it likes, or until its query's time is over.
 #[test]
 fn clients_that_say_nothing_or_do_not_finish_are_cut_off() {
-    let harness = Harness::new(26);
-    let host = harness.host(vec![Reply::Nothing]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(26, vec![Reply::Nothing]);
     let mut silent = gateway.raw_client();
     let mut half_a_startup = gateway.raw_client();
     half_a_startup.write(&startup()[..9]);
@@ -152,9 +143,7 @@
 
 #[test]
 fn an_id_is_taken_once_while_its_request_is_open() {
-    let harness = Harness::new(29);
-    let host = harness.host(vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(29, vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
     let (mut first, text) = (gateway.client(), select("a", "view", 20000));
     first.write(&query(&text));
     host.next_query();
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -261,9 +261,7 @@
 
 #[test]
 fn a_short_answer_in_pieces_is_put_together() {
-    let harness = Harness::new(63);
-    let host = harness.host(vec![Reply::Pieces(b"in pieces", 20, 40)]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(63, vec![Reply::Pieces(b"in pieces", 20, 40)]);
     assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
     assert_eq!(host.queries(), 1);
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -24,9 +24,8 @@
     let ahead = format!("x0={:.3},x1=1", unix_s() + 60.0);
     let sound = format!("x0={:.3},x1=1", unix_s() - 1.0);
     let reports = ["x0=-5,x1=1", "x0=NaN", "x0=inf", "x0", "q=-1", &ahead, &sound, "inflight=7,util=0.61"];
-    let harness = Harness::new(235);
-    let host = harness.host(reports.iter().map(|report| Reply::Bytes(with_report(report))).collect());
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (_host, gateway) =
+        gateway_with_primary(235, reports.iter().map(|report| Reply::Bytes(with_report(report))).collect());
     let mut client = gateway.client();
     for report in reports {
         assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ", "{report}");
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -43,10 +43,9 @@
 fn a_payment_is_not_repeated_behind_the_window_of_its_key_by_a_connection_that_came_up_late() {
     let harness = Harness::new(194);
     let host = harness.slow_host(1, vec![Reply::Close]);
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = with_long_connect_timeout(&harness.config())
-        .replace("\"window_us\":30000000", "\"window_us\":1500000");
-    let gateway = harness.start_as(&config);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(|config| {
+        with_long_connect_timeout(config).replace("\"window_us\":30000000", "\"window_us\":1500000")
+    });
     let mut client = gateway.client();
     client.write(&query(&insert("a", 6_000)));
     host.next_query();
@@ -65,9 +64,7 @@
 fn a_payment_is_repeated_within_the_window_of_its_key() {
     let harness = Harness::new(195);
     let host = harness.slow_host(1, vec![Reply::Close, Reply::Row(b"v")]);
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = with_long_connect_timeout(&harness.config());
-    let gateway = harness.start_as(&config);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
     let mut client = gateway.client();
     client.write(&query(&insert("a", 25_000)));
     host.next_query();
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -89,10 +89,11 @@
     let harness = Harness::new(45);
     let (old, new) = (harness.host(vec![]), harness.host(vec![Reply::Row(b"new")]));
     let updates = harness.entries(&[(&old, "draining", "standby"), (&new, "up", "primary")]);
-    let harness = harness.list(&[(&old, "up", "primary")]).updates(&[&list(42, false, &updates)]);
-    let config = harness.config().replace("\"balancers\":1", "\"balancers\":10000");
     let begun = std::time::Instant::now();
-    let gateway = harness.start_as(&config);
+    let gateway = harness
+        .list(&[(&old, "up", "primary")])
+        .updates(&[&list(42, false, &updates)])
+        .start_changed(|config| config.replace("\"balancers\":1", "\"balancers\":10000"));
     gateway.next_watch();
     assert!(begun.elapsed() < std::time::Duration::from_secs(2), "its first call came too late");
     gateway.wait_for("lists=", |count| count >= 2);
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -26,9 +26,7 @@
     let harness = Harness::new(210);
     let at = unix_ms();
     let host = harness.slow_host(1, vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::Row(b"old")]);
-    let harness = harness.list(&[(&host, "up", "standby")]);
-    let config = unchecked(&harness.config());
-    let gateway = harness.start_as(&config);
+    let gateway = harness.list(&[(&host, "up", "standby")]).start_changed(unchecked);
     let (mut first, mut second, mut third) = (gateway.client(), gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
     assert_eq!(kinds(&first.until_ready()), "TDCZ");
@@ -52,9 +50,7 @@
 fn a_read_of_the_newest_is_not_sent_to_a_host_that_has_said_meanwhile_that_it_does_not_lead() {
     let harness = Harness::new(211);
     let host = harness.slow_host(0, vec![Reply::ReplicaAt(b"v", unix_ms()), Reply::Row(b"old")]);
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = unchecked(&harness.config());
-    let gateway = harness.start_as(&config);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(unchecked);
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
     host.next_connection();
@@ -80,9 +76,9 @@
     let at = unix_ms();
     let script = vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::ReplicaAt(b"new", at)];
     let host = harness.slow_host(1, script);
-    let harness = harness.list(&[(&host, "up", "standby")]);
-    let config = unchecked(&harness.config()).replace("4000000,0]", "60000000,0]");
-    let gateway = harness.start_as(&config);
+    let gateway = harness
+        .list(&[(&host, "up", "standby")])
+        .start_changed(|config| unchecked(config).replace("4000000,0]", "60000000,0]"));
     let (mut first, mut second, mut third) = (gateway.client(), gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
     first.until_ready();
@@ -113,9 +109,9 @@
         [harness.host(vec![does]), harness.host((0..30).map(|_| Reply::ReplicaAt(b"replica", at)).collect())];
     let drains = harness.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
     let harness = harness.later_updates(&[&list(42, false, &drains)]);
-    let harness = harness.list(&[(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")]);
-    let config = with_sessions(&harness.config());
-    let gateway = harness.start_as(&config);
+    let gateway = harness
+        .list(&[(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")])
+        .start_changed(with_sessions);
     let mut writer = gateway.client();
     writer.write(&write("1", 25_000));
     hosts[0].next_query();
@@ -172,9 +168,7 @@
     let harness = Harness::new(217);
     let old = unix_ms() - 60_000;
     let deposed = harness.host(vec![Reply::ReplicaAt(b"old", old)]);
-    let harness = harness.list(&[(&deposed, "up", "primary")]);
-    let config = unchecked(&harness.config());
-    let gateway = harness.start_as(&config);
+    let gateway = harness.list(&[(&deposed, "up", "primary")]).start_changed(unchecked);
     let mut client = gateway.client();
     client.write(&ask("bounded", "1", 2_000));
     let answer = client.until_ready();
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -250,6 +250,12 @@
         self.start_as(&config)
     }
 
+    /// The same with this change to its configuration.
+    pub fn start_changed(self, change: impl FnOnce(&str) -> String) -> Gateway {
+        let config = change(&self.config());
+        self.start_as(&config)
+    }
+
     /// The same with a configuration that the test has changed.
     pub fn start_as(self, config: &str) -> Gateway {
         let mut gateway = self.start_with(config);
@@ -280,3 +286,11 @@
 fn config_path(listen: &str) -> String {
     format!("{}/{listen}.json", env!("CARGO_TARGET_TMPDIR"))
 }
+
+/// A gateway that serves before one host, the primary, which follows this script.
+pub fn gateway_with_primary(number: u8, script: Vec<Reply>) -> (Host, Gateway) {
+    let harness = Harness::new(number);
+    let host = harness.host(script);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    (host, gateway)
+}
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -53,9 +53,7 @@
 
 #[test]
 fn a_batch_over_the_bound_of_messages_is_answered_completely_and_in_order() {
-    let harness = Harness::new(220);
-    let host = harness.host(script(BATCH));
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(220, script(BATCH));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 60_000), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -68,9 +66,7 @@
 #[test]
 fn a_batch_over_the_bound_of_bytes_is_answered_completely_and_in_order() {
     const COUNT: usize = 40;
-    let harness = Harness::new(221);
-    let host = harness.host(script(COUNT));
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(221, script(COUNT));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| write(number, LARGE), COUNT));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -89,9 +85,9 @@
     let mut script: Vec<Reply> = (0..CLIENTS).map(|_| Reply::WaitForGo(b"first")).collect();
     script.extend((0..CLIENTS * (COUNT - 1)).map(|_| Reply::Row(b"later")));
     let host = harness.host(script);
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = harness.config().replace("\"memory_mb\":192", "\"memory_mb\":1");
-    let gateway = harness.start_as(&config);
+    let gateway = harness
+        .list(&[(&host, "up", "primary")])
+        .start_changed(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":1"));
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     let mut writers = Vec::new();
     for (place, client) in clients.iter().enumerate() {
@@ -128,9 +124,8 @@
 #[test]
 fn a_client_that_leaves_while_nothing_is_read_from_it_is_noticed() {
     for (number, how) in (223..).zip([Leave::Fin, Leave::Reset, Leave::Terminate]) {
-        let harness = Harness::new(number);
-        let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
-        let gateway = harness.list(&[(&host, "up", "primary")]).start();
+        let (host, gateway) =
+            gateway_with_primary(number, vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
         let mut client = gateway.client();
         client.write(&batch(|number| read(number, 60_000), BATCH));
         host.next_query();
@@ -148,9 +143,7 @@
 #[test]
 fn a_client_that_sends_without_end_holds_bounded_memory_and_keeps_nobody_from_being_served() {
     const MOST: usize = 64 * 1024 * 1024;
-    let harness = Harness::new(226);
-    let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(226, vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
     let mut client = gateway.client();
     let before = gateway.memory();
     let written = client.flood(&batch(|number| read(number, 60_000), 1000), MOST);
@@ -164,9 +157,7 @@
 
 #[test]
 fn requests_that_wait_unread_behind_others_end_in_their_time_and_in_order() {
-    let harness = Harness::new(227);
-    let host = harness.host(vec![Reply::Nothing, Reply::Row(b"after")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(227, vec![Reply::Nothing, Reply::Row(b"after")]);
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 1_500), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -183,9 +174,7 @@
 
 #[test]
 fn a_stop_answers_also_what_was_not_read_yet() {
-    let harness = Harness::new(228);
-    let host = harness.host(script(BATCH));
-    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, mut gateway) = gateway_with_primary(228, script(BATCH));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 25_000), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -39,9 +39,7 @@
 // Any client that had been served once was left 6 s.
 #[test]
 fn a_served_client_that_stops_in_the_middle_of_a_query_gets_its_error_in_time() {
-    let harness = Harness::new(246);
-    let host = harness.host(vec![Reply::Row(b"v")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (_host, gateway) = gateway_with_primary(246, vec![Reply::Row(b"v")]);
     let mut client = gateway.client();
     let text = identified(&select("a", "view", 5_000), "1");
     // The second query comes in part behind a complete one.
@@ -65,9 +63,8 @@
                 let harness = Harness::new(number);
                 let script = vec![Reply::Row(b"one"), Reply::Nothing, Reply::Row(b"two"), Reply::Row(b"two")];
                 let host = harness.host(script);
-                let harness = harness.list(&[(&host, "up", "primary")]);
-                let config = with_long_connect_timeout(&harness.config());
-                let gateway = harness.start_as(&config);
+                let gateway =
+                    harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
                 let mut client = gateway.client();
                 assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"one");
                 gateway.rest();
@@ -87,9 +84,7 @@
     for (number, text) in [(248, select("a", "view", 20_000)), (249, insert("a", 20_000))] {
         let harness = Harness::new(number);
         let host = harness.host(vec![Reply::ResetOnGo(b"one"), Reply::Row(b"two")]);
-        let harness = harness.list(&[(&host, "up", "primary")]);
-        let config = with_long_connect_timeout(&harness.config());
-        let gateway = harness.start_as(&config);
+        let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
         let mut client = gateway.client();
         assert_eq!(client.ask(&text)[1].1[6..], *b"one");
         gateway.rest();
@@ -107,9 +102,7 @@
 fn requests_with_little_time_that_their_host_drops_are_answered_at_once() {
     let harness = Harness::new(250);
     let host = harness.host((0..9).map(|_| Reply::Nothing).collect());
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = with_long_connect_timeout(&harness.config());
-    let gateway = harness.start_as(&config);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
     let mut client = gateway.client();
     // However busy the machine is, the first of these times is enough to reach the host.
     for wait_ms in [2_000, 60, 8, 3, 1] {
@@ -125,9 +118,7 @@
     for (wait_ms, arrives) in [(60, false), (2_000, true)] {
         let harness = Harness::new(255);
         let host = harness.host(vec![Reply::NothingTo("id=1,", b"next"), Reply::NothingTo("id=1,", b"next")]);
-        let harness = harness.list(&[(&host, "up", "primary")]);
-        let config = with_long_connect_timeout(&harness.config());
-        let gateway = harness.start_as(&config);
+        let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
         let mut client = gateway.client();
         let first = identified(&select("a", "view", wait_ms), "1");
         client.write(&[first, identified(&insert("b", 20_000), "2")].concat());
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -5,7 +5,7 @@
 mod harness;
 
 use facade_simulation::*;
-use harness::{insert, kinds, select, unix_ms, Harness, Reply};
+use harness::{gateway_with_primary, insert, kinds, select, unix_ms, Harness, Reply};
 use petrelgauge::facade::{Attempt, Outcome, Ticket};
 use petrelgauge::operator::Operator;
 use petrelgauge::*;
@@ -205,9 +205,7 @@
 
 #[test]
 fn without_an_operators_file_no_token_is_issued_or_accepted() {
-    let harness = Harness::new(62);
-    let host = harness.host(vec![Reply::Row(b"one")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (_host, gateway) = gateway_with_primary(62, vec![Reply::Row(b"one")]);
     let mut client = gateway.client();
     assert_eq!(kinds(&client.ask(&select("a", "view", 5000))), "TDCZ", "no token is issued");
     assert_eq!(kinds(&client.ask("SET petrelgauge.mark = 'x'")), "CZ", "as any other setting");
--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -33,9 +33,8 @@
 
 #[test]
 fn a_client_and_a_host_that_send_one_byte_at_a_time_understand_each_other() {
-    let harness = Harness::new(245);
-    let host = harness.host(vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) =
+        gateway_with_primary(245, vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)]);
     let mut client = TcpStream::connect(gateway.address()).expect("it accepts");
     write_bytes_apart(&mut client, &startup());
     read_until(&mut client, b'Z');
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -16,9 +16,7 @@
 fn a_query_whose_end_comes_when_the_process_may_be_killed_finds_its_connection_closed() {
     let harness = Harness::new(200);
     let host = harness.host(vec![Reply::Row(b"v")]);
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = brief(&harness.config());
-    let mut gateway = harness.start_as(&config);
+    let mut gateway = harness.list(&[(&host, "up", "primary")]).start_changed(brief);
     let mut client = gateway.client();
     let text = query(&select("a", "view", 200));
     client.write(&text[..20]);
@@ -37,9 +35,7 @@
 fn the_end_comes_before_the_kill_whatever_clients_have_begun() {
     let harness = Harness::new(201);
     let host = harness.host(vec![Reply::Nothing]);
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = brief(&harness.config());
-    let mut gateway = harness.start_as(&config);
+    let mut gateway = harness.list(&[(&host, "up", "primary")]).start_changed(brief);
     // One has a query open that no host answers, one has begun another, one has said nothing, one not who it is.
     let (mut asks, mut began, new, mut opening) =
         (gateway.client(), gateway.client(), gateway.client(), gateway.raw_client());
@@ -82,9 +78,7 @@
 
 #[test]
 fn sigterm_ends_idle_clients_and_answers_the_others() {
-    let harness = Harness::new(15);
-    let host = harness.host(vec![Reply::WaitForGo(b"late")]);
-    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, mut gateway) = gateway_with_primary(15, vec![Reply::WaitForGo(b"late")]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     busy.write(&query(&select("a", "view", 60_000)));
     host.next_query();
@@ -101,9 +95,7 @@
 // killed. Its connection was still open for the answer, or for a message that had begun.
 #[test]
 fn what_comes_late_in_a_stop_is_answered_before_the_process_is_killed() {
-    let harness = Harness::new(46);
-    let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Nothing]);
-    let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, mut gateway) = gateway_with_primary(46, vec![Reply::WaitForGo(b"first"), Reply::Nothing]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", 25_000)));
     host.next_query();
@@ -128,9 +120,9 @@
 fn a_read_whose_client_waits_long_is_still_served_in_a_stop() {
     let harness = Harness::new(47);
     let host = harness.host((0..9).map(|_| Reply::Row(b"v")).collect());
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = harness.config().replace("\"late_share\":0.2", "\"late_share\":0.0");
-    let gateway = harness.start_as(&config);
+    let gateway = harness
+        .list(&[(&host, "up", "primary")])
+        .start_changed(|config| config.replace("\"late_share\":0.2", "\"late_share\":0.0"));
     let mut client = gateway.client();
     for place in 0..8 {
         let text = select("a", "view", 30_000).replace("9b1f", &format!("9c{place}0"));
--- a/tests/time_left.rs
+++ b/tests/time_left.rs
@@ -32,9 +32,7 @@
 fn a_connection_that_came_up_late_has_its_time_taken_off() {
     let harness = Harness::new(240);
     let host = harness.slow_host(0, vec![Reply::Row(b"a")]);
-    let harness = harness.list(&[(&host, "up", "primary")]);
-    let config = with_long_connect_timeout(&harness.config());
-    let gateway = harness.start_as(&config);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     host.next_connection();
@@ -46,9 +44,7 @@
 
 #[test]
 fn a_retry_has_the_time_of_the_attempt_before_it_taken_off() {
-    let harness = Harness::new(241);
-    let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"a")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(241, vec![Reply::CloseOnGo, Reply::Row(b"a")]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     assert!(time_left(&host.next_query()) <= WAIT_MS);
@@ -60,9 +56,7 @@
 
 #[test]
 fn a_query_behind_another_has_the_time_of_the_other_taken_off() {
-    let harness = Harness::new(242);
-    let host = harness.host(vec![Reply::WaitForGo(b"a"), Reply::Row(b"b")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let (host, gateway) = gateway_with_primary(242, vec![Reply::WaitForGo(b"a"), Reply::Row(b"b")]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)).repeat(2));
     host.next_query();
--- a/tests/unreachable_hosts.rs
+++ b/tests/unreachable_hosts.rs
@@ -15,9 +15,9 @@
     let known = harness.entries(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
     let address = known.split("\"host_port\":\"").nth(1).and_then(|rest| rest.split('"').next());
     let closed = address.expect("an address").to_string();
-    let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
-    let config = harness.config().replace(&closed, NO_ROUTE);
-    let mut gateway = harness.start_as(&config);
+    let mut gateway = harness
+        .list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")])
+        .start_changed(|config| config.replace(&closed, NO_ROUTE));
     let mut client = gateway.client();
     for _ in 0..30 {
         assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"served");
