--- a/src/facade.rs
+++ b/src/facade.rs
@@ -316,7 +316,7 @@
         self.is_cancelled = true;
     }
 
-    /// Whether it may still be made, as of now: it has not been cancelled, and see [`RequestTable::may_go`].
+    /// Whether it may still be made, as of now: it has not been cancelled, and see [`RequestTable::may_send`].
     pub fn is_wanted(&mut self, now: Time) -> bool {
         // A cancellation may have arrived while the caller did other work.
         self.is_cancelled = self.is_cancelled || self.cancelled.try_recv().is_ok();
--- a/src/net/datagram.rs
+++ b/src/net/datagram.rs
@@ -1,5 +1,5 @@
 //! Calls on datagram sockets between gateways, with the failures that Linux documents for them sorted as in
-//! [`socket`](crate::net::socket).
+//! [`socket`].
 //!
 //! A datagram that cannot be sent is lost like any other, and no failure ends the exchange: the socket serves all peers, so
 //! what the kernel says of one of them, or of this machine for a moment, says nothing of the next call.
