--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -6,6 +6,7 @@
 pub mod counts;
 pub mod fleet;
 pub mod phases;
+pub mod reference_text;
 pub mod workload;
 
 pub const G: GroupId = 7;
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -4,6 +4,7 @@
 
 use super::counts::Counts;
 use super::phases::phase_settings;
+use super::reference_text::reference_text;
 use super::{MS, START};
 use petrelgauge_policy::*;
 use rand_core::{RngCore, SeedableRng};
@@ -394,12 +395,3 @@
         self.open.retain(|open| open != request);
     }
 }
-
-/// The text of some actions by the names that variants had when the digests were taken: a renamed variant is the same
-/// action.
-fn reference_text(actions: &[Action]) -> String {
-    format!("{actions:?}\n")
-        .replace("Cancel {", "CallOff {")
-        .replace("Log {", "Note {")
-        .replace("Reject {", "Refuse {")
-}
--- a/src/net/client_request.rs
+++ b/src/net/client_request.rs
@@ -33,7 +33,7 @@
     /// What it is called in the log.
     fn log_name(&self) -> &'static str {
         match self {
-            RequestEnd::Answered(_) => "given",
+            RequestEnd::Answered(_) => "answered",
             RequestEnd::Rejected { .. } => "refused",
             RequestEnd::Failed => "failed",
             RequestEnd::Cancelled => "cancelled",
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -315,12 +315,12 @@
     }
     let (hosts_report_positions, hosts_enforce_positions) =
         (config.info.tells_positions(), config.info.checks());
-    let told = petrelgauge_sessions::Settings {
+    let defaults = petrelgauge_sessions::Settings {
         hosts_report_positions,
         hosts_enforce_positions,
         ..Default::default()
     };
-    let settings = petrelgauge_sessions::Settings { roams: false, tokens: false, ..told };
+    let settings = petrelgauge_sessions::Settings { roams: false, tokens: false, ..defaults };
     let tracker = SessionTracker::new(settings, 0)?;
     Ok((Some(SessionTracking { tracker, classes }), None))
 }
--- a/src/net/source.rs
+++ b/src/net/source.rs
@@ -49,11 +49,11 @@
     let stream = open(address, "", clock).await?;
     loop {
         let read = answer.read(&stream, clock).await;
-        let whole = std::mem::take(&mut answer.texts).into_iter().find_map(|text| match text {
+        let complete_list = std::mem::take(&mut answer.texts).into_iter().find_map(|text| match text {
             Text::Whole(text) => serde_json::from_slice(&text).ok(),
             Text::Broken => None,
         });
-        match (whole, read) {
+        match (complete_list, read) {
             (Some(list), _) => return Ok(list),
             (None, Err(cause)) => return Err(cause),
             (None, Ok(())) => {}
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -78,8 +78,8 @@
     }
     if let Some(handover) = &handover {
         let Resources { facade, budget, .. } = &resources;
-        let (names, whole) = (control.names.clone(), full_reservation.clone());
-        tasks.spawn_local(handover.clone().keep(clock, facade.clone(), budget.clone(), names, whole));
+        let (names, reservation) = (control.names.clone(), full_reservation.clone());
+        tasks.spawn_local(handover.clone().keep(clock, facade.clone(), budget.clone(), names, reservation));
     }
     let front = Rc::new(resources.front(&config, control.hosts.clone(), followed_state));
     let has_spoken = control.has_spoken.clone();
