--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -53,10 +53,10 @@
     let entries: Vec<Entry> = (1..=3).map(|id| entry(id, MemberStatus::Up, id == 1, 0)).collect();
     let members = (1..=3).map(|id| (id, id == 1, 5, 60 * MS)).collect();
     let mut fleet = Fleet::new(routers, &entries, members);
-    let mut dice: u64 = 1;
+    let mut draw: u64 = 1;
     for _ in 0..4_000 {
-        dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let (arrives, heavy, place) = (dice >> 60, dice >> 59 & 1, (dice >> 20) as usize);
+        draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let (arrives, heavy, place) = (draw >> 60, draw >> 59 & 1, (draw >> 20) as usize);
         // Two in sixteen ticks of 5 ms bring one: 25 a second; the second of a burst comes to the same router.
         if arrives < 2 {
             let router = if heavy == 1 { place % (routers / 10) } else { place % routers };
@@ -223,10 +223,10 @@
 
 /// A group loses its primary for 3 s and then has another; 50 writes a second come, each to the next router. Misses for
 /// each write, and the share of the writes served in the end.
-fn misses_for_a_lost_primary(routers: usize, scout: bool) -> (f64, f64) {
+fn misses_for_a_lost_primary(routers: usize, announced: bool) -> (f64, f64) {
     let entries: Vec<Entry> = (1..=6).map(|id| entry(id, MemberStatus::Up, id == 1, 0)).collect();
     let mut fleet = Fleet::new(routers, &entries, (1..=6).map(|id| (id, false, 5, 30 * MS)).collect());
-    if scout {
+    if announced {
         fleet.announced_primary = Some(None);
         let mut set = Settings { routers: routers as u32, may_probe: false, ..settings() };
         set.classes.iter_mut().for_each(|class| class.attempts = 8);
--- a/src/net/attempt_io.rs
+++ b/src/net/attempt_io.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The answer is complete: whether it is a copy of the connection's last one is told by their hashes.
+    /// The answer is complete: whether it is a copy of the connection's last one shows in their hashes.
     fn complete_answer(&mut self, reply: Reply) -> Event {
         let Some(connection) = &mut self.connection else { return Event::Broke };
         let is_row = matches!(reply.answer, Answer::Row(_));
--- a/src/net/client_reader.rs
+++ b/src/net/client_reader.rs
@@ -281,7 +281,7 @@
     }
 
     /// Reads ahead while an answer is being written, and never ends. A query that comes meanwhile would else be taken for
-    /// one that has just come when the answer is written, and its host be told more time than its client has.
+    /// one that has just come when the answer is written, and its host be given more time than its client has.
     pub(super) async fn read_ahead(&mut self) {
         if self.opened {
             self.left().await;
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -39,7 +39,7 @@
 const SHED_INTERVAL: Time = 50_000;
 /// What a query waits here before it is read, the decisions before they are stepped, and a refusal before its client has
 /// it (microseconds): the 99th percentile of one of the three with the processor shared. More is no better: a client that
-/// is refused sooner has more time left than it is told to stay away, and comes back with nothing of it left.
+/// is refused sooner has more time left than its Retry-After says, and comes back with nothing of it left.
 const QUEUEING_ALLOWANCE: Time = 3_000;
 
 /// Times that a start tries to open the socket for datagrams while the machine lacks descriptors or memory (count).
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -48,13 +48,13 @@
     bad_reports,
     /// Attempts handed out by the decisions.
     attempts,
-    /// Attempts written whole to a database host.
+    /// Attempts written completely to a database host.
     sent,
     /// Connections opened to database hosts.
     host_connects,
     /// Changes of the list.
     lists,
-    /// News from discovery that could not be used.
+    /// Updates of discovery that could not be used.
     bad_lists,
     /// Configurations read again and taken.
     reloads,
@@ -74,9 +74,9 @@
     heard_bytes,
     /// Bytes that discovery's watch has brought.
     list_bytes,
-    /// Words of a scout that named a known member.
+    /// Announced primaries that are known members.
     words,
-    /// Datagrams about duties that could not be used.
+    /// Datagrams about leaderships that could not be used.
     bad_words,
     /// Callers of the second address.
     calls,
--- a/src/net/endpoint_list.rs
+++ b/src/net/endpoint_list.rs
@@ -62,7 +62,7 @@
         self.up_since_ms.saturating_mul(MICROSECONDS_PER_MILLISECOND).max(0)
     }
 
-    /// What the routing decisions are told of the host with the number `member`.
+    /// What the router is notified of the host with the number `member`.
     pub(super) fn entry(&self, member: MemberId) -> Entry {
         Entry {
             member,
--- a/src/net/message_writer.rs
+++ b/src/net/message_writer.rs
@@ -14,7 +14,7 @@
 const DETAIL_FIELD: u8 = b'D';
 /// State of a ReadyForQuery: outside of a transaction.
 const IDLE: u8 = b'I';
-/// Parameters that a client is told of at its start: what drivers ask for before they go on.
+/// Parameters that a client is sent at its start: what drivers ask for before they go on.
 const STARTUP_PARAMETERS: [(&str, &str); 3] =
     [("server_version", "15.0"), ("client_encoding", "UTF8"), ("standard_conforming_strings", "on")];
 
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Makes a call that does not wait, again while signals interrupt it. The operation is told how many bytes it may move.
+/// Makes a call that does not wait, again while signals interrupt it. The operation gets the number of bytes that it may move.
 ///
 /// # Errors
 ///
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -15,9 +15,9 @@
 const ROUNDS: u32 = 4_000;
 
 /// A row of numbers from a seed, the same everywhere.
-struct Dice(u64);
+struct FuzzRng(u64);
 
-impl Dice {
+impl FuzzRng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -30,45 +30,45 @@
 }
 
 /// One to four changes: a bit, a byte of note, a cut, a piece twice, a piece of another sample, a length.
-fn mutate(dice: &mut Dice, corpus: &[Vec<u8>]) -> Vec<u8> {
-    let mut bytes = corpus[dice.below(corpus.len())].clone();
-    for _ in 0..=dice.below(4) {
-        let at = dice.below(bytes.len() + 1).min(bytes.len().saturating_sub(1));
-        match dice.below(7) {
-            _ if bytes.is_empty() => bytes.push(dice.next() as u8),
-            0 => bytes[at] ^= 1 << dice.below(8),
-            1 => bytes[at] = [0, 1, 0x7f, 0x80, 0xff, b'\'', b'*', b'/', b',', b'=', b'"'][dice.below(11)],
+fn mutate(rng: &mut FuzzRng, corpus: &[Vec<u8>]) -> Vec<u8> {
+    let mut bytes = corpus[rng.below(corpus.len())].clone();
+    for _ in 0..=rng.below(4) {
+        let at = rng.below(bytes.len() + 1).min(bytes.len().saturating_sub(1));
+        match rng.below(7) {
+            _ if bytes.is_empty() => bytes.push(rng.next() as u8),
+            0 => bytes[at] ^= 1 << rng.below(8),
+            1 => bytes[at] = [0, 1, 0x7f, 0x80, 0xff, b'\'', b'*', b'/', b',', b'=', b'"'][rng.below(11)],
             2 => bytes.truncate(at),
             3 => {
-                let piece = bytes[at..(at + dice.below(16)).min(bytes.len())].to_vec();
+                let piece = bytes[at..(at + rng.below(16)).min(bytes.len())].to_vec();
                 bytes.splice(at..at, piece);
             }
             4 => {
-                let other = &corpus[dice.below(corpus.len())];
-                let from = dice.below(other.len());
-                let piece = other[from..(from + dice.below(24)).min(other.len())].to_vec();
+                let other = &corpus[rng.below(corpus.len())];
+                let from = rng.below(other.len());
+                let piece = other[from..(from + rng.below(24)).min(other.len())].to_vec();
                 bytes.splice(at..at, piece);
             }
             5 => {
                 let lengths = [0u32, 3, 4, 5, 0x7fff_ffff, 0x8000_0000, u32::MAX];
-                let length = lengths[dice.below(7)].to_be_bytes();
+                let length = lengths[rng.below(7)].to_be_bytes();
                 (0..4)
                     .filter_map(|n| bytes.get_mut(at + n).map(|_| n))
                     .collect::<Vec<_>>()
                     .into_iter()
                     .for_each(|n| bytes[at + n] = length[n]);
             }
-            _ => drop(bytes.drain(at..(at + dice.below(8)).min(bytes.len()))),
+            _ => drop(bytes.drain(at..(at + rng.below(8)).min(bytes.len()))),
         }
     }
     bytes
 }
 
 fn rounds(seed: u64, corpus: &[Vec<u8>], mut play: impl FnMut(&[u8])) {
-    let mut dice = Dice(seed);
+    let mut rng = FuzzRng(seed);
     corpus.iter().for_each(|sample| play(sample));
     for _ in 0..ROUNDS * corpus.len() as u32 {
-        play(&mutate(&mut dice, corpus));
+        play(&mutate(&mut rng, corpus));
     }
 }
 
