--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -1,4 +1,4 @@
-//! Models `attempt`, `primary` and `desk`: requests in the gateway's own request table and router, each attempt with its
+//! Models `attempt`, `primary` and `request_table`: requests in the gateway's own request table and router, each attempt with its
 //! own state machine; the clients, the hosts, the endpoint list and the time belong to the model. Time passes in granules;
 //! the router's orders at each are carried out at once, and everything else happens in every order between two of them.
 //!
@@ -301,7 +301,7 @@
     check(Attempts::new(scenario), path)
 }
 
-/// Model `desk`: a write that must not run twice and a read of any data, whose clients may leave.
+/// Model `request_table`: a write that must not run twice and a read of any data, whose clients may leave.
 pub fn request_table(size: Size, path: &[String]) -> Report {
     let write = class("once", Need::Write, Effect::Unsafe);
     let read = class("any", Need::Eventual, Effect::Safe);
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! | file | model |
 //! | --- | --- |
-//! | `attempts/` | requests, members and attempts with the real router: models `attempt`, `primary`, `desk` |
+//! | `attempts/` | requests, members and attempts with the real router: models `attempt`, `primary`, `request_table` |
 //! | `connection/` | connections to one host that are reused: model `connection` |
 //! | `stop.rs` | SIGTERM, drain, resume and reload with requests open: model `stop` |
 //! | `watermarks.rs` | watermarks of a session, broadcast between two gateways: model `marks` |
@@ -66,7 +66,7 @@
         run: attempts::primary,
     },
     ModelEntry {
-        name: "desk",
+        name: "request_table",
         description: "a write that must not run twice and a read; outcome, rejection, abandonment, cancellation in every order",
         run: attempts::request_table,
     },
@@ -117,7 +117,7 @@
         | Mutant::UnwantedHedge
         | Mutant::RejectedAsRetryable
         | Mutant::RejectedAfterAnswer => "attempt",
-        Mutant::UnsafeRetried | Mutant::SentAfterDeadline | Mutant::CancellationUnreported => "desk",
+        Mutant::UnsafeRetried | Mutant::SentAfterDeadline | Mutant::CancellationUnreported => "request_table",
         Mutant::ReportedBeforeClose
         | Mutant::StallLimitBeforeAnswer
         | Mutant::UnreadConnectionPooled
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -144,7 +144,7 @@
     }
 
     /// Whether the member has been silent for all of the attempt's time. With health checks, one of them
-    /// would have told before.
+    /// would have reported before.
     fn was_silent(&self, outcome: &AttemptOutcome, measurement: &Measurement) -> bool {
         let silent = self.members.get(&outcome.member).is_some_and(|m| m.last_heard_at <= measurement.sent);
         outcome.ending == Ending::TimedOut && silent && !self.settings.may_probe
