--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection to a gateway, speaking PostgreSQL's simple query protocol.
 
-use petrelgauge::net::pg::{self, Framer};
+use petrelgauge::postgres::{self, Framer};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -76,7 +76,7 @@
         stream.set_nodelay(true)?;
         let mut connection = Connection { stream, framer: Framer::default() };
         let mut startup = Vec::new();
-        pg::put_startup(&mut startup);
+        postgres::put_startup(&mut startup);
         connection.stream.write_all(&startup).await?;
         Ok(connection)
     }
@@ -84,7 +84,7 @@
     /// Sends a query and waits for its answer. The connection cannot be used again after [`Answer::NoAnswer`].
     pub async fn query(&mut self, text: &str, time_limit: Duration) -> Answer {
         let mut query = Vec::new();
-        pg::put(&mut query, b'Q', |body| {
+        postgres::put(&mut query, b'Q', |body| {
             body.extend_from_slice(text.as_bytes());
             body.push(0);
         });
@@ -106,11 +106,11 @@
                         answer.has_result = true;
                     }
                     b'E' => {
-                        answer.code = pg::error_field(message.body(), b'C').map(str::to_string);
+                        answer.code = postgres::error_field(message.body(), b'C').map(str::to_string);
                         answer.has_result = true;
                     }
                     b'S' => {
-                        if let Some((SESSION_TOKEN_PARAMETER, value)) = pg::parameter(message.body()) {
+                        if let Some((SESSION_TOKEN_PARAMETER, value)) = postgres::parameter(message.body()) {
                             answer.token = Some(value.to_string());
                         }
                     }
--- a/crates/lab/src/emulated_hosts.rs
+++ b/crates/lab/src/emulated_hosts.rs
@@ -2,9 +2,9 @@
 
 use crate::replicated_group::{Group, MemberRole};
 use crate::statements::FIRST_GROUP;
-use petrelgauge::net::cancel::CancelKey;
-use petrelgauge::net::clock::Clock;
-use petrelgauge::net::pg::{self, Framer, Opening, Severity};
+use petrelgauge::os::clock::Clock;
+use petrelgauge::postgres::cancel::CancelKey;
+use petrelgauge::postgres::{self, Framer, Opening, Severity};
 use petrelgauge::Time;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -130,7 +130,7 @@
                 if let Some(opening) = framer.opening().ok()? {
                     let Opening::Startup { minor } = opening else { return None };
                     let mut welcome = Vec::new();
-                    pg::put_startup_answer(&mut welcome, minor, CancelKey { process: 1, secret: 0 });
+                    postgres::put_startup_answer(&mut welcome, minor, CancelKey { process: 1, secret: 0 });
                     stream.write_all(&welcome).await.ok()?;
                     is_open = true;
                     continue;
@@ -176,18 +176,18 @@
             put_row(&mut out, version.number);
         } else {
             let code = if is_replica { SQLSTATE_READ_ONLY } else { SQLSTATE_INTERNAL_ERROR };
-            pg::put_error(&mut out, Severity::Error, code, "not the primary", None);
+            postgres::put_error(&mut out, Severity::Error, code, "not the primary", None);
         }
         if is_replica {
             reported_ms += self.position_overstatement.get() / 1000;
         }
-        pg::put_parameter_status(
+        postgres::put_parameter_status(
             &mut out,
             "replication_role",
             if is_replica { "standby" } else { "primary" },
         );
-        pg::put_parameter_status(&mut out, "log_position", &reported_ms.to_string());
-        pg::put_ready(&mut out);
+        postgres::put_parameter_status(&mut out, "log_position", &reported_ms.to_string());
+        postgres::put_ready(&mut out);
         Some(out)
     }
 
@@ -201,7 +201,7 @@
     ) {
         let result = state.read(member, statement.row, now);
         if statement.class == Some(BOUNDED_CLASS) && result.position < now - self.staleness_bound {
-            pg::put_error(out, Severity::Error, SQLSTATE_TOO_FAR_BEHIND, "too far behind", None);
+            postgres::put_error(out, Severity::Error, SQLSTATE_TOO_FAR_BEHIND, "too far behind", None);
             return;
         }
         let is_replica = state.members[member].role == MemberRole::Replica;
@@ -213,14 +213,14 @@
 
 /// Appends a row whose one value is a version's number.
 fn put_row(out: &mut Vec<u8>, version: u64) {
-    pg::put(out, b'T', |body| {
+    postgres::put(out, b'T', |body| {
         body.extend_from_slice(b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     });
     let value = version.to_string();
-    pg::put(out, b'D', |body| {
+    postgres::put(out, b'D', |body| {
         body.extend_from_slice(&[0, 1]);
         body.extend_from_slice(&(value.len() as u32).to_be_bytes());
         body.extend_from_slice(value.as_bytes());
     });
-    pg::put_complete(out, "SELECT 1");
+    postgres::put_complete(out, "SELECT 1");
 }
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,8 +1,8 @@
 //! Why the laboratory cannot run something.
 
 use crate::scale::capacity::CapacityError;
-use petrelgauge::net::config::ConfigError;
-use petrelgauge::net::control::ControlError;
+use petrelgauge::control::config::ConfigError;
+use petrelgauge::control::ControlError;
 use std::time::Duration;
 use thiserror::Error;
 
--- a/crates/lab/src/sessions/run_state.rs
+++ b/crates/lab/src/sessions/run_state.rs
@@ -3,7 +3,7 @@
 use crate::ledger::Ledger;
 use crate::phase_statistics::PhaseStatistics;
 use crate::test_cluster::TestCluster;
-use petrelgauge::net::clock::Clock;
+use petrelgauge::os::clock::Clock;
 use petrelgauge::Time;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/src/bin/petrelgauge-simulator-adapter/error.rs
+++ b/src/bin/petrelgauge-simulator-adapter/error.rs
@@ -1,6 +1,6 @@
 //! Why a line of the simulator cannot be used.
 
-use petrelgauge::settings::DeploymentError;
+use petrelgauge::settings::deployment::DeploymentError;
 use petrelgauge::SettingsError;
 use thiserror::Error;
 
--- a/src/bin/petrelgauge-simulator-adapter/instance.rs
+++ b/src/bin/petrelgauge-simulator-adapter/instance.rs
@@ -3,7 +3,7 @@
 use crate::error::EventError;
 use crate::sessions::Sessions;
 use crate::wire::{self, OutcomeMessage, RequestMessage, WireEvent};
-use petrelgauge::settings::{self, Info};
+use petrelgauge::settings::deployment::{self, Info};
 use petrelgauge::{Action, Ending, Entry, Event, GroupId, Need, Report, Router, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -136,7 +136,7 @@
 
     fn load_report(&self, values: Option<Vec<f64>>) -> Report {
         let names = self.report_names.iter().map(String::as_str);
-        settings::report(self.position_origin, names.zip(values.unwrap_or_default()))
+        deployment::report(self.position_origin, names.zip(values.unwrap_or_default()))
     }
 }
 
--- a/src/bin/petrelgauge-simulator-adapter/sessions.rs
+++ b/src/bin/petrelgauge-simulator-adapter/sessions.rs
@@ -1,6 +1,6 @@
 //! Session consistency of an instance whose deployment has it remember the writes of its clients.
 
-use petrelgauge::settings::Info;
+use petrelgauge::settings::deployment::Info;
 use petrelgauge::{GroupId, Need, RequestId, Time};
 use petrelgauge_sessions::{SessionKey, SessionTracker};
 use std::collections::BTreeMap;
--- a/src/bin/petrelgauge-simulator-adapter/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's messages in JSON, and their words for members, endings and actions.
 
 use crate::error::EventError;
-use petrelgauge::settings::Info;
+use petrelgauge::settings::deployment::Info;
 use petrelgauge::{Action, Ending, Entry, MemberId, MemberStatus, RequestId, Role, Time};
 use serde::Deserialize;
 use serde_json::{json, Value};
--- a/src/net/accept_loop.rs
+++ b/src/client/accept_loop.rs
@@ -1,7 +1,7 @@
 //! The loop that accepts clients, up to the gateway's stop and through calls that fail.
 
-use crate::net::clock::Clock;
-use crate::net::socket::{self, Acceptor, SocketError};
+use crate::os::clock::Clock;
+use crate::os::socket::{self, Acceptor, SocketError};
 use crate::Time;
 use petrelgauge_lifecycle::gateway::ServingState;
 use tokio::sync::watch;
--- a/src/net/client_acceptor.rs
+++ b/src/client/acceptor.rs
@@ -1,10 +1,10 @@
 //! The accepting of clients, and the session that each of them gets.
 
-use crate::net::accept_loop::{AcceptLoop, ClientHandler};
-use crate::net::budget::DescriptorSlot;
-use crate::net::client_reader::ClientReader;
-use crate::net::client_session::ClientSession;
-use crate::net::front::Front;
+use crate::client::accept_loop::{AcceptLoop, ClientHandler};
+use crate::client::context::Front;
+use crate::client::reader::ClientReader;
+use crate::client::session::ClientSession;
+use crate::resources::budget::DescriptorSlot;
 use petrelgauge_sessions::SessionTokens;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/net/front.rs
+++ b/src/client/context.rs
@@ -2,14 +2,14 @@
 //! life means for them.
 
 use crate::facade::Facade;
-use crate::net::budget::Budget;
-use crate::net::cancel::CancelKeys;
-use crate::net::clock::Clock;
-use crate::net::counters::{Counters, Gauge};
-use crate::net::hosts::Hosts;
-use crate::net::pg;
-use crate::net::read_buffer::ReadBuffer;
-use crate::net::set_statement;
+use crate::host::pool::Hosts;
+use crate::os::clock::Clock;
+use crate::postgres;
+use crate::postgres::cancel::CancelKeys;
+use crate::postgres::read_buffer::ReadBuffer;
+use crate::resources::budget::Budget;
+use crate::resources::counters::{Counters, Gauge};
+use crate::sql::set_statement;
 use crate::Time;
 use petrelgauge_lifecycle::gateway::{ReadDeadlines, ServingState};
 use petrelgauge_sessions::SessionKey;
@@ -50,7 +50,7 @@
     /// Appends the session's token, where its client carries one.
     pub(super) fn put_session_token(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
         if let Some(token) = session.and_then(|key| self.facade.token(self.clock.now(), key)) {
-            pg::put_parameter_status(out, set_statement::TOKEN_SETTING, &token);
+            postgres::put_parameter_status(out, set_statement::TOKEN_SETTING, &token);
         }
     }
 
--- a/src/net/client_reader.rs
+++ b/src/client/reader.rs
@@ -1,17 +1,17 @@
 //! Reads one client's messages in order, a bounded number of them ahead of the one that is being answered.
 
-use crate::net::budget::MemoryReservation;
-use crate::net::cancel::CancelKey;
-use crate::net::clock::Clock;
-use crate::net::counters::Counters;
-use crate::net::ending::End;
-use crate::net::front::Front;
-use crate::net::pg::{self, Framer, Message, Opening};
-use crate::net::read_buffer::{self, ReadBuffer};
-use crate::net::socket::{self, SocketError};
+use crate::client::context::Front;
+use crate::os::clock::Clock;
+use crate::os::socket::{self, SocketError};
+use crate::postgres::cancel::CancelKey;
+use crate::postgres::read_buffer::{self, ReadBuffer};
+use crate::postgres::{self, Framer, Message, Opening};
+use crate::resources::budget::MemoryReservation;
+use crate::resources::counters::Counters;
 use crate::Time;
 use bytes::Bytes;
 use petrelgauge_lifecycle::client::{Event, MessageKind, Stage};
+use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::read_ahead::ReadAhead;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -48,8 +48,8 @@
     pub(super) text: &'static str,
 }
 
-impl From<pg::Malformed> for ProtocolError {
-    fn from(malformed: pg::Malformed) -> ProtocolError {
+impl From<postgres::Malformed> for ProtocolError {
+    fn from(malformed: postgres::Malformed) -> ProtocolError {
         ProtocolError { end: End::ClientMalformed, code: "08P01", text: malformed.0 }
     }
 }
--- a/src/net/client_request.rs
+++ b/src/client/request.rs
@@ -1,18 +1,18 @@
 //! One query of a client: read, decided on, and answered.
 
+use crate::client::context::Front;
+use crate::client::request_parser::{ClientRequest, UnusableStatement, MICROSECONDS_PER_MILLISECOND};
+use crate::client::session::ClientSession;
 use crate::facade::Decision;
-use crate::net::attempt::{AnswerBody, HostAnswer};
-use crate::net::client_session::ClientSession;
-use crate::net::ending::End;
-use crate::net::front::Front;
-use crate::net::pg::{self, Answer, Severity};
-use crate::net::request_parser::{ClientRequest, UnusableStatement, MICROSECONDS_PER_MILLISECOND};
-use crate::net::set_statement::{self, Setting};
-use crate::net::sqlstate;
-use crate::net::streamed_row::{RowCompletion, StreamedRow};
+use crate::host::attempt::{AnswerBody, HostAnswer};
+use crate::host::streamed_row::{RowCompletion, StreamedRow};
+use crate::postgres::sqlstate;
+use crate::postgres::{self, Answer, Severity};
+use crate::sql::set_statement::{self, Setting};
 use crate::Time;
 use bytes::{Buf, Bytes};
 use petrelgauge_lifecycle::client::QueryOutcome;
+use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_lifecycle::request::{Event, FinalAnswer, RequestState};
 use std::pin::pin;
@@ -69,7 +69,7 @@
             QueryOutcome::AnsweredLocally
         } else if let Some(setting) = set_statement::parse(&text) {
             match self.apply(setting) {
-                Ok(tag) => pg::put_complete(&mut out, tag),
+                Ok(tag) => postgres::put_complete(&mut out, tag),
                 Err(error) => self.put_unusable(&mut out, &error),
             }
             QueryOutcome::AnsweredLocally
@@ -80,7 +80,7 @@
             }
             QueryOutcome::Unusable
         };
-        pg::put_ready(&mut out);
+        postgres::put_ready(&mut out);
         self.write(&out[..], at).await?;
         Ok(used)
     }
@@ -88,16 +88,16 @@
     /// The answer to an empty query, by which load balancers learn whether to send clients here.
     fn put_empty_query_answer(&self, out: &mut Vec<u8>) {
         if self.serving_state.borrow().reports_ready() {
-            pg::put_empty(out);
+            postgres::put_empty(out);
         } else {
             let message = "this gateway is being drained";
-            pg::put_error(out, Severity::Error, sqlstate::CANNOT_CONNECT_NOW, message, None);
+            postgres::put_error(out, Severity::Error, sqlstate::CANNOT_CONNECT_NOW, message, None);
         }
     }
 
     fn put_unusable(&self, out: &mut Vec<u8>, error: &UnusableStatement) {
         self.front.counters.bad_statements.add();
-        pg::put_error(out, Severity::Error, error.sqlstate(), &error.to_string(), None);
+        postgres::put_error(out, Severity::Error, error.sqlstate(), &error.to_string(), None);
     }
 
     /// Carries out a setting, and gives the tag of its completion. Only the session's tokens have an effect here.
@@ -173,7 +173,7 @@
     async fn write_row(&mut self, messages: &[Bytes], request: &ClientRequest) -> Result<(), End> {
         let mut out = Vec::new();
         self.front.put_session_token(&mut out, request.session_key());
-        pg::put_ready(&mut out);
+        postgres::put_ready(&mut out);
         let [description, row, completion] =
             [0, 1, 2].map(|index| messages.get(index).cloned().unwrap_or_default());
         let answer = description.chain(row).chain(completion).chain(Bytes::from(out));
@@ -182,11 +182,17 @@
 
     async fn write_error(&mut self, error: ErrorAnswer<'_>, request: &ClientRequest) -> Result<(), End> {
         let mut out = Vec::new();
-        pg::put_error(&mut out, Severity::Error, error.sqlstate, error.message, error.detail.as_deref());
+        postgres::put_error(
+            &mut out,
+            Severity::Error,
+            error.sqlstate,
+            error.message,
+            error.detail.as_deref(),
+        );
         if error.may_have_run {
             self.front.put_session_token(&mut out, request.session_key());
         }
-        pg::put_ready(&mut out);
+        postgres::put_ready(&mut out);
         self.write(&out[..], request.request.until).await
     }
 
@@ -210,7 +216,7 @@
         front.facade.record_late_report(now, host, outcome);
         let mut out = command_complete.to_vec();
         front.put_session_token(&mut out, request.session_key());
-        pg::put_ready(&mut out);
+        postgres::put_ready(&mut out);
         self.write(&out[..], front.clock.now()).await
     }
 
--- a/src/net/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -1,10 +1,10 @@
 //! Reads a client's statement as a request: what the statement says is checked against the classes, groups and sessions
 //! that are served.
 
+use crate::client::context::{Front, ReservedRequestId};
 use crate::facade::{Request, SessionRef};
-use crate::net::front::{Front, ReservedRequestId};
-use crate::net::sqlstate;
-use crate::net::statement::{Statement, StatementError};
+use crate::postgres::sqlstate;
+use crate::sql::statement::{Statement, StatementError};
 use crate::{Class, Effect, Need, Time};
 use bytes::Bytes;
 use petrelgauge_sessions::{SessionKey, SessionTokens, TokenError};
--- a/src/net/client_session.rs
+++ b/src/client/session.rs
@@ -1,15 +1,15 @@
 //! One client's connection: PostgreSQL's simple queries in, one final answer out for each.
 
-use crate::net::budget::Idleness;
-use crate::net::cancel::RegisteredKey;
-use crate::net::client_reader::{ClientEvent, ClientReader, ProtocolError, UNFINISHED, UNKNOWN};
-use crate::net::ending::End;
-use crate::net::front::Front;
-use crate::net::pg::{self, Severity};
-use crate::net::socket::{self, Unread};
+use crate::client::context::Front;
+use crate::client::reader::{ClientEvent, ClientReader, ProtocolError, UNFINISHED, UNKNOWN};
+use crate::os::socket::{self, Unread};
+use crate::postgres::cancel::RegisteredKey;
+use crate::postgres::{self, Severity};
+use crate::resources::budget::Idleness;
 use crate::Time;
 use bytes::Buf;
 use petrelgauge_lifecycle::client::{Action, Client, Event, Stage};
+use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_sessions::SessionTokens;
 use std::rc::Rc;
@@ -78,12 +78,14 @@
                 Action::CutOff { unfinished: true, .. } => return self.cut_off(UNFINISHED).await,
                 Action::CutOff { .. } => return self.cut_off(event.error.unwrap_or(UNKNOWN)).await,
                 Action::DeclineEncryption => out.push(b'N'),
-                Action::AcceptStartup => pg::put_startup_answer(&mut out, event.minor, self.cancel_key.key),
-                Action::Ready => pg::put_ready(&mut out),
+                Action::AcceptStartup => {
+                    postgres::put_startup_answer(&mut out, event.minor, self.cancel_key.key)
+                }
+                Action::Ready => postgres::put_ready(&mut out),
                 Action::Unsupported { ready } => {
                     put_unsupported(&mut out);
                     if ready {
-                        pg::put_ready(&mut out);
+                        postgres::put_ready(&mut out);
                     }
                 }
             }
@@ -172,7 +174,7 @@
     /// Says why the connection ends, and ends it.
     async fn cut_off(&mut self, error: ProtocolError) -> Result<End, End> {
         let mut out = Vec::new();
-        pg::put_error(&mut out, Severity::Fatal, error.code, error.text, None);
+        postgres::put_error(&mut out, Severity::Fatal, error.code, error.text, None);
         let clock = self.front.clock;
         self.reader.fail(error);
         self.write(&out[..], clock.now()).await?;
@@ -217,5 +219,5 @@
 }
 
 fn put_unsupported(out: &mut Vec<u8>) {
-    pg::put_error(out, Severity::Error, "0A000", "only simple queries are served", None);
+    postgres::put_error(out, Severity::Error, "0A000", "only simple queries are served", None);
 }
--- a/src/net/config.rs
+++ b/src/control/config.rs
@@ -1,8 +1,8 @@
 //! The configuration of a gateway: the environment and the JSON file that it names.
 
-use crate::net::endpoint_list::List;
-use crate::operator::{Operator, OperatorError};
-use crate::settings::{DeploymentError, Info};
+use crate::discovery::endpoint_list::List;
+use crate::settings::deployment::{DeploymentError, Info};
+use crate::settings::operator::{Operator, OperatorError};
 use crate::SettingsError;
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/net/control.rs
+++ b/src/control/mod.rs
@@ -2,23 +2,26 @@
 //! other. It serves no client by itself. The program builds one and puts a front before it; the laboratory builds many
 //! in one process and gives each of them demand that nobody sent.
 
+pub mod config;
+pub mod ops;
+
+use crate::control::config::Config;
+use crate::discovery::host_names::HostNames;
+use crate::discovery::watch::DiscoveryWatch;
 use crate::facade::{Facade, SessionTracking, SettingsRejected};
-use crate::net::budget::Budget;
-use crate::net::clock::Clock;
-use crate::net::config::Config;
-use crate::net::counters::Counters;
-use crate::net::datagram::DatagramSocket;
-use crate::net::discovery::DiscoveryWatch;
-use crate::net::host_names::HostNames;
-use crate::net::hosts::Hosts;
-use crate::net::leadership::{FleetLeadership, LeadershipConfig};
-use crate::net::peers::Peers;
-use crate::net::primary_discovery::PrimaryDiscovery;
-use crate::net::quota_lending::{Demand, QuotaLending};
-use crate::net::read_buffer::ReadBuffer;
-use crate::net::socket::{self, SocketError};
-use crate::operator::SessionClassesError;
-use crate::settings::DeploymentError;
+use crate::fleet::leadership::{FleetLeadership, LeadershipConfig};
+use crate::fleet::peers::Peers;
+use crate::fleet::primary_discovery::PrimaryDiscovery;
+use crate::fleet::quota_lending::{Demand, QuotaLending};
+use crate::host::pool::Hosts;
+use crate::os::clock::Clock;
+use crate::os::datagram::DatagramSocket;
+use crate::os::socket::{self, SocketError};
+use crate::postgres::read_buffer::ReadBuffer;
+use crate::resources::budget::Budget;
+use crate::resources::counters::Counters;
+use crate::settings::deployment::DeploymentError;
+use crate::settings::operator::SessionClassesError;
 use crate::{Class, MemberId, Need, Settings, SettingsError, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
 use petrelgauge_ownership::LeaseManager;
--- a/src/net/ops.rs
+++ b/src/control/ops.rs
@@ -1,10 +1,10 @@
 //! The address for operators' commands: one line in, one line out. What a line means and what is answered to it stands in
 //! `petrelgauge_lifecycle::ops`.
 
-use crate::net::clock::Clock;
-use crate::net::counters::Counters;
-use crate::net::hosts::Hosts;
-use crate::net::socket::{self, ByteStream, SocketError};
+use crate::host::pool::Hosts;
+use crate::os::clock::Clock;
+use crate::os::socket::{self, ByteStream, SocketError};
+use crate::resources::counters::Counters;
 use crate::Time;
 use petrelgauge_lifecycle::ops::{
     self, Command, CommandError, Reply, LINE_TIMEOUT, MAX_CALLERS, MAX_LINE_BYTES,
--- a/src/net/source.rs
+++ b/src/discovery/source.rs
@@ -1,9 +1,9 @@
 //! Calls to discovery: a connection, the question, and the answer as it is read.
 
-use crate::net::clock::Clock;
-use crate::net::endpoint_list::List;
-use crate::net::lines::{AnswerError, Lines, Text, Texts};
-use crate::net::socket::{self, ByteStream, SocketError};
+use crate::discovery::endpoint_list::List;
+use crate::discovery::lines::{AnswerError, Lines, Text, Texts};
+use crate::os::clock::Clock;
+use crate::os::socket::{self, ByteStream, SocketError};
 use crate::Time;
 use petrelgauge_lifecycle::watch::WATCH_TIMEOUT;
 use std::net::SocketAddr;
--- a/src/net/discovery.rs
+++ b/src/discovery/watch.rs
@@ -1,15 +1,15 @@
 //! The client of discovery: one watch over HTTP/1.1, kept open, its answer read line by line.
 
+pub use crate::discovery::endpoint_list::List;
+use crate::discovery::endpoint_list::{Phase, Row};
+use crate::discovery::host_names::HostNames;
+pub use crate::discovery::lines::Lines;
+use crate::discovery::lines::Text;
+use crate::discovery::source::{call, open, Answer, SourceError};
 use crate::facade::Facade;
-use crate::net::clock::Clock;
-use crate::net::counters::Counters;
-pub use crate::net::endpoint_list::List;
-use crate::net::endpoint_list::{Phase, Row};
-use crate::net::host_names::HostNames;
-use crate::net::hosts::{Endpoint, Hosts};
-pub use crate::net::lines::Lines;
-use crate::net::lines::Text;
-use crate::net::source::{call, open, Answer, SourceError};
+use crate::host::pool::{Endpoint, Hosts};
+use crate::os::clock::Clock;
+use crate::resources::counters::Counters;
 use crate::{Entry, MemberId, Time};
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
 use petrelgauge_lifecycle::watch::{WatchState, COMPLETE_LIST_INTERVAL};
--- a/src/net/leadership.rs
+++ b/src/fleet/leadership.rs
@@ -5,11 +5,11 @@
 //! Each role can have several shards with a leader each. Acceptors then place the shards among themselves, and know by
 //! heartbeats which of them are present.
 
-use crate::net::clock::Clock;
-use crate::net::counters::Counters;
-use crate::net::fleet_codec::{FleetCodec, OutgoingDatagram};
-use crate::net::primary_discovery::{discovery_role, PrimaryDiscovery, PRIMARY_DISCOVERY};
-use crate::net::quota_lending::{QuotaLending, QUOTA_LENDING};
+use crate::fleet::codec::{FleetCodec, OutgoingDatagram};
+use crate::fleet::primary_discovery::{discovery_role, PrimaryDiscovery, PRIMARY_DISCOVERY};
+use crate::fleet::quota_lending::{QuotaLending, QUOTA_LENDING};
+use crate::os::clock::Clock;
+use crate::resources::counters::Counters;
 use crate::Time;
 use petrelgauge_ownership::{
     GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification, Outgoing, Placement,
--- a/src/net/peers.rs
+++ b/src/fleet/peers.rs
@@ -2,12 +2,12 @@
 //! sessions decide; and datagrams about leadership roles, which `leadership.rs` reads and writes.
 
 use crate::facade::Facade;
-use crate::net::clock::Clock;
-use crate::net::counters::Counters;
-use crate::net::datagram::{self, DatagramSocket};
-use crate::net::fleet_codec::OutgoingDatagram;
-use crate::net::leadership::FleetLeadership;
-use crate::net::socket::{self, SocketError};
+use crate::fleet::codec::OutgoingDatagram;
+use crate::fleet::leadership::FleetLeadership;
+use crate::os::clock::Clock;
+use crate::os::datagram::{self, DatagramSocket};
+use crate::os::socket::{self, SocketError};
+use crate::resources::counters::Counters;
 use crate::Time;
 use petrelgauge_sessions::{BroadcastError, MAX_DATAGRAM_BYTES};
 use std::cell::Cell;
--- a/src/net/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -4,12 +4,12 @@
 //! such an answer reports it to the leader. While every shard has a leader, the other gateways try members of a group
 //! without a primary less often, the more gateways there are: together they try about as often as one alone would.
 
+use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
-use crate::net::announced_primaries::AnnouncedPrimaries;
-use crate::net::clock::Clock;
-use crate::net::counters::Counters;
-use crate::net::fleet_codec::{FleetCodec, OutgoingDatagram};
-use crate::net::host_names::HostNames;
+use crate::fleet::announced_primaries::AnnouncedPrimaries;
+use crate::fleet::codec::{FleetCodec, OutgoingDatagram};
+use crate::os::clock::Clock;
+use crate::resources::counters::Counters;
 use crate::{KnownPrimary, Time};
 use petrelgauge_ownership::{
     shard_of, GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification,
--- a/src/net/quota_lending.rs
+++ b/src/fleet/quota_lending.rs
@@ -2,7 +2,7 @@
 //! for the decisions. What is lent and granted, and until when, `petrelgauge_ownership::quota` decides.
 
 use crate::facade::Facade;
-use crate::net::clock::Clock;
+use crate::os::clock::Clock;
 use crate::{GroupId, QuotaAdjustment, Time};
 use petrelgauge_ownership::quota::{
     GroupDemand, GroupGrant, MeanRate, Quota, QuotaPool, QuotaReport, QuotaTotals, RequestRates,
--- a/src/net/handover.rs
+++ b/src/handover/mod.rs
@@ -4,12 +4,15 @@
 //! One heartbeat writes and reads; it may take long or fail. [`Handover::begin`] makes one, [`Heartbeat::run`] blocks for
 //! it, and [`Handover::finish`] learns from it. [`Handover::limit`] may be asked at any time, also while one is out.
 
+pub mod record_directory;
+pub mod record_store;
+
+use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
-use crate::net::budget::Budget;
-use crate::net::clock::Clock;
-use crate::net::host_names::HostNames;
-use crate::net::record_directory::{DiskDirectory, RecordDirectory};
-use crate::net::record_store::{PublishError, RecordStore, Scan};
+use crate::handover::record_directory::{DiskDirectory, RecordDirectory};
+use crate::handover::record_store::{PublishError, RecordStore, Scan};
+use crate::os::clock::Clock;
+use crate::resources::budget::Budget;
 use crate::{MemberId, Time};
 use petrelgauge_handover::publication::Publication;
 use petrelgauge_handover::retention::RetentionTracker;
--- a/src/net/record_store.rs
+++ b/src/handover/record_store.rs
@@ -1,6 +1,6 @@
 //! Handover records as files: this process's own, which is replaced as a whole or not at all, and those of its siblings.
 
-use crate::net::record_directory::{FileContent, RecordDirectory};
+use crate::handover::record_directory::{FileContent, RecordDirectory};
 use crate::Time;
 use petrelgauge_handover::retention::FileState;
 use petrelgauge_handover::{gateway_hash, HandoverRecord, RecordError, MAX_RECORD_BYTES};
--- a/src/net/attempt.rs
+++ b/src/host/attempt.rs
@@ -5,14 +5,14 @@
 //! `attempt_io` the input and output.
 
 use crate::facade::{Attempt, Outcome};
-use crate::net::attempt_io::{AttemptIo, Progress};
-use crate::net::budget::MemoryReservation;
-use crate::net::host_connection::Connection;
-use crate::net::host_report::outcome;
-use crate::net::hosts::Hosts;
-use crate::net::pg::{Answer, AnswerAssembler, Reply};
-use crate::net::statement::Statement;
-use crate::net::streamed_row::StreamedRow;
+use crate::host::attempt_io::{AttemptIo, Progress};
+use crate::host::connection::Connection;
+use crate::host::load_report::outcome;
+use crate::host::pool::Hosts;
+use crate::host::streamed_row::StreamedRow;
+use crate::postgres::{Answer, AnswerAssembler, Reply};
+use crate::resources::budget::MemoryReservation;
+use crate::sql::statement::Statement;
 use crate::{MemberId, SlowStart, Time};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange};
@@ -26,7 +26,7 @@
 pub struct HostAnswer {
     /// The answer.
     pub answer: AnswerBody,
-    pub(super) memory: MemoryReservation,
+    pub(crate) memory: MemoryReservation,
 }
 
 /// An answer, or the beginning of one.
--- a/src/net/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -2,14 +2,14 @@
 //! answer, each as far as the attempt's stage asks for.
 
 use crate::facade::Attempt;
-use crate::net::budget::MemoryReservation;
-use crate::net::host_connection::Connection;
-use crate::net::hosts::Hosts;
-use crate::net::message_type;
-use crate::net::pg::{Answer, AnswerAssembler, Message, Reply};
-use crate::net::read_buffer;
-use crate::net::socket::{self, SocketError};
-use crate::net::statement::Statement;
+use crate::host::connection::Connection;
+use crate::host::pool::Hosts;
+use crate::os::socket::{self, SocketError};
+use crate::postgres::message_type;
+use crate::postgres::read_buffer;
+use crate::postgres::{Answer, AnswerAssembler, Message, Reply};
+use crate::resources::budget::MemoryReservation;
+use crate::sql::statement::Statement;
 use crate::MemberId;
 use bytes::Buf;
 use petrelgauge_lifecycle::ending::End;
--- a/src/net/host_connection.rs
+++ b/src/host/connection.rs
@@ -1,10 +1,10 @@
 //! One connection to a database host: the messages that come on it, and what the kernel reports of it.
 
-use crate::net::budget::DescriptorSlot;
-use crate::net::message_type;
-use crate::net::pg::{Framer, Message};
-use crate::net::read_buffer::ReadBuffer;
-use crate::net::socket::{self, SocketError, Unread};
+use crate::os::socket::{self, SocketError, Unread};
+use crate::postgres::message_type;
+use crate::postgres::read_buffer::ReadBuffer;
+use crate::postgres::{Framer, Message};
+use crate::resources::budget::DescriptorSlot;
 use crate::Time;
 use petrelgauge_lifecycle::exchange::Event;
 use petrelgauge_lifecycle::idle_connection::{IdleConnection, SocketState};
@@ -68,7 +68,7 @@
     }
 
     /// Reads once, `max_bytes` at most, into the framer. The framer bounds what is kept: no message is longer than
-    /// [`MAX_MESSAGE_BYTES`](crate::net::pg::MAX_MESSAGE_BYTES). Cancel safe: nothing is read by a call that did not return.
+    /// [`MAX_MESSAGE_BYTES`](crate::postgres::MAX_MESSAGE_BYTES). Cancel safe: nothing is read by a call that did not return.
     ///
     /// # Errors
     ///
--- a/src/net/host_report.rs
+++ b/src/host/load_report.rs
@@ -1,8 +1,9 @@
 //! What a host says of itself beside an answer: its role, its log position and its load report.
 
 use crate::facade::Outcome;
-use crate::net::counters::Counters;
-use crate::{settings, Report, Role};
+use crate::resources::counters::Counters;
+use crate::settings::deployment;
+use crate::{Report, Role};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::verdict;
 
@@ -41,6 +42,6 @@
         Some((name.trim().to_string(), value))
     };
     let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
-    let report = settings::report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
+    let report = deployment::report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
     verdict::is_plausible_report(&report).then_some(report)
 }
--- a/src/net/hosts.rs
+++ b/src/host/pool.rs
@@ -1,14 +1,14 @@
 //! The database hosts that discovery lists, and the pool of idle connections to them. New connections are made here, and
 //! descriptors are freed for them: idle clients and idle connections are closed in a fixed order.
 
-use crate::net::budget::{Budget, Idleness};
-use crate::net::clock::Clock;
-use crate::net::counters::{Counters, Gauge};
-use crate::net::host_connection::Connection;
-pub use crate::net::host_connection::Endpoint;
-use crate::net::pg;
-use crate::net::read_buffer::ReadBuffer;
-use crate::net::socket::{self, SocketError};
+use crate::host::connection::Connection;
+pub use crate::host::connection::Endpoint;
+use crate::os::clock::Clock;
+use crate::os::socket::{self, SocketError};
+use crate::postgres;
+use crate::postgres::read_buffer::ReadBuffer;
+use crate::resources::budget::{Budget, Idleness};
+use crate::resources::counters::{Counters, Gauge};
 use crate::{MemberId, Time};
 use petrelgauge_lifecycle::connect_timeout::ConnectTimeout;
 use petrelgauge_lifecycle::ending::End;
@@ -261,7 +261,7 @@
         let _ = stream.set_nodelay(true);
         let connection = Connection::new(stream, endpoint, slot);
         let mut startup = Vec::new();
-        pg::put_startup(&mut startup);
+        postgres::put_startup(&mut startup);
         // A failure shows when the greeting is read.
         let _ = socket::write_all(&connection.stream, &mut &startup[..]).await;
         Ok(connection)
--- a/src/net/streamed_row.rs
+++ b/src/host/streamed_row.rs
@@ -2,15 +2,15 @@
 //! is no retry: either the client gets all of the row, or its connection ends in the middle, which the client can tell.
 
 use crate::facade::Outcome;
-use crate::net::ending::End;
-use crate::net::host_connection::Connection;
-use crate::net::host_report::outcome;
-use crate::net::hosts::Hosts;
-use crate::net::pg::{Answer, AnswerAssembler, Reply};
-use crate::net::read_buffer;
-use crate::net::socket;
+use crate::host::connection::Connection;
+use crate::host::load_report::outcome;
+use crate::host::pool::Hosts;
+use crate::os::socket;
+use crate::postgres::read_buffer;
+use crate::postgres::{Answer, AnswerAssembler, Reply};
 use crate::{MemberId, Time};
 use bytes::{Buf, Bytes};
+use petrelgauge_lifecycle::ending::End;
 use std::rc::Rc;
 use tokio::net::tcp::WriteHalf;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,14 +1,12 @@
-//! The gateway program. See the README for what it is and `net` for how it works.
+//! The gateway program. See the README for what it is, and docs/ARCHITECTURE.md for how it works.
 #![forbid(unsafe_code)]
 
-mod gateway_error;
-mod gateway_process;
-mod startup;
+mod process;
 
-use gateway_error::GatewayError;
-use petrelgauge::net::config::Config;
-use petrelgauge::net::inherited;
-use petrelgauge::net::signals::Signals;
+use petrelgauge::control::config::Config;
+use petrelgauge::os::inherited;
+use petrelgauge::os::signals::Signals;
+use process::error::GatewayError;
 use std::process::ExitCode;
 
 /// Exit code of a gateway that cannot start or has ended by itself.
@@ -34,6 +32,6 @@
         let variable = |name: &str| std::env::var(name).ok();
         let config = Config::read(variable)?;
         let inherited = inherited::listener(variable)?;
-        startup::start(config, inherited, signals).await?.run().await
+        process::startup::start(config, inherited, signals).await?.run().await
     })
 }
--- a/src/net/datagram.rs
+++ b/src/os/datagram.rs
@@ -4,7 +4,7 @@
 //! A datagram that cannot be sent is lost like any other, and no failure ends the exchange: the socket serves all peers, so
 //! what the kernel says of one of them, or of this machine for a moment, says nothing of the next call.
 
-use crate::net::socket::{self, classify, uninterrupted, Call, SocketError};
+use crate::os::socket::{self, classify, uninterrupted, Call, SocketError};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
--- a/src/net/socket.rs
+++ b/src/os/socket.rs
@@ -1,14 +1,14 @@
 //! Calls on sockets, with the failures that Linux documents for them sorted by what the caller has to do.
 //!
 //! Every accept, connect, read, write and peek of the gateway goes through this module; calls on datagram sockets stand in
-//! [`datagram`](crate::net::datagram), and failures are sorted in [`socket_error`](crate::net::socket_error). A call that a
+//! [`datagram`](crate::os::datagram), and failures are sorted in [`socket_error`](crate::os::socket_error). A call that a
 //! signal interrupted is repeated here; short reads and writes are left to the caller's loop or, for [`write_all`], handled here. The traits
 //! [`Acceptor`] and [`ByteStream`] let tests put a schedule of failures in place of the kernel; in the program they are
 //! implemented by tokio's types and cost nothing.
 
-pub use crate::net::socket_error::{classify, SocketError};
-pub use crate::net::system_call::Call;
-use crate::net::system_call::{next_fault, Fault};
+pub use crate::os::socket_error::{classify, SocketError};
+pub use crate::os::system_call::Call;
+use crate::os::system_call::{next_fault, Fault};
 use bytes::Buf;
 use std::future::Future;
 use std::io::{self, IoSlice};
--- a/src/net/socket_error.rs
+++ b/src/os/socket_error.rs
@@ -1,6 +1,6 @@
 //! The failures that Linux documents for calls on sockets, sorted by what the caller has to do.
 
-use crate::net::system_call::Call;
+use crate::os::system_call::Call;
 use std::io;
 
 /// Why a call failed, by what follows from it.
--- a/src/net/answer_assembler.rs
+++ b/src/postgres/answer_assembler.rs
@@ -1,7 +1,7 @@
 //! Puts the messages of a database host together to its answer to a query.
 
-use crate::net::message::{error_field, parameter, Malformed, Message};
-use crate::net::message_type;
+use crate::postgres::message::{error_field, parameter, Malformed, Message};
+use crate::postgres::message_type;
 use bytes::Bytes;
 
 /// Most ParameterStatus messages kept of one answer.
--- a/src/net/framer.rs
+++ b/src/postgres/framer.rs
@@ -1,8 +1,8 @@
 //! Cuts the bytes of a connection into messages.
 
-use crate::net::cancel::CancelKey;
-use crate::net::message::{Malformed, Message};
-use crate::net::message_type;
+use crate::postgres::cancel::CancelKey;
+use crate::postgres::message::{Malformed, Message};
+use crate::postgres::message_type;
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Longest message taken from either side, without its type (bytes). A value has 64 KiB at most and twice that as
--- a/src/net/message.rs
+++ b/src/postgres/message.rs
@@ -19,7 +19,7 @@
 }
 
 impl Message {
-    /// Its type, one of [`message_type`](crate::net::message_type) or an unknown one.
+    /// Its type, one of [`message_type`](crate::postgres::message_type) or an unknown one.
     pub fn kind(&self) -> u8 {
         self.raw[0]
     }
--- a/src/net/message_writer.rs
+++ b/src/postgres/message_writer.rs
@@ -1,7 +1,7 @@
 //! The messages that the gateway writes.
 
-use crate::net::cancel::CancelKey;
-use crate::net::message_type;
+use crate::postgres::cancel::CancelKey;
+use crate::postgres::message_type;
 use bytes::{Buf, Bytes};
 
 /// Version 3.0 of the protocol, as a startup message has it.
--- a/src/net/read_buffer.rs
+++ b/src/postgres/read_buffer.rs
@@ -1,8 +1,8 @@
 //! The buffer that all connections read into. One thread reads from one of them at a time, so that one buffer is enough,
 //! and a connection that waits holds none.
 
-use crate::net::pg::Framer;
-use crate::net::socket::{uninterrupted, Call, SocketError};
+use crate::os::socket::{uninterrupted, Call, SocketError};
+use crate::postgres::Framer;
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
--- a/src/gateway_error.rs
+++ b/src/process/error.rs
@@ -1,10 +1,10 @@
 //! Why the gateway cannot start, or has ended by itself.
 
-use petrelgauge::net::config::ConfigError;
-use petrelgauge::net::control::ControlError;
-use petrelgauge::net::inherited::InheritedSocketError;
-use petrelgauge::net::signals::SignalError;
-use petrelgauge::net::socket::SocketError;
+use petrelgauge::control::config::ConfigError;
+use petrelgauge::control::ControlError;
+use petrelgauge::os::inherited::InheritedSocketError;
+use petrelgauge::os::signals::SignalError;
+use petrelgauge::os::socket::SocketError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
--- a/src/gateway_process.rs
+++ b/src/process/gateway.rs
@@ -1,17 +1,17 @@
 //! The event loop of a running gateway: signals, operators' commands, and the steps of its lifecycle.
 
-use crate::gateway_error::{GatewayError, ReloadError};
+use crate::process::error::{GatewayError, ReloadError};
+use petrelgauge::client::context::Front;
+use petrelgauge::control::config::{Config, ConfigError};
+use petrelgauge::control::ops::CommandRequest;
+use petrelgauge::control::reload;
 use petrelgauge::facade::Facade;
-use petrelgauge::net::clock::Clock;
-use petrelgauge::net::config::{Config, ConfigError};
-use petrelgauge::net::control::reload;
-use petrelgauge::net::counters::Counters;
-use petrelgauge::net::front::Front;
-use petrelgauge::net::handover::Handover;
-use petrelgauge::net::hosts::Hosts;
-use petrelgauge::net::leadership::FleetLeadership;
-use petrelgauge::net::ops::CommandRequest;
-use petrelgauge::net::signals::{Signal, Signals};
+use petrelgauge::fleet::leadership::FleetLeadership;
+use petrelgauge::handover::Handover;
+use petrelgauge::host::pool::Hosts;
+use petrelgauge::os::clock::Clock;
+use petrelgauge::os::signals::{Signal, Signals};
+use petrelgauge::resources::counters::Counters;
 use petrelgauge::Time;
 use petrelgauge_handover::Reservation;
 use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage};
--- a/src/startup.rs
+++ b/src/process/startup.rs
@@ -1,22 +1,22 @@
 //! Builds a gateway from its configuration and starts its tasks.
 
-use crate::gateway_error::GatewayError;
-use crate::gateway_process::GatewayProcess;
+use crate::process::error::GatewayError;
+use crate::process::gateway::GatewayProcess;
+use petrelgauge::client::context::Front;
+use petrelgauge::control::config::Config;
+use petrelgauge::control::ops::{CommandListener, CommandRequest};
+use petrelgauge::control::{Control, Decisions, Environment};
 use petrelgauge::facade::Facade;
-use petrelgauge::net::budget::Budget;
-use petrelgauge::net::cancel::CancelKeys;
-use petrelgauge::net::clock::Clock;
-use petrelgauge::net::config::Config;
-use petrelgauge::net::control::{Control, Decisions, Environment};
-use petrelgauge::net::counters::{Counters, Gauge};
-use petrelgauge::net::datagram;
-use petrelgauge::net::front::Front;
-use petrelgauge::net::handover::Handover;
-use petrelgauge::net::hosts::Hosts;
-use petrelgauge::net::ops::{CommandListener, CommandRequest};
-use petrelgauge::net::read_buffer::ReadBuffer;
-use petrelgauge::net::signals::Signals;
-use petrelgauge::net::socket::{self, SocketError};
+use petrelgauge::handover::Handover;
+use petrelgauge::host::pool::Hosts;
+use petrelgauge::os::clock::Clock;
+use petrelgauge::os::datagram;
+use petrelgauge::os::signals::Signals;
+use petrelgauge::os::socket::{self, SocketError};
+use petrelgauge::postgres::cancel::CancelKeys;
+use petrelgauge::postgres::read_buffer::ReadBuffer;
+use petrelgauge::resources::budget::Budget;
+use petrelgauge::resources::counters::{Counters, Gauge};
 use petrelgauge::{MemberId, Time};
 use petrelgauge_handover::Reservation;
 use petrelgauge_lifecycle::gateway::{Gateway, ServingState};
--- a/src/net/budget.rs
+++ b/src/resources/budget.rs
@@ -4,7 +4,7 @@
 //! are counted beyond the limit too: it is for the caller to close an idle connection first. A client that can be closed
 //! registers itself, and is asked to close by [`Budget::shed_client`].
 
-use crate::net::pg;
+use crate::postgres;
 use crate::Time;
 use petrelgauge_handover::Reservation;
 pub use petrelgauge_lifecycle::client::Idleness;
@@ -234,7 +234,7 @@
     /// Bytes that this connection may hold beyond what it holds.
     pub fn available(&self) -> usize {
         if self.has_reserve.get() {
-            return pg::MAX_MESSAGE_BYTES;
+            return postgres::MAX_MESSAGE_BYTES;
         }
         let shared = self.max_total.saturating_sub(self.budget.bytes.get());
         shared.max(GUARANTEED_BYTES.saturating_sub(self.bytes))
--- a/src/net/counters.rs
+++ b/src/resources/counters.rs
@@ -1,6 +1,6 @@
 //! What the gateway took in, sent and answered, printed at exit and on request.
 
-use crate::net::ending::End;
+use petrelgauge_lifecycle::ending::End;
 use std::cell::Cell;
 
 macro_rules! counters {
--- a/src/net/set_statement.rs
+++ b/src/sql/set_statement.rs
@@ -1,7 +1,7 @@
 //! Statements that the gateway answers by itself: what drivers set at their start, which has no effect here, and the one
 //! setting that has: the tokens of a client's sessions.
 
-use crate::net::statement::verb;
+use crate::sql::statement::verb;
 
 /// The setting that holds the tokens of a client's sessions, and the parameter that sends it a token.
 pub const TOKEN_SETTING: &str = "petrelgauge.mark";
--- a/src/net/statement.rs
+++ b/src/sql/statement.rs
@@ -1,9 +1,9 @@
 //! The statements of the platform's protocol: one SELECT or INSERT with a quoted key, and a comment that says what the
 //! request needs. A host cannot use any other form, so nothing else is forwarded.
 
-use crate::net::pg;
-pub use crate::net::statement_error::StatementError;
-use crate::net::statement_scanner::StatementScanner;
+use crate::postgres;
+pub use crate::sql::statement_error::StatementError;
+use crate::sql::statement_scanner::StatementScanner;
 use bytes::{Buf, Bytes};
 use std::ops::Range;
 
@@ -85,7 +85,7 @@
     pub fn query(&self, wait_ms: u64) -> impl Buf {
         let before = self.text.slice(..self.wait_digits.start);
         let after = self.text.slice(self.wait_digits.end..);
-        pg::query([before, wait_ms.to_string().into(), after])
+        postgres::query([before, wait_ms.to_string().into(), after])
     }
 }
 
--- a/src/net/statement_scanner.rs
+++ b/src/sql/statement_scanner.rs
@@ -1,6 +1,6 @@
 //! The form of a statement, scanned from its beginning to its end.
 
-use crate::net::statement_error::StatementError;
+use crate::sql::statement_error::StatementError;
 use std::ops::Range;
 
 /// Longest value (bytes).
--- a/tests/accept_loop.rs
+++ b/tests/accept_loop.rs
@@ -1,8 +1,8 @@
 //! The loop that accepts clients, before a listener whose calls fail by a script: whoever is in the backlog is accepted.
 
-use petrelgauge::net::accept_loop::{AcceptLoop, ClientHandler};
-use petrelgauge::net::clock::Clock;
-use petrelgauge::net::socket::Acceptor;
+use petrelgauge::client::accept_loop::{AcceptLoop, ClientHandler};
+use petrelgauge::os::clock::Clock;
+use petrelgauge::os::socket::Acceptor;
 use petrelgauge_lifecycle::gateway::ServingState;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/tests/cancel_keys.rs
+++ b/tests/cancel_keys.rs
@@ -1,6 +1,6 @@
 //! The wait for a cancel request by its key.
 
-use petrelgauge::net::cancel::{CancelKey, CancelKeys};
+use petrelgauge::postgres::cancel::{CancelKey, CancelKeys};
 use std::future::Future;
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -6,11 +6,11 @@
 
 use common::{settings, MS};
 use petrelgauge::facade::{Facade, SessionTracking};
-use petrelgauge::net::clock::Clock;
-use petrelgauge::net::counters::Counters;
-use petrelgauge::net::datagram::{self, DatagramSocket};
-use petrelgauge::net::peers::Peers;
-use petrelgauge::net::socket::{classify, Call, SocketError};
+use petrelgauge::fleet::peers::Peers;
+use petrelgauge::os::clock::Clock;
+use petrelgauge::os::datagram::{self, DatagramSocket};
+use petrelgauge::os::socket::{classify, Call, SocketError};
+use petrelgauge::resources::counters::Counters;
 use petrelgauge_sessions::SessionTracker;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/tests/fault_schedule.rs
+++ b/tests/fault_schedule.rs
@@ -2,22 +2,18 @@
 //! discovery, the second address and the datagrams of other gateways. After each play the clients' answers, the hosts'
 //! ledger and the gateway's counters are held against each other.
 
-#[path = "../src/gateway_error.rs"]
-mod gateway_error;
-#[path = "../src/gateway_process.rs"]
-mod gateway_process;
 mod harness;
-#[path = "../src/startup.rs"]
-mod startup;
+#[path = "../src/process/mod.rs"]
+mod process;
 
-use gateway_error::GatewayError;
 use harness::{
     field, insert, kinds, list, query, read_message, select, startup as startup_message, Harness, Host, Reply,
 };
-use petrelgauge::net::config::Config;
-use petrelgauge::net::inherited;
-use petrelgauge::net::signals::Signals;
-use petrelgauge::net::system_call::{set_fault_schedule, Call, Fault};
+use petrelgauge::control::config::Config;
+use petrelgauge::os::inherited;
+use petrelgauge::os::signals::Signals;
+use petrelgauge::os::system_call::{set_fault_schedule, Call, Fault};
+use process::error::GatewayError;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -116,7 +112,8 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let signals = Signals::listen()?;
         let process =
-            startup::start(Config::read(&variable)?, inherited::listener(&variable)?, signals).await?;
+            process::startup::start(Config::read(&variable)?, inherited::listener(&variable)?, signals)
+                .await?;
         let counters = process.counters.clone();
         let asked = async {
             let answer = report.await.expect("the test is there");
--- a/tests/faulty_directory/mod.rs
+++ b/tests/faulty_directory/mod.rs
@@ -1,6 +1,6 @@
 //! A directory of handover records in memory, which fails as a test has it.
 
-use petrelgauge::net::record_directory::{FileContent, FileTimes, RecordDirectory};
+use petrelgauge::handover::record_directory::{FileContent, FileTimes, RecordDirectory};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex};
--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -3,7 +3,7 @@
 use super::classes::{by_name, CLASSES};
 use super::{uniform, Clock, Plan, Time};
 use crate::harness::{error, parameter_status, ready_for_query, row};
-use petrelgauge::net::pg::{Framer, Opening};
+use petrelgauge::postgres::{Framer, Opening};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -2,11 +2,11 @@
 //! taken that says more than it holds, and what is taken comes back the same. Bounded, from fixed seeds.
 
 use bytes::Bytes;
-use petrelgauge::net::discovery::List;
-use petrelgauge::net::pg::{self, AnswerAssembler, Framer};
-use petrelgauge::net::set_statement;
-use petrelgauge::net::statement::Statement;
-use petrelgauge::operator::Operator;
+use petrelgauge::discovery::watch::List;
+use petrelgauge::postgres::{self, AnswerAssembler, Framer};
+use petrelgauge::settings::operator::Operator;
+use petrelgauge::sql::set_statement;
+use petrelgauge::sql::statement::Statement;
 use petrelgauge_sessions::{
     BroadcastEntry, BroadcastSender, SessionKey, Token, Watermark, WatermarkBroadcast, MAX_DATAGRAM_BYTES,
 };
@@ -78,14 +78,14 @@
 
 fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put(&mut out, kind, |to| to.extend_from_slice(body));
+    postgres::put(&mut out, kind, |to| to.extend_from_slice(body));
     out
 }
 
 #[test]
 fn what_clients_send() {
     let mut startup = Vec::new();
-    pg::put_startup(&mut startup);
+    postgres::put_startup(&mut startup);
     let select = b"SELECT content FROM kv WHERE name = 'a' /* id=1,c=view,d=9,cluster=2 */\0";
     let corpus = vec![
         startup.clone(),
--- a/tests/handover_directory.rs
+++ b/tests/handover_directory.rs
@@ -4,7 +4,7 @@
 mod faulty_directory;
 
 use faulty_directory::{Faults, FaultyDirectory, Files, BROKEN, FULL};
-use petrelgauge::net::handover::{Handover, Knowledge};
+use petrelgauge::handover::{Handover, Knowledge};
 use petrelgauge_handover::retention::RECORD_RETENTION;
 use petrelgauge_handover::siblings::{HEARTBEAT_INTERVAL, LIVENESS_TIMEOUT};
 use petrelgauge_handover::Reservation;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,9 +1,9 @@
 //! The gateway's parsers against random cuts of valid bytes and against random garbage, from fixed seeds.
 
 use bytes::Buf;
-use petrelgauge::net::discovery::Lines;
-use petrelgauge::net::pg::{self, AnswerAssembler, Framer, Severity, MAX_MESSAGE_BYTES};
-use petrelgauge::net::statement::Statement;
+use petrelgauge::discovery::watch::Lines;
+use petrelgauge::postgres::{self, AnswerAssembler, Framer, Severity, MAX_MESSAGE_BYTES};
+use petrelgauge::sql::statement::Statement;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -37,7 +37,7 @@
 /// Feeds the pieces and takes what is complete after each, up to the first flaw.
 fn frames<T>(
     pieces: &[&[u8]],
-    take: impl Fn(&mut Framer) -> Result<Option<T>, pg::Malformed>,
+    take: impl Fn(&mut Framer) -> Result<Option<T>, postgres::Malformed>,
 ) -> (Vec<T>, bool) {
     let (mut framer, mut found) = (Framer::default(), Vec::new());
     for piece in pieces {
@@ -59,13 +59,13 @@
 
 fn answers() -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put(&mut out, b'T', |body| body.extend_from_slice(COLUMN));
-    pg::put(&mut out, b'D', |body| body.extend_from_slice(&[0, 1, 0, 0, 0, 2, 159, 3]));
-    pg::put_complete(&mut out, "SELECT 1");
-    pg::put(&mut out, b'S', |body| body.extend_from_slice(b"log_position\x001767225600123\0"));
-    pg::put_ready(&mut out);
-    pg::put_error(&mut out, Severity::Error, "72000", "too far behind", Some("500"));
-    pg::put_ready(&mut out);
+    postgres::put(&mut out, b'T', |body| body.extend_from_slice(COLUMN));
+    postgres::put(&mut out, b'D', |body| body.extend_from_slice(&[0, 1, 0, 0, 0, 2, 159, 3]));
+    postgres::put_complete(&mut out, "SELECT 1");
+    postgres::put(&mut out, b'S', |body| body.extend_from_slice(b"log_position\x001767225600123\0"));
+    postgres::put_ready(&mut out);
+    postgres::put_error(&mut out, Severity::Error, "72000", "too far behind", Some("500"));
+    postgres::put_ready(&mut out);
     out
 }
 
@@ -86,16 +86,16 @@
     let replies: Vec<_> = parse(&[&answers()]).into_iter().flatten().flatten().collect();
     assert_eq!(replies.len(), 2);
     assert_eq!(replies[0].parameters, [("log_position".to_string(), "1767225600123".to_string())]);
-    assert_eq!(replies[1].answer, pg::Answer::Error("72000".into()));
+    assert_eq!(replies[1].answer, postgres::Answer::Error("72000".into()));
 }
 
 #[test]
 fn openings_are_found_whatever_the_cuts() {
     let mut out = [0, 0, 0, 8, 4, 210, 22, 47].to_vec();
-    pg::put_startup(&mut out);
+    postgres::put_startup(&mut out);
     sturdy(&out, |pieces| frames(pieces, Framer::opening));
     let found = frames(&[&out], Framer::opening);
-    assert_eq!(found, (vec![pg::Opening::Encryption, pg::Opening::Startup { minor: 0 }], false));
+    assert_eq!(found, (vec![postgres::Opening::Encryption, postgres::Opening::Startup { minor: 0 }], false));
 }
 
 #[test]
@@ -193,7 +193,7 @@
     let answer = |column: &[u8], row: &[u8], tag: &[u8], status: &[u8]| {
         let mut out = Vec::new();
         for (kind, part) in [(b'T', column), (b'D', row), (b'C', tag), (b'Z', status)] {
-            pg::put(&mut out, kind, |body| body.extend_from_slice(part));
+            postgres::put(&mut out, kind, |body| body.extend_from_slice(part));
         }
         let (messages, _) = frames(&[&out], Framer::message);
         let mut assembler = AnswerAssembler::default();
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -7,7 +7,7 @@
 use facade_simulation::*;
 use harness::{gateway_with_primary, insert, kinds, select, unix_ms, Harness, Reply};
 use petrelgauge::facade::{Attempt, Outcome, Ticket};
-use petrelgauge::operator::Operator;
+use petrelgauge::settings::operator::Operator;
 use petrelgauge::*;
 use petrelgauge_sessions::{BroadcastEntry, BroadcastSender, Token, Watermark, WatermarkBroadcast};
 use std::future::Future;
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -150,7 +150,7 @@
 // The counters find an ending by its place in the table.
 #[test]
 fn the_table_of_endings_is_in_order() {
-    use petrelgauge::net::ending::End;
+    use petrelgauge_lifecycle::ending::End;
     assert!(End::ALL.iter().enumerate().all(|(place, end)| *end as usize == place));
     assert_eq!(End::ALL.last(), Some(&End::Stopped), "the last one stands last");
 }
--- a/tests/socket_calls.rs
+++ b/tests/socket_calls.rs
@@ -29,13 +29,11 @@
 
 #[test]
 fn connections_are_used_through_the_socket_module_alone() {
-    let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src/net");
     let (mut files, mut direct) = (0, Vec::new());
-    for entry in std::fs::read_dir(folder).expect("the folder of the net layer") {
-        let path = entry.expect("an entry").path();
+    for path in files_below(&std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src")) {
         let text = std::fs::read_to_string(&path).expect("a file of text");
         files += 1;
-        if path.ends_with("socket.rs") {
+        if path.ends_with("os/socket.rs") {
             continue;
         }
         let allowed: &[&str] = match path.file_name().and_then(|name| name.to_str()) {
@@ -46,24 +44,31 @@
         let calls = DIRECT_CALLS.into_iter().filter(|call| text.contains(call) && !allowed.contains(call));
         direct.extend(calls.map(|call| format!("{}: {call}", path.display())));
     }
-    assert!(files > 20, "only {files} files: has the net layer moved?");
+    assert!(files > 50, "only {files} files: have the sources moved?");
     assert!(direct.is_empty(), "these calls miss their retry or their class: {direct:#?}");
 }
 
-/// Files below a folder whose text has this in it.
-fn files_with(folder: &std::path::Path, wanted: &str) -> Vec<String> {
+/// All files below a folder.
+fn files_below(folder: &std::path::Path) -> Vec<std::path::PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder).expect("a folder of sources") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            found.extend(files_with(&path, wanted));
-        } else if std::fs::read_to_string(&path).is_ok_and(|text| text.contains(wanted)) {
-            found.push(path.file_name().expect("a name").to_string_lossy().into_owned());
+            found.extend(files_below(&path));
+        } else {
+            found.push(path);
         }
     }
     found
 }
 
+/// Names of the files below a folder whose text has this in it.
+fn files_with(folder: &std::path::Path, wanted: &str) -> Vec<String> {
+    let files = files_below(folder).into_iter();
+    let files = files.filter(|path| std::fs::read_to_string(path).is_ok_and(|text| text.contains(wanted)));
+    files.map(|path| path.file_name().expect("a name").to_string_lossy().into_owned()).collect()
+}
+
 #[test]
 fn no_program_lets_its_calls_fail() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -2,14 +2,14 @@
 //! hosts, discovery and the second address.
 
 use bytes::{Buf, Bytes};
-use petrelgauge::net::clock::Clock;
-use petrelgauge::net::hosts::after_failed_connect;
-use petrelgauge::net::lines::Text;
-use petrelgauge::net::ops;
-use petrelgauge::net::pg::Framer;
-use petrelgauge::net::read_buffer::ReadBuffer;
-use petrelgauge::net::socket::{self, classify, ByteStream, Call, SocketError, Unread};
-use petrelgauge::net::source::Answer;
+use petrelgauge::control::ops;
+use petrelgauge::discovery::lines::Text;
+use petrelgauge::discovery::source::Answer;
+use petrelgauge::host::pool::after_failed_connect;
+use petrelgauge::os::clock::Clock;
+use petrelgauge::os::socket::{self, classify, ByteStream, Call, SocketError, Unread};
+use petrelgauge::postgres::read_buffer::ReadBuffer;
+use petrelgauge::postgres::Framer;
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::Event;
 use rand_core::{RngCore, SeedableRng};
