--- a/tests/structure.rs
+++ b/tests/structure.rs
@@ -36,7 +36,7 @@
     folders
 }
 
-/// The path of a file's module from its crate's root: `net::hosts` for `src/net/hosts.rs`, nothing for `lib.rs`.
+/// The path of a file's module from its crate's root: `host::pool` for `src/host/pool.rs`, nothing for `lib.rs`.
 fn module_of(folder: &Path, file: &Path) -> String {
     let relative = file.strip_prefix(folder).expect("a file of the folder").with_extension("");
     let mut parts: Vec<String> = relative.iter().map(|part| part.to_string_lossy().into_owned()).collect();
@@ -132,6 +132,40 @@
     }
 }
 
+/// The folder or file directly below the source folder that a module lies in.
+fn top_level(module: &str) -> &str {
+    module.split("::").next().unwrap_or_default()
+}
+
+/// Imports between the top-level folders of a source folder.
+fn folder_imports(graph: &BTreeMap<String, BTreeSet<String>>) -> BTreeMap<String, BTreeSet<String>> {
+    let mut folders: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+    for (module, targets) in graph {
+        let folder = top_level(module);
+        let others = targets.iter().map(|target| top_level(target)).filter(|other| *other != folder);
+        folders.entry(folder.to_string()).or_default().extend(others.map(str::to_string));
+    }
+    folders
+}
+
+#[test]
+fn imports_between_the_folders_of_the_gateway_run_one_way() {
+    let folders = folder_imports(&imports(&root().join("src")));
+    assert!(folders.len() > 10, "only {} folders: have the sources moved?", folders.len());
+    let circle = circular(&folders);
+    assert!(circle.is_empty(), "{} import each other", circle.join(", "));
+}
+
+#[test]
+fn folders_that_import_each_other_through_different_files_are_found() {
+    let edges = [("a::one", "b::one"), ("b::two", "a::two"), ("c", "a::one")];
+    let mut graph: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+    for (from, to) in edges {
+        graph.entry(from.into()).or_default().insert(to.into());
+    }
+    assert_eq!(circular(&folder_imports(&graph)), ["a", "b"]);
+}
+
 #[test]
 fn a_circle_of_imports_is_found() {
     let graph = |edges: &[(&str, &str)]| {
