--- a/tests/harness/host.rs
+++ b/tests/harness/host.rs
@@ -163,6 +163,9 @@
             if matches!(complete, Reply::WaitForGo(..) | Reply::RowAtOnGo(..)) {
                 wait_for_go();
             }
+            if let Reply::Delayed(delay_ms, _) = complete {
+                thread::sleep(Duration::from_millis(delay_ms));
+            }
             if stream.write_all(&complete.messages(query)).is_err() {
                 return Next::Close;
             }
--- a/tests/harness/reply.rs
+++ b/tests/harness/reply.rs
@@ -14,6 +14,8 @@
     RowByClock(&'static [u8], i64),
     /// The same from a replica that is so many milliseconds behind, in the second place.
     ReplicaByClock(&'static [u8], i64, i64),
+    /// A complete answer, so many milliseconds later.
+    Delayed(u64, Box<Reply>),
     /// A row, and these bytes right behind it.
     Surplus(&'static [u8], &'static [u8]),
     /// These bytes and no more.
@@ -52,6 +54,7 @@
             Reply::ReplicaByClock(value, ahead, behind) => {
                 [row(value), log_position_by_clock(ahead - behind)].concat()
             }
+            Reply::Delayed(_, reply) => return reply.messages(query),
             Reply::Error(code) => error(code),
             Reply::Echo(_) => row(query.as_bytes()),
             Reply::ErrorAt(code, at) => [error(code), log_position(*at)].concat(),
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -16,13 +16,18 @@
 const BOUNDED: ReadClass =
     ReadClass { name: "bounded", read_level: "lag_bound", staleness_bound_us: 1_000_000 };
 
+/// How much longer the primary takes for an answer than the replicas (milliseconds). Which of two fresh members gets a read
+/// follows from how quickly each answers: where both take as long, the machine's load decides.
+const PRIMARY_DELAY_MS: u64 = 10;
+
 /// What answered so many bounded reads, one after the other, from a primary, a fresh replica and one whose data are about as
 /// old as the machine's clock is behind the hosts'.
 fn bounded_reads(number: u8, shift_ms: i64, count: usize) -> [usize; 3] {
     let harness = Harness::new(number);
     let stale_ms = shift_ms.max(3_000) - 200;
+    let primary = || Reply::Delayed(PRIMARY_DELAY_MS, Box::new(Reply::RowByClock(b"primary", shift_ms)));
     let hosts = [
-        harness.host((0..300).map(|_| Reply::RowByClock(b"primary", shift_ms)).collect()),
+        harness.host((0..300).map(|_| primary()).collect()),
         harness.host((0..300).map(|_| Reply::ReplicaByClock(b"fresh", shift_ms, 10)).collect()),
         harness.host((0..300).map(|_| Reply::ReplicaByClock(b"stale", shift_ms, stale_ms)).collect()),
     ];
