--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -7,7 +7,7 @@
 use super::protocol::{GatewayStats, HollowPlan, InjectedFault};
 use crate::error::LabError;
 use petrelgauge::control::config::{Config, ConfigError};
-use petrelgauge::control::{reload, Control, Decisions, Environment};
+use petrelgauge::control::{ControlPlane, Dependencies, RoutingDecisions};
 use petrelgauge::discovery::host_names::HostNames;
 use petrelgauge::facade::{Facade, Outcome};
 use petrelgauge::os::clock::Clock;
@@ -99,10 +99,9 @@
 /// One hollow gateway. Dropping it ends its tasks.
 pub(super) struct HollowGateway {
     number: usize,
-    control: Control<RegionSocket>,
+    control: ControlPlane<RegionSocket>,
     counters: Rc<Counters>,
     config: Config,
-    read_wait_bound: Time,
     clock: Clock,
     _tasks: JoinSet<()>,
     _discovery: watch::Sender<SocketAddr>,
@@ -147,34 +146,34 @@
         let mut config = read_config(&shared.plan.folder, number)?;
         let clock = Clock::start();
         let began_at = clock.now();
-        let decisions = Decisions::new(&config, began_at)?;
-        let (facade, read_wait_bound) = (decisions.facade.clone(), decisions.read_wait_bound);
+        let decisions = RoutingDecisions::new(&config, began_at)?;
+        let facade = decisions.facade.clone();
         let counters = Rc::new(Counters::default());
         let (demand_facade, demand_shared) = (facade.clone(), shared.clone());
-        let environment = Environment {
+        let dependencies = Dependencies {
             clock,
-            budget: Budget::new(config.sockets, config.memory),
+            budget: Budget::new(config.max_descriptors, config.max_memory),
             read_buffer: ReadBuffer::new(),
             counters: counters.clone(),
             demand: Rc::new(move || {
                 let seconds = (clock.now() - began_at) as f64 / 1e6;
                 demand(&demand_facade, &demand_shared.plan, number, seconds)
             }),
-            assigned: Vec::new(),
+            assigned_ids: Vec::new(),
         };
         let bind = |listen: SocketAddr| async move {
             let socket = datagram::bind(listen).await?;
             Ok(RegionSocket { socket, number, shared: shared.clone() })
         };
-        let mut control = Control::new(&mut config, decisions, environment, bind).await?;
+        let mut control = ControlPlane::new(&mut config, decisions, dependencies, bind).await?;
         let (discovery, discovery_changes) = watch::channel(config.discovery);
         let mut tasks = JoinSet::new();
         control.start(&mut tasks, discovery_changes);
         if !shared.plan.idle.contains(&number) {
-            tasks.spawn_local(learn_primaries(facade, control.names.clone(), clock, number as u64));
+            tasks.spawn_local(learn_primaries(facade, control.host_names.clone(), clock, number as u64));
         }
         let (_tasks, _discovery) = (tasks, discovery);
-        Ok(HollowGateway { number, control, counters, config, read_wait_bound, clock, _tasks, _discovery })
+        Ok(HollowGateway { number, control, counters, config, clock, _tasks, _discovery })
     }
 
     pub(super) fn stats(&self) -> GatewayStats {
@@ -187,9 +186,9 @@
             datagrams_received: heard.get(),
             bytes_received: heard_bytes.get(),
             list_bytes: list_bytes.get(),
-            list_revision: self.control.revision.get(),
+            list_revision: self.control.list_revision.get(),
             settings_version: self.control.facade.version(),
-            entries: self.control.entries() as u64,
+            entries: self.control.entry_count() as u64,
             held_leases: leadership.map_or(0, |leadership| leadership.held_leases() as u64),
             known_lease_holders: leadership.map_or(0, |leadership| leadership.known_lease_holders() as u64),
         }
@@ -198,9 +197,7 @@
     /// Reads the configuration again and follows it.
     pub(super) fn reload(&mut self, folder: &Path) -> Result<(), LabError> {
         let new = self.config.reread(|name| variable(folder, self.number, name))?;
-        let Control { facade, hosts, .. } = &self.control;
-        let (config, _) = reload(new, &self.config, self.read_wait_bound, self.clock.now(), facade, hosts)?;
-        self.config = config;
+        self.config = self.control.reload(self.clock.now(), &self.config, new)?.config;
         Ok(())
     }
 }
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a gateway: the environment and the JSON file that it names.
+//! The configuration of a gateway, read from the environment and the JSON file that it names.
 
 use crate::discovery::endpoint_list::List;
 use crate::settings::deployment::{DeploymentError, Info};
@@ -13,7 +13,9 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why there is no configuration to use.
+const BYTES_PER_MEGABYTE: usize = 1024 * 1024;
+
+/// Why a configuration cannot be read or used. The messages are shown to operators.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The environment names no configuration file.
@@ -22,51 +24,51 @@
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The path as the environment gives it.
+        /// The path, as in the environment.
         path: String,
-        /// What the system says.
+        /// The failed system call.
         source: io::Error,
     },
-    /// The operator's file cannot be used.
+    /// The operator's file is unusable.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// The file can be read, but not used.
+    /// The file was read, but its content is unusable.
     #[error("{path}: {source}")]
     InvalidFile {
-        /// The path as the environment gives it.
+        /// The path, as in the environment.
         path: String,
-        /// What is wrong in it.
+        /// What is wrong with the content.
         source: ConfigFileError,
     },
-    /// A file that was read again lacks a key that the settings in force have.
+    /// A reloaded file lacks a key that the settings in force have.
     #[error("settings: {0} is missing")]
     MissingKey(String),
-    /// A value of the deployment's settings is missing or not known.
+    /// A value of the deployment's settings is missing or unknown.
     #[error("settings: {0}")]
     Deployment(#[from] DeploymentError),
-    /// A figure of the deployment's settings is out of range.
+    /// A value of the deployment's settings is out of range.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// What is wrong in a configuration file.
+/// What is wrong with the content of a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
-    /// It is not JSON, or lacks a field.
+    /// It is not JSON, lacks a key, or a key has a value of another type.
     #[error(transparent)]
     InvalidJson(#[from] serde_json::Error),
-    /// Its `settings` lack a field, or one has a value of another type.
+    /// Its `settings` lack a key, or a key has a value of another type.
     #[error("settings: {0}")]
     InvalidSettings(#[source] serde_json::Error),
-    /// Neither the file nor this variable of the environment gives the value.
+    /// Neither the file nor this environment variable gives a required value.
     #[error("neither {0} nor the file says it")]
     MissingValue(&'static str),
     /// A value is not an IP address with a port.
     #[error("{name}: {text:?} is not an address with a port")]
     InvalidAddress {
-        /// Variable or key that holds it.
+        /// The environment variable or key.
         name: &'static str,
-        /// The value.
+        /// Its value.
         text: String,
     },
     /// The seed is not a hexadecimal number of up to 64 bits.
@@ -77,36 +79,37 @@
 /// The configuration of one gateway.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators' commands are taken, if they are.
+    /// Address for operators' commands, if they are accepted.
     pub ops: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Descriptors it may hold.
-    pub sockets: usize,
-    /// Bytes of memory it may use.
-    pub memory: usize,
-    /// The endpoint list to start from, until discovery sends one.
-    pub known: Option<List>,
-    /// The settings.
+    /// Maximum number of file descriptors.
+    pub max_descriptors: usize,
+    /// Maximum memory (bytes).
+    pub max_memory: usize,
+    /// The endpoint list in use until discovery sends one.
+    pub initial_list: Option<List>,
+    /// The deployment's settings.
     pub info: Info,
-    /// A digest of them: what is the same is written the same, whatever the order of its keys.
-    pub digest: u64,
-    /// The keys that they have, by their paths.
-    keys: BTreeSet<String>,
-    /// Where other instances reach this one, and where it reaches all of them, its own place among them.
+    /// Digest of the deployment's settings, independent of the order of their keys.
+    pub settings_digest: u64,
+    /// Paths of all keys of the deployment's settings.
+    settings_keys: BTreeSet<String>,
+    /// Address for datagrams of other gateways, if any are exchanged.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each instance, in the order of their numbers.
+    /// Addresses of all gateways of the fleet, this one included, in the order of their numbers.
     pub peers: Vec<SocketAddr>,
-    /// What the operator has set.
+    /// What the operator's file enables.
     pub operator: Operator,
 }
 
+/// The keys of the configuration file.
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
@@ -136,7 +139,7 @@
     }
 }
 
-/// Which goes first where both name a value.
+/// Which source wins where both the environment and the file give a value.
 #[derive(Clone, Copy, PartialEq)]
 enum Precedence {
     Environment,
@@ -144,57 +147,64 @@
 }
 
 impl Config {
-    /// This gateway's place among the peers. Where `peers` names other addresses than those that they listen at (each is
-    /// reached by a path of its own), the settings tell it: peers are in the order of their numbers.
-    pub fn place(&self) -> Option<usize> {
-        let listed = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
-        listed.or(self.info.number().filter(|number| *number < self.peers.len()))
-    }
-
-    /// Reads the environment through `var` and the file that `GW_CONFIG` names. What the environment sets
-    /// goes before the file.
+    /// Reads the environment through `var` and the file that `GW_CONFIG` names. The environment takes precedence.
     ///
     /// # Errors
     ///
-    /// Fails if one of the files cannot be read or used.
+    /// Fails if the configuration file or the operator's file cannot be read or used.
     pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         Config::load(var, Precedence::Environment)
     }
 
-    /// Reads the file anew while the program runs. The environment still is that of the start, so that for
-    /// discovery, which may move, the file goes first. Settings that lack a key which those in force have are taken
-    /// for a part of a file: what is left out would quietly become a default.
+    /// Reads the configuration again while the gateway runs. The environment is still that of the start, so the file takes
+    /// precedence for the discovery address, which may move.
     ///
     /// # Errors
     ///
-    /// Fails if one of the files cannot be read or used, or lacks a key that the settings in force have.
+    /// Fails if a file cannot be read or used. Fails also if the settings lack a key that those in force have: the file
+    /// is then taken for incomplete, because the missing key would silently get its default.
     pub fn reread(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let config = Config::load(var, Precedence::File)?;
-        if let Some(key) = self.keys.difference(&config.keys).next() {
+        if let Some(key) = self.settings_keys.difference(&config.settings_keys).next() {
             return Err(ConfigError::MissingKey(key.clone()));
         }
         config.info.settings()?.check()?;
         Ok(config)
     }
 
-    /// What the new file says that only a start can follow.
-    pub fn unmoved(&self, new: &Config) -> Vec<&'static str> {
+    /// This gateway's index among the peers. If the peers reach each other through other addresses than those they listen
+    /// at, the gateway's number in the deployment's settings is its index.
+    pub fn peer_index(&self) -> Option<usize> {
+        let listed = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
+        listed.or(self.info.number().filter(|number| *number < self.peers.len()))
+    }
+
+    /// Keys that differ in `new` and that only a restart can change.
+    pub fn keys_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("ops", self.ops != new.ops),
-            ("limits", (self.sockets, self.memory) != (new.sockets, new.memory)),
-            ("peers", (self.peer_listen, &self.peers) != (new.peer_listen, &new.peers)),
+            ("limits", self.max_descriptors != new.max_descriptors || self.max_memory != new.max_memory),
+            ("peers", self.peer_listen != new.peer_listen || self.peers != new.peers),
         ];
-        differs.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+        differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
 
-    /// This one with what a running gateway follows of the new one.
-    pub fn with(&self, new: Config) -> Config {
-        let (name, peers) = (self.name.clone(), self.peers.clone());
-        let (listen, ops, peer_listen) = (self.listen, self.ops, self.peer_listen);
-        let (sockets, memory, seed) = (self.sockets, self.memory, self.seed);
-        Config { name, peers, listen, ops, peer_listen, sockets, memory, seed, known: None, ..new }
+    /// This configuration with the values of `new` that a running gateway can change to.
+    pub fn with_reloadable_part_of(&self, new: Config) -> Config {
+        Config {
+            name: self.name.clone(),
+            listen: self.listen,
+            ops: self.ops,
+            seed: self.seed,
+            max_descriptors: self.max_descriptors,
+            max_memory: self.max_memory,
+            initial_list: None,
+            peer_listen: self.peer_listen,
+            peers: self.peers.clone(),
+            ..new
+        }
     }
 
     fn load(var: impl Fn(&str) -> Option<String>, precedence: Precedence) -> Result<Config, ConfigError> {
@@ -217,28 +227,26 @@
     ) -> Result<Config, ConfigFileError> {
         let file: File = serde_json::from_str(text)?;
         let values = Values { var };
-        let mut keys = BTreeSet::new();
-        list_keys("", &file.settings, &mut keys);
-        let digest = digest(&file.settings);
-        let info = read_settings(file.settings)?;
+        let settings_keys = key_paths(&file.settings);
+        let settings_digest = digest(&file.settings);
+        let info = parse_settings(file.settings)?;
         let listen = values.required("GW_LISTEN", file.listen, Precedence::Environment)?;
         let discovery = values.required("GW_DISCOVERY", file.discovery, precedence)?;
-        let ops = (values.var)("GW_OPS").or(file.ops);
-        let peer_listen = file.peer_listen;
-        let peers = file.peers.into_iter().map(|text| address("peers", text));
+        let ops = values.optional("GW_OPS", file.ops);
+        let peers = file.peers.into_iter().map(|text| parse_address("peers", text));
         Ok(Config {
-            listen: address("GW_LISTEN", listen)?,
-            discovery: address("GW_DISCOVERY", discovery)?,
-            ops: ops.map(|text| address("ops", text)).transpose()?,
-            seed: seed(file.seed)?,
+            listen: parse_address("GW_LISTEN", listen)?,
+            discovery: parse_address("GW_DISCOVERY", discovery)?,
+            ops: ops.map(|text| parse_address("ops", text)).transpose()?,
+            seed: parse_seed(file.seed)?,
             name: values.required("GW_NAME", file.name, Precedence::Environment)?,
-            sockets: file.limits.sockets,
-            memory: file.limits.memory_mb.saturating_mul(1024 * 1024),
-            known: file.known,
+            max_descriptors: file.limits.sockets,
+            max_memory: file.limits.memory_mb.saturating_mul(BYTES_PER_MEGABYTE),
+            initial_list: file.known,
             info,
-            digest,
-            keys,
-            peer_listen: peer_listen.map(|text| address("peer_listen", text)).transpose()?,
+            settings_digest,
+            settings_keys,
+            peer_listen: file.peer_listen.map(|text| parse_address("peer_listen", text)).transpose()?,
             peers: peers.collect::<Result<_, _>>()?,
             operator: Operator::default(),
         })
@@ -251,26 +259,30 @@
 }
 
 impl<V: Fn(&str) -> Option<String>> Values<V> {
-    /// The value of a variable or, by precedence, that of the file.
     fn required(
         &self,
-        name: &'static str,
+        variable: &'static str,
         in_file: Option<String>,
         precedence: Precedence,
     ) -> Result<String, ConfigFileError> {
-        let found = match precedence {
-            Precedence::Environment => (self.var)(name).or(in_file),
-            Precedence::File => in_file.or_else(|| (self.var)(name)),
+        let value = match precedence {
+            Precedence::Environment => self.optional(variable, in_file),
+            Precedence::File => in_file.or_else(|| (self.var)(variable)),
         };
-        found.ok_or(ConfigFileError::MissingValue(name))
+        value.ok_or(ConfigFileError::MissingValue(variable))
+    }
+
+    /// The environment's value or else the file's.
+    fn optional(&self, variable: &str, in_file: Option<String>) -> Option<String> {
+        (self.var)(variable).or(in_file)
     }
 }
 
-fn address(name: &'static str, text: String) -> Result<SocketAddr, ConfigFileError> {
+fn parse_address(name: &'static str, text: String) -> Result<SocketAddr, ConfigFileError> {
     text.parse().map_err(|_| ConfigFileError::InvalidAddress { name, text })
 }
 
-fn seed(text: String) -> Result<u64, ConfigFileError> {
+fn parse_seed(text: String) -> Result<u64, ConfigFileError> {
     u64::from_str_radix(&text, 16).map_err(|_| ConfigFileError::InvalidSeed(text))
 }
 
@@ -280,22 +292,28 @@
     hasher.finish()
 }
 
-/// Reads the deployment's settings. Keys that are not known are logged and skipped.
-fn read_settings(settings: Value) -> Result<Info, ConfigFileError> {
-    let mut unknown = Vec::new();
-    let info = serde_ignored::deserialize(settings, |path| unknown.push(path.to_string()))
+/// Parses the deployment's settings. Unknown keys are logged and skipped.
+fn parse_settings(settings: Value) -> Result<Info, ConfigFileError> {
+    let mut unknown_keys = Vec::new();
+    let info = serde_ignored::deserialize(settings, |path| unknown_keys.push(path.to_string()))
         .map_err(ConfigFileError::InvalidSettings)?;
-    for key in unknown {
+    for key in unknown_keys {
         log::info!("unknown setting ignored key={key}");
     }
     Ok(info)
 }
 
-/// The paths of all keys of a value, but for those within lists: what their entries need depends on what they are.
-fn list_keys(path: &str, value: &Value, keys: &mut BTreeSet<String>) {
+/// Paths of all keys of nested objects, without those inside lists: which keys a list's entry needs depends on the entry.
+fn key_paths(settings: &Value) -> BTreeSet<String> {
+    let mut paths = BTreeSet::new();
+    collect_key_paths("", settings, &mut paths);
+    paths
+}
+
+fn collect_key_paths(parent: &str, value: &Value, paths: &mut BTreeSet<String>) {
     for (key, value) in value.as_object().into_iter().flatten() {
-        let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-        list_keys(&path, value, keys);
-        keys.insert(path);
+        let path = if parent.is_empty() { key.clone() } else { format!("{parent}.{key}") };
+        collect_key_paths(&path, value, paths);
+        paths.insert(path);
     }
 }
--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -1,9 +1,9 @@
-//! The control part of one gateway and the tasks that it starts.
+//! The control plane of one gateway: how its parts are connected, and the tasks that it runs.
 
 use crate::control::config::Config;
-use crate::control::decisions::Decisions;
+use crate::control::decisions::RoutingDecisions;
 use crate::control::error::ControlError;
-use crate::control::leadership::leadership;
+use crate::control::leadership::fleet_leadership;
 use crate::control::tasks::{close_unused_connections, step_decisions};
 use crate::discovery::host_names::HostNames;
 use crate::discovery::watch::DiscoveryWatch;
@@ -18,7 +18,7 @@
 use crate::postgres::read_buffer::ReadBuffer;
 use crate::resources::budget::Budget;
 use crate::resources::counters::Counters;
-use crate::MemberId;
+use crate::{MemberId, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
 use std::cell::Cell;
 use std::future::Future;
@@ -27,114 +27,132 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Times that a start tries to open the socket for datagrams while the machine lacks descriptors or memory (count).
+/// Attempts to open the datagram socket at startup while the machine lacks descriptors or memory (count).
 const BIND_ATTEMPTS: u32 = 500;
 
-/// What the control part stands on.
-pub struct Environment {
-    /// The clock.
+/// What a control plane needs from its process.
+pub struct Dependencies {
+    /// Clock of all deadlines.
     pub clock: Clock,
-    /// Descriptors and memory.
+    /// Limits on descriptors and message memory.
     pub budget: Rc<Budget>,
-    /// What connections read into.
+    /// Buffer that all connections read into.
     pub read_buffer: Rc<ReadBuffer>,
-    /// Counts.
+    /// Counters that operators see.
     pub counters: Rc<Counters>,
-    /// Requests that came for each group so far.
+    /// Requests received per group, the base of quota lending.
     pub demand: Demand,
-    /// Numbers that another process of this gateway has assigned to hosts.
-    pub assigned: Vec<(String, MemberId)>,
+    /// Names and numbers of the hosts that another process of this gateway knew; empty without one.
+    pub assigned_ids: Vec<(String, MemberId)>,
 }
 
-/// The control part of one gateway.
-pub struct Control<S> {
-    /// The decisions.
+/// The control plane of one gateway. `S` is the socket for datagrams between gateways.
+pub struct ControlPlane<S> {
+    /// The routing decisions.
     pub facade: Facade,
-    /// The database hosts.
-    pub hosts: Rc<Hosts>,
-    /// This gateway's part in the fleet's leadership roles, if they are switched on.
+    /// Connections to the database hosts.
+    pub host_pool: Rc<Hosts>,
+    /// This gateway's part in the fleet's leadership roles, if the operator has enabled any.
     pub leadership: Option<Rc<FleetLeadership>>,
-    /// The names and numbers of the hosts.
-    pub names: Rc<HostNames>,
-    /// Discovery has sent a usable list since the start.
-    pub has_spoken: Rc<Cell<bool>>,
-    /// The revision of the list that is held.
-    pub revision: Rc<Cell<u64>>,
+    /// Names and numbers of the hosts.
+    pub host_names: Rc<HostNames>,
+    /// Whether a usable endpoint list has been received from discovery since the start.
+    pub has_received_list: Rc<Cell<bool>>,
+    /// Revision of the endpoint list in force.
+    pub list_revision: Rc<Cell<u64>>,
+    pub(super) read_wait_bound: Time,
     clock: Clock,
     counters: Rc<Counters>,
+    /// Taken by [`ControlPlane::start`].
     discovery_watch: Option<DiscoveryWatch>,
+    /// Taken by [`ControlPlane::start`]. `None` where gateways exchange no datagrams.
     peers: Option<Peers<S>>,
 }
 
-impl<S: DatagramSocket + 'static> Control<S> {
-    /// Builds it. `bind` gives the socket for datagrams between gateways; it is called only where some are exchanged.
+impl<S: DatagramSocket + 'static> ControlPlane<S> {
+    /// Builds a control plane and applies the configuration's initial endpoint list, which it takes out of `config`.
+    /// `bind` opens the socket for datagrams between gateways; it is called only if the configuration needs one.
     ///
     /// # Errors
     ///
-    /// Fails if the configuration cannot be used, or the socket for datagrams not be opened.
+    /// Fails if the configuration is unusable or the datagram socket cannot be opened.
     pub async fn new<F: Future<Output = Result<S, SocketError>>>(
         config: &mut Config,
-        decisions: Decisions,
-        environment: Environment,
+        decisions: RoutingDecisions,
+        dependencies: Dependencies,
         bind: impl Fn(SocketAddr) -> F,
-    ) -> Result<Control<S>, ControlError> {
-        let Environment { clock, budget, read_buffer, counters, demand, assigned } = environment;
-        let Decisions { facade, gateways, exchange, .. } = decisions;
-        let (connect, idle) = (config.info.connect_span(), config.info.idle_span());
-        let hosts = Hosts::new(clock, budget, counters.clone(), read_buffer, connect, idle);
-        let backoff = Backoff::new(gateways, config.seed.rotate_left(32));
-        let known = config.known.take();
+    ) -> Result<ControlPlane<S>, ControlError> {
+        let RoutingDecisions { facade, read_wait_bound, gateway_count, broadcast_address, .. } = decisions;
+        let Dependencies { clock, budget, read_buffer, counters, demand, assigned_ids } = dependencies;
+        let host_pool = Hosts::new(
+            clock,
+            budget,
+            counters.clone(),
+            read_buffer,
+            config.info.connect_span(),
+            config.info.idle_span(),
+        );
         let discovery_watch = DiscoveryWatch::new(
             facade.clone(),
-            hosts.clone(),
+            host_pool.clone(),
             counters.clone(),
             clock,
-            known,
-            backoff,
-            assigned,
+            config.initial_list.take(),
+            Backoff::new(gateway_count, config.seed.rotate_left(32)),
+            assigned_ids,
         );
-        let (has_spoken, names) = (discovery_watch.has_spoken(), discovery_watch.names());
-        let revision = discovery_watch.revision();
-        let leadership = leadership(config, &facade, clock, &counters, &names, demand)?;
-        let listen = exchange.or(config.peer_listen.filter(|_| leadership.is_some()));
-        let mut peers = None;
-        if let Some(listen) = listen {
-            let place = config.place().ok_or(ControlError::NotListed)?;
-            let socket = socket::through_shortages(BIND_ATTEMPTS, || bind(listen)).await;
-            let socket = socket.map_err(|source| ControlError::Bind { address: listen, source })?;
-            peers = Some(Peers::new(socket, place, config.peers.clone()));
-        }
-        let discovery_watch = Some(discovery_watch);
-        Ok(Control {
+        let host_names = discovery_watch.names();
+        let leadership = fleet_leadership(config, &facade, clock, &counters, &host_names, demand)?;
+        let datagram_address =
+            broadcast_address.or_else(|| config.peer_listen.filter(|_| leadership.is_some()));
+        let peers = match datagram_address {
+            Some(address) => Some(open_peers(config, address, bind).await?),
+            None => None,
+        };
+        Ok(ControlPlane {
             facade,
-            hosts,
+            host_pool,
             leadership,
-            names,
-            has_spoken,
-            revision,
+            host_names,
+            has_received_list: discovery_watch.has_spoken(),
+            list_revision: discovery_watch.revision(),
+            read_wait_bound,
             clock,
             counters,
-            discovery_watch,
+            discovery_watch: Some(discovery_watch),
             peers,
         })
     }
 
-    /// Starts its tasks, none of which ends by itself. The watch is kept at the address that `discovery` names last.
+    /// Spawns the background tasks, none of which ends by itself. The discovery watch follows the latest address of
+    /// `discovery`. A second call spawns the periodic tasks alone.
     pub fn start(&mut self, tasks: &mut JoinSet<()>, discovery: watch::Receiver<SocketAddr>) {
-        if let Some(watch) = self.discovery_watch.take() {
-            tasks.spawn_local(watch.follow(discovery));
+        if let Some(discovery_watch) = self.discovery_watch.take() {
+            tasks.spawn_local(discovery_watch.follow(discovery));
         }
         tasks.spawn_local(step_decisions(self.facade.clone(), self.clock));
-        tasks.spawn_local(close_unused_connections(self.hosts.clone(), self.clock));
+        tasks.spawn_local(close_unused_connections(self.host_pool.clone(), self.clock));
         if let Some(peers) = self.peers.take() {
             let (facade, counters) = (self.facade.clone(), self.counters.clone());
             tasks.spawn_local(peers.talk(facade, self.clock, counters, self.leadership.clone()));
         }
     }
 
-    /// Entries of state that grow with the fleet: hosts, parts of limits, watermarks of other gateways.
-    pub fn entries(&self) -> usize {
-        let leadership = self.leadership.as_ref().map_or(0, |leadership| leadership.entries());
-        self.names.len() + leadership + self.facade.session_entries()
+    /// Number of state entries that grow with the fleet: hosts, quotas, watermarks of other gateways.
+    pub fn entry_count(&self) -> usize {
+        let leadership_entries = self.leadership.as_ref().map_or(0, |leadership| leadership.entries());
+        self.host_names.len() + leadership_entries + self.facade.session_entries()
     }
 }
+
+/// Opens the socket for datagrams between gateways at `address`, retrying while the machine lacks resources.
+async fn open_peers<S: DatagramSocket, F: Future<Output = Result<S, SocketError>>>(
+    config: &Config,
+    address: SocketAddr,
+    bind: impl Fn(SocketAddr) -> F,
+) -> Result<Peers<S>, ControlError> {
+    let peer_index = config.peer_index().ok_or(ControlError::NotListed)?;
+    let socket = socket::through_shortages(BIND_ATTEMPTS, || bind(address)).await;
+    let socket = socket.map_err(|source| ControlError::Bind { address, source })?;
+    Ok(Peers::new(socket, peer_index, config.peers.clone()))
+}
--- a/src/control/decisions.rs
+++ b/src/control/decisions.rs
@@ -1,40 +1,42 @@
-//! The decisions of one gateway, built from its configuration.
+//! The routing decisions of one gateway, built from its configuration.
 
 use crate::control::config::Config;
-use crate::control::effective_settings::settings;
+use crate::control::effective_settings::effective_settings;
 use crate::control::error::ControlError;
-use crate::control::session_tracking::sessions;
+use crate::control::session_tracking::{session_tracking, SessionSetup};
 use crate::facade::Facade;
 use crate::Time;
 use std::net::SocketAddr;
 
-/// The decisions of one gateway, before the first list.
-pub struct Decisions {
+/// The routing decisions of one gateway before its first endpoint list, and the settings that other parts derive from.
+pub struct RoutingDecisions {
     /// The decisions.
     pub facade: Facade,
-    /// Requests that clients can hold open.
+    /// Maximum number of concurrently open requests.
     pub max_open_requests: u32,
-    /// Longest that a read is held for a replica (microseconds).
+    /// Longest time that a read waits for a replica to catch up (microseconds).
     pub read_wait_bound: Time,
-    pub(super) gateways: u32,
-    /// Where the watermark broadcasts of other gateways are received.
-    pub(super) exchange: Option<SocketAddr>,
+    /// Number of gateways that share the hosts.
+    pub(super) gateway_count: u32,
+    /// Where watermark broadcasts of other gateways arrive, if sessions use them.
+    pub(super) broadcast_address: Option<SocketAddr>,
 }
 
-impl Decisions {
-    /// Those of this configuration.
+impl RoutingDecisions {
+    /// Builds the decisions that `config` asks for.
     ///
     /// # Errors
     ///
-    /// Fails if the settings, or what the operator has set of sessions, cannot be used.
-    pub fn new(config: &Config, now: Time) -> Result<Decisions, ControlError> {
-        let mut settings = settings(config)?;
-        let (sessions, exchange) = sessions(config, &settings.classes, now)?;
+    /// Fails if the deployment's settings or the operator's `sessions` record are unusable.
+    pub fn new(config: &Config, now: Time) -> Result<RoutingDecisions, ControlError> {
+        let mut settings = effective_settings(config)?;
+        let SessionSetup { tracking, broadcast_address } = session_tracking(config, &settings.classes, now)?;
         let read_wait_bound =
-            sessions.as_ref().map_or(0, |sessions| sessions.tracker.settings().max_read_wait);
+            tracking.as_ref().map_or(0, |tracking| tracking.tracker.settings().max_read_wait);
         settings.read_wait_bound = read_wait_bound;
-        let (max_open_requests, gateways) = (settings.max_open_requests, settings.routers);
-        let facade = Facade::with_sessions(settings, config.seed, sessions)?;
-        Ok(Decisions { facade, max_open_requests, read_wait_bound, gateways, exchange })
+        let max_open_requests = settings.max_open_requests;
+        let gateway_count = settings.routers;
+        let facade = Facade::with_sessions(settings, config.seed, tracking)?;
+        Ok(RoutingDecisions { facade, max_open_requests, read_wait_bound, gateway_count, broadcast_address })
     }
 }
--- a/src/control/error.rs
+++ b/src/control/error.rs
@@ -1,4 +1,4 @@
-//! Why the control part cannot start, or cannot follow a configuration that was read again.
+//! Why the control plane cannot start, or cannot apply a reloaded configuration.
 
 use crate::facade::SettingsRejected;
 use crate::os::socket::SocketError;
@@ -8,48 +8,48 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the control part cannot start, or cannot follow a configuration that was read again.
+/// Why the control plane cannot start, or cannot apply a reloaded configuration. The messages are shown to operators.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// A value of the deployment's settings is missing or not known.
+    /// A value of the deployment's settings is missing or unknown.
     #[error("settings: {0}")]
     Deployment(#[from] DeploymentError),
-    /// A figure of the deployment's settings is out of range.
+    /// A value of the deployment's settings is out of range.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The running gateway cannot take the settings.
+    /// The running gateway cannot change to the new settings.
     #[error("settings: {0}")]
     SettingsRejected(SettingsRejected),
-    /// Sessions cannot be kept for the classes that the operator names.
+    /// The operator's `sessions` record names unusable classes.
     #[error(transparent)]
     SessionClasses(#[from] SessionClassesError),
-    /// The settings of the sessions are out of range.
+    /// The session settings are out of range.
     #[error("sessions: {0}")]
     Sessions(#[from] petrelgauge_sessions::SettingsError),
-    /// The settings of the shared duties are out of range.
+    /// The lease settings are out of range.
     #[error("ownership: {0}")]
     Ownership(#[from] petrelgauge_ownership::SettingsError),
-    /// The operator's record needs other instances, and the configuration does not say where they reach this one.
+    /// A record of the operator's file needs other gateways, and the configuration has no address to receive from them.
     #[error("{record}: the configuration names no peer_listen")]
     MissingPeerListen {
-        /// The record of the operator's file.
+        /// Name of the record.
         record: &'static str,
     },
-    /// The operator's record needs other instances, and this gateway is not listed among them.
+    /// A record of the operator's file needs other gateways, and this one is not among the configured peers.
     #[error("{record}: this gateway is none of the peers")]
     NotListedFor {
-        /// The record of the operator's file.
+        /// Name of the record.
         record: &'static str,
     },
-    /// This gateway is not listed among the peers.
+    /// This gateway is not among the configured peers.
     #[error("peers: this gateway is none of them")]
     NotListed,
-    /// The address for datagrams of other instances cannot be bound.
+    /// The socket for datagrams between gateways cannot be opened.
     #[error("cannot listen to other instances at {address}: {source}")]
     Bind {
-        /// The address.
+        /// Address of the socket.
         address: SocketAddr,
-        /// What the system says.
+        /// The failed system call.
         source: SocketError,
     },
 }
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -14,31 +14,41 @@
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 
-/// This gateway's part in the fleet's leadership roles, if the operator has switched them on.
-pub(super) fn leadership(
+/// Builds the leadership roles of the operator's `ownership` record; `None` without one.
+pub(super) fn fleet_leadership(
     config: &Config,
     facade: &Facade,
     clock: Clock,
     counters: &Rc<Counters>,
-    names: &Rc<HostNames>,
+    host_names: &Rc<HostNames>,
     demand: Demand,
 ) -> Result<Option<Rc<FleetLeadership>>, ControlError> {
-    let Some(set) = &config.operator.ownership else { return Ok(None) };
+    let Some(record) = &config.operator.ownership else { return Ok(None) };
     if config.peer_listen.is_none() {
         return Err(ControlError::MissingPeerListen { record: "ownership" });
     }
-    let me = config.place().ok_or(ControlError::NotListedFor { record: "ownership" })?;
-    let settings = set.settings(me, config.peers.len())?;
+    let self_id = config.peer_index().ok_or(ControlError::NotListedFor { record: "ownership" })?;
+    let settings = record.settings(self_id, config.peers.len())?;
     let now = clock.now();
     let lease_manager = LeaseManager::new(settings, now, config.seed)?;
-    // A restarted process must not accept what was granted to the one before it.
-    let number = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
-    let quota_lending = set
-        .quota_lending
-        .then(|| QuotaLending::new(&lease_manager, set.shards, number, facade.clone(), clock, demand));
-    let (facade, counters, names) = (facade.clone(), counters.clone(), names.clone());
-    let config =
-        LeadershipConfig { primary_discovery: set.primary_discovery, shards: set.shards, secret: set.secret };
-    let discovery = PrimaryDiscovery::new(set.shards, facade, clock, counters.clone(), names);
-    Ok(Some(FleetLeadership::new(lease_manager, discovery, quota_lending, config, clock, counters)))
+    // Drawn anew at each start: a restarted process must not accept quota that was granted to its predecessor.
+    let incarnation = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
+    let quota_lending = record.quota_lending.then(|| {
+        QuotaLending::new(&lease_manager, record.shards, incarnation, facade.clone(), clock, demand)
+    });
+    let primary_discovery =
+        PrimaryDiscovery::new(record.shards, facade.clone(), clock, counters.clone(), host_names.clone());
+    let leadership_config = LeadershipConfig {
+        primary_discovery: record.primary_discovery,
+        shards: record.shards,
+        secret: record.secret,
+    };
+    Ok(Some(FleetLeadership::new(
+        lease_manager,
+        primary_discovery,
+        quota_lending,
+        leadership_config,
+        clock,
+        counters.clone(),
+    )))
 }
--- a/src/control/ops.rs
+++ b/src/control/ops.rs
@@ -1,5 +1,5 @@
-//! The address for operators' commands: one line in, one line out. What a line means and what is answered to it stands in
-//! `petrelgauge_lifecycle::ops`.
+//! The address for operators' commands: one line per connection, one line back. Commands and replies are defined in
+//! `petrelgauge_lifecycle::ops`; the gateway's event loop executes them.
 
 use crate::host::pool::Hosts;
 use crate::os::clock::Clock;
@@ -16,132 +16,143 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Span in which a caller may read its answer and close the connection (microseconds).
+/// Time within which a caller must read the reply and close the connection (microseconds).
 const REPLY_TIMEOUT: Time = 500_000;
-/// Pause after a caller could not be accepted (microseconds).
+/// Pause after a failed accept (microseconds).
 const ACCEPT_RETRY_PAUSE: Time = 10_000;
 
-/// A command of an operator.
+/// A command on its way to the event loop.
 pub struct CommandRequest {
-    /// What is asked for.
+    /// The command.
     pub command: Command,
-    /// Where the answer goes.
-    pub answer: oneshot::Sender<Reply>,
+    /// Receives the reply. Dropped without one, the caller reads that the gateway is stopping.
+    pub reply: oneshot::Sender<Reply>,
 }
 
-/// Takes operators' commands and hands them to the gateway's event loop.
+/// Accepts operators' commands and forwards them to the gateway's event loop.
 pub struct CommandListener {
-    /// Where commands are carried out.
+    /// Channel to the event loop.
     pub commands: mpsc::Sender<CommandRequest>,
-    /// What can be spared when there is no descriptor left.
-    pub hosts: Rc<Hosts>,
-    /// The clock.
+    /// Gives up an idle connection when no descriptor is left to accept with.
+    pub host_pool: Rc<Hosts>,
+    /// Clock of all deadlines.
     pub clock: Clock,
-    /// Counts.
+    /// Counts callers.
     pub counters: Rc<Counters>,
 }
 
 impl CommandListener {
-    /// Accepts callers for as long as the gateway runs.
+    /// Accepts callers. Never returns. Beyond [`MAX_CALLERS`], the caller that has waited longest is disconnected.
     pub async fn accept(self, listener: TcpListener) {
-        let command_listener = Rc::new(self);
+        let this = Rc::new(self);
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
-            let stream = match socket::accept(&listener).await {
-                Ok(stream) => stream,
-                // That caller has left; the next may be there.
-                Err(SocketError::Broken(_)) => {
-                    tokio::task::yield_now().await;
-                    continue;
-                }
-                Err(_) => {
-                    command_listener.hosts.ensure_descriptor();
-                    let clock = command_listener.clock;
-                    clock.sleep_until(clock.now() + ACCEPT_RETRY_PAUSE).await;
-                    continue;
-                }
-            };
+            let Some(stream) = this.accept_one(&listener).await else { continue };
             callers.retain(|caller| !caller.is_finished());
             if callers.len() >= MAX_CALLERS {
                 callers.pop_front().into_iter().for_each(|caller| caller.abort());
-                // Its descriptor is free once it was dropped.
+                // The aborted task is dropped, and with it its descriptor, when the runtime gets to run.
                 tokio::task::yield_now().await;
             }
-            callers
-                .push_back(tokio::task::spawn_local(command_listener.clone().serve(stream)).abort_handle());
+            let caller = tokio::task::spawn_local(this.clone().serve(stream));
+            callers.push_back(caller.abort_handle());
         }
     }
 
-    /// Reads one command, carries it out and writes the answer.
+    /// Accepts one caller. After a failure, waits for as long as the cause needs and returns `None`.
+    async fn accept_one(&self, listener: &TcpListener) -> Option<TcpStream> {
+        match socket::accept(listener).await {
+            Ok(stream) => return Some(stream),
+            // This caller has disconnected; the next one may be waiting already.
+            Err(SocketError::Broken(_)) => tokio::task::yield_now().await,
+            Err(_) => {
+                self.host_pool.ensure_descriptor();
+                self.clock.sleep_until(self.clock.now() + ACCEPT_RETRY_PAUSE).await;
+            }
+        }
+        None
+    }
+
+    /// Reads one command, has it executed and writes the reply.
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
         self.counters.calls.add();
-        let Some(reply) = self.reply(&stream).await else { return };
+        let Some(reply) = self.read_and_execute(&stream).await else { return };
         if !reply.yes {
             self.counters.calls_denied.add();
         }
         let clock = self.clock;
         tokio::select! {
-            // A caller that does not read its answer has left.
+            // The reply is best effort: a caller may disconnect without reading it.
             _ = write_reply(&mut stream, &reply) => {}
             () = clock.sleep_until(clock.now() + REPLY_TIMEOUT) => {}
         }
     }
 
-    /// The answer to the line that comes; none if the caller leaves before it has sent anything.
-    async fn reply(&self, stream: &TcpStream) -> Option<Reply> {
+    /// Returns the reply to the caller's line, or `None` if the caller disconnects without sending one.
+    async fn read_and_execute(&self, stream: &TcpStream) -> Option<Reply> {
         let clock = self.clock;
         let line = tokio::select! {
-            line = line(stream) => line,
-            () = clock.sleep_until(clock.now() + LINE_TIMEOUT) => Err(Some(CommandError::TimedOut)),
+            line = read_line(stream) => line,
+            () = clock.sleep_until(clock.now() + LINE_TIMEOUT) => Err(LineError::Invalid(CommandError::TimedOut)),
         };
         match line {
             Ok(line) => match ops::parse(&line) {
                 Ok(command) => Some(self.execute(command).await),
                 Err(error) => Some(error.into()),
             },
-            Err(error) => error.map(Reply::from),
+            Err(LineError::Invalid(error)) => Some(error.into()),
+            Err(LineError::Disconnected) => None,
         }
     }
 
     async fn execute(&self, command: Command) -> Reply {
-        let (answer, answered) = oneshot::channel();
-        let sent = self.commands.send(CommandRequest { command, answer }).await;
+        let (reply, replied) = oneshot::channel();
+        let sent = self.commands.send(CommandRequest { command, reply }).await;
         let reply = match sent {
-            Ok(()) => answered.await.ok(),
+            Ok(()) => replied.await.ok(),
             Err(_) => None,
         };
         reply.unwrap_or(Reply { yes: false, reason: "stopping, it ends by itself".into() })
     }
 }
 
+/// Why a caller's line was not read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LineError {
+    /// The line is no command; the caller is sent the reason.
+    Invalid(CommandError),
+    /// The caller disconnected without sending a line, or the connection broke.
+    Disconnected,
+}
+
 async fn write_reply(stream: &mut TcpStream, reply: &Reply) -> Result<(), SocketError> {
     socket::write_all(stream, &mut reply.to_string().as_bytes()).await?;
     stream.shutdown().await.map_err(SocketError::Broken)?;
-    // Closed with bytes unread, the connection would be reset and the answer lost.
-    let mut rest = [0; MAX_LINE_BYTES];
-    while socket::read(stream, &mut rest).await? > 0 {}
+    // Closing a socket with unread bytes resets the connection, and the reply would be lost.
+    let mut discarded = [0; MAX_LINE_BYTES];
+    while socket::read(stream, &mut discarded).await? > 0 {}
     Ok(())
 }
 
-/// A caller's line, without its end. Nothing if the caller left before it had said anything.
+/// Reads a caller's line, without its line end. The end of the stream ends a line, too.
 ///
 /// # Errors
 ///
-/// Fails with the reply if the line is too long or not complete in time, and without one if the connection broke.
-pub async fn line(stream: &impl ByteStream) -> Result<Vec<u8>, Option<CommandError>> {
+/// Fails if the line is longer than [`MAX_LINE_BYTES`], the caller sends nothing, or the connection breaks.
+pub async fn read_line(stream: &impl ByteStream) -> Result<Vec<u8>, LineError> {
     let (mut line, mut bytes) = (Vec::new(), [0; MAX_LINE_BYTES]);
     loop {
-        let count = socket::read(stream, &mut bytes).await.map_err(|_| None)?;
+        let count = socket::read(stream, &mut bytes).await.map_err(|_| LineError::Disconnected)?;
         if let Some(end) = bytes[..count].iter().position(|byte| *byte == b'\n') {
             line.extend_from_slice(&bytes[..end]);
             return Ok(line);
         }
         line.extend_from_slice(&bytes[..count]);
         if line.len() > MAX_LINE_BYTES {
-            return Err(Some(CommandError::TooLong));
+            return Err(LineError::Invalid(CommandError::TooLong));
         }
         if count == 0 {
-            return if line.is_empty() { Err(None) } else { Ok(line) };
+            return if line.is_empty() { Err(LineError::Disconnected) } else { Ok(line) };
         }
     }
 }
--- a/src/control/session_tracking.rs
+++ b/src/control/session_tracking.rs
@@ -3,59 +3,81 @@
 use crate::control::config::Config;
 use crate::control::error::ControlError;
 use crate::facade::SessionTracking;
-use crate::settings::operator::SessionClassesError;
+use crate::settings::operator::{SessionClassesError, Sessions};
 use crate::{Class, Need, Time};
-use petrelgauge_sessions::SessionTracker;
+use petrelgauge_sessions::{SessionTracker, Settings};
 use std::net::SocketAddr;
 
-/// The session tracker with the classes that carry sessions, and where broadcasts of others are received.
-pub(super) type TrackedSessions = (Option<SessionTracking>, Option<SocketAddr>);
+/// Session tracking, and what it needs from the fleet.
+#[derive(Default)]
+pub(super) struct SessionSetup {
+    /// The tracker and the classes it serves; `None` where no class carries sessions.
+    pub(super) tracking: Option<SessionTracking>,
+    /// Where watermark broadcasts of other gateways arrive, if they are exchanged.
+    pub(super) broadcast_address: Option<SocketAddr>,
+}
 
-/// The sessions that the operator has switched on, or else what the deployment asks for by itself: watermarks of this
-/// instance's own answers, since its start.
-pub(super) fn sessions(
+/// Sets up the sessions of the operator's `sessions` record. Without one, session reads that the deployment asks for see
+/// the writes that this gateway has answered since its start.
+pub(super) fn session_tracking(
     config: &Config,
     classes: &[Class],
     now: Time,
-) -> Result<TrackedSessions, ControlError> {
-    if let Some(set) = &config.operator.sessions {
-        let (classes, mut settings) = (carrying(config, classes)?, set.settings.clone());
-        let mut exchange = None;
-        if set.peers {
-            let listen = config.peer_listen.ok_or(ControlError::MissingPeerListen { record: "sessions" })?;
-            let me = config.place().ok_or(ControlError::NotListedFor { record: "sessions" })?;
-            (settings.instance, settings.instances) =
-                (me as u16, config.peers.len().min(u16::MAX.into()) as u16);
-            exchange = Some(listen);
-        }
-        let tracker = SessionTracker::new(settings, now)?;
-        return Ok((Some(SessionTracking { tracker, classes }), exchange));
+) -> Result<SessionSetup, ControlError> {
+    let session_classes = session_class_indices(config, classes)?;
+    match &config.operator.sessions {
+        Some(record) => operator_sessions(config, record, session_classes, now),
+        None if session_classes.is_empty() => Ok(SessionSetup::default()),
+        None => local_sessions(config, session_classes),
     }
-    let classes = carrying(config, classes)?;
-    if classes.is_empty() {
-        return Ok((None, None));
+}
+
+/// Sessions as the operator's record describes them.
+fn operator_sessions(
+    config: &Config,
+    record: &Sessions,
+    classes: Vec<usize>,
+    now: Time,
+) -> Result<SessionSetup, ControlError> {
+    let mut settings = record.settings.clone();
+    let mut broadcast_address = None;
+    if record.peers {
+        let address = config.peer_listen.ok_or(ControlError::MissingPeerListen { record: "sessions" })?;
+        let instance = config.peer_index().ok_or(ControlError::NotListedFor { record: "sessions" })?;
+        settings.instance = instance as u16;
+        settings.instances = config.peers.len().min(u16::MAX.into()) as u16;
+        broadcast_address = Some(address);
     }
-    let (hosts_report_positions, hosts_enforce_positions) =
-        (config.info.tells_positions(), config.info.checks());
-    let defaults = petrelgauge_sessions::Settings {
-        hosts_report_positions,
-        hosts_enforce_positions,
-        ..Default::default()
+    let tracker = SessionTracker::new(settings, now)?;
+    Ok(SessionSetup { tracking: Some(SessionTracking { tracker, classes }), broadcast_address })
+}
+
+/// Sessions that live in this gateway alone: no tokens, no broadcasts.
+fn local_sessions(config: &Config, classes: Vec<usize>) -> Result<SessionSetup, ControlError> {
+    let settings = Settings {
+        roams: false,
+        tokens: false,
+        hosts_report_positions: config.info.tells_positions(),
+        hosts_enforce_positions: config.info.checks(),
+        ..Settings::default()
     };
-    let settings = petrelgauge_sessions::Settings { roams: false, tokens: false, ..defaults };
     let tracker = SessionTracker::new(settings, 0)?;
-    Ok((Some(SessionTracking { tracker, classes }), None))
+    Ok(SessionSetup { tracking: Some(SessionTracking { tracker, classes }), broadcast_address: None })
 }
 
-/// Places of the classes that carry sessions: those that the operator names, or else those that the deployment asks
-/// for by itself.
-pub(super) fn carrying(config: &Config, classes: &[Class]) -> Result<Vec<usize>, SessionClassesError> {
-    if let Some(set) = &config.operator.sessions {
-        return set.places(classes);
+/// Indices of the classes that carry sessions: those that the operator's record names, or else the writes and session
+/// reads of a deployment that asks for them.
+pub(super) fn session_class_indices(
+    config: &Config,
+    classes: &[Class],
+) -> Result<Vec<usize>, SessionClassesError> {
+    if let Some(record) = &config.operator.sessions {
+        return record.places(classes);
     }
-    if !classes.iter().any(|class| class.need == Need::Session) || !config.info.remembers_sessions() {
+    let has_session_reads = classes.iter().any(|class| class.need == Need::Session);
+    if !has_session_reads || !config.info.remembers_sessions() {
         return Ok(Vec::new());
     }
-    let carrying = |place: &usize| matches!(classes[*place].need, Need::Write | Need::Session);
-    Ok((0..classes.len()).filter(carrying).collect())
+    let carries_sessions = |index: &usize| matches!(classes[*index].need, Need::Write | Need::Session);
+    Ok((0..classes.len()).filter(carries_sessions).collect())
 }
--- a/src/control/tasks.rs
+++ b/src/control/tasks.rs
@@ -1,4 +1,4 @@
-//! The periodic tasks of the control part.
+//! The periodic tasks of the control plane. None of them ends by itself.
 
 use crate::facade::Facade;
 use crate::host::pool::Hosts;
@@ -6,17 +6,17 @@
 use crate::Time;
 use std::rc::Rc;
 
-/// Between two closings of idle connections that are of no more use (microseconds).
+/// Time between two sweeps of idle host connections (microseconds).
 const IDLE_SWEEP_INTERVAL: Time = 500_000;
-/// Between two checks for clients that are too many (microseconds).
+/// Time between two checks for excess clients (microseconds).
 const SHED_INTERVAL: Time = 50_000;
 
-/// Steps the decisions when something came in or a timer is due.
+/// Steps the decisions whenever an event has arrived or a timer is due.
 pub(super) async fn step_decisions(facade: Facade, clock: Clock) {
     loop {
         match facade.tick(clock.now()) {
-            Some(at) => tokio::select! {
-                () = clock.sleep_until(at) => {}
+            Some(next_at) => tokio::select! {
+                () = clock.sleep_until(next_at) => {}
                 () = facade.woken() => {}
             },
             None => facade.woken().await,
@@ -24,14 +24,14 @@
     }
 }
 
-/// Closes idle connections to hosts that are of no more use, and idle clients that are too many.
-pub(super) async fn close_unused_connections(hosts: Rc<Hosts>, clock: Clock) {
+/// Closes expired idle connections to hosts, and idle clients beyond the client share of the descriptors.
+pub(super) async fn close_unused_connections(host_pool: Rc<Hosts>, clock: Clock) {
     loop {
-        let by = clock.now() + IDLE_SWEEP_INTERVAL;
-        while clock.now() < by {
+        let sweep_at = clock.now() + IDLE_SWEEP_INTERVAL;
+        while clock.now() < sweep_at {
             clock.sleep_until(clock.now() + SHED_INTERVAL).await;
-            hosts.shed_excess_clients();
+            host_pool.shed_excess_clients();
         }
-        hosts.sweep();
+        host_pool.sweep();
     }
 }
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -4,11 +4,8 @@
 use petrelgauge::client::context::Front;
 use petrelgauge::control::config::{Config, ConfigError};
 use petrelgauge::control::ops::CommandRequest;
-use petrelgauge::control::reload;
-use petrelgauge::facade::Facade;
-use petrelgauge::fleet::leadership::FleetLeadership;
+use petrelgauge::control::{ControlPlane, Reloaded};
 use petrelgauge::handover::Handover;
-use petrelgauge::host::pool::Hosts;
 use petrelgauge::os::clock::Clock;
 use petrelgauge::os::signals::{Signal, Signals};
 use petrelgauge::resources::counters::Counters;
@@ -25,30 +22,22 @@
 /// Between two looks at what is still open while the gateway closes (microseconds).
 const CLOSING_POLL_INTERVAL: Time = 10_000;
 
-/// A gateway whose tasks run.
-pub struct GatewayProcess {
+/// A gateway whose tasks run. `S` is the socket for datagrams between gateways.
+pub struct GatewayProcess<S> {
     /// The configuration in force.
     pub config: Config,
     /// The clock.
     pub clock: Clock,
-    /// The routing decisions.
-    pub facade: Facade,
+    /// Decisions, hosts, discovery and the part in the fleet.
+    pub control: ControlPlane<S>,
     /// Counts since the start.
     pub counters: Rc<Counters>,
-    /// The database hosts.
-    pub hosts: Rc<Hosts>,
-    /// This gateway's part in the fleet's leadership roles, if they are switched on.
-    pub leadership: Option<Rc<FleetLeadership>>,
     /// What the client sessions share.
     pub front: Rc<Front>,
     /// Exchange with other processes of this gateway, where the platform holds the clients' socket.
     pub handover: Option<Rc<Handover>>,
-    /// Discovery has sent a usable list since the start.
-    pub has_spoken: Rc<Cell<bool>>,
     /// Clock time from which on the list of the configuration will do (microseconds).
     pub list_deadline: Time,
-    /// Longest that a read is held for a replica (microseconds).
-    pub read_hold: Time,
     /// The most that this process may reserve while it is the gateway's only one.
     pub full_reservation: Rc<Cell<Reservation>>,
     /// Where the gateway is between its start and its end.
@@ -74,7 +63,7 @@
     Lifecycle(Event),
 }
 
-impl GatewayProcess {
+impl<S> GatewayProcess<S> {
     /// Runs until the gateway has stopped.
     ///
     /// # Errors
@@ -114,7 +103,7 @@
             Some(command) = self.commands.recv() => Ok(Wakeup::Command(command)),
             () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Due)),
             () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if stage == Stage::Closing => {
-                let (clients, attempts) = (self.front.open_sessions.get(), self.hosts.open_attempts());
+                let (clients, attempts) = (self.front.open_sessions.get(), self.control.host_pool.open_attempts());
                 Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
             }
             Some(ended) = self.tasks.join_next(), if stage == Stage::Serving => Err(GatewayError::TaskEnded(ended)),
@@ -132,17 +121,17 @@
     /// Carries out an operator's command and answers it.
     fn execute(&mut self, command: CommandRequest) {
         let known = KnownState {
-            hosts: self.hosts.listed_count(),
-            list_received: self.has_spoken.get(),
+            hosts: self.control.host_pool.listed_count(),
+            list_received: self.control.has_received_list.get(),
             accept_initial_list_at: self.list_deadline,
-            version: self.facade.version(),
+            version: self.control.facade.version(),
         };
         let (reply, action) = ops::execute(&mut self.lifecycle, self.clock.now(), command.command, known);
         if action == Action::ApplyServingState {
             log::info!("command executed command={:?} answer={}", command.command, reply.reason);
         }
         // A caller that has left needs no answer.
-        let _ = command.answer.send(reply);
+        let _ = command.reply.send(reply);
     }
 
     /// Begins a graceful shutdown.
@@ -152,11 +141,11 @@
             return;
         }
         log::info!("gateway stopping");
-        let longest = self.facade.longest_deadline(self.clock.now());
+        let longest = self.control.facade.longest_deadline(self.clock.now());
         self.front.final_answer_deadline.set(self.lifecycle.answer_deadline(longest));
         self.front.final_read_deadlines.set(self.lifecycle.read_deadlines(longest));
-        self.facade.set_final_answer_by(self.front.final_answer_deadline.get());
-        self.leadership.iter().for_each(|leadership| leadership.stop());
+        self.control.facade.set_final_answer_by(self.front.final_answer_deadline.get());
+        self.control.leadership.iter().for_each(|leadership| leadership.stop());
     }
 
     /// Reads the configuration again and follows it, if it can be used.
@@ -169,20 +158,21 @@
         }
         if let Err(cause) = self.follow(new) {
             self.counters.bad_configs.add();
-            let version = self.facade.version();
+            let version = self.control.facade.version();
             log::warn!("configuration rejected settings_version={version} cause={cause}");
         }
     }
 
     fn follow(&mut self, new: Result<Config, ConfigError>) -> Result<(), ReloadError> {
-        let Self { config, facade, hosts, .. } = &*self;
-        let (new, open) = reload(new?, config, self.read_hold, self.clock.now(), facade, hosts)?;
+        let reloaded = self.control.reload(self.clock.now(), &self.config, new?)?;
+        let Reloaded { config: new, max_open_requests } = reloaded;
         self.counters.reloads.add();
-        let (address, version) = (new.discovery, self.facade.version());
+        let (address, version) = (new.discovery, self.control.facade.version());
         log::info!("configuration reloaded settings_version={version} discovery={address}");
-        self.full_reservation.set(Reservation { open: open as usize, ..self.full_reservation.get() });
+        self.full_reservation
+            .set(Reservation { open: max_open_requests as usize, ..self.full_reservation.get() });
         if let Some(handover) = &self.handover {
-            handover.follow(new.digest);
+            handover.follow(new.settings_digest);
         }
         self.discovery_address.send_if_modified(|known| std::mem::replace(known, address) != address);
         self.config = new;
@@ -191,8 +181,9 @@
 
     fn log_counters(&self) {
         let sessions =
-            self.facade.session_counts().map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
-        let leadership = self.leadership.as_ref().map(|leadership| format!(" {}", leadership.counts()));
+            self.control.facade.session_counts().map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
+        let leadership =
+            self.control.leadership.as_ref().map(|leadership| format!(" {}", leadership.counts()));
         log::info!(
             "counters {}{}{}",
             self.counters,
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -5,12 +5,12 @@
 use petrelgauge::client::context::Front;
 use petrelgauge::control::config::Config;
 use petrelgauge::control::ops::{CommandListener, CommandRequest};
-use petrelgauge::control::{Control, Decisions, Environment};
+use petrelgauge::control::{ControlPlane, Dependencies, RoutingDecisions};
 use petrelgauge::facade::Facade;
 use petrelgauge::handover::Handover;
 use petrelgauge::host::pool::Hosts;
 use petrelgauge::os::clock::Clock;
-use petrelgauge::os::datagram;
+use petrelgauge::os::datagram::{self, DatagramSocket};
 use petrelgauge::os::signals::Signals;
 use petrelgauge::os::socket::{self, SocketError};
 use petrelgauge::postgres::cancel::CancelKeys;
@@ -54,17 +54,16 @@
     mut config: Config,
     inherited: Option<StdTcpListener>,
     signals: Signals,
-) -> Result<GatewayProcess, GatewayError> {
+) -> Result<GatewayProcess<impl DatagramSocket>, GatewayError> {
     let clock = Clock::start().ahead(config.operator.clock_shift);
-    let decisions = Decisions::new(&config, clock.now())?;
-    let read_hold = decisions.read_wait_bound;
+    let decisions = RoutingDecisions::new(&config, clock.now())?;
     let full_reservation = Rc::new(Cell::new(full_reservation(&config, decisions.max_open_requests)));
     let resources = Resources::new(&config, clock, decisions.facade.clone());
     // Where the platform holds the clients' socket, another process of this gateway may run, or have run a moment ago.
     let shared = inherited.is_some();
     let handover = shared.then(|| Rc::new(open_handover(&config)));
-    let environment = resources.environment(adopt_learned_state(&handover, &resources));
-    let mut control = Control::new(&mut config, decisions, environment, datagram::bind).await?;
+    let dependencies = resources.dependencies(adopt_learned_state(&handover, &resources));
+    let mut control = ControlPlane::new(&mut config, decisions, dependencies, datagram::bind).await?;
     let list_deadline = clock.now() + INITIAL_LIST_TIMEOUT;
     let listener = listen_for_clients(inherited, config.listen).await?;
     let (discovery_address, followed_address) = watch::channel(config.discovery);
@@ -74,29 +73,25 @@
     let mut tasks = JoinSet::new();
     control.start(&mut tasks, followed_address);
     if let Some(address) = config.ops {
-        resources.listen_for_operators(address, &command_sender, &control.hosts, &mut tasks).await?;
+        resources.listen_for_operators(address, &command_sender, &control.host_pool, &mut tasks).await?;
     }
     if let Some(handover) = &handover {
         let Resources { facade, budget, .. } = &resources;
-        let (names, reservation) = (control.names.clone(), full_reservation.clone());
+        let (names, reservation) = (control.host_names.clone(), full_reservation.clone());
         tasks.spawn_local(handover.clone().keep(clock, facade.clone(), budget.clone(), names, reservation));
     }
-    let front = Rc::new(resources.front(&config, control.hosts.clone(), followed_state));
-    let has_spoken = control.has_spoken.clone();
-    tasks.spawn_local(accept_clients(front.clone(), listener, shared, has_spoken.clone(), list_deadline));
+    let front = Rc::new(resources.front(&config, control.host_pool.clone(), followed_state));
+    let has_received_list = control.has_received_list.clone();
+    tasks.spawn_local(accept_clients(front.clone(), listener, shared, has_received_list, list_deadline));
     log::info!("gateway serving name={} address={}", config.name, config.listen);
     Ok(GatewayProcess {
         config,
         clock,
-        facade: resources.facade,
+        control,
         counters: resources.counters,
-        hosts: control.hosts,
-        leadership: control.leadership,
         front,
         handover,
-        has_spoken,
         list_deadline,
-        read_hold,
         full_reservation,
         lifecycle: Gateway::new(shared),
         serving_state,
@@ -113,22 +108,22 @@
         Resources {
             clock,
             facade,
-            budget: Budget::new(config.sockets, config.memory),
+            budget: Budget::new(config.max_descriptors, config.max_memory),
             read_buffer: ReadBuffer::new(),
             counters: Rc::new(Counters::default()),
         }
     }
 
-    /// What the control part needs. `assigned` are the numbers that hosts have from another process.
-    fn environment(&self, assigned: Vec<(String, MemberId)>) -> Environment {
+    /// What the control plane needs. `assigned_ids` are the numbers that hosts have from another process.
+    fn dependencies(&self, assigned_ids: Vec<(String, MemberId)>) -> Dependencies {
         let facade = self.facade.clone();
-        Environment {
+        Dependencies {
             clock: self.clock,
             budget: self.budget.clone(),
             read_buffer: self.read_buffer.clone(),
             counters: self.counters.clone(),
             demand: Rc::new(move || facade.requests_by_group()),
-            assigned,
+            assigned_ids,
         }
     }
 
@@ -167,7 +162,7 @@
         let listener = listen(address).await.map_err(failed)?;
         let command_listener = CommandListener {
             commands: commands.clone(),
-            hosts: hosts.clone(),
+            host_pool: hosts.clone(),
             clock: self.clock,
             counters: self.counters.clone(),
         };
@@ -178,12 +173,16 @@
 
 /// The most that this process may reserve while it is the gateway's only one.
 pub fn full_reservation(config: &Config, max_open_requests: u32) -> Reservation {
-    Reservation { sockets: config.sockets, memory: config.memory, open: max_open_requests as usize }
+    Reservation {
+        sockets: config.max_descriptors,
+        memory: config.max_memory,
+        open: max_open_requests as usize,
+    }
 }
 
 fn open_handover(config: &Config) -> Handover {
     let writer = config.seed ^ u64::from(std::process::id());
-    Handover::new(std::env::temp_dir(), &config.name, config.listen, writer, config.digest)
+    Handover::new(std::env::temp_dir(), &config.name, config.listen, writer, config.settings_digest)
 }
 
 /// Takes over what the process before this one has learned. Gives the numbers that it had assigned to hosts.
@@ -215,12 +214,12 @@
     front: Rc<Front>,
     listener: TcpListener,
     shared: bool,
-    has_spoken: Rc<Cell<bool>>,
+    has_received_list: Rc<Cell<bool>>,
     list_deadline: Time,
 ) {
     let clock = front.clock;
     let hosts_are_missing = || {
-        let incomplete = front.hosts.listed_count() == 0 || !has_spoken.get();
+        let incomplete = front.hosts.listed_count() == 0 || !has_received_list.get();
         clock.now() < list_deadline && incomplete
     };
     while shared && hosts_are_missing() {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -317,7 +317,7 @@
 fn an_operations_call_survives_interrupted_and_short_reads() {
     for seed in 0..SEEDS {
         let stream = FaultyStream::new(seed, b"STATUS\nand no more of it");
-        let line = block_on(ops::line(&stream));
+        let line = block_on(ops::read_line(&stream));
         assert!(matches!(&line, Ok(line) if line == b"STATUS"), "seed {seed}");
     }
 }
