--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -68,7 +68,7 @@
         &mut member.last_loss_at,
         &mut member.ejected_until,
         &mut member.probed_at,
-        &mut member.start_tokens_at,
+        &mut member.slow_start_refilled_at,
     ];
     times.into_iter().for_each(|time| shift(time, offset));
 }
@@ -81,7 +81,7 @@
             member.last_listed_at = self.last_listed(*id, member);
             // It is by this process's clock, and not stored either.
             member.listed_at = 0;
-            member.start_salt = 0;
+            member.sampling_salt = 0;
             member.in_flight = 0;
             member.presumed_lost = 0;
             member.silent_waits = SilentWaits::default();
@@ -91,15 +91,15 @@
         for group in groups.values_mut() {
             group.waiting.clear();
             group.quota_adjustment = QuotaAdjustment::default();
-            (group.asked_rate, group.asked_rate_at) = (0.0, 0);
+            (group.offered_load, group.offered_load_at) = (0.0, 0);
         }
         LearnedState {
             members,
             groups,
             sojourns: self.load.sojourns.clone(),
-            served_rate: self.load.carried_rate * self.count_available().weight
+            served_rate: self.load.served_load * self.count_available().weight
                 / self.shortest_latency_target.max(1) as f64,
-            served_rate_at: self.load.carried_rate_at,
+            served_rate_at: self.load.served_load_at,
             service_time: self.load.service_time,
             shed_share: self.load.shed_share,
         }
@@ -128,13 +128,13 @@
         self.members = learned_state.members;
         // Gateways that adopted alike must not draw alike.
         let mut salts = self.rng.clone();
-        self.members.values_mut().for_each(|member| member.start_salt = salts.next_u64());
+        self.members.values_mut().for_each(|member| member.sampling_salt = salts.next_u64());
         self.groups = learned_state.groups;
         self.load.sojourns = learned_state.sojourns;
         let work = learned_state.served_rate * self.shortest_latency_target as f64;
         let weight = self.count_available().weight;
-        self.load.carried_rate = if weight > 0.0 { work / weight } else { 0.0 };
-        self.load.carried_rate_at = learned_state.served_rate_at;
+        self.load.served_load = if weight > 0.0 { work / weight } else { 0.0 };
+        self.load.served_load_at = learned_state.served_rate_at;
         self.load.service_time = learned_state.service_time;
         self.load.shed_share = learned_state.shed_share;
         self.rebuild_indexes();
--- a/crates/policy/src/router/admission.rs
+++ b/crates/policy/src/router/admission.rs
@@ -45,7 +45,7 @@
         if arrival.class >= self.settings.classes.len() {
             return self.reject(&arrival, 0);
         }
-        self.record_asked(arrival.group, self.settings.classes[arrival.class].latency_target);
+        self.record_offered_load(arrival.group, self.settings.classes[arrival.class].latency_target);
         self.adapt_typical_time(&arrival);
         if self.is_shed(&self.settings.classes[arrival.class], uniform_sample) {
             return self.reject(&arrival, self.settings.max_retry_after);
--- a/crates/policy/src/router/concurrency.rs
+++ b/crates/policy/src/router/concurrency.rs
@@ -47,7 +47,7 @@
     /// Whether a member may take one more attempt of this class, with this share of the quota open to it.
     pub(super) fn has_capacity(&self, id: MemberId, share: f64, class: usize) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
-        self.has_concurrency(id, share) && self.has_slow_start_budget(member, class)
+        self.has_concurrency(id, share) && self.has_slow_start_tokens(member, class)
     }
 
     /// The same without regard to its slow start.
--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -27,7 +27,7 @@
             && has_no_second_effect
             && in_service
             && fresh
-            && self.may_send_warming(request, id, member)
+            && self.may_send_in_slow_start(request, id, member)
     }
 
     fn has_no_second_effect(&self, request: &Request, effect: Effect, id: MemberId, member: &Member) -> bool {
@@ -83,11 +83,11 @@
             return;
         }
         let until = self.attempt_deadline(request, member);
-        let start_tokens = self.slow_start_tokens_after(member, request.class);
+        let slow_start_tokens = self.slow_start_tokens_after_send(member, request.class);
         if self.is_trial_paid(request, member) {
             self.budgets.trials -= 1.0;
         }
-        self.note_send(id, start_tokens, until);
+        self.note_send(id, slow_start_tokens, until);
         self.insert_attempt(sequence, id, until);
     }
 
@@ -111,9 +111,9 @@
         member.suspected && !member.is_primary() && !self.has_only_suspected_members(request.group)
     }
 
-    fn note_send(&mut self, id: MemberId, start_tokens: f64, deadline: AttemptDeadline) {
+    fn note_send(&mut self, id: MemberId, slow_start_tokens: f64, deadline: AttemptDeadline) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        member.start_tokens = start_tokens;
+        member.slow_start_tokens = slow_start_tokens;
         if member.suspected {
             member.ejected_until = deadline.trial_end;
         }
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -45,8 +45,8 @@
     /// primary.
     fn start_member(&mut self, entry: &Entry) {
         let mut member = self.new_member(entry);
-        member.start_tokens = self.initial_start_tokens();
-        member.start_salt = member.start_tokens.to_bits();
+        member.slow_start_tokens = self.initial_slow_start_tokens();
+        member.sampling_salt = member.slow_start_tokens.to_bits();
         if let Some(earlier) = self.members.get(&entry.member) {
             member.in_flight = earlier.in_flight;
             member.replica_evidence_at = earlier.replica_evidence_at;
@@ -75,7 +75,7 @@
             concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
             last_heard_at: self.now,
             last_listed_at: self.now,
-            start_tokens_at: self.now,
+            slow_start_refilled_at: self.now,
             ..Member::default()
         }
     }
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -176,7 +176,7 @@
     /// Takes in the end of a probe.
     pub(super) fn record_probe(&mut self, id: MemberId, ending: Ending, report: &Report) {
         self.record_report(id, report);
-        let start_tokens = self.initial_start_tokens();
+        let slow_start_tokens = self.initial_slow_start_tokens();
         let Some(member) = self.members.get_mut(&id) else { return };
         member.probe_in_flight = false;
         let unanswered = matches!(ending, Ending::TimedOut | Ending::ConnectFailed | Ending::ConnectionLost);
@@ -184,7 +184,7 @@
             member.last_heard_at = self.now;
             self.indexes.clear_suspicion(id, member);
             if member.down {
-                self.mark_up(id, start_tokens);
+                self.mark_up(id, slow_start_tokens);
             }
         } else if unanswered && !member.down {
             self.mark_down(id);
@@ -192,13 +192,13 @@
     }
 
     /// A member that was down may have restarted unannounced: its slow start begins now.
-    fn mark_up(&mut self, id: MemberId, start_tokens: f64) {
+    fn mark_up(&mut self, id: MemberId, slow_start_tokens: f64) {
         let Some(member) = self.members.get_mut(&id) else { return };
         self.indexes.set_down(id, member, false);
         member.recovered_at = self.now;
-        member.start_tokens = start_tokens;
-        member.start_salt = start_tokens.to_bits();
-        member.start_tokens_at = self.now;
+        member.slow_start_tokens = slow_start_tokens;
+        member.sampling_salt = slow_start_tokens.to_bits();
+        member.slow_start_refilled_at = self.now;
         member.concurrency_limit = INITIAL_CONCURRENCY_LIMIT.min(member.concurrency_limit);
         self.note(format!("member {id} answers again"));
     }
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -87,7 +87,7 @@
         if outcome.ending == Ending::Served {
             self.record_service_time(is_write, outcome.took);
             if let Some(attempt) = &attempt {
-                self.record_carried(outcome.member, self.settings.classes[attempt.class].latency_target);
+                self.record_served_load(outcome.member, self.settings.classes[attempt.class].latency_target);
             }
         }
         if let Some(attempt) = attempt.filter(|_| self.members.contains_key(&outcome.member)) {
--- a/crates/policy/src/router/overload.rs
+++ b/crates/policy/src/router/overload.rs
@@ -17,7 +17,7 @@
 const OVERLOAD_STEPS: f64 = 2.0;
 /// Span over which the work that a router had served is counted (microseconds): some seconds, to outlast
 /// a lull.
-const CARRIED_RATE_SPAN: f64 = 4e6;
+const LOAD_DECAY_SPAN: f64 = 4e6;
 /// A warming member is not taken for colder than this where its work is counted (share of its capacity):
 /// the settings say what it has at least, and it may have twice as much.
 const MIN_COUNTED_SHARE: f64 = 0.5;
@@ -28,38 +28,38 @@
 impl Router {
     /// Work (microseconds of latency target) that a member of weight 1 carries a second for this router,
     /// as of now: a decaying mean.
-    pub(super) fn current_carried_rate(&self) -> f64 {
-        let age = (self.now - self.load.carried_rate_at) as f64;
-        self.load.carried_rate * (-age / CARRIED_RATE_SPAN).exp()
+    pub(super) fn current_served_load(&self) -> f64 {
+        let age = (self.now - self.load.served_load_at) as f64;
+        self.load.served_load * (-age / LOAD_DECAY_SPAN).exp()
     }
 
     /// Work that clients ask of a group a second, as of now: a decaying mean as that of what members carry.
-    pub(super) fn current_asked_rate(&self, group: GroupId) -> f64 {
+    pub(super) fn current_offered_load(&self, group: GroupId) -> f64 {
         let Some(state) = self.groups.get(&group) else { return 0.0 };
-        let age = (self.now - state.asked_rate_at) as f64;
-        state.asked_rate * (-age / CARRIED_RATE_SPAN).exp()
+        let age = (self.now - state.offered_load_at) as f64;
+        state.offered_load * (-age / LOAD_DECAY_SPAN).exp()
     }
 
     /// Counts the work of a request that has come.
-    pub(super) fn record_asked(&mut self, group: GroupId, latency_target: Time) {
-        let rate = latency_target as f64 * MICROSECONDS_PER_SECOND / CARRIED_RATE_SPAN;
-        let rate = self.current_asked_rate(group) + rate;
+    pub(super) fn record_offered_load(&mut self, group: GroupId, latency_target: Time) {
+        let rate = latency_target as f64 * MICROSECONDS_PER_SECOND / LOAD_DECAY_SPAN;
+        let rate = self.current_offered_load(group) + rate;
         let now = self.now;
         if let Some(state) = self.groups.get_mut(&group) {
-            (state.asked_rate, state.asked_rate_at) = (rate, now);
+            (state.offered_load, state.offered_load_at) = (rate, now);
         }
     }
 
     /// Counts the work of an answer that a member served, divided by the members that there are now: a
     /// mean over seconds, divided by the members left at its end, would grow when members leave. A
     /// warming member would do more if it were warm.
-    pub(super) fn record_carried(&mut self, id: MemberId, latency_target: Time) {
+    pub(super) fn record_served_load(&mut self, id: MemberId, latency_target: Time) {
         let Some(member) = self.members.get(&id) else { return };
         let work = latency_target as f64 / self.capacity_share(member).max(MIN_COUNTED_SHARE);
         let weight = if self.available.weight > 0.0 { self.available.weight } else { 1.0 };
-        let rate = work / weight * MICROSECONDS_PER_SECOND / CARRIED_RATE_SPAN;
-        self.load.carried_rate = self.current_carried_rate() + rate;
-        self.load.carried_rate_at = self.now;
+        let rate = work / weight * MICROSECONDS_PER_SECOND / LOAD_DECAY_SPAN;
+        self.load.served_load = self.current_served_load() + rate;
+        self.load.served_load_at = self.now;
     }
 
     /// Compares the work of reads and writes by a served answer that took so long.
--- a/crates/policy/src/router/queue.rs
+++ b/crates/policy/src/router/queue.rs
@@ -45,7 +45,7 @@
     /// Sends what waits in a group, the highest value first and the latest first among equals. Once one new
     /// request of a class finds no member, no other of that class is tried in this step.
     pub(super) fn dispatch_queue(&mut self, group: GroupId) {
-        self.refill_slow_start(group);
+        self.refill_slow_start_buckets(group);
         let mut stuck_classes: BTreeSet<usize> = BTreeSet::new();
         for sequence in self.dispatch_order(group) {
             let Some(request) = self.requests.get(&sequence) else { continue };
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -100,7 +100,7 @@
             let Some(member) = self.members.get(&id) else { continue };
             let is_free = self.is_selectable(id)
                 && self.has_concurrency(id, share)
-                && self.may_send_warming(request, id, member);
+                && self.may_send_in_slow_start(request, id, member);
             if is_free && !self.was_just_tried(request, id) && (!only_primary || is_primary) {
                 usable.push(id);
             }
--- a/crates/policy/src/router/slow_start.rs
+++ b/crates/policy/src/router/slow_start.rs
@@ -88,7 +88,7 @@
         let capacity_share = self.capacity_share(member);
         let unit = self.shortest_latency_target.max(1) as f64;
         let rate = self.slow_start_rate(member) / unit;
-        let tokens = member.start_tokens / unit;
+        let tokens = member.slow_start_tokens / unit;
         (capacity_share < 1.0).then_some(SlowStart { capacity_share, rate, tokens })
     }
 
@@ -104,7 +104,7 @@
 
     /// The part that this router has in the budget of a warming member, in work a second.
     fn slow_start_part(&self, member: &Member) -> f64 {
-        let carried = self.current_carried_rate() * member.weight.min(self.available.mean_weight());
+        let carried = self.current_served_load() * member.weight.min(self.available.mean_weight());
         let least = MIN_CAPACITY * self.shortest_latency_target as f64 / f64::from(self.settings.routers);
         self.settings.overload_factor * self.capacity_share(member) * carried.max(least)
     }
@@ -128,7 +128,7 @@
         let (routers, shortest) = (f64::from(self.settings.routers), self.shortest_latency_target as f64);
         let kept = KEPT_SHARE * span * self.slow_start_rate(member);
         Budget {
-            tokens: member.start_tokens,
+            tokens: member.slow_start_tokens,
             kept: kept.max(MIN_KEPT * shortest / routers),
             dearest: (span * self.slow_start_part(member) * routers).max(MIN_KEPT * shortest),
         }
@@ -140,23 +140,23 @@
     }
 
     /// Whether the member is warm, or its budget has room for a request of this class.
-    pub(super) fn has_slow_start_budget(&self, member: &Member, class: usize) -> bool {
+    pub(super) fn has_slow_start_tokens(&self, member: &Member, class: usize) -> bool {
         self.capacity_share(member) >= 1.0
             || self.slow_start_budget(member).has_room(self.slow_start_cost(class))
     }
 
     /// What the budget of a member has left once a request of this class is sent.
-    pub(super) fn slow_start_tokens_after(&self, member: &Member, class: usize) -> f64 {
+    pub(super) fn slow_start_tokens_after_send(&self, member: &Member, class: usize) -> f64 {
         let (budget, cost) = (self.slow_start_budget(member), self.slow_start_cost(class));
         if self.capacity_share(member) >= 1.0 || !budget.has_room(cost) {
-            return member.start_tokens;
+            return member.slow_start_tokens;
         }
         budget.spend(cost)
     }
 
     /// The tokens of a member that starts: enough for the dearest request, and a random part of one more,
     /// so that routers that hear of the start in the same moment do not send in the same moment.
-    pub(super) fn initial_start_tokens(&mut self) -> f64 {
+    pub(super) fn initial_slow_start_tokens(&mut self) -> f64 {
         let dearest = self.settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(0);
         (1.0 + self.rng.uniform_sample()) * dearest as f64
     }
@@ -175,7 +175,7 @@
         let cheapness = self.shortest_latency_target as f64 / self.slow_start_cost(request.class);
         let share = self.settings.overload_factor * self.capacity_share(member) * DRAWN_SHARE;
         let part = share * cheapness * self.carried_part(request.group);
-        uniform_hash(member.start_salt ^ request.sequence ^ u64::from(id).rotate_left(32)) < part
+        uniform_hash(member.sampling_salt ^ request.sequence ^ u64::from(id).rotate_left(32)) < part
     }
 
     /// What a member carries, in parts of what comes to each of those that a new read may choose among,
@@ -193,26 +193,26 @@
             usable += u32::from(is_warm && self.is_selectable(*id) && self.has_concurrency(*id, 1.0));
         }
         let usable_part = f64::from(usable) / f64::from(recent.max(1));
-        let carried = self.current_carried_rate() * recent_weight;
-        let asked = self.current_asked_rate(group).max(f64::MIN_POSITIVE);
+        let carried = self.current_served_load() * recent_weight;
+        let asked = self.current_offered_load(group).max(f64::MIN_POSITIVE);
         usable_part.min(1.0) * (carried / asked).min(1.0)
     }
 
     /// Whether a request may be sent to the member as far as its slow start goes.
-    pub(super) fn may_send_warming(&self, request: &Request, id: MemberId, member: &Member) -> bool {
-        self.has_slow_start_budget(member, request.class) || self.is_drawn(request, id, member)
+    pub(super) fn may_send_in_slow_start(&self, request: &Request, id: MemberId, member: &Member) -> bool {
+        self.has_slow_start_tokens(member, request.class) || self.is_drawn(request, id, member)
     }
 
     /// Lets the budgets of a group's warming members take in what is due since they last did.
-    pub(super) fn refill_slow_start(&mut self, group: GroupId) {
+    pub(super) fn refill_slow_start_buckets(&mut self, group: GroupId) {
         for id in self.group_members(group).to_vec() {
             let Some(member) = self.members.get(&id) else { continue };
-            let elapsed: Time = self.now - member.start_tokens_at;
+            let elapsed: Time = self.now - member.slow_start_refilled_at;
             let is_warming = self.capacity_share(member) < 1.0;
             let rate = if is_warming { self.slow_start_rate(member) } else { 0.0 };
             let Some(member) = self.members.get_mut(&id) else { continue };
-            member.start_tokens += rate * elapsed.max(0) as f64 / MICROSECONDS_PER_SECOND;
-            member.start_tokens_at = self.now;
+            member.slow_start_tokens += rate * elapsed.max(0) as f64 / MICROSECONDS_PER_SECOND;
+            member.slow_start_refilled_at = self.now;
         }
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -64,9 +64,9 @@
 pub(crate) struct LoadState {
     /// Latest sojourns at all members, as `Member::sojourns`.
     pub(crate) sojourns: Samples<f64>,
-    /// Work (microseconds of latency target) that a member of weight 1 carried a second as of `carried_rate_at`.
-    pub(crate) carried_rate: f64,
-    pub(crate) carried_rate_at: Time,
+    /// Work (microseconds of latency target) that a member of weight 1 carried a second as of `served_load_at`.
+    pub(crate) served_load: f64,
+    pub(crate) served_load_at: Time,
     pub(crate) service_time: ServiceTime,
     /// Share of the reads of least value that is shed (fraction).
     pub(crate) shed_share: f64,
@@ -153,12 +153,12 @@
     pub(crate) ejected_until: Time,
     pub(crate) probe_in_flight: bool,
     pub(crate) probed_at: Time,
-    /// Work (microseconds of latency target) that its slow-start budget had taken in and not spent at `start_tokens_at`.
-    pub(crate) start_tokens: f64,
-    pub(crate) start_tokens_at: Time,
+    /// Work (microseconds of latency target) that its slow-start budget had taken in and not spent at `slow_start_refilled_at`.
+    pub(crate) slow_start_tokens: f64,
+    pub(crate) slow_start_refilled_at: Time,
     /// By which new requests are drawn for it while it warms up. Not left to the next process.
     #[serde(skip)]
-    pub(crate) start_salt: u64,
+    pub(crate) sampling_salt: u64,
 }
 
 impl Member {
@@ -181,12 +181,12 @@
     pub(crate) last_discovery_at: Time,
     /// Quota borrowed from other routers, or lent to them.
     pub(crate) quota_adjustment: QuotaAdjustment,
-    /// Work (microseconds of latency target) that its clients asked for a second as of `asked_rate_at`. Not left to the
+    /// Work (microseconds of latency target) that its clients asked for a second as of `offered_load_at`. Not left to the
     /// next process.
     #[serde(skip)]
-    pub(crate) asked_rate: f64,
+    pub(crate) offered_load: f64,
     #[serde(skip)]
-    pub(crate) asked_rate_at: Time,
+    pub(crate) offered_load_at: Time,
 }
 
 /// An attempt, as its request knows it.
