--- a/crates/lab/src/ownership/takeover_run.rs
+++ b/crates/lab/src/ownership/takeover_run.rs
@@ -204,8 +204,8 @@
             tokio::select! {
                 received = socket.recv(&mut buffer) => {
                     let Ok(count) = received else { continue };
-                    match Message::read(&buffer[..count], self.settings.fingerprint(), SECRET) {
-                        Ok((gateway, message)) => self.ledger.receive(gateway, message),
+                    match Message::decode(&buffer[..count], self.settings.fingerprint(), SECRET) {
+                        Ok(received) => self.ledger.receive(received.from, received.message),
                         // The relay alters some.
                         Err(_) => self.ledger.undecodable += 1,
                     }
--- a/crates/ownership/src/datagram.rs
+++ b/crates/ownership/src/datagram.rs
@@ -2,8 +2,8 @@
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 1 | mark that tells these datagrams apart from the session bulletins on the same socket |
-//! | 1 | version of the format |
+//! | 1 | magic byte, which distinguishes these datagrams from watermark broadcasts on the same socket |
+//! | 1 | version of this encoding |
 //! | 4 | fingerprint of the fleet's settings, big-endian |
 //! | up to 246 | sender and message, as `postcard` encodes them |
 //! | 4 | CRC-32C of the fleet's secret followed by everything before, big-endian |
@@ -16,41 +16,51 @@
 
 /// Maximum length of a datagram (bytes).
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// First byte of each datagram; session bulletins begin with their version, which is lower.
-const MARK: u8 = 0xA7;
-/// Version of the format.
+/// First byte of each datagram. Watermark broadcasts of sessions begin with their version, which is lower.
+const MAGIC: u8 = 0xA7;
+/// Version of the encoding.
 const VERSION: u8 = 1;
-/// Length of mark, version and fingerprint (bytes).
+/// Length of magic byte, version and fingerprint (bytes).
 const HEADER_BYTES: usize = 2 + 4;
 /// Length of the checksum (bytes).
 const CHECKSUM_BYTES: usize = 4;
 
-/// Why a datagram cannot be used.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
-    /// It is too short or too long, has another mark, or its body cannot be decoded.
+    /// It is too short or too long, begins with another byte, or its body cannot be decoded.
     #[error("the datagram is malformed")]
     Malformed,
-    /// Its version is not known here.
+    /// It has another version of the encoding.
     #[error("the datagram has a version that is not known here")]
     UnknownVersion,
-    /// The sender was configured with other acceptors or durations.
+    /// The sender is configured with other acceptors, durations or shards.
     #[error("the datagram is of a fleet with other electors or durations")]
     OtherFleet,
-    /// It was corrupted, or written with another secret.
+    /// It was corrupted, or encoded with another secret.
     #[error("the datagram's checksum does not match")]
     ChecksumMismatch,
 }
 
+/// A decoded datagram.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedMessage {
+    /// The gateway that the datagram claims to be from.
+    pub from: GatewayId,
+    /// The message.
+    pub message: Message,
+}
+
 impl Message {
-    /// Whether these bytes begin like a datagram of this crate.
-    pub fn has_mark(bytes: &[u8]) -> bool {
-        bytes.first() == Some(&MARK)
+    /// Whether these bytes begin with the magic byte of this encoding.
+    pub fn has_magic_byte(bytes: &[u8]) -> bool {
+        bytes.first() == Some(&MAGIC)
     }
 
-    /// Encodes the message. `fleet` is [`crate::Settings::sharded_fingerprint`]; `secret` is the same at all gateways.
-    pub fn write(&self, from: GatewayId, fleet: u32, secret: u64) -> Vec<u8> {
-        let mut bytes = vec![MARK, VERSION];
+    /// Encodes the message as a datagram. `fleet` is [`crate::Settings::sharded_fingerprint`]; `secret` is the same at
+    /// all gateways.
+    pub fn encode(&self, from: GatewayId, fleet: u32, secret: u64) -> Vec<u8> {
+        let mut bytes = vec![MAGIC, VERSION];
         bytes.extend_from_slice(&fleet.to_be_bytes());
         bytes = postcard::to_extend(&(from, self), bytes).unwrap_or_default();
         let checksum = keyed_checksum(&bytes, secret);
@@ -59,15 +69,15 @@
         bytes
     }
 
-    /// Decodes a datagram: the gateway that it claims to be from, and the message.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is malformed, of another version or fleet, or its checksum is not made with the
+    /// Fails if the datagram is malformed, of another version or fleet, or corrupted, or if it was encoded with another
     /// secret.
-    pub fn read(bytes: &[u8], fleet: u32, secret: u64) -> Result<(GatewayId, Message), DatagramError> {
+    pub fn decode(bytes: &[u8], fleet: u32, secret: u64) -> Result<ReceivedMessage, DatagramError> {
         let lengths = HEADER_BYTES + CHECKSUM_BYTES..=MAX_DATAGRAM_BYTES;
-        if !lengths.contains(&bytes.len()) || !Message::has_mark(bytes) {
+        if !lengths.contains(&bytes.len()) || !Message::has_magic_byte(bytes) {
             return Err(DatagramError::Malformed);
         }
         let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
@@ -82,7 +92,7 @@
             return Err(DatagramError::OtherFleet);
         }
         match postcard::take_from_bytes::<(GatewayId, Message)>(body) {
-            Ok((decoded, [])) => Ok(decoded),
+            Ok(((from, message), [])) => Ok(ReceivedMessage { from, message }),
             _ => Err(DatagramError::Malformed),
         }
     }
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -79,7 +79,7 @@
 
 pub use acceptor::Acceptor;
 pub use candidate::{Action, Candidate};
-pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
+pub use datagram::{DatagramError, ReceivedMessage, MAX_DATAGRAM_BYTES};
 pub use fence::{Fence, StaleTerm};
 pub use lease_manager::{Counts, LeaseHolder, LeaseManager, Outgoing};
 pub use message::{
--- a/crates/ownership/tests/datagrams.rs
+++ b/crates/ownership/tests/datagrams.rs
@@ -24,19 +24,22 @@
 
 #[test]
 fn the_longest_datagrams_fit_and_round_trip() {
-    let bytes = notification(Term::MAX).write(u16::MAX, FLEET, SECRET);
+    let bytes = notification(Term::MAX).encode(u16::MAX, FLEET, SECRET);
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-    assert_eq!(Message::read(&bytes, FLEET, SECRET), Ok((u16::MAX, notification(Term::MAX))));
+    assert_eq!(
+        Message::decode(&bytes, FLEET, SECRET),
+        Ok(ReceivedMessage { from: u16::MAX, message: notification(Term::MAX) })
+    );
 }
 
 #[test]
 fn another_fleet_version_or_secret_is_a_typed_error() {
-    let mut bytes = notification(1).write(3, FLEET, SECRET);
-    assert_eq!(Message::read(&bytes, FLEET + 1, SECRET), Err(DatagramError::OtherFleet));
-    assert_eq!(Message::read(&bytes, FLEET, SECRET + 1), Err(DatagramError::ChecksumMismatch));
-    assert!(!Message::has_mark(&[1, 2, 3]) && !Message::has_mark(&[]));
+    let mut bytes = notification(1).encode(3, FLEET, SECRET);
+    assert_eq!(Message::decode(&bytes, FLEET + 1, SECRET), Err(DatagramError::OtherFleet));
+    assert_eq!(Message::decode(&bytes, FLEET, SECRET + 1), Err(DatagramError::ChecksumMismatch));
+    assert!(!Message::has_magic_byte(&[1, 2, 3]) && !Message::has_magic_byte(&[]));
     bytes.truncate(9);
-    assert_eq!(Message::read(&bytes, FLEET, SECRET), Err(DatagramError::Malformed));
+    assert_eq!(Message::decode(&bytes, FLEET, SECRET), Err(DatagramError::Malformed));
 }
 
 #[test]
@@ -89,12 +92,12 @@
         cut in 0usize..200, place in 0usize..200, bit in 0u8..8,
         garbage in proptest::collection::vec(any::<u8>(), 0..300),
     ) {
-        let complete = notification(9).write(1, FLEET, SECRET);
-        prop_assert!(Message::read(&complete[..cut % complete.len()], FLEET, SECRET).is_err());
+        let complete = notification(9).encode(1, FLEET, SECRET);
+        prop_assert!(Message::decode(&complete[..cut % complete.len()], FLEET, SECRET).is_err());
         let mut altered = complete.clone();
         let place = place % altered.len();
         altered[place] ^= 1 << bit;
-        prop_assert!(Message::read(&altered, FLEET, SECRET).is_err());
-        prop_assert!(Message::read(&garbage, FLEET, SECRET).is_err());
+        prop_assert!(Message::decode(&altered, FLEET, SECRET).is_err());
+        prop_assert!(Message::decode(&garbage, FLEET, SECRET).is_err());
     }
 }
--- a/crates/ownership/tests/golden_datagrams.rs
+++ b/crates/ownership/tests/golden_datagrams.rs
@@ -133,8 +133,11 @@
 
 fn assert_unchanged(datagrams: Vec<(Message, &'static str)>) {
     for (message, recorded) in datagrams {
-        assert_eq!(hex(&message.write(FROM, FLEET, SECRET)), recorded, "{message:?}");
-        assert_eq!(Message::read(&bytes(recorded), FLEET, SECRET), Ok((FROM, message)));
+        assert_eq!(hex(&message.encode(FROM, FLEET, SECRET)), recorded, "{message:?}");
+        assert_eq!(
+            Message::decode(&bytes(recorded), FLEET, SECRET),
+            Ok(ReceivedMessage { from: FROM, message })
+        );
     }
 }
 
--- a/crates/ownership/tests/golden_leases.rs
+++ b/crates/ownership/tests/golden_leases.rs
@@ -78,7 +78,7 @@
     fn send(&mut self, from: GatewayId, outgoing: Vec<Outgoing>) {
         for Outgoing { to, message } in outgoing {
             self.digest.add(&to.to_be_bytes());
-            self.digest.add(&message.write(from, FLEET, SECRET));
+            self.digest.add(&message.encode(from, FLEET, SECRET));
             for _ in 0..1 + u64::from(self.rng.next_u64().is_multiple_of(20)) {
                 if self.rng.next_u64().is_multiple_of(12) {
                     continue;
@@ -184,7 +184,7 @@
     let (kind, term) = match action {
         Action::Wait => (0, 0),
         Action::Send(request) => {
-            return Message::LeaseRequest { role: ROLES[0], request }.write(0, FLEET, SECRET)
+            return Message::LeaseRequest { role: ROLES[0], request }.encode(0, FLEET, SECRET)
         }
         Action::Acquired(term) => (1, term),
         Action::Renewed(term) => (2, term),
--- a/crates/ownership/tests/golden_quotas.rs
+++ b/crates/ownership/tests/golden_quotas.rs
@@ -78,7 +78,7 @@
 
     fn deliver_report(&mut self, now: Time, index: usize, report: QuotaReport) {
         let (round, number, demands) = (report.round, report.number, report.demands.clone());
-        self.digest.add(&Message::QuotaReport(report).write(index as u16, 1, 2));
+        self.digest.add(&Message::QuotaReport(report).encode(index as u16, 1, 2));
         if self.is_lost() {
             return;
         }
--- a/crates/ownership/tests/quota_rules.rs
+++ b/crates/ownership/tests/quota_rules.rs
@@ -3,7 +3,9 @@
 use petrelgauge_ownership::quota::{
     GroupDemand, GroupGrant, MeanRate, Quota, QuotaPool, QuotaReport, Thousandths, MAX_GROUPS, MAX_LENT,
 };
-use petrelgauge_ownership::{LeadershipRole, Message, Notification, Settings, MAX_DATAGRAM_BYTES};
+use petrelgauge_ownership::{
+    LeadershipRole, Message, Notification, ReceivedMessage, Settings, MAX_DATAGRAM_BYTES,
+};
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
@@ -73,9 +75,12 @@
         },
     ];
     for message in longest {
-        let bytes = message.write(u16::MAX, u32::MAX, u64::MAX);
+        let bytes = message.encode(u16::MAX, u32::MAX, u64::MAX);
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes: {message:?}", bytes.len());
-        assert_eq!(Message::read(&bytes, u32::MAX, u64::MAX), Ok((u16::MAX, message)));
+        assert_eq!(
+            Message::decode(&bytes, u32::MAX, u64::MAX),
+            Ok(ReceivedMessage { from: u16::MAX, message })
+        );
     }
 }
 
--- a/src/fleet/codec.rs
+++ b/src/fleet/codec.rs
@@ -1,6 +1,6 @@
 //! Encoding and decoding of this gateway's datagrams about leadership roles.
 
-use petrelgauge_ownership::{DatagramError, GatewayId, Message, Settings};
+use petrelgauge_ownership::{DatagramError, GatewayId, Message, ReceivedMessage, Settings};
 
 /// An encoded message and the gateway that it is for.
 pub struct OutgoingDatagram {
@@ -27,15 +27,15 @@
 
     /// Encodes a message.
     pub fn encode(&self, message: &Message) -> Vec<u8> {
-        message.write(self.self_id, self.fleet, self.secret)
+        message.encode(self.self_id, self.fleet, self.secret)
     }
 
-    /// Decodes a datagram: the gateway that it claims to be from, and the message.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
     /// Fails if the datagram is malformed, or of another version, fleet or secret.
-    pub fn decode(&self, bytes: &[u8]) -> Result<(GatewayId, Message), DatagramError> {
-        Message::read(bytes, self.fleet, self.secret)
+    pub fn decode(&self, bytes: &[u8]) -> Result<ReceivedMessage, DatagramError> {
+        Message::decode(bytes, self.fleet, self.secret)
     }
 }
--- a/src/fleet/leadership.rs
+++ b/src/fleet/leadership.rs
@@ -13,6 +13,7 @@
 use crate::Time;
 use petrelgauge_ownership::{
     GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification, Outgoing, Placement,
+    ReceivedMessage,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -85,7 +86,7 @@
 
     /// Whether these bytes are about leadership roles.
     pub fn is_for(bytes: &[u8]) -> bool {
-        Message::has_mark(bytes)
+        Message::has_magic_byte(bytes)
     }
 
     /// When [`FleetLeadership::on_deadline`] is to be called at the latest.
@@ -121,7 +122,7 @@
 
     /// A datagram arrived: the datagrams to send in response.
     pub fn on_datagram(&self, bytes: &[u8]) -> Vec<OutgoingDatagram> {
-        let (from, message) = match self.codec.decode(bytes) {
+        let ReceivedMessage { from, message } = match self.codec.decode(bytes) {
             Ok(decoded) => decoded,
             Err(cause) => {
                 self.counters.bad_words.add();
--- a/tests/lease_ledger/mod.rs
+++ b/tests/lease_ledger/mod.rs
@@ -1,7 +1,9 @@
 //! A sixth address among the peers of a fleet, which reads what its gateways send.
 
 use crate::gateway_fleet::{peer_addresses, Fleet};
-use petrelgauge_ownership::{Fence, LeadershipRole, LeaseHolder, Message, Notification, Settings, Term};
+use petrelgauge_ownership::{
+    Fence, LeadershipRole, LeaseHolder, Message, Notification, ReceivedMessage, Settings, Term,
+};
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
@@ -57,8 +59,8 @@
         let mut bytes = [0; 300];
         while Instant::now() < until {
             let Ok((count, _)) = self.socket.recv_from(&mut bytes) else { continue };
-            let read = Message::read(&bytes[..count], self.settings.fingerprint(), SECRET);
-            let (from, message) = read.expect("the gateways of this fleet write so");
+            let decoded = Message::decode(&bytes[..count], self.settings.fingerprint(), SECRET);
+            let ReceivedMessage { from, message } = decoded.expect("a datagram of this fleet");
             let Message::Notification { role, term, notification } = message else { continue };
             if self.fence.admit(role, term).is_ok() {
                 let holder = LeaseHolder { gateway: from, term };
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -9,7 +9,7 @@
 use harness::*;
 use lease_ledger::*;
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, QuotaReport, Thousandths};
-use petrelgauge_ownership::{LeaseHolder, Message, Notification, Settings, Term};
+use petrelgauge_ownership::{LeaseHolder, Message, Notification, ReceivedMessage, Settings, Term};
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -85,17 +85,17 @@
         notification: Notification::LeaseHeld { remaining: 1_000_000 },
     };
     let fleet_of = ledger.settings.fingerprint();
-    let complete = notification.write(3, fleet_of, SECRET);
+    let complete = notification.encode(3, fleet_of, SECRET);
     let bad = [
         complete[..complete.len() - 1].to_vec(),
-        notification.write(3, fleet_of ^ 1, SECRET),
-        notification.write(3, fleet_of, SECRET ^ 1),
+        notification.encode(3, fleet_of ^ 1, SECRET),
+        notification.encode(3, fleet_of, SECRET ^ 1),
         Message::Notification {
             role: DISCOVERY,
             term: Term::MAX,
             notification: Notification::LeaseHeld { remaining: 1 },
         }
-        .write(3, fleet_of, SECRET),
+        .encode(3, fleet_of, SECRET),
     ];
     for bytes in &bad {
         ledger.socket.send_to(bytes, &target).expect("sent");
@@ -156,8 +156,8 @@
         let mut bytes = [0; 300];
         while Instant::now() < until {
             let Ok((count, _)) = ledger.socket.recv_from(&mut bytes) else { continue };
-            let read = Message::read(&bytes[..count], ledger.settings.fingerprint(), SECRET);
-            let (from, message) = read.expect("the gateways of this fleet write so");
+            let decoded = Message::decode(&bytes[..count], ledger.settings.fingerprint(), SECRET);
+            let ReceivedMessage { from, message } = decoded.expect("a datagram of this fleet");
             let Message::Notification { role: QUOTAS, term, notification } = message else { continue };
             if ledger.fence.admit(QUOTAS, term).is_err() {
                 continue;
@@ -169,7 +169,7 @@
                     let demands = vec![GroupDemand { group: 2, rate: 4_000_000, requested: 4_000 }];
                     let report =
                         Message::QuotaReport(QuotaReport { term, round, number: self.number, demands });
-                    let bytes = report.write(5, ledger.settings.fingerprint(), SECRET);
+                    let bytes = report.encode(5, ledger.settings.fingerprint(), SECRET);
                     ledger.socket.send_to(&bytes, &ledger.gateways[usize::from(from)]).expect("sent");
                 }
                 Notification::QuotaGrant { number, granted } => {
@@ -285,8 +285,8 @@
         },
     );
     let (count, _) = heard.recv_from(&mut bytes).expect("it sends a request");
-    let (from, message) =
-        Message::read(&bytes[..count], fleet.fingerprint(), SECRET).expect("it is of this fleet");
+    let ReceivedMessage { from, message } =
+        Message::decode(&bytes[..count], fleet.fingerprint(), SECRET).expect("it is of this fleet");
     assert!(
         from == 1 && matches!(message, Message::LeaseRequest { role: DISCOVERY, .. }),
         "{from}: {message:?}"
