--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a gateway, read from the environment and the JSON file that it names.
 
-use crate::discovery::endpoint_list::List;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::settings::deployment::{DeploymentError, Info};
 use crate::settings::operator::{Operator, OperatorError};
 use crate::SettingsError;
@@ -94,7 +94,7 @@
     /// Maximum memory (bytes).
     pub max_memory: usize,
     /// The endpoint list in use until discovery sends one.
-    pub initial_list: Option<List>,
+    pub initial_list: Option<EndpointList>,
     /// The deployment's settings.
     pub info: Info,
     /// Digest of the deployment's settings, independent of the order of their keys.
@@ -119,7 +119,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: Value,
     peer_listen: Option<String>,
     #[serde(default)]
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -12,16 +12,16 @@
 
 /// One list of a watch, or of a call beside it.
 #[derive(Debug, Clone, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     pub(super) revision: u64,
     /// It names every host. If not, only those that changed.
     pub(super) complete: bool,
-    pub(super) members: Vec<Row>,
+    pub(super) members: Vec<EndpointRow>,
 }
 
 /// One host of a list.
 #[derive(Debug, Clone, Deserialize)]
-pub(super) struct Row {
+pub(super) struct EndpointRow {
     pub(super) id: String,
     /// Where it is reached. A host that was removed needs none.
     pub(super) host_port: Option<SocketAddr>,
@@ -47,7 +47,7 @@
     Removed,
 }
 
-impl List {
+impl EndpointList {
     /// The first host that is to be used and has no address. A list with such a host is not used at all.
     pub(super) fn host_without_address(&self) -> Option<&str> {
         let mut rows = self.members.iter();
@@ -56,7 +56,7 @@
     }
 }
 
-impl Row {
+impl EndpointRow {
     /// When the host last started (microseconds of Unix time).
     pub(super) fn started(&self) -> Time {
         self.up_since_ms.saturating_mul(MICROSECONDS_PER_MILLISECOND).max(0)
--- a/src/discovery/lines.rs
+++ b/src/discovery/http_response.rs
@@ -1,11 +1,11 @@
-//! An HTTP/1.1 answer of discovery, cut into lines, and the lines put together to lists.
+//! An HTTP/1.1 answer of discovery, cut into lines.
 
 use thiserror::Error;
 
 /// Longest head of an answer (bytes).
 const MOST_HEAD: usize = 16 * 1024;
 /// Longest list, and longest line of one (bytes).
-const MOST_LINE: usize = 4 * 1024 * 1024;
+pub(super) const MOST_LINE: usize = 4 * 1024 * 1024;
 /// Longest line with the size of a chunk (bytes).
 const MOST_CHUNK_SIZE_LINE: usize = 256;
 const LINE_END: &[u8] = b"\r\n";
@@ -13,7 +13,7 @@
 
 /// Why an answer cannot be read on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// The answer has come to its own end.
     #[error("it is over")]
     Complete,
@@ -45,14 +45,14 @@
 
 /// Reads an HTTP/1.1 answer and cuts its body into lines.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct ResponseReader {
     raw: Vec<u8>,
-    part: Part,
+    part: BodyState,
     line: Vec<u8>,
 }
 
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-enum Part {
+enum BodyState {
     #[default]
     Head,
     /// Neither chunked nor of a stated length: all that follows is the body.
@@ -65,13 +65,13 @@
     Over,
 }
 
-impl Lines {
+impl ResponseReader {
     /// Takes bytes as they come and appends the lines that are complete now, without their ends.
     ///
     /// # Errors
     ///
     /// Fails when the answer is over, or is none that can be read.
-    pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), AnswerError> {
+    pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), ResponseError> {
         self.raw.extend_from_slice(bytes);
         let mut raw = std::mem::take(&mut self.raw);
         let mut used = 0;
@@ -88,57 +88,57 @@
     }
 
     /// Uses up some of the bytes; 0 if more are needed.
-    fn step(&mut self, raw: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, AnswerError> {
+    fn step(&mut self, raw: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, ResponseError> {
         match self.part {
-            Part::Head => self.read_head(raw),
-            Part::Size => self.read_chunk_size(raw),
-            Part::Data(left) => {
+            BodyState::Head => self.read_head(raw),
+            BodyState::Size => self.read_chunk_size(raw),
+            BodyState::Data(left) => {
                 let count = left.min(raw.len());
                 self.body(&raw[..count], lines)?;
-                self.part = if count == left { Part::DataEnd } else { Part::Data(left - count) };
+                self.part = if count == left { BodyState::DataEnd } else { BodyState::Data(left - count) };
                 Ok(count)
             }
-            Part::DataEnd if raw.len() < LINE_END.len() => Ok(0),
-            Part::DataEnd if raw.starts_with(LINE_END) => {
-                self.part = Part::Size;
+            BodyState::DataEnd if raw.len() < LINE_END.len() => Ok(0),
+            BodyState::DataEnd if raw.starts_with(LINE_END) => {
+                self.part = BodyState::Size;
                 Ok(LINE_END.len())
             }
-            Part::DataEnd => Err(AnswerError::UnterminatedChunk),
-            Part::Plain => {
+            BodyState::DataEnd => Err(ResponseError::UnterminatedChunk),
+            BodyState::Plain => {
                 self.body(raw, lines)?;
                 Ok(raw.len())
             }
-            Part::Counted(left) => {
+            BodyState::Counted(left) => {
                 let count = left.min(raw.len());
                 self.body(&raw[..count], lines)?;
-                self.part = if count == left { Part::Over } else { Part::Counted(left - count) };
+                self.part = if count == left { BodyState::Over } else { BodyState::Counted(left - count) };
                 Ok(count)
             }
-            Part::Over => Err(AnswerError::Complete),
+            BodyState::Over => Err(ResponseError::Complete),
         }
     }
 
-    fn read_head(&mut self, raw: &[u8]) -> Result<usize, AnswerError> {
+    fn read_head(&mut self, raw: &[u8]) -> Result<usize, ResponseError> {
         let Some(end) = raw.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) else {
-            return if raw.len() > MOST_HEAD { Err(AnswerError::HeadTooLong) } else { Ok(0) };
+            return if raw.len() > MOST_HEAD { Err(ResponseError::HeadTooLong) } else { Ok(0) };
         };
         self.part = head(&raw[..end])?;
         Ok(end + HEAD_END.len())
     }
 
-    fn read_chunk_size(&mut self, raw: &[u8]) -> Result<usize, AnswerError> {
+    fn read_chunk_size(&mut self, raw: &[u8]) -> Result<usize, ResponseError> {
         let Some(end) = raw.windows(LINE_END.len()).position(|bytes| bytes == LINE_END) else {
             let too_long = raw.len() > MOST_CHUNK_SIZE_LINE;
-            return if too_long { Err(AnswerError::ChunkSizeTooLong) } else { Ok(0) };
+            return if too_long { Err(ResponseError::ChunkSizeTooLong) } else { Ok(0) };
         };
         let digits = raw[..end].split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
         let text = std::str::from_utf8(digits).unwrap_or_default();
         // A sign, which the parser of numbers takes, is none of the digits.
         let is_hexadecimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let size = usize::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
-        self.part = match size.ok_or(AnswerError::InvalidChunkSize)? {
-            0 => Part::Over,
-            size => Part::Data(size),
+        self.part = match size.ok_or(ResponseError::InvalidChunkSize)? {
+            0 => BodyState::Over,
+            size => BodyState::Data(size),
         };
         Ok(end + LINE_END.len())
     }
@@ -150,10 +150,10 @@
 
     /// Whether its head was read, and is that of an answer.
     pub fn began(&self) -> bool {
-        self.part != Part::Head
+        self.part != BodyState::Head
     }
 
-    fn body(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), AnswerError> {
+    fn body(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), ResponseError> {
         while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
             self.line.extend_from_slice(&bytes[..end]);
             lines.push(std::mem::take(&mut self.line));
@@ -161,98 +161,31 @@
         }
         self.line.extend_from_slice(bytes);
         if self.line.len() > MOST_LINE {
-            return Err(AnswerError::LineTooLong);
+            return Err(ResponseError::LineTooLong);
         }
         Ok(())
     }
 }
 
 /// What kind of body follows this head.
-fn head(head: &[u8]) -> Result<Part, AnswerError> {
-    let text = std::str::from_utf8(head).map_err(|_| AnswerError::HeadNotText)?;
+fn head(head: &[u8]) -> Result<BodyState, ResponseError> {
+    let text = std::str::from_utf8(head).map_err(|_| ResponseError::HeadNotText)?;
     let mut lines = text.split("\r\n");
     let status = lines.next().unwrap_or_default();
     if !status.starts_with("HTTP/1.") || status.split(' ').nth(1) != Some("200") {
-        return Err(AnswerError::Refused);
+        return Err(ResponseError::Refused);
     }
-    let mut part = Part::Plain;
+    let mut part = BodyState::Plain;
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
         if name.eq_ignore_ascii_case("transfer-encoding") && value.trim().eq_ignore_ascii_case("chunked") {
-            return Ok(Part::Size);
+            return Ok(BodyState::Size);
         }
         if name.eq_ignore_ascii_case("content-length") {
-            part = match value.trim().parse().map_err(|_| AnswerError::InvalidLength)? {
-                0 => Part::Over,
-                length => Part::Counted(length),
+            part = match value.trim().parse().map_err(|_| ResponseError::InvalidLength)? {
+                0 => BodyState::Over,
+                length => BodyState::Counted(length),
             };
         }
     }
     Ok(part)
 }
-
-/// A list as it was written, on one line or indented over several.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Text {
-    /// A whole value, or a line that is none.
-    Whole(Vec<u8>),
-    /// One that was begun and does not go on.
-    Broken,
-}
-
-/// Puts lines together to lists. Holds one list that is not whole, of the longest size at most.
-#[derive(Debug, Default)]
-pub struct Texts {
-    text: Vec<u8>,
-    depth: usize,
-    quoted: bool,
-    escaped: bool,
-}
-
-impl Texts {
-    /// Nothing was begun.
-    pub fn is_empty(&self) -> bool {
-        self.text.is_empty()
-    }
-
-    /// Takes a line, without its end. `is_list` tells a list by itself from a row of one.
-    pub fn line(&mut self, line: &[u8], is_list: impl Fn(&[u8]) -> bool, texts: &mut Vec<Text>) {
-        let open = !self.text.is_empty();
-        // The empty line between two lists cannot stand in one.
-        let ends = line.trim_ascii().is_empty();
-        if open && (ends || line.starts_with(b"{") && is_list(line)) {
-            *self = Texts::default();
-            texts.push(Text::Broken);
-        }
-        if ends {
-            return;
-        }
-        self.text.extend_from_slice(line);
-        self.text.push(b'\n');
-        // A string does not go on over the end of a line.
-        if !self.scan(line) || self.quoted || self.text.len() > MOST_LINE {
-            *self = Texts::default();
-            texts.push(Text::Broken);
-        } else if self.depth == 0 {
-            texts.push(Text::Whole(std::mem::take(self).text));
-        }
-    }
-
-    /// False if more is closed than was opened.
-    fn scan(&mut self, line: &[u8]) -> bool {
-        for byte in line {
-            match (byte, self.quoted) {
-                _ if self.escaped => self.escaped = false,
-                (b'\\', true) => self.escaped = true,
-                (b'"', _) => self.quoted = !self.quoted,
-                (_, true) => {}
-                (b'{' | b'[', false) => self.depth += 1,
-                (b'}' | b']', false) => match self.depth.checked_sub(1) {
-                    Some(depth) => self.depth = depth,
-                    None => return false,
-                },
-                _ => {}
-            }
-        }
-        true
-    }
-}
--- a/src/discovery/source.rs
+++ b/src/discovery/list_request.rs
@@ -1,7 +1,8 @@
 //! Calls to discovery: a connection, the question, and the answer as it is read.
 
-use crate::discovery::endpoint_list::List;
-use crate::discovery::lines::{AnswerError, Lines, Text, Texts};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::http_response::{ResponseError, ResponseReader};
+use crate::discovery::list_assembler::{ListAssembler, ListText};
 use crate::os::clock::Clock;
 use crate::os::socket::{self, ByteStream, SocketError};
 use crate::Time;
@@ -12,7 +13,7 @@
 
 /// Why a call to discovery is over.
 #[derive(Debug, Error)]
-pub enum SourceError {
+pub enum RequestError {
     /// The connection did not come up in time.
     #[error("it does not come up")]
     ConnectTimeout,
@@ -27,31 +28,35 @@
     Silent,
     /// The answer is over, or is none that can be read.
     #[error(transparent)]
-    Answer(#[from] AnswerError),
+    Answer(#[from] ResponseError),
 }
 
-impl SourceError {
+impl RequestError {
     /// What came was no answer that can be read.
     pub(super) fn is_malformed(&self) -> bool {
-        matches!(self, SourceError::Answer(cause) if *cause != AnswerError::Complete)
+        matches!(self, RequestError::Answer(cause) if *cause != ResponseError::Complete)
     }
 
     /// Discovery has answered, but not with a list.
     pub(super) fn is_refusal(&self) -> bool {
-        matches!(self, SourceError::Answer(AnswerError::Refused))
+        matches!(self, RequestError::Answer(ResponseError::Refused))
     }
 }
 
 /// Requests the complete list at the clock time `from`.
-pub(super) async fn call(address: SocketAddr, from: Time, clock: Clock) -> Result<List, SourceError> {
+pub(super) async fn call(
+    address: SocketAddr,
+    from: Time,
+    clock: Clock,
+) -> Result<EndpointList, RequestError> {
     clock.sleep_until(from).await;
-    let mut answer = Answer::default();
+    let mut answer = ListResponse::default();
     let stream = open(address, "", clock).await?;
     loop {
         let read = answer.read(&stream, clock).await;
         let complete_list = std::mem::take(&mut answer.texts).into_iter().find_map(|text| match text {
-            Text::Whole(text) => serde_json::from_slice(&text).ok(),
-            Text::Broken => None,
+            ListText::Complete(text) => serde_json::from_slice(&text).ok(),
+            ListText::Truncated => None,
         });
         match (complete_list, read) {
             (Some(list), _) => return Ok(list),
@@ -62,7 +67,7 @@
 }
 
 /// Connects to discovery and asks for its list.
-pub(super) async fn open(address: SocketAddr, what: &str, clock: Clock) -> Result<TcpStream, SourceError> {
+pub(super) async fn open(address: SocketAddr, what: &str, clock: Clock) -> Result<TcpStream, RequestError> {
     let request = format!("GET /discovery/hosts{what} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     let opened = async {
         let stream = socket::connect(address).await?;
@@ -71,51 +76,51 @@
     };
     tokio::select! {
         stream = opened => Ok(stream?),
-        () = clock.sleep_until(clock.now() + WATCH_TIMEOUT) => Err(SourceError::ConnectTimeout),
+        () = clock.sleep_until(clock.now() + WATCH_TIMEOUT) => Err(RequestError::ConnectTimeout),
     }
 }
 
 /// An answer of discovery that is being read.
 #[derive(Default)]
-pub struct Answer {
-    pub(super) lines: Lines,
-    partial: Texts,
+pub struct ListResponse {
+    pub(super) lines: ResponseReader,
+    partial: ListAssembler,
     /// What is whole and was not taken.
-    pub texts: Vec<Text>,
+    pub texts: Vec<ListText>,
     /// Bytes that were read and not counted yet.
     pub(super) bytes: usize,
     /// When the last line came.
     heard: Option<Time>,
 }
 
-impl Answer {
+impl ListResponse {
     /// Reads once. With its end comes what it still held. May be cancelled without loss.
     ///
     /// # Errors
     ///
     /// Fails when the answer is over, for whatever reason.
-    pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), SourceError> {
+    pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), RequestError> {
         let by = *self.heard.get_or_insert_with(|| clock.now()) + WATCH_TIMEOUT;
         let mut bytes = [0; 16 * 1024];
         let read = tokio::select! {
             biased;
             count = socket::read(stream, &mut bytes) => match count {
-                Ok(0) => Err(SourceError::Closed),
+                Ok(0) => Err(RequestError::Closed),
                 Ok(count) => self.feed(&bytes[..count], clock),
                 Err(cause) => Err(cause.into()),
             },
-            () = clock.sleep_until(by) => Err(SourceError::Silent),
+            () = clock.sleep_until(by) => Err(RequestError::Silent),
         };
         // The last line may lack its end.
         if let Some(line) = read.is_err().then(|| self.lines.last()).flatten() {
-            if serde_json::from_slice::<List>(&line).is_ok() || !self.partial.is_empty() {
+            if serde_json::from_slice::<EndpointList>(&line).is_ok() || !self.partial.is_empty() {
                 self.line(&line);
             }
         }
         read
     }
 
-    fn feed(&mut self, bytes: &[u8], clock: Clock) -> Result<(), SourceError> {
+    fn feed(&mut self, bytes: &[u8], clock: Clock) -> Result<(), RequestError> {
         self.bytes += bytes.len();
         let began = self.lines.began();
         let mut lines = Vec::new();
@@ -128,7 +133,7 @@
     }
 
     fn line(&mut self, line: &[u8]) {
-        let is_list = |line: &[u8]| serde_json::from_slice::<List>(line).is_ok();
+        let is_list = |line: &[u8]| serde_json::from_slice::<EndpointList>(line).is_ok();
         self.partial.line(line, is_list, &mut self.texts);
     }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -5,6 +5,7 @@
 
 pub mod endpoint_list;
 pub mod host_names;
-pub mod lines;
-pub mod source;
+pub mod http_response;
+pub mod list_assembler;
+pub mod list_request;
 pub mod watch;
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,11 +1,9 @@
 //! The client of discovery: one watch over HTTP/1.1, kept open, its answer read line by line.
 
-pub use crate::discovery::endpoint_list::List;
-use crate::discovery::endpoint_list::{Phase, Row};
+use crate::discovery::endpoint_list::{EndpointList, EndpointRow, Phase};
 use crate::discovery::host_names::HostNames;
-pub use crate::discovery::lines::Lines;
-use crate::discovery::lines::Text;
-use crate::discovery::source::{call, open, Answer, SourceError};
+use crate::discovery::list_assembler::ListText;
+use crate::discovery::list_request::{call, open, ListResponse, RequestError};
 use crate::facade::Facade;
 use crate::host::pool::{Endpoint, Hosts};
 use crate::os::clock::Clock;
@@ -42,7 +40,7 @@
     #[error("revision {0} is not complete")]
     NotComplete(u64),
     #[error(transparent)]
-    Source(#[from] SourceError),
+    Source(#[from] RequestError),
 }
 
 /// Follows the endpoint list of discovery and updates the decisions and the host connections.
@@ -81,7 +79,7 @@
         hosts: Rc<Hosts>,
         counters: Rc<Counters>,
         clock: Clock,
-        initial: Option<List>,
+        initial: Option<EndpointList>,
         backoff: Backoff,
         assigned: Vec<(String, MemberId)>,
     ) -> DiscoveryWatch {
@@ -107,12 +105,12 @@
         };
         if let Some(list) = initial {
             // Whatever it says of itself, it is all that is known: there is no older list to change.
-            watch.apply_initial_list(List { complete: true, ..list });
+            watch.apply_initial_list(EndpointList { complete: true, ..list });
         }
         watch
     }
 
-    fn apply_initial_list(&mut self, list: List) {
+    fn apply_initial_list(&mut self, list: EndpointList) {
         if let Some(id) = list.host_without_address() {
             self.counters.bad_lists.add();
             return log::warn!("initial endpoint list rejected host={id} cause=no_address");
@@ -170,12 +168,12 @@
     }
 
     /// Watches until the connection ends, and gives the cause.
-    async fn watch(&mut self, address: SocketAddr) -> SourceError {
+    async fn watch(&mut self, address: SocketAddr) -> RequestError {
         let clock = self.clock;
         let after =
             self.watch_state.resume_after().map(|revision| format!("&after={revision}")).unwrap_or_default();
         self.watch_state.on_watch_opened();
-        let mut answer = Answer::default();
+        let mut answer = ListResponse::default();
         let stream = match open(address, &format!("?watch=1{after}"), clock).await {
             Ok(stream) => stream,
             Err(cause) => return cause,
@@ -219,7 +217,7 @@
     }
 
     /// Applies the answer of that request, unless the watch has brought a newer list.
-    fn apply_complete_list(&mut self, list: List) -> Result<(), ListError> {
+    fn apply_complete_list(&mut self, list: EndpointList) -> Result<(), ListError> {
         if !list.complete {
             return Err(ListError::NotComplete(list.revision));
         }
@@ -235,7 +233,7 @@
 
     /// Uses a list that came on the watch. False if it cannot be used: one bad line must not take the good list away,
     /// nor may what it carried be lost.
-    fn apply_update(&mut self, text: &Text) -> bool {
+    fn apply_update(&mut self, text: &ListText) -> bool {
         let Err(cause) = read_list(text).and_then(|list| self.apply_newer_list(list)) else { return true };
         self.watch_state.on_unusable_line();
         self.counters.bad_lists.add();
@@ -243,8 +241,8 @@
         false
     }
 
-    fn apply_newer_list(&mut self, list: List) -> Result<(), ListError> {
-        let List { revision, complete, .. } = list;
+    fn apply_newer_list(&mut self, list: EndpointList) -> Result<(), ListError> {
+        let EndpointList { revision, complete, .. } = list;
         self.has_spoken.set(true);
         if self.watch_state.is_first_list() && !self.hosts_by_name.is_empty() {
             log::info!("discovery source changed revision={revision} complete={complete}");
@@ -257,7 +255,7 @@
     }
 
     /// Uses a list: connections, decisions and the table of names follow it.
-    fn apply(&mut self, mut list: List) {
+    fn apply(&mut self, mut list: EndpointList) {
         self.counters.lists.add();
         let skipped = self.skip_earlier_runs(&mut list);
         let now = self.clock.now();
@@ -269,7 +267,7 @@
         }
         self.forget_removed(now);
         self.revision.set(list.revision);
-        let List { revision, complete, .. } = list;
+        let EndpointList { revision, complete, .. } = list;
         log::debug!(
             "endpoint list applied revision={revision} entries={} complete={complete}",
             entries.len()
@@ -279,7 +277,7 @@
 
     /// Takes out rows about an earlier run of a host: the decisions pass over them, and so does whoever connects to it.
     /// Gives the numbers of these hosts, which are listed nonetheless.
-    fn skip_earlier_runs(&self, list: &mut List) -> BTreeSet<MemberId> {
+    fn skip_earlier_runs(&self, list: &mut EndpointList) -> BTreeSet<MemberId> {
         let mut skipped_names = BTreeSet::new();
         let mut skipped_ids = BTreeSet::new();
         for row in &list.members {
@@ -294,7 +292,7 @@
     }
 
     /// Registers a host, or what changed of it, and gives its entry for the decisions.
-    fn apply_row(&mut self, row: &Row, revision: u64, now: Time) -> Entry {
+    fn apply_row(&mut self, row: &EndpointRow, revision: u64, now: Time) -> Entry {
         let id = self.register(row, now);
         log::debug!(
             "endpoint listed host={id} name={} group={} zone={} phase={:?} up_since_ms={} role={} revision={revision}",
@@ -318,7 +316,7 @@
     }
 
     /// The number of a host; a host that is new gets the next one.
-    fn register(&mut self, row: &Row, now: Time) -> MemberId {
+    fn register(&mut self, row: &EndpointRow, now: Time) -> MemberId {
         let new = KnownHost { id: self.next_id, started: 0, removed_at: None };
         let host = self.hosts_by_name.entry(row.id.clone()).or_insert(new);
         if row.started() > host.started {
@@ -360,19 +358,19 @@
     }
 }
 
-fn read_list(text: &Text) -> Result<List, ListError> {
-    let Text::Whole(text) = text else { return Err(ListError::Truncated) };
-    let list: List = serde_json::from_slice(text)?;
+fn read_list(text: &ListText) -> Result<EndpointList, ListError> {
+    let ListText::Complete(text) = text else { return Err(ListError::Truncated) };
+    let list: EndpointList = serde_json::from_slice(text)?;
     match list.host_without_address() {
         Some(host) => Err(ListError::HostWithoutAddress(host.to_string())),
         None => Ok(list),
     }
 }
 
-type Call = Pin<Box<dyn Future<Output = Result<List, SourceError>>>>;
+type Call = Pin<Box<dyn Future<Output = Result<EndpointList, RequestError>>>>;
 
 /// Waits for the call that is being made, if there is one.
-async fn finished(call: &mut Option<Call>) -> Result<List, SourceError> {
+async fn finished(call: &mut Option<Call>) -> Result<EndpointList, RequestError> {
     match call {
         Some(call) => call.await,
         None => std::future::pending().await,
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -2,7 +2,7 @@
 //! taken that says more than it holds, and what is taken comes back the same. Bounded, from fixed seeds.
 
 use bytes::Bytes;
-use petrelgauge::discovery::watch::List;
+use petrelgauge::discovery::endpoint_list::EndpointList;
 use petrelgauge::postgres::{self, AnswerAssembler, Framer};
 use petrelgauge::settings::operator::Operator;
 use petrelgauge::sql::set_statement;
@@ -184,7 +184,7 @@
         "",
     ]);
     let mut read = 0u32;
-    rounds(4, &corpus, |bytes| read += u32::from(serde_json::from_slice::<List>(bytes).is_ok()));
+    rounds(4, &corpus, |bytes| read += u32::from(serde_json::from_slice::<EndpointList>(bytes).is_ok()));
     assert!(read > ROUNDS / 10, "some make sense: {read}");
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! The gateway's parsers against random cuts of valid bytes and against random garbage, from fixed seeds.
 
 use bytes::Buf;
-use petrelgauge::discovery::watch::Lines;
+use petrelgauge::discovery::http_response::ResponseReader;
 use petrelgauge::postgres::{self, AnswerAssembler, Framer, Severity, MAX_MESSAGE_BYTES};
 use petrelgauge::sql::statement::Statement;
 use proptest::collection::vec;
@@ -112,7 +112,7 @@
     let valid = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7;x=y\r\n{\"a\":1}\r\n1\r\n\n\r\n\
         A\r\n\n{\"b\":2}\n\n\r\n";
     let parse = |pieces: &[&[u8]]| {
-        let (mut lines, mut found) = (Lines::default(), Vec::new());
+        let (mut lines, mut found) = (ResponseReader::default(), Vec::new());
         let ends: Vec<_> = pieces.iter().map(|piece| lines.feed(piece, &mut found)).collect();
         (found, ends.into_iter().find(Result::is_err))
     };
