--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -159,7 +159,7 @@
                 let seconds = (clock.now() - began_at) as f64 / 1e6;
                 demand(&demand_facade, &demand_shared.plan, number, seconds)
             }),
-            assigned_ids: Vec::new(),
+            assigned_ids: BTreeMap::new(),
         };
         let bind = |listen: SocketAddr| async move {
             let socket = datagram::bind(listen).await?;
--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -6,7 +6,7 @@
 use crate::control::leadership::fleet_leadership;
 use crate::control::tasks::{close_unused_connections, step_decisions};
 use crate::discovery::host_names::HostNames;
-use crate::discovery::watch::DiscoveryWatch;
+use crate::discovery::watch::{DiscoveryWatch, WatchOptions};
 use crate::facade::Facade;
 use crate::fleet::leadership::FleetLeadership;
 use crate::fleet::peers::Peers;
@@ -21,6 +21,7 @@
 use crate::{MemberId, Time};
 use petrelgauge_lifecycle::backoff::Backoff;
 use std::cell::Cell;
+use std::collections::BTreeMap;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -42,8 +43,8 @@
     pub counters: Rc<Counters>,
     /// Requests received per group, the base of quota lending.
     pub demand: Demand,
-    /// Names and numbers of the hosts that another process of this gateway knew; empty without one.
-    pub assigned_ids: Vec<(String, MemberId)>,
+    /// Numbers of the hosts that another process of this gateway knew, by their names; empty without one.
+    pub assigned_ids: BTreeMap<String, MemberId>,
 }
 
 /// The control plane of one gateway. `S` is the socket for datagrams between gateways.
@@ -92,16 +93,16 @@
             config.info.connect_span(),
             config.info.idle_span(),
         );
-        let discovery_watch = DiscoveryWatch::new(
-            facade.clone(),
-            host_pool.clone(),
-            counters.clone(),
+        let discovery_watch = DiscoveryWatch::new(WatchOptions {
+            facade: facade.clone(),
+            host_pool: host_pool.clone(),
+            counters: counters.clone(),
             clock,
-            config.initial_list.take(),
-            Backoff::new(gateway_count, config.seed.rotate_left(32)),
+            backoff: Backoff::new(gateway_count, config.seed.rotate_left(32)),
+            initial_list: config.initial_list.take(),
             assigned_ids,
-        );
-        let host_names = discovery_watch.names();
+        });
+        let host_names = discovery_watch.host_names();
         let leadership = fleet_leadership(config, &facade, clock, &counters, &host_names, demand)?;
         let datagram_address =
             broadcast_address.or_else(|| config.peer_listen.filter(|_| leadership.is_some()));
@@ -114,7 +115,7 @@
             host_pool,
             leadership,
             host_names,
-            has_received_list: discovery_watch.has_spoken(),
+            has_received_list: discovery_watch.has_received_list(),
             list_revision: discovery_watch.revision(),
             read_wait_bound,
             clock,
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,20 +1,20 @@
-//! The endpoint list as discovery writes it: complete, or the rows that changed.
+//! The JSON form of an endpoint list: complete, or only the rows that changed.
 
 use crate::{Entry, MemberId, MemberStatus, Time};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The value of `replication` that marks a group's primary.
+/// Value of `replication` that marks a group's primary.
 const PRIMARY: &str = "primary";
-/// The weight of a host whose row names none.
-const DEFAULT_SIZE: f64 = 1.0;
+/// Weight of a host whose row has none.
+const DEFAULT_WEIGHT: f64 = 1.0;
 const MICROSECONDS_PER_MILLISECOND: Time = 1000;
 
-/// One list of a watch, or of a call beside it.
+/// An endpoint list. The names of its fields are those of its JSON form.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointList {
     pub(super) revision: u64,
-    /// It names every host. If not, only those that changed.
+    /// Whether it has a row for every host, not only for those that changed.
     pub(super) complete: bool,
     pub(super) members: Vec<EndpointRow>,
 }
@@ -22,16 +22,21 @@
 /// One host of a list.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct EndpointRow {
+    /// Name of the host, the same at every gateway and across restarts.
     pub(super) id: String,
-    /// Where it is reached. A host that was removed needs none.
+    /// Address of the host. Optional for a removed host.
     pub(super) host_port: Option<SocketAddr>,
+    /// Zone of the host.
     #[serde(default)]
     pub(super) locality: String,
+    /// Group of the host.
     #[serde(default)]
     pub(super) cell: u64,
     pub(super) phase: Phase,
-    #[serde(default = "default_size")]
+    /// Weight of the host.
+    #[serde(default = "default_weight")]
     pub(super) size: f64,
+    /// When the host started (milliseconds of Unix time).
     #[serde(default)]
     pub(super) up_since_ms: Time,
     #[serde(default)]
@@ -48,7 +53,7 @@
 }
 
 impl EndpointList {
-    /// The first host that is to be used and has no address. A list with such a host is not used at all.
+    /// The first host that is in service and has no address. A list with such a host is rejected.
     pub(super) fn host_without_address(&self) -> Option<&str> {
         let mut rows = self.members.iter();
         let found = rows.find(|row| row.phase != Phase::Removed && row.host_port.is_none());
@@ -57,19 +62,19 @@
 }
 
 impl EndpointRow {
-    /// When the host last started (microseconds of Unix time).
-    pub(super) fn started(&self) -> Time {
+    /// When the host started (microseconds of Unix time).
+    pub(super) fn started_at(&self) -> Time {
         self.up_since_ms.saturating_mul(MICROSECONDS_PER_MILLISECOND).max(0)
     }
 
-    /// What the router is notified of the host with the number `member`.
-    pub(super) fn entry(&self, member: MemberId) -> Entry {
+    /// The row in the form of the routing decisions, which know the host as `member`.
+    pub(super) fn to_entry(&self, member: MemberId) -> Entry {
         Entry {
             member,
             group: self.cell,
             zone: self.locality.clone(),
             weight: self.size,
-            started: self.started(),
+            started: self.started_at(),
             status: match self.phase {
                 Phase::Up => MemberStatus::Up,
                 Phase::Draining => MemberStatus::Draining,
@@ -80,6 +85,6 @@
     }
 }
 
-fn default_size() -> f64 {
-    DEFAULT_SIZE
+fn default_weight() -> f64 {
+    DEFAULT_WEIGHT
 }
--- a/src/discovery/http_response.rs
+++ b/src/discovery/http_response.rs
@@ -1,191 +1,209 @@
-//! An HTTP/1.1 answer of discovery, cut into lines.
+//! Reads an HTTP/1.1 response whose body is a sequence of lines.
 
 use thiserror::Error;
 
-/// Longest head of an answer (bytes).
-const MOST_HEAD: usize = 16 * 1024;
-/// Longest list, and longest line of one (bytes).
-pub(super) const MOST_LINE: usize = 4 * 1024 * 1024;
-/// Longest line with the size of a chunk (bytes).
-const MOST_CHUNK_SIZE_LINE: usize = 256;
+/// Longest head of a response (bytes).
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest line of a body (bytes). A complete endpoint list may be written on one line.
+pub(super) const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
+/// Longest line that states the size of a chunk (bytes).
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why an answer cannot be read on.
+/// Why reading a response has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResponseError {
-    /// The answer has come to its own end.
-    #[error("it is over")]
+    /// The body is complete.
+    #[error("the response has ended")]
     Complete,
-    /// Discovery has answered, but not with a list.
-    #[error("its status is not 200")]
-    Refused,
-    /// The head is longer than any that is taken.
-    #[error("its head is too long")]
+    /// The status is not 200.
+    #[error("the response status is not 200")]
+    Rejected,
+    /// The head is longer than the limit.
+    #[error("the response head is too long")]
     HeadTooLong,
     /// The head is not UTF-8.
-    #[error("its head is not text")]
+    #[error("the response head is not text")]
     HeadNotText,
     /// `Content-Length` is not a number.
-    #[error("its length is no number")]
+    #[error("the response has an invalid Content-Length")]
     InvalidLength,
-    /// The line with the size of a chunk is longer than any that is taken.
-    #[error("a chunk's size is too long")]
+    /// The line that states the size of a chunk is longer than the limit.
+    #[error("the size line of a chunk is too long")]
     ChunkSizeTooLong,
-    /// A chunk has no hexadecimal size.
-    #[error("a chunk has no size")]
+    /// The size of a chunk is not a hexadecimal number.
+    #[error("the size of a chunk is not a hexadecimal number")]
     InvalidChunkSize,
-    /// A chunk is not followed by the end of a line.
-    #[error("a chunk does not end where it should")]
+    /// No line end follows the data of a chunk.
+    #[error("a chunk is not followed by a line end")]
     UnterminatedChunk,
-    /// A line is longer than any that is taken.
-    #[error("a line is too long")]
+    /// A line of the body is longer than the limit.
+    #[error("a line of the response is too long")]
     LineTooLong,
 }
 
-/// Reads an HTTP/1.1 answer and cuts its body into lines.
+/// Incremental reader of one response. Memory is bounded by the longest head and the longest line.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    raw: Vec<u8>,
-    part: BodyState,
+    /// Bytes received and not parsed yet.
+    unparsed: Vec<u8>,
+    state: ReadState,
+    /// The line that has begun.
     line: Vec<u8>,
 }
 
+/// What the next unparsed byte belongs to.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-enum BodyState {
+enum ReadState {
     #[default]
     Head,
-    /// Neither chunked nor of a stated length: all that follows is the body.
-    Plain,
-    /// So many bytes are left of the body.
-    Counted(usize),
-    Size,
-    Data(usize),
-    DataEnd,
-    Over,
+    /// A body that lasts until the connection closes.
+    UntilClose,
+    /// A body of stated length with this many bytes left.
+    FixedLength(usize),
+    ChunkSize,
+    /// A chunk with this many bytes left.
+    ChunkData(usize),
+    /// The line end after the data of a chunk.
+    ChunkEnd,
+    Complete,
 }
 
 impl ResponseReader {
-    /// Takes bytes as they come and appends the lines that are complete now, without their ends.
+    /// Parses `bytes`, the next ones of the response, and appends the lines of the body that are now complete to `lines`,
+    /// without their line ends.
     ///
     /// # Errors
     ///
-    /// Fails when the answer is over, or is none that can be read.
+    /// Fails when the body is complete or the response is malformed. Lines found before that have been appended.
     pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), ResponseError> {
-        self.raw.extend_from_slice(bytes);
-        let mut raw = std::mem::take(&mut self.raw);
-        let mut used = 0;
-        let read = loop {
-            match self.step(&raw[used..], lines) {
+        self.unparsed.extend_from_slice(bytes);
+        let mut unparsed = std::mem::take(&mut self.unparsed);
+        let mut parsed_count = 0;
+        let result = loop {
+            match self.step(&unparsed[parsed_count..], lines) {
                 Ok(0) => break Ok(()),
-                Ok(count) => used += count,
+                Ok(count) => parsed_count += count,
                 Err(cause) => break Err(cause),
             }
         };
-        raw.drain(..used);
-        self.raw = raw;
-        read
+        unparsed.drain(..parsed_count);
+        self.unparsed = unparsed;
+        result
+    }
+
+    /// Returns the line that had begun when the response ended, if there is one.
+    pub fn take_unterminated_line(&mut self) -> Option<Vec<u8>> {
+        Some(std::mem::take(&mut self.line)).filter(|line| !line.is_empty())
     }
 
-    /// Uses up some of the bytes; 0 if more are needed.
-    fn step(&mut self, raw: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, ResponseError> {
-        match self.part {
-            BodyState::Head => self.read_head(raw),
-            BodyState::Size => self.read_chunk_size(raw),
-            BodyState::Data(left) => {
-                let count = left.min(raw.len());
-                self.body(&raw[..count], lines)?;
-                self.part = if count == left { BodyState::DataEnd } else { BodyState::Data(left - count) };
+    /// Whether a head with status 200 has been read.
+    pub fn has_read_head(&self) -> bool {
+        self.state != ReadState::Head
+    }
+
+    /// Makes one transition. Returns the number of bytes parsed; 0 if more bytes are needed.
+    fn step(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, ResponseError> {
+        match self.state {
+            ReadState::Head => self.read_head(bytes),
+            ReadState::ChunkSize => self.read_chunk_size(bytes),
+            ReadState::ChunkData(left) => {
+                let count = left.min(bytes.len());
+                self.read_body(&bytes[..count], lines)?;
+                self.state =
+                    if count == left { ReadState::ChunkEnd } else { ReadState::ChunkData(left - count) };
                 Ok(count)
             }
-            BodyState::DataEnd if raw.len() < LINE_END.len() => Ok(0),
-            BodyState::DataEnd if raw.starts_with(LINE_END) => {
-                self.part = BodyState::Size;
+            ReadState::ChunkEnd if bytes.len() < LINE_END.len() => Ok(0),
+            ReadState::ChunkEnd if bytes.starts_with(LINE_END) => {
+                self.state = ReadState::ChunkSize;
                 Ok(LINE_END.len())
             }
-            BodyState::DataEnd => Err(ResponseError::UnterminatedChunk),
-            BodyState::Plain => {
-                self.body(raw, lines)?;
-                Ok(raw.len())
+            ReadState::ChunkEnd => Err(ResponseError::UnterminatedChunk),
+            ReadState::UntilClose => {
+                self.read_body(bytes, lines)?;
+                Ok(bytes.len())
             }
-            BodyState::Counted(left) => {
-                let count = left.min(raw.len());
-                self.body(&raw[..count], lines)?;
-                self.part = if count == left { BodyState::Over } else { BodyState::Counted(left - count) };
+            ReadState::FixedLength(left) => {
+                let count = left.min(bytes.len());
+                self.read_body(&bytes[..count], lines)?;
+                self.state =
+                    if count == left { ReadState::Complete } else { ReadState::FixedLength(left - count) };
                 Ok(count)
             }
-            BodyState::Over => Err(ResponseError::Complete),
+            ReadState::Complete => Err(ResponseError::Complete),
         }
     }
 
-    fn read_head(&mut self, raw: &[u8]) -> Result<usize, ResponseError> {
-        let Some(end) = raw.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) else {
-            return if raw.len() > MOST_HEAD { Err(ResponseError::HeadTooLong) } else { Ok(0) };
+    fn read_head(&mut self, bytes: &[u8]) -> Result<usize, ResponseError> {
+        let Some(end) = position(bytes, HEAD_END) else {
+            return if bytes.len() > MAX_HEAD_BYTES { Err(ResponseError::HeadTooLong) } else { Ok(0) };
         };
-        self.part = head(&raw[..end])?;
+        self.state = state_after_head(&bytes[..end])?;
         Ok(end + HEAD_END.len())
     }
 
-    fn read_chunk_size(&mut self, raw: &[u8]) -> Result<usize, ResponseError> {
-        let Some(end) = raw.windows(LINE_END.len()).position(|bytes| bytes == LINE_END) else {
-            let too_long = raw.len() > MOST_CHUNK_SIZE_LINE;
-            return if too_long { Err(ResponseError::ChunkSizeTooLong) } else { Ok(0) };
+    fn read_chunk_size(&mut self, bytes: &[u8]) -> Result<usize, ResponseError> {
+        let Some(end) = position(bytes, LINE_END) else {
+            let is_too_long = bytes.len() > MAX_CHUNK_SIZE_LINE_BYTES;
+            return if is_too_long { Err(ResponseError::ChunkSizeTooLong) } else { Ok(0) };
         };
-        let digits = raw[..end].split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
-        let text = std::str::from_utf8(digits).unwrap_or_default();
-        // A sign, which the parser of numbers takes, is none of the digits.
-        let is_hexadecimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        let size = usize::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
-        self.part = match size.ok_or(ResponseError::InvalidChunkSize)? {
-            0 => BodyState::Over,
-            size => BodyState::Data(size),
+        self.state = match parse_chunk_size(&bytes[..end])? {
+            0 => ReadState::Complete,
+            size => ReadState::ChunkData(size),
         };
         Ok(end + LINE_END.len())
     }
 
-    /// No more comes: the last line, which may lack its end.
-    pub fn last(&mut self) -> Option<Vec<u8>> {
-        Some(std::mem::take(&mut self.line)).filter(|line| !line.is_empty())
-    }
-
-    /// Whether its head was read, and is that of an answer.
-    pub fn began(&self) -> bool {
-        self.part != BodyState::Head
-    }
-
-    fn body(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), ResponseError> {
+    fn read_body(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), ResponseError> {
         while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
             self.line.extend_from_slice(&bytes[..end]);
             lines.push(std::mem::take(&mut self.line));
             bytes = &bytes[end + 1..];
         }
         self.line.extend_from_slice(bytes);
-        if self.line.len() > MOST_LINE {
+        if self.line.len() > MAX_LINE_BYTES {
             return Err(ResponseError::LineTooLong);
         }
         Ok(())
     }
 }
 
-/// What kind of body follows this head.
-fn head(head: &[u8]) -> Result<BodyState, ResponseError> {
+fn position(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
+}
+
+/// Parses the line that states the size of a chunk, ignoring its extensions.
+fn parse_chunk_size(line: &[u8]) -> Result<usize, ResponseError> {
+    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
+    let text = std::str::from_utf8(digits).unwrap_or_default();
+    // `from_str_radix` alone would accept a sign.
+    let is_hexadecimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let size = usize::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
+    size.ok_or(ResponseError::InvalidChunkSize)
+}
+
+/// Determines from a head without its end how its body is delimited.
+fn state_after_head(head: &[u8]) -> Result<ReadState, ResponseError> {
     let text = std::str::from_utf8(head).map_err(|_| ResponseError::HeadNotText)?;
     let mut lines = text.split("\r\n");
-    let status = lines.next().unwrap_or_default();
-    if !status.starts_with("HTTP/1.") || status.split(' ').nth(1) != Some("200") {
-        return Err(ResponseError::Refused);
+    let status_line = lines.next().unwrap_or_default();
+    if !status_line.starts_with("HTTP/1.") || status_line.split(' ').nth(1) != Some("200") {
+        return Err(ResponseError::Rejected);
     }
-    let mut part = BodyState::Plain;
+    let mut state = ReadState::UntilClose;
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
+        // Chunked encoding overrides Content-Length (RFC 9112, section 6.3).
         if name.eq_ignore_ascii_case("transfer-encoding") && value.trim().eq_ignore_ascii_case("chunked") {
-            return Ok(BodyState::Size);
+            return Ok(ReadState::ChunkSize);
         }
         if name.eq_ignore_ascii_case("content-length") {
-            part = match value.trim().parse().map_err(|_| ResponseError::InvalidLength)? {
-                0 => BodyState::Over,
-                length => BodyState::Counted(length),
+            state = match value.trim().parse().map_err(|_| ResponseError::InvalidLength)? {
+                0 => ReadState::Complete,
+                length => ReadState::FixedLength(length),
             };
         }
     }
-    Ok(part)
+    Ok(state)
 }
--- a/src/discovery/list_request.rs
+++ b/src/discovery/list_request.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: a connection, the question, and the answer as it is read.
+//! HTTP requests for endpoint lists: one for the complete list, or a watch whose response never ends.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::http_response::{ResponseError, ResponseReader};
@@ -11,64 +11,94 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why a call to discovery is over.
+/// Largest read from the connection (bytes).
+const MAX_READ_BYTES: usize = 16 * 1024;
+
+/// Why a request to discovery has ended.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection did not come up in time.
-    #[error("it does not come up")]
+    /// The connection was not established, or the request not written, within [`WATCH_TIMEOUT`].
+    #[error("connecting timed out")]
     ConnectTimeout,
-    /// The connection cannot be made, or is lost.
+    /// The connection cannot be established or has broken.
     #[error(transparent)]
     Socket(#[from] SocketError),
     /// Discovery closed the connection.
-    #[error("discovery closed it")]
+    #[error("discovery closed the connection")]
     Closed,
-    /// No line came in time.
-    #[error("it fell silent")]
+    /// No line was received within [`WATCH_TIMEOUT`].
+    #[error("discovery fell silent")]
     Silent,
-    /// The answer is over, or is none that can be read.
+    /// The response is complete or malformed.
     #[error(transparent)]
-    Answer(#[from] ResponseError),
+    Response(#[from] ResponseError),
 }
 
 impl RequestError {
-    /// What came was no answer that can be read.
+    /// Whether the response was no usable list response.
     pub(super) fn is_malformed(&self) -> bool {
-        matches!(self, RequestError::Answer(cause) if *cause != ResponseError::Complete)
+        matches!(self, RequestError::Response(cause) if *cause != ResponseError::Complete)
+    }
+
+    /// Whether discovery rejected the request with a status other than 200.
+    pub(super) fn is_rejection(&self) -> bool {
+        matches!(self, RequestError::Response(ResponseError::Rejected))
     }
+}
 
-    /// Discovery has answered, but not with a list.
-    pub(super) fn is_refusal(&self) -> bool {
-        matches!(self, RequestError::Answer(ResponseError::Refused))
+/// What a request asks discovery for.
+#[derive(Clone, Copy)]
+pub(super) enum ListQuery {
+    /// The complete list, once.
+    Complete,
+    /// A watch: the complete list, then every change.
+    Watch,
+    /// A watch of the changes after this revision.
+    WatchAfter(u64),
+}
+
+impl ListQuery {
+    fn path(self) -> String {
+        match self {
+            ListQuery::Complete => "/discovery/hosts".to_string(),
+            ListQuery::Watch => "/discovery/hosts?watch=1".to_string(),
+            ListQuery::WatchAfter(revision) => format!("/discovery/hosts?watch=1&after={revision}"),
+        }
     }
 }
 
-/// Requests the complete list at the clock time `from`.
-pub(super) async fn call(
+/// Requests the complete list, starting at clock time `starts_at`.
+pub(super) async fn fetch_complete_list(
     address: SocketAddr,
-    from: Time,
+    starts_at: Time,
     clock: Clock,
 ) -> Result<EndpointList, RequestError> {
-    clock.sleep_until(from).await;
-    let mut answer = ListResponse::default();
-    let stream = open(address, "", clock).await?;
+    clock.sleep_until(starts_at).await;
+    let stream = open_request(address, ListQuery::Complete, clock).await?;
+    let mut response = ListResponse::default();
     loop {
-        let read = answer.read(&stream, clock).await;
-        let complete_list = std::mem::take(&mut answer.texts).into_iter().find_map(|text| match text {
-            ListText::Complete(text) => serde_json::from_slice(&text).ok(),
-            ListText::Truncated => None,
-        });
-        match (complete_list, read) {
-            (Some(list), _) => return Ok(list),
-            (None, Err(cause)) => return Err(cause),
-            (None, Ok(())) => {}
+        let read = response.read(&stream, clock).await;
+        if let Some(list) = response.take_texts().iter().find_map(parse_complete_text) {
+            return Ok(list);
         }
+        read?;
     }
 }
 
-/// Connects to discovery and asks for its list.
-pub(super) async fn open(address: SocketAddr, what: &str, clock: Clock) -> Result<TcpStream, RequestError> {
-    let request = format!("GET /discovery/hosts{what} HTTP/1.1\r\nHost: {address}\r\n\r\n");
+fn parse_complete_text(text: &ListText) -> Option<EndpointList> {
+    match text {
+        ListText::Complete(text) => serde_json::from_slice(text).ok(),
+        ListText::Truncated => None,
+    }
+}
+
+/// Connects to discovery and sends a request.
+pub(super) async fn open_request(
+    address: SocketAddr,
+    query: ListQuery,
+    clock: Clock,
+) -> Result<TcpStream, RequestError> {
+    let request = format!("GET {} HTTP/1.1\r\nHost: {address}\r\n\r\n", query.path());
     let opened = async {
         let stream = socket::connect(address).await?;
         socket::write_all(&stream, &mut request.as_bytes()).await?;
@@ -80,28 +110,28 @@
     }
 }
 
-/// An answer of discovery that is being read.
+/// A response that is being read.
 #[derive(Default)]
 pub struct ListResponse {
-    pub(super) lines: ResponseReader,
-    partial: ListAssembler,
-    /// What is whole and was not taken.
-    pub texts: Vec<ListText>,
+    reader: ResponseReader,
+    assembler: ListAssembler,
+    texts: Vec<ListText>,
     /// Bytes that were read and not counted yet.
-    pub(super) bytes: usize,
-    /// When the last line came.
-    heard: Option<Time>,
+    uncounted_bytes: usize,
+    /// When the last line was received; the first read, before one was.
+    last_line_at: Option<Time>,
 }
 
 impl ListResponse {
-    /// Reads once. With its end comes what it still held. May be cancelled without loss.
+    /// Reads once. Cancel safe: no bytes are lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// Fails when the answer is over, for whatever reason.
+    /// Fails when the response has ended for whatever reason. A last line without a line end is still used if it is a
+    /// list or completes one.
     pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), RequestError> {
-        let by = *self.heard.get_or_insert_with(|| clock.now()) + WATCH_TIMEOUT;
-        let mut bytes = [0; 16 * 1024];
+        let silent_at = *self.last_line_at.get_or_insert_with(|| clock.now()) + WATCH_TIMEOUT;
+        let mut bytes = [0; MAX_READ_BYTES];
         let read = tokio::select! {
             biased;
             count = socket::read(stream, &mut bytes) => match count {
@@ -109,31 +139,58 @@
                 Ok(count) => self.feed(&bytes[..count], clock),
                 Err(cause) => Err(cause.into()),
             },
-            () = clock.sleep_until(by) => Err(RequestError::Silent),
+            () = clock.sleep_until(silent_at) => Err(RequestError::Silent),
         };
-        // The last line may lack its end.
-        if let Some(line) = read.is_err().then(|| self.lines.last()).flatten() {
-            if serde_json::from_slice::<EndpointList>(&line).is_ok() || !self.partial.is_empty() {
-                self.line(&line);
-            }
+        if read.is_err() {
+            self.add_unterminated_line();
         }
         read
     }
 
+    /// The texts of lists that are complete and were not taken yet.
+    pub fn texts(&self) -> &[ListText] {
+        &self.texts
+    }
+
+    /// Takes the texts of lists that have been completed since the last call.
+    pub(super) fn take_texts(&mut self) -> Vec<ListText> {
+        std::mem::take(&mut self.texts)
+    }
+
+    /// Returns the number of bytes read since the last call.
+    pub(super) fn take_byte_count(&mut self) -> usize {
+        std::mem::take(&mut self.uncounted_bytes)
+    }
+
+    /// Whether discovery has accepted the request.
+    pub(super) fn is_accepted(&self) -> bool {
+        self.reader.has_read_head()
+    }
+
     fn feed(&mut self, bytes: &[u8], clock: Clock) -> Result<(), RequestError> {
-        self.bytes += bytes.len();
-        let began = self.lines.began();
+        self.uncounted_bytes += bytes.len();
+        let was_accepted = self.is_accepted();
         let mut lines = Vec::new();
-        let read = self.lines.feed(bytes, &mut lines);
-        if !lines.is_empty() || began != self.lines.began() {
-            self.heard = Some(clock.now());
+        let read = self.reader.feed(bytes, &mut lines);
+        if !lines.is_empty() || was_accepted != self.is_accepted() {
+            self.last_line_at = Some(clock.now());
         }
-        lines.iter().for_each(|line| self.line(line));
+        lines.iter().for_each(|line| self.add_line(line));
         Ok(read?)
     }
 
-    fn line(&mut self, line: &[u8]) {
-        let is_list = |line: &[u8]| serde_json::from_slice::<EndpointList>(line).is_ok();
-        self.partial.line(line, is_list, &mut self.texts);
+    fn add_unterminated_line(&mut self) {
+        let Some(line) = self.reader.take_unterminated_line() else { return };
+        if is_list(&line) || !self.assembler.is_empty() {
+            self.add_line(&line);
+        }
+    }
+
+    fn add_line(&mut self, line: &[u8]) {
+        self.assembler.add_line(line, is_list, &mut self.texts);
     }
 }
+
+fn is_list(line: &[u8]) -> bool {
+    serde_json::from_slice::<EndpointList>(line).is_ok()
+}
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -245,8 +245,10 @@
         let mut enforcer = Enforcer { handover: self.clone(), clock, facade, budget, limits, enforced: None };
         let mut siblings = 0;
         loop {
-            let knowledge =
-                Knowledge { numbers: names.all(), learned_state: enforcer.facade.learned_state() };
+            let knowledge = Knowledge {
+                numbers: names.all().into_iter().collect(),
+                learned_state: enforcer.facade.learned_state(),
+            };
             let heartbeat = self.begin(clock.now(), enforcer.in_use(), knowledge);
             // On a thread of its own: a write takes up to 0.4 s here where the disk is busy, and nobody who is served
             // may wait for it.
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -22,6 +22,7 @@
 use petrelgauge_lifecycle::gateway::{Gateway, ServingState};
 use petrelgauge_lifecycle::ops::MAX_CALLERS;
 use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener as StdTcpListener};
 use std::rc::Rc;
 use tokio::net::TcpListener;
@@ -115,7 +116,7 @@
     }
 
     /// What the control plane needs. `assigned_ids` are the numbers that hosts have from another process.
-    fn dependencies(&self, assigned_ids: Vec<(String, MemberId)>) -> Dependencies {
+    fn dependencies(&self, assigned_ids: BTreeMap<String, MemberId>) -> Dependencies {
         let facade = self.facade.clone();
         Dependencies {
             clock: self.clock,
@@ -186,12 +187,12 @@
 }
 
 /// Takes over what the process before this one has learned. Gives the numbers that it had assigned to hosts.
-fn adopt_learned_state(handover: &Option<Rc<Handover>>, resources: &Resources) -> Vec<(String, MemberId)> {
+fn adopt_learned_state(handover: &Option<Rc<Handover>>, resources: &Resources) -> BTreeMap<String, MemberId> {
     let inherit = handover.as_ref().and_then(|handover| handover.inherit(resources.clock.now()));
-    inherit.map_or_else(Vec::new, |(record, age)| {
+    inherit.map_or_else(BTreeMap::new, |(record, age)| {
         log::info!("learned state adopted hosts={} age_us={age}", record.numbers.len());
         resources.facade.adopt_learned_state(record.learned_state);
-        record.numbers
+        record.numbers.into_iter().collect()
     })
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -112,9 +112,9 @@
     let valid = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7;x=y\r\n{\"a\":1}\r\n1\r\n\n\r\n\
         A\r\n\n{\"b\":2}\n\n\r\n";
     let parse = |pieces: &[&[u8]]| {
-        let (mut lines, mut found) = (ResponseReader::default(), Vec::new());
-        let ends: Vec<_> = pieces.iter().map(|piece| lines.feed(piece, &mut found)).collect();
-        (found, ends.into_iter().find(Result::is_err))
+        let (mut reader, mut lines) = (ResponseReader::default(), Vec::new());
+        let ends: Vec<_> = pieces.iter().map(|piece| reader.feed(piece, &mut lines)).collect();
+        (lines, ends.into_iter().find(Result::is_err))
     };
     sturdy(valid, parse);
     assert_eq!(parse(&[valid]), (vec![b"{\"a\":1}".to_vec(), vec![], b"{\"b\":2}".to_vec(), vec![]], None));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -330,14 +330,14 @@
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1);
     for seed in 0..SEEDS {
         let stream = FaultyStream::new(seed, text.as_bytes());
-        let (mut answer, clock) = (ListResponse::default(), Clock::start());
+        let (mut response, clock) = (ListResponse::default(), Clock::start());
         block_on(async {
-            while answer.texts.is_empty() {
-                let read = answer.read(&stream, clock).await;
+            while response.texts().is_empty() {
+                let read = response.read(&stream, clock).await;
                 read.unwrap_or_else(|over| panic!("seed {seed}: {over}"));
             }
         });
-        assert_eq!(answer.texts, [ListText::Complete(format!("{list}\n").into())], "seed {seed}");
+        assert_eq!(response.texts(), [ListText::Complete(format!("{list}\n").into())], "seed {seed}");
     }
 }
 
