--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -14,10 +14,13 @@
 //! | `evidence.rs` | roles, positions and commits, as members report them |
 //! | `outcomes.rs` | what the end of an attempt teaches |
 //! | `concurrency.rs` | the concurrency limit of a member, and this router's quota |
+//! | `load.rs` | nothing: records what members serve and what clients offer |
 //! | `overload.rs` | the share of reads that is shed |
 //! | `health.rs` | suspicion, probes, ejection of silent members |
 //! | `zones.rs` | zones that are unreachable as a whole |
-//! | `slow_start.rs` | the budget of a member that has just started |
+//! | `slow_start.rs` | how much work a member that has just started may be sent |
+//! | `token_bucket.rs` | when a request is paid for in slow start |
+//! | `sampled_reads.rs` | which new reads a warming replica receives beside that |
 //! | `primary.rs` | which member is taken for the primary, and how it is found |
 //! | `reads.rs` | which members a read may use |
 //! | `freshness.rs` | the commit that a read must see, and the forecast of lags and sojourns |
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -11,13 +11,16 @@
 mod evidence;
 mod freshness;
 mod health;
+mod load;
 mod outcomes;
 mod overload;
 mod primary;
 mod queue;
 mod reads;
+mod sampled_reads;
 mod selection;
 mod slow_start;
+mod token_bucket;
 mod zones;
 
 pub use slow_start::SlowStart;
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -107,8 +107,7 @@
         }
         // The slow-start budget of a primary is for writes, so long as reads have another member.
         if usable.iter().any(|id| Some(*id) != primary) {
-            let is_warming = |id: &MemberId| self.capacity_share(&self.members[id]) < 1.0;
-            usable.retain(|id| Some(*id) != primary || !is_warming(id));
+            usable.retain(|id| Some(*id) != primary || !self.is_warming_up(&self.members[id]));
         }
         usable
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -64,7 +64,7 @@
 pub(crate) struct LoadState {
     /// Latest sojourns at all members, as `Member::sojourns`.
     pub(crate) sojourns: Samples<f64>,
-    /// Work (microseconds of latency target) that a member of weight 1 carried a second as of `served_load_at`.
+    /// Work (microseconds of latency target) that a member of weight 1 served a second, as of `served_load_at`.
     pub(crate) served_load: f64,
     pub(crate) served_load_at: Time,
     pub(crate) service_time: ServiceTime,
@@ -90,6 +90,8 @@
     }
 }
 
+pub(crate) const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
 /// A share of a span, in whole microseconds.
 pub(crate) fn share_of(span: Time, share: f64) -> Time {
     (span as f64 * share) as Time
@@ -153,10 +155,10 @@
     pub(crate) ejected_until: Time,
     pub(crate) probe_in_flight: bool,
     pub(crate) probed_at: Time,
-    /// Work (microseconds of latency target) that its slow-start budget had taken in and not spent at `slow_start_refilled_at`.
+    /// Tokens of its slow-start bucket (microseconds of latency target) as of `slow_start_refilled_at`.
     pub(crate) slow_start_tokens: f64,
     pub(crate) slow_start_refilled_at: Time,
-    /// By which new requests are drawn for it while it warms up. Not left to the next process.
+    /// Salt of the hash by which new reads are sampled for it during slow start. Not part of the learned state.
     #[serde(skip)]
     pub(crate) sampling_salt: u64,
 }
@@ -181,8 +183,8 @@
     pub(crate) last_discovery_at: Time,
     /// Quota borrowed from other routers, or lent to them.
     pub(crate) quota_adjustment: QuotaAdjustment,
-    /// Work (microseconds of latency target) that its clients asked for a second as of `offered_load_at`. Not left to the
-    /// next process.
+    /// Work (microseconds of latency target) that its clients offered a second, as of `offered_load_at`. Not part of
+    /// the learned state.
     #[serde(skip)]
     pub(crate) offered_load: f64,
     #[serde(skip)]
