--- a/crates/ownership/src/acceptor.rs
+++ b/crates/ownership/src/acceptor.rs
@@ -30,8 +30,8 @@
         self.accepted.is_none_or(|lease| now >= lease.expires_at)
     }
 
-    /// Whether a request is too low for what was promised. A ballot is prepared once: the same one again is a
-    /// duplicate, or comes from an earlier process of the same gateway.
+    /// Whether the request's ballot is too low. A ballot is prepared once: the same one again is a duplicate,
+    /// or comes from an earlier process of the same gateway.
     fn is_outdated(&self, request: LeaseRequest) -> bool {
         match request {
             LeaseRequest::Prepare { ballot } => ballot <= self.promised,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// The lease that a candidate has to wait for. Its own gateway's earlier lease counts too, for an earlier process
-    /// may hold it.
+    /// The lease that a candidate has to wait for. That may be one of its own gateway, held by an earlier
+    /// process.
     fn granted_lease(&self, now: Time) -> Option<GrantedLease> {
         if mutant(Mutant::GrantHidden) {
             return None;
@@ -52,14 +52,14 @@
 /// The acceptor of one gateway, since its start. Holds at most [`MAX_ROLES`] roles.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// It responds to nothing before: leases may be in force that it accepted before it restarted.
+    /// Requests are ignored until then: leases accepted before a restart may still be in force.
     silent_until: Time,
     acceptance_duration: Time,
     roles: BTreeMap<LeadershipRole, RoleState>,
 }
 
 impl Acceptor {
-    /// An acceptor that starts now and knows nothing of what it promised before.
+    /// Creates an acceptor that starts now, without any memory of earlier promises.
     pub fn new(settings: &Settings, now: Time) -> Acceptor {
         let silence = if mutant(Mutant::SilentPeriodSkipped) { 0 } else { settings.startup_silence() };
         let shortened = mutant(Mutant::GrantExpiresEarly);
@@ -67,8 +67,8 @@
         Acceptor { silent_until: now + silence, acceptance_duration, roles: BTreeMap::new() }
     }
 
-    /// Handles a candidate's request; `None` if nothing is to be sent. During the silence after the start requests are
-    /// ignored and leave no trace.
+    /// Handles a candidate's request and returns the response, if any. During the silence after the start,
+    /// requests are ignored and change nothing.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -103,8 +103,9 @@
         }
     }
 
-    /// The state of a role. A new role replaces one whose lease has expired if there are too many: an expired lease
-    /// binds nobody, and the promise beside it only orders ballots of that time. `None` if all leases are in force.
+    /// The state of a role. If there are too many, a new role replaces one whose lease has expired: an
+    /// expired lease binds nobody, and the promise beside it only orders ballots of that time. `None` if all
+    /// leases are in force.
     fn role_state(&mut self, now: Time, role: LeadershipRole) -> Option<&mut RoleState> {
         if !self.roles.contains_key(&role) && self.roles.len() >= MAX_ROLES {
             let (expired, _) = self.roles.iter().find(|(_, state)| state.is_expired(now))?;
--- a/crates/ownership/src/candidate.rs
+++ b/crates/ownership/src/candidate.rs
@@ -7,9 +7,9 @@
 //!   +-- rejected, another holds the lease, timeout --+------ lease expired -+
 //! ```
 //!
-//! The lease is counted from the moment at which the proposal was **sent**, by the candidate's own clock; each acceptor
-//! counts from when it arrived, which is later. Proposals are numbered, so that a late response to an earlier one
-//! renews nothing.
+//! The lease is counted from the moment at which the proposal was **sent**, by the candidate's own clock;
+//! each acceptor counts from when it arrived, which is later. Proposals are numbered, so that a late response
+//! to an earlier one renews nothing.
 
 use crate::message::{GrantedLease, LeaseRequest, LeaseResponse};
 use crate::{Ballot, GatewayId, Settings, Term, PROPOSER_BITS};
@@ -18,12 +18,12 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// Failed attempts after which the backoff grows no further: it doubles with each.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Terms carry the time in milliseconds (microseconds each).
+/// Unit of the time in a term (microseconds).
 const TERM_TICK: Time = 1_000;
 
-/// A proposal to renew the lease, to which responses are awaited.
+/// A proposal to renew the lease that awaits a majority.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Renewal {
     sent_at: Time,
@@ -63,8 +63,8 @@
     settings: Settings,
     state: State,
     ballot: Ballot,
-    /// The highest term that it has heard of.
-    highest: Term,
+    /// The highest term seen in any message.
+    highest_term: Term,
     /// Number of its last proposal.
     round: u32,
     /// Consecutive failed attempts.
@@ -73,17 +73,19 @@
 }
 
 impl Candidate {
-    /// A candidate that starts now. `highest` is the highest term known; `seed` determines its backoff.
-    pub fn new(settings: Settings, now: Time, highest: Term, seed: u64) -> Candidate {
+    /// Creates a candidate that starts now. `highest_term` is the highest term known for the role; `seed`
+    /// determines its backoff.
+    pub fn new(settings: Settings, now: Time, highest_term: Term, seed: u64) -> Candidate {
         let ballot = Ballot { term: 0, proposer: settings.self_id };
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let state = State::Idle { retry_at: now };
-        let mut candidate = Candidate { settings, state, ballot, highest, round: 0, failed_attempts: 0, rng };
+        let mut candidate =
+            Candidate { settings, state, ballot, highest_term, round: 0, failed_attempts: 0, rng };
         candidate.back_off(now);
         candidate
     }
 
-    /// The term of the lease if it is held now. Call it with the time read right before each effect.
+    /// The term of the lease, if it is held at `now`. Read the time right before each effect.
     pub fn held_term(&self, now: Time) -> Option<Term> {
         let State::Holding { expires_at, .. } = &self.state else { return None };
         let at_the_end = now == *expires_at && mutant(Mutant::LeaseEndIncluded);
@@ -110,26 +112,27 @@
         }
     }
 
-    /// Somebody holds the lease under this term for `remaining` at most: preparing before it expires is useless.
+    /// Records that another gateway holds the lease under this term for at most `remaining` microseconds. An
+    /// idle candidate waits until that lease has expired.
     pub fn observe_lease(&mut self, now: Time, term: Term, remaining: Time) {
         self.observe_term(term);
         if term < self.ballot.term {
             return;
         }
         self.failed_attempts = 0;
-        let stagger = self.draw_stagger();
+        let stagger = self.sample_stagger();
         let remaining = remaining.clamp(0, self.settings.acceptance_duration());
         if let State::Idle { retry_at } = &mut self.state {
             *retry_at = (*retry_at).max(now + remaining + stagger);
         }
     }
 
-    /// Somebody has seen this term: the next ballot will be higher.
+    /// Records a term that was seen elsewhere. The next ballot will have a higher one.
     pub fn observe_term(&mut self, term: Term) {
-        self.highest = self.highest.max(term);
+        self.highest_term = self.highest_term.max(term);
     }
 
-    /// The time that [`Candidate::next_deadline`] named has come.
+    /// Handles the deadline of the present state; does nothing before [`Candidate::next_deadline`].
     pub fn on_deadline(&mut self, now: Time) -> Action {
         if now < self.next_deadline() {
             return Action::Wait;
@@ -150,7 +153,8 @@
         }
     }
 
-    /// An acceptor responds.
+    /// Handles an acceptor's response. Responses to earlier ballots, late ones, and those of other gateways
+    /// are ignored.
     pub fn on_response(&mut self, now: Time, from: GatewayId, response: LeaseResponse) -> Action {
         let is_acceptor = self.settings.acceptors.contains(&from);
         if !is_acceptor || response.ballot() != self.ballot || self.is_late(now) {
@@ -164,15 +168,16 @@
         }
     }
 
-    /// Releases the lease before it expires: the request for the acceptors, if it is held.
+    /// Releases the lease before it expires. Returns the request for the acceptors, or `None` if the lease is
+    /// not held.
     pub fn release(&mut self, now: Time) -> Option<LeaseRequest> {
         self.held_term(now)?;
         self.back_off(now);
         Some(LeaseRequest::Release { ballot: self.ballot })
     }
 
-    /// Whether the attempt's deadline has passed. A term from before may be lower than that of a holder whom a
-    /// restarted acceptor has forgotten since.
+    /// Whether the attempt's deadline has passed. A response that late must not count: meanwhile a restarted
+    /// acceptor may have forgotten a holder with a higher term.
     fn is_late(&self, now: Time) -> bool {
         match &self.state {
             State::Preparing { deadline, .. } | State::Proposing { deadline, .. } => {
@@ -184,7 +189,7 @@
 
     fn prepare(&mut self, now: Time) -> Action {
         self.ballot.term = self.next_term(now);
-        self.highest = self.ballot.term;
+        self.highest_term = self.ballot.term;
         let deadline = now + self.settings.response_timeout();
         self.state = State::Preparing { deadline, promised: BTreeSet::new() };
         Action::Send(LeaseRequest::Prepare { ballot: self.ballot })
@@ -207,7 +212,7 @@
         self.propose()
     }
 
-    /// An acceptor promised, but has accepted a lease that is in force.
+    /// Handles a promise of an acceptor that has already accepted another lease, which is still in force.
     fn on_granted_lease(&mut self, now: Time, lease: GrantedLease) -> Action {
         if !matches!(self.state, State::Preparing { .. }) {
             return Action::Wait;
@@ -280,43 +285,46 @@
         Action::Wait
     }
 
-    /// Waits for a random part of a span that doubles with each failure, so that of many candidates one comes first.
+    /// Backs off for a random part of a span that doubles with each failure, so that concurrent candidates
+    /// diverge.
     fn back_off(&mut self, now: Time) {
         let doublings = self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS);
-        let longest = self.settings.response_timeout() << doublings;
-        let wait = self.draw() % longest.max(1);
-        self.state = State::Idle { retry_at: now + wait };
+        let max_backoff = self.settings.response_timeout() << doublings;
+        let backoff = self.sample() % max_backoff.max(1);
+        self.state = State::Idle { retry_at: now + backoff };
     }
 
-    /// Delay after a lease's expiry. Candidates that wait for the same lease retry in the order of the acceptors, each
-    /// leaving the one before it the time to succeed. One that is no acceptor draws its place.
-    fn draw_stagger(&mut self) -> Time {
-        let drawn = self.draw();
+    /// Samples the delay after a lease's expiry. Candidates that wait for the same lease retry in the order
+    /// of the acceptors, each leaving the one before it enough time to succeed. One that is no acceptor takes
+    /// a random place.
+    fn sample_stagger(&mut self) -> Time {
+        let sample = self.sample();
         let Settings { acceptors, self_id, max_delay, .. } = &self.settings;
         let own_place = acceptors.iter().position(|acceptor| acceptor == self_id);
-        let place = own_place.unwrap_or(drawn as usize % acceptors.len().max(1));
-        place as Time * self.settings.response_timeout() + drawn % (*max_delay).max(1)
+        let place = own_place.unwrap_or(sample as usize % acceptors.len().max(1));
+        place as Time * self.settings.response_timeout() + sample % (*max_delay).max(1)
     }
 
-    /// A random number, not negative.
-    fn draw(&mut self) -> Time {
+    /// A uniform random sample, not negative.
+    fn sample(&mut self) -> Time {
         (self.rng.next_u64() >> 1) as Time
     }
 
-    /// Responses that make a majority.
+    /// Number of acceptors whose agreement is needed.
     fn quorum(&self) -> usize {
         self.settings.majority() - usize::from(mutant(Mutant::MinorityEnough))
     }
 
-    /// A term above all that were heard of and above the time. A restarted acceptor may have forgotten the last
-    /// holder's term; since it was silent for longer than a lease, the time alone makes the new term higher.
+    /// A term above every term seen and above the time in milliseconds. A restarted acceptor may have
+    /// forgotten the last holder's term; since it was silent for longer than a lease, the time alone makes
+    /// the new term higher.
     fn next_term(&self, now: Time) -> Term {
-        let heard = self.highest.max(self.ballot.term);
+        let highest_seen = self.highest_term.max(self.ballot.term);
         if mutant(Mutant::TermNotRaised) {
-            return heard;
+            return highest_seen;
         }
-        let timed = ((now / TERM_TICK).max(0) as Term) << PROPOSER_BITS;
-        term_above(heard.max(timed), self.settings.self_id)
+        let term_of_now = ((now / TERM_TICK).max(0) as Term) << PROPOSER_BITS;
+        term_above(highest_seen.max(term_of_now), self.settings.self_id)
     }
 }
 
--- a/crates/ownership/src/datagram.rs
+++ b/crates/ownership/src/datagram.rs
@@ -57,8 +57,8 @@
         bytes.first() == Some(&MAGIC)
     }
 
-    /// Encodes the message as a datagram. `fleet` is [`crate::Settings::sharded_fingerprint`]; `secret` is the same at
-    /// all gateways.
+    /// Encodes the message as a datagram. `fleet` is [`crate::Settings::sharded_fingerprint`]; `secret` is
+    /// the same at all gateways.
     pub fn encode(&self, from: GatewayId, fleet: u32, secret: u64) -> Vec<u8> {
         let mut bytes = vec![MAGIC, VERSION];
         bytes.extend_from_slice(&fleet.to_be_bytes());
@@ -73,8 +73,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is malformed, of another version or fleet, or corrupted, or if it was encoded with another
-    /// secret.
+    /// Fails if the datagram is malformed, of another version or fleet, or corrupted, or if it was encoded
+    /// with another secret.
     pub fn decode(bytes: &[u8], fleet: u32, secret: u64) -> Result<ReceivedMessage, DatagramError> {
         let lengths = HEADER_BYTES + CHECKSUM_BYTES..=MAX_DATAGRAM_BYTES;
         if !lengths.contains(&bytes.len()) || !Message::has_magic_byte(bytes) {
--- a/crates/ownership/src/fence.rs
+++ b/crates/ownership/src/fence.rs
@@ -1,16 +1,16 @@
-//! Fencing: a receiver remembers the highest term seen of each role and rejects effects under lower ones, which come
-//! from an earlier holder that does not know yet that its lease has expired.
+//! Fencing: a receiver remembers the highest term seen for each role and rejects effects under lower terms.
+//! Those come from an earlier holder that does not know yet that its lease has expired.
 
 use crate::{LeadershipRole, Term, MAX_ROLES};
 use petrelgauge_policy::{mutant, Mutant};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Terms are start times in milliseconds, raised by one with each holder, with 16 more bits. A term further ahead than
-/// that is corrupted or of another fleet; admitting it would lock out every true holder for good.
-const MAX_TERM: Term = 1 << 62;
+/// Terms from here on are implausible: the time in milliseconds with [`crate::PROPOSER_BITS`] more bits stays
+/// far below. A corrupted one that was admitted would fence out every later holder.
+const TERM_LIMIT: Term = 1 << 62;
 
-/// An effect was rejected.
+/// An effect was rejected because a newer term is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("an effect under term {term} comes after one under term {highest}")]
 pub struct StaleTerm {
@@ -20,7 +20,7 @@
     pub highest: Term,
 }
 
-/// The highest terms seen, of at most [`MAX_ROLES`] roles.
+/// The highest term seen for each of at most [`MAX_ROLES`] roles.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: BTreeMap<LeadershipRole, Term>,
@@ -28,7 +28,7 @@
 }
 
 impl Fence {
-    /// Checks an effect before it is applied, and remembers its term.
+    /// Admits an effect under this term and remembers the term. Call it before the effect is applied.
     ///
     /// # Errors
     ///
@@ -37,7 +37,7 @@
         let highest = self.highest.get(&role).copied().unwrap_or(0);
         let reversed = mutant(Mutant::FenceReversed);
         let is_stale = if reversed { term > highest && highest > 0 } else { term < highest };
-        if is_stale || term >= MAX_TERM {
+        if is_stale || term >= TERM_LIMIT {
             self.rejected += 1;
             return Err(StaleTerm { term, highest });
         }
@@ -46,17 +46,18 @@
         Ok(())
     }
 
-    /// The highest term seen of a role.
+    /// The highest term seen for a role.
     pub fn highest(&self, role: LeadershipRole) -> Option<Term> {
         self.highest.get(&role).copied()
     }
 
-    /// Number of rejected effects since the start.
+    /// Number of effects rejected since the start.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Forgets the role with the lowest term if there are too many: terms are times, so it has been quiet for longest.
+    /// Evicts the role with the lowest term if there are too many. Terms grow with time, so that role has
+    /// been idle longest.
     fn make_room_for(&mut self, role: LeadershipRole) {
         if self.highest.contains_key(&role) || self.highest.len() < MAX_ROLES {
             return;
--- a/crates/ownership/src/lease_manager.rs
+++ b/crates/ownership/src/lease_manager.rs
@@ -1,10 +1,9 @@
-//! The leases of one gateway: its acceptor, its candidates and its fence for all roles, the messages to send, and whether
-//! this gateway may act.
+//! The lease manager of one gateway: its acceptor, its candidates and its fence for all roles, and the
+//! messages to send.
 //!
-//! Whatever is sent because of a lease is tied to it. Messages returned by [`LeaseManager::on_deadline`] and
-//! [`LeaseManager::on_message`] are sent at once. Notifications are built by [`LeaseManager::notification`] with the time
-//! read right before, and only while the lease is held; whoever queues one calls [`LeaseManager::still_holds`] again
-//! before sending it.
+//! Messages returned by [`LeaseManager::on_deadline`] and [`LeaseManager::on_message`] must be sent at once.
+//! A notification is built by [`LeaseManager::notification`] while the lease is held, with the time read
+//! right before; a caller that queues it must ask [`LeaseManager::still_holds`] again before sending it.
 
 use crate::acceptor::Acceptor;
 use crate::candidate::{Action, Candidate};
@@ -15,10 +14,11 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Rotation of the shard's bits in a candidate's seed, to keep them apart from those of the role's kind.
+/// Rotation of the shard's bits in a candidate's seed, which keeps them apart from the bits of the role's
+/// kind.
 const SHARD_SEED_ROTATION: u32 = 17;
 
-/// A message and the gateway that it is for.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// The receiver. It may be this gateway itself.
@@ -51,9 +51,9 @@
     pub acquired: u64,
     /// Leases lost or released.
     pub lost: u64,
-    /// Notifications of earlier holders that were rejected.
+    /// Notifications rejected because of a stale term.
     pub rejected: u64,
-    /// Datagrams with a sender that is none of the gateways.
+    /// Messages whose sender is none of the gateways.
     pub unknown_senders: u64,
 }
 
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     settings: Settings,
-    /// Of a gateway that is one of the acceptors.
+    /// Present if this gateway is one of the acceptors.
     acceptor: Option<Acceptor>,
     candidates: BTreeMap<LeadershipRole, Candidate>,
     fence: Fence,
@@ -79,7 +79,7 @@
 }
 
 impl LeaseManager {
-    /// The lease manager of a gateway that starts now. `seed` is its only source of randomness.
+    /// Creates the lease manager of a gateway that starts now. `seed` is its only source of randomness.
     ///
     /// # Errors
     ///
@@ -98,7 +98,7 @@
         })
     }
 
-    /// The settings that it was created with.
+    /// The settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
@@ -108,7 +108,7 @@
         Counts { rejected: self.fence.rejected(), ..self.counts }
     }
 
-    /// From now on this gateway is a candidate for the role, unless it is one for [`MAX_ROLES`] roles already.
+    /// Makes this gateway a candidate for the role, unless it is one for [`MAX_ROLES`] roles already.
     pub fn campaign(&mut self, now: Time, role: LeadershipRole) {
         if self.candidates.len() >= MAX_ROLES {
             return;
@@ -124,7 +124,8 @@
         self.candidates.contains_key(&role)
     }
 
-    /// From now on this gateway is no candidate for the role; it releases the lease if it holds it.
+    /// Ends this gateway's candidacy for the role. Returns the messages that release the lease, if it is
+    /// held.
     pub fn withdraw(&mut self, now: Time, role: LeadershipRole) -> Vec<Outgoing> {
         let Some(mut candidate) = self.candidates.remove(&role) else { return Vec::new() };
         let Some(request) = candidate.release(now) else { return Vec::new() };
@@ -132,12 +133,13 @@
         self.to_acceptors(role, request)
     }
 
-    /// The term of the lease if this gateway holds it now. Call it with the time read right before each effect.
+    /// The term of the lease, if this gateway holds it at `now`. Read the time right before each effect.
     pub fn held_term(&self, now: Time, role: LeadershipRole) -> Option<Term> {
         self.candidates.get(&role)?.held_term(now)
     }
 
-    /// Whether an effect that was prepared under this term may still be carried out.
+    /// Whether this gateway still holds the lease under this term, so that an effect prepared under it may be
+    /// sent.
     pub fn still_holds(&self, now: Time, role: LeadershipRole, term: Term) -> bool {
         self.held_term(now, role) == Some(term)
     }
@@ -156,7 +158,7 @@
         self.candidates.values().map(Candidate::next_deadline).min()
     }
 
-    /// Handles all deadlines that have passed: the messages to send.
+    /// Handles all deadlines that have passed. Returns the messages to send.
     pub fn on_deadline(&mut self, now: Time) -> Vec<Outgoing> {
         let roles: Vec<LeadershipRole> = self.candidates.keys().copied().collect();
         let mut outgoing = Vec::new();
@@ -168,7 +170,7 @@
         outgoing
     }
 
-    /// Handles a message from another gateway, or from this one: the messages to send in response.
+    /// Handles a message from any gateway, including this one. Returns the messages to send in response.
     pub fn on_message(&mut self, now: Time, from: GatewayId, message: Message) -> Vec<Outgoing> {
         if from >= self.settings.gateways {
             self.counts.unknown_senders += 1;
@@ -191,7 +193,7 @@
                 }
                 Vec::new()
             }
-            // Their content is for the caller.
+            // Handled by the caller.
             Message::PrimaryReport(_)
             | Message::PrimaryReports { .. }
             | Message::QuotaReport(_)
@@ -199,12 +201,13 @@
         }
     }
 
-    /// Whether the effect of a notification would be admitted. Call it before [`LeaseManager::on_message`].
+    /// Whether the fence would admit a notification under this term. Ask before [`LeaseManager::on_message`],
+    /// which remembers the term.
     pub fn would_admit(&self, role: LeadershipRole, term: Term) -> bool {
         self.fence.clone().admit(role, term).is_ok()
     }
 
-    /// A notification under the present term; `None` unless this gateway holds the lease.
+    /// A notification under the current term, or `None` unless this gateway holds the lease.
     pub fn notification(
         &mut self,
         now: Time,
@@ -216,7 +219,7 @@
         Some(Message::Notification { role, term, notification })
     }
 
-    /// Releases all leases and ends all candidacies: the gateway stops.
+    /// Ends all candidacies, for shutdown. Returns the messages that release the leases held.
     pub fn release_all(&mut self, now: Time) -> Vec<Outgoing> {
         let roles: Vec<LeadershipRole> = self.candidates.keys().copied().collect();
         roles.into_iter().flat_map(|role| self.withdraw(now, role)).collect()
@@ -261,7 +264,7 @@
         }
     }
 
-    /// Carries out what a candidate's step demands.
+    /// Carries out the action of a candidate's step. Returns the messages to send.
     fn apply(&mut self, now: Time, role: LeadershipRole, action: Action) -> Vec<Outgoing> {
         match action {
             Action::Wait => Vec::new(),
@@ -278,8 +281,8 @@
         }
     }
 
-    /// Notifies the others of the lease. A term below one that was seen here would be rejected by them too: the lease is
-    /// released, and the next term will be higher.
+    /// Announces the lease to all other gateways. If its term is below one seen here, the others would reject
+    /// it too: then the lease is released, and the next term will be higher.
     fn announce_lease(&mut self, now: Time, role: LeadershipRole, term: Term) -> Vec<Outgoing> {
         let Some(candidate) = self.candidates.get_mut(&role) else { return Vec::new() };
         if let Err(stale) = self.fence.admit(role, term) {
@@ -291,7 +294,8 @@
         self.to_others(&Message::Notification { role, term, notification })
     }
 
-    /// Addresses a request to all acceptors. Its own acceptor receives it like any other, from the caller.
+    /// Addresses a request to all acceptors. The caller delivers it to this gateway's own acceptor like any
+    /// other message.
     fn to_acceptors(&self, role: LeadershipRole, request: LeaseRequest) -> Vec<Outgoing> {
         let message = Message::LeaseRequest { role, request };
         let acceptors = self.settings.acceptors.iter();
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,22 +1,23 @@
 //! Leader election for the fleet: at most one gateway holds the lease of a [`LeadershipRole`] at any instant.
 //!
-//! Leases are granted by a majority of a few acceptors and kept in memory only, after PaxosLease (Trencseni, Gazso and
-//! Reinhardt, 2012): prepare and promise, propose and accept, each round under a ballot, no storage and no synchronised
-//! clocks. Each lease carries a fencing term that increases with every holder.
+//! Leases are granted by a majority of a few acceptors and kept in memory only, after PaxosLease (Trencseni,
+//! Gazso and Reinhardt, 2012): prepare and promise, propose and accept, each round under a ballot, no storage
+//! and no synchronised clocks. Each lease carries a fencing term that increases with every holder.
 //!
-//! An [`Acceptor`] promises and accepts; a [`Candidate`] prepares, proposes, renews and releases; a [`Fence`] rejects
-//! effects of earlier holders. [`LeaseManager`] combines the three for one gateway and all roles. [`quota`] builds on
-//! such a lease: its holder redistributes rate limits between gateways. Everything here is a state machine that is
-//! stepped with events and a time, and returns what to send; it does no I/O and reads no clock.
+//! An [`Acceptor`] promises and accepts; a [`Candidate`] prepares, proposes, renews and releases; a [`Fence`]
+//! rejects effects of earlier holders. [`LeaseManager`] combines the three for one gateway and all roles.
+//! [`quota`] builds on such a lease: its holder redistributes rate limits between gateways. Everything here
+//! is a state machine that is stepped with events and a time, and returns what to send; it does no I/O and
+//! reads no clock.
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | `settings` | the acceptors, the durations, and their validation |
+//! | `settings` | acceptors and durations, and their validation |
 //! | `acceptor` | promises and accepted leases of one acceptor |
 //! | `candidate` | acquiring, renewing and releasing one lease |
 //! | `fence` | the highest term seen of each role |
-//! | `lease_manager` | all of it for one gateway, with the messages to send |
-//! | `placement` | shards of a role, and which acceptor should hold which |
+//! | `lease_manager` | acceptor, candidates and fence of one gateway, with the messages to send |
+//! | `placement` | shards of a role, and which acceptor should lead which |
 //! | `quota` | loans and grants of rate limits |
 //! | `message`, `datagram` | messages between gateways, and their encoding in at most 256 bytes |
 //!
@@ -30,15 +31,17 @@
 //! ```
 //!
 //! **Guarantees**, checked by the model `ownership` of `petrelgauge-models` and by tests in simulated time:
-//! 1. No two candidates hold the lease of one role at one instant, whichever datagrams are lost, late, duplicated or
-//!    reordered and whichever acceptors restart, while every clock runs within [`Settings::drift_bound`] of true time.
+//! 1. No two candidates hold the lease of one role at one instant, whichever datagrams are lost, late,
+//!    duplicated or reordered and whichever acceptors restart, while every clock runs within
+//!    [`Settings::drift_bound`] of true time.
 //! 2. A receiver that has seen a newer term rejects effects under an older one.
-//! 3. While a majority of acceptors can reach each other and a candidate, a role whose holder has failed has a new one
-//!    within [`Settings::takeover_bound`].
+//! 3. While a majority of acceptors can reach each other and a candidate, a role whose holder has failed has
+//!    a new one within [`Settings::takeover_bound`].
 //!
-//! **Assumptions.** Only durations on one machine's clock are compared. A restarted acceptor has forgotten its promises,
-//! so it stays silent for longer than any lease that it may have accepted. A clock outside the drift bound can bring two
-//! holders; their effects still carry terms, and whoever knows the higher term rejects the lower one.
+//! **Assumptions.** Only durations on one machine's clock are compared. A restarted acceptor has forgotten
+//! its promises, so it stays silent for longer than any lease that it may have accepted. A clock outside the
+//! drift bound can bring two holders; their effects still carry terms, and whoever knows the higher term
+//! rejects the lower one.
 //!
 //! **Bounds.** [`MAX_ROLES`] roles, [`MAX_ACCEPTORS`] acceptors, [`MAX_SHARDS`] shards, datagrams of at most
 //! [`MAX_DATAGRAM_BYTES`]. Times and durations are in microseconds.
@@ -92,8 +95,8 @@
 
 /// Number of a gateway: its index among the configuration's peers.
 pub type GatewayId = u16;
-/// Fencing token of a lease. It increases with every holder of a role; its lowest [`PROPOSER_BITS`] bits are the
-/// holder's number, so that no two candidates propose the same term.
+/// Fencing token of a lease. It increases with every holder of a role. Its lowest [`PROPOSER_BITS`] bits are
+/// the holder's number, so that no two candidates propose the same term.
 pub type Term = u64;
 /// Bits of a term that hold the number of its proposer.
 pub const PROPOSER_BITS: u32 = 16;
@@ -103,19 +106,19 @@
 /// Maximum number of roles of which state is kept.
 pub const MAX_ROLES: usize = 64;
 
-/// A role that one gateway at a time fulfils for the whole fleet.
+/// A role that at most one gateway at a time has for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeadershipRole {
-    /// The work that its holder does, as the caller numbers it.
+    /// The kind of work that comes with it. The caller numbers the kinds.
     pub kind: u8,
     /// The shard of that work, from 0.
     pub shard: u64,
 }
 
-/// Identifies one attempt of a candidate. Ballots are ordered by term, then by proposer.
+/// One attempt of a candidate to acquire the lease. Ballots are ordered by term, then by proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The term that the candidate will hold the lease under.
+    /// The term of the lease if the attempt succeeds.
     pub term: Term,
     /// The candidate.
     pub proposer: GatewayId,
--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between gateways. The order of the variants and of their fields is the wire format: `postcard` encodes
-//! variants by index and fields by position, so either may only be appended to.
+//! Messages between gateways. The order of the variants and of their fields is the wire format: `postcard`
+//! encodes variants by index and fields by position, so either may only be appended to.
 
 use crate::quota::{GroupGrant, MeanRate, QuotaReport};
 use crate::{Ballot, LeadershipRole, Term};
@@ -24,7 +24,7 @@
         /// Number of this proposal, so that a late response to an earlier one renews nothing.
         round: u32,
     },
-    /// Forget the accepted lease, which its holder gives up.
+    /// Forget the accepted lease, which its holder has released.
     Release {
         /// The holder's ballot.
         ballot: Ballot,
@@ -78,7 +78,7 @@
 }
 
 impl LeaseResponse {
-    /// The ballot of the request that is responded to.
+    /// The ballot of the request that this responds to.
     pub fn ballot(&self) -> Ballot {
         match self {
             LeaseResponse::Promised { ballot, .. }
@@ -91,14 +91,14 @@
 /// A member that answered as the primary of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PrimaryAnnouncement {
-    /// The member, by the hash of its name on the list.
+    /// Hash of the member's name on the endpoint list.
     pub member: u64,
-    /// Time of that answer (microseconds).
+    /// Time of the member's answer (microseconds).
     pub position: Time,
 }
 
-/// What the holder of a lease sends to other gateways: the effects of its role. Receivers admit a notification only if
-/// its term passes their [`crate::Fence`].
+/// An effect of a role, sent by the holder of its lease to other gateways. Receivers admit it only if its
+/// term passes their [`crate::Fence`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Notification {
     /// The sender holds the lease.
@@ -112,12 +112,12 @@
     QuotaRound {
         /// Number of the round.
         round: u32,
-        /// Mean request rates over all gateways that have reported, or a part of them.
+        /// Mean request rates of some or all groups, over the gateways that have reported.
         mean_rates: Vec<MeanRate>,
     },
     /// Quota that is granted to the receiver beside its even quota.
     QuotaGrant {
-        /// Number of the report that asked for it.
+        /// Number of the report that requested it.
         number: u32,
         /// The amounts.
         granted: Vec<GroupGrant>,
@@ -155,8 +155,8 @@
         /// The effect.
         notification: Notification,
     },
-    /// From any gateway to the leader of primary discovery, which passes it on under its own term. A report is evidence
-    /// and no effect of a role, so it carries no term.
+    /// From any gateway to the leader of primary discovery, which forwards it under its own term. A report is
+    /// evidence and no effect of a role, so it carries no term.
     PrimaryReport(PrimaryAnnouncement),
     /// From a receiver to the sender of a notification that the receiver's fence has rejected.
     StaleTerm {
--- a/crates/ownership/src/placement.rs
+++ b/crates/ownership/src/placement.rs
@@ -1,10 +1,10 @@
-//! Placement of a role's shards: which acceptor should hold which lease, so that the work is spread evenly over all
-//! acceptors and the shards of a failed one move to others.
+//! Placement of a role's shards on acceptors: the work is spread evenly, and the shards of a failed acceptor
+//! move to others.
 //!
-//! Groups map to shards by a hash that is the same at all gateways. Each shard has an order of preference of the
-//! acceptors, and each acceptor is the first choice of as many shards as any other. An acceptor campaigns for a shard
-//! while every one before it in that order is absent, and yields one that it holds as soon as an earlier one has been
-//! present for a while. Presence is known by heartbeats.
+//! Groups map to shards by a hash that is the same at all gateways. Each shard has an order of preference of
+//! the acceptors, and each acceptor is the first choice of as many shards as any other. An acceptor campaigns
+//! for a shard while all acceptors before it in that order are absent, and yields a shard that it leads once
+//! one of them has settled. Presence is detected by heartbeats.
 //!
 //! ```text
 //! absent --heartbeat--> present --[`Placement::settling_time`] without a gap--> settled
@@ -12,10 +12,11 @@
 //!   +---- no heartbeat for [`Placement::absence_timeout`] ------------------------+
 //! ```
 //!
-//! **Safety does not depend on it.** Leases alone decide who may act: two acceptors that campaign for one shard cost a few
-//! rejected ballots, and a shard for which none campaigns has no leader until one does.
+//! **Safety does not depend on placement.** Leases alone decide who may act. Two acceptors that campaign for
+//! one shard cost a few rejected ballots; a shard for which none campaigns has no leader until one does.
 //!
-//! Bounds: [`MAX_SHARDS`] shards, one entry for each acceptor. All durations derive from the lease (microseconds).
+//! Bounds: [`MAX_SHARDS`] shards, one entry for each acceptor. All durations derive from the lease
+//! (microseconds).
 
 use crate::{GatewayId, Settings};
 use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
@@ -26,7 +27,7 @@
 /// Multiplier of Fibonacci hashing: 2^64 divided by the golden ratio.
 const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The shard of a group, from 0. Groups are numbered consecutively; neighbours should not share a shard.
+/// The shard of a group, from 0. Hashed, since consecutive groups should not share a shard.
 pub fn shard_of(group: GroupId, shards: u16) -> u16 {
     let mixed = group.wrapping_add(1).wrapping_mul(FIBONACCI_MULTIPLIER) >> 32;
     (mixed % u64::from(shards.max(1))) as u16
@@ -52,7 +53,8 @@
 }
 
 impl Placement {
-    /// The view of an acceptor that starts now: it assumes the others present until it knows better.
+    /// The view of an acceptor that starts now. The others count as present until their heartbeats have been
+    /// missing for [`Placement::absence_timeout`].
     pub fn new(settings: &Settings, shards: u16, now: Time) -> Placement {
         Placement {
             self_id: settings.self_id,
@@ -70,12 +72,12 @@
         self.lease / 2
     }
 
-    /// An acceptor without a heartbeat for longer is absent: four intervals.
+    /// An acceptor without a heartbeat for longer than this is absent: four heartbeat intervals.
     pub fn absence_timeout(&self) -> Time {
         2 * self.lease
     }
 
-    /// An acceptor that has been present for this long is settled: others yield its shards to it.
+    /// An acceptor that has been present for this long is settled, and others yield its shards to it.
     pub fn settling_time(&self) -> Time {
         2 * self.lease
     }
@@ -85,7 +87,7 @@
         self.next_heartbeat_at
     }
 
-    /// The acceptors to send a heartbeat to now; none before it is time.
+    /// The acceptors to send a heartbeat to; none before [`Placement::next_deadline`].
     pub fn due_heartbeats(&mut self, now: Time) -> Vec<GatewayId> {
         if now < self.next_heartbeat_at {
             return Vec::new();
@@ -94,7 +96,7 @@
         self.acceptors.iter().copied().filter(|acceptor| *acceptor != self.self_id).collect()
     }
 
-    /// A message came from this gateway; it counts as a heartbeat if that is another acceptor.
+    /// Records a message from a gateway. Any message from another acceptor counts as its heartbeat.
     pub fn on_heartbeat(&mut self, now: Time, from: GatewayId) {
         if from == self.self_id || !self.acceptors.contains(&from) {
             return;
@@ -112,7 +114,7 @@
         self.preferred_over_self(shard).all(|acceptor| !self.is_present(now, acceptor))
     }
 
-    /// Whether this acceptor should yield the shard if it holds the lease.
+    /// Whether this acceptor should release the shard's lease if it holds it.
     pub fn should_yield(&self, now: Time, shard: u16) -> bool {
         if mutant(Mutant::ShardKept) {
             return false;
--- a/crates/ownership/src/quota/demand.rs
+++ b/crates/ownership/src/quota/demand.rs
@@ -1,4 +1,4 @@
-//! What gateways report of groups and are granted, the limits of it, and how it is split into datagrams.
+//! Entries of reports, rounds and grants: their bounds, and how they are split into datagrams.
 
 use crate::Term;
 use petrelgauge_policy::{GroupId, QuotaAdjustment};
@@ -9,36 +9,36 @@
 
 /// Thousandths in one even quota.
 pub(super) const EVEN_QUOTA: f64 = 1000.0;
-/// Maximum that a gateway lends of its even quota; the decisions rely on the same minimum.
+/// Maximum loan. The routing policy relies on what then remains, [`QuotaAdjustment::MIN_QUOTA`].
 pub const MAX_LENT: Thousandths = (EVEN_QUOTA * (1.0 - QuotaAdjustment::MIN_QUOTA)) as Thousandths;
-/// Maximum that a gateway is granted beside its even quota: more than any fleet of this size can lend.
+/// Maximum grant.
 pub const MAX_GRANTED: Thousandths = 30_000;
-/// Maximum number of groups whose quotas are lent; the others keep even quotas.
+/// Maximum number of groups whose quotas are lent. All others have even quotas.
 pub const MAX_GROUPS: usize = 256;
-/// Maximum number of rounds that a lease holder remembers: reports for older ones lend nothing any more.
+/// Maximum number of rounds that a lease holder remembers. Loans reported for older ones have expired.
 pub(super) const MAX_ROUNDS: usize = 4;
 /// Maximum rate that is reported (thousandths of a request per second).
 pub const MAX_RATE: u32 = 1 << 30;
 
-/// Room for entries in one datagram, beside its header (bytes).
-const ENTRY_BYTES: usize = 198;
+/// Space for entries in one datagram (bytes).
+const ENTRIES_BYTES: usize = 198;
 /// Length of the shortest entry (bytes): a group, a rate and an amount of one byte each.
 const SHORTEST_ENTRY: usize = 3;
-/// Length of the longest entry (bytes): 10 for a group, 5 for a rate, 3 for an amount.
+/// Length of the longest entry (bytes): ten for a group, five for a rate, three for an amount.
 const LONGEST_ENTRY: usize = 18;
-/// Maximum number of entries in one datagram: of the shortest ones.
-pub const MAX_DEMANDS: usize = ENTRY_BYTES / SHORTEST_ENTRY;
+/// Maximum number of entries in one datagram, all of them the shortest.
+pub const MAX_DEMANDS: usize = ENTRIES_BYTES / SHORTEST_ENTRY;
 /// Number of entries that fit into one datagram whatever their length.
-pub(super) const MIN_DEMANDS: usize = ENTRY_BYTES / LONGEST_ENTRY;
+pub(super) const MIN_DEMANDS: usize = ENTRIES_BYTES / LONGEST_ENTRY;
 
 /// One gateway's demand for a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupDemand {
     /// The group.
     pub group: GroupId,
-    /// Requests that arrive for it at this gateway (thousandths of a request per second).
+    /// Rate of its requests at this gateway (thousandths of a request per second).
     pub rate: u32,
-    /// The amount that is requested; the amount that is lent if negative.
+    /// The amount requested, or the amount lent if negative.
     pub requested: Thousandths,
 }
 
@@ -47,11 +47,11 @@
 pub struct MeanRate {
     /// The group.
     pub group: GroupId,
-    /// Requests at each gateway (thousandths of a request per second).
+    /// Mean rate at a gateway (thousandths of a request per second).
     pub rate: u32,
 }
 
-/// Quota of a group that is granted to a gateway beside its even quota.
+/// Quota of a group that is granted to a gateway in addition to its even quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupGrant {
     /// The group.
@@ -60,38 +60,38 @@
     pub amount: Thousandths,
 }
 
-/// A gateway's report for a round, or the part of it that fits into one datagram.
+/// A gateway's report for a round, or as much of it as fits into one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaReport {
     /// The lease holder's term.
     pub term: Term,
     /// The round.
     pub round: u32,
-    /// Number of the report among this gateway's.
+    /// Number of the report, consecutive at each gateway.
     pub number: u32,
-    /// What it lends and requests.
+    /// What the gateway lends and requests.
     pub demands: Vec<GroupDemand>,
 }
 
 /// Splits entries into parts that fit into one datagram each.
 pub(super) fn split_into_datagrams<T: Serialize + Clone>(entries: &[T]) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
-    let mut room = 0;
+    let mut remaining = 0;
     for entry in entries {
         let length = encoded_length(entry);
-        match parts.last_mut().filter(|_| length <= room) {
+        match parts.last_mut().filter(|_| length <= remaining) {
             Some(part) => part.push(entry.clone()),
             None => {
                 parts.push(vec![entry.clone()]);
-                room = ENTRY_BYTES;
+                remaining = ENTRIES_BYTES;
             }
         }
-        room -= length.min(room);
+        remaining -= length.min(remaining);
     }
     parts
 }
 
-/// An entry that can't be encoded counts as the longest.
+/// Length of an entry (bytes). One that can't be encoded counts as the longest.
 fn encoded_length<T: Serialize>(entry: &T) -> usize {
     postcard::to_allocvec(entry).map_or(LONGEST_ENTRY, |bytes| bytes.len())
 }
--- a/crates/ownership/src/quota/mod.rs
+++ b/crates/ownership/src/quota/mod.rs
@@ -1,7 +1,8 @@
-//! Quota lending: gateways with little traffic lend a part of their even quota of a group's limits, and the holder of the
-//! role's lease grants it to gateways with more.
+//! Quota lending: gateways with little traffic lend part of their even quota of a group's limits to the
+//! holder of the role's lease, which grants it to gateways with more traffic.
 //!
-//! The even quota of a limit is the limit divided by the number of gateways. Amounts are [`Thousandths`] of it.
+//! The even quota of a limit is the limit divided by the number of gateways. Amounts are [`Thousandths`] of
+//! it.
 //!
 //! ```text
 //! lease holder                                   gateway
@@ -13,15 +14,16 @@
 //!   | counts y until its own now + grant duration, plus drift
 //! ```
 //!
-//! **The quotas in force never exceed the even quotas together.** Every duration is counted by one machine's own clock from
-//! the moment at which that machine *sent* or received something, on the safe side: a loan binds its lender from the
-//! report, which is sent after the round; the lease holder counts it from the round. A grant may be used from the report
-//! that requested it; the lease holder counts it from that report's arrival, which is later. So whatever is used was lent
-//! at every instant, whichever datagrams are lost, late, duplicated or reordered, and even while two gateways both take
-//! themselves for the lease holder: a loan is made to one term, and no other is made while it lasts.
+//! **The sum of the quotas in force never exceeds the sum of the even quotas.** Each duration is measured by
+//! one machine's clock, from an event at that machine, and errs on the safe side. A loan binds its lender
+//! from the report on, which is sent after the round; the lease holder counts it from the round. A grant may
+//! be used from the report that requested it; the lease holder counts it from that report's arrival, which is
+//! later. So at every instant whatever is used has been lent, whichever datagrams are lost, late, duplicated
+//! or reordered. It holds even while two gateways both believe that they hold the lease: a loan is made to
+//! one term, and no other loan is made while it is in force.
 //!
-//! A gateway that hears nothing returns to its even quota after a loan's duration. A gateway that restarts has forgotten
-//! its loans: for that duration it uses no more than the minimum quota and lends nothing.
+//! A gateway that receives nothing returns to its even quota after a loan's duration. A gateway that has
+//! restarted has forgotten its loans: for that duration it uses the minimum quota and lends nothing.
 
 mod demand;
 mod own_quota;
--- a/crates/ownership/src/quota/own_quota.rs
+++ b/crates/ownership/src/quota/own_quota.rs
@@ -1,4 +1,4 @@
-//! One gateway's quotas: what it has lent and what it was granted, and until when.
+//! One gateway's quotas: its loans and grants, and when they expire.
 
 use super::demand::{
     split_into_datagrams, GroupDemand, GroupGrant, MeanRate, QuotaReport, Thousandths, EVEN_QUOTA,
@@ -8,17 +8,17 @@
 use petrelgauge_policy::{mutant, GroupId, Mutant, QuotaAdjustment, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of loans, and of grants, of a group: more rounds than a loan lasts for.
+/// Maximum number of loans, and of grants, of a group: more than the rounds during one loan.
 const MAX_ENTRIES: usize = 16;
-/// Maximum number of reports whose grants are still accepted: those for all groups, of as many rounds as a lease holder
-/// remembers.
+/// Maximum number of reports whose grants are still accepted: reports about all groups, for as many rounds as
+/// a lease holder remembers.
 const MAX_SENT_REPORTS: usize = MAX_ROUNDS * MAX_GROUPS.div_ceil(MIN_DEMANDS);
-/// What a gateway keeps beyond what its part of the traffic needs, so that a burst finds it there (ratio).
+/// What a gateway keeps, relative to what its traffic needs, so that it can absorb a burst (ratio).
 const HEADROOM: f64 = 1.25;
 
 #[derive(Clone, Copy, Debug)]
 struct Loan {
-    /// The term of the lease holder that it was made to.
+    /// The term of the borrowing lease holder.
     term: Term,
     amount: Thousandths,
     expires_at: Time,
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     /// Number of the report that requested it.
-    number: u32,
+    report_number: u32,
     amount: Thousandths,
     expires_at: Time,
 }
@@ -52,8 +52,8 @@
         self.grants.retain(|grant| now < grant.expires_at);
     }
 
-    /// Whether quota may be lent to the holder of this term. A loan in force is never forgotten: with too many of them
-    /// nothing more is lent.
+    /// Whether quota may be lent to the lease holder with this term. A loan in force is never forgotten: if
+    /// there are too many, nothing more is lent.
     fn may_lend(&self, now: Time, term: Term) -> bool {
         let lent_to_another = self.loans_in_force(now).any(|loan| loan.term != term);
         let has_grant = self.grants_in_force(now).next().is_some();
@@ -69,7 +69,7 @@
     }
 }
 
-/// A round that is to be reported for.
+/// A round whose report is still to be sent.
 #[derive(Clone, Debug)]
 struct PendingRound {
     term: Term,
@@ -84,33 +84,42 @@
     sent_at: Time,
 }
 
-/// One gateway's quotas: of [`MAX_GROUPS`] groups at most, beside those of which loans are still in force.
+/// One gateway's quotas of at most [`MAX_GROUPS`] groups, and of earlier groups whose loans are still in
+/// force.
 #[derive(Clone, Debug)]
 pub struct Quota {
     settings: Settings,
-    /// Up to then it uses the minimum quota and lends nothing: loans from before the start are forgotten.
+    /// Until then the gateway uses the minimum quota and lends nothing: it has forgotten the loans from
+    /// before its start.
     restricted_until: Time,
     groups: BTreeMap<GroupId, GroupQuota>,
     pending: Option<PendingRound>,
     sent_reports: VecDeque<SentReport>,
     /// Number of the last report.
-    number: u32,
+    last_report_number: u32,
 }
 
 impl Quota {
-    /// The quotas of a gateway that starts now. Its reports are numbered from `number`, which should be random: then a
-    /// restarted gateway accepts nothing that was granted to the process before it.
-    pub fn new(settings: Settings, now: Time, number: u32) -> Quota {
+    /// The quotas of a gateway that starts now. Its reports are numbered from `first_report_number`, which
+    /// should be random: then a restarted gateway accepts no grant that was made to the process before it.
+    pub fn new(settings: Settings, now: Time, first_report_number: u32) -> Quota {
         let Settings { drift_bound, .. } = settings;
         let restriction = settings.loan_duration() as f64 * (1.0 + drift_bound) / (1.0 - drift_bound);
         let restricted_until =
             if mutant(Mutant::LoanForgotten) { now } else { now + restriction.ceil() as Time };
-        let (groups, sent_reports) = (BTreeMap::new(), VecDeque::new());
-        Quota { settings, restricted_until, groups, pending: None, sent_reports, number }
+        Quota {
+            settings,
+            restricted_until,
+            groups: BTreeMap::new(),
+            pending: None,
+            sent_reports: VecDeque::new(),
+            last_report_number: first_report_number,
+        }
     }
 
-    /// A round arrived, or a part of its mean rates. It is reported for after [`Settings::report_delay`]; a newer round
-    /// replaces one that is still to be reported for, and keeps its time.
+    /// Records a round, or another part of its mean rates. The report for it is due after
+    /// [`Settings::report_delay`]. A newer round replaces one whose report is still pending, and the report
+    /// stays due at the same time.
     pub fn on_round(&mut self, now: Time, term: Term, round: u32, mean_rates: &[MeanRate]) {
         let report_at = now + self.settings.report_delay();
         let new = || PendingRound { term, round, report_at, mean_rates: BTreeMap::new() };
@@ -119,8 +128,8 @@
             (pending.term, pending.round) = (term, round);
         }
         if (pending.term, pending.round) == (term, round) {
-            let room = MAX_GROUPS.saturating_sub(pending.mean_rates.len());
-            pending.mean_rates.extend(mean_rates.iter().take(room).map(|mean| (mean.group, mean.rate)));
+            let capacity = MAX_GROUPS.saturating_sub(pending.mean_rates.len());
+            pending.mean_rates.extend(mean_rates.iter().take(capacity).map(|mean| (mean.group, mean.rate)));
         }
     }
 
@@ -129,8 +138,8 @@
         self.pending.as_ref().map(|pending| pending.report_at)
     }
 
-    /// The reports to send now. `rates`: requests of each group (thousandths of a request per second). What is lent binds
-    /// from here on, so [`Quota::current`] has to be applied before these are sent.
+    /// The reports to send now. `rates` are the request rates of all groups (thousandths of a request per
+    /// second). Loans bind from this call on: apply [`Quota::current`] before sending the reports.
     pub fn due_reports(&mut self, now: Time, rates: &BTreeMap<GroupId, u32>) -> Vec<QuotaReport> {
         let Some(pending) = self.pending.take_if(|pending| now >= pending.report_at) else {
             return Vec::new();
@@ -150,9 +159,11 @@
         parts.into_iter().map(|demands| self.report(now, &pending, demands)).collect()
     }
 
-    /// A grant arrived, for the report of this number.
-    pub fn on_grant(&mut self, now: Time, number: u32, granted: &[GroupGrant]) {
-        let Some(report) = self.sent_reports.iter().find(|report| report.number == number) else { return };
+    /// Records grants that answer the report of this number.
+    pub fn on_grant(&mut self, now: Time, report_number: u32, granted: &[GroupGrant]) {
+        let Some(report) = self.sent_reports.iter().find(|report| report.number == report_number) else {
+            return;
+        };
         let started_at = if mutant(Mutant::GrantUsedFromArrival) { now } else { report.sent_at };
         let expires_at = started_at + self.settings.grant_duration();
         if now >= expires_at {
@@ -161,12 +172,12 @@
         for GroupGrant { group, amount } in granted.iter().take(MAX_DEMANDS) {
             let Some(quota) = self.groups.get_mut(group) else { continue };
             if *amount > 0 {
-                quota.add_grant(Grant { number, amount: (*amount).min(MAX_GRANTED), expires_at });
+                quota.add_grant(Grant { report_number, amount: (*amount).min(MAX_GRANTED), expires_at });
             }
         }
     }
 
-    /// What this gateway may use of a group's limits now, and until when that is so.
+    /// What this gateway may use of a group's limits now, and when that ends.
     pub fn current(&self, now: Time, group: GroupId) -> QuotaAdjustment {
         let quota = self.groups.get(&group);
         self.lent_adjustment(now, quota).or_else(|| self.granted_adjustment(now, quota)).unwrap_or_default()
@@ -190,25 +201,26 @@
         (lent > 0).then(|| QuotaAdjustment { extra: -f64::from(lent) / EVEN_QUOTA, until })
     }
 
-    /// The grant for the newest report, which may have arrived before one for an older report.
+    /// The grant for the newest report. Grants may arrive out of order.
     fn granted_adjustment(&self, now: Time, quota: Option<&GroupQuota>) -> Option<QuotaAdjustment> {
-        let oldest_number = self.number.wrapping_add(1);
+        let oldest_number = self.last_report_number.wrapping_add(1);
         let grants = quota.into_iter().flat_map(|quota| quota.grants_in_force(now));
-        let newest = grants.max_by_key(|grant| grant.number.wrapping_sub(oldest_number))?;
+        let newest = grants.max_by_key(|grant| grant.report_number.wrapping_sub(oldest_number))?;
         Some(QuotaAdjustment { extra: f64::from(newest.amount) / EVEN_QUOTA, until: newest.expires_at })
     }
 
     fn report(&mut self, now: Time, pending: &PendingRound, demands: Vec<GroupDemand>) -> QuotaReport {
-        self.number = self.number.wrapping_add(1);
-        self.sent_reports.push_back(SentReport { number: self.number, sent_at: now });
+        self.last_report_number = self.last_report_number.wrapping_add(1);
+        let number = self.last_report_number;
+        self.sent_reports.push_back(SentReport { number, sent_at: now });
         if self.sent_reports.len() > MAX_SENT_REPORTS {
             self.sent_reports.pop_front();
         }
-        QuotaReport { term: pending.term, round: pending.round, number: self.number, demands }
+        QuotaReport { term: pending.term, round: pending.round, number, demands }
     }
 
-    /// The amount that is requested for a group, or lent if negative. A loan binds from now on. Nothing is requested
-    /// while a loan is in force, and nothing of a group whose mean rate is not known yet.
+    /// The amount requested for a group, or lent if negative. A loan binds from now on. Nothing is requested
+    /// while a loan is in force, and nothing is requested or lent while the group's mean rate is unknown.
     fn request_or_lend(
         &mut self,
         now: Time,
@@ -222,14 +234,12 @@
         let quota = self.groups.entry(group).or_default();
         if needed * HEADROOM >= 1.0 {
             let has_loan = quota.loans_in_force(now).next().is_some();
-            let requested = ((needed - 1.0) * EVEN_QUOTA).clamp(0.0, f64::from(MAX_GRANTED)) as Thousandths;
-            return if has_loan { 0 } else { requested };
+            return if has_loan { 0 } else { requested_amount(needed) };
         }
         if now < self.restricted_until || !quota.may_lend(now, term) {
             return 0;
         }
-        let spare = (1.0 - needed * HEADROOM) * EVEN_QUOTA;
-        let amount = spare.clamp(0.0, f64::from(MAX_LENT)) as Thousandths;
+        let amount = spare_amount(needed);
         if amount > 0 {
             let expires_at = now + self.settings.loan_duration();
             quota.loans.push_back(Loan { term, amount, expires_at });
@@ -237,3 +247,14 @@
         -amount
     }
 }
+
+/// What to request if this much is needed (even quotas).
+fn requested_amount(needed: f64) -> Thousandths {
+    ((needed - 1.0) * EVEN_QUOTA).clamp(0.0, f64::from(MAX_GRANTED)) as Thousandths
+}
+
+/// What can be lent if this much is needed (even quotas).
+fn spare_amount(needed: f64) -> Thousandths {
+    let spare = (1.0 - needed * HEADROOM) * EVEN_QUOTA;
+    spare.clamp(0.0, f64::from(MAX_LENT)) as Thousandths
+}
--- a/crates/ownership/src/quota/pool.rs
+++ b/crates/ownership/src/quota/pool.rs
@@ -1,4 +1,4 @@
-//! The lease holder's pool: what gateways have lent it and until when, and what it has granted.
+//! The lease holder's pool of quota: the loans that it has received and the grants that it has made.
 
 use super::demand::{
     split_into_datagrams, GroupDemand, GroupGrant, MeanRate, Thousandths, MAX_DEMANDS, MAX_GRANTED,
@@ -9,7 +9,7 @@
 use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Rounds after which a gateway that has not reported no longer counts for the mean rates.
+/// Rounds without a report after which a gateway no longer counts towards the mean rates.
 const REPORTED_WITHIN_ROUNDS: Time = 3;
 
 /// A round that the pool has opened.
@@ -19,12 +19,13 @@
     opened_at: Time,
 }
 
-/// What is to be sent for a round.
+/// The content of a round's notifications.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaRound {
     /// Number of the round.
     pub number: u32,
-    /// Mean rates of all gateways that have reported lately, in parts for one datagram each; at least one part.
+    /// Mean rates over the gateways that have reported recently, in parts that each fit into one datagram; at
+    /// least one part.
     pub parts: Vec<Vec<MeanRate>>,
 }
 
@@ -33,12 +34,12 @@
 pub struct QuotaTotals {
     /// What is lent.
     pub lent: i64,
-    /// What may be in use beside even quotas.
+    /// What may be in use in addition to even quotas.
     pub granted: i64,
 }
 
-/// The pool of a lease holder under one term. Holds at most [`MAX_GROUPS`] groups, with an entry for each gateway that
-/// has reported lately; the caller drops reports of senders that are none of the gateways.
+/// The pool of a lease holder under one term. Holds at most [`MAX_GROUPS`] groups, with an entry for each
+/// gateway that has reported recently. The caller must drop reports of senders that are none of the gateways.
 #[derive(Clone, Debug)]
 pub struct QuotaPool {
     settings: Settings,
@@ -49,7 +50,7 @@
 }
 
 impl QuotaPool {
-    /// An empty pool. What was lent to an earlier lease holder is not known here, and not counted.
+    /// An empty pool. Loans to earlier lease holders are unknown here and don't count.
     pub fn new(settings: Settings, term: Term) -> QuotaPool {
         QuotaPool { settings, term, round: 0, rounds: VecDeque::new(), groups: BTreeMap::new() }
     }
@@ -87,8 +88,8 @@
         QuotaRound { number: self.round, parts }
     }
 
-    /// A gateway reports for a round: counts what it lends, and returns what it is granted. A report for a round that is
-    /// not remembered counts for nothing.
+    /// Handles a gateway's report for a round: counts its loans and returns its grants. A report for a round
+    /// that is no longer remembered is ignored.
     pub fn on_report(
         &mut self,
         now: Time,
@@ -112,12 +113,12 @@
         granted
     }
 
-    /// Number of entries: gateways, over all groups.
+    /// Number of entries: one for each gateway in each group.
     pub fn entries(&self) -> usize {
         self.groups.values().map(PoolGroup::len).sum()
     }
 
-    /// What is lent and granted now.
+    /// The sums of loans and grants in force.
     pub fn totals(&self, now: Time) -> QuotaTotals {
         let lent = self.groups.values().map(|group| group.lent(now)).sum();
         let granted = self.groups.values().map(|group| group.granted(now)).sum();
@@ -133,10 +134,10 @@
     }
 
     fn grant(&mut self, now: Time, to: GatewayId, demand: &GroupDemand) -> Option<Thousandths> {
-        let uncounted = mutant(Mutant::GrantReturnedEarly);
-        let duration = match uncounted {
-            true => self.settings.grant_duration() / 4,
-            false => self.settings.counted_grant_duration(),
+        let duration = if mutant(Mutant::GrantReturnedEarly) {
+            self.settings.grant_duration() / 4
+        } else {
+            self.settings.counted_grant_duration()
         };
         let expires_at = now + duration;
         let group = self.group_mut(demand.group)?;
--- a/crates/ownership/src/quota/pool_group.rs
+++ b/crates/ownership/src/quota/pool_group.rs
@@ -1,28 +1,29 @@
-//! One group of a quota pool: what each gateway has lent and was granted, and the sums over all of them.
+//! One group of a quota pool: the loans and grants of each gateway, and their sums.
 
 use super::demand::{GroupDemand, Thousandths, MAX_LENT, MAX_ROUNDS};
 use crate::GatewayId;
 use petrelgauge_policy::Time;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of loans, and of grants, of one gateway that are counted: one for each round in which they are in force.
+/// Maximum number of loans, and of grants, that are counted for one gateway: one for each round during which
+/// they last.
 const MAX_ENTRIES: usize = 8;
 
-/// An amount that was lent or granted.
+/// A loan or a grant.
 #[derive(Clone, Copy, Debug)]
 struct Amount {
     amount: Thousandths,
     expires_at: Time,
 }
 
-/// All that was lent for one round.
+/// The sum of all loans reported for one round.
 #[derive(Clone, Copy, Debug)]
 struct RoundLoans {
     total: i64,
     expires_at: Time,
 }
 
-/// One gateway.
+/// The loans, grants and last report of one gateway.
 #[derive(Clone, Debug, Default)]
 struct Member {
     loans: VecDeque<Amount>,
@@ -30,17 +31,17 @@
     rate: u32,
     requested: Thousandths,
     reported_at: Time,
-    /// What it contributes to [`PoolGroup::used`].
+    /// Its part of [`PoolGroup::used`].
     counted: i64,
 }
 
 impl Member {
-    /// What it has lent at least until this time.
+    /// The largest loan that lasts at least until this time.
     fn lent_until(&self, until: Time) -> i64 {
         largest(self.loans.iter().filter(|loan| loan.expires_at >= until))
     }
 
-    /// The maximum that it may be using now.
+    /// The largest grant that may be in use now.
     fn granted(&self, now: Time) -> i64 {
         largest(self.grants.iter().filter(|grant| now <= grant.expires_at))
     }
@@ -50,7 +51,7 @@
         self.grants.retain(|grant| now <= grant.expires_at);
     }
 
-    /// Adds a loan in place of the one that expires first if there are too many.
+    /// Adds a loan. If there are too many, it replaces the oldest.
     fn add_loan(&mut self, loan: Amount) {
         self.loans.push_back(loan);
         if self.loans.len() > MAX_ENTRIES {
@@ -67,20 +68,20 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct PoolGroup {
     members: BTreeMap<GatewayId, Member>,
-    /// The loans of the last [`MAX_ROUNDS`] rounds. The largest total in force is no more than what is lent, and is known
-    /// without a look at every member.
+    /// The loans of the last [`MAX_ROUNDS`] rounds. The largest total in force is a lower bound of what is
+    /// lent, found without iterating over all members.
     loans: VecDeque<RoundLoans>,
-    /// What all members may be using: exact at the start of a round, never too low until the next.
+    /// Upper bound of what all members may be using; exact at the start of a round.
     used: i64,
-    /// The last expiry of all grants.
+    /// The latest expiry of any grant.
     last_expiry: Time,
-    /// The part of what was requested that was available at the start of the round (fraction).
+    /// Ratio of what was available at the start of the round to what was requested, at most 1.
     granted_ratio: f64,
 }
 
 impl PoolGroup {
-    /// Starts a round: forgets what has expired and members that have not reported since `reported_since`, and
-    /// returns the mean rate of the others. Loans count as available that last until `horizon`.
+    /// Starts a round: removes expired entries, and members that have not reported since `reported_since`.
+    /// Returns the mean rate of the others. Loans that last until `horizon` count as available.
     pub(super) fn start_round(&mut self, now: Time, reported_since: Time, horizon: Time) -> u32 {
         self.expire(now, reported_since);
         let recent = || self.members.values().filter(|member| member.reported_at > reported_since);
@@ -93,7 +94,7 @@
         (rates / count.max(1)) as u32
     }
 
-    /// Remembers a member's report.
+    /// Records a member's report.
     pub(super) fn record(&mut self, now: Time, from: GatewayId, demand: &GroupDemand) {
         let member = self.members.entry(from).or_default();
         member.rate = demand.rate;
@@ -101,7 +102,7 @@
         member.reported_at = now;
     }
 
-    /// Counts a loan. A duplicate of a report that was counted before adds nothing.
+    /// Counts a loan. Duplicates of a report count once.
     pub(super) fn add_loan(&mut self, from: GatewayId, amount: Thousandths, expires_at: Time) {
         let member = self.members.entry(from).or_default();
         if member.loans.iter().any(|loan| loan.expires_at == expires_at) {
@@ -112,7 +113,7 @@
         self.add_to_round(i64::from(amount), expires_at);
     }
 
-    /// The amount that a member can be granted of what it requests.
+    /// How much of its request a member can be granted.
     pub(super) fn grantable(&self, to: GatewayId, requested: Thousandths, expires_at: Time) -> i64 {
         let fair = (f64::from(requested) * self.granted_ratio) as i64;
         self.available(to, expires_at).min(fair)
@@ -148,8 +149,8 @@
         self.members.is_empty()
     }
 
-    /// What a member can be granted until `expires_at`. All that is in use now is counted as used until the last expiry
-    /// of any of it, when the least is still lent.
+    /// What a member can be granted until `expires_at`. Everything in use counts as used until the latest
+    /// expiry of any grant, when the fewest loans are still in force.
     fn available(&self, to: GatewayId, expires_at: Time) -> i64 {
         let last_expiry = self.last_expiry.max(expires_at);
         let lasting = self.loans.iter().filter(|round| round.expires_at >= last_expiry);
@@ -159,7 +160,7 @@
         if lent < self.used || is_full {
             return 0;
         }
-        // What it was granted before may still be in use, and counts if it is more.
+        // An earlier grant may still be in use; the larger of both counts.
         let counted = member.map_or(0, |member| member.counted);
         lent - (self.used - counted)
     }
@@ -183,7 +184,7 @@
         });
     }
 
-    /// Some grants have expired since the last round.
+    /// Recomputes what is in use, without the grants that have expired since the last round.
     fn recount(&mut self, now: Time) {
         for member in self.members.values_mut() {
             member.counted = member.granted(now);
--- a/crates/ownership/src/quota/rates.rs
+++ b/crates/ownership/src/quota/rates.rs
@@ -1,21 +1,21 @@
-//! Request rates of one gateway: exponentially weighted means of counters that are sampled from time to time.
+//! Request rates of one gateway: exponentially weighted moving averages over samples of its request counters.
 
 use super::demand::MAX_RATE;
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
-/// Time constant of the mean (microseconds): some seconds, to outlast a lull between two bursts.
+/// Time constant of the average (microseconds): longer than a lull between two bursts.
 const TIME_CONSTANT: f64 = 4e6;
-/// Samples that follow sooner are ignored (microseconds).
+/// Minimum interval between samples (microseconds). Samples that follow sooner are ignored.
 const MIN_SAMPLE_INTERVAL: Time = 10_000;
-/// Lowest weight that is divided by.
+/// Lower bound of the weight used as a divisor.
 const MIN_WEIGHT: f64 = 1e-3;
 /// Microseconds in a second.
 const SECOND: f64 = 1e6;
 
 #[derive(Clone, Copy, Debug)]
 struct GroupRate {
-    /// The counter when it was last sampled.
+    /// The counter at the last sample.
     count: u64,
     /// Requests per second.
     rate: f64,
@@ -26,12 +26,12 @@
 pub struct RequestRates {
     sampled_at: Option<Time>,
     groups: BTreeMap<GroupId, GroupRate>,
-    /// Weight of all samples together in the mean (fraction): low while a gateway has just started.
+    /// Sum of the weights of all samples (fraction): low while a gateway has just started.
     weight: f64,
 }
 
 impl RequestRates {
-    /// Takes a sample: the counters of all groups by now.
+    /// Records a sample of the request counters of all groups.
     pub fn observe(&mut self, now: Time, counts: &BTreeMap<GroupId, u64>) {
         let Some(sampled_at) = self.sampled_at else {
             let first = |(group, count): (&GroupId, &u64)| (*group, GroupRate { count: *count, rate: 0.0 });
@@ -51,7 +51,7 @@
         self.sampled_at = Some(now);
     }
 
-    /// The rates (thousandths of a request per second).
+    /// The rate of each group (thousandths of a request per second).
     pub fn per_group(&self) -> BTreeMap<GroupId, u32> {
         let weight = self.weight.max(MIN_WEIGHT);
         let scaled = |rate: f64| ((rate / weight * 1000.0) as u32).min(MAX_RATE);
@@ -59,8 +59,8 @@
     }
 
     fn updated(&self, group: GroupId, count: u64, elapsed: f64, weight: f64) -> GroupRate {
-        let before = self.groups.get(&group).copied().unwrap_or(GroupRate { count, rate: 0.0 });
-        let current = count.saturating_sub(before.count) as f64 / elapsed * SECOND;
-        GroupRate { count, rate: before.rate + weight * (current - before.rate) }
+        let previous = self.groups.get(&group).copied().unwrap_or(GroupRate { count, rate: 0.0 });
+        let current = count.saturating_sub(previous.count) as f64 / elapsed * SECOND;
+        GroupRate { count, rate: previous.rate + weight * (current - previous.rate) }
     }
 }
--- a/crates/ownership/src/quota/timing.rs
+++ b/crates/ownership/src/quota/timing.rs
@@ -1,26 +1,26 @@
-//! Durations of quota lending. All derive from the lease (microseconds).
+//! Durations of quota lending, in microseconds. All derive from the lease.
 
 use crate::Settings;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
 /// Rounds during one lease.
 const ROUNDS_PER_LEASE: Time = 4;
-/// Part of the lease over which the gateways' reports of a round are spread.
+/// Windows during one lease: the reports of a round are spread over one of them.
 const REPORT_WINDOWS_PER_LEASE: Time = 16;
 
 impl Settings {
-    /// How long a loan binds the lender, by its clock.
+    /// How long a loan binds the lender, by the lender's clock.
     pub fn loan_duration(&self) -> Time {
         self.lease
     }
 
-    /// How long the lease holder counts on a loan, by its own clock, from the round on: both clocks may be off, one each
-    /// way.
+    /// How long the lease holder counts on a loan, by its own clock, from the round on. The two clocks may
+    /// drift in opposite directions.
     pub fn counted_loan_duration(&self) -> Time {
         (self.lease as f64 * (1.0 - self.drift_bound) / (1.0 + self.drift_bound)).floor() as Time
     }
 
-    /// How long a grant may be used, by the user's clock, from the report that requested it.
+    /// How long a grant may be used, by the borrower's clock, from the report that requested it.
     pub fn grant_duration(&self) -> Time {
         self.lease / 2
     }
@@ -31,8 +31,8 @@
         (duration as f64 * (1.0 + self.drift_bound) / (1.0 - self.drift_bound)).ceil() as Time
     }
 
-    /// Whether the loans of a round last for the grants of that round. If not, clocks are too far off or datagrams too
-    /// slow for this lease, and nothing that is lent could ever be granted.
+    /// Whether the loans of a round outlast the grants of that round. If not, the drift bound or the maximum
+    /// delay is too high for this lease, and no loan could ever be granted.
     pub fn loans_outlast_grants(&self) -> bool {
         let reports_and_delays = self.report_window() + 2 * self.max_delay;
         self.counted_loan_duration() >= reports_and_delays + self.counted_grant_duration()
@@ -43,8 +43,8 @@
         self.lease / ROUNDS_PER_LEASE
     }
 
-    /// How long after a round's arrival this gateway reports: each gateway has its own moment, for hundreds of reports at
-    /// once would overflow the lease holder's socket.
+    /// How long after a round's arrival this gateway reports. It differs between gateways: hundreds of
+    /// reports at once would overflow the lease holder's socket buffer.
     pub fn report_delay(&self) -> Time {
         self.report_window() * Time::from(self.self_id) / Time::from(self.gateways.max(1))
     }
--- a/crates/ownership/src/settings.rs
+++ b/crates/ownership/src/settings.rs
@@ -4,13 +4,13 @@
 use petrelgauge_policy::Time;
 use thiserror::Error;
 
-/// Highest drift bound that is accepted (fraction).
+/// Maximum drift bound (fraction).
 const MAX_DRIFT_BOUND: f64 = 0.2;
-/// Shortest lease, in maximum delays: two round trips to acquire it, and three attempts to renew it in the rest.
+/// Minimum lease, in maximum delays: two round trips to acquire it, and time for three attempts to renew it.
 const MIN_LEASE_IN_DELAYS: Time = 8;
-/// Time that a response may take, in maximum delays: a round trip, twice.
+/// Response timeout, in maximum delays: two round trips.
 const RESPONSE_TIMEOUT_IN_DELAYS: Time = 4;
-/// Response timeouts that a takeover may take beside one for each acceptor: prepare, propose, and one backoff.
+/// Response timeouts in a takeover, beside one for each acceptor: prepare, propose, and one backoff.
 const TAKEOVER_ATTEMPTS: Time = 3;
 
 /// Settings of leases. All but `self_id` are the same at all gateways.
@@ -47,19 +47,19 @@
 /// Why settings are invalid. The texts use the keys of the operator's file.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// There are none, an even number or too many.
+    /// The number of acceptors is zero, even or too high.
     #[error("there are {0} electors; an odd number up to {MAX_ACCEPTORS} is needed")]
     AcceptorCount(usize),
     /// An acceptor is listed twice.
     #[error("elector {0} is named twice")]
     DuplicateAcceptor(GatewayId),
-    /// An acceptor is none of the gateways.
+    /// An acceptor is not among the gateways.
     #[error("elector {0} is none of the gateways")]
     UnknownAcceptor(GatewayId),
-    /// The lease is too short for its holder to renew it in time.
+    /// The lease is too short to be renewed in time.
     #[error("the lease must be at least {MIN_LEASE_IN_DELAYS} times the datagrams' delay")]
     LeaseTooShort,
-    /// The drift bound is negative, too high or no number.
+    /// The drift bound is negative, too high or not a number.
     #[error("the drift must be from 0 up to {MAX_DRIFT_BOUND}")]
     DriftBound,
 }
@@ -97,8 +97,8 @@
         Ok(())
     }
 
-    /// Identifies fleets with the same acceptors and durations: gateways of two configurations must never count one
-    /// another's promises.
+    /// Identifies fleets with the same acceptors and durations. Gateways with different configurations must
+    /// not count each other's promises.
     pub fn fingerprint(&self) -> u32 {
         let Settings { gateways, acceptors, lease, drift_bound, max_delay, .. } = self;
         crc32c::crc32c(format!("{gateways} {acceptors:?} {lease} {drift_bound} {max_delay}").as_bytes())
@@ -117,20 +117,20 @@
         self.acceptors.contains(&self.self_id)
     }
 
-    /// Number of acceptors that make a majority.
+    /// Number of acceptors in a majority.
     pub fn majority(&self) -> usize {
         self.acceptors.len() / 2 + 1
     }
 
-    /// How long an acceptor remembers an accepted lease, by its own clock (microseconds): longer than the lease lasts for
-    /// the holder with the slowest clock, while the acceptor's clock is the fastest.
+    /// How long an acceptor remembers an accepted lease, by its own clock (microseconds). Long enough for the
+    /// fastest clock at the acceptor and the slowest one at the holder.
     pub fn acceptance_duration(&self) -> Time {
         (self.lease as f64 * (1.0 + self.drift_bound) / (1.0 - self.drift_bound)).ceil() as Time
     }
 
-    /// How long an acceptor is silent after its start (microseconds): every lease that it accepted before has expired by
-    /// then. A proposal that arrives later than [`Settings::max_delay`] is accepted as a new one, which is harmless: its
-    /// sender counts the lease from when it sent the proposal.
+    /// How long an acceptor is silent after its start (microseconds): by then every lease that it had
+    /// accepted has expired. A proposal from before that arrives even later is accepted as a new one, which
+    /// is harmless: its sender counts the lease from when it sent the proposal.
     pub fn startup_silence(&self) -> Time {
         self.acceptance_duration()
     }
@@ -140,9 +140,9 @@
         self.lease / 3 * 2
     }
 
-    /// Maximum time without a lease holder after one has failed, if a majority of acceptors is reachable and nothing is
-    /// lost (microseconds): the lease expires at the acceptors, each candidate leaves those before it the time to
-    /// succeed, and one that was too early backs off once.
+    /// Maximum time without a lease holder after one has failed, if a majority of acceptors is reachable and
+    /// no datagram is lost (microseconds). The lease expires at the acceptors, each candidate leaves the ones
+    /// before it time to succeed, and one that was too early backs off once.
     pub fn takeover_bound(&self) -> Time {
         let attempts = self.acceptors.len() as Time + TAKEOVER_ATTEMPTS;
         let by_own_clock = self.acceptance_duration() + attempts * self.response_timeout();
