--- a/crates/ownership/tests/golden_leases.rs
+++ b/crates/ownership/tests/golden_leases.rs
@@ -3,22 +3,30 @@
 
 #[path = "support/digest.rs"]
 mod digest;
+#[path = "support/recorded_fleet.rs"]
+mod recorded_fleet;
+#[path = "support/simulated_network.rs"]
+mod simulated_network;
 
 use digest::Digest;
 use petrelgauge_ownership::*;
 use petrelgauge_policy::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::BTreeMap;
+use recorded_fleet::{settings, GATEWAYS, LEASE, MAX_DELAY, STEP};
+use simulated_network::{Envelope, NetworkFaults, Ratio, SimulatedNetwork};
 
-const GATEWAYS: u16 = 5;
 const ROLES: [LeadershipRole; 2] =
     [LeadershipRole { kind: 1, shard: 0 }, LeadershipRole { kind: 2, shard: 4 }];
-/// Gateways that are candidates from the start, with the index of the role.
+/// Candidates from the start, by index of the role and gateway.
 const CANDIDACIES: [(usize, usize); 6] = [(0, 0), (0, 2), (0, 4), (0, 1), (1, 2), (1, 3)];
-const LEASE: Time = 400_000;
-const MAX_DELAY: Time = 20_000;
-const STEP: Time = 5_000;
+const NETWORK_FAULTS: NetworkFaults = NetworkFaults {
+    max_delay: MAX_DELAY,
+    lost: Ratio::one_in(12),
+    slow: Ratio::one_in(30),
+    slow_factor: 15,
+    loopback_is_lossy: true,
+};
 const STEPS: usize = 4_000;
 /// Steps between two faults.
 const FAULT_INTERVAL: usize = 50;
@@ -26,31 +34,11 @@
 const FLEET: u32 = 1;
 const SECRET: u64 = 2;
 
-fn settings(self_id: GatewayId) -> Settings {
-    Settings {
-        self_id,
-        gateways: GATEWAYS,
-        acceptors: vec![0, 2, 4],
-        lease: LEASE,
-        drift_bound: 0.02,
-        max_delay: MAX_DELAY,
-    }
-}
-
-struct Envelope {
-    from: GatewayId,
-    to: GatewayId,
-    message: Message,
-}
-
-/// A few gateways over a network that loses, delays and duplicates datagrams.
+/// A few gateways over a faulty network.
 struct Simulation {
     now: Time,
     managers: Vec<LeaseManager>,
-    /// By time of arrival and sequence number.
-    in_flight: BTreeMap<(Time, u64), Envelope>,
-    sequence: u64,
-    rng: Pcg64Mcg,
+    network: SimulatedNetwork<Message>,
     digest: Digest,
 }
 
@@ -64,9 +52,7 @@
         Simulation {
             now: 0,
             managers,
-            in_flight: BTreeMap::new(),
-            sequence: 0,
-            rng: Pcg64Mcg::seed_from_u64(seed),
+            network: SimulatedNetwork::new(Pcg64Mcg::seed_from_u64(seed), NETWORK_FAULTS),
             digest: Digest::new(),
         }
     }
@@ -79,24 +65,14 @@
         for Outgoing { to, message } in outgoing {
             self.digest.add(&to.to_be_bytes());
             self.digest.add(&message.encode(from, FLEET, SECRET));
-            for _ in 0..1 + u64::from(self.rng.next_u64().is_multiple_of(20)) {
-                if self.rng.next_u64().is_multiple_of(12) {
-                    continue;
-                }
-                let is_slow = self.rng.next_u64().is_multiple_of(30);
-                let longest = if is_slow { 15 * MAX_DELAY } else { MAX_DELAY };
-                self.sequence += 1;
-                let at = self.now + 1 + (self.rng.next_u64() % longest as u64) as Time;
-                let envelope = Envelope { from, to, message: message.clone() };
-                self.in_flight.insert((at, self.sequence), envelope);
-            }
+            self.network.send(self.now, &Envelope { from, to, message });
         }
     }
 
-    /// Restarts a random gateway, or makes it release leases; then it is a candidate for all roles.
+    /// Restarts a random gateway or makes it release leases; afterwards it is a candidate for all roles.
     fn inject_fault(&mut self, step: usize) {
-        let id = (self.rng.next_u64() % u64::from(GATEWAYS)) as u16;
-        let (now, seed) = (self.now, self.sequence);
+        let id = self.network.sample(u64::from(GATEWAYS)) as u16;
+        let (now, seed) = (self.now, self.network.sequence);
         match (step / FAULT_INTERVAL) % 4 {
             0 => *self.manager(id) = LeaseManager::new(settings(id), now, seed).expect("valid"),
             1 => {
@@ -114,9 +90,9 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        while let Some(((at, _), _)) = self.in_flight.first_key_value().filter(|((at, _), _)| *at <= now) {
-            self.digest.add_time(*at);
-            let Some((_, Envelope { from, to, message })) = self.in_flight.pop_first() else { return };
+        while let Some(delivery) = self.network.next_delivery(now) {
+            self.digest.add_time(delivery.at);
+            let Envelope { from, to, message } = delivery.envelope;
             if let Message::Notification { role, term, .. } = &message {
                 let admitted = self.manager(to).would_admit(*role, *term);
                 self.digest.add(&[u8::from(admitted)]);
@@ -157,7 +133,7 @@
         }
     }
 
-    /// Runs it: the digest of all outputs.
+    /// Runs to the end and returns the digest of all outputs.
     fn run(mut self) -> u64 {
         for step in 0..STEPS {
             self.now += STEP;
@@ -168,7 +144,7 @@
             (0..GATEWAYS).for_each(|id| self.step(id));
         }
         let acquired: u64 = self.managers.iter().map(|manager| manager.counts().acquired).sum();
-        assert!(acquired > 0, "nobody has acquired a lease");
+        assert!(acquired > 0, "no lease was acquired");
         self.digest.value()
     }
 }
@@ -202,7 +178,7 @@
 }
 
 impl CandidateRun {
-    /// Carries out an action: the actions that follow from the responses, four in ten of which are lost.
+    /// Carries out an action. Returns the actions that follow from the responses, of which four in ten are lost.
     fn carry_out(&mut self, now: Time, action: Action) -> Vec<Action> {
         self.digest.add(&action_bytes(action));
         self.digest.add_time(self.candidate.next_deadline());
@@ -218,7 +194,7 @@
         following
     }
 
-    /// Now and then a higher ballot of another candidate, or the loss of the lease to another gateway.
+    /// Now and then lets another candidate prepare a higher ballot, or lets another gateway take over the lease.
     fn inject_fault(&mut self, now: Time) {
         if self.rng.next_u64().is_multiple_of(400) {
             let ballot = Ballot { term: (now as u64) << 18, proposer: 2 };
--- a/crates/ownership/tests/golden_quotas.rs
+++ b/crates/ownership/tests/golden_quotas.rs
@@ -3,33 +3,23 @@
 
 #[path = "support/digest.rs"]
 mod digest;
+#[path = "support/recorded_fleet.rs"]
+mod recorded_fleet;
 
 use digest::Digest;
 use petrelgauge_ownership::quota::{Quota, QuotaPool, QuotaReport, RequestRates};
-use petrelgauge_ownership::{GatewayId, Message, Settings};
+use petrelgauge_ownership::Message;
 use petrelgauge_policy::{GroupId, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use recorded_fleet::{settings, GATEWAYS, STEP};
 use std::collections::BTreeMap;
 
-const GATEWAYS: u16 = 5;
 const GROUPS: [GroupId; 3] = [1, 2, 9];
-const STEP: Time = 5_000;
 const STEPS: Time = 4_000;
-/// After this time other gateways are loaded.
+/// Time after which the load moves to other gateways.
 const LOAD_SHIFT: Time = 4_000_000;
 
-fn settings(self_id: GatewayId) -> Settings {
-    Settings {
-        self_id,
-        gateways: GATEWAYS,
-        acceptors: vec![0, 2, 4],
-        lease: 400_000,
-        drift_bound: 0.02,
-        max_delay: 20_000,
-    }
-}
-
 /// Three groups among a few gateways, over a network that loses datagrams; two lease holders one after the other.
 struct Simulation {
     quotas: Vec<Quota>,
@@ -107,16 +97,16 @@
             self.deliver_report(now, index, report);
         }
         for group in GROUPS {
-            let share = self.quotas[index].current(now, group);
-            self.digest.add_number(share.extra.to_bits());
-            self.digest.add_time(share.until);
+            let adjustment = self.quotas[index].current(now, group);
+            self.digest.add_number(adjustment.extra.to_bits());
+            self.digest.add_time(adjustment.until);
         }
         self.digest.add_time(self.quotas[index].next_deadline().unwrap_or(-1));
     }
 
-    /// Runs it: the digest of all outputs.
+    /// Runs to the end and returns the digest of all outputs.
     fn run(mut self) -> u64 {
-        let mut most_granted = 0;
+        let mut max_granted = 0;
         for step in 0..STEPS {
             let now = step * STEP;
             if step == STEPS / 2 {
@@ -128,9 +118,9 @@
             self.digest.add_number(totals.lent as u64);
             self.digest.add_number(totals.granted as u64);
             self.digest.add_number(self.pool.entries() as u64);
-            most_granted = most_granted.max(totals.granted);
+            max_granted = max_granted.max(totals.granted);
         }
-        assert!(most_granted > 0, "nothing was granted");
+        assert!(max_granted > 0, "nothing was granted");
         self.digest.value()
     }
 }
--- a/crates/ownership/tests/quota_fleet.rs
+++ b/crates/ownership/tests/quota_fleet.rs
@@ -2,9 +2,12 @@
 
 #[path = "support/quota_fleet.rs"]
 mod quota_fleet;
+#[path = "support/simulated_network.rs"]
+mod simulated_network;
+#[path = "support/stallable_socket.rs"]
+mod stallable_socket;
 
-use quota_fleet::*;
-use rand_core::RngCore;
+use quota_fleet::{SimulatedFleet, LEASE, LOADED_ABOVE, SECOND};
 
 #[test]
 fn loaded_gateways_get_lent_quota_at_a_flat_cost_per_gateway() {
@@ -13,8 +16,8 @@
         let mut fleet = SimulatedFleet::new(count, 5);
         fleet.elect(0, 1);
         fleet.run(6 * SECOND);
-        let sent = fleet.sent;
-        // A mean over time: now and then a grant is not renewed, for something was lost.
+        let sent = fleet.network.sent;
+        // A mean over time: now and then a datagram is lost and a grant not renewed.
         let (mut quota, mut needed) = (0.0, 0.0);
         for _ in 0..40 {
             fleet.run(SECOND / 10);
@@ -22,12 +25,12 @@
             quota += loaded.mean / 40.0;
             needed = loaded.needed;
         }
-        costs.push((fleet.sent - sent) as f64 / f64::from(count) / 4.0);
+        costs.push((fleet.network.sent - sent) as f64 / f64::from(count) / 4.0);
         println!(
             "{count}: {quota:.2} even quotas where {needed:.2} are needed, {:.1} datagrams per second each",
             costs[costs.len() - 1]
         );
-        assert!(quota > 1.8 && fleet.grants > 0, "{count}: {quota:.2} of {needed:.2}");
+        assert!(quota > 1.8 && fleet.grant_count > 0, "{count}: {quota:.2} of {needed:.2}");
     }
     assert!(costs.iter().all(|cost| *cost < 8.0), "{costs:?} datagrams per gateway and second");
 }
@@ -51,7 +54,7 @@
         // Gateways restart, lenders as well as borrowers.
         1 => {
             for _ in 0..count / 4 {
-                let id = (fleet.rng.next_u64() % u64::from(count)) as u16;
+                let id = fleet.network.sample(u64::from(count)) as u16;
                 let pool = fleet.pools.remove(&id);
                 fleet.restart(id);
                 fleet.pools.extend(pool.map(|pool| (id, pool)));
@@ -60,15 +63,15 @@
         }
         // A partition cuts off a third.
         2 => {
-            fleet.cut_off = (0..count / 3).collect();
+            fleet.network.partitioned = (0..count / 3).collect();
             fleet.run(2 * LEASE);
-            fleet.cut_off.clear();
+            fleet.network.partitioned.clear();
         }
         // Heavy packet loss.
         3 => {
-            fleet.loss = 400;
+            fleet.network.faults.lost.count = 400;
             fleet.run(2 * LEASE);
-            fleet.loss = 20;
+            fleet.network.faults.lost.count = 20;
         }
         // Some stall, and resume with what arrived meanwhile.
         4 => {
@@ -98,10 +101,10 @@
             fleet.run(2 * SECOND);
         }
         println!(
-            "{count}, seed {seed}: {} checks, {} grants, highest sum {:.3}",
-            fleet.checks, fleet.grants, fleet.highest_sum
+            "{count}, seed {seed}: {} checks, {} grants, highest excess {:.3}",
+            fleet.check_count, fleet.grant_count, fleet.highest_excess
         );
-        assert!(fleet.grants > 100, "only {} grants", fleet.grants);
+        assert!(fleet.grant_count > 100, "only {} grants", fleet.grant_count);
     }
 }
 
@@ -110,8 +113,8 @@
     let mut fleet = SimulatedFleet::new(30, 9);
     fleet.elect(0, 1);
     fleet.run(6 * SECOND);
-    assert!(fleet.grants > 0);
-    // There is no lease holder any more.
+    assert!(fleet.grant_count > 0);
+    // No gateway holds the lease any more.
     fleet.pools.clear();
     fleet.run(3 * SECOND);
     for id in 0..30 {
--- a/crates/ownership/tests/support/lease_fleet.rs
+++ b/crates/ownership/tests/support/lease_fleet.rs
@@ -1,7 +1,8 @@
-//! A simulated fleet of hundreds of lease managers: clocks that drift, datagrams lost, late, duplicated and reordered,
-//! links cut one way or both, stalls, crashes and restarts, all from a seed. The fleet reads true time; each gateway its
-//! own clock.
+//! A simulated fleet of hundreds of lease managers: clocks that drift, a faulty network, stalls, crashes and
+//! restarts, all from a seed. The fleet reads true time, each gateway its own clock.
 
+use crate::simulated_network::{Envelope, NetworkFaults, Ratio, SimulatedNetwork};
+use crate::stallable_socket::StallableSocket;
 use petrelgauge_ownership::{
     GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification, Outgoing,
     PrimaryAnnouncement, Settings, Term,
@@ -9,7 +10,7 @@
 use petrelgauge_policy::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 pub const ROLE: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
 pub const LEASE: Time = 400_000;
@@ -21,33 +22,31 @@
 const EFFECT_INTERVAL: Time = 50_000;
 /// Clocks swing between 5% fast and 5% slow with this period.
 const CLOCK_PERIOD: Time = 8_000_000;
-/// Messages that wait for a stalled gateway: a socket's buffer is bounded.
-const SOCKET_BUFFER: usize = 200;
+/// Messages that a gateway's socket can buffer.
+const SOCKET_CAPACITY: usize = 200;
+const NETWORK_FAULTS: NetworkFaults = NetworkFaults {
+    max_delay: MAX_DELAY,
+    lost: Ratio { count: 20, of: 1000 },
+    slow: Ratio::one_in(50),
+    slow_factor: 30,
+    loopback_is_lossy: false,
+};
 
 pub struct SimulatedGateway {
-    /// None while it is crashed.
+    /// `None` while it is crashed.
     pub manager: Option<LeaseManager>,
-    /// Where its clock is in its period, and a fixed error beside.
+    /// Phase of its clock's swing.
     pub clock_phase: Time,
+    /// Fixed error of its clock in addition to the swing.
     pub clock_error: Time,
-    pub stalled_until: Time,
-    /// What arrived while it was stalled, in order.
-    pub inbox: Vec<Envelope>,
-    pub starts: u64,
-    /// The highest term of a notification that it admitted.
-    pub admitted: Term,
-}
-
-#[derive(Clone)]
-pub struct Envelope {
-    pub from: GatewayId,
-    pub to: GatewayId,
-    pub message: Message,
+    pub socket: StallableSocket<Message>,
+    /// The highest term of a notification that it has admitted.
+    pub highest_admitted: Term,
 }
 
-/// The lease holder changed.
+/// A change of the lease holder.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
+pub struct HolderChange {
     pub at: Time,
     pub holder: LeaseHolder,
 }
@@ -57,18 +56,10 @@
     pub gateways: Vec<SimulatedGateway>,
     pub acceptors: Vec<GatewayId>,
     pub candidates: BTreeSet<GatewayId>,
-    /// By time of arrival and sequence number.
-    pub in_flight: BTreeMap<(Time, u64), Envelope>,
-    pub sequence: u64,
-    pub rng: Pcg64Mcg,
-    /// Datagrams lost (thousandths).
-    pub loss: u64,
-    /// Links that are cut, by sender and receiver.
-    pub cut_links: BTreeSet<(GatewayId, GatewayId)>,
-    pub sent: u64,
-    /// When somebody last held the lease.
+    pub network: SimulatedNetwork<Message>,
+    /// When a gateway last held the lease.
     pub held_at: Time,
-    pub changes: Vec<Change>,
+    pub holder_changes: Vec<HolderChange>,
 }
 
 impl SimulatedFleet {
@@ -80,10 +71,8 @@
                 manager: None,
                 clock_phase: (rng.next_u64() % CLOCK_PERIOD as u64) as Time,
                 clock_error: 0,
-                stalled_until: 0,
-                inbox: Vec::new(),
-                starts: 0,
-                admitted: 0,
+                socket: StallableSocket::new(SOCKET_CAPACITY),
+                highest_admitted: 0,
             })
             .collect();
         let mut fleet = SimulatedFleet {
@@ -91,29 +80,33 @@
             gateways,
             candidates: acceptors.iter().copied().collect(),
             acceptors,
-            in_flight: BTreeMap::new(),
-            sequence: 0,
-            rng,
-            loss: 20,
-            cut_links: BTreeSet::new(),
-            sent: 0,
+            network: SimulatedNetwork::new(rng, NETWORK_FAULTS),
             held_at: 1_000_000,
-            changes: Vec::new(),
+            holder_changes: Vec::new(),
         };
         (0..count).for_each(|id| fleet.start(id));
         fleet
     }
 
-    /// A number below the bound.
-    pub fn draw(&mut self, bound: u64) -> u64 {
-        self.rng.next_u64() % bound.max(1)
-    }
-
     pub fn gateway(&mut self, id: GatewayId) -> &mut SimulatedGateway {
         &mut self.gateways[usize::from(id)]
     }
 
-    /// Up to 5% fast or slow, and never more than 0.1 s from true time, beside the fixed error.
+    /// The lease manager of a gateway that has not crashed.
+    pub fn manager(&mut self, id: GatewayId) -> &mut LeaseManager {
+        self.gateway(id).manager.as_mut().expect("the gateway runs")
+    }
+
+    pub fn stall(&mut self, id: GatewayId, span: Time) {
+        let until = self.now + span;
+        self.gateway(id).socket.stalled_until = until;
+    }
+
+    pub fn crash(&mut self, id: GatewayId) {
+        self.gateway(id).manager = None;
+    }
+
+    /// The time that a gateway's clock shows: up to 5% fast or slow and at most 0.1 s from true time, plus its fixed error.
     pub fn clock(&self, id: GatewayId) -> Time {
         let gateway = &self.gateways[usize::from(id)];
         let phase = (self.now + gateway.clock_phase).rem_euclid(CLOCK_PERIOD);
@@ -122,7 +115,7 @@
         self.now + swing / 20 + gateway.clock_error
     }
 
-    /// Starts or restarts a gateway, without any memory of before.
+    /// Starts or restarts a gateway without any memory of earlier runs.
     pub fn start(&mut self, id: GatewayId) {
         let clock = self.clock(id);
         let settings = Settings {
@@ -133,62 +126,41 @@
             drift_bound: 0.05,
             max_delay: MAX_DELAY,
         };
-        let seed = self.rng.next_u64();
+        let seed = self.network.rng.next_u64();
         let mut manager = LeaseManager::new(settings, clock, seed).expect("valid settings");
         if self.candidates.contains(&id) {
             manager.campaign(clock, ROLE);
         }
         let gateway = self.gateway(id);
-        gateway.starts += 1;
         gateway.manager = Some(manager);
-        gateway.inbox = Vec::new();
-        gateway.stalled_until = 0;
-        gateway.admitted = 0;
+        gateway.socket = StallableSocket::new(SOCKET_CAPACITY);
+        gateway.highest_admitted = 0;
     }
 
-    pub fn send(&mut self, from: GatewayId, outgoing: Vec<Outgoing>) {
+    fn send(&mut self, from: GatewayId, outgoing: Vec<Outgoing>) {
         for Outgoing { to, message } in outgoing {
-            self.sent += 1;
-            if self.cut_links.contains(&(from, to)) {
-                continue;
-            }
-            for _ in 0..1 + u64::from(self.draw(20) == 0) {
-                if self.draw(1000) < self.loss && from != to {
-                    continue;
-                }
-                // Some take much longer than the stated delay.
-                let longest = if self.draw(50) == 0 { 30 * MAX_DELAY } else { MAX_DELAY };
-                let at = self.now + 1 + self.draw(longest as u64) as Time;
-                self.sequence += 1;
-                let envelope = Envelope { from, to, message: message.clone() };
-                self.in_flight.insert((at, self.sequence), envelope);
-            }
+            self.network.send(self.now, &Envelope { from, to, message });
         }
     }
 
-    pub fn deliver(&mut self, envelope: Envelope) {
-        let Envelope { from, to, .. } = envelope;
-        let (now, clock) = (self.now, self.clock(to));
+    fn deliver(&mut self, envelope: Envelope<Message>) {
+        let (now, to) = (self.now, envelope.to);
+        let clock = self.clock(to);
         let gateway = self.gateway(to);
-        if gateway.stalled_until > now {
-            if gateway.inbox.len() < SOCKET_BUFFER {
-                gateway.inbox.push(envelope);
-            }
-            return;
-        }
+        let Some(Envelope { from, message, .. }) = gateway.socket.receive(now, envelope) else { return };
         let Some(manager) = &mut gateway.manager else { return };
-        if let Message::Notification { role: ROLE, term, .. } = envelope.message {
+        if let Message::Notification { role: ROLE, term, .. } = message {
             if manager.would_admit(ROLE, term) {
-                let before = gateway.admitted;
-                assert!(term >= before, "an effect under term {term} after one under {before}");
-                gateway.admitted = term;
+                let highest = gateway.highest_admitted;
+                assert!(term >= highest, "an effect under term {term} after one under {highest}");
+                gateway.highest_admitted = term;
             }
         }
-        let responses = manager.on_message(clock, from, envelope.message);
+        let responses = manager.on_message(clock, from, message);
         self.send(to, responses);
     }
 
-    /// Everybody who holds the lease at this instant, by its own clock.
+    /// All gateways that hold the lease at this instant, each by its own clock.
     pub fn holders(&self) -> Vec<LeaseHolder> {
         let held_by = |id: GatewayId| {
             let manager = self.gateways[usize::from(id)].manager.as_ref()?;
@@ -198,17 +170,18 @@
         self.candidates.iter().copied().filter_map(held_by).collect()
     }
 
-    pub fn check(&mut self) {
+    /// Checks that at most one gateway holds the lease, and records a change of the holder.
+    fn check_holders(&mut self) {
         let holders = self.holders();
         assert!(holders.len() <= 1, "at {}: {holders:?}", self.now);
         let Some(holder) = holders.first().copied() else { return };
         self.held_at = self.now;
-        if self.changes.last().is_none_or(|last| last.holder != holder) {
-            self.changes.push(Change { at: self.now, holder });
+        if self.holder_changes.last().is_none_or(|last| last.holder != holder) {
+            self.holder_changes.push(HolderChange { at: self.now, holder });
         }
     }
 
-    /// Whether somebody has held the lease a moment ago.
+    /// Whether a gateway holds the lease, or did until a moment ago.
     pub fn is_held(&self) -> bool {
         self.now - self.held_at < 2 * STEP
     }
@@ -222,27 +195,27 @@
             for id in 0..self.gateways.len() as u16 {
                 self.step(id);
             }
-            self.check();
+            self.check_holders();
         }
     }
 
     fn deliver_until(&mut self, time: Time) {
-        while let Some(((at, _), _)) = self.in_flight.first_key_value().filter(|((at, _), _)| *at <= time) {
-            self.now = (*at).max(self.now);
-            if let Some((_, envelope)) = self.in_flight.pop_first() {
-                self.deliver(envelope);
-            }
-            self.check();
+        while let Some(delivery) = self.network.next_delivery(time) {
+            self.now = delivery.at.max(self.now);
+            self.deliver(delivery.envelope);
+            self.check_holders();
         }
     }
 
-    /// One gateway runs: first what waits in its socket, then its deadlines, as in the program.
-    pub fn step(&mut self, id: GatewayId) {
-        if self.gateways[usize::from(id)].stalled_until > self.now {
+    /// Runs one gateway as the program does: first what waits in its socket, then its deadlines.
+    fn step(&mut self, id: GatewayId) {
+        let now = self.now;
+        let socket = &mut self.gateway(id).socket;
+        if socket.is_stalled(now) {
             return;
         }
-        let inbox = std::mem::take(&mut self.gateway(id).inbox);
-        inbox.into_iter().for_each(|envelope| self.deliver(envelope));
+        let buffered = socket.take_buffered();
+        buffered.into_iter().for_each(|envelope| self.deliver(envelope));
         let clock = self.clock(id);
         let Some(manager) = &mut self.gateway(id).manager else { return };
         let mut outgoing = manager.on_deadline(clock);
@@ -252,7 +225,7 @@
         self.send(id, outgoing);
     }
 
-    /// The lease holder's work: an effect that everybody is notified of.
+    /// The lease holder's work: a notification to all other gateways.
     fn effects(&mut self, id: GatewayId, clock: Time) -> Vec<Outgoing> {
         let Some(manager) = &mut self.gateway(id).manager else { return Vec::new() };
         let primary = PrimaryAnnouncement { member: 7, position: clock };
@@ -262,8 +235,8 @@
         others.map(|to| Outgoing { to, message: message.clone() }).collect()
     }
 
-    /// Runs until somebody holds the lease.
-    pub fn holder(&mut self) -> GatewayId {
+    /// Runs until a gateway holds the lease, and returns it.
+    pub fn run_until_held(&mut self) -> GatewayId {
         for _ in 0..400 {
             if let Some(holder) = self.holders().first() {
                 return holder.gateway;
@@ -274,7 +247,7 @@
     }
 
     pub fn assert_terms_increase(&self) {
-        let terms: Vec<Term> = self.changes.iter().map(|change| change.holder.term).collect();
-        assert!(terms.windows(2).all(|pair| pair[0] < pair[1]), "{:?}", self.changes);
+        let terms: Vec<Term> = self.holder_changes.iter().map(|change| change.holder.term).collect();
+        assert!(terms.windows(2).all(|pair| pair[0] < pair[1]), "{:?}", self.holder_changes);
     }
 }
--- a/crates/ownership/tests/support/quota_fleet.rs
+++ b/crates/ownership/tests/support/quota_fleet.rs
@@ -1,21 +1,29 @@
-//! A simulated fleet of hundreds of gateways that lend each other quota: clocks up to 5% fast or slow, datagrams lost,
-//! late, duplicated and reordered, partitions, lease holders that stall and resume beside the next one, gateways that
-//! restart. The sum of all quotas in force is checked whenever it can have risen: when a grant arrives, when a loan
-//! expires, when a gateway restarts.
+//! A simulated fleet of hundreds of gateways that lend each other quota: clocks up to 5% fast or slow, a faulty
+//! network, partitions, restarts, and lease holders that stall and resume beside the next one. The sum of all
+//! quotas in force is checked whenever it can have risen: when a grant arrives, a loan expires or a gateway restarts.
 
+use crate::simulated_network::{Envelope, NetworkFaults, Ratio, SimulatedNetwork};
+use crate::stallable_socket::StallableSocket;
 use petrelgauge_ownership::quota::{GroupGrant, MeanRate, Quota, QuotaPool, QuotaReport};
 use petrelgauge_ownership::{GatewayId, Settings, Term};
 use petrelgauge_policy::{GroupId, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 pub const GROUP: GroupId = 7;
 pub const LEASE: Time = 2_000_000;
 pub const MAX_DELAY: Time = 20_000;
 pub const SECOND: Time = 1_000_000;
-/// Events that wait for a stalled gateway: a socket's buffer is bounded.
-const SOCKET_BUFFER: usize = 300;
+/// Events that a gateway's socket can buffer.
+const SOCKET_CAPACITY: usize = 300;
+const NETWORK_FAULTS: NetworkFaults = NetworkFaults {
+    max_delay: MAX_DELAY,
+    lost: Ratio { count: 20, of: 1000 },
+    slow: Ratio::one_in(50),
+    slow_factor: 60,
+    loopback_is_lossy: false,
+};
 /// Request rates of idle and of loaded gateways (thousandths of a request per second).
 const IDLE_RATE: u32 = 500;
 const LOADED_RATE: u32 = 4_500;
@@ -24,12 +32,12 @@
 
 pub struct SimulatedGateway {
     pub quota: Quota,
-    /// How much faster its clock runs than true time (fraction), and its offset at the start.
+    /// How much faster than true time its clock runs (fraction).
     pub clock_drift: f64,
+    /// Offset of its clock at true time 0.
     pub clock_offset: Time,
     pub rate: u32,
-    pub stalled_until: Time,
-    pub waiting: Vec<Event>,
+    pub socket: StallableSocket<Event>,
 }
 
 #[derive(Clone)]
@@ -39,15 +47,12 @@
         round: u32,
         mean_rates: Vec<MeanRate>,
     },
-    Report {
-        from: GatewayId,
-        report: QuotaReport,
-    },
+    Report(QuotaReport),
     Grant {
         number: u32,
         granted: Vec<GroupGrant>,
     },
-    /// No datagram: something expires at this gateway, or is due there.
+    /// Not a datagram: a timer of the gateway, for an expiry or a deadline.
     Wake,
 }
 
@@ -55,21 +60,14 @@
     pub now: Time,
     pub gateways: Vec<SimulatedGateway>,
     pub pools: BTreeMap<GatewayId, QuotaPool>,
-    /// By time and sequence number, with the gateway at which each happens.
-    pub events: BTreeMap<(Time, u64), (GatewayId, Event)>,
-    pub sequence: u64,
-    pub rng: Pcg64Mcg,
-    /// Datagrams lost (thousandths).
-    pub loss: u64,
-    /// Gateways that are cut off from the others.
-    pub cut_off: BTreeSet<GatewayId>,
-    pub sent: u64,
-    pub grants: u64,
-    pub checks: u64,
-    pub highest_sum: f64,
+    pub network: SimulatedNetwork<Event>,
+    pub grant_count: u64,
+    pub check_count: u64,
+    /// The highest sum of quotas in force beyond the sum of even quotas (even quotas).
+    pub highest_excess: f64,
 }
 
-/// Quota of loaded gateways, and what they need (even quotas).
+/// Mean quota of loaded gateways, and what each of them needs (even quotas).
 pub struct LoadedQuota {
     pub mean: f64,
     pub needed: f64,
@@ -84,23 +82,17 @@
                 clock_drift: (rng.next_u64() % 1001) as f64 / 10_000.0 - 0.05,
                 clock_offset: (rng.next_u64() % 5_000_000) as Time,
                 rate: if id % 10 == 3 { LOADED_RATE } else { IDLE_RATE },
-                stalled_until: 0,
-                waiting: Vec::new(),
+                socket: StallableSocket::new(SOCKET_CAPACITY),
             })
             .collect();
         let mut fleet = SimulatedFleet {
             now: 10 * SECOND,
             gateways,
             pools: BTreeMap::new(),
-            events: BTreeMap::new(),
-            sequence: 0,
-            rng,
-            loss: 20,
-            cut_off: BTreeSet::new(),
-            sent: 0,
-            grants: 0,
-            checks: 0,
-            highest_sum: f64::MIN,
+            network: SimulatedNetwork::new(rng, NETWORK_FAULTS),
+            grant_count: 0,
+            check_count: 0,
+            highest_excess: f64::MIN,
         };
         (0..count).for_each(|id| fleet.restart(id));
         fleet
@@ -110,54 +102,46 @@
         &mut self.gateways[usize::from(id)]
     }
 
-    pub fn clock(&self, id: GatewayId) -> Time {
+    /// The time that a gateway's clock shows.
+    fn clock(&self, id: GatewayId) -> Time {
         let gateway = &self.gateways[usize::from(id)];
         (self.now as f64 * (1.0 + gateway.clock_drift)) as Time + gateway.clock_offset
     }
 
-    /// The true time, or a moment after it, at which the gateway's clock shows this.
-    pub fn true_time(&self, id: GatewayId, local: Time) -> Time {
+    /// The true time, or a moment later, at which the gateway's clock shows `local`.
+    fn true_time(&self, id: GatewayId, local: Time) -> Time {
         let gateway = &self.gateways[usize::from(id)];
         ((local - gateway.clock_offset) as f64 / (1.0 + gateway.clock_drift)).ceil() as Time + 1
     }
 
+    /// Restarts a gateway without any memory of earlier runs.
     pub fn restart(&mut self, id: GatewayId) {
-        let number = self.rng.next_u64() as u32;
+        let number = self.network.rng.next_u64() as u32;
         let quota = Quota::new(settings(id, self.gateways.len() as u16), self.clock(id), number);
         self.gateway(id).quota = quota;
         self.pools.remove(&id);
         self.check_sum();
     }
 
-    pub fn schedule(&mut self, at: Time, to: GatewayId, event: Event) {
-        self.sequence += 1;
-        self.events.insert((at, self.sequence), (to, event));
+    fn wake_at(&mut self, at: Time, id: GatewayId) {
+        self.network.schedule(at, Envelope { from: id, to: id, message: Event::Wake });
     }
 
-    pub fn send(&mut self, from: GatewayId, to: GatewayId, event: Event) {
-        self.sent += 1;
+    /// Sends a datagram. One from a gateway to itself arrives at once.
+    fn send(&mut self, from: GatewayId, to: GatewayId, event: Event) {
+        let envelope = Envelope { from, to, message: event };
         if from == to {
-            return self.schedule(self.now, to, event);
-        }
-        if self.cut_off.contains(&from) != self.cut_off.contains(&to) {
-            return;
-        }
-        for _ in 0..1 + u64::from(self.rng.next_u64().is_multiple_of(20)) {
-            if self.rng.next_u64() % 1000 < self.loss {
-                continue;
-            }
-            // Some take much longer than the stated delay.
-            let is_slow = self.rng.next_u64().is_multiple_of(50);
-            let longest = if is_slow { 60 * MAX_DELAY } else { MAX_DELAY };
-            let at = self.now + 1 + (self.rng.next_u64() % longest as u64) as Time;
-            self.schedule(at, to, event.clone());
+            self.network.sent += 1;
+            self.network.schedule(self.now, envelope);
+        } else {
+            self.network.send(self.now, &envelope);
         }
     }
 
-    /// This gateway takes itself for the lease holder, under this term.
+    /// Makes a gateway believe that it holds the lease under this term.
     pub fn elect(&mut self, id: GatewayId, term: Term) {
         self.pools.insert(id, QuotaPool::new(settings(id, self.gateways.len() as u16), term));
-        self.schedule(self.now, id, Event::Wake);
+        self.wake_at(self.now, id);
     }
 
     /// What a gateway may use now (even quotas).
@@ -166,22 +150,18 @@
         self.gateways[usize::from(id)].quota.current(clock, GROUP).at(clock)
     }
 
-    pub fn check_sum(&mut self) {
+    /// Checks that the quotas in force don't exceed the even quotas.
+    fn check_sum(&mut self) {
         let excess: f64 = (0..self.gateways.len() as u16).map(|id| self.quota_of(id) - 1.0).sum();
-        self.checks += 1;
-        self.highest_sum = self.highest_sum.max(excess);
+        self.check_count += 1;
+        self.highest_excess = self.highest_excess.max(excess);
         assert!(excess < 1e-6, "{excess} even quotas too many are in force at {}", self.now);
     }
 
-    pub fn deliver(&mut self, id: GatewayId, event: Event) {
-        let now = self.now;
-        let gateway = self.gateway(id);
-        if gateway.stalled_until > now {
-            if gateway.waiting.len() < SOCKET_BUFFER {
-                gateway.waiting.push(event);
-            }
-            return;
-        }
+    fn deliver(&mut self, envelope: Envelope<Event>) {
+        let (now, id) = (self.now, envelope.to);
+        let received = self.gateway(id).socket.receive(now, envelope);
+        let Some(Envelope { from, message: event, .. }) = received else { return };
         let clock = self.clock(id);
         match event {
             Event::Round { term, round, mean_rates } => {
@@ -189,13 +169,13 @@
                 quota.on_round(clock, term, round, &mean_rates);
                 if let Some(due) = quota.next_deadline() {
                     let at = self.true_time(id, due);
-                    self.schedule(at.max(self.now), id, Event::Wake);
+                    self.wake_at(at.max(self.now), id);
                 }
             }
-            Event::Report { from, report } => self.deliver_report(id, clock, from, &report),
+            Event::Report(report) => self.deliver_report(id, clock, from, &report),
             Event::Grant { number, granted } => {
                 self.gateway(id).quota.on_grant(clock, number, &granted);
-                self.grants += 1;
+                self.grant_count += 1;
                 self.check_sum();
             }
             Event::Wake => self.wake(id, clock),
@@ -219,15 +199,15 @@
         let until = gateway.quota.current(clock, GROUP).until;
         if !reports.is_empty() {
             let at = self.true_time(id, until).max(self.now);
-            self.schedule(at, id, Event::Wake);
+            self.wake_at(at, id);
         }
         for report in reports {
             let mut holders = self.pools.iter().filter(|(_, pool)| pool.term() == report.term);
             if let Some(holder) = holders.next().map(|(holder, _)| *holder) {
-                self.send(id, holder, Event::Report { from: id, report });
+                self.send(id, holder, Event::Report(report));
             }
         }
-        // Something may have expired here.
+        // A loan or a grant may have expired.
         self.check_sum();
     }
 
@@ -243,33 +223,30 @@
             }
         }
         let at = self.true_time(id, due);
-        self.schedule(at, id, Event::Wake);
+        self.wake_at(at, id);
     }
 
     pub fn run(&mut self, span: Time) {
         let until = self.now + span;
-        while let Some(((at, _), _)) = self.events.first_key_value() {
-            if *at > until {
-                break;
-            }
-            let Some(((at, _), (to, event))) = self.events.pop_first() else { break };
-            self.now = self.now.max(at);
-            self.deliver(to, event);
+        while let Some(delivery) = self.network.next_delivery(until) {
+            self.now = self.now.max(delivery.at);
+            self.deliver(delivery.envelope);
         }
         self.now = until;
     }
 
     pub fn stall(&mut self, id: GatewayId, span: Time) {
         let until = self.now + span;
-        self.gateway(id).stalled_until = until;
+        self.gateway(id).socket.stalled_until = until;
     }
 
     pub fn resume(&mut self, id: GatewayId) {
-        self.gateway(id).stalled_until = 0;
-        let waiting = std::mem::take(&mut self.gateway(id).waiting);
+        let socket = &mut self.gateway(id).socket;
+        socket.stalled_until = 0;
+        let buffered = socket.take_buffered();
         self.check_sum();
-        waiting.into_iter().for_each(|event| self.deliver(id, event));
-        self.schedule(self.now, id, Event::Wake);
+        buffered.into_iter().for_each(|envelope| self.deliver(envelope));
+        self.wake_at(self.now, id);
     }
 
     pub fn loaded_quota(&self) -> LoadedQuota {
