--- a/tests/harness/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -12,7 +12,7 @@
 }
 
 /// Serves one watch after the other; the updates go to the first. Gives the heads of the watches, and what ends each.
-pub(super) fn source(
+pub(crate) fn source(
     listener: TcpListener,
     updates: Vec<String>,
     later_updates: Vec<String>,
@@ -30,7 +30,7 @@
 
 /// Serves one watch: its updates at once, more when the test says so, and the empty line that shows that it
 /// lives. When the test says so again, it ends.
-pub(super) fn watch(
+pub(crate) fn watch(
     mut stream: TcpStream,
     updates: [Vec<String>; 2],
     saw: &Sender<String>,
--- a/tests/harness/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -1,7 +1,8 @@
 //! The program, as it runs, and its clients.
 
-use super::messages::{kinds, query, read_message, startup};
-use super::{config_path, ReservedPort, NEVER};
+use crate::messages::{kinds, query, read_message, startup};
+use crate::port::ReservedPort;
+use crate::time::NEVER;
 use petrelgauge_lifecycle::client::{MAX_BACKOFF, MIN_BACKOFF};
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -17,14 +18,15 @@
 
 /// The program, as it runs.
 pub struct Gateway {
-    pub(super) child: Child,
-    pub(super) log: RefCell<BufReader<std::process::ChildStderr>>,
-    pub(super) address: String,
-    pub(super) ops: Option<String>,
-    pub(super) watches: Receiver<String>,
-    pub(super) end_watch: Sender<()>,
+    pub(crate) child: Child,
+    pub(crate) log: RefCell<BufReader<std::process::ChildStderr>>,
+    pub(crate) address: String,
+    pub(crate) config_path: String,
+    pub(crate) ops: Option<String>,
+    pub(crate) watches: Receiver<String>,
+    pub(crate) end_watch: Sender<()>,
     /// Its ports, which nobody else is given while it is there, also where it does not listen yet or no longer.
-    pub(super) _ports: Vec<Rc<ReservedPort>>,
+    pub(crate) _ports: Vec<Rc<ReservedPort>>,
 }
 
 impl Gateway {
@@ -96,7 +98,7 @@
 
     /// Replaces its configuration and signals the change.
     pub fn configure(&self, config: &str) {
-        std::fs::write(config_path(&self.address), config).expect("a place to write");
+        std::fs::write(&self.config_path, config).expect("a place to write");
         self.signal("HUP");
     }
 
@@ -243,6 +245,10 @@
     }
 
     /// Writes to a connection that may have been closed.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the gateway has closed or reset the connection.
     pub fn try_write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.0.write_all(bytes)
     }
--- a/tests/harness/mod.rs
+++ b/crates/test-support/src/harness.rs
@@ -1,25 +1,13 @@
 //! A test harness for one gateway: the program itself, and the scripted peers it talks to.
 
-#![allow(dead_code, unused_imports)]
-
-mod config;
-mod discovery;
-mod gateway;
-mod host;
-mod messages;
-mod port;
-mod reply;
-mod source;
-pub use config::*;
-pub use discovery::list;
-pub use gateway::{Client, Gateway};
-pub use host::Host;
-pub use messages::*;
-pub use port::ReservedPort;
-pub use reply::Reply;
-pub use source::{chunk, ScriptedDiscovery, Step, HEAD};
-
-use discovery::{source, watch};
+use crate::discovery::{list, source, watch};
+use crate::gateway::Gateway;
+use crate::host::Host;
+use crate::port::ReservedPort;
+use crate::program::GatewayProgram;
+use crate::reply::Reply;
+use crate::scripted_discovery::{ScriptedDiscovery, Step};
+use crate::settings::SETTINGS;
 use std::cell::{Cell, RefCell};
 use std::io::BufReader;
 use std::net::TcpListener;
@@ -27,18 +15,10 @@
 use std::rc::Rc;
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-
-/// Nothing that works takes so long; what does not work fails then and does not hang.
-const NEVER: Duration = Duration::from_secs(60);
-
-/// The machine's time, in milliseconds.
-pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
-}
 
 /// What a test sets up before the gateway starts.
 pub struct Harness {
+    program: GatewayProgram,
     ip: String,
     /// Where the gateway is to listen.
     pub listen: String,
@@ -56,12 +36,13 @@
 
 impl Harness {
     /// Each test has a number, and with it an address, of its own.
-    pub fn new(number: u8) -> Harness {
+    pub fn new(program: GatewayProgram, number: u8) -> Harness {
         let ip = format!("127.77.{number}.1");
         let discovery = TcpListener::bind((ip.as_str(), 0)).expect("a free port");
         let port = ReservedPort::at(&format!("127.77.{number}.2"));
         let listen = port.address();
         Harness {
+            program,
             ip,
             listen,
             ports: vec![Rc::new(port)],
@@ -129,7 +110,7 @@
 
     /// The clients' socket is held by the platform, and the gateway's processes share a folder.
     pub fn shared(mut self) -> Harness {
-        let folder = format!("{}/{}", env!("CARGO_TARGET_TMPDIR"), self.listen);
+        let folder = format!("{}/{}", self.program.folder, self.listen);
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a place to write");
         self.shared = Some((TcpListener::bind(&self.listen).expect("it was free"), folder));
@@ -209,9 +190,9 @@
 
     /// The same with more in its environment.
     pub fn start_env(&self, config: &str, more: &[(&str, &str)]) -> Gateway {
-        let path = config_path(&self.listen);
+        let path = format!("{}/{}.json", self.program.folder, self.listen);
         std::fs::write(&path, config).expect("a place to write");
-        let program = env!("CARGO_BIN_EXE_petrelgauge");
+        let program = self.program.path;
         let mut command = match &self.shared {
             None => Command::new(program),
             Some((listener, folder)) => {
@@ -230,7 +211,7 @@
             command.env("PETRELGAUGE_FILE", file);
         }
         let mut child = command
-            .env("GW_CONFIG", path)
+            .env("GW_CONFIG", &path)
             .env("GW_DISCOVERY", self.discovery_address())
             .env_remove("RUST_LOG")
             .envs(more.iter().copied())
@@ -241,7 +222,7 @@
         let (watches, end_watch) = (channel().1, channel().0);
         let (address, ops) = (self.listen.clone(), self.ops.clone());
         let _ports = self.ports.clone();
-        Gateway { child, log: RefCell::new(log), address, ops, watches, end_watch, _ports }
+        Gateway { child, log: RefCell::new(log), address, config_path: path, ops, watches, end_watch, _ports }
     }
 
     /// Starts the program and waits until it serves.
@@ -283,13 +264,9 @@
     }
 }
 
-fn config_path(listen: &str) -> String {
-    format!("{}/{listen}.json", env!("CARGO_TARGET_TMPDIR"))
-}
-
 /// A gateway that serves before one host, the primary, which follows this script.
-pub fn gateway_with_primary(number: u8, script: Vec<Reply>) -> (Host, Gateway) {
-    let harness = Harness::new(number);
+pub fn gateway_with_primary(program: GatewayProgram, number: u8, script: Vec<Reply>) -> (Host, Gateway) {
+    let harness = Harness::new(program, number);
     let host = harness.host(script);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     (host, gateway)
--- a/tests/harness/host.rs
+++ b/crates/test-support/src/host.rs
@@ -1,7 +1,9 @@
 //! A database host that takes one query after the other from its script.
 
-use super::messages::{message, read_message, ready_for_query, row};
-use super::{Reply, ReservedPort, NEVER};
+use crate::messages::{message, read_message, ready_for_query, row};
+use crate::port::ReservedPort;
+use crate::reply::Reply;
+use crate::time::NEVER;
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,23 +14,23 @@
 
 /// A database host that takes one query after the other from its script.
 pub struct Host {
-    pub(super) address: String,
-    pub(super) seen: Receiver<String>,
-    pub(super) ended: Receiver<()>,
-    pub(super) came: Receiver<()>,
-    pub(super) go: Sender<()>,
-    pub(super) count: Cell<usize>,
+    pub(crate) address: String,
+    pub(crate) seen: Receiver<String>,
+    pub(crate) ended: Receiver<()>,
+    pub(crate) came: Receiver<()>,
+    pub(crate) go: Sender<()>,
+    pub(crate) count: Cell<usize>,
     /// Of a host that does not listen: its port.
-    pub(super) _closed_port: Option<ReservedPort>,
+    pub(crate) _closed_port: Option<ReservedPort>,
 }
 
 impl Host {
-    pub(super) fn start(ip: &str, script: Vec<Reply>) -> Host {
+    pub(crate) fn start(ip: &str, script: Vec<Reply>) -> Host {
         Host::slow_from(ip, script, usize::MAX)
     }
 
     /// From this connection on, counted from 0, it welcomes none before the test says so.
-    pub(super) fn slow_from(ip: &str, script: Vec<Reply>, slow_from: usize) -> Host {
+    pub(crate) fn slow_from(ip: &str, script: Vec<Reply>, slow_from: usize) -> Host {
         let listener = TcpListener::bind((ip, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
         let ((saw, seen), (end, ended), (go, gone), (come, came)) =
--- a/tests/harness/reply.rs
+++ b/crates/test-support/src/reply.rs
@@ -1,7 +1,7 @@
 //! What a scripted host does with a query, and the messages of complete answers.
 
-use super::messages::{error, parameter_status, ready_for_query, row};
-use super::unix_ms;
+use crate::messages::{error, parameter_status, ready_for_query, row};
+use crate::time::unix_ms;
 
 /// What a scripted host does with a query.
 pub enum Reply {
@@ -44,7 +44,7 @@
 
 impl Reply {
     /// The messages of a complete answer to a query: a row or an error, what the host states of itself, and its end.
-    pub(super) fn messages(&self, query: &str) -> Vec<u8> {
+    pub(crate) fn messages(&self, query: &str) -> Vec<u8> {
         let answer = match self {
             Reply::Row(value) | Reply::WaitForGo(value) | Reply::NothingTo(_, value) => row(value),
             Reply::RowAt(value, at) | Reply::ReplicaAt(value, at) | Reply::RowAtOnGo(value, at) => {
--- a/tests/harness/source.rs
+++ b/crates/test-support/src/scripted_discovery.rs
@@ -1,6 +1,6 @@
 //! A discovery whose connections follow a script, byte by byte: what it does wrong is up to the test.
 
-use super::NEVER;
+use crate::time::NEVER;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
--- a/tests/harness/config.rs
+++ b/crates/test-support/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a gateway, and changes that several tests make to them.
 
-pub(super) const SETTINGS: &str = r#"{"balancers":1,"zone":"a","granularity_us":5000,"membership_mode":"pushed",
+pub(crate) const SETTINGS: &str = r#"{"balancers":1,"zone":"a","granularity_us":5000,"membership_mode":"pushed",
 "bounds":{"attempts_cap":8,"cancel":true,"conn_idle_us":30000000,"connect_timeout_us":250000,
 "max_retry_after_us":500000,"retry_after":true,"probes":false,"second_copies":false},
 "classes":[{"aim_us":4000000,"deadline_us":30000000,"idempotency":"safe","name":"view","points":2.0,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,14 +1,18 @@
 //! How attempts at hosts end, which of them are retried, and what the client is answered. The program on sockets, as in
 //! `client_protocol.rs`.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    field, gateway_program, gateway_with_primary, insert, kinds, query, select, Harness, Reply,
+};
 
 #[test]
 fn a_read_that_broke_goes_out_again_and_so_does_a_keyed_write() {
     for (number, text) in [(7, select("a", "view", 20000)), (8, insert("a", 20000))] {
-        let (host, gateway) =
-            gateway_with_primary(number, vec![Reply::Close, Reply::Error("25006"), Reply::Row(b"v")]);
+        let (host, gateway) = gateway_with_primary(
+            gateway_program!(),
+            number,
+            vec![Reply::Close, Reply::Error("25006"), Reply::Row(b"v")],
+        );
         assert_eq!(kinds(&gateway.client().ask(&text)), "TDCZ");
         let ids = [host.next_query(), host.next_query(), host.next_query()]
             .map(|seen| seen.split("id=").nth(1).map(|rest| rest[..4].to_string()));
@@ -18,7 +22,7 @@
 
 #[test]
 fn a_read_nobody_can_take_is_refused_with_a_hint() {
-    let harness = Harness::new(9);
+    let harness = Harness::new(gateway_program!(), 9);
     let host = harness.host(vec![]);
     let gateway = harness.list(&[(&host, "draining", "primary")]).start();
     let answer = gateway.client().ask(&select("a", "view", 200));
@@ -29,7 +33,7 @@
 
 #[test]
 fn a_write_whose_attempt_may_have_run_fails_and_is_not_refused() {
-    let (host, gateway) = gateway_with_primary(10, vec![Reply::Nothing, Reply::Nothing]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), 10, vec![Reply::Nothing, Reply::Nothing]);
     let answer = gateway.client().ask(&insert("a", 2000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "40003"));
     host.next_query();
@@ -51,7 +55,7 @@
     std::thread::scope(|scope| {
         for (number, script, code) in cases {
             scope.spawn(move || {
-                let harness = Harness::new(number);
+                let harness = Harness::new(gateway_program!(), number);
                 let host = script.map_or_else(|| harness.closed_host(), |script| harness.host(script));
                 let gateway = harness.list(&[(&host, "up", "primary")]).start();
                 let answer = gateway.client().ask(&insert("a", 2000));
@@ -63,7 +67,7 @@
 
 #[test]
 fn a_client_that_disconnects_has_its_attempt_cancelled() {
-    let (host, gateway) = gateway_with_primary(11, vec![Reply::Nothing]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), 11, vec![Reply::Nothing]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", 60_000)));
     host.next_query();
@@ -85,8 +89,11 @@
     std::thread::scope(|scope| {
         for (number, bytes) in (30..).zip(malformed) {
             scope.spawn(move || {
-                let (host, gateway) =
-                    gateway_with_primary(number, vec![Reply::Bytes(bytes), Reply::Row(b"complete")]);
+                let (host, gateway) = gateway_with_primary(
+                    gateway_program!(),
+                    number,
+                    vec![Reply::Bytes(bytes), Reply::Row(b"complete")],
+                );
                 let answer = gateway.client().ask(&select("a", "view", 20000));
                 assert_eq!((kinds(&answer).as_str(), &answer[1].1[6..]), ("TDCZ", &b"complete"[..]));
                 host.wait_for_disconnect();
@@ -98,7 +105,7 @@
 // The surplus may come when the connection is idle already. It is nobody's answer.
 #[test]
 fn what_comes_behind_an_answer_is_not_the_next_one() {
-    let harness = Harness::new(35);
+    let harness = Harness::new(gateway_program!(), 35);
     let copy: &[u8] = b"C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I";
     let script = (0..6).flat_map(|_| [Reply::Surplus(b"one", copy), Reply::Row(b"two")]).collect();
     let host = harness.host(script);
@@ -122,7 +129,7 @@
         Reply::RowAt(b"two", 6),
         Reply::RowAt(b"two", 7),
     ];
-    let (_host, gateway) = gateway_with_primary(37, script);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), 37, script);
     let mut client = gateway.client();
     client.write(&[query(&select("a", "view", 20000)), query(&select("b", "view", 20000))].concat());
     assert_eq!(client.until_ready()[1].1[6..], *b"one");
@@ -136,7 +143,7 @@
 #[test]
 fn two_misses_that_are_alike_are_two_misses() {
     let script = vec![Reply::ErrorAt("25006", 5), Reply::ErrorAt("25006", 5), Reply::RowAt(b"one", 6)];
-    let (_host, gateway) = gateway_with_primary(39, script);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), 39, script);
     let answer = gateway.client().ask(&insert("a", 20000));
     assert_eq!(answer[1].1[6..], *b"one");
     gateway.wait_for_counter("Served=1 Rejected=2");
@@ -145,7 +152,7 @@
 // Whatever the gateway overlooks, a host may not: its reply is the answer, and no further host is asked.
 #[test]
 fn a_statement_that_a_host_cannot_use_is_answered_at_once() {
-    let (host, gateway) = gateway_with_primary(36, vec![Reply::Error("08P01")]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), 36, vec![Reply::Error("08P01")]);
     let answer = gateway.client().ask(&insert("a", 20000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "08P01"));
     assert_eq!(host.queries(), 1);
--- a/tests/client_protocol.rs
+++ b/tests/client_protocol.rs
@@ -2,12 +2,14 @@
 //! and a scripted discovery. Each test has a loopback address of its own. Answers are asserted, never speed: what waits only
 //! gives up after a span that no working gateway needs.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    field, gateway_program, gateway_with_primary, insert, kinds, message, query, select, startup, Harness,
+    Reply,
+};
 
 #[test]
 fn an_empty_query_admits_the_gateway_and_encryption_is_declined() {
-    let gateway = Harness::new(1).start();
+    let gateway = Harness::new(gateway_program!(), 1).start();
     let mut client = gateway.raw_client();
     client.write(&[0, 0, 0, 8, 4, 210, 22, 47]);
     assert_eq!(client.bytes(1), b"N");
@@ -22,7 +24,7 @@
 
 #[test]
 fn a_value_comes_back_as_the_host_gave_it_and_the_statement_goes_on_unaltered() {
-    let (host, gateway) = gateway_with_primary(2, vec![Reply::Row(b"\x00\xffvalue")]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), 2, vec![Reply::Row(b"\x00\xffvalue")]);
     let mut client = gateway.client();
     let text = select("it''s /* no comment */", "view", 5000);
     let answer = client.ask(&text);
@@ -38,7 +40,8 @@
 #[test]
 fn the_largest_values_pass_both_ways() {
     static VALUE: [u8; 65536] = [b'v'; 65536];
-    let (host, gateway) = gateway_with_primary(24, vec![Reply::Row(&VALUE), Reply::Row(&VALUE)]);
+    let (host, gateway) =
+        gateway_with_primary(gateway_program!(), 24, vec![Reply::Row(&VALUE), Reply::Row(&VALUE)]);
     let mut client = gateway.client();
     assert!(client.ask(&select("a", "view", 20000))[1].1.ends_with(&VALUE));
     host.next_query();
@@ -49,8 +52,11 @@
 
 #[test]
 fn pipelined_queries_are_answered_in_order() {
-    let (_host, gateway) =
-        gateway_with_primary(3, vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")]);
+    let (_host, gateway) = gateway_with_primary(
+        gateway_program!(),
+        3,
+        vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")],
+    );
     let mut client = gateway.client();
     let texts = ["a", "b", "c"].map(|name| query(&select(name, "view", 5000)));
     client.write(&texts.concat());
@@ -62,7 +68,7 @@
 
 #[test]
 fn what_cannot_be_used_is_an_error_that_keeps_the_connection() {
-    let (_host, gateway) = gateway_with_primary(4, vec![Reply::Row(b"v")]);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), 4, vec![Reply::Row(b"v")]);
     let mut client = gateway.client();
     let good = select("a", "view", 5000);
     let bad = [
@@ -83,7 +89,7 @@
 
 #[test]
 fn extended_queries_are_declined_up_to_sync() {
-    let gateway = Harness::new(5).start();
+    let gateway = Harness::new(gateway_program!(), 5).start();
     let mut client = gateway.client();
     let parts = [message(b'P', b"\0SELECT 1\0\0\0"), message(b'E', b"\0\0\0\0\0"), message(b'S', b"")];
     client.write(&parts.concat());
@@ -94,7 +100,7 @@
 
 #[test]
 fn malformed_bytes_end_the_connection_with_the_reason() {
-    let gateway = Harness::new(6).start();
+    let gateway = Harness::new(gateway_program!(), 6).start();
     for bytes in [&b"Q\xff\xff\xff\xff"[..], b"!\0\0\0\x04", b"Q\0\0\0\x09a\0b\0\0", b"Q\0\0\0\x05a"] {
         let mut client = gateway.client();
         client.write(bytes);
@@ -108,7 +114,7 @@
 // Each of them would keep a descriptor for as long as it likes, or until its query's time is over.
 #[test]
 fn clients_that_say_nothing_or_do_not_finish_are_cut_off() {
-    let (host, gateway) = gateway_with_primary(26, vec![Reply::Nothing]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), 26, vec![Reply::Nothing]);
     let mut silent = gateway.raw_client();
     let mut half_a_startup = gateway.raw_client();
     half_a_startup.write(&startup()[..9]);
@@ -134,7 +140,7 @@
 // What is sent must be read to the end, or the reset takes the reason away.
 #[test]
 fn a_value_of_60_mb_is_rejected_with_the_reason() {
-    let gateway = Harness::new(28).start();
+    let gateway = Harness::new(gateway_program!(), 28).start();
     let mut client = gateway.client();
     let length = 60_000_000u32;
     client.write(&[&b"Q"[..], &length.to_be_bytes(), &vec![b'x'; length as usize - 4]].concat());
@@ -143,7 +149,8 @@
 
 #[test]
 fn an_id_is_taken_once_while_its_request_is_open() {
-    let (host, gateway) = gateway_with_primary(29, vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
+    let (host, gateway) =
+        gateway_with_primary(gateway_program!(), 29, vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
     let (mut first, text) = (gateway.client(), select("a", "view", 20000));
     first.write(&query(&text));
     host.next_query();
@@ -156,7 +163,7 @@
 
 #[test]
 fn counters_come_on_request() {
-    let gateway = Harness::new(16).start();
+    let gateway = Harness::new(gateway_program!(), 16).start();
     gateway.client();
     gateway.wait_for_counter("clients=1");
 }
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -1,7 +1,6 @@
 //! Whose settings: what belongs to another gateway, another customer or another moment stays out of this one.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{field, gateway_program, kinds, select, Harness, Reply};
 use std::io::Write;
 use std::process::Command;
 
@@ -12,7 +11,7 @@
 // A signal that nobody listened to yet ended the process: a new configuration, signalled to an entire fleet while it starts.
 #[test]
 fn a_new_configuration_that_is_signalled_while_the_old_one_is_read_is_read_too() {
-    let harness = Harness::new(205);
+    let harness = Harness::new(gateway_program!(), 205);
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -36,7 +35,8 @@
 // learned, and kept to what the other left of its own limits.
 #[test]
 fn records_of_another_gateway_are_ignored() {
-    let (mut one, mut other) = (Harness::new(206).shared(), Harness::new(207).shared());
+    let (mut one, mut other) =
+        (Harness::new(gateway_program!(), 206).shared(), Harness::new(gateway_program!(), 207).shared());
     let hosts = [one.host(rows()), other.host(rows())];
     one = one.list(&[(&hosts[0], "up", "primary")]);
     other = other.list(&[(&hosts[1], "up", "primary")]).share(one.folder());
@@ -72,7 +72,7 @@
 // What its clients wait was held against the new deadline as soon as that was there.
 #[test]
 fn clients_that_do_not_know_of_a_shorter_deadline_yet_are_served() {
-    let harness = Harness::new(208);
+    let harness = Harness::new(gateway_program!(), 208);
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -103,7 +103,7 @@
         ("\"granularity_us\":5000", "\"granularity_us\":20000"),
         ("\"cancel\":true", "\"cancel\":false"),
     ];
-    let harness = Harness::new(209);
+    let harness = Harness::new(gateway_program!(), 209);
     let host = harness.host((0..50).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
     for (usual, odd) in odd {
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -1,14 +1,16 @@
 //! Daily running: the second address, draining and resuming. The program on sockets, as in `client_protocol.rs`.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    field, gateway_program, gateway_with_primary, insert, kinds, list, message, query, row, select, Client,
+    Gateway, Harness, Host, Reply,
+};
 use std::io::{Read, Write};
 
 const VIEW: &str = "view";
 
 /// A gateway at work with one host, as its operators know it.
 fn at_work(number: u8, script: Vec<Reply>) -> (Gateway, Host) {
-    let harness = Harness::new(number).ops();
+    let harness = Harness::new(gateway_program!(), number).ops();
     let host = harness.host(script);
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
@@ -57,7 +59,7 @@
 
 #[test]
 fn it_is_not_ready_without_a_host_and_stays_drained_through_a_reload() {
-    let harness = Harness::new(52).ops();
+    let harness = Harness::new(gateway_program!(), 52).ops();
     let config = harness.config();
     let gateway = harness.start();
     assert!(gateway.call(b"ready\n").starts_with("NO"));
@@ -80,7 +82,7 @@
 #[test]
 fn bad_callers_get_a_plain_no_and_keep_nobody_out() {
     // So few descriptors that clients take all that they are given.
-    let harness = Harness::new(54).ops().sockets(64);
+    let harness = Harness::new(gateway_program!(), 54).ops().sockets(64);
     let host = harness.host(vec![]);
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
@@ -106,7 +108,7 @@
 
 #[test]
 fn without_its_name_nothing_listens_and_a_bad_one_is_named() {
-    let harness = Harness::new(55);
+    let harness = Harness::new(gateway_program!(), 55);
     let config = harness.config().replacen('{', r#"{"ops":"nowhere","#, 1);
     let (code, log) = harness.start_with(&config).ended();
     assert_eq!(code, Some(2));
@@ -128,7 +130,7 @@
 
 #[test]
 fn a_class_that_is_added_serves_at_once_and_one_that_is_dropped_ends_when_clients_know() {
-    let harness = Harness::new(56).ops();
+    let harness = Harness::new(gateway_program!(), 56).ops();
     let host = harness.host((0..4).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -152,7 +154,7 @@
 
 #[test]
 fn an_open_request_keeps_the_rules_it_came_with_and_the_next_one_has_the_new() {
-    let harness = Harness::new(57).ops();
+    let harness = Harness::new(gateway_program!(), 57).ops();
     let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"again"), Reply::Close]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -173,7 +175,7 @@
 
 #[test]
 fn a_broken_file_changes_nothing_and_is_named() {
-    let harness = Harness::new(58).ops();
+    let harness = Harness::new(gateway_program!(), 58).ops();
     let host = harness.host((0..20).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -213,7 +215,7 @@
 
 #[test]
 fn a_row_of_four_mib_passes_through_a_slow_client_and_the_connection_is_used_again() {
-    let harness = Harness::new(60);
+    let harness = Harness::new(gateway_program!(), 60);
     let complete: &'static [u8] = long_row(4 << 20).leak();
     let after: &'static [u8] =
         [complete, &message(b'S', b"replication_role\0primary\0")[..], &message(b'Z', b"I")].concat().leak();
@@ -236,7 +238,7 @@
 
 #[test]
 fn a_host_that_stops_in_the_middle_of_a_long_row_ends_the_client_and_nothing_is_retried() {
-    let harness = Harness::new(61);
+    let harness = Harness::new(gateway_program!(), 61);
     let begun: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
     let host = harness.host(vec![Reply::Cut(begun), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -251,7 +253,7 @@
 
 #[test]
 fn a_row_longer_than_any_value_makes_no_sense() {
-    let harness = Harness::new(62);
+    let harness = Harness::new(gateway_program!(), 62);
     let begun: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
     let host = harness.host(vec![Reply::Bytes(begun), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -261,7 +263,8 @@
 
 #[test]
 fn a_short_answer_in_pieces_is_put_together() {
-    let (host, gateway) = gateway_with_primary(63, vec![Reply::Pieces(b"in pieces", 20, 40)]);
+    let (host, gateway) =
+        gateway_with_primary(gateway_program!(), 63, vec![Reply::Pieces(b"in pieces", 20, 40)]);
     assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
     assert_eq!(host.queries(), 1);
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,8 +1,10 @@
 //! What one deployment's settings and hosts have and another's lack: it is used, or passed over, and never a reason to
 //! fail.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    gateway_program, gateway_with_primary, kinds, parameter_status, ready_for_query, row, select, unix_ms,
+    Harness, Reply,
+};
 
 fn unix_s() -> f64 {
     unix_ms() as f64 / 1_000.0
@@ -24,8 +26,11 @@
     let ahead = format!("x0={:.3},x1=1", unix_s() + 60.0);
     let sound = format!("x0={:.3},x1=1", unix_s() - 1.0);
     let reports = ["x0=-5,x1=1", "x0=NaN", "x0=inf", "x0", "q=-1", &ahead, &sound, "inflight=7,util=0.61"];
-    let (_host, gateway) =
-        gateway_with_primary(235, reports.iter().map(|report| Reply::Bytes(with_report(report))).collect());
+    let (_host, gateway) = gateway_with_primary(
+        gateway_program!(),
+        235,
+        reports.iter().map(|report| Reply::Bytes(with_report(report))).collect(),
+    );
     let mut client = gateway.client();
     for report in reports {
         assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ", "{report}");
@@ -35,7 +40,7 @@
 
 #[test]
 fn a_keyed_class_without_its_window_is_one_sentence_and_keeps_the_old_settings() {
-    let harness = Harness::new(236);
+    let harness = Harness::new(gateway_program!(), 236);
     let host = harness.host(vec![Reply::Row(b"v")]);
     let config = harness.config();
     let without = config.replace("\"window_us\":30000000,", "");
@@ -51,7 +56,7 @@
 
 #[test]
 fn settings_that_are_not_known_are_named_once_and_change_nothing() {
-    let harness = Harness::new(237);
+    let harness = Harness::new(gateway_program!(), 237);
     let host = harness.host(vec![Reply::Row(b"v")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config().replace("\"balancers\":1,", "\"balancers\":1,\"weather\":{\"rain\":1},");
@@ -64,7 +69,7 @@
 
 #[test]
 fn a_bad_start_is_one_plain_sentence() {
-    let harness = Harness::new(17);
+    let harness = Harness::new(gateway_program!(), 17);
     let good = harness.config();
     let held = std::net::TcpListener::bind("127.77.17.1:0").expect("a free port");
     let taken = held.local_addr().expect("an address").to_string();
--- a/tests/fault_schedule.rs
+++ b/tests/fault_schedule.rs
@@ -2,17 +2,17 @@
 //! discovery, the second address and the datagrams of other gateways. After each play the clients' answers, the hosts'
 //! ledger and the gateway's counters are held against each other.
 
-mod harness;
 #[path = "../src/process/mod.rs"]
 mod process;
 
-use harness::{
-    field, insert, kinds, list, query, read_message, select, startup as startup_message, Harness, Host, Reply,
-};
 use petrelgauge::control::config::Config;
 use petrelgauge::os::inherited;
 use petrelgauge::os::signals::Signals;
 use petrelgauge::os::system_call::{set_fault_schedule, Call, Fault};
+use petrelgauge_test_support::{
+    field, gateway_program, insert, kinds, list, query, read_message, select, startup as startup_message,
+    Harness, Host, Reply,
+};
 use process::error::GatewayError;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -282,7 +282,7 @@
 
 /// Plays a seed: the calls that had a fault.
 fn play(seed: u64, breaks: bool) -> Vec<Call> {
-    let harness = Harness::new(248).ops();
+    let harness = Harness::new(gateway_program!(), 248).ops();
     let host = |role| harness.host((0..10_000).map(|_| Reply::Echo(role)).collect());
     let hosts = [host("primary"), host("standby")];
     let listed = [(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")];
--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -5,7 +5,7 @@
 use super::gateways::GatewayProcess;
 use super::hosts::Host;
 use super::{uniform, Clock, Plan, Time};
-use crate::harness::{field, query, startup};
+use petrelgauge_test_support::{field, query, startup};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
--- a/tests/faulty_fleet/gateways.rs
+++ b/tests/faulty_fleet/gateways.rs
@@ -3,7 +3,7 @@
 use super::classes;
 use super::list::EndpointList;
 use super::{Clock, Plan, Time};
-use crate::harness::{startup, ReservedPort};
+use petrelgauge_test_support::{startup, ReservedPort};
 use std::cell::{Cell, RefCell};
 use std::fs::File;
 use std::net::SocketAddr;
--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -2,8 +2,8 @@
 
 use super::classes::{by_name, CLASSES};
 use super::{uniform, Clock, Plan, Time};
-use crate::harness::{error, parameter_status, ready_for_query, row};
 use petrelgauge::postgres::{Framer, Opening};
+use petrelgauge_test_support::{error, parameter_status, ready_for_query, row};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -169,7 +169,8 @@
                 if let Some(opening) = framer.opening().ok()? {
                     let Opening::Startup { .. } = opening else { return None };
                     self.until_it_answers().await;
-                    let welcome = [crate::harness::message(b'R', &[0; 4]), ready_for_query()].concat();
+                    let welcome =
+                        [petrelgauge_test_support::message(b'R', &[0; 4]), ready_for_query()].concat();
                     stream.write_all(&welcome).await.ok()?;
                     is_open = true;
                     continue;
--- a/tests/faulty_fleet/list.rs
+++ b/tests/faulty_fleet/list.rs
@@ -3,7 +3,7 @@
 
 use super::hosts::{Host, Mode};
 use super::{Clock, Time};
-use crate::harness::{chunk, list, HEAD};
+use petrelgauge_test_support::{chunk, list, HEAD};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -1,8 +1,10 @@
 //! Customers whose hosts answer from whatever they have: the gateway alone keeps reads from old data, up to the first byte
 //! of each attempt. A host welcomes a connection only when the test says so, and meanwhile what was known of it grows old.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    field, gateway_program, insert, kinds, list, query, replace_parts, select, unix_ms,
+    with_long_connect_timeout, with_unchecked_reads, Client, Gateway, Harness, Host, ReadClass, Reply,
+};
 use std::time::Duration;
 
 /// Hosts do not look at how far behind they are. Beside any data, there are reads of data no older than 4 s, and of the
@@ -23,7 +25,7 @@
 // How old the data may be was looked at when the attempt was decided on, and not when it was written.
 #[test]
 fn a_bounded_read_is_not_sent_once_what_is_known_of_its_host_has_grown_too_old() {
-    let harness = Harness::new(210);
+    let harness = Harness::new(gateway_program!(), 210);
     let at = unix_ms();
     let host = harness.slow_host(1, vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::Row(b"old")]);
     let gateway = harness.list(&[(&host, "up", "standby")]).start_changed(unchecked);
@@ -48,7 +50,7 @@
 // The host said that it leads no more while the connection came up.
 #[test]
 fn a_read_of_the_newest_is_not_sent_to_a_host_that_has_said_meanwhile_that_it_does_not_lead() {
-    let harness = Harness::new(211);
+    let harness = Harness::new(gateway_program!(), 211);
     let host = harness.slow_host(0, vec![Reply::ReplicaAt(b"v", unix_ms()), Reply::Row(b"old")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(unchecked);
     let (mut first, mut second) = (gateway.client(), gateway.client());
@@ -72,7 +74,7 @@
 // What is fresh enough still goes out on a connection that came up late.
 #[test]
 fn a_bounded_read_is_sent_while_what_is_known_of_its_host_is_new_enough() {
-    let harness = Harness::new(212);
+    let harness = Harness::new(gateway_program!(), 212);
     let at = unix_ms();
     let script = vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::ReplicaAt(b"new", at)];
     let host = harness.slow_host(1, script);
@@ -104,7 +106,7 @@
 /// A primary that drains as soon as a write of session `a` is out there, and a replica that is known to be as new as `at`.
 /// What the primary does with the write is up to the test.
 fn a_write_out_at_a_primary_that_drains(number: u8, does: Reply, at: u64) -> (Gateway, [Host; 2], Client) {
-    let harness = Harness::new(number);
+    let harness = Harness::new(gateway_program!(), number);
     let hosts =
         [harness.host(vec![does]), harness.host((0..30).map(|_| Reply::ReplicaAt(b"replica", at)).collect())];
     let drains = harness.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
@@ -165,7 +167,7 @@
 // Known by its own answer that it does not lead, and how old its data are.
 #[test]
 fn an_answer_that_shows_by_itself_that_its_data_are_too_old_is_not_given() {
-    let harness = Harness::new(217);
+    let harness = Harness::new(gateway_program!(), 217);
     let old = unix_ms() - 60_000;
     let deposed = harness.host(vec![Reply::ReplicaAt(b"old", old)]);
     let gateway = harness.list(&[(&deposed, "up", "primary")]).start_changed(unchecked);
--- a/tests/gateway_fleet/mod.rs
+++ b/tests/gateway_fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Five processes of the program that are each other's peers, before one host.
 
-use crate::harness::*;
+use petrelgauge_test_support::*;
 use std::net::UdpSocket;
 
 pub const GATEWAYS: u16 = 5;
@@ -33,9 +33,9 @@
         peer_listen: &[String],
         peers_of: impl Fn(u16) -> Vec<String>,
     ) -> Fleet {
-        let first = Harness::new(number);
+        let first = Harness::new(gateway_program!(), number);
         let host = first.host((0..500).map(|_| Reply::RowAt(b"v", 1_700_000_000_000)).collect());
-        let others = (1..GATEWAYS).map(|place| Harness::new(number + place as u8));
+        let others = (1..GATEWAYS).map(|place| Harness::new(gateway_program!(), number + place as u8));
         let harnesses = std::iter::once(first).chain(others);
         let members = (0..GATEWAYS).zip(harnesses).map(|(place, harness)| {
             let harness = harness.list(&[(&host, "up", "primary")]).operator(file);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,15 +1,14 @@
 //! Replacing the process: two and three processes of one gateway before the same hosts and the same listening socket,
 //! with a stop, a stall or a crash of either at each step.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{gateway_program, kinds, list, select, Gateway, Harness, Host, Reply};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
 fn shared(number: u8, answers: usize) -> (Harness, Host) {
-    let harness = Harness::new(number).shared();
+    let harness = Harness::new(gateway_program!(), number).shared();
     let host = harness.host((0..answers).map(|_| Reply::Row(b"v")).collect());
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let harness = harness.updates(&[&line]);
@@ -239,7 +238,7 @@
 
 #[test]
 fn a_descriptor_that_is_no_socket_is_named() {
-    let harness = Harness::new(76);
+    let harness = Harness::new(gateway_program!(), 76);
     let config = harness.config();
     for (text, cause) in
         [("three", "is not the number of a descriptor"), ("1", "is not the number"), ("999", "GW_ACCEPT_FD")]
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,8 +1,10 @@
 //! A client that leaves while its request waits: from then on nothing of it goes out. Each test forces the crossing by
 //! the order of events, with a host that welcomes a connection only when the test says so.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    chunk, field, gateway_program, insert, kinds, list, message, query, select, startup, Client, Gateway,
+    Harness, Reply, Step, HEAD,
+};
 use std::time::Duration;
 
 /// Bytes of a value that takes its statement near the longest message, and how many of them follow a query: several reads,
@@ -56,7 +58,7 @@
         for how in WAYS {
             for cancel in [false, true] {
                 scope.spawn(move || {
-                    let harness = Harness::new(number);
+                    let harness = Harness::new(gateway_program!(), number);
                     let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
                     let harness = harness.list(&[(&host, "up", "primary")]);
                     let config = config(&harness, cancel);
@@ -93,7 +95,7 @@
 #[test]
 fn a_query_behind_another_is_not_sent_when_their_client_leaves() {
     for (number, how) in (156..).zip(WAYS) {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"third")]);
         let gateway = harness.list(&[(&host, "up", "primary")]).start();
         let mut client = gateway.client();
@@ -113,7 +115,7 @@
 #[test]
 fn a_request_that_waits_for_a_host_is_forgotten_with_its_client() {
     for (number, how) in (160..).zip(WAYS) {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let host = harness.host(vec![Reply::Row(b"second")]);
         let up = harness.entries(&[(&host, "up", "primary")]);
         let harness = harness.list(&[(&host, "draining", "primary")]);
@@ -145,7 +147,7 @@
 #[test]
 fn a_client_that_sends_much_at_once_and_goes_leaves_nothing_behind() {
     for (number, how) in (164..).zip([Leave::Fin, Leave::Reset]) {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
         let config = config(&harness, false);
@@ -172,7 +174,7 @@
 
 #[test]
 fn a_request_that_its_client_cancels_is_not_sent_and_no_other_key_cancels_it() {
-    let harness = Harness::new(234);
+    let harness = Harness::new(gateway_program!(), 234);
     let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = config(&harness, true);
@@ -227,7 +229,7 @@
 // The wait for the cancel began anew behind each other event, and a cancel in the turn of one was lost.
 #[test]
 fn a_cancel_in_the_turn_in_which_an_attempt_breaks_leaves_no_retry() {
-    let harness = Harness::new(238);
+    let harness = Harness::new(gateway_program!(), 238);
     let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut client, (process, secret)) = client_with_key(&gateway);
@@ -250,7 +252,7 @@
 #[test]
 fn a_query_with_much_unread_behind_it_is_not_sent_when_its_client_has_left() {
     for (number, how) in (239..).zip([Leave::Fin, Leave::Reset]) {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let script = std::iter::repeat_with(|| Reply::Row(b"any")).take(WARM_QUERIES + 2);
         let host = harness.host(script.collect());
         let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -278,7 +280,7 @@
 #[test]
 fn a_retry_that_is_due_with_a_reload_is_not_made_when_its_client_has_left() {
     for (number, how) in (241..).zip(WAYS) {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
         let config = config(&harness, false);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,7 +1,6 @@
 //! Descriptors that run out: idle clients make room, and a request on its way still gets its one final answer.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{gateway_program, kinds, query, select, Client, Harness, Reply};
 
 /// The gateway keeps 40 descriptors for itself: with so many more, clients and hosts share three.
 const THREE: usize = 43;
@@ -12,7 +11,7 @@
 
 #[test]
 fn a_request_that_finds_no_descriptor_for_its_connection_is_sent_when_one_is_free() {
-    let harness = Harness::new(213).sockets(THREE);
+    let harness = Harness::new(gateway_program!(), 213).sockets(THREE);
     let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut first, mut second) = (gateway.client(), gateway.client());
@@ -31,7 +30,7 @@
 // the requests of the others never reached the gateway.
 #[test]
 fn idle_clients_beyond_a_quarter_of_the_descriptors_are_closed() {
-    let gateway = Harness::new(38).sockets(100).start();
+    let gateway = Harness::new(gateway_program!(), 38).sockets(100).start();
     let clients: Vec<Client> = (0..45)
         .map(|_| {
             let mut client = gateway.client();
@@ -46,7 +45,7 @@
 
 #[test]
 fn more_idle_clients_than_descriptors_make_room_for_the_one_that_asks() {
-    let harness = Harness::new(14);
+    let harness = Harness::new(gateway_program!(), 14);
     let host = harness.host(vec![Reply::Row(b"v")]);
     let gateway = harness.sockets(50).list(&[(&host, "up", "primary")]).start();
     let idle: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,14 +2,13 @@
 //! and restarted. Their effects are read outside of them, by a sixth address among their peers.
 
 mod gateway_fleet;
-mod harness;
 mod lease_ledger;
 
 use gateway_fleet::GATEWAYS;
-use harness::*;
 use lease_ledger::*;
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, QuotaReport, Thousandths};
 use petrelgauge_ownership::{LeaseHolder, Message, Notification, ReceivedMessage, Settings, Term};
+use petrelgauge_test_support::{gateway_program, kinds, select, Harness};
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -117,14 +116,14 @@
         ("duties: [\"scouts\"]", "duties are"),
         ("drift_percent: 18\n  duties: [\"shares\"]", "shares need a lower drift"),
     ];
-    let harness = Harness::new(110);
+    let harness = Harness::new(gateway_program!(), 110);
     let config = harness.config();
     for (line, cause) in cases {
         let key = line.split(':').next().expect("a key");
         let mut lines: Vec<&str> = FILE.lines().filter(|one| !one.trim_start().starts_with(key)).collect();
         lines.insert(1, line);
         let file = lines.join("\n");
-        let harness = Harness::new(110).operator(&file);
+        let harness = Harness::new(gateway_program!(), 110).operator(&file);
         let (code, log) = harness.start_with(&config).ended();
         assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
         assert!(log.contains(".cue:") && log.contains(cause), "{log} should name {cause}");
@@ -255,7 +254,7 @@
 // listens: its number says which of them it is.
 #[test]
 fn a_gateway_listed_under_another_address_is_known_by_its_number() {
-    let harness = Harness::new(124).operator(FILE);
+    let harness = Harness::new(gateway_program!(), 124).operator(FILE);
     let heard = UdpSocket::bind("127.77.124.7:0").expect("a free port");
     let other = UdpSocket::bind("127.77.124.7:0").expect("a free port");
     heard.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -2,14 +2,15 @@
 //! which its session would find too old.
 
 mod facade_simulation;
-mod harness;
 
 use facade_simulation::*;
-use harness::{gateway_with_primary, insert, kinds, select, unix_ms, Harness, Reply};
 use petrelgauge::facade::{Attempt, Outcome, Ticket};
 use petrelgauge::settings::operator::Operator;
 use petrelgauge::*;
 use petrelgauge_sessions::{BroadcastEntry, BroadcastSender, Token, Watermark, WatermarkBroadcast};
+use petrelgauge_test_support::{
+    gateway_program, gateway_with_primary, insert, kinds, select, unix_ms, Harness, Reply,
+};
 use std::future::Future;
 use std::pin::pin;
 use tokio_postgres::error::SqlState;
@@ -134,7 +135,7 @@
 
 #[test]
 fn a_client_library_receives_the_token_and_hands_it_back() {
-    let harness = Harness::new(60);
+    let harness = Harness::new(gateway_program!(), 60);
     let commit = unix_ms();
     let script = vec![
         Reply::RowAt(b"written", commit),
@@ -192,7 +193,7 @@
 // The one host that there is stays behind: refused in time, but never served from it.
 #[test]
 fn rather_no_answer_than_an_old_one() {
-    let harness = Harness::new(61);
+    let harness = Harness::new(gateway_program!(), 61);
     let old = unix_ms() - 60_000;
     let host = harness.host((0..100).map(|_| Reply::ReplicaAt(b"old", old)).collect());
     let gateway = harness.list(&[(&host, "up", "standby")]).operator(OPERATOR).start();
@@ -205,7 +206,7 @@
 
 #[test]
 fn without_an_operators_file_no_token_is_issued_or_accepted() {
-    let (_host, gateway) = gateway_with_primary(62, vec![Reply::Row(b"one")]);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), 62, vec![Reply::Row(b"one")]);
     let mut client = gateway.client();
     assert_eq!(kinds(&client.ask(&select("a", "view", 5000))), "TDCZ", "no token is issued");
     assert_eq!(kinds(&client.ask("SET petrelgauge.mark = 'x'")), "CZ", "as any other setting");
@@ -233,7 +234,7 @@
         [("\"view\"", "one class that writes"), ("\"view\", \"nope\"", "no class")].iter().enumerate()
     {
         let text = format!("sessions: {{classes: [{classes}], secret: \"1\"}}\n");
-        let harness = Harness::new(63 + number as u8).operator(&text);
+        let harness = Harness::new(gateway_program!(), 63 + number as u8).operator(&text);
         let (code, log) = harness.start_with(&harness.config()).ended();
         assert_eq!(code, Some(2), "{log}");
         assert!(log.contains(cause) && log.trim().lines().count() == 1, "{log}");
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_duties.rs
@@ -2,10 +2,9 @@
 //! them, over which datagrams get lost, one way or both. Owners are killed, stand still, and are cut off with their region.
 
 mod gateway_fleet;
-mod harness;
 
 use gateway_fleet::{peer_addresses, Fleet, GATEWAYS};
-use harness::*;
+use petrelgauge_test_support::{kinds, select};
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -1,8 +1,10 @@
 //! Peers that send one byte at a time: clients, hosts, discovery and operators. The program on sockets, as in
 //! `client_protocol.rs`; each test has a loopback address of its own.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    chunk, gateway_program, gateway_with_primary, kinds, list, query, select, startup, Harness, Reply, Step,
+    HEAD,
+};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
@@ -33,8 +35,11 @@
 
 #[test]
 fn a_client_and_a_host_that_send_one_byte_at_a_time_understand_each_other() {
-    let (host, gateway) =
-        gateway_with_primary(245, vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)]);
+    let (host, gateway) = gateway_with_primary(
+        gateway_program!(),
+        245,
+        vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)],
+    );
     let mut client = TcpStream::connect(gateway.address()).expect("it accepts");
     write_bytes_apart(&mut client, &startup());
     read_until(&mut client, b'Z');
@@ -49,7 +54,7 @@
 
 #[test]
 fn a_list_that_comes_one_byte_at_a_time_is_used() {
-    let harness = Harness::new(246);
+    let harness = Harness::new(gateway_program!(), 246);
     let rows = |value| (0..20).map(|_| Reply::Row(value)).collect();
     let hosts = [harness.host(rows(b"drains")), harness.host(rows(b"stays"))];
     let entries =
@@ -70,7 +75,7 @@
 
 #[test]
 fn an_operations_call_that_comes_one_byte_at_a_time_is_answered() {
-    let harness = Harness::new(247).ops();
+    let harness = Harness::new(gateway_program!(), 247).ops();
     let host = harness.host(vec![]);
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -7,7 +7,6 @@
 //! were allowed: 1.60 and 1.98 of the bound (seeds 1 and 3, one play each).
 
 mod faulty_fleet;
-mod harness;
 
 use faulty_fleet::{play, rules, Plan, SlowStart};
 use std::time::Duration;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -5,7 +5,6 @@
 //! them again; `SOAK_BESIDE` says how many at a time (2), `FLEET_LOG=debug` what gateways log.
 
 mod faulty_fleet;
-mod harness;
 
 use faulty_fleet::schedule::Schedule;
 use faulty_fleet::{play, rules};
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -1,7 +1,9 @@
 //! Discovery that is away: at a start, while hosts begin to drain, and while idle clients hold all descriptors.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    chunk, gateway_program, kinds, list, select, Client, Gateway, Harness, Host, Reply, ReservedPort,
+    ScriptedDiscovery, Step, HEAD,
+};
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
@@ -27,7 +29,7 @@
 
 impl Refused {
     fn new(number: u8, sockets: usize) -> Refused {
-        let harness = Harness::new(number).sockets(sockets);
+        let harness = Harness::new(gateway_program!(), number).sockets(sockets);
         let rows = |value| (0..40).map(|_| Reply::Row(value)).collect();
         let hosts = [harness.host(rows(b"old")), harness.host(rows(b"new"))];
         let drained = harness.entries(&[(&hosts[0], "draining", "standby"), (&hosts[1], "up", "primary")]);
@@ -83,7 +85,7 @@
 fn a_gateway_with_a_complete_list_is_ready_in_time_while_discovery_is_slow_or_refuses() {
     const HOSTS: usize = 120;
     for (number, refuses) in [(232, false), (233, true)] {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let host = harness.host(vec![]);
         let hosts = vec![(&host, "up", "standby"); HOSTS];
         let harness = harness.list(&hosts);
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -2,12 +2,13 @@
 //! positions and starts are shifted here, and the machine's clock is left alone.
 
 mod facade_simulation;
-mod harness;
 
 use facade_simulation::*;
-use harness::*;
 use petrelgauge::facade::{Attempt, Outcome, Ticket};
 use petrelgauge::*;
+use petrelgauge_test_support::{
+    gateway_program, insert, kinds, select, unix_ms, with_unchecked_reads, Harness, ReadClass, Reply,
+};
 
 /// How far the hosts' clock is ahead of the gateway's (milliseconds).
 const SHIFTS_MS: [i64; 7] = [0, 3_000, 60_000, 3_600_000, -3_000, -60_000, -3_600_000];
@@ -23,7 +24,7 @@
 /// What answered so many bounded reads, one after the other, from a primary, a fresh replica and one whose data are about as
 /// old as the machine's clock is behind the hosts'.
 fn bounded_reads(number: u8, shift_ms: i64, count: usize) -> [usize; 3] {
-    let harness = Harness::new(number);
+    let harness = Harness::new(gateway_program!(), number);
     let stale_ms = shift_ms.max(3_000) - 200;
     let primary = || Reply::Delayed(PRIMARY_DELAY_MS, Box::new(Reply::RowByClock(b"primary", shift_ms)));
     let hosts = [
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,8 +1,9 @@
 //! A watch of discovery that dies, falls silent or brings what cannot be used: its updates are not lost. Each
 //! source follows a script, byte by byte.
 
-mod harness;
-use harness::*;
+use petrelgauge_test_support::{
+    chunk, gateway_program, kinds, list, select, Gateway, Harness, Host, Reply, ScriptedDiscovery, Step, HEAD,
+};
 
 const COMPLETE_LIST: &str = "GET /discovery/hosts HTTP/1.1";
 
@@ -15,7 +16,7 @@
 
 impl Watched {
     fn new(number: u8, scripts: impl Fn(&HostEntries) -> Vec<Vec<Step>>) -> Watched {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let rows = |value| (0..40).map(|_| Reply::Row(value)).collect();
         let hosts = [harness.host(rows(b"old")), harness.host(rows(b"new"))];
         let entries =
@@ -205,7 +206,7 @@
 #[test]
 fn an_update_on_an_earlier_run_of_a_host_is_ignored_everywhere() {
     for (number, phase) in [(188, "removed"), (189, "up")] {
-        let harness = Harness::new(number);
+        let harness = Harness::new(gateway_program!(), number);
         let (host, nobody) =
             (harness.host((0..9).map(|_| Reply::Row(b"v")).collect()), harness.closed_host());
         let runs = |host: &Host, phase: &str, since: u64| {
