--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,6 +2,7 @@
 //! with a stop, a stall or a crash of either at each step.
 
 use petrelgauge_test_support::{gateway_program, kinds, list, select, Gateway, Harness, Host, Reply};
+use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::thread;
@@ -59,6 +60,13 @@
     }
 }
 
+/// The processes that have files in a folder of handover records: the file names without their suffixes. A process that
+/// replaces its record has a half-written one beside it.
+fn processes_with_files(folder: impl AsRef<std::path::Path>) -> BTreeSet<String> {
+    let entries = std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+    entries.map(|path| path.file_stem().expect("a name").to_string_lossy().into_owned()).collect()
+}
+
 #[test]
 fn a_process_takes_over_under_load_and_no_request_is_lost() {
     let (mut harness, _host) = shared(70, 200_000);
@@ -68,6 +76,8 @@
     load.goes_on();
     // Its record tells what it has learned by now.
     thread::sleep(Duration::from_millis(600));
+    let before = processes_with_files(harness.folder());
+    assert_eq!(before.len(), 1, "{before:?}");
     let new = harness.beside();
     new.call_until(b"ready\n", "YES");
     old.line_with("sibling processes changed live=1");
@@ -76,8 +86,9 @@
     load.goes_on();
     load.end();
     new.wait_for("requests=", |count| count > 0);
-    let left = std::fs::read_dir(harness.folder()).expect("a folder").count();
-    assert_eq!(left, 1, "the old one removed its record");
+    let remaining = processes_with_files(harness.folder());
+    assert_eq!(remaining.len(), 1, "{remaining:?}");
+    assert!(remaining.is_disjoint(&before), "the old one removed its record: {remaining:?}");
 }
 
 #[test]
