--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -1,7 +1,7 @@
 //! The program, as it runs, and its clients.
 
 use crate::messages::{kinds, query, read_message, startup};
-use crate::port::ReservedPort;
+use crate::network::ReservedPort;
 use crate::time::NEVER;
 use petrelgauge_lifecycle::client::{MAX_BACKOFF, MIN_BACKOFF};
 use std::cell::RefCell;
--- a/crates/test-support/src/harness.rs
+++ b/crates/test-support/src/harness.rs
@@ -3,7 +3,7 @@
 use crate::discovery::{list, source, watch};
 use crate::gateway::Gateway;
 use crate::host::Host;
-use crate::port::ReservedPort;
+use crate::network::{LoopbackNetwork, ReservedPort};
 use crate::program::GatewayProgram;
 use crate::reply::Reply;
 use crate::scripted_discovery::{ScriptedDiscovery, Step};
@@ -16,10 +16,15 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
+/// Last byte of the address of database hosts, discovery and operators.
+const PEERS_HOST: u8 = 1;
+/// Last byte of the address of the gateway.
+const GATEWAY_HOST: u8 = 2;
+
 /// What a test sets up before the gateway starts.
 pub struct Harness {
     program: GatewayProgram,
-    ip: String,
+    network: LoopbackNetwork,
     /// Where the gateway is to listen.
     pub listen: String,
     /// The ports of its gateways, for as long as the harness or one of them is there.
@@ -35,15 +40,15 @@
 }
 
 impl Harness {
-    /// Each test has a number, and with it an address, of its own.
-    pub fn new(program: GatewayProgram, number: u8) -> Harness {
-        let ip = format!("127.77.{number}.1");
-        let discovery = TcpListener::bind((ip.as_str(), 0)).expect("a free port");
-        let port = ReservedPort::at(&format!("127.77.{number}.2"));
+    /// A harness for this program, in a loopback network of its own.
+    pub fn new(program: GatewayProgram) -> Harness {
+        let network = LoopbackNetwork::claim();
+        let discovery = network.tcp_listener(PEERS_HOST);
+        let port = ReservedPort::at(network.address(GATEWAY_HOST));
         let listen = port.address();
         Harness {
             program,
-            ip,
+            network,
             listen,
             ports: vec![Rc::new(port)],
             discovery,
@@ -57,18 +62,23 @@
         }
     }
 
+    /// The network of all its addresses.
+    pub fn network(&self) -> LoopbackNetwork {
+        self.network
+    }
+
     pub fn host(&self, script: Vec<Reply>) -> Host {
-        Host::start(&self.ip, script)
+        Host::start(self.network.address(PEERS_HOST), script)
     }
 
     /// A host that welcomes no connection, from this one on, before the test says so.
     pub fn slow_host(&self, from: usize, script: Vec<Reply>) -> Host {
-        Host::slow_from(&self.ip, script, from)
+        Host::slow_from(self.network.address(PEERS_HOST), script, from)
     }
 
     /// A host at whose address nobody listens.
     pub fn closed_host(&self) -> Host {
-        let port = ReservedPort::at(&self.ip);
+        let port = ReservedPort::at(self.network.address(PEERS_HOST));
         let address = port.address();
         let (seen, ended, came) = (channel().1, channel().1, channel().1);
         Host { address, seen, ended, came, go: channel().0, count: Cell::new(0), _closed_port: Some(port) }
@@ -159,7 +169,7 @@
 
     /// A further port that is free for a gateway of this harness: its address.
     pub fn reserve_port(&mut self) -> String {
-        let port = ReservedPort::at(&self.ip);
+        let port = ReservedPort::at(self.network.address(PEERS_HOST));
         let address = port.address();
         self.ports.push(Rc::new(port));
         address
@@ -254,7 +264,7 @@
 
     /// A further source of discovery that brings these lines: its address, and the heads of its watches.
     pub fn other_source(&self, updates: &[&str]) -> (String, Receiver<String>) {
-        let listener = TcpListener::bind((self.ip.as_str(), 0)).expect("a free port");
+        let listener = self.network.tcp_listener(PEERS_HOST);
         let address = listener.local_addr().expect("an address").to_string();
         let updates = updates.iter().map(|line| line.to_string()).collect();
         let (watches, end) = source(listener, updates, Vec::new());
@@ -265,8 +275,8 @@
 }
 
 /// A gateway that serves before one host, the primary, which follows this script.
-pub fn gateway_with_primary(program: GatewayProgram, number: u8, script: Vec<Reply>) -> (Host, Gateway) {
-    let harness = Harness::new(program, number);
+pub fn gateway_with_primary(program: GatewayProgram, script: Vec<Reply>) -> (Host, Gateway) {
+    let harness = Harness::new(program);
     let host = harness.host(script);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     (host, gateway)
--- a/crates/test-support/src/host.rs
+++ b/crates/test-support/src/host.rs
@@ -1,12 +1,12 @@
 //! A database host that takes one query after the other from its script.
 
 use crate::messages::{message, read_message, ready_for_query, row};
-use crate::port::ReservedPort;
+use crate::network::ReservedPort;
 use crate::reply::Reply;
 use crate::time::NEVER;
 use std::cell::Cell;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -25,12 +25,12 @@
 }
 
 impl Host {
-    pub(crate) fn start(ip: &str, script: Vec<Reply>) -> Host {
+    pub(crate) fn start(ip: Ipv4Addr, script: Vec<Reply>) -> Host {
         Host::slow_from(ip, script, usize::MAX)
     }
 
     /// From this connection on, counted from 0, it welcomes none before the test says so.
-    pub(crate) fn slow_from(ip: &str, script: Vec<Reply>, slow_from: usize) -> Host {
+    pub(crate) fn slow_from(ip: Ipv4Addr, script: Vec<Reply>, slow_from: usize) -> Host {
         let listener = TcpListener::bind((ip, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
         let ((saw, seen), (end, ended), (go, gone), (come, came)) =
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -7,7 +7,7 @@
 mod harness;
 mod host;
 mod messages;
-mod port;
+mod network;
 mod program;
 mod reply;
 mod scripted_discovery;
@@ -22,7 +22,7 @@
     error, field, insert, kinds, message, parameter_status, query, read_message, ready_for_query, row,
     select, startup,
 };
-pub use port::ReservedPort;
+pub use network::{LoopbackNetwork, ReservedPort};
 pub use program::GatewayProgram;
 pub use reply::Reply;
 pub use scripted_discovery::{chunk, ScriptedDiscovery, Step, HEAD};
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -7,10 +7,9 @@
 
 #[test]
 fn a_read_that_broke_goes_out_again_and_so_does_a_keyed_write() {
-    for (number, text) in [(7, select("a", "view", 20000)), (8, insert("a", 20000))] {
+    for text in [select("a", "view", 20000), insert("a", 20000)] {
         let (host, gateway) = gateway_with_primary(
             gateway_program!(),
-            number,
             vec![Reply::Close, Reply::Error("25006"), Reply::Row(b"v")],
         );
         assert_eq!(kinds(&gateway.client().ask(&text)), "TDCZ");
@@ -22,7 +21,7 @@
 
 #[test]
 fn a_read_nobody_can_take_is_refused_with_a_hint() {
-    let harness = Harness::new(gateway_program!(), 9);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![]);
     let gateway = harness.list(&[(&host, "draining", "primary")]).start();
     let answer = gateway.client().ask(&select("a", "view", 200));
@@ -33,7 +32,7 @@
 
 #[test]
 fn a_write_whose_attempt_may_have_run_fails_and_is_not_refused() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), 10, vec![Reply::Nothing, Reply::Nothing]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Nothing, Reply::Nothing]);
     let answer = gateway.client().ask(&insert("a", 2000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "40003"));
     host.next_query();
@@ -45,17 +44,17 @@
 fn a_write_that_never_ran_is_refused_and_one_that_may_have_run_fails() {
     let endless = |say: fn() -> Reply| std::iter::repeat_with(say).take(8).collect::<Vec<_>>();
     let cases = [
-        (18, Some(endless(|| Reply::Close)), "40003"),
-        (19, Some(endless(|| Reply::Error("XX000"))), "40003"),
-        (20, Some(endless(|| Reply::Error("53300"))), "53300"),
-        (21, Some(endless(|| Reply::Error("25006"))), "53300"),
+        (Some(endless(|| Reply::Close)), "40003"),
+        (Some(endless(|| Reply::Error("XX000"))), "40003"),
+        (Some(endless(|| Reply::Error("53300"))), "53300"),
+        (Some(endless(|| Reply::Error("25006"))), "53300"),
         // Nobody listens there any more.
-        (22, None, "53300"),
+        (None, "53300"),
     ];
     std::thread::scope(|scope| {
-        for (number, script, code) in cases {
+        for (script, code) in cases {
             scope.spawn(move || {
-                let harness = Harness::new(gateway_program!(), number);
+                let harness = Harness::new(gateway_program!());
                 let host = script.map_or_else(|| harness.closed_host(), |script| harness.host(script));
                 let gateway = harness.list(&[(&host, "up", "primary")]).start();
                 let answer = gateway.client().ask(&insert("a", 2000));
@@ -67,7 +66,7 @@
 
 #[test]
 fn a_client_that_disconnects_has_its_attempt_cancelled() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), 11, vec![Reply::Nothing]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Nothing]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", 60_000)));
     host.next_query();
@@ -87,11 +86,10 @@
         b"D\0\0\0\x0b\0\x01\0\0\0\x01vZ\0\0\0\x05I",
     ];
     std::thread::scope(|scope| {
-        for (number, bytes) in (30..).zip(malformed) {
+        for bytes in malformed {
             scope.spawn(move || {
                 let (host, gateway) = gateway_with_primary(
                     gateway_program!(),
-                    number,
                     vec![Reply::Bytes(bytes), Reply::Row(b"complete")],
                 );
                 let answer = gateway.client().ask(&select("a", "view", 20000));
@@ -105,7 +103,7 @@
 // The surplus may come when the connection is idle already. It is nobody's answer.
 #[test]
 fn what_comes_behind_an_answer_is_not_the_next_one() {
-    let harness = Harness::new(gateway_program!(), 35);
+    let harness = Harness::new(gateway_program!());
     let copy: &[u8] = b"C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I";
     let script = (0..6).flat_map(|_| [Reply::Surplus(b"one", copy), Reply::Row(b"two")]).collect();
     let host = harness.host(script);
@@ -129,7 +127,7 @@
         Reply::RowAt(b"two", 6),
         Reply::RowAt(b"two", 7),
     ];
-    let (_host, gateway) = gateway_with_primary(gateway_program!(), 37, script);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), script);
     let mut client = gateway.client();
     client.write(&[query(&select("a", "view", 20000)), query(&select("b", "view", 20000))].concat());
     assert_eq!(client.until_ready()[1].1[6..], *b"one");
@@ -143,7 +141,7 @@
 #[test]
 fn two_misses_that_are_alike_are_two_misses() {
     let script = vec![Reply::ErrorAt("25006", 5), Reply::ErrorAt("25006", 5), Reply::RowAt(b"one", 6)];
-    let (_host, gateway) = gateway_with_primary(gateway_program!(), 39, script);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), script);
     let answer = gateway.client().ask(&insert("a", 20000));
     assert_eq!(answer[1].1[6..], *b"one");
     gateway.wait_for_counter("Served=1 Rejected=2");
@@ -152,7 +150,7 @@
 // Whatever the gateway overlooks, a host may not: its reply is the answer, and no further host is asked.
 #[test]
 fn a_statement_that_a_host_cannot_use_is_answered_at_once() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), 36, vec![Reply::Error("08P01")]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Error("08P01")]);
     let answer = gateway.client().ask(&insert("a", 20000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "08P01"));
     assert_eq!(host.queries(), 1);
--- a/tests/client_protocol.rs
+++ b/tests/client_protocol.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn an_empty_query_admits_the_gateway_and_encryption_is_declined() {
-    let gateway = Harness::new(gateway_program!(), 1).start();
+    let gateway = Harness::new(gateway_program!()).start();
     let mut client = gateway.raw_client();
     client.write(&[0, 0, 0, 8, 4, 210, 22, 47]);
     assert_eq!(client.bytes(1), b"N");
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_value_comes_back_as_the_host_gave_it_and_the_statement_goes_on_unaltered() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), 2, vec![Reply::Row(b"\x00\xffvalue")]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"\x00\xffvalue")]);
     let mut client = gateway.client();
     let text = select("it''s /* no comment */", "view", 5000);
     let answer = client.ask(&text);
@@ -41,7 +41,7 @@
 fn the_largest_values_pass_both_ways() {
     static VALUE: [u8; 65536] = [b'v'; 65536];
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), 24, vec![Reply::Row(&VALUE), Reply::Row(&VALUE)]);
+        gateway_with_primary(gateway_program!(), vec![Reply::Row(&VALUE), Reply::Row(&VALUE)]);
     let mut client = gateway.client();
     assert!(client.ask(&select("a", "view", 20000))[1].1.ends_with(&VALUE));
     host.next_query();
@@ -54,7 +54,6 @@
 fn pipelined_queries_are_answered_in_order() {
     let (_host, gateway) = gateway_with_primary(
         gateway_program!(),
-        3,
         vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")],
     );
     let mut client = gateway.client();
@@ -68,7 +67,7 @@
 
 #[test]
 fn what_cannot_be_used_is_an_error_that_keeps_the_connection() {
-    let (_host, gateway) = gateway_with_primary(gateway_program!(), 4, vec![Reply::Row(b"v")]);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"v")]);
     let mut client = gateway.client();
     let good = select("a", "view", 5000);
     let bad = [
@@ -89,7 +88,7 @@
 
 #[test]
 fn extended_queries_are_declined_up_to_sync() {
-    let gateway = Harness::new(gateway_program!(), 5).start();
+    let gateway = Harness::new(gateway_program!()).start();
     let mut client = gateway.client();
     let parts = [message(b'P', b"\0SELECT 1\0\0\0"), message(b'E', b"\0\0\0\0\0"), message(b'S', b"")];
     client.write(&parts.concat());
@@ -100,7 +99,7 @@
 
 #[test]
 fn malformed_bytes_end_the_connection_with_the_reason() {
-    let gateway = Harness::new(gateway_program!(), 6).start();
+    let gateway = Harness::new(gateway_program!()).start();
     for bytes in [&b"Q\xff\xff\xff\xff"[..], b"!\0\0\0\x04", b"Q\0\0\0\x09a\0b\0\0", b"Q\0\0\0\x05a"] {
         let mut client = gateway.client();
         client.write(bytes);
@@ -114,7 +113,7 @@
 // Each of them would keep a descriptor for as long as it likes, or until its query's time is over.
 #[test]
 fn clients_that_say_nothing_or_do_not_finish_are_cut_off() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), 26, vec![Reply::Nothing]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Nothing]);
     let mut silent = gateway.raw_client();
     let mut half_a_startup = gateway.raw_client();
     half_a_startup.write(&startup()[..9]);
@@ -140,7 +139,7 @@
 // What is sent must be read to the end, or the reset takes the reason away.
 #[test]
 fn a_value_of_60_mb_is_rejected_with_the_reason() {
-    let gateway = Harness::new(gateway_program!(), 28).start();
+    let gateway = Harness::new(gateway_program!()).start();
     let mut client = gateway.client();
     let length = 60_000_000u32;
     client.write(&[&b"Q"[..], &length.to_be_bytes(), &vec![b'x'; length as usize - 4]].concat());
@@ -150,7 +149,7 @@
 #[test]
 fn an_id_is_taken_once_while_its_request_is_open() {
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), 29, vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
+        gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
     let (mut first, text) = (gateway.client(), select("a", "view", 20000));
     first.write(&query(&text));
     host.next_query();
@@ -163,7 +162,7 @@
 
 #[test]
 fn counters_come_on_request() {
-    let gateway = Harness::new(gateway_program!(), 16).start();
+    let gateway = Harness::new(gateway_program!()).start();
     gateway.client();
     gateway.wait_for_counter("clients=1");
 }
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -23,7 +23,7 @@
 // Both were dropped when the span in which the first could be answered was over.
 #[test]
 fn queries_before_malformed_bytes_are_answered_before_the_connection_ends() {
-    let harness = Harness::new(gateway_program!(), 240);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Nothing]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
@@ -40,7 +40,7 @@
 
 #[test]
 fn queries_before_malformed_bytes_are_served_where_their_host_is_quick() {
-    let harness = Harness::new(gateway_program!(), 241);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"one"), Reply::Row(b"two")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
@@ -55,7 +55,7 @@
 #[test]
 fn an_answer_that_is_taken_slowly_outlives_the_stop_and_a_query_behind_it() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
-    let harness = Harness::new(gateway_program!(), 242);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::WaitForGo(&VALUE)]);
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut idle, mut client) = (gateway.client(), gateway.narrow_client());
@@ -80,7 +80,7 @@
 #[test]
 fn an_answer_that_is_taken_slowly_outlives_the_closing_for_age_and_a_query_behind_it() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
-    let harness = Harness::new(gateway_program!(), 247);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(&VALUE)]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.narrow_client();
@@ -111,7 +111,7 @@
 #[test]
 fn a_query_in_one_segment_with_the_startup_message_is_answered_or_not_read_while_the_gateway_stops() {
     const CLIENTS: usize = 150;
-    let harness = Harness::new(gateway_program!(), 243);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host((0..CLIENTS).map(|_| Reply::Row(b"v")).collect());
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut clients = Vec::new();
@@ -135,19 +135,19 @@
 
 #[test]
 fn a_query_in_one_segment_with_the_startup_message_is_answered_or_not_read_while_clients_are_shed() {
-    queries_while_clients_are_shed(244, Duration::ZERO);
+    queries_while_clients_are_shed(Duration::ZERO);
 }
 
 // By the time a client writes, its connection may be closed already.
 #[test]
 fn a_query_sent_after_its_connection_was_shed_is_not_read() {
-    queries_while_clients_are_shed(246, Duration::from_millis(300));
+    queries_while_clients_are_shed(Duration::from_millis(300));
 }
 
 /// Opens more connections than the gateway may hold, and sends a query on each after this pause.
-fn queries_while_clients_are_shed(number: u8, pause: Duration) {
+fn queries_while_clients_are_shed(pause: Duration) {
     const CLIENTS: usize = 60;
-    let harness = Harness::new(gateway_program!(), number).sockets(50);
+    let harness = Harness::new(gateway_program!()).sockets(50);
     let host = harness.host((0..CLIENTS).map(|_| Reply::Row(b"v")).collect());
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let idle: Vec<Client> = (0..30).map(|_| gateway.raw_client()).collect();
@@ -168,7 +168,7 @@
 // The second query was read with the startup message, long before the gateway began to close its clients.
 #[test]
 fn queries_in_one_segment_with_the_startup_message_are_all_answered_in_a_stop() {
-    let harness = Harness::new(gateway_program!(), 245);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut idle, mut client) = (gateway.client(), gateway.raw_client());
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -11,7 +11,7 @@
 // A signal that nobody listened to yet ended the process: a new configuration, signalled to an entire fleet while it starts.
 #[test]
 fn a_new_configuration_that_is_signalled_while_the_old_one_is_read_is_read_too() {
-    let harness = Harness::new(gateway_program!(), 205);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -36,7 +36,7 @@
 #[test]
 fn records_of_another_gateway_are_ignored() {
     let (mut one, mut other) =
-        (Harness::new(gateway_program!(), 206).shared(), Harness::new(gateway_program!(), 207).shared());
+        (Harness::new(gateway_program!()).shared(), Harness::new(gateway_program!()).shared());
     let hosts = [one.host(rows()), other.host(rows())];
     one = one.list(&[(&hosts[0], "up", "primary")]);
     other = other.list(&[(&hosts[1], "up", "primary")]).share(one.folder());
@@ -72,7 +72,7 @@
 // What its clients wait was held against the new deadline as soon as that was there.
 #[test]
 fn clients_that_do_not_know_of_a_shorter_deadline_yet_are_served() {
-    let harness = Harness::new(gateway_program!(), 208);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -103,7 +103,7 @@
         ("\"granularity_us\":5000", "\"granularity_us\":20000"),
         ("\"cancel\":true", "\"cancel\":false"),
     ];
-    let harness = Harness::new(gateway_program!(), 209);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host((0..50).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
     for (usual, odd) in odd {
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -9,8 +9,8 @@
 const VIEW: &str = "view";
 
 /// A gateway at work with one host, as its operators know it.
-fn at_work(number: u8, script: Vec<Reply>) -> (Gateway, Host) {
-    let harness = Harness::new(gateway_program!(), number).ops();
+fn at_work(script: Vec<Reply>) -> (Gateway, Host) {
+    let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host(script);
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_drained_gateway_says_no_closes_idle_clients_and_answers_what_it_took() {
-    let (gateway, host) = at_work(50, vec![Reply::WaitForGo(b"late"), Reply::Row(b"new")]);
+    let (gateway, host) = at_work(vec![Reply::WaitForGo(b"late"), Reply::Row(b"new")]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     busy.write(&query(&select("a", VIEW, 20000)));
     host.next_query();
@@ -42,7 +42,7 @@
 
 #[test]
 fn resume_brings_it_back_without_a_restart_and_calls_may_come_twice() {
-    let (gateway, _host) = at_work(51, vec![Reply::Row(b"one")]);
+    let (gateway, _host) = at_work(vec![Reply::Row(b"one")]);
     for line in [b"drain\n", b"drain\n"] {
         assert!(gateway.call(line).starts_with("YES"));
     }
@@ -59,7 +59,7 @@
 
 #[test]
 fn it_is_not_ready_without_a_host_and_stays_drained_through_a_reload() {
-    let harness = Harness::new(gateway_program!(), 52).ops();
+    let harness = Harness::new(gateway_program!()).ops();
     let config = harness.config();
     let gateway = harness.start();
     assert!(gateway.call(b"ready\n").starts_with("NO"));
@@ -72,7 +72,7 @@
 
 #[test]
 fn calls_during_a_stop_are_answered_with_no_and_do_not_hold_it_up() {
-    let (mut gateway, _host) = at_work(53, vec![]);
+    let (mut gateway, _host) = at_work(vec![]);
     gateway.signal("TERM");
     gateway.call_until(b"ready\n", "NO stopping");
     assert!(gateway.call(b"drain\n").starts_with("NO"));
@@ -82,7 +82,7 @@
 #[test]
 fn bad_callers_get_a_plain_no_and_keep_nobody_out() {
     // So few descriptors that clients take all that they are given.
-    let harness = Harness::new(gateway_program!(), 54).ops().sockets(64);
+    let harness = Harness::new(gateway_program!()).ops().sockets(64);
     let host = harness.host(vec![]);
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
@@ -108,7 +108,7 @@
 
 #[test]
 fn without_its_name_nothing_listens_and_a_bad_one_is_named() {
-    let harness = Harness::new(gateway_program!(), 55);
+    let harness = Harness::new(gateway_program!());
     let config = harness.config().replacen('{', r#"{"ops":"nowhere","#, 1);
     let (code, log) = harness.start_with(&config).ended();
     assert_eq!(code, Some(2));
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_class_that_is_added_serves_at_once_and_one_that_is_dropped_ends_when_clients_know() {
-    let harness = Harness::new(gateway_program!(), 56).ops();
+    let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host((0..4).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -154,7 +154,7 @@
 
 #[test]
 fn an_open_request_keeps_the_rules_it_came_with_and_the_next_one_has_the_new() {
-    let harness = Harness::new(gateway_program!(), 57).ops();
+    let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"again"), Reply::Close]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_broken_file_changes_nothing_and_is_named() {
-    let harness = Harness::new(gateway_program!(), 58).ops();
+    let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host((0..20).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -215,7 +215,7 @@
 
 #[test]
 fn a_row_of_four_mib_passes_through_a_slow_client_and_the_connection_is_used_again() {
-    let harness = Harness::new(gateway_program!(), 60);
+    let harness = Harness::new(gateway_program!());
     let complete: &'static [u8] = long_row(4 << 20).leak();
     let after: &'static [u8] =
         [complete, &message(b'S', b"replication_role\0primary\0")[..], &message(b'Z', b"I")].concat().leak();
@@ -238,7 +238,7 @@
 
 #[test]
 fn a_host_that_stops_in_the_middle_of_a_long_row_ends_the_client_and_nothing_is_retried() {
-    let harness = Harness::new(gateway_program!(), 61);
+    let harness = Harness::new(gateway_program!());
     let begun: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
     let host = harness.host(vec![Reply::Cut(begun), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -253,7 +253,7 @@
 
 #[test]
 fn a_row_longer_than_any_value_makes_no_sense() {
-    let harness = Harness::new(gateway_program!(), 62);
+    let harness = Harness::new(gateway_program!());
     let begun: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
     let host = harness.host(vec![Reply::Bytes(begun), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -263,8 +263,7 @@
 
 #[test]
 fn a_short_answer_in_pieces_is_put_together() {
-    let (host, gateway) =
-        gateway_with_primary(gateway_program!(), 63, vec![Reply::Pieces(b"in pieces", 20, 40)]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Pieces(b"in pieces", 20, 40)]);
     assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
     assert_eq!(host.queries(), 1);
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -28,7 +28,6 @@
     let reports = ["x0=-5,x1=1", "x0=NaN", "x0=inf", "x0", "q=-1", &ahead, &sound, "inflight=7,util=0.61"];
     let (_host, gateway) = gateway_with_primary(
         gateway_program!(),
-        235,
         reports.iter().map(|report| Reply::Bytes(with_report(report))).collect(),
     );
     let mut client = gateway.client();
@@ -40,7 +39,7 @@
 
 #[test]
 fn a_keyed_class_without_its_window_is_one_sentence_and_keeps_the_old_settings() {
-    let harness = Harness::new(gateway_program!(), 236);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let config = harness.config();
     let without = config.replace("\"window_us\":30000000,", "");
@@ -56,7 +55,7 @@
 
 #[test]
 fn settings_that_are_not_known_are_named_once_and_change_nothing() {
-    let harness = Harness::new(gateway_program!(), 237);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config().replace("\"balancers\":1,", "\"balancers\":1,\"weather\":{\"rain\":1},");
@@ -69,9 +68,9 @@
 
 #[test]
 fn a_bad_start_is_one_plain_sentence() {
-    let harness = Harness::new(gateway_program!(), 17);
+    let harness = Harness::new(gateway_program!());
     let good = harness.config();
-    let held = std::net::TcpListener::bind("127.77.17.1:0").expect("a free port");
+    let held = harness.network().tcp_listener(1);
     let taken = held.local_addr().expect("an address").to_string();
     let cases = [
         ("{".to_string(), "EOF"),
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -9,8 +9,8 @@
 // The attempt was written as soon as its connection was up, however long the host had been known to drain.
 #[test]
 fn a_host_whose_drain_is_announced_while_a_connection_comes_up_gets_nothing_on_it() {
-    for (number, change) in (190..).zip(["draining", "removed", "another address", "another run"]) {
-        let harness = Harness::new(gateway_program!(), number);
+    for change in ["draining", "removed", "another address", "another run"] {
+        let harness = Harness::new(gateway_program!());
         let (slow, next) = (harness.slow_host(0, vec![]), harness.host(vec![Reply::Row(b"next")]));
         let up = harness.entries(&[(&slow, "up", "primary")]);
         let updates = match change {
@@ -43,7 +43,7 @@
 // Its window was looked at when the repeat was decided on, and not when it was written.
 #[test]
 fn a_payment_is_not_repeated_behind_the_window_of_its_key_by_a_connection_that_came_up_late() {
-    let harness = Harness::new(gateway_program!(), 194);
+    let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(1, vec![Reply::Close]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(|config| {
         with_long_connect_timeout(config).replace("\"window_us\":30000000", "\"window_us\":1500000")
@@ -64,7 +64,7 @@
 // Within the window it is.
 #[test]
 fn a_payment_is_repeated_within_the_window_of_its_key() {
-    let harness = Harness::new(gateway_program!(), 195);
+    let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(1, vec![Reply::Close, Reply::Row(b"v")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
     let mut client = gateway.client();
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_drain_update_is_heeded_and_an_unusable_one_changes_nothing() {
-    let harness = Harness::new(gateway_program!(), 12);
+    let harness = Harness::new(gateway_program!());
     let old = harness.host(vec![]);
     let new = harness.host((0..20).map(|_| Reply::Row(b"new")).collect());
     let first = harness.entries(&[(&old, "draining", "primary"), (&new, "up", "standby")]);
@@ -25,7 +25,7 @@
 // A connection that outlived its host's last run, or moved with it, ends as a reset when it is used.
 #[test]
 fn connections_are_used_again_until_their_host_starts_anew() {
-    let harness = Harness::new(gateway_program!(), 23);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")]);
     let anew = harness.entries(&[(&host, "up", "primary")]).replace("ms\":0", "ms\":1000");
     let gateway = harness.list(&[(&host, "up", "primary")]).later_updates(&[&list(42, false, &anew)]).start();
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_watch_that_ends_is_taken_up_again_where_it_stood() {
-    let harness = Harness::new(gateway_program!(), 13);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![]);
     let entries = harness.entries(&[(&host, "up", "primary")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).updates(&[&list(7, false, &entries)]).start();
@@ -56,7 +56,7 @@
 // Without a handler the signal kills the process. The environment still names the old source after a reload.
 #[test]
 fn a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing() {
-    let harness = Harness::new(gateway_program!(), 25);
+    let harness = Harness::new(gateway_program!());
     let (old, new) = (harness.host(vec![Reply::Row(b"old")]), harness.host(vec![Reply::Row(b"new")]));
     let entries = harness.entries(&[(&old, "removed", "standby"), (&new, "up", "primary")]);
     let (address, watches) = harness.other_source(&[&list(3, true, &entries)]);
@@ -85,7 +85,7 @@
 // with an old list. A fleet that spread its first calls over 8 s forwarded to draining hosts.
 #[test]
 fn a_gateway_of_the_largest_fleet_polls_for_updates_before_old_updates_bind() {
-    let harness = Harness::new(gateway_program!(), 45);
+    let harness = Harness::new(gateway_program!());
     let (old, new) = (harness.host(vec![]), harness.host(vec![Reply::Row(b"new")]));
     let updates = harness.entries(&[(&old, "draining", "standby"), (&new, "up", "primary")]);
     let begun = std::time::Instant::now();
--- a/tests/fault_schedule.rs
+++ b/tests/fault_schedule.rs
@@ -264,7 +264,7 @@
 
 /// The configuration with a class of writes without keys, and with two other gateways at this address.
 fn configure(harness: &Harness, other: &UdpSocket) -> (Value, SocketAddr) {
-    let free = UdpSocket::bind("127.77.248.8:0").expect("a free port");
+    let free = harness.network().udp_socket(1);
     let listen = free.local_addr().expect("an address");
     let other = other.local_addr().expect("an address");
     let mut config: Value = serde_json::from_str(&harness.config()).expect("a configuration");
@@ -282,13 +282,13 @@
 
 /// Plays a seed: the calls that had a fault.
 fn play(seed: u64, breaks: bool) -> Vec<Call> {
-    let harness = Harness::new(gateway_program!(), 248).ops();
+    let harness = Harness::new(gateway_program!()).ops();
     let host = |role| harness.host((0..10_000).map(|_| Reply::Echo(role)).collect());
     let hosts = [host("primary"), host("standby")];
     let listed = [(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")];
     let updates = list(42, true, &harness.entries(&listed));
     let harness = harness.list(&listed).updates(&[&updates]);
-    let other = UdpSocket::bind("127.77.248.9:0").expect("a free port");
+    let other = harness.network().udp_socket(1);
     let (config, peer_listen) = configure(&harness, &other);
     harness.discover();
     let path = format!("{}/faults-{}", env!("CARGO_TARGET_TMPDIR"), harness.listen);
--- a/tests/faulty_fleet/gateways.rs
+++ b/tests/faulty_fleet/gateways.rs
@@ -3,7 +3,7 @@
 use super::classes;
 use super::list::EndpointList;
 use super::{Clock, Plan, Time};
-use petrelgauge_test_support::{startup, ReservedPort};
+use petrelgauge_test_support::{startup, LoopbackNetwork, ReservedPort};
 use std::cell::{Cell, RefCell};
 use std::fs::File;
 use std::net::SocketAddr;
@@ -13,6 +13,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+/// Last byte of the address of the first gateway; the others follow.
+const FIRST_GATEWAY: u8 = 100;
 /// A gateway that was started serves by then.
 const READY_WITHIN: Duration = Duration::from_secs(30);
 /// SIGKILL follows SIGTERM by the longest deadline, 3 s at least, and this.
@@ -48,8 +50,14 @@
 }
 
 impl GatewayProcess {
-    pub fn new(plan: Plan, number: usize, list: &EndpointList, clock: Clock) -> Rc<GatewayProcess> {
-        let port = ReservedPort::at(&format!("127.{}.3.{}", plan.number, number + 1));
+    pub fn new(
+        plan: Plan,
+        number: usize,
+        network: LoopbackNetwork,
+        list: &EndpointList,
+        clock: Clock,
+    ) -> Rc<GatewayProcess> {
+        let port = ReservedPort::at(network.address(FIRST_GATEWAY + number as u8));
         let address = port.address();
         let place = format!("{}/faulty-fleet-{address}", env!("CARGO_TARGET_TMPDIR"));
         let config = format!(
--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -3,12 +3,12 @@
 use super::classes::{by_name, CLASSES};
 use super::{uniform, Clock, Plan, Time};
 use petrelgauge::postgres::{Framer, Opening};
-use petrelgauge_test_support::{error, parameter_status, ready_for_query, row};
+use petrelgauge_test_support::{error, message, parameter_status, ready_for_query, row};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -80,10 +80,8 @@
 
 impl Host {
     /// Starts host `number`, warm. The first one is the primary.
-    pub fn start(plan: Plan, number: usize, clock: Clock) -> Rc<Host> {
-        let address: SocketAddr =
-            format!("127.{}.1.{}:0", plan.number, number + 1).parse().expect("an address");
-        let listener = bind(address);
+    pub fn start(plan: Plan, number: usize, ip: Ipv4Addr, clock: Clock) -> Rc<Host> {
+        let listener = bind(SocketAddr::from((ip, 0)));
         let address = listener.local_addr().expect("an address");
         let host = Rc::new(Host {
             plan,
@@ -169,8 +167,7 @@
                 if let Some(opening) = framer.opening().ok()? {
                     let Opening::Startup { .. } = opening else { return None };
                     self.until_it_answers().await;
-                    let welcome =
-                        [petrelgauge_test_support::message(b'R', &[0; 4]), ready_for_query()].concat();
+                    let welcome = [message(b'R', &[0; 4]), ready_for_query()].concat();
                     stream.write_all(&welcome).await.ok()?;
                     is_open = true;
                     continue;
--- a/tests/faulty_fleet/list.rs
+++ b/tests/faulty_fleet/list.rs
@@ -3,7 +3,7 @@
 
 use super::hosts::{Host, Mode};
 use super::{Clock, Time};
-use petrelgauge_test_support::{chunk, list, HEAD};
+use petrelgauge_test_support::{chunk, list, LoopbackNetwork, HEAD};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,6 +11,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
+/// Last byte of the address of discovery.
+const LIST_HOST: u8 = 200;
 /// An empty line comes so often while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// A change that a silent or refusing discovery could not bring counts as notified so long after it could.
@@ -58,8 +60,8 @@
 }
 
 impl EndpointList {
-    pub async fn start(number: u8, clock: Clock, hosts: Vec<Rc<Host>>) -> Rc<EndpointList> {
-        let listener = TcpListener::bind(format!("127.{number}.2.1:0")).await.expect("a free port");
+    pub async fn start(network: LoopbackNetwork, clock: Clock, hosts: Vec<Rc<Host>>) -> Rc<EndpointList> {
+        let listener = TcpListener::bind((network.address(LIST_HOST), 0)).await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let row = |host: &Rc<Host>| Row {
             phase: "up",
--- a/tests/faulty_fleet/mod.rs
+++ b/tests/faulty_fleet/mod.rs
@@ -16,6 +16,7 @@
 use gateways::GatewayProcess;
 use hosts::Host;
 use list::EndpointList;
+use petrelgauge_test_support::LoopbackNetwork;
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -23,6 +24,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Last byte of the address of the first host; the others follow.
+const FIRST_HOST: u8 = 1;
+
 /// Microseconds since the fleet's start.
 pub type Time = i64;
 
@@ -88,8 +92,6 @@
 /// What a fleet consists of.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Its addresses are in 127.NUMBER.0.0/16.
-    pub number: u8,
     pub gateways: usize,
     pub hosts: usize,
     /// Share of the hosts' capacity that clients ask for.
@@ -120,13 +122,15 @@
     /// Starts all parts, and waits until each gateway serves.
     async fn start(plan: Plan) -> Rc<Fleet> {
         let clock = Clock::start(plan.hosts_ahead_ms);
+        let network = LoopbackNetwork::claim();
         let mut hosts = Vec::new();
         for number in 0..plan.hosts {
-            hosts.push(Host::start(plan, number, clock));
+            hosts.push(Host::start(plan, number, network.address(FIRST_HOST + number as u8), clock));
         }
-        let list = EndpointList::start(plan.number, clock, hosts.clone()).await;
-        let gateways: Vec<Rc<GatewayProcess>> =
-            (0..plan.gateways).map(|number| GatewayProcess::new(plan, number, &list, clock)).collect();
+        let list = EndpointList::start(network, clock, hosts.clone()).await;
+        let gateways: Vec<Rc<GatewayProcess>> = (0..plan.gateways)
+            .map(|number| GatewayProcess::new(plan, number, network, &list, clock))
+            .collect();
         gateways.iter().for_each(|gateway| gateway.start());
         for gateway in &gateways {
             gateway.is_ready().await;
--- a/tests/faulty_fleet/schedule.rs
+++ b/tests/faulty_fleet/schedule.rs
@@ -92,8 +92,8 @@
 }
 
 impl Schedule {
-    /// Draws a fleet and what is done to it. Its addresses are in 127.NUMBER.0.0/16.
-    pub fn draw(seed: u64, number: u8) -> Schedule {
+    /// Draws a fleet and what is done to it.
+    pub fn draw(seed: u64) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let slow_start = SlowStart {
             initial_share: 0.08 + 0.2 * uniform(&mut rng),
@@ -102,7 +102,6 @@
             overload_span: Duration::from_millis(500 + 100 * below(&mut rng, 11) as u64),
         };
         let plan = Plan {
-            number,
             gateways: 4 + below(&mut rng, 21),
             hosts: 5 + below(&mut rng, 3),
             load: 0.45 + 0.4 * uniform(&mut rng),
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -25,7 +25,7 @@
 // How old the data may be was looked at when the attempt was decided on, and not when it was written.
 #[test]
 fn a_bounded_read_is_not_sent_once_what_is_known_of_its_host_has_grown_too_old() {
-    let harness = Harness::new(gateway_program!(), 210);
+    let harness = Harness::new(gateway_program!());
     let at = unix_ms();
     let host = harness.slow_host(1, vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::Row(b"old")]);
     let gateway = harness.list(&[(&host, "up", "standby")]).start_changed(unchecked);
@@ -50,7 +50,7 @@
 // The host said that it leads no more while the connection came up.
 #[test]
 fn a_read_of_the_newest_is_not_sent_to_a_host_that_has_said_meanwhile_that_it_does_not_lead() {
-    let harness = Harness::new(gateway_program!(), 211);
+    let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(0, vec![Reply::ReplicaAt(b"v", unix_ms()), Reply::Row(b"old")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(unchecked);
     let (mut first, mut second) = (gateway.client(), gateway.client());
@@ -74,7 +74,7 @@
 // What is fresh enough still goes out on a connection that came up late.
 #[test]
 fn a_bounded_read_is_sent_while_what_is_known_of_its_host_is_new_enough() {
-    let harness = Harness::new(gateway_program!(), 212);
+    let harness = Harness::new(gateway_program!());
     let at = unix_ms();
     let script = vec![Reply::ReplicaAt(b"v", at), Reply::Nothing, Reply::ReplicaAt(b"new", at)];
     let host = harness.slow_host(1, script);
@@ -105,8 +105,8 @@
 
 /// A primary that drains as soon as a write of session `a` is out there, and a replica that is known to be as new as `at`.
 /// What the primary does with the write is up to the test.
-fn a_write_out_at_a_primary_that_drains(number: u8, does: Reply, at: u64) -> (Gateway, [Host; 2], Client) {
-    let harness = Harness::new(gateway_program!(), number);
+fn a_write_out_at_a_primary_that_drains(does: Reply, at: u64) -> (Gateway, [Host; 2], Client) {
+    let harness = Harness::new(gateway_program!());
     let hosts =
         [harness.host(vec![does]), harness.host((0..30).map(|_| Reply::ReplicaAt(b"replica", at)).collect())];
     let drains = harness.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
@@ -130,7 +130,7 @@
 // after it was written, and reads of its session went to replicas that lacked it.
 #[test]
 fn a_read_of_a_session_whose_write_is_out_without_an_answer_sees_what_it_may_have_made() {
-    let (gateway, hosts, writer) = a_write_out_at_a_primary_that_drains(215, Reply::Nothing, unix_ms());
+    let (gateway, hosts, writer) = a_write_out_at_a_primary_that_drains(Reply::Nothing, unix_ms());
     // The one wait by the clock: the answer could have been written and lost for longer than it takes to be known.
     std::thread::sleep(Duration::from_millis(400));
     let mut reader = gateway.client();
@@ -149,7 +149,7 @@
 fn a_read_of_a_session_sees_a_write_that_was_answered_behind_its_clients_leaving() {
     let start = unix_ms();
     let (does, at) = (Reply::RowAtOnGo(b"v", start + 1_100), start + 900);
-    let (gateway, hosts, writer) = a_write_out_at_a_primary_that_drains(216, does, at);
+    let (gateway, hosts, writer) = a_write_out_at_a_primary_that_drains(does, at);
     drop(writer);
     // Whatever it may have made is taken to be made by now: the replica has it.
     gateway.wait_for_counter("left=1 ");
@@ -167,7 +167,7 @@
 // Known by its own answer that it does not lead, and how old its data are.
 #[test]
 fn an_answer_that_shows_by_itself_that_its_data_are_too_old_is_not_given() {
-    let harness = Harness::new(gateway_program!(), 217);
+    let harness = Harness::new(gateway_program!());
     let old = unix_ms() - 60_000;
     let deposed = harness.host(vec![Reply::ReplicaAt(b"old", old)]);
     let gateway = harness.list(&[(&deposed, "up", "primary")]).start_changed(unchecked);
--- a/tests/gateway_fleet/mod.rs
+++ b/tests/gateway_fleet/mod.rs
@@ -1,14 +1,15 @@
 //! Five processes of the program that are each other's peers, before one host.
 
-use petrelgauge_test_support::*;
+use petrelgauge_test_support::{gateway_program, Gateway, Harness, Host, LoopbackNetwork, Reply};
 use std::net::UdpSocket;
 
 pub const GATEWAYS: u16 = 5;
+/// Last byte of the address at which all gateways receive datagrams.
+const DATAGRAMS_HOST: u8 = 1;
 
 /// Addresses at which the gateways are to listen to each other.
-pub fn peer_addresses(number: u8) -> Vec<String> {
-    let bind = |_| UdpSocket::bind(format!("127.77.{number}.8:0")).expect("a free port");
-    let sockets: Vec<UdpSocket> = (0..GATEWAYS).map(bind).collect();
+pub fn peer_addresses(network: LoopbackNetwork) -> Vec<String> {
+    let sockets: Vec<UdpSocket> = (0..GATEWAYS).map(|_| network.udp_socket(DATAGRAMS_HOST)).collect();
     sockets.iter().map(|socket| socket.local_addr().expect("an address").to_string()).collect()
 }
 
@@ -27,15 +28,10 @@
 impl Fleet {
     /// Starts all gateways with this operator's file. Each listens to the others at its address in `peer_listen`, and reaches
     /// them, itself included, at those that `peers_of` gives for its place.
-    pub fn start_all(
-        number: u8,
-        file: &str,
-        peer_listen: &[String],
-        peers_of: impl Fn(u16) -> Vec<String>,
-    ) -> Fleet {
-        let first = Harness::new(gateway_program!(), number);
+    pub fn start_all(file: &str, peer_listen: &[String], peers_of: impl Fn(u16) -> Vec<String>) -> Fleet {
+        let first = Harness::new(gateway_program!());
         let host = first.host((0..500).map(|_| Reply::RowAt(b"v", 1_700_000_000_000)).collect());
-        let others = (1..GATEWAYS).map(|place| Harness::new(gateway_program!(), number + place as u8));
+        let others = (1..GATEWAYS).map(|_| Harness::new(gateway_program!()));
         let harnesses = std::iter::once(first).chain(others);
         let members = (0..GATEWAYS).zip(harnesses).map(|(place, harness)| {
             let harness = harness.list(&[(&host, "up", "primary")]).operator(file);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::Duration;
 
-fn shared(number: u8, answers: usize) -> (Harness, Host) {
-    let harness = Harness::new(gateway_program!(), number).shared();
+fn shared(answers: usize) -> (Harness, Host) {
+    let harness = Harness::new(gateway_program!()).shared();
     let host = harness.host((0..answers).map(|_| Reply::Row(b"v")).collect());
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let harness = harness.updates(&[&line]);
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_process_takes_over_under_load_and_no_request_is_lost() {
-    let (mut harness, _host) = shared(70, 200_000);
+    let (mut harness, _host) = shared(200_000);
     let mut old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 4);
@@ -93,7 +93,7 @@
 
 #[test]
 fn one_that_starts_beside_another_starts_from_what_that_one_learned() {
-    let (mut harness, _host) = shared(71, 200_000);
+    let (mut harness, _host) = shared(200_000);
     let old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 2);
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_new_process_that_dies_before_its_yes_changes_nothing() {
-    let (mut harness, _host) = shared(72, 200_000);
+    let (mut harness, _host) = shared(200_000);
     let old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 3);
@@ -127,7 +127,7 @@
 
 #[test]
 fn an_old_process_that_stands_still_keeps_nobody_from_the_new_one() {
-    let (mut harness, _host) = shared(73, 1000);
+    let (mut harness, _host) = shared(1000);
     let mut old = harness.beside();
     old.call_until(b"ready\n", "YES");
     old.signal("STOP");
@@ -145,7 +145,7 @@
 
 #[test]
 fn an_old_process_that_is_killed_while_it_drains_leaves_the_new_one_alone() {
-    let (mut harness, host) = shared(74, 0);
+    let (mut harness, host) = shared(0);
     drop(host);
     let host = harness.host(vec![Reply::Nothing, Reply::Row(b"v"), Reply::Row(b"v")]);
     let line = list(43, true, &harness.entries(&[(&host, "up", "primary")]));
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_damaged_record_is_logged_and_a_third_process_is_counted() {
-    let (mut harness, _host) = shared(75, 1000);
+    let (mut harness, _host) = shared(1000);
     for (name, bytes) in [("1", &b"petrel\x01torn"[..]), ("2", b""), ("3", &[7; 5000])] {
         std::fs::write(format!("{}/petrelgauge-{name}.letter", harness.folder()), bytes).expect("written");
     }
@@ -180,18 +180,16 @@
 
 /// Two processes whose wall clocks were this far apart when they started: the later one starts from what the other
 /// learned, and each counts the other for as long as both run.
-fn clocks_apart(number: u8, old_shift: &str, new_shift: &str) {
-    let (harness, _host) = shared(number, 200_000);
+fn clocks_apart(old_shift: &str, new_shift: &str) {
+    let (harness, _host) = shared(200_000);
     let mut harness = harness.operator(&format!("clock_shift: {old_shift}"));
     let mut old = harness.beside();
     old.call_until(b"ready\n", "YES");
     let load = Load::start(&old, 1);
     load.goes_on();
     thread::sleep(Duration::from_millis(600));
-    let harness = harness.operator(&format!("clock_shift: {new_shift}"));
-    let free = std::net::TcpListener::bind(format!("127.77.{number}.3:0")).expect("a free port");
-    let ops = free.local_addr().expect("an address").to_string();
-    drop(free);
+    let mut harness = harness.operator(&format!("clock_shift: {new_shift}"));
+    let ops = harness.reserve_port();
     let mut new = harness.start_env(&harness.config(), &[("GW_OPS", &ops)]);
     // Longer than a record may stay unchanged, and no wait for a line that never comes.
     thread::sleep(Duration::from_secs(6));
@@ -218,25 +216,25 @@
 
 #[test]
 fn clocks_three_seconds_apart_change_nothing_between_processes() {
-    clocks_apart(77, "0", "3s");
-    clocks_apart(78, "3s", "0");
+    clocks_apart("0", "3s");
+    clocks_apart("3s", "0");
 }
 
 #[test]
 fn clocks_a_minute_apart_change_nothing_between_processes() {
-    clocks_apart(79, "0", "60s");
-    clocks_apart(80, "60s", "0");
+    clocks_apart("0", "60s");
+    clocks_apart("60s", "0");
 }
 
 #[test]
 fn clocks_an_hour_apart_change_nothing_between_processes() {
-    clocks_apart(81, "0", "60m");
-    clocks_apart(82, "60m", "0");
+    clocks_apart("0", "60m");
+    clocks_apart("60m", "0");
 }
 
 #[test]
 fn a_directory_that_vanishes_for_a_while_is_logged_once_and_the_process_goes_on() {
-    let (mut harness, _host) = shared(83, 1_000);
+    let (mut harness, _host) = shared(1_000);
     let gateway = harness.beside();
     gateway.call_until(b"ready\n", "YES");
     std::fs::remove_dir_all(harness.folder()).expect("it was there");
@@ -249,7 +247,7 @@
 
 #[test]
 fn a_descriptor_that_is_no_socket_is_named() {
-    let harness = Harness::new(gateway_program!(), 76);
+    let harness = Harness::new(gateway_program!());
     let config = harness.config();
     for (text, cause) in
         [("three", "is not the number of a descriptor"), ("1", "is not the number"), ("999", "GW_ACCEPT_FD")]
--- a/tests/lease_ledger/mod.rs
+++ b/tests/lease_ledger/mod.rs
@@ -4,9 +4,12 @@
 use petrelgauge_ownership::{
     Fence, LeadershipRole, LeaseHolder, Message, Notification, ReceivedMessage, Settings, Term,
 };
+use petrelgauge_test_support::LoopbackNetwork;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
+/// Last byte of the address of the sixth peer.
+const OBSERVER_HOST: u8 = 2;
 pub const SECRET: u64 = 0x5e;
 pub const DISCOVERY: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
 pub const QUOTAS: LeadershipRole = LeadershipRole { kind: 2, shard: 0 };
@@ -14,11 +17,12 @@
     "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n}\n";
 
 /// Five gateways, three of them acceptors, and what they send to the sixth address.
-pub fn fleet_with_ledger(number: u8, file: &str) -> (Fleet, Ledger) {
-    let ledger = Ledger::new(&format!("127.77.{number}.9"), peer_addresses(number));
+pub fn fleet_with_ledger(file: &str) -> (Fleet, Ledger) {
+    let network = LoopbackNetwork::claim();
+    let ledger = Ledger::new(network, peer_addresses(network));
     let observer = ledger.socket.local_addr().expect("an address").to_string();
     let peers = [ledger.gateways.clone(), vec![observer]].concat();
-    (Fleet::start_all(number, file, &ledger.gateways, |_| peers.clone()), ledger)
+    (Fleet::start_all(file, &ledger.gateways, |_| peers.clone()), ledger)
 }
 
 /// What arrived at the sixth address, as any gateway would admit it.
@@ -38,8 +42,8 @@
 }
 
 impl Ledger {
-    pub fn new(ip: &str, gateways: Vec<String>) -> Ledger {
-        let socket = UdpSocket::bind((ip, 0)).expect("a free port");
+    pub fn new(network: LoopbackNetwork, gateways: Vec<String>) -> Ledger {
+        let socket = network.udp_socket(OBSERVER_HOST);
         socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a limit");
         // As the file has it for six gateways.
         let settings = Settings {
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -54,11 +54,10 @@
 #[test]
 fn a_request_whose_client_leaves_while_its_connection_comes_up_is_not_sent() {
     std::thread::scope(|scope| {
-        let mut number = 150;
         for how in WAYS {
             for cancel in [false, true] {
                 scope.spawn(move || {
-                    let harness = Harness::new(gateway_program!(), number);
+                    let harness = Harness::new(gateway_program!());
                     let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
                     let harness = harness.list(&[(&host, "up", "primary")]);
                     let config = config(&harness, cancel);
@@ -86,7 +85,6 @@
                     assert_eq!(host.queries(), 1, "{how:?} {cancel}");
                     drop(kept);
                 });
-                number += 1;
             }
         }
     });
@@ -94,8 +92,8 @@
 
 #[test]
 fn a_query_behind_another_is_not_sent_when_their_client_leaves() {
-    for (number, how) in (156..).zip(WAYS) {
-        let harness = Harness::new(gateway_program!(), number);
+    for how in WAYS {
+        let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"third")]);
         let gateway = harness.list(&[(&host, "up", "primary")]).start();
         let mut client = gateway.client();
@@ -114,8 +112,8 @@
 
 #[test]
 fn a_request_that_waits_for_a_host_is_forgotten_with_its_client() {
-    for (number, how) in (160..).zip(WAYS) {
-        let harness = Harness::new(gateway_program!(), number);
+    for how in WAYS {
+        let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::Row(b"second")]);
         let up = harness.entries(&[(&host, "up", "primary")]);
         let harness = harness.list(&[(&host, "draining", "primary")]);
@@ -146,8 +144,8 @@
 // A client that has sent more than is held is cut off, and is read no further but for its leaving.
 #[test]
 fn a_client_that_sends_much_at_once_and_goes_leaves_nothing_behind() {
-    for (number, how) in (164..).zip([Leave::Fin, Leave::Reset]) {
-        let harness = Harness::new(gateway_program!(), number);
+    for how in [Leave::Fin, Leave::Reset] {
+        let harness = Harness::new(gateway_program!());
         let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
         let config = config(&harness, false);
@@ -174,7 +172,7 @@
 
 #[test]
 fn a_request_that_its_client_cancels_is_not_sent_and_no_other_key_cancels_it() {
-    let harness = Harness::new(gateway_program!(), 234);
+    let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = config(&harness, true);
@@ -229,7 +227,7 @@
 // The wait for the cancel began anew behind each other event, and a cancel in the turn of one was lost.
 #[test]
 fn a_cancel_in_the_turn_in_which_an_attempt_breaks_leaves_no_retry() {
-    let harness = Harness::new(gateway_program!(), 238);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut client, (process, secret)) = client_with_key(&gateway);
@@ -251,8 +249,8 @@
 // The end of a client's bytes was seen only behind all bytes before it, and a query of theirs went out meanwhile.
 #[test]
 fn a_query_with_much_unread_behind_it_is_not_sent_when_its_client_has_left() {
-    for (number, how) in (239..).zip([Leave::Fin, Leave::Reset]) {
-        let harness = Harness::new(gateway_program!(), number);
+    for how in [Leave::Fin, Leave::Reset] {
+        let harness = Harness::new(gateway_program!());
         let script = std::iter::repeat_with(|| Reply::Row(b"any")).take(WARM_QUERIES + 2);
         let host = harness.host(script.collect());
         let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -279,8 +277,8 @@
 
 #[test]
 fn a_retry_that_is_due_with_a_reload_is_not_made_when_its_client_has_left() {
-    for (number, how) in (241..).zip(WAYS) {
-        let harness = Harness::new(gateway_program!(), number);
+    for how in WAYS {
+        let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
         let config = config(&harness, false);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_request_that_finds_no_descriptor_for_its_connection_is_sent_when_one_is_free() {
-    let harness = Harness::new(gateway_program!(), 213).sockets(THREE);
+    let harness = Harness::new(gateway_program!()).sockets(THREE);
     let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut first, mut second) = (gateway.client(), gateway.client());
@@ -30,7 +30,7 @@
 // the requests of the others never reached the gateway.
 #[test]
 fn idle_clients_beyond_a_quarter_of_the_descriptors_are_closed() {
-    let gateway = Harness::new(gateway_program!(), 38).sockets(100).start();
+    let gateway = Harness::new(gateway_program!()).sockets(100).start();
     let clients: Vec<Client> = (0..45)
         .map(|_| {
             let mut client = gateway.client();
@@ -45,7 +45,7 @@
 
 #[test]
 fn more_idle_clients_than_descriptors_make_room_for_the_one_that_asks() {
-    let harness = Harness::new(gateway_program!(), 14);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let gateway = harness.sockets(50).list(&[(&host, "up", "primary")]).start();
     let idle: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -8,14 +8,13 @@
 use lease_ledger::*;
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, QuotaReport, Thousandths};
 use petrelgauge_ownership::{LeaseHolder, Message, Notification, ReceivedMessage, Settings, Term};
-use petrelgauge_test_support::{gateway_program, kinds, select, Harness};
+use petrelgauge_test_support::{gateway_program, kinds, select, Harness, LoopbackNetwork};
 use std::collections::BTreeMap;
-use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_killed_leader_is_replaced_within_the_takeover_bound_and_terms_increase() {
-    let (mut fleet, mut ledger) = fleet_with_ledger(80, FILE);
+    let (mut fleet, mut ledger) = fleet_with_ledger(FILE);
     let mut holder = ledger.holder_after(0);
     for _ in 0..3 {
         assert!([0, 2, 4].contains(&holder.gateway), "acceptors are the candidates");
@@ -34,7 +33,7 @@
 
 #[test]
 fn a_leader_stalled_for_three_leases_has_lost_its_lease() {
-    let (fleet, mut ledger) = fleet_with_ledger(86, FILE);
+    let (fleet, mut ledger) = fleet_with_ledger(FILE);
     let LeaseHolder { gateway: stalled, term } = ledger.holder_after(0);
     fleet.gateway(stalled).signal("STOP");
     let next = ledger.holder_after(term);
@@ -51,7 +50,7 @@
 
 #[test]
 fn a_leader_that_stops_releases_its_lease_early() {
-    let (mut fleet, mut ledger) = fleet_with_ledger(92, FILE);
+    let (mut fleet, mut ledger) = fleet_with_ledger(FILE);
     let LeaseHolder { gateway: leader, term } = ledger.holder_after(0);
     let mut gateway = fleet.take(leader);
     gateway.signal("TERM");
@@ -61,7 +60,7 @@
 
 #[test]
 fn an_announced_primary_reaches_all_and_is_on_the_list() {
-    let (fleet, mut ledger) = fleet_with_ledger(98, FILE);
+    let (fleet, mut ledger) = fleet_with_ledger(FILE);
     ledger.holder_after(0);
     for place in 0..GATEWAYS {
         assert_eq!(kinds(&fleet.gateway(place).client().ask(&select("a", "view", 20000))), "TDCZ");
@@ -75,7 +74,7 @@
 
 #[test]
 fn unusable_datagrams_are_counted_and_change_nothing() {
-    let (fleet, mut ledger) = fleet_with_ledger(104, FILE);
+    let (fleet, mut ledger) = fleet_with_ledger(FILE);
     let holder = ledger.holder_after(0);
     let target = ledger.gateways[1].clone();
     let notification = Message::Notification {
@@ -116,14 +115,14 @@
         ("duties: [\"scouts\"]", "duties are"),
         ("drift_percent: 18\n  duties: [\"shares\"]", "shares need a lower drift"),
     ];
-    let harness = Harness::new(gateway_program!(), 110);
+    let harness = Harness::new(gateway_program!());
     let config = harness.config();
     for (line, cause) in cases {
         let key = line.split(':').next().expect("a key");
         let mut lines: Vec<&str> = FILE.lines().filter(|one| !one.trim_start().starts_with(key)).collect();
         lines.insert(1, line);
         let file = lines.join("\n");
-        let harness = Harness::new(gateway_program!(), 110).operator(&file);
+        let harness = Harness::new(gateway_program!()).operator(&file);
         let (code, log) = harness.start_with(&config).ended();
         assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
         assert!(log.contains(".cue:") && log.contains(cause), "{log} should name {cause}");
@@ -207,7 +206,7 @@
 #[test]
 fn no_lease_holder_grants_more_than_idle_gateways_lend_and_the_next_one_grants_again() {
     let file = FILE.replacen("  electors", "  duties: [\"scout\", \"shares\"]\n  electors", 1);
-    let (mut fleet, mut ledger) = fleet_with_ledger(116, &file);
+    let (mut fleet, mut ledger) = fleet_with_ledger(&file);
     let mut borrower = Borrower {
         reported_at: BTreeMap::new(),
         number: 0,
@@ -254,11 +253,10 @@
 // listens: its number says which of them it is.
 #[test]
 fn a_gateway_listed_under_another_address_is_known_by_its_number() {
-    let harness = Harness::new(gateway_program!(), 124).operator(FILE);
-    let heard = UdpSocket::bind("127.77.124.7:0").expect("a free port");
-    let other = UdpSocket::bind("127.77.124.7:0").expect("a free port");
+    let harness = Harness::new(gateway_program!()).operator(FILE);
+    let network = LoopbackNetwork::claim();
+    let [heard, other, free] = [(); 3].map(|()| network.udp_socket(1));
     heard.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
-    let free = UdpSocket::bind("127.77.124.8:0").expect("a free port");
     let listen = free.local_addr().expect("an address");
     drop(free);
     let [heard_at, other_at] = [&heard, &other].map(|one| one.local_addr().expect("an address"));
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_batch_over_the_bound_of_messages_is_answered_completely_and_in_order() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), 220, script(BATCH));
+    let (host, gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 60_000), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -68,7 +68,7 @@
 #[test]
 fn a_batch_over_the_bound_of_bytes_is_answered_completely_and_in_order() {
     const COUNT: usize = 40;
-    let (host, gateway) = gateway_with_primary(gateway_program!(), 221, script(COUNT));
+    let (host, gateway) = gateway_with_primary(gateway_program!(), script(COUNT));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| write(number, LARGE), COUNT));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -83,7 +83,7 @@
 fn batches_over_the_memory_of_all_are_answered_completely() {
     const COUNT: usize = 8;
     const CLIENTS: usize = 3;
-    let harness = Harness::new(gateway_program!(), 222);
+    let harness = Harness::new(gateway_program!());
     let mut script: Vec<Reply> = (0..CLIENTS).map(|_| Reply::WaitForGo(b"first")).collect();
     script.extend((0..CLIENTS * (COUNT - 1)).map(|_| Reply::Row(b"later")));
     let host = harness.host(script);
@@ -125,12 +125,9 @@
 
 #[test]
 fn a_client_that_leaves_while_nothing_is_read_from_it_is_noticed() {
-    for (number, how) in (223..).zip([Leave::Fin, Leave::Reset, Leave::Terminate]) {
-        let (host, gateway) = gateway_with_primary(
-            gateway_program!(),
-            number,
-            vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")],
-        );
+    for how in [Leave::Fin, Leave::Reset, Leave::Terminate] {
+        let (host, gateway) =
+            gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
         let mut client = gateway.client();
         client.write(&batch(|number| read(number, 60_000), BATCH));
         host.next_query();
@@ -149,7 +146,7 @@
 fn a_client_that_sends_without_end_holds_bounded_memory_and_keeps_nobody_from_being_served() {
     const MOST: usize = 64 * 1024 * 1024;
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), 226, vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
+        gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
     let mut client = gateway.client();
     let before = gateway.memory();
     let written = client.flood(&batch(|number| read(number, 60_000), 1000), MOST);
@@ -164,7 +161,7 @@
 #[test]
 fn requests_that_wait_unread_behind_others_end_in_their_time_and_in_order() {
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), 227, vec![Reply::Nothing, Reply::Row(b"after")]);
+        gateway_with_primary(gateway_program!(), vec![Reply::Nothing, Reply::Row(b"after")]);
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 1_500), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -181,7 +178,7 @@
 
 #[test]
 fn a_stop_answers_also_what_was_not_read_yet() {
-    let (host, mut gateway) = gateway_with_primary(gateway_program!(), 228, script(BATCH));
+    let (host, mut gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 25_000), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
@@ -207,7 +204,7 @@
 // kernel was taken before the stop.
 #[test]
 fn a_stop_answers_also_what_is_unread_in_its_second_half() {
-    let harness = Harness::new(gateway_program!(), 229);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"before"), Reply::Nothing]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config().replace("\"deadline_us\":30000000", "\"deadline_us\":1000000");
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -41,7 +41,7 @@
 // Any client that had been served once was left 6 s.
 #[test]
 fn a_served_client_that_stops_in_the_middle_of_a_query_gets_its_error_in_time() {
-    let (_host, gateway) = gateway_with_primary(gateway_program!(), 246, vec![Reply::Row(b"v")]);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"v")]);
     let mut client = gateway.client();
     let text = identified(&select("a", "view", 5_000), "1");
     // The second query comes in part behind a complete one.
@@ -58,11 +58,9 @@
 #[test]
 fn an_idle_connection_that_was_forgotten_silently_leaves_no_request_without_an_answer() {
     std::thread::scope(|scope| {
-        for (number, text, code) in
-            [(247, select("a", "view", 1_000), "53300"), (254, insert("a", 1_000), "40003")]
-        {
+        for (text, code) in [(select("a", "view", 1_000), "53300"), (insert("a", 1_000), "40003")] {
             scope.spawn(move || {
-                let harness = Harness::new(gateway_program!(), number);
+                let harness = Harness::new(gateway_program!());
                 let script = vec![Reply::Row(b"one"), Reply::Nothing, Reply::Row(b"two"), Reply::Row(b"two")];
                 let host = harness.host(script);
                 let gateway =
@@ -83,8 +81,8 @@
 
 #[test]
 fn a_request_behind_the_reset_of_an_idle_connection_goes_out_on_a_new_one() {
-    for (number, text) in [(248, select("a", "view", 20_000)), (249, insert("a", 20_000))] {
-        let harness = Harness::new(gateway_program!(), number);
+    for text in [select("a", "view", 20_000), insert("a", 20_000)] {
+        let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::ResetOnGo(b"one"), Reply::Row(b"two")]);
         let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
         let mut client = gateway.client();
@@ -102,7 +100,7 @@
 
 #[test]
 fn requests_with_little_time_that_their_host_drops_are_answered_at_once() {
-    let harness = Harness::new(gateway_program!(), 250);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host((0..9).map(|_| Reply::Nothing).collect());
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
     let mut client = gateway.client();
@@ -118,7 +116,7 @@
 fn a_request_behind_one_with_little_time_that_its_host_dropped_is_served() {
     // However busy the machine is, the second of these times is enough to reach the host.
     for (wait_ms, arrives) in [(60, false), (2_000, true)] {
-        let harness = Harness::new(gateway_program!(), 255);
+        let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::NothingTo("id=1,", b"next"), Reply::NothingTo("id=1,", b"next")]);
         let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
         let mut client = gateway.client();
@@ -137,7 +135,7 @@
 
 #[test]
 fn every_request_has_its_answer_before_the_kill_though_hosts_hang_through_the_whole_shutdown() {
-    let harness = Harness::new(gateway_program!(), 251);
+    let harness = Harness::new(gateway_program!());
     let (silent, mute) =
         (harness.host((0..9).map(|_| Reply::Nothing).collect()), harness.slow_host(0, vec![]));
     let mut gateway = harness.list(&[(&silent, "up", "primary"), (&mute, "up", "standby")]).start();
@@ -166,7 +164,7 @@
 #[test]
 fn reloads_in_quick_succession_lose_no_request_and_the_last_one_holds() {
     const RELOADS: usize = 25;
-    let harness = Harness::new(gateway_program!(), 252);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host((0..=RELOADS).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
@@ -194,7 +192,7 @@
 // The new process starts from an old list that names the host as up; discovery has the drain.
 #[test]
 fn a_restart_during_a_drain_sends_nothing_new_to_the_host_that_drains_and_answers_what_is_out() {
-    let mut harness = Harness::new(gateway_program!(), 253).shared();
+    let mut harness = Harness::new(gateway_program!()).shared();
     let hosts = [
         harness.host(vec![Reply::WaitForGo(b"late")]),
         harness.host((0..40).map(|_| Reply::Row(b"new")).collect()),
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_client_library_receives_the_token_and_hands_it_back() {
-    let harness = Harness::new(gateway_program!(), 60);
+    let harness = Harness::new(gateway_program!());
     let commit = unix_ms();
     let script = vec![
         Reply::RowAt(b"written", commit),
@@ -193,7 +193,7 @@
 // The one host that there is stays behind: refused in time, but never served from it.
 #[test]
 fn rather_no_answer_than_an_old_one() {
-    let harness = Harness::new(gateway_program!(), 61);
+    let harness = Harness::new(gateway_program!());
     let old = unix_ms() - 60_000;
     let host = harness.host((0..100).map(|_| Reply::ReplicaAt(b"old", old)).collect());
     let gateway = harness.list(&[(&host, "up", "standby")]).operator(OPERATOR).start();
@@ -206,7 +206,7 @@
 
 #[test]
 fn without_an_operators_file_no_token_is_issued_or_accepted() {
-    let (_host, gateway) = gateway_with_primary(gateway_program!(), 62, vec![Reply::Row(b"one")]);
+    let (_host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"one")]);
     let mut client = gateway.client();
     assert_eq!(kinds(&client.ask(&select("a", "view", 5000))), "TDCZ", "no token is issued");
     assert_eq!(kinds(&client.ask("SET petrelgauge.mark = 'x'")), "CZ", "as any other setting");
@@ -230,11 +230,9 @@
             Operator::read("petrelgauge.cue", text).err().map(|cause| cause.to_string()).unwrap_or_default();
         assert!(said.starts_with("petrelgauge.cue:1:") && said.contains(cause), "{text}: {said}");
     }
-    for (number, (classes, cause)) in
-        [("\"view\"", "one class that writes"), ("\"view\", \"nope\"", "no class")].iter().enumerate()
-    {
+    for (classes, cause) in [("\"view\"", "one class that writes"), ("\"view\", \"nope\"", "no class")] {
         let text = format!("sessions: {{classes: [{classes}], secret: \"1\"}}\n");
-        let harness = Harness::new(gateway_program!(), 63 + number as u8).operator(&text);
+        let harness = Harness::new(gateway_program!()).operator(&text);
         let (code, log) = harness.start_with(&harness.config()).ended();
         assert_eq!(code, Some(2), "{log}");
         assert!(log.contains(cause) && log.trim().lines().count() == 1, "{log}");
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_duties.rs
@@ -4,9 +4,8 @@
 mod gateway_fleet;
 
 use gateway_fleet::{peer_addresses, Fleet, GATEWAYS};
-use petrelgauge_test_support::{kinds, select};
+use petrelgauge_test_support::{kinds, select, LoopbackNetwork};
 use std::collections::BTreeSet;
-use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -20,6 +19,9 @@
 const FILE: &str = "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n  duties: [\"scout\", \"shares\"]\n  shards: 6\n}\n";
 const LEASE: Duration = Duration::from_millis(800);
 
+/// Last byte of the address of all links.
+const LINKS_HOST: u8 = 2;
+
 /// The paths between gateways.
 #[derive(Clone, Default)]
 struct Links {
@@ -31,8 +33,8 @@
 
 impl Links {
     /// Opens the path from one gateway to another: where the first has to send.
-    fn open(&self, ip: &str, link: (u16, u16), to: String) -> String {
-        let socket = UdpSocket::bind((ip, 0)).expect("a free port");
+    fn open(&self, network: LoopbackNetwork, link: (u16, u16), to: String) -> String {
+        let socket = network.udp_socket(LINKS_HOST);
         let address = socket.local_addr().expect("an address").to_string();
         let links = self.clone();
         std::thread::spawn(move || {
@@ -62,18 +64,18 @@
 }
 
 /// Five gateways with a link between each two.
-fn fleet(number: u8) -> (Fleet, Links) {
+fn fleet() -> (Fleet, Links) {
     let links = Links::default();
-    let ip = format!("127.77.{number}.9");
-    let listen = peer_addresses(number);
+    let network = LoopbackNetwork::claim();
+    let listen = peer_addresses(network);
     let peers_of = |me: u16| {
         let reach = |(to, address): (u16, &String)| match to == me {
             true => address.clone(),
-            false => links.open(&ip, (me, to), address.clone()),
+            false => links.open(network, (me, to), address.clone()),
         };
         (0..GATEWAYS).zip(&listen).map(reach).collect()
     };
-    (Fleet::start_all(number, FILE, &listen, peers_of), links)
+    (Fleet::start_all(FILE, &listen, peers_of), links)
 }
 
 impl Fleet {
@@ -99,7 +101,7 @@
 
 #[test]
 fn shards_are_spread_evenly_and_those_of_a_killed_acceptor_fail_over_and_return() {
-    let (mut fleet, _links) = fleet(140);
+    let (mut fleet, _links) = fleet();
     fleet.wait_until_even();
     fleet.kill(1);
     // The next in order has the shards of the one that is gone beside its own.
@@ -111,7 +113,7 @@
 
 #[test]
 fn shards_of_a_stalled_acceptor_fail_over_and_it_has_lost_its_leases() {
-    let (fleet, _links) = fleet(146);
+    let (fleet, _links) = fleet();
     fleet.wait_until_even();
     fleet.gateway(3).signal("STOP");
     fleet.wait_until_owned(&[(0, 2 * EACH), (1, EACH)]);
@@ -122,7 +124,7 @@
 
 #[test]
 fn in_a_partition_the_side_with_most_acceptors_leads_all_shards_and_the_other_serves_by_itself() {
-    let (fleet, links) = fleet(152);
+    let (fleet, links) = fleet();
     fleet.wait_until_even();
     let (most, rest) = ([0, 1, 2], [3, 4]);
     links.cut(&most, &rest);
@@ -139,7 +141,7 @@
 
 #[test]
 fn an_acceptor_that_can_only_receive_loses_its_shards() {
-    let (fleet, links) = fleet(158);
+    let (fleet, links) = fleet();
     fleet.wait_until_even();
     links.cut(&[1], &[0, 2, 3, 4]);
     fleet.wait_until_owned(&[(0, EACH), (1, 0), (3, 2 * EACH)]);
@@ -150,7 +152,7 @@
 
 #[test]
 fn with_a_fifth_of_datagrams_lost_shards_mostly_stay_with_their_leaders() {
-    let (fleet, links) = fleet(164);
+    let (fleet, links) = fleet();
     fleet.wait_until_even();
     links.lost.store(200, Ordering::Relaxed);
     std::thread::sleep(6 * LEASE);
--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -37,7 +37,6 @@
 fn a_client_and_a_host_that_send_one_byte_at_a_time_understand_each_other() {
     let (host, gateway) = gateway_with_primary(
         gateway_program!(),
-        245,
         vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)],
     );
     let mut client = TcpStream::connect(gateway.address()).expect("it accepts");
@@ -54,7 +53,7 @@
 
 #[test]
 fn a_list_that_comes_one_byte_at_a_time_is_used() {
-    let harness = Harness::new(gateway_program!(), 246);
+    let harness = Harness::new(gateway_program!());
     let rows = |value| (0..20).map(|_| Reply::Row(value)).collect();
     let hosts = [harness.host(rows(b"drains")), harness.host(rows(b"stays"))];
     let entries =
@@ -75,7 +74,7 @@
 
 #[test]
 fn an_operations_call_that_comes_one_byte_at_a_time_is_answered() {
-    let harness = Harness::new(gateway_program!(), 247).ops();
+    let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host(vec![]);
     let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -23,7 +23,6 @@
 fn a_fleet_sends_a_host_that_has_started_no_more_work_than_its_budget() {
     for seed in [1, 3] {
         let plan = Plan {
-            number: 91,
             gateways: 40,
             hosts: 6,
             load: 0.75,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -15,13 +15,11 @@
 /// Played where no others are asked for.
 const SEEDS: Range<u64> = 1..3;
 /// Plays at a time.
-const BESIDE: u8 = 2;
-/// The first of the loopback networks that plays use.
-const FIRST_NUMBER: u8 = 92;
+const BESIDE: usize = 2;
 
 /// Plays a seed: what was served, and each rule that was broken.
-fn play_seed(seed: u64, number: u8) -> (String, Vec<String>) {
-    let schedule = Schedule::draw(seed, number);
+fn play_seed(seed: u64) -> (String, Vec<String>) {
+    let schedule = Schedule::draw(seed);
     let text = format!("{schedule:?}");
     let fleet = play(schedule.plan, |fleet| schedule.play(fleet));
     let broken = rules::broken(&fleet);
@@ -45,12 +43,12 @@
     let waiting: Mutex<VecDeque<u64>> = Mutex::new(seeds().collect());
     let failed: Mutex<Vec<u64>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for place in 0..beside {
+        for _ in 0..beside {
             let (waiting, failed) = (&waiting, &failed);
             scope.spawn(move || loop {
                 let next = waiting.lock().expect("no play has panicked").pop_front();
                 let Some(seed) = next else { return };
-                let (report, broken) = play_seed(seed, FIRST_NUMBER + place);
+                let (report, broken) = play_seed(seed);
                 println!("{report}");
                 if !broken.is_empty() {
                     failed.lock().expect("no play has panicked").push(seed);
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -14,10 +14,8 @@
 /// Longer than any pause between two attempts.
 const AWAY: Duration = Duration::from_secs(8);
 
-/// An address at which nobody listens for now.
-fn nobody(number: u8) -> ReservedPort {
-    ReservedPort::at(&format!("127.77.{number}.3"))
-}
+/// Last byte of the address of what does not listen for now.
+const CLOSED_HOST: u8 = 3;
 
 /// A gateway whose discovery refuses connections, with two hosts of which the first is about to drain.
 struct Refused {
@@ -28,13 +26,13 @@
 }
 
 impl Refused {
-    fn new(number: u8, sockets: usize) -> Refused {
-        let harness = Harness::new(gateway_program!(), number).sockets(sockets);
+    fn new(sockets: usize) -> Refused {
+        let harness = Harness::new(gateway_program!()).sockets(sockets);
         let rows = |value| (0..40).map(|_| Reply::Row(value)).collect();
         let hosts = [harness.host(rows(b"old")), harness.host(rows(b"new"))];
         let drained = harness.entries(&[(&hosts[0], "draining", "standby"), (&hosts[1], "up", "primary")]);
         let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
-        let discovery = nobody(number);
+        let discovery = ReservedPort::at(harness.network().address(CLOSED_HOST));
         let gateway = harness.start_env(&harness.config(), &[("GW_DISCOVERY", &discovery.address())]);
         gateway.line_with("gateway serving");
         Refused { gateway, discovery, hosts, drained }
@@ -61,14 +59,14 @@
 
 #[test]
 fn a_drain_while_discovery_refuses_is_heeded_once_it_is_back() {
-    let refused = Refused::new(230, 1024);
+    let refused = Refused::new(1024);
     std::thread::sleep(AWAY);
     refused.back();
 }
 
 #[test]
 fn idle_clients_that_hold_all_descriptors_do_not_keep_discovery_out() {
-    let refused = Refused::new(231, 60);
+    let refused = Refused::new(60);
     let idle: Vec<Client> = (0..80).map(|_| refused.gateway.raw_client()).collect();
     let until = Instant::now() + AWAY;
     let mut more = Vec::new();
@@ -84,17 +82,14 @@
 #[test]
 fn a_gateway_with_a_complete_list_is_ready_in_time_while_discovery_is_slow_or_refuses() {
     const HOSTS: usize = 120;
-    for (number, refuses) in [(232, false), (233, true)] {
-        let harness = Harness::new(gateway_program!(), number);
+    for refuses in [false, true] {
+        let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![]);
         let hosts = vec![(&host, "up", "standby"); HOSTS];
         let harness = harness.list(&hosts);
-        let silent = ScriptedDiscovery::play(
-            TcpListener::bind((format!("127.77.{number}.4"), 0)).expect("a free port"),
-            vec![],
-        );
+        let silent = ScriptedDiscovery::play(harness.network().tcp_listener(CLOSED_HOST), vec![]);
         let slow = silent.address().to_string();
-        let closed = nobody(number);
+        let closed = ReservedPort::at(harness.network().address(CLOSED_HOST));
         let discovery = if refuses { closed.address() } else { slow };
         let begun = Instant::now();
         let gateway = harness.start_env(&harness.config(), &[("GW_DISCOVERY", &discovery)]);
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -15,7 +15,7 @@
 // process was killed before it was answered.
 #[test]
 fn a_query_whose_end_comes_when_the_process_may_be_killed_finds_its_connection_closed() {
-    let harness = Harness::new(gateway_program!(), 200);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start_changed(brief);
     let mut client = gateway.client();
@@ -34,7 +34,7 @@
 
 #[test]
 fn the_end_comes_before_the_kill_whatever_clients_have_begun() {
-    let harness = Harness::new(gateway_program!(), 201);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Nothing]);
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start_changed(brief);
     // One has a query open that no host answers, one has begun another, one has said nothing, one not who it is.
@@ -58,7 +58,7 @@
 // The classes in force when the signal comes need not be those that the platform reckons with.
 #[test]
 fn deadlines_that_a_reload_has_just_made_longer_do_not_put_the_end_off() {
-    let harness = Harness::new(gateway_program!(), 202);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Nothing]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let long = harness.config();
@@ -79,7 +79,7 @@
 
 #[test]
 fn sigterm_ends_idle_clients_and_answers_the_others() {
-    let (host, mut gateway) = gateway_with_primary(gateway_program!(), 15, vec![Reply::WaitForGo(b"late")]);
+    let (host, mut gateway) = gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"late")]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     busy.write(&query(&select("a", "view", 60_000)));
     host.next_query();
@@ -97,7 +97,7 @@
 #[test]
 fn what_comes_late_in_a_stop_is_answered_before_the_process_is_killed() {
     let (host, mut gateway) =
-        gateway_with_primary(gateway_program!(), 46, vec![Reply::WaitForGo(b"first"), Reply::Nothing]);
+        gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Nothing]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", 25_000)));
     host.next_query();
@@ -120,7 +120,7 @@
 // A stop cuts a request's time; that must not make a first attempt look like a later one whose priority is gone.
 #[test]
 fn a_read_whose_client_waits_long_is_still_served_in_a_stop() {
-    let harness = Harness::new(gateway_program!(), 47);
+    let harness = Harness::new(gateway_program!());
     let host = harness.host((0..9).map(|_| Reply::Row(b"v")).collect());
     let gateway = harness
         .list(&[(&host, "up", "primary")])
--- a/tests/time_left.rs
+++ b/tests/time_left.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_connection_that_came_up_late_has_its_time_taken_off() {
-    let harness = Harness::new(gateway_program!(), 240);
+    let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(0, vec![Reply::Row(b"a")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
     let mut client = gateway.client();
@@ -46,8 +46,7 @@
 
 #[test]
 fn a_retry_has_the_time_of_the_attempt_before_it_taken_off() {
-    let (host, gateway) =
-        gateway_with_primary(gateway_program!(), 241, vec![Reply::CloseOnGo, Reply::Row(b"a")]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::CloseOnGo, Reply::Row(b"a")]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     assert!(time_left(&host.next_query()) <= WAIT_MS);
@@ -60,7 +59,7 @@
 #[test]
 fn a_query_behind_another_has_the_time_of_the_other_taken_off() {
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), 242, vec![Reply::WaitForGo(b"a"), Reply::Row(b"b")]);
+        gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"a"), Reply::Row(b"b")]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)).repeat(2));
     host.next_query();
@@ -74,7 +73,7 @@
 // Nothing was read while an answer was being written, so that a query which came meanwhile was taken for a new one.
 #[test]
 fn a_query_that_comes_while_an_answer_is_written_has_the_time_up_to_its_end_taken_off() {
-    let harness = Harness::new(gateway_program!(), 243);
+    let harness = Harness::new(gateway_program!());
     let value: &'static [u8] = vec![7; 4 << 20].leak();
     let host = harness.host(vec![Reply::Row(value), Reply::Row(b"b")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
--- a/tests/unreachable_hosts.rs
+++ b/tests/unreachable_hosts.rs
@@ -8,7 +8,7 @@
 // It counted as the host's refusal.
 #[test]
 fn a_host_without_a_route_to_it_is_not_taken_to_have_refused() {
-    let harness = Harness::new(gateway_program!(), 248);
+    let harness = Harness::new(gateway_program!());
     let rows = (0..40).map(|_| Reply::Row(b"served")).collect();
     let hosts = [harness.closed_host(), harness.host(rows)];
     let known = harness.entries(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -23,8 +23,8 @@
 
 /// What answered so many bounded reads, one after the other, from a primary, a fresh replica and one whose data are about as
 /// old as the machine's clock is behind the hosts'.
-fn bounded_reads(number: u8, shift_ms: i64, count: usize) -> [usize; 3] {
-    let harness = Harness::new(gateway_program!(), number);
+fn bounded_reads(shift_ms: i64, count: usize) -> [usize; 3] {
+    let harness = Harness::new(gateway_program!());
     let stale_ms = shift_ms.max(3_000) - 200;
     let primary = || Reply::Delayed(PRIMARY_DELAY_MS, Box::new(Reply::RowByClock(b"primary", shift_ms)));
     let hosts = [
@@ -59,8 +59,8 @@
 
 #[test]
 fn bounded_reads_are_spread_over_fresh_replicas_and_no_others_whatever_the_wall_clock() {
-    for (number, shift_ms) in (240..).zip(SHIFTS_MS) {
-        let [primary, fresh, stale] = bounded_reads(number, shift_ms, 60);
+    for shift_ms in SHIFTS_MS {
+        let [primary, fresh, stale] = bounded_reads(shift_ms, 60);
         println!("{shift_ms}: {primary} {fresh} {stale}");
         assert_eq!(stale, 0, "{shift_ms}");
         assert!(fresh >= 20, "{shift_ms}: {primary} at the primary, {fresh} at the replica");
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -15,8 +15,8 @@
 }
 
 impl Watched {
-    fn new(number: u8, scripts: impl Fn(&HostEntries) -> Vec<Vec<Step>>) -> Watched {
-        let harness = Harness::new(gateway_program!(), number);
+    fn new(scripts: impl Fn(&HostEntries) -> Vec<Vec<Step>>) -> Watched {
+        let harness = Harness::new(gateway_program!());
         let rows = |value| (0..40).map(|_| Reply::Row(value)).collect();
         let hosts = [harness.host(rows(b"old")), harness.host(rows(b"new"))];
         let entries =
@@ -71,8 +71,8 @@
         "noise\n",
         "{}\n",
     ];
-    for (number, line) in (170..).zip(malformed) {
-        let watched = Watched::new(number, |entries| {
+    for line in malformed {
+        let watched = Watched::new(|entries| {
             // The change behind it is none that matters.
             let behind = Step::Write(chunk(&format!("{}\n", list(43, false, ""))));
             let watch =
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_call_that_is_not_answered_with_a_list_is_made_again() {
-    let watched = Watched::new(173, |entries| {
+    let watched = Watched::new(|entries| {
         let watch = then(begins(41, true, &entries.up), vec![Step::Write(chunk("noise\n")), Step::Heartbeat]);
         let refused = vec![Step::Write(b"HTTP/1.1 503 Busy\r\n\r\n".to_vec())];
         let malformed = vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("{\"revision\":44,\"comp\n"))];
@@ -112,7 +112,7 @@
 // The list is owed still when the watch whose line was malformed has ended.
 #[test]
 fn a_watch_that_ends_behind_a_line_that_cannot_be_used_is_opened_for_the_complete_list() {
-    let watched = Watched::new(174, |entries| {
+    let watched = Watched::new(|entries| {
         let watch = then(begins(41, true, &entries.up), vec![Step::Write(chunk("noise\n"))]);
         vec![watch, then(begins(44, true, &entries.drained), vec![Step::Heartbeat])]
     });
@@ -124,7 +124,7 @@
 
 #[test]
 fn changes_whose_revision_goes_back_are_not_used_and_the_complete_list_is_asked_for() {
-    let watched = Watched::new(175, |entries| {
+    let watched = Watched::new(|entries| {
         let back = Step::Write(chunk(&format!("{}\n", list(40, false, &entries.up))));
         let watch = then(begins(45, true, &entries.drained), vec![back, Step::Heartbeat]);
         vec![watch, then(begins(45, true, &entries.drained), vec![Step::Silence])]
@@ -137,7 +137,7 @@
 // It was cut at each line end, and no part of it was a list.
 #[test]
 fn a_list_that_comes_indented_is_taken_as_one_on_a_line_is() {
-    let watched = Watched::new(176, |entries| {
+    let watched = Watched::new(|entries| {
         let first = indented(&list(42, true, &entries.up));
         let second = indented(&list(43, false, &entries.drained));
         let (one, other) = second.split_at(second.len() / 2);
@@ -152,17 +152,17 @@
 #[test]
 fn an_answer_with_a_length_or_an_end_is_read_to_its_last_byte() {
     let complete = |entries: &HostEntries| list(42, true, &entries.drained);
-    let counted = Watched::new(177, |entries| {
+    let counted = Watched::new(|entries| {
         let text = complete(entries);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
         vec![vec![Step::Write(answer.into_bytes()), Step::Silence]]
     });
     counted.drained_with(2);
-    let ended = Watched::new(178, |entries| {
+    let ended = Watched::new(|entries| {
         vec![vec![Step::Write(format!("HTTP/1.1 200 OK\r\n\r\n{}", complete(entries)).into_bytes())]]
     });
     ended.drained_with(2);
-    let chunked = Watched::new(179, |entries| {
+    let chunked = Watched::new(|entries| {
         vec![vec![
             Step::Write(HEAD.to_vec()),
             Step::Write(chunk(&complete(entries))),
@@ -176,26 +176,26 @@
 #[test]
 fn a_watch_that_brings_no_line_any_more_is_opened_anew_wherever_it_stopped() {
     let half = "{\"revision\":42,\"comp";
-    let stops: Vec<(u8, Vec<Step>)> = vec![
-        (180, vec![]),
-        (181, vec![Step::Write(b"HTTP/1.1 200".to_vec())]),
-        (182, vec![Step::Write(HEAD.to_vec())]),
-        (183, vec![Step::Write(HEAD.to_vec()), Step::Write(b"ff\r\n{\"revi".to_vec())]),
-        (184, vec![Step::Write(HEAD.to_vec()), Step::Write(chunk(half))]),
-        (185, vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("\n"))]),
-        (186, vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("\n")), Step::Trickle(chunk(" "))]),
-        (187, vec![Step::Trickle(b"H".to_vec())]),
+    let stops: Vec<Vec<Step>> = vec![
+        vec![],
+        vec![Step::Write(b"HTTP/1.1 200".to_vec())],
+        vec![Step::Write(HEAD.to_vec())],
+        vec![Step::Write(HEAD.to_vec()), Step::Write(b"ff\r\n{\"revi".to_vec())],
+        vec![Step::Write(HEAD.to_vec()), Step::Write(chunk(half))],
+        vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("\n"))],
+        vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("\n")), Step::Trickle(chunk(" "))],
+        vec![Step::Trickle(b"H".to_vec())],
     ];
     std::thread::scope(|scope| {
-        for (number, stop) in stops {
+        for (place, stop) in stops.into_iter().enumerate() {
             scope.spawn(move || {
-                let watched = Watched::new(number, |entries| {
+                let watched = Watched::new(|entries| {
                     let stop = then(stop.clone(), vec![Step::Silence]);
                     vec![stop, then(begins(42, true, &entries.drained), vec![Step::Heartbeat])]
                 });
                 watched.source.next();
                 let second = watched.source.next();
-                assert!(second.contains("watch=1&after=41"), "{number}: {second}");
+                assert!(second.contains("watch=1&after=41"), "{place}: {second}");
                 watched.drained_with(2);
             });
         }
@@ -205,8 +205,8 @@
 // A list of an earlier run of a host took its address away, while the decisions passed over it.
 #[test]
 fn an_update_on_an_earlier_run_of_a_host_is_ignored_everywhere() {
-    for (number, phase) in [(188, "removed"), (189, "up")] {
-        let harness = Harness::new(gateway_program!(), number);
+    for phase in ["removed", "up"] {
+        let harness = Harness::new(gateway_program!());
         let (host, nobody) =
             (harness.host((0..9).map(|_| Reply::Row(b"v")).collect()), harness.closed_host());
         let runs = |host: &Host, phase: &str, since: u64| {
