--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -137,7 +137,7 @@
 /// Requests that a gateway has got for each group since it began.
 fn demand(facade: &Facade, plan: &HollowPlan, number: usize, seconds: f64) -> BTreeMap<GroupId, u64> {
     let requests = |group| (request_rate(plan, number, group) * seconds) as u64;
-    facade.requests_by_group().into_keys().map(|group| (group, requests(group))).collect()
+    facade.read(|table| table.requests_by_group()).into_keys().map(|group| (group, requests(group))).collect()
 }
 
 impl HollowGateway {
@@ -187,7 +187,7 @@
             bytes_received: heard_bytes.get(),
             list_bytes: list_bytes.get(),
             list_revision: self.control.list_revision.get(),
-            settings_version: self.control.facade.version(),
+            settings_version: self.control.facade.read(|table| table.version()),
             entries: self.control.entry_count() as u64,
             held_leases: leadership.map_or(0, |leadership| leadership.held_leases() as u64),
             known_lease_holders: leadership.map_or(0, |leadership| leadership.known_lease_holders() as u64),
@@ -208,13 +208,16 @@
     loop {
         clock.sleep_until(clock.now() + PRIMARY_INTERVAL / PRIMARY_PARTS as Time).await;
         turn += 1;
-        let groups = facade.requests_by_group().into_keys().filter(|group| *group >= FIRST_LISTED_ONLY_GROUP);
+        let groups = facade
+            .read(|table| table.requests_by_group())
+            .into_keys()
+            .filter(|group| *group >= FIRST_LISTED_ONLY_GROUP);
         for group in groups.filter(|group| (group + turn).is_multiple_of(PRIMARY_PARTS)) {
             let Some(member) = names.by_name(&member_name(group, 0)) else { continue };
             let now = clock.now();
             let outcome =
                 Outcome { role: Some(Role::Primary), position: Some(now), ..Outcome::silent(Ending::Served) };
-            facade.record_late_report(now, member, outcome);
+            facade.update(|table| table.record_late_report(now, member, outcome));
         }
     }
 }
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -136,9 +136,14 @@
         })
     }
 
-    /// How many requests are open, and how many attempts are in flight.
-    pub fn in_flight(&self) -> (usize, usize) {
-        (self.open.len(), self.in_flight.len())
+    /// Number of requests without a final answer.
+    pub fn open_request_count(&self) -> usize {
+        self.open.len()
+    }
+
+    /// Number of attempts that have been ordered and not reported.
+    pub fn in_flight_attempt_count(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Whether the request has not ended.
--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -251,7 +251,8 @@
 
     fn violated_at_end(&self) -> Option<&'static str> {
         let answered = self.requests.iter().all(|request| request.client_left || request.answers == 1);
-        (self.table.in_flight() != (0, 0) || !answered).then_some(ENDS)
+        let is_idle = self.table.open_request_count() == 0 && self.table.in_flight_attempt_count() == 0;
+        (!is_idle || !answered).then_some(ENDS)
     }
 }
 
--- a/crates/models/src/attempts/orders.rs
+++ b/crates/models/src/attempts/orders.rs
@@ -130,7 +130,7 @@
     /// The request table knows exactly the attempts that are in flight.
     fn compare_in_flight(&mut self) {
         let in_flight = self.attempts.iter().filter(|attempt| !attempt.reported).count();
-        if self.table.in_flight().1 != in_flight {
+        if self.table.in_flight_attempt_count() != in_flight {
             self.violate(REPORTED);
         }
     }
--- a/src/client/context.rs
+++ b/src/client/context.rs
@@ -49,7 +49,9 @@
 impl Front {
     /// Appends the session's token, where its client carries one.
     pub(super) fn put_session_token(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
-        if let Some(token) = session.and_then(|key| self.facade.token(self.clock.now(), key)) {
+        if let Some(token) =
+            session.and_then(|key| self.facade.read(|table| table.token(self.clock.now(), key)))
+        {
             postgres::put_parameter_status(out, set_statement::TOKEN_SETTING, &token);
         }
     }
--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -103,8 +103,8 @@
     /// Carries out a setting, and gives the tag of its completion. Only the session's tokens have an effect here.
     fn apply(&mut self, setting: Setting) -> Result<&'static str, UnusableStatement> {
         match &setting {
-            Setting::SetTokens(text) if self.front.facade.tracks_sessions() => {
-                self.front.facade.set_tokens(&mut self.session_tokens, text)?;
+            Setting::SetTokens(text) if self.front.facade.read(|table| table.tracks_sessions()) => {
+                self.front.facade.read(|table| table.set_tokens(&mut self.session_tokens, text))?;
             }
             Setting::ResetTokens | Setting::Discard => self.session_tokens.clear(),
             Setting::SetTokens(_) | Setting::Other | Setting::Reset => {}
@@ -210,10 +210,10 @@
             () = self.reader.read_ahead() => return Err(End::ClientLeft),
         };
         let now = front.clock.now();
-        if !front.facade.validate_times(now, host, &mut outcome) {
+        if !front.facade.update(|table| table.validate_times(now, host, None, &mut outcome)) {
             front.counters.bad_reports.add();
         }
-        front.facade.record_late_report(now, host, outcome);
+        front.facade.update(|table| table.record_late_report(now, host, outcome));
         let mut out = command_complete.to_vec();
         front.put_session_token(&mut out, request.session_key());
         postgres::put_ready(&mut out);
--- a/src/client/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -82,7 +82,7 @@
         let statement = Statement::parse(text)?;
         let (class_index, class) = self
             .facade
-            .find_class(at, &statement.class, statement.has_idempotency_key)
+            .read(|table| table.find_class(at, &statement.class, statement.has_idempotency_key))
             .ok_or(UnusableStatement::UnknownClass)?;
         let wait = microseconds(statement.wait_ms);
         self.check(&statement, &class, wait, at)?;
@@ -115,10 +115,12 @@
         if matches!(class.effect, Effect::Keyed { .. }) && !statement.has_idempotency_key {
             return Err(UnusableStatement::MissingIdempotencyKey);
         }
-        if wait > self.facade.longest_wait(at, &class.name).saturating_mul(MAX_WAIT_FACTOR) {
+        if wait
+            > self.facade.read(|table| table.longest_wait(at, &class.name)).saturating_mul(MAX_WAIT_FACTOR)
+        {
             return Err(UnusableStatement::WaitTooLong);
         }
-        if !self.facade.may_serve_group(statement.group) {
+        if !self.facade.read(|table| table.may_serve_group(statement.group)) {
             return Err(UnusableStatement::UnknownGroup);
         }
         Ok(())
@@ -133,7 +135,7 @@
         at: Time,
         connection_tokens: &SessionTokens,
     ) -> Result<Option<SessionRef>, TokenError> {
-        if !self.facade.class_has_sessions(class_index) {
+        if !self.facade.read(|table| table.class_has_sessions(class_index)) {
             return Ok(None);
         }
         let name = statement.session.as_ref().unwrap_or(&statement.name);
@@ -142,7 +144,7 @@
             .filter(|token| !token.is_empty())
             .chain(connection_tokens.for_group(statement.group))
             .collect();
-        self.facade.session_ref(at, statement.group, name, &tokens)
+        self.facade.read(|table| table.session_ref(at, statement.group, name, &tokens))
     }
 }
 
--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -142,7 +142,7 @@
     /// Number of state entries that grow with the fleet: hosts, quotas, watermarks of other gateways.
     pub fn entry_count(&self) -> usize {
         let leadership_entries = self.leadership.as_ref().map_or(0, |leadership| leadership.entries());
-        self.host_names.len() + leadership_entries + self.facade.session_entries()
+        self.host_names.len() + leadership_entries + self.facade.read(|table| table.session_entries())
     }
 }
 
--- a/src/control/reload.rs
+++ b/src/control/reload.rs
@@ -31,7 +31,7 @@
         let max_open_requests = settings.max_open_requests;
         let (connect_timeout, idle_timeout) = (new.info.connect_span(), new.info.idle_span());
         self.facade
-            .apply_settings(now, settings, &session_classes)
+            .update(|table| table.apply_settings(now, settings, &session_classes))
             .map_err(ControlError::SettingsRejected)?;
         self.host_pool.reconfigure(connect_timeout, idle_timeout);
         let ignored_keys = in_force.keys_needing_restart(&new);
--- a/src/discovery/endpoint_table.rs
+++ b/src/discovery/endpoint_table.rs
@@ -84,7 +84,7 @@
             "endpoint list applied revision={revision} entries={} complete={complete}",
             entries.len()
         );
-        self.facade.update_endpoints(complete, entries);
+        self.facade.update(|table| table.update_endpoints(complete, entries));
     }
 
     /// Removes rows about an earlier run of a host than the latest known one. Returns the numbers of these hosts, which
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -1,18 +1,22 @@
-//! The decisions in asynchronous style, for code that serves connections: admit, pick, report, tick.
+//! An asynchronous interface to the routing decisions, for code that serves connections: admit a request, wait for
+//! decisions on it, report each attempt.
 //!
-//! A [`Facade`] owns the [`RequestTable`]. A client session admits a [`Request`] and gets a [`Ticket`]; [`Ticket::pick`]
-//! waits for the next [`Decision`]. A send comes with an [`Attempt`], which is reported once. This module knows neither
-//! protocols nor sockets and decides nothing; callers never see the router's events and actions.
+//! A [`Facade`] owns the gateway's [`RequestTable`] and knows who waits for which decision: one entry for each open request
+//! and each attempt in flight. A client session admits a [`Request`] and gets a [`Ticket`]; [`Ticket::pick`] waits for the
+//! next [`Decision`]. A decision to send carries an [`Attempt`], which is reported exactly once, whether it was made or
+//! dropped.
 //!
-//! The owner of the facade calls [`Facade::tick`] at the time that it returned, or when [`Facade::woken`] returns.
-
-mod sessions;
+//! One task drives it: it calls [`Facade::tick`] at the time that the last call returned, or earlier when
+//! [`Facade::woken`] returns. Everything that is neither a request nor an attempt is read with [`Facade::read`] and changed
+//! with [`Facade::update`], which wakes that task.
+//!
+//! The facade decides nothing and knows neither protocols nor sockets. It may import no other folder of the gateway.
 
 use petrelgauge_lifecycle::request_table::{Order, RequestTable, Send};
 pub use petrelgauge_lifecycle::request_table::{
     Outcome, Request, SessionRef, SessionTracking, SettingsRejected,
 };
-use petrelgauge_policy::*;
+use petrelgauge_policy::{Ending, MemberId, RequestId, Settings, SettingsError, SlowStart, Time};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -21,28 +25,31 @@
 /// A decision on a request.
 #[derive(Debug)]
 pub enum Decision {
-    /// Send it to the attempt's member. Another decision may follow.
+    /// Send the request to the attempt's member. Another decision may follow.
     Send(Attempt),
-    /// Final answer: rejected, safe to retry.
+    /// Final: the request is rejected and has not run.
     Reject {
         /// Retry-After for the client (microseconds); 0 for none.
         wait: Time,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final: the request failed, and may have run.
     Fail,
 }
 
-/// The decisions, shared by all tasks of a gateway.
+/// The request table of a gateway, shared by all of its tasks.
 #[derive(Clone)]
-pub struct Facade(Rc<Inner>);
+pub struct Facade {
+    inner: Rc<Inner>,
+}
 
 struct Inner {
     table: RefCell<RequestTable>,
-    /// Where the decisions on each open request go.
+    /// Receivers of the decisions on each open request.
     decision_senders: RefCell<BTreeMap<RequestId, DecisionSender>>,
-    /// Where the cancellation of each attempt goes.
+    /// Receivers of the cancellation of each attempt in flight.
     cancel_senders: RefCell<BTreeMap<AttemptId, oneshot::Sender<()>>>,
-    woken: Notify,
+    /// Notified when the table has changed since the last tick.
+    table_changed: Notify,
 }
 
 type DecisionSender = mpsc::UnboundedSender<Decision>;
@@ -55,178 +62,83 @@
 }
 
 impl Facade {
-    /// A facade for these settings. The seed is its only source of random numbers.
+    /// A facade without session consistency. `seed` is its only source of random numbers.
     ///
     /// # Errors
     ///
-    /// Fails if the settings are not valid.
+    /// Fails if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Facade, SettingsError> {
         Facade::with_sessions(settings, seed, None)
     }
 
-    /// A facade that tracks sessions.
+    /// A facade that also tracks the sessions of some request classes.
     ///
     /// # Errors
     ///
-    /// Fails if the settings are not valid.
+    /// Fails if the settings are invalid.
     pub fn with_sessions(
         settings: Settings,
         seed: u64,
         sessions: Option<SessionTracking>,
     ) -> Result<Facade, SettingsError> {
-        Ok(Facade(Rc::new(Inner {
+        let inner = Inner {
             table: RefCell::new(RequestTable::new(settings, seed, sessions)?),
             decision_senders: RefCell::default(),
             cancel_senders: RefCell::default(),
-            woken: Notify::new(),
-        })))
+            table_changed: Notify::new(),
+        };
+        Ok(Facade { inner: Rc::new(inner) })
     }
 
-    /// Replaces the settings; see [`RequestTable::apply_settings`].
+    /// Reads from the request table.
     ///
-    /// # Errors
+    /// # Panics
     ///
-    /// Fails if the settings are not valid, have too many classes beside those of open requests, or ask for sessions that
-    /// were not switched on at the start. Those before them stay in force then.
-    pub fn apply_settings(
-        &self,
-        now: Time,
-        settings: Settings,
-        carrying: &[usize],
-    ) -> Result<(), SettingsRejected> {
-        self.0.table.borrow_mut().apply_settings(now, settings, carrying)?;
-        self.0.woken.notify_one();
-        Ok(())
-    }
-
-    /// Gossip: another gateway had an answer of this member as its group's primary.
-    pub fn gossiped_primary(&self, now: Time, member: MemberId, at: Time) {
-        self.0.table.borrow_mut().gossiped_primary(now, member, at);
-        self.0.woken.notify_one();
-    }
-
-    /// Sets the factor on the interval between two attempts to find the primary of a group.
-    pub fn set_discovery_interval_factor(&self, times: Time) {
-        self.0.table.borrow_mut().set_discovery_interval_factor(times);
-    }
-
-    /// Adjusts this gateway's quota of the concurrency limits of a group's members. The step that applies it comes before
-    /// whatever the caller does next has an effect elsewhere.
-    pub fn adjust_quota(&self, group: GroupId, adjustment: QuotaAdjustment) {
-        self.0.table.borrow_mut().adjust_quota(group, adjustment);
-        self.0.woken.notify_one();
+    /// If `read` changes the facade's table, for example by dropping a [`Ticket`].
+    pub fn read<T>(&self, read: impl FnOnce(&RequestTable) -> T) -> T {
+        read(&self.inner.table.borrow())
     }
 
-    /// Requests that came so far for each group in the endpoint list.
-    pub fn requests_by_group(&self) -> BTreeMap<GroupId, u64> {
-        self.0.table.borrow().requests_by_group()
-    }
-
-    /// The group of a member.
-    pub fn group_of(&self, member: MemberId) -> Option<GroupId> {
-        self.0.table.borrow().group_of(member)
-    }
-
-    /// The members taken for primaries, with the time of their evidence by the hosts' clock.
-    pub fn primaries(&self) -> Vec<KnownPrimary> {
-        self.0.table.borrow().primaries()
-    }
-
-    /// What the router has learned of the members so far.
-    pub fn learned_state(&self) -> LearnedState {
-        self.0.table.borrow().learned_state()
-    }
-
-    /// Starts from what another process has learned; to be called before the first list.
-    pub fn adopt_learned_state(&self, learned_state: LearnedState) {
-        self.0.table.borrow_mut().adopt_learned_state(learned_state);
-    }
-
-    /// Requests without a final answer (count).
-    pub fn open_requests(&self) -> usize {
-        self.0.table.borrow().in_flight().0
-    }
-
-    /// Sets how many requests clients can have open at this gateway.
-    pub fn set_max_open_requests(&self, most: u32) {
-        self.0.table.borrow_mut().set_max_open_requests(most);
-        self.0.woken.notify_one();
-    }
-
-    /// The place of the class that a new request names, and the class; see [`RequestTable::find_class`].
-    pub fn find_class(&self, now: Time, name: &str, keyed: bool) -> Option<(usize, Class)> {
-        self.0.table.borrow().find_class(now, name, keyed)
-    }
-
-    /// The longest that clients of this class wait; see [`RequestTable::longest_wait`].
-    pub fn longest_wait(&self, now: Time, name: &str) -> Time {
-        self.0.table.borrow().longest_wait(now, name)
-    }
-
-    /// Every request admitted from now on gets its final answer by this time.
-    pub fn set_final_answer_by(&self, at: Time) {
-        self.0.table.borrow_mut().set_final_answer_by(at);
-    }
-
-    /// The longest deadline of any class in force; see [`RequestTable::longest_deadline`].
-    pub fn longest_deadline(&self, now: Time) -> Time {
-        self.0.table.borrow().longest_deadline(now)
-    }
-
-    /// Counts the settings that were in force, from 1.
-    pub fn version(&self) -> u64 {
-        self.0.table.borrow().version()
+    /// Changes the request table and wakes the task that drives the facade.
+    ///
+    /// Requests and attempts don't go this way: the facade has to know who waits for their decisions, see
+    /// [`Facade::admit`] and [`Attempt::report`].
+    ///
+    /// # Panics
+    ///
+    /// If `change` uses the facade itself.
+    pub fn update<T>(&self, change: impl FnOnce(&mut RequestTable) -> T) -> T {
+        let result = change(&mut self.inner.table.borrow_mut());
+        self.inner.table_changed.notify_one();
+        result
     }
 
-    /// Takes in a request. The decisions on it come by its ticket.
+    /// Admits a request. Decisions on it are delivered through the returned [`Ticket`].
     pub fn admit(&self, request: Request) -> Ticket {
         let (sender, decisions) = mpsc::unbounded_channel();
-        let id = self.0.table.borrow_mut().admit(request);
-        self.0.decision_senders.borrow_mut().insert(id.clone(), sender);
-        self.0.woken.notify_one();
+        let id = self.update(|table| table.admit(request));
+        self.inner.decision_senders.borrow_mut().insert(id.clone(), sender);
         Ticket { facade: self.clone(), id, decisions }
     }
 
-    /// Takes in the endpoint list: complete, or only the entries that changed.
-    pub fn update_endpoints(&self, complete: bool, entries: Vec<Entry>) {
-        self.0.table.borrow_mut().update_endpoints(complete, entries);
-        self.0.woken.notify_one();
-    }
-
-    /// Learns from a late report of a member what time it is on the hosts' clock, and drops times that cannot be; see
-    /// [`RequestTable::validate_times`].
-    pub fn validate_times(&self, now: Time, host: MemberId, report: &mut Outcome) -> bool {
-        self.0.table.borrow_mut().validate_times(now, host, None, report)
-    }
-
-    /// Takes in what a member reports of itself after its attempt was reported.
-    pub fn record_late_report(&self, now: Time, host: MemberId, report: Outcome) {
-        self.0.table.borrow_mut().record_late_report(now, host, report);
-        self.0.woken.notify_one();
-    }
-
-    /// Whether the group may be in the endpoint list: the list has named it since it was last complete, or none so far.
-    pub fn may_serve_group(&self, group: GroupId) -> bool {
-        self.0.table.borrow().may_serve_group(group)
-    }
-
-    /// Waits until something came in that a step has not seen.
+    /// Waits until the table has changed since the last tick. Cancel safe.
     pub async fn woken(&self) {
-        self.0.woken.notified().await;
+        self.inner.table_changed.notified().await;
     }
 
-    /// Steps the router if it is time, and returns when to call again at the latest.
+    /// Steps the router if a step is due, and delivers its decisions. Returns the clock time of the next call, if one is
+    /// needed although nothing changes.
     pub fn tick(&self, now: Time) -> Option<Time> {
-        let (orders, next) = self.0.table.borrow_mut().tick(now);
-        orders.into_iter().for_each(|order| self.carry_out(order));
+        let (orders, next) = self.inner.table.borrow_mut().tick(now);
+        orders.into_iter().for_each(|order| self.execute(order));
         next
     }
 
-    fn carry_out(&self, order: Order) {
+    fn execute(&self, order: Order) {
         match order {
             Order::Send(send) => self.start_attempt(send),
-            Order::Reject { request, wait } => self.close(&request, Decision::Reject { wait }),
-            Order::Fail { request } => self.close(&request, Decision::Fail),
+            Order::Reject { request, wait } => self.decide_finally(&request, Decision::Reject { wait }),
+            Order::Fail { request } => self.decide_finally(&request, Decision::Fail),
             Order::Cancel { request, attempt } => self.cancel(AttemptId { request, attempt }),
             Order::Log(text) => log::info!("decision note text={text}"),
         }
@@ -234,7 +146,7 @@
 
     fn start_attempt(&self, send: Send) {
         let (cancel_sender, cancelled) = oneshot::channel();
-        let sender = self.0.decision_senders.borrow().get(&send.request).cloned();
+        let sender = self.inner.decision_senders.borrow().get(&send.request).cloned();
         let attempt = Attempt {
             facade: self.clone(),
             host: send.host,
@@ -245,29 +157,29 @@
             is_cancelled: false,
             is_reported: false,
         };
-        self.0.cancel_senders.borrow_mut().insert(attempt.id(), cancel_sender);
-        // Without a receiver the attempt is dropped here, and so reports itself.
+        self.inner.cancel_senders.borrow_mut().insert(attempt.id(), cancel_sender);
+        // Without a receiver the attempt is dropped here, which reports it as not sent.
         if let Some(sender) = sender {
             let _ = sender.send(Decision::Send(attempt));
         }
     }
 
     fn cancel(&self, attempt: AttemptId) {
-        let cancel_sender = self.0.cancel_senders.borrow_mut().remove(&attempt);
+        let cancel_sender = self.inner.cancel_senders.borrow_mut().remove(&attempt);
         if let Some(cancel_sender) = cancel_sender {
             let _ = cancel_sender.send(());
         }
     }
 
-    fn close(&self, request: &RequestId, final_decision: Decision) {
-        let sender = self.0.decision_senders.borrow_mut().remove(request);
+    fn decide_finally(&self, request: &RequestId, decision: Decision) {
+        let sender = self.inner.decision_senders.borrow_mut().remove(request);
         if let Some(sender) = sender {
-            let _ = sender.send(final_decision);
+            let _ = sender.send(decision);
         }
     }
 }
 
-/// An admitted request. Dropped before its final decision, the request is abandoned.
+/// An admitted request. Dropping it before its final decision abandons the request.
 pub struct Ticket {
     facade: Facade,
     id: RequestId,
@@ -275,7 +187,7 @@
 }
 
 impl Ticket {
-    /// Waits for the next decision. After the final one it returns [`Decision::Fail`].
+    /// Waits for the next decision. After the final one it returns [`Decision::Fail`]. Cancel safe.
     pub async fn pick(&mut self) -> Decision {
         self.decisions.recv().await.unwrap_or(Decision::Fail)
     }
@@ -283,15 +195,14 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.facade.0.decision_senders.borrow_mut().remove(&self.id);
-        self.facade.0.table.borrow_mut().abandon(&self.id);
-        // Decisions not yet received are dropped after this: an attempt among them reports itself.
-        self.facade.0.woken.notify_one();
+        self.facade.inner.decision_senders.borrow_mut().remove(&self.id);
+        self.facade.update(|table| table.abandon(&self.id));
+        // Decisions that were not received are dropped with the channel, after this. An attempt among them reports itself.
     }
 }
 
-/// An attempt to make. It is reported exactly once: by [`Attempt::report`], or when it is dropped. Without that it would
-/// count as in flight for good, and its member would lose capacity.
+/// An attempt to make. It is reported exactly once: by [`Attempt::report`], or as not sent when it is dropped. An attempt
+/// that was never reported would count as in flight for good, and its member would lose capacity.
 pub struct Attempt {
     facade: Facade,
     send: Send,
@@ -302,13 +213,12 @@
     /// Clock time by which it must be written, if at all.
     pub write_by: Time,
     cancelled: oneshot::Receiver<()>,
-    /// The cancellation has been received.
     is_cancelled: bool,
     is_reported: bool,
 }
 
 impl Attempt {
-    /// Waits until the attempt is cancelled.
+    /// Waits until the attempt is cancelled. Cancel safe.
     pub async fn cancelled(&mut self) {
         if !self.is_cancelled && (&mut self.cancelled).await.is_err() {
             std::future::pending().await
@@ -316,28 +226,28 @@
         self.is_cancelled = true;
     }
 
-    /// Whether it may still be made, as of now: it has not been cancelled, and see [`RequestTable::may_send`].
+    /// Whether the attempt may still be sent: it has not been cancelled, and see [`RequestTable::may_send`].
     pub fn is_wanted(&mut self, now: Time) -> bool {
         // A cancellation may have arrived while the caller did other work.
         self.is_cancelled = self.is_cancelled || self.cancelled.try_recv().is_ok();
-        !self.is_cancelled && self.facade.0.table.borrow().may_send(now, &self.send)
+        !self.is_cancelled && self.facade.read(|table| table.may_send(now, &self.send))
     }
 
-    /// Learns from the answer what time it is on the hosts' clock, before the attempt is reported, and drops times that
-    /// cannot be; see [`RequestTable::validate_times`].
+    /// Learns the hosts' clock from the answer and drops implausible times from it; see [`RequestTable::validate_times`].
+    /// To be called before the attempt is reported. Returns whether the load report was kept.
     pub fn validate_times(&self, now: Time, outcome: &mut Outcome) -> bool {
-        self.facade.0.table.borrow_mut().validate_times(now, self.host, Some(&self.send), outcome)
+        self.facade.update(|table| table.validate_times(now, self.host, Some(&self.send), outcome))
     }
 
-    /// Reports how the attempt ended. True if the member answered and its request is still open: then that answer is the
-    /// request's final one, and the caller must deliver it to the client.
+    /// Reports how the attempt ended. Returns whether the member's answer is the final answer of the request: then the
+    /// caller must deliver it to the client.
     pub fn report(mut self, now: Time, outcome: Outcome) -> bool {
         self.report_once(now, outcome)
     }
 
-    /// Where the attempt's member stands in its slow start; none for one that is warm.
+    /// The slow start of the attempt's member; none for a member that is warm.
     pub fn slow_start(&self) -> Option<SlowStart> {
-        self.facade.0.table.borrow().slow_start(self.host)
+        self.facade.read(|table| table.slow_start(self.host))
     }
 
     fn id(&self) -> AttemptId {
@@ -346,12 +256,11 @@
 
     fn report_once(&mut self, now: Time, outcome: Outcome) -> bool {
         self.is_reported = true;
-        self.facade.0.cancel_senders.borrow_mut().remove(&self.id());
-        let is_final_answer = self.facade.0.table.borrow_mut().report(now, &self.send, outcome);
+        self.facade.inner.cancel_senders.borrow_mut().remove(&self.id());
+        let is_final_answer = self.facade.update(|table| table.report(now, &self.send, outcome));
         if is_final_answer {
-            self.facade.0.decision_senders.borrow_mut().remove(&self.send.request);
+            self.facade.inner.decision_senders.borrow_mut().remove(&self.send.request);
         }
-        self.facade.0.woken.notify_one();
         is_final_answer
     }
 }
@@ -359,7 +268,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if !self.is_reported {
-            // Never made: its client left before the attempt was received.
+            // Its client left before the attempt was received.
             self.report_once(self.send.at, Outcome::silent(Ending::NotSent));
         }
     }
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -43,7 +43,7 @@
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let (mut rejecting, mut failing) = (false, false);
         loop {
-            let (datagrams, next) = facade.due_broadcasts(clock.now());
+            let (datagrams, next) = facade.update(|table| table.due_broadcasts(clock.now()));
             datagrams.iter().for_each(|datagram| self.broadcast(datagram, &counters));
             let due = leadership.iter().map(|leadership| leadership.next_deadline());
             let Some(next) = next.into_iter().chain(due).min() else { return std::future::pending().await };
@@ -101,7 +101,7 @@
                 self.send(datagrams, counters);
                 Ok(())
             }
-            _ => facade.receive_broadcast(clock.now(), datagram),
+            _ => facade.update(|table| table.receive_broadcast(clock.now(), datagram)),
         }
     }
 
--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -62,10 +62,11 @@
         let Some(member) = self.names.by_hash(primary.member) else { return };
         self.counters.words.add();
         // It need not be sent back.
-        if let Some(group) = self.facade.group_of(member) {
+        let group = self.facade.read(|table| table.group_of(member));
+        if let Some(group) = group {
             self.announced.insert(now, group, member);
         }
-        self.facade.gossiped_primary(now, member, primary.position);
+        self.facade.update(|table| table.gossiped_primary(now, member, primary.position));
     }
 
     /// Looks who leads which shard, and adapts how often this gateway tries members by itself.
@@ -78,7 +79,8 @@
         self.leaders = current;
         let (leaders, shards) = (&self.leaders, self.shards);
         self.announced.forget(|group| leaders[usize::from(shard_of(group, shards))].is_none());
-        self.facade.set_discovery_interval_factor(self.attempt_interval(lease_manager));
+        let interval_factor = self.attempt_interval(lease_manager);
+        self.facade.update(|table| table.set_discovery_interval_factor(interval_factor));
         self.log_leaders();
     }
 
@@ -90,7 +92,7 @@
         lease_manager: &mut LeaseManager,
         codec: &FleetCodec,
     ) -> Vec<OutgoingDatagram> {
-        let known = self.facade.primaries();
+        let known = self.facade.read(|table| table.primaries());
         let mut datagrams = Vec::new();
         for shard in 0..self.shards {
             let leader = lease_manager.lease_holder(now, discovery_role(shard));
--- a/src/fleet/quota_lending.rs
+++ b/src/fleet/quota_lending.rs
@@ -230,7 +230,7 @@
             if adjustment == before {
                 continue;
             }
-            self.facade.adjust_quota(group, adjustment);
+            self.facade.update(|table| table.adjust_quota(group, adjustment));
             if adjustment == QuotaAdjustment::default() {
                 self.applied.remove(&group);
             } else {
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -247,7 +247,7 @@
         loop {
             let knowledge = Knowledge {
                 numbers: names.all().into_iter().collect(),
-                learned_state: enforcer.facade.learned_state(),
+                learned_state: enforcer.facade.read(|table| table.learned_state()),
             };
             let heartbeat = self.begin(clock.now(), enforcer.in_use(), knowledge);
             // On a thread of its own: a write takes up to 0.4 s here where the disk is busy, and nobody who is served
@@ -323,14 +323,14 @@
 
 impl Enforcer {
     fn in_use(&self) -> Reservation {
-        Reservation { open: self.facade.open_requests(), ..self.budget.usage() }
+        Reservation { open: self.facade.read(|table| table.open_request_count()), ..self.budget.usage() }
     }
 
     fn enforce(&mut self) {
         let limit = self.handover.limit(self.clock.now(), self.limits.get());
         if limit != self.enforced.replace(limit).unwrap_or(self.limits.get()) {
             self.budget.set_limits(limit.sockets, limit.memory);
-            self.facade.set_max_open_requests(limit.open as u32);
+            self.facade.update(|table| table.set_max_open_requests(limit.open as u32));
         }
     }
 }
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -124,7 +124,7 @@
             hosts: self.control.host_pool.listed_count(),
             list_received: self.control.has_received_list.get(),
             accept_initial_list_at: self.list_deadline,
-            version: self.control.facade.version(),
+            version: self.control.facade.read(|table| table.version()),
         };
         let (reply, action) = ops::execute(&mut self.lifecycle, self.clock.now(), command.command, known);
         if action == Action::ApplyServingState {
@@ -141,10 +141,10 @@
             return;
         }
         log::info!("gateway stopping");
-        let longest = self.control.facade.longest_deadline(self.clock.now());
+        let longest = self.control.facade.read(|table| table.longest_deadline(self.clock.now()));
         self.front.final_answer_deadline.set(self.lifecycle.answer_deadline(longest));
         self.front.final_read_deadlines.set(self.lifecycle.read_deadlines(longest));
-        self.control.facade.set_final_answer_by(self.front.final_answer_deadline.get());
+        self.control.facade.update(|table| table.set_final_answer_by(self.front.final_answer_deadline.get()));
         self.control.leadership.iter().for_each(|leadership| leadership.stop());
     }
 
@@ -158,7 +158,7 @@
         }
         if let Err(cause) = self.follow(new) {
             self.counters.bad_configs.add();
-            let version = self.control.facade.version();
+            let version = self.control.facade.read(|table| table.version());
             log::warn!("configuration rejected settings_version={version} cause={cause}");
         }
     }
@@ -167,7 +167,7 @@
         let reloaded = self.control.reload(self.clock.now(), &self.config, new?)?;
         let Reloaded { config: new, max_open_requests } = reloaded;
         self.counters.reloads.add();
-        let (address, version) = (new.discovery, self.control.facade.version());
+        let (address, version) = (new.discovery, self.control.facade.read(|table| table.version()));
         log::info!("configuration reloaded settings_version={version} discovery={address}");
         self.full_reservation
             .set(Reservation { open: max_open_requests as usize, ..self.full_reservation.get() });
@@ -180,8 +180,11 @@
     }
 
     fn log_counters(&self) {
-        let sessions =
-            self.control.facade.session_counts().map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
+        let sessions = self
+            .control
+            .facade
+            .read(|table| table.session_counts())
+            .map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
         let leadership =
             self.control.leadership.as_ref().map(|leadership| format!(" {}", leadership.counts()));
         log::info!(
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -123,7 +123,7 @@
             budget: self.budget.clone(),
             read_buffer: self.read_buffer.clone(),
             counters: self.counters.clone(),
-            demand: Rc::new(move || facade.requests_by_group()),
+            demand: Rc::new(move || facade.read(|table| table.requests_by_group())),
             assigned_ids,
         }
     }
@@ -191,7 +191,7 @@
     let inherit = handover.as_ref().and_then(|handover| handover.inherit(resources.clock.now()));
     inherit.map_or_else(BTreeMap::new, |(record, age)| {
         log::info!("learned state adopted hosts={} age_us={age}", record.numbers.len());
-        resources.facade.adopt_learned_state(record.learned_state);
+        resources.facade.update(|table| table.adopt_learned_state(record.learned_state));
         record.numbers.into_iter().collect()
     })
 }
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -15,10 +15,16 @@
 fn a_complete_list_names_the_groups_there_are() {
     let simulation = simulation();
     let other = Entry { group: G + 1, ..entry(4, MemberStatus::Up, true, 0) };
-    simulation.facade.update_endpoints(false, vec![other.clone()]);
-    assert!(simulation.facade.may_serve_group(G) && simulation.facade.may_serve_group(G + 1));
-    simulation.facade.update_endpoints(true, vec![other]);
-    assert!(!simulation.facade.may_serve_group(G) && simulation.facade.may_serve_group(G + 1));
+    simulation.facade.update(|table| table.update_endpoints(false, vec![other.clone()]));
+    assert!(
+        simulation.facade.read(|table| table.may_serve_group(G))
+            && simulation.facade.read(|table| table.may_serve_group(G + 1))
+    );
+    simulation.facade.update(|table| table.update_endpoints(true, vec![other]));
+    assert!(
+        !simulation.facade.read(|table| table.may_serve_group(G))
+            && simulation.facade.read(|table| table.may_serve_group(G + 1))
+    );
 }
 
 #[test]
@@ -97,7 +103,7 @@
 #[test]
 fn a_group_is_known_once_a_list_named_it() {
     let facade = Facade::new(settings(), 11).expect("sound settings");
-    assert!(facade.may_serve_group(99), "no list has come yet");
-    facade.update_endpoints(true, vec![entry(1, MemberStatus::Up, true, 0)]);
-    assert!(facade.may_serve_group(G) && !facade.may_serve_group(99));
+    assert!(facade.read(|table| table.may_serve_group(99)), "no list has come yet");
+    facade.update(|table| table.update_endpoints(true, vec![entry(1, MemberStatus::Up, true, 0)]));
+    assert!(facade.read(|table| table.may_serve_group(G)) && !facade.read(|table| table.may_serve_group(99)));
 }
--- a/tests/facade_simulation/mod.rs
+++ b/tests/facade_simulation/mod.rs
@@ -45,10 +45,12 @@
             classes: vec![READ, WRITE],
         });
         let facade = Facade::with_sessions(settings, 11, tracking).expect("sound settings");
-        facade.update_endpoints(
-            true,
-            (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
-        );
+        facade.update(|table| {
+            table.update_endpoints(
+                true,
+                (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
+            )
+        });
         let mut simulation = Simulation { facade, now, keeps_sessions };
         simulation.step();
         simulation
@@ -60,7 +62,8 @@
     }
 
     pub fn session_ref(&self, tokens: &[&str]) -> Option<SessionRef> {
-        let session = self.facade.session_ref(self.now, G, "one", tokens).expect("sound tokens");
+        let session =
+            self.facade.read(|table| table.session_ref(self.now, G, "one", tokens)).expect("sound tokens");
         assert_eq!(session.is_some(), self.keeps_sessions);
         session
     }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -42,7 +42,7 @@
     let attempt = send(simulation, &mut ticket);
     assert!(attempt.report(simulation.now, served(commit, Role::Primary)));
     let session = simulation.session_ref(&[]).expect("sessions are kept");
-    simulation.facade.token(simulation.now, session.key).expect("tokens are on")
+    simulation.facade.read(|table| table.token(simulation.now, session.key)).expect("tokens are on")
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let mut ticket = admit(&mut simulation, READ, &["new"]);
     let attempt = send(&mut simulation, &mut ticket);
     assert!(!attempt.report(simulation.now, served(newer - MS, Role::Replica)), "it would go back");
-    let (counts, _) = simulation.facade.session_counts().expect("sessions are kept");
+    let (counts, _) = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept");
     assert_eq!((counts.behind, counts.by_token), (2, 3));
 }
 
@@ -110,7 +110,10 @@
         .encode(0)
     };
     let (start, then) = (START - 9_000 * MS, START + 10 * MS);
-    simulation.facade.receive_broadcast(simulation.now, &broadcast(start, START)).expect("sound");
+    simulation
+        .facade
+        .update(|table| table.receive_broadcast(simulation.now, &broadcast(start, START)))
+        .expect("sound");
     let mut ticket = admit(&mut simulation, READ, &[]);
     let arrived = simulation.now;
     let attempt = send(&mut simulation, &mut ticket);
@@ -123,12 +126,15 @@
         simulation.step();
     }
     assert!(arrived < then);
-    simulation.facade.receive_broadcast(simulation.now, &broadcast(START, then)).expect("sound");
+    simulation
+        .facade
+        .update(|table| table.receive_broadcast(simulation.now, &broadcast(START, then)))
+        .expect("sound");
     let attempt = send(&mut simulation, &mut ticket);
     assert!(attempt.report(simulation.now, served(arrived - MS, Role::Replica)), "nothing stands against it");
-    let (counts, _) = simulation.facade.session_counts().expect("sessions are kept");
+    let (counts, _) = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept");
     assert_eq!((counts.settled, counts.received), (1, 2));
-    assert!(simulation.facade.receive_broadcast(simulation.now, b"garbage").is_err());
+    assert!(simulation.facade.update(|table| table.receive_broadcast(simulation.now, b"garbage")).is_err());
 }
 
 const OPERATOR: &str = "sessions: {classes: [\"view\", \"post\"], secret: \"77\"}\n";
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -117,7 +117,7 @@
     }
 
     fn leader(&self) -> Option<MemberId> {
-        self.simulation.facade.primaries().first().map(|primary| primary.member)
+        self.simulation.facade.read(|table| table.primaries()).first().map(|primary| primary.member)
     }
 }
 
@@ -131,14 +131,15 @@
             wrong.write();
         }
         assert_eq!((right.leader(), wrong.leader()), (Some(1), Some(1)));
-        let announced_at = |from: &Shifted| from.simulation.facade.primaries()[0].evidence_at;
+        let announced_at =
+            |from: &Shifted| from.simulation.facade.read(|table| table.primaries())[0].evidence_at;
         let (by_right, by_wrong) = (announced_at(&right), announced_at(&wrong));
         assert!((by_right - by_wrong).abs() <= 20 * MS, "{shift_ms}: {by_right} and {by_wrong}");
         // Some time later member 2 has taken over, and one gateway had its answer.
         for gateway in [&mut right, &mut wrong] {
             gateway.simulation.now += 1_000 * MS;
             let at = by_right + 900 * MS;
-            gateway.simulation.facade.gossiped_primary(gateway.simulation.now, 2, at);
+            gateway.simulation.facade.update(|table| table.gossiped_primary(gateway.simulation.now, 2, at));
             gateway.step();
             assert_eq!(gateway.leader(), Some(2), "{shift_ms}");
         }
