--- a/crates/lifecycle/src/class_table.rs
+++ b/crates/lifecycle/src/class_table.rs
@@ -12,16 +12,16 @@
 //! [`MAX_CLASSES`]. A change that needs more is rejected.
 //!
 //! ```
-//! use petrelgauge_lifecycle::class_table::{ClassTable, OVERLAP};
+//! use petrelgauge_lifecycle::class_table::{ClassTable, IdempotencyKey, OVERLAP};
 //! use petrelgauge_policy::{Class, Effect, Need};
 //!
 //! let class = |name: &str, effect| Class {
 //!     name: name.into(), need: Need::Eventual, effect, attempts: 4, latency_target: 1, deadline: 2, priority_weight: 1.0, late_share: 0.0,
 //! };
 //! let mut classes = ClassTable::new(vec![class("view", Effect::Safe)]);
-//! let old = classes.find(0, "view", false).expect("it is in force");
+//! let old = classes.find(0, "view", IdempotencyKey::Absent).expect("it is in force");
 //! classes.update(10, vec![class("view", Effect::Unsafe)], &[old].into()).expect("the table has a free index");
-//! let new = classes.find(10, "view", false).expect("it is in force");
+//! let new = classes.find(10, "view", IdempotencyKey::Absent).expect("it is in force");
 //! assert_eq!((classes.class(old).effect, classes.class(new).effect), (Effect::Safe, Effect::Unsafe));
 //! ```
 
@@ -33,6 +33,15 @@
 /// How long clients may not know of a change (microseconds): the platform has them follow after 1.2 s.
 pub const OVERLAP: Time = 2_000_000;
 
+/// Whether a request carries an idempotency key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum IdempotencyKey {
+    /// It carries one.
+    Present,
+    /// It carries none.
+    Absent,
+}
+
 /// The classes in force, and those that open requests still have.
 #[derive(Clone, Debug)]
 pub struct ClassTable {
@@ -90,13 +99,13 @@
         named.map(|class| class.deadline).max().unwrap_or(0)
     }
 
-    /// The index of the class that a new request names; `keyed`: the request carries an idempotency key.
-    pub fn find(&self, now: Time, name: &str, keyed: bool) -> Option<usize> {
+    /// The index of the class that a new request names, by whether the request carries an idempotency key.
+    pub fn find(&self, now: Time, name: &str, key: IdempotencyKey) -> Option<usize> {
         let named = |indexes: &[usize]| indexes.iter().copied().find(|index| self.table[*index].name == name);
         let previous = || named(self.previous(now));
         match named(&self.in_force) {
             None => previous(),
-            Some(index) if keyed || !requires_key(self.class(index)) => Some(index),
+            Some(index) if key == IdempotencyKey::Present || !requires_key(self.class(index)) => Some(index),
             // Its client does not know yet that the class requires a key.
             Some(index) => previous().filter(|old| !requires_key(self.class(*old))).or(Some(index)),
         }
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -1,36 +1,45 @@
-//! Input of the request table: requests, settings, endpoint lists.
+//! Admission of requests, and what they are admitted by: the settings with their classes, and the endpoint list.
 
-use super::*;
-use crate::class_table::TooManyClasses;
+use super::{
+    AttemptInFlight, ClassLookup, OpenRequest, Request, RequestTable, SessionNeed, SessionRef,
+    SettingsRejected,
+};
+use crate::class_table::{IdempotencyKey, TooManyClasses};
+use petrelgauge_policy::{
+    Entry, Event, GroupId, MemberStatus, Need, RequestId, Settings, Time, ASSUMED_KNOWN_AFTER,
+};
+use petrelgauge_sessions::{MinimumPosition, SessionKey};
 
 impl RequestTable {
-    /// Sets how many requests clients can have open from now on.
-    pub fn set_max_open_requests(&mut self, most: u32) {
-        self.settings.max_open_requests = most;
+    /// Sets how many requests can be open at a time.
+    pub fn set_max_open_requests(&mut self, max_count: u32) {
+        self.settings.max_open_requests = max_count;
         // The settings were valid before, and this value can't make them invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// The index of the class that a new request names, and the class; `keyed`: the request carries an idempotency key.
-    pub fn find_class(&self, now: Time, name: &str, keyed: bool) -> Option<(usize, Class)> {
-        let index = self.classes.find(now, name, keyed)?;
-        Some((index, self.classes.class(index).clone()))
+    /// The class that a new request names, by whether the request carries an idempotency key; see
+    /// [`ClassTable::find`](crate::class_table::ClassTable::find).
+    pub fn find_class(&self, now: Time, name: &str, key: IdempotencyKey) -> Option<ClassLookup> {
+        let index = self.classes.find(now, name, key)?;
+        Some(ClassLookup { index, class: self.classes.class(index).clone() })
     }
 
-    /// The longest that clients of this class wait (microseconds); see [`ClassTable::longest_wait`].
+    /// The longest that clients of this class wait (microseconds); see
+    /// [`ClassTable::longest_wait`](crate::class_table::ClassTable::longest_wait).
     pub fn longest_wait(&self, now: Time, name: &str) -> Time {
         self.classes.longest_wait(now, name)
     }
 
-    /// Every request that is admitted from now on has its final answer by this time.
-    pub fn set_final_answer_by(&mut self, at: Time) {
-        self.settings.final_answer_by = at;
+    /// Sets the clock time by which every request that is admitted from now on gets its final answer.
+    pub fn set_final_answer_by(&mut self, deadline: Time) {
+        self.settings.final_answer_by = deadline;
         // The settings were valid before, and this value can't make them invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// The longest deadline of any class in force (microseconds); shortly after a change, when others may not know of it,
-    /// that of the previous classes if it is shorter.
+    /// The longest deadline of any class in force (microseconds), or of the previous classes if that is shorter and clients
+    /// may not know of the change yet.
     pub fn longest_deadline(&self, now: Time) -> Time {
         let longest =
             |indexes: &[usize]| indexes.iter().map(|index| self.classes.class(*index).deadline).max();
@@ -44,7 +53,7 @@
     }
 
     /// Applies new settings to requests that are admitted from now on. Open requests and their attempts keep the classes
-    /// that they were admitted with. `carrying` are the positions, in these settings, of classes with sessions.
+    /// that they were admitted with. `session_classes` are the indexes, in these settings, of classes with sessions.
     ///
     /// # Errors
     ///
@@ -53,26 +62,27 @@
         &mut self,
         now: Time,
         mut settings: Settings,
-        carrying: &[usize],
+        session_classes: &[usize],
     ) -> Result<(), SettingsRejected> {
         settings.check().map_err(SettingsRejected::Invalid)?;
-        if self.session_tracker.is_none() && !carrying.is_empty() {
+        if self.session_tracker.is_none() && !session_classes.is_empty() {
             return Err(SettingsRejected::SessionsDisabled);
         }
-        let of_attempts = self.in_flight.values().map(|attempt| attempt.class);
-        let used = self.open.values().map(|open| open.class).chain(of_attempts).collect();
+        let attempt_classes = self.in_flight.values().map(|attempt| attempt.class);
+        let used = self.open.values().map(|open| open.class).chain(attempt_classes).collect();
         let mut classes = self.classes.clone();
         let new_classes = std::mem::take(&mut settings.classes);
         classes.update(now, new_classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
-        (settings.discovery_interval_factor, settings.final_answer_by) =
-            (self.settings.discovery_interval_factor, self.settings.final_answer_by);
+        // These two are set at run time and not by the settings.
+        settings.discovery_interval_factor = self.settings.discovery_interval_factor;
+        settings.final_answer_by = self.settings.final_answer_by;
         self.settings = settings;
         self.granularity = self.settings.granularity;
         let with_classes = Settings { classes: classes.table().to_vec(), ..self.settings.clone() };
         self.router.apply_settings(with_classes).map_err(SettingsRejected::Invalid)?;
         let is_unchanged = |index: &usize| classes.table()[*index] == *self.classes.class(*index);
         self.session_classes.retain(|index| *index < classes.table().len() && is_unchanged(index));
-        self.session_classes.extend(carrying.iter().map(|position| classes.in_force()[*position]));
+        self.session_classes.extend(session_classes.iter().map(|index| classes.in_force()[*index]));
         self.classes = classes;
         Ok(())
     }
@@ -82,71 +92,80 @@
         Settings { classes: self.classes.table().to_vec(), ..self.settings.clone() }
     }
 
-    /// Admits a request. It is open from now on, and identified by the returned id: the identifiers that clients use for
-    /// their requests need not be unique.
+    /// Admits a request and returns its id. The table gives out its own ids, since those that clients choose need not be
+    /// unique.
     pub fn admit(&mut self, request: Request) -> RequestId {
         let id: RequestId = self.next_id.to_string().into();
         self.next_id += 1;
         if self.groups.contains(&request.group) {
             *self.request_counts.entry(request.group).or_default() += 1;
         }
-        self.record_unconfirmed_writes(request.at);
+        self.record_unconfirmed_writes(request.arrived_at);
         let session = self.session_need(&request);
-        let needed =
-            session.as_ref().and_then(|session| session.minimum_position).map(|floor| floor.position());
-        let is_retry = request.is_retry;
-        let open =
-            OpenRequest { class: request.class, attempts: 0, may_have_run_since: None, is_retry, session };
+        let session_minimum =
+            session.as_ref().and_then(|session| session.minimum_position).map(|minimum| minimum.position());
+        let open = OpenRequest {
+            class: request.class,
+            attempts: 0,
+            may_have_run_since: None,
+            is_retry: request.is_retry,
+            session,
+        };
         self.open.insert(id.clone(), open);
-        self.queue.push(Event::Request {
+        self.pending_events.push(Event::Request {
             request: id.clone(),
             class: request.class,
             group: request.group,
-            time_left: request.until,
+            time_left: request.deadline,
             is_retry: request.is_retry,
-            minimum_position: needed.max(request.after),
+            minimum_position: session_minimum.max(request.required_position),
         });
         id
     }
 
-    /// What the session of a new request needs, if it has one: a read a minimum position of the answer's data.
+    /// What the session of a new request needs, if it has one.
     fn session_need(&mut self, request: &Request) -> Option<SessionNeed> {
-        let hosts_now = self.hosts_now(request.at);
+        let hosts_now = self.hosts_now(request.arrived_at);
         let is_write = self.classes.class(request.class).need == Need::Write;
         let tracker = self.session_tracker.as_mut()?;
         let SessionRef { key, token } = request.session.as_ref()?;
-        let key = *key;
-        if is_write {
+        let minimum_position = if is_write {
             if let Some(token) = token {
-                tracker.merge_token(hosts_now, key, token);
+                tracker.merge_token(hosts_now, *key, token);
             }
-            return Some(SessionNeed {
-                key,
-                arrived: request.at,
-                minimum_position: None,
-                position_at_send: None,
-            });
-        }
-        let minimum = tracker.begin_read(hosts_now, key, token.as_ref());
-        // Whether a write in flight has been committed and answered is not known here.
-        let may_be_known = request.at - ASSUMED_KNOWN_AFTER;
-        let is_pending = |attempt: &AttemptInFlight| {
-            attempt.writes.is_some_and(|(written, _)| written == key) && attempt.at <= may_be_known
-        };
-        let minimum = if self.in_flight.values().any(is_pending) {
-            minimum.with_pending_write(hosts_now - ASSUMED_KNOWN_AFTER)
+            None
         } else {
-            minimum
+            let minimum = tracker.begin_read(hosts_now, *key, token.as_ref());
+            Some(self.with_pending_writes(minimum, request.arrived_at, *key))
         };
         Some(SessionNeed {
-            key,
-            arrived: request.at,
-            minimum_position: Some(minimum),
+            key: *key,
+            arrived_at: request.arrived_at,
+            minimum_position,
             position_at_send: None,
         })
     }
 
-    /// An update of the endpoint list: the complete list, or only the changed entries.
+    /// Raises the minimum position of a read that arrives while a write of its session is in flight. That write may have
+    /// been committed, and its client may know of it, before its report gets here.
+    fn with_pending_writes(
+        &self,
+        minimum: MinimumPosition,
+        arrived_at: Time,
+        key: SessionKey,
+    ) -> MinimumPosition {
+        let may_be_known = |attempt: &AttemptInFlight| {
+            attempt.session_write.is_some_and(|write| write.key == key)
+                && attempt.ordered_at <= arrived_at - ASSUMED_KNOWN_AFTER
+        };
+        if self.in_flight.values().any(may_be_known) {
+            minimum.with_pending_write(self.hosts_now(arrived_at) - ASSUMED_KNOWN_AFTER)
+        } else {
+            minimum
+        }
+    }
+
+    /// Applies an update of the endpoint list: the complete list, or only the changed entries.
     pub fn update_endpoints(&mut self, complete: bool, entries: Vec<Entry>) {
         if complete {
             self.groups.clear();
@@ -164,11 +183,10 @@
         }
         self.reported_positions.retain(|id, _| self.listed.contains(id));
         self.request_counts.retain(|group, _| self.groups.contains(group));
-        self.queue.push(Event::List { complete, entries: entries.into() });
+        self.pending_events.push(Event::List { complete, entries: entries.into() });
     }
 
-    /// Whether requests for this group may be served: the endpoint list has named it since it was last complete, or has
-    /// named no group so far.
+    /// Whether requests for this group may be served: the endpoint list names the group, or none has been received.
     pub fn may_serve_group(&self, group: GroupId) -> bool {
         self.groups.is_empty() || self.groups.contains(&group)
     }
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -1,7 +1,10 @@
 //! Reports and abandoned requests: the one end of each request.
 
-use super::*;
-use petrelgauge_sessions::{AnswerEvidence, Verdict};
+use super::{AttemptInFlight, AttemptSpec, OpenRequest, Outcome, RequestTable, SessionNeed, SessionWrite};
+use petrelgauge_policy::{
+    mutant, Ending, Event, MemberId, Mutant, Need, RequestId, Role, StaleReadPolicy, Time,
+};
+use petrelgauge_sessions::{AnswerEvidence, SessionKey, Verdict};
 
 impl RequestTable {
     /// The client no longer waits. Returns whether the request was still open.
@@ -10,63 +13,57 @@
             return self.open.contains_key(request);
         }
         let Some(open) = self.open.remove(request) else { return false };
-        if let OpenRequest {
-            attempts: 1..,
-            session: Some(SessionNeed { key, minimum_position: None, .. }),
-            ..
-        } = open
-        {
+        if let Some(key) = open.unconfirmed_write() {
             self.unconfirmed_writes.push(key);
         }
-        self.queue.push(Event::Abandoned { request: request.clone() });
+        self.pending_events.push(Event::Abandoned { request: request.clone() });
         true
     }
 
-    /// An attempt ended, and its connection was closed or returned to the pool. Returns whether the member's answer is the
-    /// final answer of the request, to be sent to the client. A second report of an attempt is ignored.
-    pub fn report(&mut self, now: Time, send: &Send, mut outcome: Outcome) -> bool {
+    /// Records the outcome of an attempt whose connection was closed or returned to the pool. Returns whether the member's
+    /// answer is the final answer of the request, to be sent to the client. A second report of an attempt is ignored.
+    pub fn report(&mut self, now: Time, attempt: &AttemptSpec, mut outcome: Outcome) -> bool {
         // A second report would decrement the attempts of the member twice.
-        let Some(attempt) = self.in_flight.remove(&(send.request.clone(), send.attempt)) else {
-            return false;
-        };
-        self.record_write(now, &attempt, &outcome);
-        let is_stale = self.shows_old_data(send, attempt.class, &outcome);
-        if outcome.ending == Ending::Served && (is_stale || !self.accept_answer(now, &send.request, &outcome))
-        {
+        let Some(in_flight) = self.in_flight.remove(&attempt.id) else { return false };
+        let request = &attempt.id.request;
+        self.record_write(now, &in_flight, &outcome);
+        let is_stale = self.shows_old_data(attempt, in_flight.class, &outcome);
+        if outcome.ending == Ending::Served && (is_stale || !self.accept_answer(now, request, &outcome)) {
             // The data were too old: as if the member had rejected the request by itself.
             outcome.ending = Ending::Rejected;
         }
-        self.record_position(send.host, &outcome);
-        if let (false, Some(open)) = (outcome.ending.never_ran(), self.open.get_mut(&send.request)) {
-            open.may_have_run_since.get_or_insert(send.at);
+        self.record_position(attempt.host, &outcome);
+        if let (false, Some(open)) = (outcome.ending.never_ran(), self.open.get_mut(request)) {
+            open.may_have_run_since.get_or_insert(attempt.ordered_at);
         }
-        let answered = outcome.ending == Ending::Served || outcome.unusable;
+        let is_answer = outcome.ending == Ending::Served || outcome.is_unusable;
         // The request ends here and not with the next step: no rejection may replace an answer.
-        let is_final =
-            answered && (self.open.remove(&send.request).is_some() || mutant(Mutant::RejectedAfterAnswer));
-        self.queue.push(Event::Outcome {
-            request: send.request.clone(),
-            attempt: send.attempt,
-            member: send.host,
+        let is_final_answer =
+            is_answer && (self.open.remove(request).is_some() || mutant(Mutant::RejectedAfterAnswer));
+        self.pending_events.push(Event::Outcome {
+            request: request.clone(),
+            attempt: attempt.id.number,
+            member: attempt.host,
             ending: outcome.ending,
-            took: (now - send.at).max(0),
-            closed: answered || !self.open.contains_key(&send.request),
+            took: (now - attempt.ordered_at).max(0),
+            closed: is_answer || !self.open.contains_key(request),
             position: outcome.position,
             role: outcome.role,
             report: outcome.report,
         });
-        is_final
+        is_final_answer
     }
 
     /// Records the write of a session, also if its client has left: the session's next read may use another connection.
     fn record_write(&mut self, now: Time, attempt: &AttemptInFlight, outcome: &Outcome) {
         let hosts_now = self.hosts_now(now);
-        let (Some(tracker), Some((key, arrived))) = (&mut self.session_tracker, attempt.writes) else {
-            return;
-        };
-        let arrived = hosts_now - (now - arrived);
+        let (Some(tracker), Some(write)) = (&mut self.session_tracker, attempt.session_write) else { return };
+        let SessionWrite { key, arrived_at } = write;
         match outcome.ending {
-            Ending::Served => tracker.record_write(hosts_now, key, arrived, outcome.position),
+            Ending::Served => {
+                let hosts_arrived_at = hosts_now - (now - arrived_at);
+                tracker.record_write(hosts_now, key, hosts_arrived_at, outcome.position);
+            }
             // The write may have been committed, and its answer lost.
             Ending::ConnectionLost | Ending::TimedOut | Ending::Cancelled => {
                 tracker.record_unconfirmed_write(hosts_now, key)
@@ -84,39 +81,37 @@
         }
     }
 
-    /// Records abandoned writes, now that the time is known: what may have run was committed before it.
+    /// Records writes that were abandoned since the last call, with the present time: what may have run was committed before
+    /// it.
     pub(super) fn record_unconfirmed_writes(&mut self, now: Time) {
         let hosts_now = self.hosts_now(now);
         let Some(tracker) = &mut self.session_tracker else { return };
         self.unconfirmed_writes.drain(..).for_each(|key| tracker.record_unconfirmed_write(hosts_now, key));
     }
 
-    /// A request ends without having been served.
-    pub(super) fn end(&mut self, now: Time, request: &RequestId) -> Option<OpenRequest> {
+    /// Ends a request that was not served. None if it has ended already.
+    pub(super) fn end(&mut self, now: Time, request: &RequestId) -> Option<()> {
         let open = self.open.remove(request)?;
         let hosts_now = self.hosts_now(now);
-        if let (Some(tracker), Some(SessionNeed { key, minimum_position: None, .. })) =
-            (&mut self.session_tracker, &open.session)
-        {
-            if open.attempts > 0 {
-                tracker.record_unconfirmed_write(hosts_now, *key);
-            }
+        if let (Some(tracker), Some(key)) = (&mut self.session_tracker, open.unconfirmed_write()) {
+            tracker.record_unconfirmed_write(hosts_now, key);
         }
-        Some(open)
+        Some(())
     }
 
-    /// Whether the member's report shows that its data are older than the class allows: it was taken for the primary, and
-    /// is a replica. Members that check this by themselves don't answer in that case.
-    fn shows_old_data(&self, send: &Send, class: usize, outcome: &Outcome) -> bool {
+    /// Whether the member's report shows that its data are older than the class allows: the router took it for the primary,
+    /// and it is a replica. Members that check this by themselves don't answer in that case.
+    fn shows_old_data(&self, attempt: &AttemptSpec, class: usize, outcome: &Outcome) -> bool {
         let need = self.classes.class(class).need;
         let Some(bound) = need.bound().or((need == Need::Strong).then_some(0)) else { return false };
-        let replica =
+        let is_unchecked_replica =
             self.settings.stale_read_policy == StaleReadPolicy::Serve && outcome.role == Some(Role::Replica);
-        replica && outcome.position.is_some_and(|position| position < self.hosts_now(send.at) - bound)
+        let oldest_allowed = self.hosts_now(attempt.ordered_at) - bound;
+        is_unchecked_replica && outcome.position.is_some_and(|position| position < oldest_allowed)
     }
 
-    /// Whether the answer of a member that served an open request can be its final answer: for a read of a session it must
-    /// prove the minimum position. What the session has seen is recorded then.
+    /// Whether an answer can be the final answer of its request: the answer to a session's read must prove the minimum
+    /// position. An accepted answer is recorded as seen by the session.
     fn accept_answer(&mut self, now: Time, request: &RequestId, outcome: &Outcome) -> bool {
         let hosts_now = self.hosts_now(now);
         let Some(tracker) = &mut self.session_tracker else { return true };
@@ -136,3 +131,11 @@
         true
     }
 }
+
+impl OpenRequest {
+    /// The session whose write this is, if the write may have run.
+    fn unconfirmed_write(&self) -> Option<SessionKey> {
+        let session = self.session.as_ref().filter(|session| session.minimum_position.is_none());
+        session.filter(|_| self.attempts > 0).map(|session| session.key)
+    }
+}
--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -1,22 +1,23 @@
 //! What hosts report about their clock, and times that cross machines.
 
-use super::*;
+use super::{AttemptInFlight, AttemptSpec, Outcome, RequestTable};
+use petrelgauge_policy::{Ending, MemberId, Need, Report, Time};
 
-/// A change of the estimate after which the session tracker is restarted (microseconds).
-const TRACKER_STEP: Time = 1_000_000;
+/// A change of the estimated clock offset after which the session tracker is restarted (microseconds).
+const MAX_TRACKER_DRIFT: Time = 1_000_000;
 
 impl RequestTable {
     /// Learns from the times of an answer, as of its arrival, how far the hosts' clock is ahead, and drops times that lie in
-    /// the hosts' future: those were not read from a clock. `send` is the attempt that is answered, unless the answer was
-    /// reported before. Returns false if the load report was dropped.
+    /// the hosts' future: those were not read from a clock. `attempt` is the attempt that is answered; none if it has been
+    /// reported already. Returns whether the load report was kept.
     pub fn validate_times(
         &mut self,
         now: Time,
         host: MemberId,
-        send: Option<&Send>,
+        attempt: Option<&AttemptSpec>,
         outcome: &mut Outcome,
     ) -> bool {
-        self.learn_clock(now, host, send, outcome);
+        self.learn_clock(now, host, attempt, outcome);
         let fleet_clock = self.router.fleet_clock();
         outcome.position = outcome.position.filter(|position| fleet_clock.is_plausible(*position, now));
         let is_plausible =
@@ -28,14 +29,14 @@
         is_plausible
     }
 
-    fn learn_clock(&mut self, now: Time, host: MemberId, send: Option<&Send>, outcome: &Outcome) {
-        let attempt = send.and_then(|send| self.in_flight.get(&(send.request.clone(), send.attempt)));
-        let is_write = |attempt: &&AttemptInFlight| self.classes.class(attempt.class).need == Need::Write;
-        let write = attempt.filter(is_write).filter(|_| outcome.ending == Ending::Served);
+    fn learn_clock(&mut self, now: Time, host: MemberId, attempt: Option<&AttemptSpec>, outcome: &Outcome) {
+        let in_flight = attempt.and_then(|attempt| self.in_flight.get(&attempt.id));
+        let is_write = |in_flight: &&AttemptInFlight| self.classes.class(in_flight.class).need == Need::Write;
+        let served_write = in_flight.filter(is_write).filter(|_| outcome.ending == Ending::Served);
         let fleet_clock = self.router.fleet_clock_mut();
-        match (write, outcome.position) {
-            (Some(attempt), Some(commit)) => {
-                fleet_clock.record_commit(host, commit, attempt.at, now, attempt.first)
+        match (served_write, outcome.position) {
+            (Some(write), Some(commit)) => {
+                fleet_clock.record_commit(host, commit, write.ordered_at, now, write.is_first)
             }
             (None, Some(position)) => fleet_clock.record_position(host, position, now),
             (_, None) => {}
@@ -45,11 +46,11 @@
         }
     }
 
-    /// Restarts the session tracker if the hosts' clock differs from the estimate that the times of the sessions are based
-    /// on: those are useless then.
+    /// Restarts the session tracker if the hosts' clock differs from the estimate that the sessions' times are based on, which
+    /// makes them useless.
     fn restart_tracker(&mut self, now: Time) {
         let offset = self.hosts_now(now) - now;
-        if (offset - self.tracker_offset).abs() <= TRACKER_STEP {
+        if (offset - self.tracker_offset).abs() <= MAX_TRACKER_DRIFT {
             return;
         }
         self.tracker_offset = offset;
@@ -58,7 +59,8 @@
         }
     }
 
-    /// The latest that the hosts' time can be now. Sessions are tracked by that clock: their watermarks are commit times.
+    /// The latest time that the hosts' clock can show now. Sessions are tracked by it, since their watermarks are commit
+    /// times.
     pub(super) fn hosts_now(&self, now: Time) -> Time {
         self.router.fleet_clock().latest_hosts_time(now)
     }
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -1,19 +1,19 @@
-//! The request table: requests are admitted, the router's decisions are returned as orders, attempts are reported, and
-//! each request ends once.
+//! The request table: admits requests, steps the router, returns its decisions as commands, and accepts the report of each
+//! attempt.
 //!
-//! It connects the code that serves connections with the router, which is stepped with batches of events. Events are
-//! queued in order and passed on in batches, at most one per granularity of the settings.
+//! It connects the code that serves connections with the router. Events for the router are queued in order and passed on in
+//! batches, at most one per granularity of the settings.
 //!
 //! A request is **open** until it ends: served or unusable (by a report), rejected or failed (by the router), or abandoned
-//! (its client left). An attempt is **in flight** from its order until its report, also when its request has ended. The
+//! (its client left). An attempt is **in flight** from its command until its report, also when its request has ended. The
 //! caller learns from the report whether the host's answer is the final answer for the client: only while the request is
 //! open, and never if the answer is too old for the request's session.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `types.rs` | requests, outcomes and orders, independent of any protocol |
-//! | `admission.rs` | input: requests, settings, endpoint lists |
-//! | `steps.rs` | the router's steps, and the orders that follow from them |
+//! | `types.rs` | requests, outcomes and commands, independent of any protocol |
+//! | `admission.rs` | requests that arrive, the settings and the endpoint list they are admitted by |
+//! | `steps.rs` | the router's steps, and the commands that follow from them |
 //! | `completion.rs` | reports, abandoned requests, the one end of each request |
 //! | `hosts_clock.rs` | what hosts report about their clock, and times that cross machines |
 //! | `sessions.rs` | session consistency: tokens, minimum positions, watermark broadcasts |
@@ -25,10 +25,16 @@
 mod steps;
 mod types;
 
-pub use types::{Order, Outcome, Request, Send, SessionRef, SessionTracking, SettingsRejected};
+pub use types::{
+    AttemptId, AttemptSpec, ClassLookup, DueBroadcasts, Outcome, Request, SessionCounts, SessionRef,
+    SessionTracking, SettingsRejected, TableCommand, Tick,
+};
 
 use crate::class_table::ClassTable;
-use petrelgauge_policy::*;
+use petrelgauge_policy::{
+    Ending, Event, GroupId, KnownPrimary, LearnedState, MemberId, QuotaAdjustment, Report, RequestId, Router,
+    Settings, SettingsError, SlowStart, Time,
+};
 use petrelgauge_sessions::{MinimumPosition, SessionKey, SessionTracker};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,14 +44,15 @@
 pub struct RequestTable {
     router: Router,
     granularity: Time,
-    stepped_at: Time,
-    timer_at: Option<(Time, u64)>,
+    last_step_at: Time,
+    timer: Option<RouterTimer>,
     /// Events since the last step, in order. The `time_left` of a request is its deadline here, as a clock time; the
     /// `took` of an outcome was computed when it was reported.
-    queue: Vec<Event>,
+    pending_events: Vec<Event>,
     next_id: u64,
     open: BTreeMap<RequestId, OpenRequest>,
-    in_flight: BTreeMap<(RequestId, u32), AttemptInFlight>,
+    in_flight: BTreeMap<AttemptId, AttemptInFlight>,
+    /// Groups that the endpoint list has named since it was last complete.
     groups: BTreeSet<GroupId>,
     /// Members of the endpoint list.
     listed: BTreeSet<MemberId>,
@@ -57,7 +64,7 @@
     session_tracker: Option<SessionTracker>,
     /// By how much the hosts' clock was estimated to be ahead of the own one when the session tracker was last restarted.
     tracker_offset: Time,
-    /// Sessions with writes that their clients abandoned since the time was last known.
+    /// Sessions whose write was abandoned by its client since the last event with a time.
     unconfirmed_writes: Vec<SessionKey>,
     /// Highest position that each listed member has reported.
     reported_positions: BTreeMap<MemberId, Time>,
@@ -65,9 +72,17 @@
     request_counts: BTreeMap<GroupId, u64>,
 }
 
+/// The timer that the router has set.
+#[derive(Clone, Copy, Debug)]
+struct RouterTimer {
+    at: Time,
+    token: u64,
+}
+
 #[derive(Clone, Debug)]
 struct OpenRequest {
     class: usize,
+    /// Attempts ordered so far.
     attempts: u32,
     /// When the first attempt that may have run was ordered.
     may_have_run_since: Option<Time>,
@@ -76,24 +91,29 @@
     session: Option<SessionNeed>,
 }
 
-/// An attempt in flight.
 #[derive(Clone, Debug)]
 struct AttemptInFlight {
     /// Index of its class.
     class: usize,
-    /// When it was ordered.
-    at: Time,
-    /// The first attempt of a request that is not a client's retry.
-    first: bool,
-    /// The session that it writes for, and when its request arrived.
-    writes: Option<(SessionKey, Time)>,
+    ordered_at: Time,
+    /// It is the first attempt of a request that is not a client's retry.
+    is_first: bool,
+    session_write: Option<SessionWrite>,
+}
+
+/// A write of a session, carried by an attempt.
+#[derive(Clone, Copy, Debug)]
+struct SessionWrite {
+    key: SessionKey,
+    /// When its request arrived.
+    arrived_at: Time,
 }
 
 /// What the session of an open request needs.
 #[derive(Clone, Debug)]
 struct SessionNeed {
     key: SessionKey,
-    arrived: Time,
+    arrived_at: Time,
     /// The position that the answer to a read must prove; none for a write.
     minimum_position: Option<MinimumPosition>,
     /// The highest position that the member of the last attempt had reported when that was ordered.
@@ -101,12 +121,11 @@
 }
 
 impl RequestTable {
-    /// A request table with these settings that tracks sessions for the classes with these indexes, if any. All random
-    /// choices follow from the seed.
+    /// An empty table. All random choices follow from the seed. Session consistency is disabled without `sessions`.
     ///
     /// # Errors
     ///
-    /// The settings are invalid.
+    /// Fails if the settings are invalid.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -120,9 +139,9 @@
             session_classes: session_classes.into_iter().flatten().collect(),
             settings: Settings { classes: Vec::new(), ..settings.clone() },
             router: Router::new(settings, seed)?,
-            stepped_at: Time::MIN / 2,
-            timer_at: None,
-            queue: Vec::new(),
+            last_step_at: Time::MIN / 2,
+            timer: None,
+            pending_events: Vec::new(),
             next_id: 0,
             open: BTreeMap::new(),
             in_flight: BTreeMap::new(),
@@ -146,41 +165,37 @@
         self.in_flight.len()
     }
 
-    /// Whether the request has not ended.
-    pub fn is_open(&self, request: &RequestId) -> bool {
-        self.open.contains_key(request)
-    }
-
-    /// Whether an attempt may still be written now: its request is open, and the member's data are known to be fresh enough
-    /// where members don't check that by themselves.
-    pub fn may_send(&self, now: Time, send: &Send) -> bool {
-        self.is_open(&send.request) && self.router.is_fresh(now, &send.request, send.host)
+    /// Whether an attempt may still be sent: its request is open, and its member is known to be fresh enough for the
+    /// request where members don't check that by themselves.
+    pub fn may_send(&self, now: Time, attempt: &AttemptSpec) -> bool {
+        let request = &attempt.id.request;
+        self.open.contains_key(request) && self.router.is_fresh(now, request, attempt.host)
     }
 
-    /// Another gateway had an answer of this member as the primary of its group, at this time of the hosts' clock. A time in
-    /// the future counts as now.
+    /// Applies gossip: at time `at` of the hosts' clock this member answered another gateway as the primary of its group. A
+    /// time in the future counts as now.
     pub fn gossiped_primary(&mut self, now: Time, member: MemberId, at: Time) {
         if self.listed.contains(&member) {
             let at = self.router.fleet_clock().own_time(at).min(now);
-            self.queue.push(Event::GossipedPrimary { member, at });
+            self.pending_events.push(Event::GossipedPrimary { member, at });
         }
     }
 
-    /// Multiplies the interval at which members of a group without a primary are tried.
-    pub fn set_discovery_interval_factor(&mut self, times: Time) {
-        self.settings.discovery_interval_factor = times.max(1);
+    /// Multiplies the interval between attempts to find the primary of a group.
+    pub fn set_discovery_interval_factor(&mut self, factor: Time) {
+        self.settings.discovery_interval_factor = factor.max(1);
         // The settings were valid before, and this value can't make them invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// What this gateway may use of the limits of a group's members.
+    /// Adjusts this gateway's quota of the concurrency limits of a group's members, with the next step of the router.
     pub fn adjust_quota(&mut self, group: GroupId, adjustment: QuotaAdjustment) {
         if self.groups.contains(&group) {
-            self.queue.push(Event::QuotaAdjusted { group, adjustment });
+            self.pending_events.push(Event::QuotaAdjusted { group, adjustment });
         }
     }
 
-    /// Requests so far for each group of the endpoint list.
+    /// Number of requests admitted so far, for each group of the endpoint list.
     pub fn requests_by_group(&self) -> BTreeMap<GroupId, u64> {
         self.groups
             .iter()
@@ -188,7 +203,7 @@
             .collect()
     }
 
-    /// Where a member stands in its slow start, as of the last step; none for one that is warm.
+    /// The slow start of a member as of the last step; none for a member that is warm.
     pub fn slow_start(&self, member: MemberId) -> Option<SlowStart> {
         self.router.slow_start(member)
     }
@@ -198,7 +213,7 @@
         self.router.group_of(member)
     }
 
-    /// The known primaries. Their evidence has its time by the hosts' clock, which all gateways share.
+    /// The known primaries. `evidence_at` is a time of the hosts' clock, which all gateways share.
     pub fn primaries(&self) -> Vec<KnownPrimary> {
         let fleet_clock = self.router.fleet_clock();
         let mut primaries = self.router.primaries();
@@ -213,15 +228,15 @@
         self.router.learned_state()
     }
 
-    /// Starts from what another process has learned; to be called before the first endpoint list.
+    /// Starts from what another process has learned. To be called before the first endpoint list.
     pub fn adopt_learned_state(&mut self, learned_state: LearnedState) {
         self.router.adopt_learned_state(learned_state);
     }
 
-    /// A member reported this after its attempt had been reported: at the end of a streamed row.
+    /// Records what a member reported after its attempt had been reported, at the end of a streamed row.
     pub fn record_late_report(&mut self, now: Time, host: MemberId, outcome: Outcome) {
         let position = outcome.position.map(|position| position.min(self.hosts_now(now)));
         let report = Report { position, role: outcome.role, ..outcome.report };
-        self.queue.push(Event::Probed { member: host, ending: Ending::Served, report });
+        self.pending_events.push(Event::Probed { member: host, ending: Ending::Served, report });
     }
 }
--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -1,7 +1,8 @@
 //! Session consistency: tokens, minimum positions of open reads, and watermark broadcasts of other gateways.
 
-use super::*;
-use petrelgauge_sessions::{BroadcastError, Counts, SessionTokens, Snapshot, Token, TokenError};
+use super::{DueBroadcasts, RequestTable, SessionCounts, SessionNeed, SessionRef};
+use petrelgauge_policy::{Event, GroupId, Time};
+use petrelgauge_sessions::{BroadcastError, SessionKey, SessionTokens, SessionTracker, Token, TokenError};
 
 impl RequestTable {
     /// Whether requests of the class with this index have sessions.
@@ -18,7 +19,7 @@
     ///
     /// # Errors
     ///
-    /// Tokens are disabled, or the text is no valid token.
+    /// Fails if tokens are disabled or the text is no valid token.
     pub fn set_tokens(&self, tokens: &mut SessionTokens, text: &str) -> Result<(), TokenError> {
         let tracker = self
             .session_tracker
@@ -28,15 +29,14 @@
         tokens.set(text, tracker.settings().secret)
     }
 
-    /// The session that a request belongs to, with the tokens that its client sent joined into one. None if sessions are
-    /// not tracked.
+    /// The session that a request belongs to, with its client's tokens joined into one. None if sessions are not tracked.
     ///
     /// # Errors
     ///
-    /// A token is invalid.
+    /// Fails if a token is invalid.
     pub fn session_ref(
         &self,
-        at: Time,
+        now: Time,
         group: GroupId,
         name: &str,
         tokens: &[&str],
@@ -45,40 +45,36 @@
         let key = tracker.session_key(group, name);
         let mut token: Option<Token> = None;
         for text in tokens {
-            let parsed = tracker.parse_token(self.hosts_now(at), text, key)?;
+            let parsed = tracker.parse_token(self.hosts_now(now), text, key)?;
             token = Some(token.map_or(parsed, |known| known.join(parsed)));
         }
         Ok(Some(SessionRef { key, token }))
     }
 
-    /// The token to send with an answer to this session, if tokens are enabled.
+    /// Issues the token that is sent with an answer to this session, if tokens are enabled.
     pub fn token(&self, now: Time, key: SessionKey) -> Option<String> {
         self.session_tracker.as_ref()?.issue_token(self.hosts_now(now), key)
     }
 
-    /// How many entries of other gateways' sessions are known.
+    /// Number of entries about other gateways' sessions.
     pub fn session_entries(&self) -> usize {
         self.session_tracker.as_ref().map_or(0, SessionTracker::peer_entries)
     }
 
-    /// Counters of the sessions, and gaps in the broadcasts of other gateways, if sessions are tracked.
-    pub fn session_counts(&self) -> Option<(Counts, u64)> {
-        self.session_tracker.as_ref().map(|tracker| (tracker.counts(), tracker.gaps()))
+    /// What sessions have counted, if they are tracked.
+    pub fn session_counts(&self) -> Option<SessionCounts> {
+        let tracker = self.session_tracker.as_ref()?;
+        Some(SessionCounts { counts: tracker.counts(), broadcast_gaps: tracker.gaps() })
     }
 
-    /// The current watermarks, if sessions are tracked. `clean`: the process ends and adds none after this.
-    pub fn snapshot(&self, now: Time, clean: bool) -> Option<Snapshot> {
-        self.session_tracker.as_ref().map(|tracker| tracker.snapshot(self.hosts_now(now), clean))
-    }
-
-    /// A watermark broadcast of another gateway was received. Waiting reads may need a lower position now.
+    /// Applies a watermark broadcast of another gateway. Waiting reads may need a lower position then.
     ///
     /// # Errors
     ///
-    /// The datagram is no valid broadcast.
+    /// Fails if the datagram is no valid broadcast; nothing has changed then.
     pub fn receive_broadcast(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
         let hosts_now = self.hosts_now(now);
-        let RequestTable { session_tracker, open, queue, .. } = self;
+        let RequestTable { session_tracker, open, pending_events, .. } = self;
         let Some(tracker) = session_tracker else { return Ok(()) };
         tracker.receive(hosts_now, bytes)?;
         for (request, open) in open.iter_mut() {
@@ -87,7 +83,7 @@
             };
             if let Some(lower) = tracker.recheck_read(hosts_now, *key, minimum) {
                 *minimum = lower;
-                queue.push(Event::MinimumPositionLowered {
+                pending_events.push(Event::MinimumPositionLowered {
                     request: request.clone(),
                     minimum_position: lower.position(),
                 });
@@ -96,12 +92,12 @@
         Ok(())
     }
 
-    /// Watermark broadcasts to all other gateways that are due now, and when to call again.
-    pub fn due_broadcasts(&mut self, now: Time) -> (Vec<Vec<u8>>, Option<Time>) {
+    /// Takes the watermark broadcasts that are due now.
+    pub fn due_broadcasts(&mut self, now: Time) -> DueBroadcasts {
         let hosts_now = self.hosts_now(now);
-        let Some(tracker) = &mut self.session_tracker else { return (Vec::new(), None) };
-        let broadcasts = tracker.due_broadcasts(hosts_now);
-        let next_by_own_clock = tracker.next_broadcast_at().map(|at| at - (hosts_now - now));
-        (broadcasts, next_by_own_clock)
+        let Some(tracker) = &mut self.session_tracker else { return DueBroadcasts::default() };
+        let datagrams = tracker.due_broadcasts(hosts_now);
+        let next_at = tracker.next_broadcast_at().map(|at| at - (hosts_now - now));
+        DueBroadcasts { datagrams, next_at }
     }
 }
--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -1,78 +1,115 @@
-//! The router's steps, and the orders that follow from them.
+//! The router's steps, and the commands that follow from them.
 
-use super::*;
+use super::{
+    AttemptId, AttemptInFlight, AttemptSpec, RequestTable, RouterTimer, SessionNeed, SessionWrite,
+    TableCommand, Tick,
+};
+use petrelgauge_policy::{mutant, Action, Event, MemberId, Mutant, RequestId, Time};
 
 impl RequestTable {
-    /// Steps the router if it is time. Returns the orders, and when to call again at the latest.
-    pub fn tick(&mut self, now: Time) -> (Vec<Order>, Option<Time>) {
-        let earliest = self.stepped_at.saturating_add(self.granularity);
-        let timer = self.timer_at.filter(|(at, _)| *at <= now);
-        if now < earliest || (self.queue.is_empty() && timer.is_none()) {
-            let due = if self.queue.is_empty() { self.timer_at.map(|(at, _)| at) } else { Some(earliest) };
-            return (Vec::new(), due.map(|at| at.max(earliest)));
+    /// Steps the router if a step is due: something has changed or the router's timer has run out, and the last step is at
+    /// least one granularity ago.
+    pub fn tick(&mut self, now: Time) -> Tick {
+        let earliest_step = self.last_step_at.saturating_add(self.granularity);
+        let expired_timer = self.timer.filter(|timer| timer.at <= now);
+        let is_needed = !self.pending_events.is_empty() || expired_timer.is_some();
+        if now < earliest_step || !is_needed {
+            return Tick { commands: Vec::new(), next_at: self.next_step_at(earliest_step) };
         }
-        self.stepped_at = now;
+        self.last_step_at = now;
         self.record_unconfirmed_writes(now);
-        let mut events = std::mem::take(&mut self.queue);
+        let events = self.take_events(now, expired_timer);
+        let mut actions = Vec::new();
+        self.router.step(now, &events, &mut actions);
+        let commands = actions.into_iter().filter_map(|action| self.command_for(now, action)).collect();
+        Tick { commands, next_at: self.timer.map(|timer| timer.at.max(now + self.granularity)) }
+    }
+
+    /// When the next step is due, which is no sooner than `earliest`.
+    fn next_step_at(&self, earliest: Time) -> Option<Time> {
+        if !self.pending_events.is_empty() {
+            return Some(earliest);
+        }
+        self.timer.map(|timer| timer.at.max(earliest))
+    }
+
+    /// Takes the events of a step, with the time that requests have left as of now.
+    fn take_events(&mut self, now: Time, expired_timer: Option<RouterTimer>) -> Vec<Event> {
+        let mut events = std::mem::take(&mut self.pending_events);
         for event in &mut events {
             if let Event::Request { time_left, .. } = event {
                 *time_left -= now;
             }
         }
-        if let Some((_, token)) = timer {
-            self.timer_at = None;
+        if let Some(RouterTimer { token, .. }) = expired_timer {
+            self.timer = None;
             events.push(Event::Timer { token });
         }
-        let mut actions = Vec::new();
-        self.router.step(now, &events, &mut actions);
-        let orders = actions.into_iter().filter_map(|action| self.order(now, action)).collect();
-        (orders, self.timer_at.map(|(at, _)| at.max(now + self.granularity)))
+        events
     }
 
-    /// The order for an action of the router, if the action needs one.
-    fn order(&mut self, now: Time, action: Action) -> Option<Order> {
+    /// The command for an action of the router, if it concerns the caller.
+    fn command_for(&mut self, now: Time, action: Action) -> Option<TableCommand> {
         match action {
             Action::Send { request, member, until } => self.order_attempt(now, request, member, until),
             Action::Reject { request, wait } => {
                 self.end(now, &request)?;
-                Some(Order::Reject { request, wait })
+                Some(TableCommand::Reject { request, wait })
             }
             Action::Fail { request } => {
                 self.end(now, &request)?;
-                Some(Order::Fail { request })
-            }
-            Action::Cancel { request, attempt } => {
-                let id = (request.clone(), attempt);
-                let is_in_flight = self.in_flight.contains_key(&id);
-                if mutant(Mutant::CancellationUnreported) {
-                    self.in_flight.remove(&id);
-                }
-                is_in_flight.then_some(Order::Cancel { request, attempt })
+                Some(TableCommand::Fail { request })
             }
+            Action::Cancel { request, attempt } => self.cancel(AttemptId { request, number: attempt }),
             Action::Timer { token, at } => {
-                self.timer_at = Some((at, token));
+                self.timer = Some(RouterTimer { at, token });
                 None
             }
-            Action::Log { text } => Some(Order::Log(text)),
+            Action::Log { text } => Some(TableCommand::Log(text)),
             // The gateway's settings disable health checks, and it watches the endpoint list continuously.
             Action::Probe { .. } | Action::WatchList | Action::ReadList => None,
         }
     }
 
-    fn order_attempt(&mut self, now: Time, request: RequestId, host: MemberId, until: Time) -> Option<Order> {
+    fn cancel(&mut self, id: AttemptId) -> Option<TableCommand> {
+        let is_in_flight = self.in_flight.contains_key(&id);
+        if mutant(Mutant::CancellationUnreported) {
+            self.in_flight.remove(&id);
+        }
+        is_in_flight.then_some(TableCommand::Cancel(id))
+    }
+
+    fn order_attempt(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        host: MemberId,
+        deadline: Time,
+    ) -> Option<TableCommand> {
         let open = self.open.get_mut(&request)?;
-        let attempt = open.attempts;
-        let first = attempt == 0 && !open.is_retry;
+        let number = open.attempts;
         open.attempts += 1;
         if let Some(session) = &mut open.session {
             session.position_at_send = self.reported_positions.get(&host).copied();
         }
-        let class = open.class;
-        let effect = self.classes.class(class).effect;
-        let write_by = open.may_have_run_since.map_or(Time::MAX, |first| effect.retry_deadline(first));
-        let writes = open.session.as_ref().filter(|session| session.minimum_position.is_none());
-        let writes = writes.map(|session| (session.key, session.arrived));
-        self.in_flight.insert((request.clone(), attempt), AttemptInFlight { class, at: now, first, writes });
-        Some(Order::Send(Send { request, attempt, host, until, write_by, at: now }))
+        let effect = self.classes.class(open.class).effect;
+        let write_deadline =
+            open.may_have_run_since.map_or(Time::MAX, |first_at| effect.retry_deadline(first_at));
+        let attempt = AttemptInFlight {
+            class: open.class,
+            ordered_at: now,
+            is_first: number == 0 && !open.is_retry,
+            session_write: open.session.as_ref().and_then(SessionNeed::as_write),
+        };
+        let id = AttemptId { request, number };
+        self.in_flight.insert(id.clone(), attempt);
+        Some(TableCommand::Send(AttemptSpec { id, host, deadline, write_deadline, ordered_at: now }))
+    }
+}
+
+impl SessionNeed {
+    fn as_write(&self) -> Option<SessionWrite> {
+        let is_write = self.minimum_position.is_none();
+        is_write.then_some(SessionWrite { key: self.key, arrived_at: self.arrived_at })
     }
 }
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -1,9 +1,9 @@
-//! The input of the request table and its orders, independent of any protocol.
+//! What goes into the request table and what comes out of it, independent of any protocol.
 
-use petrelgauge_policy::*;
-use petrelgauge_sessions::{SessionKey, SessionTracker, Token};
+use petrelgauge_policy::{Class, Ending, GroupId, MemberId, Report, RequestId, Role, SettingsError, Time};
+use petrelgauge_sessions::{Counts, SessionKey, SessionTracker, Token};
 
-/// A request.
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Index of its class, as [`RequestTable::find_class`](super::RequestTable::find_class) gave it.
@@ -11,13 +11,13 @@
     /// Its group.
     pub group: GroupId,
     /// Clock time at which the client stops waiting.
-    pub until: Time,
+    pub deadline: Time,
     /// The client marked it as a retry.
     pub is_retry: bool,
     /// Clock time at which it arrived.
-    pub at: Time,
-    /// A commit that the data of the answer must include, as required by the client.
-    pub after: Option<Time>,
+    pub arrived_at: Time,
+    /// A commit that the data of the answer must include, where the client requires one.
+    pub required_position: Option<Time>,
     /// Its session, if its class has sessions.
     pub session: Option<SessionRef>,
 }
@@ -36,7 +36,7 @@
 pub struct SessionTracking {
     /// The watermarks of the sessions.
     pub tracker: SessionTracker,
-    /// Places, in the settings, of the classes whose requests belong to sessions.
+    /// Indexes, in the settings, of the classes whose requests belong to sessions.
     pub classes: Vec<usize>,
 }
 
@@ -51,27 +51,31 @@
     pub role: Option<Role>,
     /// The member's load report.
     pub report: Report,
-    /// The member can't execute the request itself: that is the final answer, and no other member is tried.
-    pub unusable: bool,
+    /// No member can execute the request: the member's error is the final answer, and no other member is tried.
+    pub is_unusable: bool,
 }
 
 impl Outcome {
-    /// An ending without a report of the member.
+    /// An attempt that ended like this and brought no report of the member.
     pub fn silent(ending: Ending) -> Outcome {
-        Outcome { ending, position: None, role: None, report: Report::default(), unusable: false }
+        Outcome { ending, position: None, role: None, report: Report::default(), is_unusable: false }
     }
 }
 
-/// What the caller has to do. Orders are carried out in sequence.
+/// What the caller has to do after a step of the router, in sequence.
+///
+/// These are the router's [`Action`](petrelgauge_policy::Action)s as far as they leave the table. They differ from the
+/// actions: an attempt has its number and its write deadline, what concerns an ended request or a reported attempt is left
+/// out, and timers stay inside.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum TableCommand {
     /// Make this attempt.
-    Send(Send),
+    Send(AttemptSpec),
     /// The request ends: rejected, and safe to retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it retries (microseconds), if not 0.
+        /// Retry-After for the client (microseconds); 0 for none.
         wait: Time,
     },
     /// The request ends: failed, and it may have run.
@@ -79,32 +83,70 @@
         /// The request.
         request: RequestId,
     },
-    /// Cancel an attempt: close its connection, then report it.
-    Cancel {
-        /// The request.
-        request: RequestId,
-        /// Number of the attempt.
-        attempt: u32,
-    },
-    /// A line for the log.
+    /// Cancel an attempt in flight: close its connection, then report it.
+    Cancel(AttemptId),
+    /// Write this line to the log.
     Log(String),
 }
 
-/// An attempt to make. It must be reported exactly once.
+/// What [`RequestTable::tick`](super::RequestTable::tick) returns.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct Tick {
+    /// What the caller has to do.
+    pub commands: Vec<TableCommand>,
+    /// Clock time of the next call, if one is needed although nothing changes.
+    pub next_at: Option<Time>,
+}
+
+/// An attempt, by its request and its number.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
     /// Its request.
     pub request: RequestId,
-    /// Its number, from 0.
-    pub attempt: u32,
+    /// How many attempts of the request were ordered before it.
+    pub number: u32,
+}
+
+/// An attempt to make. It must be reported exactly once.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AttemptSpec {
+    /// Its request and number.
+    pub id: AttemptId,
     /// The member to send to.
     pub host: MemberId,
     /// Clock time at which to abandon it.
-    pub until: Time,
+    pub deadline: Time,
     /// Clock time by which it must be written, if at all: the end of the window of its idempotency key for a retry.
-    pub write_by: Time,
+    pub write_deadline: Time,
     /// Clock time at which it was ordered.
-    pub at: Time,
+    pub ordered_at: Time,
+}
+
+/// A request class and where to find it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClassLookup {
+    /// Its index, for [`Request::class`].
+    pub index: usize,
+    /// The class.
+    pub class: Class,
+}
+
+/// What sessions have counted since the start.
+#[derive(Clone, Copy, Debug)]
+pub struct SessionCounts {
+    /// Counters of the reads, tokens and broadcasts.
+    pub counts: Counts,
+    /// Gaps in the broadcasts of other gateways.
+    pub broadcast_gaps: u64,
+}
+
+/// Watermark broadcasts that are due.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct DueBroadcasts {
+    /// The datagrams, each for every other gateway.
+    pub datagrams: Vec<Vec<u8>>,
+    /// Clock time at which more are due, if any will be.
+    pub next_at: Option<Time>,
 }
 
 /// Why new settings were rejected.
@@ -112,9 +154,9 @@
 pub enum SettingsRejected {
     /// They are invalid.
     Invalid(SettingsError),
-    /// Open requests have too many different classes.
+    /// Together with the classes of open requests they have too many classes.
     TooManyClasses,
-    /// They have classes with sessions, which are switched on at the start only.
+    /// They have classes with sessions, and sessions were disabled at the start.
     SessionsDisabled,
 }
 
--- a/crates/lifecycle/tests/class_table.rs
+++ b/crates/lifecycle/tests/class_table.rs
@@ -1,6 +1,6 @@
 //! Request classes while settings change under open requests.
 
-use petrelgauge_lifecycle::class_table::*;
+use petrelgauge_lifecycle::class_table::{ClassTable, IdempotencyKey, TooManyClasses, MAX_CLASSES, OVERLAP};
 use petrelgauge_policy::{Class, Effect, Need, Scope};
 use std::collections::BTreeSet;
 
@@ -24,26 +24,26 @@
 }
 
 #[test]
-fn what_is_the_same_keeps_its_place_and_what_is_in_use_is_left_alone() {
+fn unchanged_classes_keep_their_index_and_classes_in_use_are_not_overwritten() {
     let mut classes = two();
     let changed = vec![class("b", KEYED), class("c", Effect::Safe), class("a", Effect::Unsafe)];
     classes.update(0, changed, &[0].into()).expect("a free index");
-    assert_eq!(classes.find(0, "b", true), Some(1));
+    assert_eq!(classes.find(0, "b", IdempotencyKey::Present), Some(1));
     assert_eq!(classes.class(0).effect, Effect::Safe, "an open request still has it");
-    let places: BTreeSet<usize> = classes.in_force().iter().copied().collect();
-    assert_eq!((places.len(), classes.table().len(), classes.version()), (3, 4, 2));
+    let indexes: BTreeSet<usize> = classes.in_force().iter().copied().collect();
+    assert_eq!((indexes.len(), classes.table().len(), classes.version()), (3, 4, 2));
 }
 
 #[test]
-fn a_name_that_is_dropped_is_found_until_clients_know_of_it() {
+fn a_removed_class_is_found_until_the_overlap_ends() {
     let mut classes = two();
     classes.update(0, vec![class("b", KEYED)], &BTreeSet::new()).expect("a free index");
-    assert_eq!(classes.find(OVERLAP - 1, "a", false), Some(0));
-    assert_eq!(classes.find(OVERLAP, "a", false), None);
+    assert_eq!(classes.find(OVERLAP - 1, "a", IdempotencyKey::Absent), Some(0));
+    assert_eq!(classes.find(OVERLAP, "a", IdempotencyKey::Absent), None);
 }
 
 #[test]
-fn clients_wait_as_the_class_before_a_change_has_it_until_they_know() {
+fn the_longest_wait_includes_the_previous_class_until_the_overlap_ends() {
     let mut classes = two();
     let longer = Class { deadline: 9, ..class("a", Effect::Safe) };
     classes.update(0, vec![longer, class("b", KEYED)], &BTreeSet::new()).expect("a free index");
@@ -54,19 +54,19 @@
 }
 
 #[test]
-fn a_class_that_comes_to_ask_for_a_key_is_as_before_for_clients_that_bring_none() {
+fn a_class_that_now_requires_a_key_is_found_in_its_previous_form_without_one() {
     let mut classes = two();
     classes.update(0, vec![class("a", KEYED), class("b", KEYED)], &BTreeSet::new()).expect("a free index");
-    let effect = |at, keyed| classes.find(at, "a", keyed).map(|place| classes.class(place).effect);
-    assert_eq!(effect(0, false), Some(Effect::Safe));
-    assert_eq!(effect(0, true), Some(KEYED));
-    assert_eq!(effect(OVERLAP, false), Some(KEYED), "which then refuses it");
-    // One that always asked for it gets no other rule.
-    assert_eq!(classes.find(0, "b", false), Some(1));
+    let effect = |at, key| classes.find(at, "a", key).map(|index| classes.class(index).effect);
+    assert_eq!(effect(0, IdempotencyKey::Absent), Some(Effect::Safe));
+    assert_eq!(effect(0, IdempotencyKey::Present), Some(KEYED));
+    assert_eq!(effect(OVERLAP, IdempotencyKey::Absent), Some(KEYED), "the request is rejected then");
+    // A class that always required a key has no previous form without one.
+    assert_eq!(classes.find(0, "b", IdempotencyKey::Absent), Some(1));
 }
 
 #[test]
-fn the_table_does_not_grow_with_the_number_of_changes_and_has_a_bound() {
+fn the_table_size_is_bounded_and_independent_of_the_number_of_changes() {
     let mut classes = two();
     for change in 0..1000 {
         let changed = vec![class(&format!("n{change}"), Effect::Safe), class("b", KEYED)];
@@ -76,11 +76,15 @@
     let version = classes.version();
     let many = (0..=MAX_CLASSES).map(|number| class(&format!("m{number}"), Effect::Safe)).collect();
     assert_eq!(classes.update(0, many, &BTreeSet::new()), Err(TooManyClasses));
-    assert_eq!((classes.version(), classes.find(0, "b", true)), (version, Some(1)), "nothing has changed");
+    assert_eq!(
+        (classes.version(), classes.find(0, "b", IdempotencyKey::Present)),
+        (version, Some(1)),
+        "nothing has changed"
+    );
 }
 
 #[test]
-fn a_place_that_nobody_needs_holds_no_class_of_another_time() {
+fn an_unused_index_holds_no_obsolete_class() {
     let mut classes = two();
     classes.update(0, vec![class("c", Effect::Safe)], &[1].into()).expect("a free index");
     classes.update(OVERLAP, vec![class("c", Effect::Safe)], &[1].into()).expect("a free index");
--- a/crates/lifecycle/tests/retries.rs
+++ b/crates/lifecycle/tests/retries.rs
@@ -1,6 +1,6 @@
 //! The time by which the retry of a request with an idempotency key must be written.
 
-use petrelgauge_lifecycle::request_table::{Order, Outcome, Request, RequestTable, Send};
+use petrelgauge_lifecycle::request_table::{AttemptSpec, Outcome, Request, RequestTable, TableCommand};
 use petrelgauge_policy::{
     Class, Effect, Ending, Entry, MemberStatus, Need, Scope, Settings, Time, RETRY_WINDOW_MARGIN,
 };
@@ -35,17 +35,16 @@
     }
 }
 
-/// Steps the request table until it orders the next attempt, which is returned.
-fn next_send(table: &mut RequestTable, from: Time) -> Send {
+/// Steps the request table until it orders the next attempt.
+fn next_attempt(table: &mut RequestTable, from: Time) -> AttemptSpec {
     let mut now = from;
     while now < from + 2 * SECOND {
-        let (orders, _) = table.tick(now);
-        let send = orders.into_iter().find_map(|order| match order {
-            Order::Send(send) => Some(send),
+        let attempt = table.tick(now).commands.into_iter().find_map(|command| match command {
+            TableCommand::Send(attempt) => Some(attempt),
             _ => None,
         });
-        if let Some(send) = send {
-            return send;
+        if let Some(attempt) = attempt {
+            return attempt;
         }
         now += 5_000;
     }
@@ -53,24 +52,23 @@
 }
 
 #[test]
-fn a_retry_is_to_be_written_so_early_that_a_process_held_up_is_inside_the_window() {
+fn a_retry_must_be_written_early_enough_that_a_stalled_process_stays_within_the_window() {
     let start = 100 * SECOND;
     let mut table = RequestTable::new(settings(), 7, None).expect("sound settings");
     table.update_endpoints(true, vec![primary()]);
-    let until = start + 20 * SECOND;
     table.admit(Request {
         class: 0,
         group: 9,
-        until,
+        deadline: start + 20 * SECOND,
         is_retry: false,
-        at: start,
-        after: None,
+        arrived_at: start,
+        required_position: None,
         session: None,
     });
-    let first = next_send(&mut table, start);
-    assert_eq!(first.write_by, Time::MAX, "no window is open");
-    let broke_at = first.at + SECOND / 10;
+    let first = next_attempt(&mut table, start);
+    assert_eq!(first.write_deadline, Time::MAX, "no window is open");
+    let broke_at = first.ordered_at + SECOND / 10;
     assert!(!table.report(broke_at, &first, Outcome::silent(Ending::ConnectionLost)));
-    let retry = next_send(&mut table, broke_at);
-    assert_eq!(retry.write_by, first.at + WINDOW - RETRY_WINDOW_MARGIN);
+    let retry = next_attempt(&mut table, broke_at);
+    assert_eq!(retry.write_deadline, first.ordered_at + WINDOW - RETRY_WINDOW_MARGIN);
 }
--- a/crates/models/src/attempts/orders.rs
+++ b/crates/models/src/attempts/commands.rs
@@ -1,9 +1,9 @@
-//! Carrying out the orders of the request table, and reporting attempts. Most properties are checked here.
+//! Executing the commands of the request table, and reporting attempts. Most properties are checked here.
 
 use super::*;
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::Event;
-use petrelgauge_lifecycle::request_table::{Order, Outcome};
+use petrelgauge_lifecycle::request_table::{AttemptSpec, Outcome, TableCommand};
 
 /// Time that an attempt has to be connected (microseconds).
 const CONNECT_TIMEOUT: Time = 3 * GRANULE;
@@ -11,39 +11,39 @@
 const REPLICA_LAG: Time = 20_000;
 
 impl Attempts {
-    /// Steps the router and carries out its orders.
+    /// Steps the router and executes the commands that follow.
     pub(super) fn step_router(&mut self) {
-        let (orders, _) = self.table.tick(self.now);
-        orders.into_iter().for_each(|order| self.carry_out(order));
+        let commands = self.table.tick(self.now).commands;
+        commands.into_iter().for_each(|command| self.execute(command));
         self.compare_in_flight();
     }
 
-    fn carry_out(&mut self, order: Order) {
-        match order {
-            Order::Send(send) => self.start_attempt(send),
-            Order::Reject { request, .. } => {
+    fn execute(&mut self, command: TableCommand) {
+        match command {
+            TableCommand::Send(spec) => self.start_attempt(spec),
+            TableCommand::Reject { request, .. } => {
                 if self.effect_of(&request) != Effect::Safe && self.may_have_run_since(&request).is_some() {
                     self.violate(SAFE_REJECTION);
                 }
                 self.answer(self.request_index(&request));
             }
-            Order::Fail { request } => self.answer(self.request_index(&request)),
-            Order::Cancel { request, attempt } => {
-                for one in &mut self.attempts {
-                    one.cancelled |= one.send.request == request && one.send.attempt == attempt;
+            TableCommand::Fail { request } => self.answer(self.request_index(&request)),
+            TableCommand::Cancel(id) => {
+                for attempt in &mut self.attempts {
+                    attempt.cancelled |= attempt.spec.id == id;
                 }
             }
-            Order::Log(_) => {}
+            TableCommand::Log(_) => {}
         }
     }
 
-    fn start_attempt(&mut self, send: Send) {
-        self.check_start(&send);
+    fn start_attempt(&mut self, spec: AttemptSpec) {
+        self.check_start(&spec);
         // All connections are new here: the model `connection` has reused ones.
-        let exchange =
-            Exchange::new(false, self.now, self.now + CONNECT_TIMEOUT, send.until).written_by(send.write_by);
+        let exchange = Exchange::new(false, self.now, self.now + CONNECT_TIMEOUT, spec.deadline)
+            .written_by(spec.write_deadline);
         self.attempts.push(Attempt {
-            send,
+            spec,
             exchange,
             may_have_run: false,
             cancelled: false,
@@ -51,21 +51,21 @@
         });
     }
 
-    fn check_start(&mut self, send: &Send) {
-        let request = &self.requests[self.request_index(&send.request)];
+    fn check_start(&mut self, spec: &AttemptSpec) {
+        let request = &self.requests[self.request_index(&spec.id.request)];
         if !request.is_open() || self.now >= request.until {
             self.violate(ABANDONED);
         }
-        if self.attempts_of(&send.request).any(|attempt| !attempt.reported) {
+        if self.attempts_of(&spec.id.request).any(|attempt| !attempt.reported) {
             self.violate(ONE_ATTEMPT);
         }
-        if self.attempts_of(&send.request).count() >= MAX_ATTEMPTS {
+        if self.attempts_of(&spec.id.request).count() >= MAX_ATTEMPTS {
             self.violate(ATTEMPTS);
         }
-        if self.draining.is_some_and(|(member, at)| member == send.host && self.now > at + DRAIN_GRACE) {
+        if self.draining.is_some_and(|(member, at)| member == spec.host && self.now > at + DRAIN_GRACE) {
             self.violate(DRAINED);
         }
-        let may_start = match (self.effect_of(&send.request), self.may_have_run_since(&send.request)) {
+        let may_start = match (self.effect_of(&spec.id.request), self.may_have_run_since(&spec.id.request)) {
             (_, None) | (Effect::Safe, _) => true,
             (Effect::Keyed { window, .. }, Some(first)) => self.now <= first + window,
             (Effect::Unsafe, Some(_)) => false,
@@ -77,7 +77,7 @@
 
     /// The window of a key applies to when a retry was written, however long its connection took.
     pub(super) fn check_written(&mut self, index: usize) {
-        let request = self.attempts[index].send.request.clone();
+        let request = self.attempts[index].spec.id.request.clone();
         let Effect::Keyed { window, .. } = self.effect_of(&request) else { return };
         if self.may_have_run_since(&request).is_some_and(|first| self.now > first + window) {
             self.violate(RETRY);
@@ -105,10 +105,10 @@
             attempt.may_have_run = false;
         }
         attempt.reported = true;
-        let send = attempt.send.clone();
-        let outcome = self.outcome(send.host, finished.end);
-        if self.table.report(now, &send, outcome) {
-            self.answer(self.request_index(&send.request));
+        let spec = attempt.spec.clone();
+        let outcome = self.outcome(spec.host, finished.end);
+        if self.table.report(now, &spec, outcome) {
+            self.answer(self.request_index(&spec.id.request));
         }
         self.compare_in_flight();
     }
--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -1,21 +1,21 @@
 //! Models `attempt`, `primary` and `request_table`: requests in the gateway's own request table and router, each attempt with its
 //! own state machine; the clients, the hosts, the endpoint list and the time belong to the model. Time passes in granules;
-//! the router's orders at each are carried out at once, and everything else happens in every order between two of them.
+//! the router's commands at each are executed at once, and everything else happens in every order between two of them.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `orders.rs` | carrying out the orders of the request table, and the properties that they must have |
+//! | `commands.rs` | executing the commands of the request table, and the properties that they must have |
 //! | `steps.rs` | the steps that are possible in a state |
 //! | `apply.rs` | what each step changes |
 
 mod apply;
-mod orders;
+mod commands;
 mod steps;
 
 use crate::check::{check, Report, World};
 use crate::Size;
 use petrelgauge_lifecycle::exchange::Exchange;
-use petrelgauge_lifecycle::request_table::{Request, RequestTable, Send};
+use petrelgauge_lifecycle::request_table::{AttemptId, AttemptSpec, Request, RequestTable};
 use petrelgauge_policy::*;
 
 const GROUP: GroupId = 2;
@@ -107,7 +107,7 @@
 /// An attempt that was ordered.
 #[derive(Clone, Debug)]
 struct Attempt {
-    send: Send,
+    spec: AttemptSpec,
     exchange: Exchange,
     /// It was written completely, and the host did not reject it.
     may_have_run: bool,
@@ -175,8 +175,15 @@
     }
 
     fn admit(&mut self, class: usize, until: Time) {
-        let request =
-            Request { class, group: GROUP, until, is_retry: false, at: START, after: None, session: None };
+        let request = Request {
+            class,
+            group: GROUP,
+            deadline: until,
+            is_retry: false,
+            arrived_at: START,
+            required_position: None,
+            session: None,
+        };
         let id = self.table.admit(request);
         self.requests.push(ClientRequest { id, class, until, answers: 0, client_left: false });
     }
@@ -196,12 +203,12 @@
     }
 
     fn attempts_of<'a>(&'a self, id: &'a RequestId) -> impl Iterator<Item = &'a Attempt> {
-        self.attempts.iter().filter(move |attempt| attempt.send.request == *id)
+        self.attempts.iter().filter(move |attempt| attempt.spec.id.request == *id)
     }
 
     /// When the first attempt of this request that may have run was ordered.
     fn may_have_run_since(&self, id: &RequestId) -> Option<Time> {
-        self.attempts_of(id).find(|attempt| attempt.may_have_run).map(|attempt| attempt.send.at)
+        self.attempts_of(id).find(|attempt| attempt.may_have_run).map(|attempt| attempt.spec.ordered_at)
     }
 }
 
@@ -226,8 +233,8 @@
     fn describe(&self, step: &Step) -> String {
         let at = (self.now - START) as f64 / 1e6;
         let attempt = |index: usize| {
-            let Send { request, attempt, host, .. } = &self.attempts[index].send;
-            format!("attempt {} of request {request} at host {host}", attempt + 1)
+            let AttemptSpec { id: AttemptId { request, number }, host, .. } = &self.attempts[index].spec;
+            format!("attempt {} of request {request} at host {host}", number + 1)
         };
         let what = match step {
             Step::TimePasses => "a quarter of a second passes, and the router is stepped".into(),
--- a/crates/models/src/attempts/steps.rs
+++ b/crates/models/src/attempts/steps.rs
@@ -40,8 +40,8 @@
             steps.extend([Step::Written(index), Step::Refused(index)]);
             return;
         }
-        let is_write = self.effect_of(&attempt.send.request) != Effect::Safe;
-        let is_primary = attempt.send.host == self.primary;
+        let is_write = self.effect_of(&attempt.spec.id.request) != Effect::Safe;
+        let is_primary = attempt.spec.host == self.primary;
         if !is_write || is_primary {
             steps.push(Step::Answered(index, HostAnswer::Row));
         }
--- a/crates/models/src/rules.rs
+++ b/crates/models/src/rules.rs
@@ -3,7 +3,7 @@
 
 use crate::check::{check, Report, World};
 use crate::Size;
-use petrelgauge_lifecycle::class_table::{ClassTable, OVERLAP};
+use petrelgauge_lifecycle::class_table::{ClassTable, IdempotencyKey, OVERLAP};
 use petrelgauge_policy::{Class, Effect, Need, Scope, Time};
 use std::collections::BTreeSet;
 
@@ -80,7 +80,7 @@
         }
         for class in settings(self.in_force) {
             // A request with a key never gets the previous class.
-            let found = self.classes.find(self.now, &class.name, true);
+            let found = self.classes.find(self.now, &class.name, IdempotencyKey::Present);
             if found.is_none_or(|index| *self.classes.class(index) != class) {
                 self.violated = Some(CURRENT);
             }
@@ -117,7 +117,8 @@
         match *step {
             Step::RequestArrives(name, keyed) => {
                 self.requests_left -= 1;
-                if let Some(index) = self.classes.find(self.now, NAMES[name], keyed) {
+                let key = if keyed { IdempotencyKey::Present } else { IdempotencyKey::Absent };
+                if let Some(index) = self.classes.find(self.now, NAMES[name], key) {
                     self.open.push(OpenRequest { index, class: self.classes.class(index).clone() });
                 }
             }
--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -164,8 +164,8 @@
             request.statement.class,
             request.statement.group,
             end.log_name(),
-            self.front.clock.now() - request.request.at,
-            request.request.until - self.front.clock.now(),
+            self.front.clock.now() - request.request.arrived_at,
+            request.request.deadline - self.front.clock.now(),
         );
     }
 
@@ -177,7 +177,7 @@
         let [description, row, completion] =
             [0, 1, 2].map(|index| messages.get(index).cloned().unwrap_or_default());
         let answer = description.chain(row).chain(completion).chain(Bytes::from(out));
-        self.write(answer, request.request.until).await
+        self.write(answer, request.request.deadline).await
     }
 
     async fn write_error(&mut self, error: ErrorAnswer<'_>, request: &ClientRequest) -> Result<(), End> {
@@ -193,7 +193,7 @@
             self.front.put_session_token(&mut out, request.session_key());
         }
         postgres::put_ready(&mut out);
-        self.write(&out[..], request.request.until).await
+        self.write(&out[..], request.request.deadline).await
     }
 
     /// Passes a long row on as it comes. Cut off in the middle, the connection ends, so that its client can tell.
--- a/src/client/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -7,6 +7,8 @@
 use crate::sql::statement::{Statement, StatementError};
 use crate::{Class, Effect, Need, Time};
 use bytes::Bytes;
+use petrelgauge_lifecycle::class_table::IdempotencyKey;
+use petrelgauge_lifecycle::request_table::ClassLookup;
 use petrelgauge_sessions::{SessionKey, SessionTokens, TokenError};
 use std::rc::Rc;
 use thiserror::Error;
@@ -80,9 +82,9 @@
         connection_tokens: &SessionTokens,
     ) -> Result<ClientRequest, UnusableStatement> {
         let statement = Statement::parse(text)?;
-        let (class_index, class) = self
+        let ClassLookup { index: class_index, class } = self
             .facade
-            .read(|table| table.find_class(at, &statement.class, statement.has_idempotency_key))
+            .read(|table| table.find_class(at, &statement.class, statement.idempotency_key))
             .ok_or(UnusableStatement::UnknownClass)?;
         let wait = microseconds(statement.wait_ms);
         self.check(&statement, &class, wait, at)?;
@@ -92,10 +94,10 @@
         let request = Request {
             class: class_index,
             group: statement.group,
-            until: at.saturating_add(wait),
+            deadline: at.saturating_add(wait),
             is_retry: statement.is_retry,
-            at,
-            after: statement.after_ms.filter(|_| reads_session).map(microseconds),
+            arrived_at: at,
+            required_position: statement.after_ms.filter(|_| reads_session).map(microseconds),
             session,
         };
         Ok(ClientRequest { request, statement: Rc::new(statement), _id: id })
@@ -112,7 +114,8 @@
         if statement.is_write != (class.need == Need::Write) {
             return Err(UnusableStatement::ClassMismatch);
         }
-        if matches!(class.effect, Effect::Keyed { .. }) && !statement.has_idempotency_key {
+        if matches!(class.effect, Effect::Keyed { .. }) && statement.idempotency_key == IdempotencyKey::Absent
+        {
             return Err(UnusableStatement::MissingIdempotencyKey);
         }
         if wait
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -12,7 +12,7 @@
 //!
 //! The facade decides nothing and knows neither protocols nor sockets. It may import no other folder of the gateway.
 
-use petrelgauge_lifecycle::request_table::{Order, RequestTable, Send};
+use petrelgauge_lifecycle::request_table::{AttemptId, AttemptSpec, RequestTable, TableCommand, Tick};
 pub use petrelgauge_lifecycle::request_table::{
     Outcome, Request, SessionRef, SessionTracking, SettingsRejected,
 };
@@ -54,13 +54,6 @@
 
 type DecisionSender = mpsc::UnboundedSender<Decision>;
 
-/// An attempt, by its request and its number.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct AttemptId {
-    request: RequestId,
-    attempt: u32,
-}
-
 impl Facade {
     /// A facade without session consistency. `seed` is its only source of random numbers.
     ///
@@ -129,43 +122,37 @@
     /// Steps the router if a step is due, and delivers its decisions. Returns the clock time of the next call, if one is
     /// needed although nothing changes.
     pub fn tick(&self, now: Time) -> Option<Time> {
-        let (orders, next) = self.inner.table.borrow_mut().tick(now);
-        orders.into_iter().for_each(|order| self.execute(order));
-        next
+        let Tick { commands, next_at } = self.inner.table.borrow_mut().tick(now);
+        commands.into_iter().for_each(|command| self.execute(command));
+        next_at
     }
 
-    fn execute(&self, order: Order) {
-        match order {
-            Order::Send(send) => self.start_attempt(send),
-            Order::Reject { request, wait } => self.decide_finally(&request, Decision::Reject { wait }),
-            Order::Fail { request } => self.decide_finally(&request, Decision::Fail),
-            Order::Cancel { request, attempt } => self.cancel(AttemptId { request, attempt }),
-            Order::Log(text) => log::info!("decision note text={text}"),
+    fn execute(&self, command: TableCommand) {
+        match command {
+            TableCommand::Send(spec) => self.start_attempt(spec),
+            TableCommand::Reject { request, wait } => {
+                self.decide_finally(&request, Decision::Reject { wait })
+            }
+            TableCommand::Fail { request } => self.decide_finally(&request, Decision::Fail),
+            TableCommand::Cancel(attempt) => self.cancel(&attempt),
+            TableCommand::Log(text) => log::info!("decision note text={text}"),
         }
     }
 
-    fn start_attempt(&self, send: Send) {
+    fn start_attempt(&self, spec: AttemptSpec) {
         let (cancel_sender, cancelled) = oneshot::channel();
-        let sender = self.inner.decision_senders.borrow().get(&send.request).cloned();
-        let attempt = Attempt {
-            facade: self.clone(),
-            host: send.host,
-            until: send.until,
-            write_by: send.write_by,
-            send,
-            cancelled,
-            is_cancelled: false,
-            is_reported: false,
-        };
-        self.inner.cancel_senders.borrow_mut().insert(attempt.id(), cancel_sender);
+        let sender = self.inner.decision_senders.borrow().get(&spec.id.request).cloned();
+        let attempt =
+            Attempt { facade: self.clone(), spec, cancelled, is_cancelled: false, is_reported: false };
+        self.inner.cancel_senders.borrow_mut().insert(attempt.spec.id.clone(), cancel_sender);
         // Without a receiver the attempt is dropped here, which reports it as not sent.
         if let Some(sender) = sender {
             let _ = sender.send(Decision::Send(attempt));
         }
     }
 
-    fn cancel(&self, attempt: AttemptId) {
-        let cancel_sender = self.inner.cancel_senders.borrow_mut().remove(&attempt);
+    fn cancel(&self, attempt: &AttemptId) {
+        let cancel_sender = self.inner.cancel_senders.borrow_mut().remove(attempt);
         if let Some(cancel_sender) = cancel_sender {
             let _ = cancel_sender.send(());
         }
@@ -205,19 +192,28 @@
 /// that was never reported would count as in flight for good, and its member would lose capacity.
 pub struct Attempt {
     facade: Facade,
-    send: Send,
-    /// The member to send to.
-    pub host: MemberId,
-    /// Clock time at which to give it up.
-    pub until: Time,
-    /// Clock time by which it must be written, if at all.
-    pub write_by: Time,
+    spec: AttemptSpec,
     cancelled: oneshot::Receiver<()>,
     is_cancelled: bool,
     is_reported: bool,
 }
 
 impl Attempt {
+    /// The member to send to.
+    pub fn host(&self) -> MemberId {
+        self.spec.host
+    }
+
+    /// Clock time at which to abandon the attempt.
+    pub fn deadline(&self) -> Time {
+        self.spec.deadline
+    }
+
+    /// Clock time by which the request must be written, if at all; see [`AttemptSpec::write_deadline`].
+    pub fn write_deadline(&self) -> Time {
+        self.spec.write_deadline
+    }
+
     /// Waits until the attempt is cancelled. Cancel safe.
     pub async fn cancelled(&mut self) {
         if !self.is_cancelled && (&mut self.cancelled).await.is_err() {
@@ -230,13 +226,13 @@
     pub fn is_wanted(&mut self, now: Time) -> bool {
         // A cancellation may have arrived while the caller did other work.
         self.is_cancelled = self.is_cancelled || self.cancelled.try_recv().is_ok();
-        !self.is_cancelled && self.facade.read(|table| table.may_send(now, &self.send))
+        !self.is_cancelled && self.facade.read(|table| table.may_send(now, &self.spec))
     }
 
     /// Learns the hosts' clock from the answer and drops implausible times from it; see [`RequestTable::validate_times`].
     /// To be called before the attempt is reported. Returns whether the load report was kept.
     pub fn validate_times(&self, now: Time, outcome: &mut Outcome) -> bool {
-        self.facade.update(|table| table.validate_times(now, self.host, Some(&self.send), outcome))
+        self.facade.update(|table| table.validate_times(now, self.spec.host, Some(&self.spec), outcome))
     }
 
     /// Reports how the attempt ended. Returns whether the member's answer is the final answer of the request: then the
@@ -247,19 +243,15 @@
 
     /// The slow start of the attempt's member; none for a member that is warm.
     pub fn slow_start(&self) -> Option<SlowStart> {
-        self.facade.read(|table| table.slow_start(self.host))
-    }
-
-    fn id(&self) -> AttemptId {
-        AttemptId { request: self.send.request.clone(), attempt: self.send.attempt }
+        self.facade.read(|table| table.slow_start(self.spec.host))
     }
 
     fn report_once(&mut self, now: Time, outcome: Outcome) -> bool {
         self.is_reported = true;
-        self.facade.inner.cancel_senders.borrow_mut().remove(&self.id());
-        let is_final_answer = self.facade.update(|table| table.report(now, &self.send, outcome));
+        self.facade.inner.cancel_senders.borrow_mut().remove(&self.spec.id);
+        let is_final_answer = self.facade.update(|table| table.report(now, &self.spec, outcome));
         if is_final_answer {
-            self.facade.inner.decision_senders.borrow_mut().remove(&self.send.request);
+            self.facade.inner.decision_senders.borrow_mut().remove(&self.spec.id.request);
         }
         is_final_answer
     }
@@ -269,13 +261,13 @@
     fn drop(&mut self) {
         if !self.is_reported {
             // Its client left before the attempt was received.
-            self.report_once(self.send.at, Outcome::silent(Ending::NotSent));
+            self.report_once(self.spec.ordered_at, Outcome::silent(Ending::NotSent));
         }
     }
 }
 
 impl std::fmt::Debug for Attempt {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "attempt {} of {} at {}", self.send.attempt, self.send.request, self.host)
+        write!(f, "attempt {} of {} at {}", self.spec.id.number, self.spec.id.request, self.spec.host)
     }
 }
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -9,6 +9,7 @@
 use crate::os::socket::{self, SocketError};
 use crate::resources::counters::Counters;
 use crate::Time;
+use petrelgauge_lifecycle::request_table::DueBroadcasts;
 use petrelgauge_sessions::{BroadcastError, MAX_DATAGRAM_BYTES};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -43,7 +44,8 @@
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let (mut rejecting, mut failing) = (false, false);
         loop {
-            let (datagrams, next) = facade.update(|table| table.due_broadcasts(clock.now()));
+            let DueBroadcasts { datagrams, next_at: next } =
+                facade.update(|table| table.due_broadcasts(clock.now()));
             datagrams.iter().for_each(|datagram| self.broadcast(datagram, &counters));
             let due = leadership.iter().map(|leadership| leadership.next_deadline());
             let Some(next) = next.into_iter().chain(due).min() else { return std::future::pending().await };
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -67,18 +67,19 @@
 
     /// Takes an idle connection, if there is one; else one will be made.
     fn start(&self, attempt: &Attempt) -> AttemptRun {
-        let io = AttemptIo::new(self.take_idle(attempt.host), self.budget.reserve_host_memory());
+        let io = AttemptIo::new(self.take_idle(attempt.host()), self.budget.reserve_host_memory());
         let now = self.clock.now();
         let reused = io.connection.is_some();
-        let up_by = now + self.connect_timeout(attempt.host);
-        let exchange = Exchange::new(reused, now, up_by, attempt.until).written_by(attempt.write_by);
+        let up_by = now + self.connect_timeout(attempt.host());
+        let exchange =
+            Exchange::new(reused, now, up_by, attempt.deadline()).written_by(attempt.write_deadline());
         AttemptRun { exchange, io, started_at: now, written_at: None, reused }
     }
 
     /// Does what the attempt's stage asks for, until it has ended. What the connection brings goes before a
     /// cancellation, and both before the deadline.
     async fn run_to_end(&self, run: &mut AttemptRun, attempt: &mut Attempt, statement: &Statement) {
-        let host = attempt.host;
+        let host = attempt.host();
         // One timer for as long as the deadline is the same.
         let mut due = run.exchange.due();
         let mut timer = pin!(self.clock.sleep_until(due));
@@ -132,12 +133,12 @@
         let unread = connection.as_ref().is_some_and(|connection| !connection.framer.is_empty());
         let (disposition, finished) = exchange.finish(unread)?;
         let end = finished.end;
-        let streamed = self.release(attempt.host, connection, assembler, disposition);
-        self.count_end(attempt.host, end);
+        let streamed = self.release(attempt.host(), connection, assembler, disposition);
+        self.count_end(attempt.host(), end);
         log::debug!(
             "attempt ended request={} host={} class={} group={} end={end:?} took_us={} written_us={} reused={reused}",
             statement.id,
-            attempt.host,
+            attempt.host(),
             statement.class,
             statement.group,
             ended_at - started_at,
@@ -207,7 +208,7 @@
     log::debug!(
         "slow start attempt request={} host={} class={} capacity_share={capacity_share:.3} rate={rate:.2} tokens={tokens:.2}",
         statement.id,
-        attempt.host,
+        attempt.host(),
         statement.class,
     );
 }
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -203,7 +203,7 @@
         io: &mut AttemptIo,
     ) -> Option<Event> {
         let Some(connection) = &io.connection else { return Some(Event::Broke) };
-        let host_accepts = self.accepts(attempt.host, connection.endpoint);
+        let host_accepts = self.accepts(attempt.host(), connection.endpoint);
         let now = self.clock.now();
         if !host_accepts || !attempt.is_wanted(now) {
             return Some(Event::Unwanted);
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -11,7 +11,7 @@
 /// with the answer; a load report that makes no sense is dropped and counted.
 pub(super) fn outcome(end: End, parameters: &[(String, String)], counters: &Counters) -> Outcome {
     let mut outcome = Outcome::silent(end.as_ending());
-    outcome.unusable = end == End::Unusable;
+    outcome.is_unusable = end == End::Unusable;
     for (name, value) in parameters {
         match name.as_str() {
             "replication_role" => {
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -184,7 +184,7 @@
             .control
             .facade
             .read(|table| table.session_counts())
-            .map(|(sessions, gaps)| format!(" {sessions} gaps={gaps}"));
+            .map(|sessions| format!(" {} gaps={}", sessions.counts, sessions.broadcast_gaps));
         let leadership =
             self.control.leadership.as_ref().map(|leadership| format!(" {}", leadership.counts()));
         log::info!(
--- a/src/sql/statement.rs
+++ b/src/sql/statement.rs
@@ -5,6 +5,7 @@
 pub use crate::sql::statement_error::StatementError;
 use crate::sql::statement_scanner::StatementScanner;
 use bytes::{Buf, Bytes};
+use petrelgauge_lifecycle::class_table::IdempotencyKey;
 use std::ops::Range;
 
 /// Longest value of a field of the comment (bytes).
@@ -28,8 +29,8 @@
     pub class: String,
     /// How long the client waits for the answer (milliseconds).
     pub wait_ms: u64,
-    /// It carries an idempotency key.
-    pub has_idempotency_key: bool,
+    /// Whether it carries an idempotency key.
+    pub idempotency_key: IdempotencyKey,
     /// The group.
     pub group: u64,
     /// Its session, where it is not the quoted key that names it.
@@ -71,7 +72,10 @@
             id: id.to_string(),
             class: fields.class.ok_or(StatementError::MissingField("c"))?.to_string(),
             wait_ms,
-            has_idempotency_key: fields.idempotency_key.is_some_and(|key| !key.is_empty()),
+            idempotency_key: match fields.idempotency_key {
+                Some(key) if !key.is_empty() => IdempotencyKey::Present,
+                _ => IdempotencyKey::Absent,
+            },
             group: fields.cluster.ok_or(StatementError::MissingField("cluster"))?,
             session: fields.session.filter(|name| !name.is_empty()).map(str::to_string),
             session_tokens: fields.session_tokens.map(str::to_string),
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -1,4 +1,4 @@
-//! The facade: every send is reported once, in whatever order its request, client and attempt end.
+//! The facade: every attempt is reported once, in whatever order its request, client and attempt end.
 
 mod facade_simulation;
 
@@ -10,9 +10,9 @@
     Simulation::new(START, settings(), None)
 }
 
-// Named once is not named for good: groups would pile up for as long as the gateway runs.
+// Otherwise the known groups would grow for as long as the gateway runs.
 #[test]
-fn a_complete_list_names_the_groups_there_are() {
+fn a_complete_list_replaces_the_known_groups() {
     let simulation = simulation();
     let other = Entry { group: G + 1, ..entry(4, MemberStatus::Up, true, 0) };
     simulation.facade.update(|table| table.update_endpoints(false, vec![other.clone()]));
@@ -28,22 +28,22 @@
 }
 
 #[test]
-fn what_is_served_is_the_answer_and_only_while_its_request_is_open() {
+fn an_answer_is_final_only_while_its_request_is_open() {
     let mut simulation = simulation();
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let attempt = simulation.send(&mut ticket);
     assert!(attempt.report(simulation.now + MS, Outcome::silent(Ending::Served)));
     simulation.step();
-    assert!(matches!(ready(ticket.pick()), Some(Decision::Fail)), "nothing more is decided");
+    assert!(matches!(ready(ticket.pick()), Some(Decision::Fail)), "no decision follows the final one");
 
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let attempt = simulation.send(&mut ticket);
     drop(ticket);
-    assert!(!attempt.report(simulation.now + MS, Outcome::silent(Ending::Served)), "nobody waits for it");
+    assert!(!attempt.report(simulation.now + MS, Outcome::silent(Ending::Served)), "its client has left");
 }
 
 #[test]
-fn a_ticket_that_is_dropped_cancels_its_attempt() {
+fn dropping_a_ticket_cancels_its_attempt() {
     let mut simulation = simulation();
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let mut attempt = simulation.send(&mut ticket);
@@ -53,9 +53,9 @@
     assert!(ready(attempt.cancelled()).is_some());
 }
 
-// Before, an attempt that its client did not live to take up could have been counted as out for good.
+// An attempt whose client left before receiving it was once counted as in flight for good.
 #[test]
-fn attempts_that_nobody_takes_up_leave_no_trace() {
+fn attempts_dropped_unreceived_free_their_capacity() {
     let mut simulation = simulation();
     for _ in 0..200 {
         let ticket = simulation.admit(5, 900 * MS, &[]);
@@ -64,25 +64,25 @@
         simulation.step();
     }
     let mut ticket = simulation.admit(5, 900 * MS, &[]);
-    assert_eq!(simulation.send(&mut ticket).host, 1, "the primary has room for a write");
+    assert_eq!(simulation.send(&mut ticket).host(), 1, "the primary has capacity for a write");
 }
 
-// A keyed write fails for its client while its attempt may still run: the attempt goes on and is reported.
+// A write with an idempotency key fails for its client while its attempt may still run.
 #[test]
-fn a_failed_write_has_its_attempt_out_until_that_is_reported() {
+fn the_attempt_of_a_failed_write_stays_in_flight_until_it_is_reported() {
     let mut simulation = simulation();
     for _ in 0..40 {
         let mut ticket = simulation.admit(5, 100 * MS, &[]);
         let mut attempt = simulation.send(&mut ticket);
-        let mut last = None;
-        while last.is_none() {
+        let mut decision = None;
+        while decision.is_none() {
             simulation.step();
-            last = ready(ticket.pick());
+            decision = ready(ticket.pick());
         }
-        assert!(matches!(last, Some(Decision::Fail)), "{last:?}");
+        assert!(matches!(decision, Some(Decision::Fail)), "{decision:?}");
         assert!(ready(attempt.cancelled()).is_none());
         assert!(!attempt.report(simulation.now + 9 * MS, Outcome::silent(Ending::TimedOut)));
-        // A time-out bars its member for a while.
+        // A timeout ejects its member for a while.
         for _ in 0..300 {
             simulation.step();
         }
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn steps_come_at_most_once_a_granularity_and_name_the_next() {
+fn the_router_steps_at_most_once_per_granularity() {
     let mut simulation = simulation();
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let early = simulation.now + MS;
@@ -101,9 +101,9 @@
 }
 
 #[test]
-fn a_group_is_known_once_a_list_named_it() {
+fn any_group_may_be_served_until_a_list_names_groups() {
     let facade = Facade::new(settings(), 11).expect("sound settings");
-    assert!(facade.read(|table| table.may_serve_group(99)), "no list has come yet");
+    assert!(facade.read(|table| table.may_serve_group(99)), "no list has been received");
     facade.update(|table| table.update_endpoints(true, vec![entry(1, MemberStatus::Up, true, 0)]));
     assert!(facade.read(|table| table.may_serve_group(G)) && !facade.read(|table| table.may_serve_group(99)));
 }
--- a/tests/facade_simulation/mod.rs
+++ b/tests/facade_simulation/mod.rs
@@ -70,8 +70,15 @@
 
     /// A request of session `one`, where sessions are kept.
     pub fn admit(&mut self, class: usize, time_left: Time, tokens: &[&str]) -> Ticket {
-        let (at, until, session) = (self.now, self.now + time_left, self.session_ref(tokens));
-        self.facade.admit(Request { class, group: G, until, is_retry: false, at, after: None, session })
+        self.facade.admit(Request {
+            class,
+            group: G,
+            deadline: self.now + time_left,
+            is_retry: false,
+            arrived_at: self.now,
+            required_position: None,
+            session: self.session_ref(tokens),
+        })
     }
 
     /// The next attempt of this request, which has to be sent in one step.
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -66,7 +66,7 @@
     let mut ticket = admit(&mut simulation, READ, &["new"]);
     let attempt = send(&mut simulation, &mut ticket);
     assert!(!attempt.report(simulation.now, served(newer - MS, Role::Replica)), "it would go back");
-    let (counts, _) = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept");
+    let counts = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept").counts;
     assert_eq!((counts.behind, counts.by_token), (2, 3));
 }
 
@@ -132,7 +132,7 @@
         .expect("sound");
     let attempt = send(&mut simulation, &mut ticket);
     assert!(attempt.report(simulation.now, served(arrived - MS, Role::Replica)), "nothing stands against it");
-    let (counts, _) = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept");
+    let counts = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept").counts;
     assert_eq!((counts.settled, counts.received), (1, 2));
     assert!(simulation.facade.update(|table| table.receive_broadcast(simulation.now, b"garbage")).is_err());
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -110,7 +110,7 @@
     /// A write that the member which gets it has served: the member, and the commit.
     fn write(&mut self) -> (MemberId, Time) {
         let (_ticket, attempt) = self.send(WRITE);
-        let (host, commit) = (attempt.host, self.hosts_now() + MS);
+        let (host, commit) = (attempt.host(), self.hosts_now() + MS);
         assert!(self.answer(attempt, commit, Role::Primary));
         self.step();
         (host, commit)
