--- a/crates/ownership/src/lease_manager.rs
+++ b/crates/ownership/src/lease_manager.rs
@@ -60,8 +60,8 @@
 impl fmt::Display for Counts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Counts { acquired, lost, rejected, unknown_senders } = self;
-        write!(f, "duties_taken={acquired} duties_lost={lost} words_turned={rejected}")?;
-        write!(f, " words_odd={unknown_senders}")
+        write!(f, "leases_acquired={acquired} leases_lost={lost} notifications_rejected={rejected}")?;
+        write!(f, " unknown_senders={unknown_senders}")
     }
 }
 
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -45,7 +45,7 @@
     let late = ledger.admitted[before..].iter().map(|admitted| admitted.holder);
     let late = late.filter(|holder| holder.gateway == stalled && holder.term <= next.term);
     assert_eq!(late.count(), 0, "nothing of the old lease holder is admitted");
-    fleet.gateway(stalled).wait_for("duties_lost=", |count| count >= 1);
+    fleet.gateway(stalled).wait_for("leases_lost=", |count| count >= 1);
 }
 
 #[test]
@@ -99,7 +99,7 @@
         ledger.socket.send_to(bytes, &target).expect("sent");
     }
     fleet.gateway(1).wait_for("bad_words=", |count| count >= 3);
-    fleet.gateway(1).wait_for("words_turned=", |count| count >= 1);
+    fleet.gateway(1).wait_for("notifications_rejected=", |count| count >= 1);
     ledger.read(Duration::from_millis(1200));
     assert_eq!(ledger.holder_after(0), holder, "the lease holder goes on");
 }
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_duties.rs
@@ -118,7 +118,7 @@
     fleet.gateway(3).signal("STOP");
     fleet.wait_until_owned(&[(0, 2 * EACH), (1, EACH)]);
     fleet.gateway(3).signal("CONT");
-    fleet.gateway(3).wait_for("duties_lost=", |lost| lost >= EACH);
+    fleet.gateway(3).wait_for("leases_lost=", |lost| lost >= EACH);
     fleet.wait_until_even();
 }
 
