--- /dev/null
+++ b/crates/sessions/src/session_tracker/broadcasts.rs
@@ -0,0 +1,71 @@
+//! Watermark broadcasts: sending those that are due and applying those of other instances.
+
+use crate::session_key::SessionKey;
+use crate::session_tracker::SessionTracker;
+use crate::watermark_broadcast::{BroadcastError, WatermarkBroadcast};
+use petrelgauge_policy::{GroupId, Time};
+
+impl SessionTracker {
+    /// Sends broadcasts of this group from now on, even while nothing is recorded in it: otherwise an
+    /// instance that is idle in a group would keep all others from ever knowing enough of it.
+    pub fn track_group(&mut self, group: GroupId) {
+        if self.exchanges() {
+            self.peers.track(group);
+        }
+    }
+
+    /// Applies a datagram of another instance.
+    ///
+    /// # Errors
+    ///
+    /// A datagram that cannot be used; nothing changes then but the count of rejected ones.
+    pub fn receive(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
+        let applied = self.apply_broadcast(now, bytes);
+        match applied {
+            Ok(()) => self.counts.received += 1,
+            Err(_) => self.counts.rejected += 1,
+        }
+        applied
+    }
+
+    /// Datagrams due now, each to be sent to every other instance. Call again at
+    /// [`SessionTracker::next_broadcast_at`].
+    pub fn due_broadcasts(&mut self, now: Time) -> Vec<Vec<u8>> {
+        if self.next_broadcast_at().is_none_or(|due| now < due) {
+            return Vec::new();
+        }
+        self.broadcast_at = now;
+        self.latest = self.latest.max(now);
+        self.expire_gaps(now);
+        let secret = self.settings.secret;
+        let datagrams: Vec<Vec<u8>> =
+            self.peers.next_broadcasts(now).map(|broadcast| broadcast.encode(secret)).collect();
+        self.counts.sent += datagrams.len() as u64;
+        datagrams
+    }
+
+    /// When the next datagrams are due, if there are other instances to send them to.
+    pub fn next_broadcast_at(&self) -> Option<Time> {
+        self.exchanges().then(|| self.broadcast_at + self.settings.broadcast_interval)
+    }
+
+    fn apply_broadcast(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
+        let broadcast = WatermarkBroadcast::decode(bytes, self.settings.secret)?;
+        // An interval that ends in the future would pass for knowledge of what has not happened yet.
+        if broadcast.until > self.latest_clock(now) {
+            return Err(BroadcastError::InvalidInterval);
+        }
+        let instance = broadcast.sender.instance;
+        if instance >= self.settings.instances || instance == self.settings.instance {
+            return Err(BroadcastError::UnknownInstance);
+        }
+        // The sender's clock may be ahead of this one, and a host's clock ahead of the sender's.
+        let latest_position = self.latest_position(self.latest_clock(now));
+        for entry in &broadcast.entries {
+            let key = SessionKey { group: broadcast.sender.group, name_hash: entry.name_hash };
+            self.memory.join(key, entry.watermark.capped_at(latest_position), 0);
+        }
+        self.peers.record_broadcast(now, &broadcast);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/sessions/src/session_tracker/reads.rs
@@ -0,0 +1,113 @@
+//! Reads: the minimum position that each needs, and whether an answer proves it.
+
+use crate::answer_check::{verify, AnswerEvidence, Verdict};
+use crate::minimum_position::{MinimumPosition, PositionSource};
+use crate::session_key::SessionKey;
+use crate::session_memory::SessionEntry;
+use crate::session_tracker::SessionTracker;
+use crate::token::Token;
+use petrelgauge_policy::{GroupId, Time};
+
+impl SessionTracker {
+    /// What a read that has just arrived needs.
+    pub fn begin_read(&mut self, now: Time, key: SessionKey, token: Option<&Token>) -> MinimumPosition {
+        if let Some(minimum) = token.and_then(|token| self.minimum_by_token(now, key, token)) {
+            return minimum;
+        }
+        let minimum = self.current_minimum(now, key);
+        match minimum.source {
+            PositionSource::Token => {}
+            PositionSource::LocalMemory => self.counts.by_memory += 1,
+            PositionSource::Peers => self.counts.by_peers += 1,
+            PositionSource::Unknown => self.counts.open += 1,
+        }
+        minimum
+    }
+
+    /// What a waiting read needs, if that is less by now.
+    pub fn recheck_read(
+        &mut self,
+        now: Time,
+        key: SessionKey,
+        minimum: &MinimumPosition,
+    ) -> Option<MinimumPosition> {
+        if minimum.source != PositionSource::Unknown {
+            return None;
+        }
+        self.expire_gaps(now);
+        let current = self.current_minimum(minimum.arrived_at, key).with_pending_write(minimum.pending_write);
+        if current.position() >= minimum.position() {
+            return None;
+        }
+        self.counts.settled += 1;
+        Some(current)
+    }
+
+    /// What an answer proves of a read's minimum position.
+    pub fn verify_answer(&mut self, minimum: &MinimumPosition, answer: &AnswerEvidence) -> Verdict {
+        let verdict = verify(&self.settings, minimum, answer);
+        if verdict == Verdict::Unproven {
+            self.counts.behind += 1;
+        }
+        verdict
+    }
+
+    /// What a read needs by its token, if that covers everything that the session did.
+    fn minimum_by_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Option<MinimumPosition> {
+        let known = self.merge_token(now, key, token).required_position(self.settings.promise);
+        let recent = now - token.issued_at <= self.settings.token_age;
+        if !recent || token.issued_at > self.latest_clock(now) {
+            self.counts.old_tokens += 1;
+            return None;
+        }
+        self.counts.by_token += 1;
+        Some(MinimumPosition::from_known(now, known, PositionSource::Token))
+    }
+
+    /// What a read without a token that arrived at `arrived_at` needs by what is known now.
+    fn current_minimum(&self, arrived_at: Time, key: SessionKey) -> MinimumPosition {
+        let entry = self.memory.get(key);
+        let remembered = entry.watermark.required_position(self.settings.promise).max(self.omitted_bound);
+        if !self.settings.conservative {
+            return MinimumPosition::from_known(arrived_at, remembered, PositionSource::LocalMemory);
+        }
+        let known = remembered.max(self.lost_bound(&entry));
+        if !self.settings.roams {
+            return MinimumPosition::from_known(arrived_at, known, PositionSource::LocalMemory);
+        }
+        match self.bound_by_peers(arrived_at, key.group, &entry) {
+            Some(bound) => MinimumPosition::from_known(arrived_at, known.max(bound), PositionSource::Peers),
+            None => MinimumPosition::from_unknown(arrived_at, known, self.latest_clock(arrived_at)),
+        }
+    }
+
+    /// Upper bound of what was recorded here for a session and is lost; 0 for nothing. It was committed
+    /// before this run began.
+    fn lost_bound(&self, entry: &SessionEntry) -> Time {
+        if entry.complete_until < self.lost_until {
+            self.latest_clock(self.lost_until)
+        } else {
+            0
+        }
+    }
+
+    /// Upper bound of what other instances may have recorded for a session and this one does not know, if
+    /// their broadcasts cover the time `arrived_at`. Their clocks may be ahead of this one.
+    fn bound_by_peers(&self, arrived_at: Time, group: GroupId, entry: &SessionEntry) -> Option<Time> {
+        if self.settings.instances < 2 {
+            return None;
+        }
+        let clock_error = self.settings.clock_error;
+        let mut bound = 0;
+        for range in self.peers.others(group)? {
+            if range.known_until() - clock_error < arrived_at {
+                return None;
+            }
+            bound = bound.max(range.omitted_bound());
+            if entry.complete_until - clock_error < range.gap_end() {
+                bound = bound.max(range.gap_end() + clock_error);
+            }
+        }
+        Some(bound)
+    }
+}
