--- a/src/client/acceptor.rs
+++ b/src/client/acceptor.rs
@@ -1,7 +1,7 @@
 //! The accepting of clients, and the session that each of them gets.
 
 use crate::client::accept_loop::{AcceptLoop, ClientHandler};
-use crate::client::context::Front;
+use crate::client::context::ClientContext;
 use crate::client::reader::ClientReader;
 use crate::client::session::ClientSession;
 use crate::resources::budget::DescriptorSlot;
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-impl Front {
+impl ClientContext {
     /// Accepts clients until the gateway stops. It never pauses: what waits in the kernel's backlog counts
     /// as taken, and so what is there goes before the stop; unless the socket is `shared` with the process that
     /// comes next, whose they are.
@@ -19,7 +19,7 @@
         // Whoever waits to be accepted is held too, up to the moment at which the listener is closed.
         let _accepting = self.open_sessions.enter();
         let accept_loop = AcceptLoop { clock: self.clock, state: self.serving_state.clone(), shared };
-        accept_loop.run(&listener, &Handler { front: self.clone(), accepted: Cell::new(0) }).await;
+        accept_loop.run(&listener, &Handler { context: self.clone(), accepted: Cell::new(0) }).await;
     }
 
     async fn serve(self: Rc<Self>, mut stream: TcpStream, number: u32, _slot: DescriptorSlot) {
@@ -27,7 +27,7 @@
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.split();
         let mut session = ClientSession {
-            front: self.clone(),
+            context: self.clone(),
             reader: ClientReader::new(reader, &self),
             writer,
             shed: Rc::new(Notify::new()),
@@ -44,23 +44,23 @@
 
 /// Opens sessions for the clients that are accepted.
 struct Handler {
-    front: Rc<Front>,
+    context: Rc<ClientContext>,
     /// Clients so far.
     accepted: Cell<u32>,
 }
 
 impl ClientHandler<TcpStream> for Handler {
     fn on_client(&self, stream: TcpStream) {
-        let (front, number) = (&self.front, self.accepted.get().wrapping_add(1));
+        let (context, number) = (&self.context, self.accepted.get().wrapping_add(1));
         self.accepted.set(number);
-        front.counters.clients.add();
-        front.hosts.ensure_descriptor();
+        context.counters.clients.add();
+        context.host_pool.ensure_descriptor();
         // Counted here: of many that come at once, each must see those before it.
-        let slot = front.budget.acquire_client_slot();
-        tokio::task::spawn_local(front.clone().serve(stream, number, slot));
+        let slot = context.budget.acquire_client_slot();
+        tokio::task::spawn_local(context.clone().serve(stream, number, slot));
     }
 
     fn on_shortage(&self) {
-        self.front.hosts.ensure_descriptor();
+        self.context.host_pool.ensure_descriptor();
     }
 }
--- a/src/client/context.rs
+++ b/src/client/context.rs
@@ -2,7 +2,7 @@
 //! life means for them.
 
 use crate::facade::Facade;
-use crate::host::pool::Hosts;
+use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
 use crate::postgres;
 use crate::postgres::cancel::CancelKeys;
@@ -19,11 +19,11 @@
 use tokio::sync::watch;
 
 /// What all client sessions share.
-pub struct Front {
+pub struct ClientContext {
     /// The decisions.
     pub facade: Facade,
     /// The database hosts.
-    pub hosts: Rc<Hosts>,
+    pub host_pool: Rc<HostPool>,
     /// The clock.
     pub clock: Clock,
     /// Descriptors and memory.
@@ -46,7 +46,7 @@
     pub final_read_deadlines: Cell<ReadDeadlines>,
 }
 
-impl Front {
+impl ClientContext {
     /// Appends the session's token, where its client carries one.
     pub(super) fn put_session_token(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
         if let Some(token) =
@@ -60,18 +60,18 @@
     pub(super) fn reserve_request_id(self: &Rc<Self>, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
         let is_new = self.open_request_ids.borrow_mut().insert(id.clone());
-        is_new.then(|| ReservedRequestId { front: self.clone(), id })
+        is_new.then(|| ReservedRequestId { context: self.clone(), id })
     }
 }
 
 /// The id of an open request; dropped, another request may have it.
 pub(super) struct ReservedRequestId {
-    front: Rc<Front>,
+    context: Rc<ClientContext>,
     id: Rc<str>,
 }
 
 impl Drop for ReservedRequestId {
     fn drop(&mut self) {
-        self.front.open_request_ids.borrow_mut().remove(&self.id);
+        self.context.open_request_ids.borrow_mut().remove(&self.id);
     }
 }
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -1,6 +1,6 @@
 //! Reads one client's messages in order, a bounded number of them ahead of the one that is being answered.
 
-use crate::client::context::Front;
+use crate::client::context::ClientContext;
 use crate::os::clock::Clock;
 use crate::os::socket::{self, SocketError};
 use crate::postgres::cancel::CancelKey;
@@ -60,13 +60,13 @@
     ProtocolError { end: End::ClientSilent, code: "08P01", text: "message not whole in time" };
 
 impl<'a> ClientReader<'a> {
-    pub(super) fn new(reader: ReadHalf<'a>, front: &Front) -> ClientReader<'a> {
+    pub(super) fn new(reader: ReadHalf<'a>, context: &ClientContext) -> ClientReader<'a> {
         ClientReader {
             reader,
-            clock: front.clock,
-            read_buffer: front.read_buffer.clone(),
-            counters: front.counters.clone(),
-            memory: front.budget.reserve_client_memory(),
+            clock: context.clock,
+            read_buffer: context.read_buffer.clone(),
+            counters: context.counters.clone(),
+            memory: context.budget.reserve_client_memory(),
             framer: Framer::default(),
             queue: VecDeque::new(),
             ahead: ReadAhead::new(),
@@ -308,7 +308,7 @@
                 Ok(allowance) => allowance,
                 Err(end) => return end,
             };
-            // Before the bytes that lie in front of the end: reading them takes turns, in which a query could go out.
+            // Before the bytes that lie in context of the end: reading them takes turns, in which a query could go out.
             if is_closed(&self.reader).await {
                 return End::ClientLeft;
             }
--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -1,6 +1,6 @@
 //! One query of a client: read, decided on, and answered.
 
-use crate::client::context::Front;
+use crate::client::context::ClientContext;
 use crate::client::request_parser::{ClientRequest, UnusableStatement, MICROSECONDS_PER_MILLISECOND};
 use crate::client::session::ClientSession;
 use crate::facade::Decision;
@@ -74,7 +74,7 @@
             }
             QueryOutcome::AnsweredLocally
         } else {
-            match self.front.parse_request(&text, at, &self.session_tokens) {
+            match self.context.parse_request(&text, at, &self.session_tokens) {
                 Ok(request) => return self.answer(request).await.map(|()| QueryOutcome::Request),
                 Err(error) => self.put_unusable(&mut out, &error),
             }
@@ -96,15 +96,15 @@
     }
 
     fn put_unusable(&self, out: &mut Vec<u8>, error: &UnusableStatement) {
-        self.front.counters.bad_statements.add();
+        self.context.counters.bad_statements.add();
         postgres::put_error(out, Severity::Error, error.sqlstate(), &error.to_string(), None);
     }
 
     /// Carries out a setting, and gives the tag of its completion. Only the session's tokens have an effect here.
     fn apply(&mut self, setting: Setting) -> Result<&'static str, UnusableStatement> {
         match &setting {
-            Setting::SetTokens(text) if self.front.facade.read(|table| table.tracks_sessions()) => {
-                self.front.facade.read(|table| table.set_tokens(&mut self.session_tokens, text))?;
+            Setting::SetTokens(text) if self.context.facade.read(|table| table.tracks_sessions()) => {
+                self.context.facade.read(|table| table.set_tokens(&mut self.session_tokens, text))?;
             }
             Setting::ResetTokens | Setting::Discard => self.session_tokens.clear(),
             Setting::SetTokens(_) | Setting::Other | Setting::Reset => {}
@@ -116,8 +116,8 @@
     async fn answer(&mut self, request: ClientRequest) -> Result<(), End> {
         let end = self.decide(&request).await?;
         self.log_end(&request, &end);
-        let front = self.front.clone();
-        let counters = &front.counters;
+        let context = self.context.clone();
+        let counters = &context.counters;
         match end {
             RequestEnd::Answered(HostAnswer { answer, memory }) => match answer {
                 AnswerBody::Streamed(row) => {
@@ -164,15 +164,15 @@
             request.statement.class,
             request.statement.group,
             end.log_name(),
-            self.front.clock.now() - request.request.arrived_at,
-            request.request.deadline - self.front.clock.now(),
+            self.context.clock.now() - request.request.arrived_at,
+            request.request.deadline - self.context.clock.now(),
         );
     }
 
     /// Writes a complete row as the host sent it, without copying it.
     async fn write_row(&mut self, messages: &[Bytes], request: &ClientRequest) -> Result<(), End> {
         let mut out = Vec::new();
-        self.front.put_session_token(&mut out, request.session_key());
+        self.context.put_session_token(&mut out, request.session_key());
         postgres::put_ready(&mut out);
         let [description, row, completion] =
             [0, 1, 2].map(|index| messages.get(index).cloned().unwrap_or_default());
@@ -190,7 +190,7 @@
             error.detail.as_deref(),
         );
         if error.may_have_run {
-            self.front.put_session_token(&mut out, request.session_key());
+            self.context.put_session_token(&mut out, request.session_key());
         }
         postgres::put_ready(&mut out);
         self.write(&out[..], request.request.deadline).await
@@ -198,7 +198,7 @@
 
     /// Passes a long row on as it comes. Cut off in the middle, the connection ends, so that its client can tell.
     async fn pass_on(&mut self, mut row: StreamedRow, request: &ClientRequest) -> Result<(), End> {
-        let front = self.front.clone();
+        let context = self.context.clone();
         let host = row.host();
         let passed = async {
             row.pass_on(&mut self.writer).await?;
@@ -209,25 +209,25 @@
             completion = passed => completion?,
             () = self.reader.read_ahead() => return Err(End::ClientLeft),
         };
-        let now = front.clock.now();
-        if !front.facade.update(|table| table.validate_times(now, host, None, &mut outcome)) {
-            front.counters.bad_reports.add();
+        let now = context.clock.now();
+        if !context.facade.update(|table| table.validate_times(now, host, None, &mut outcome)) {
+            context.counters.bad_reports.add();
         }
-        front.facade.update(|table| table.record_late_report(now, host, outcome));
+        context.facade.update(|table| table.record_late_report(now, host, outcome));
         let mut out = command_complete.to_vec();
-        front.put_session_token(&mut out, request.session_key());
+        context.put_session_token(&mut out, request.session_key());
         postgres::put_ready(&mut out);
-        self.write(&out[..], front.clock.now()).await
+        self.write(&out[..], context.clock.now()).await
     }
 
     /// Admits a request and waits for how it ends, making the attempts that are decided on.
     async fn decide(&mut self, request: &ClientRequest) -> Result<RequestEnd, End> {
-        let front = self.front.clone();
-        front.counters.requests.add();
+        let context = self.context.clone();
+        context.counters.requests.add();
         if self.late() || self.reader.is_grace_over() {
             return Ok(RequestEnd::Rejected { retry_after: 0 });
         }
-        let mut ticket = front.facade.admit(request.request.clone());
+        let mut ticket = context.facade.admit(request.request.clone());
         let mut state = RequestState::default();
         let mut attempt: Option<JoinHandle<Option<HostAnswer>>> = None;
         // One for all turns: made anew in each, it would miss a cancel that comes in the turn of another event.
@@ -245,7 +245,7 @@
                 decision = ticket.pick() => match decision {
                     // Its own task: a write with an idempotency key that failed for its client may still be open.
                     Decision::Send(send) => {
-                        let sent = front.hosts.clone().attempt(send, request.statement.clone());
+                        let sent = context.host_pool.clone().attempt(send, request.statement.clone());
                         attempt = Some(tokio::task::spawn_local(sent));
                         Event::AttemptStarted
                     }
@@ -253,7 +253,7 @@
                     Decision::Fail => Event::Failed,
                 },
                 () = &mut cancelled => Event::Cancelled,
-                () = stop_deadline(&front) => Event::GracePeriodOver,
+                () = stop_deadline(&context) => Event::GracePeriodOver,
                 end = self.reader.left() => if self.reader.is_failed_with(end) {
                     Event::GracePeriodOver
                 } else {
@@ -263,7 +263,7 @@
             };
             if let Some(final_answer) = state.on(event) {
                 if final_answer == FinalAnswer::Abandoned {
-                    front.counters.left.add();
+                    context.counters.left.add();
                     return Err(client_end);
                 }
                 // The ticket goes with this: nothing more is sent.
@@ -294,11 +294,11 @@
 
 /// Waits until the last answers of a stop are due: the process may be killed soon, and a request that came before the stop
 /// may have more time than that.
-async fn stop_deadline(front: &Front) {
+async fn stop_deadline(context: &ClientContext) {
     // The deadline is known from the stop on, well before the serving state says so.
-    let mut serving_state = front.serving_state.clone();
+    let mut serving_state = context.serving_state.clone();
     if serving_state.wait_for(|state| *state == ServingState::Stopped).await.is_ok() {
-        front.clock.sleep_until(front.final_answer_deadline.get()).await;
+        context.clock.sleep_until(context.final_answer_deadline.get()).await;
     } else {
         std::future::pending().await
     }
--- a/src/client/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -1,7 +1,7 @@
 //! Reads a client's statement as a request: what the statement says is checked against the classes, groups and sessions
 //! that are served.
 
-use crate::client::context::{Front, ReservedRequestId};
+use crate::client::context::{ClientContext, ReservedRequestId};
 use crate::facade::{Request, SessionRef};
 use crate::postgres::sqlstate;
 use crate::sql::statement::{Statement, StatementError};
@@ -69,7 +69,7 @@
     }
 }
 
-impl Front {
+impl ClientContext {
     /// Reads a statement that came at this time, on a connection that holds these tokens.
     ///
     /// # Errors
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -1,6 +1,6 @@
 //! One client's connection: PostgreSQL's simple queries in, one final answer out for each.
 
-use crate::client::context::Front;
+use crate::client::context::ClientContext;
 use crate::client::reader::{ClientEvent, ClientReader, ProtocolError, UNFINISHED, UNKNOWN};
 use crate::os::socket::{self, Unread};
 use crate::postgres::cancel::RegisteredKey;
@@ -30,7 +30,7 @@
 const LOOK: Time = 20_000;
 
 pub(super) struct ClientSession<'a> {
-    pub(super) front: Rc<Front>,
+    pub(super) context: Rc<ClientContext>,
     pub(super) reader: ClientReader<'a>,
     pub(super) writer: WriteHalf<'a>,
     pub(super) shed: Rc<Notify>,
@@ -52,12 +52,12 @@
 
     /// Tells the connection's life what happens and does what it says, until it ends.
     async fn talk(&mut self) -> Result<End, End> {
-        let clock = self.front.clock;
+        let clock = self.context.clock;
         let mut life = Client::new(clock.now());
         loop {
             let event = self.hear(&life).await;
             let mut out = Vec::new();
-            event.cancel.into_iter().for_each(|key| self.front.cancel_keys.cancel(key));
+            event.cancel.into_iter().for_each(|key| self.context.cancel_keys.cancel(key));
             let mut action = life.on(clock.now(), event.event);
             if action == Action::Answer {
                 let (text, at) = event.query.unwrap_or_default();
@@ -95,9 +95,9 @@
 
     /// Waits for what happens next. What the client sent goes before every reason to close.
     async fn hear(&mut self, life: &Client) -> ClientEvent {
-        let (front, shed, mut serving_state) =
-            (self.front.clone(), self.shed.clone(), self.serving_state.clone());
-        let clock = front.clock;
+        let (context, shed, mut serving_state) =
+            (self.context.clone(), self.shed.clone(), self.serving_state.clone());
+        let clock = context.clock;
         if let Stage::Pausing { until } = life.stage() {
             return tokio::select! {
                 () = clock.sleep_until(until) => Event::PauseOver.into(),
@@ -109,18 +109,18 @@
         }
         let (why, since) = life.idleness();
         // The process may be killed soon: nothing more is read, and what was read is answered first.
-        let over = clock.now() >= front.final_read_deadlines.get().of(why);
+        let over = clock.now() >= context.final_read_deadlines.get().of(why);
         let done = !self.reader.holds(life.stage()) && !self.reader.is_behind();
         if serving_state.borrow().closes_idle_clients() && over && done {
             return Event::Stop { unread: false }.into();
         }
-        let _idle = front.budget.register_idle(why, since, &shed);
+        let _idle = context.budget.register_idle(why, since, &shed);
         // A client that has just come is about to say something.
         let close_from = self.close_from.max(if why == Idleness::New { since + FIRST_WORD } else { since });
         let closed = async {
             let wished =
                 serving_state.wait_for(|serving_state| serving_state.closes_idle_clients()).await.is_ok();
-            clock.sleep_until(close_from.min(front.final_answer_deadline.get())).await;
+            clock.sleep_until(close_from.min(context.final_answer_deadline.get())).await;
             wished
         };
         tokio::select! {
@@ -135,7 +135,7 @@
                 Event::Shed { unread }.into()
             }
             _ = closed => {
-                let last = front.final_answer_deadline.get().min(since + LAST_MESSAGE);
+                let last = context.final_answer_deadline.get().min(since + LAST_MESSAGE);
                 let begun = !self.reader.framer.is_empty() && clock.now() < last;
                 let unread = self.unread(life.stage()).await;
                 self.close_from = if begun { clock.now() + LOOK } else { self.close_from };
@@ -168,19 +168,19 @@
 
     /// The last answers of a stop were due.
     pub(super) fn late(&self) -> bool {
-        self.front.clock.now() >= self.front.final_answer_deadline.get()
+        self.context.clock.now() >= self.context.final_answer_deadline.get()
     }
 
     /// Says why the connection ends, and ends it.
     async fn cut_off(&mut self, error: ProtocolError) -> Result<End, End> {
         let mut out = Vec::new();
         postgres::put_error(&mut out, Severity::Fatal, error.code, error.text, None);
-        let clock = self.front.clock;
+        let clock = self.context.clock;
         self.reader.fail(error);
         self.write(&out[..], clock.now()).await?;
         // Closed with bytes unread, the connection would be reset and the client not see the reason.
         let _ = self.writer.shutdown().await;
-        let _idle = self.front.budget.register_idle(Idleness::CutOff, clock.now(), &self.shed);
+        let _idle = self.context.budget.register_idle(Idleness::CutOff, clock.now(), &self.shed);
         let by = clock.now() + LINGER;
         tokio::select! {
             () = self.reader.discard() => {}
@@ -195,25 +195,25 @@
     /// that was read here would have no answer, and one that was not is sent again to another gateway.
     async fn wait_for_close(&mut self) {
         let _ = self.writer.shutdown().await;
-        let now = self.front.clock.now();
-        let by = (now + LINGER).min(self.front.final_answer_deadline.get());
-        let _idle = self.front.budget.register_idle(Idleness::CutOff, now, &self.shed);
+        let now = self.context.clock.now();
+        let by = (now + LINGER).min(self.context.final_answer_deadline.get());
+        let _idle = self.context.budget.register_idle(Idleness::CutOff, now, &self.shed);
         tokio::select! {
             () = self.reader.closed() => {}
             () = self.shed.notified() => {}
-            () = self.front.clock.sleep_until(by) => {}
+            () = self.context.clock.sleep_until(by) => {}
         }
     }
 
     /// Writes all of it, or ends the connection of a client that does not take it.
     pub(super) async fn write(&mut self, mut bytes: impl Buf, end: Time) -> Result<(), End> {
         // A request that waited behind others may end long after its time.
-        let by = end.max(self.front.clock.now()) + TAKING;
+        let by = end.max(self.context.clock.now()) + TAKING;
         tokio::select! {
             biased;
             written = socket::write_all(self.writer.as_ref(), &mut bytes) => written.map_err(|_| End::ClientLeft),
             () = self.reader.read_ahead() => Err(End::ClientLeft),
-            () = self.front.clock.sleep_until(by) => Err(End::ClientStuck),
+            () = self.context.clock.sleep_until(by) => Err(End::ClientStuck),
         }
     }
 }
--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -11,7 +11,7 @@
 use crate::fleet::leadership::FleetLeadership;
 use crate::fleet::peers::Peers;
 use crate::fleet::quota_lending::Demand;
-use crate::host::pool::Hosts;
+use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
 use crate::os::datagram::DatagramSocket;
 use crate::os::socket::{self, SocketError};
@@ -52,7 +52,7 @@
     /// The routing decisions.
     pub facade: Facade,
     /// Connections to the database hosts.
-    pub host_pool: Rc<Hosts>,
+    pub host_pool: Rc<HostPool>,
     /// This gateway's part in the fleet's leadership roles, if the operator has enabled any.
     pub leadership: Option<Rc<FleetLeadership>>,
     /// Names and numbers of the hosts.
@@ -85,7 +85,7 @@
     ) -> Result<ControlPlane<S>, ControlError> {
         let RoutingDecisions { facade, read_wait_bound, gateway_count, broadcast_address, .. } = decisions;
         let Dependencies { clock, budget, read_buffer, counters, demand, assigned_ids } = dependencies;
-        let host_pool = Hosts::new(
+        let host_pool = HostPool::new(
             clock,
             budget,
             counters.clone(),
--- a/src/control/ops.rs
+++ b/src/control/ops.rs
@@ -1,7 +1,7 @@
 //! The address for operators' commands: one line per connection, one line back. Commands and replies are defined in
 //! `petrelgauge_lifecycle::ops`; the gateway's event loop executes them.
 
-use crate::host::pool::Hosts;
+use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
 use crate::os::socket::{self, ByteStream, SocketError};
 use crate::resources::counters::Counters;
@@ -34,7 +34,7 @@
     /// Channel to the event loop.
     pub commands: mpsc::Sender<CommandRequest>,
     /// Gives up an idle connection when no descriptor is left to accept with.
-    pub host_pool: Rc<Hosts>,
+    pub host_pool: Rc<HostPool>,
     /// Clock of all deadlines.
     pub clock: Clock,
     /// Counts callers.
--- a/src/control/tasks.rs
+++ b/src/control/tasks.rs
@@ -1,7 +1,7 @@
 //! The periodic tasks of the control plane. None of them ends by itself.
 
 use crate::facade::Facade;
-use crate::host::pool::Hosts;
+use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
 use crate::Time;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 }
 
 /// Closes expired idle connections to hosts, and idle clients beyond the client share of the descriptors.
-pub(super) async fn close_unused_connections(host_pool: Rc<Hosts>, clock: Clock) {
+pub(super) async fn close_unused_connections(host_pool: Rc<HostPool>, clock: Clock) {
     loop {
         let sweep_at = clock.now() + IDLE_SWEEP_INTERVAL;
         while clock.now() < sweep_at {
--- a/src/discovery/endpoint_table.rs
+++ b/src/discovery/endpoint_table.rs
@@ -3,7 +3,7 @@
 use crate::discovery::endpoint_list::{EndpointList, EndpointRow, Phase};
 use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
-use crate::host::pool::{Endpoint, Hosts};
+use crate::host::pool::{Endpoint, HostPool};
 use crate::{Entry, MemberId, Time};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 /// The hosts of the endpoint list in force.
 pub(super) struct EndpointTable {
     facade: Facade,
-    host_pool: Rc<Hosts>,
+    host_pool: Rc<HostPool>,
     known_hosts: BTreeMap<String, KnownHost>,
     /// Number of the next new host.
     next_id: MemberId,
@@ -40,7 +40,7 @@
     /// A table without a list. The hosts in `assigned_ids` keep their numbers if a list names them in time.
     pub(super) fn new(
         facade: Facade,
-        host_pool: Rc<Hosts>,
+        host_pool: Rc<HostPool>,
         assigned_ids: BTreeMap<String, MemberId>,
         now: Time,
     ) -> EndpointTable {
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -9,7 +9,7 @@
     fetch_complete_list, open_request, ListQuery, ListResponse, RequestError,
 };
 use crate::facade::Facade;
-use crate::host::pool::Hosts;
+use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
 use crate::os::socket::ByteStream;
 use crate::resources::counters::Counters;
@@ -50,7 +50,7 @@
     /// The decisions that follow the list.
     pub facade: Facade,
     /// The connections that follow the list.
-    pub host_pool: Rc<Hosts>,
+    pub host_pool: Rc<HostPool>,
     /// Counters that operators see.
     pub counters: Rc<Counters>,
     /// Clock of all deadlines.
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -6,9 +6,9 @@
 
 use crate::facade::{Attempt, Outcome};
 use crate::host::attempt_io::{AttemptIo, Progress};
-use crate::host::connection::Connection;
+use crate::host::connection::HostConnection;
 use crate::host::load_report::outcome;
-use crate::host::pool::Hosts;
+use crate::host::pool::HostPool;
 use crate::host::streamed_row::StreamedRow;
 use crate::postgres::{Answer, AnswerAssembler, Reply};
 use crate::resources::budget::MemoryReservation;
@@ -47,7 +47,7 @@
     reused: bool,
 }
 
-impl Hosts {
+impl HostPool {
     /// Makes one attempt and reports it. Gives the host's answer if it is the request's final answer.
     ///
     /// Not cancel safe: dropped before its end, the attempt would be reported as not sent although its query may be
@@ -158,7 +158,7 @@
     fn release(
         self: &Rc<Self>,
         host: MemberId,
-        connection: Option<Connection>,
+        connection: Option<HostConnection>,
         assembler: AnswerAssembler,
         disposition: ConnectionDisposition,
     ) -> Option<StreamedRow> {
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -2,8 +2,8 @@
 //! answer, each as far as the attempt's stage asks for.
 
 use crate::facade::Attempt;
-use crate::host::connection::Connection;
-use crate::host::pool::Hosts;
+use crate::host::connection::HostConnection;
+use crate::host::pool::HostPool;
 use crate::os::socket::{self, SocketError};
 use crate::postgres::message_type;
 use crate::postgres::read_buffer;
@@ -34,7 +34,7 @@
 
 /// An attempt's connection, and what has been written and read on it.
 pub(super) struct AttemptIo {
-    pub(super) connection: Option<Connection>,
+    pub(super) connection: Option<HostConnection>,
     /// The rest of a query of which a part has been written.
     unwritten: Option<Box<dyn Buf>>,
     /// The first write failed for a shortage of this machine: it is repeated after a pause.
@@ -49,7 +49,7 @@
 
 impl AttemptIo {
     /// On an idle connection, or on none yet.
-    pub(super) fn new(connection: Option<Connection>, memory: MemoryReservation) -> AttemptIo {
+    pub(super) fn new(connection: Option<HostConnection>, memory: MemoryReservation) -> AttemptIo {
         AttemptIo {
             connection,
             unwritten: None,
@@ -142,7 +142,7 @@
     }
 }
 
-impl Hosts {
+impl HostPool {
     /// Does what the stage of an attempt asks for, until something happens.
     ///
     /// Cancel safe: what was connected, written and read is kept in `io`, and a new call goes on from there. Only a
--- a/src/host/connection.rs
+++ b/src/host/connection.rs
@@ -24,7 +24,7 @@
 }
 
 /// A connection that is up. Its descriptor is counted for as long as it lives.
-pub(super) struct Connection {
+pub(super) struct HostConnection {
     pub(super) stream: TcpStream,
     pub(super) framer: Framer,
     pub(super) endpoint: Endpoint,
@@ -35,10 +35,10 @@
     _slot: DescriptorSlot,
 }
 
-impl Connection {
+impl HostConnection {
     /// On a stream that has just been connected.
-    pub(super) fn new(stream: TcpStream, endpoint: Endpoint, slot: DescriptorSlot) -> Connection {
-        Connection {
+    pub(super) fn new(stream: TcpStream, endpoint: Endpoint, slot: DescriptorSlot) -> HostConnection {
+        HostConnection {
             stream,
             framer: Framer::default(),
             endpoint,
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -1,8 +1,8 @@
 //! The database hosts that discovery lists, and the pool of idle connections to them. New connections are made here, and
 //! descriptors are freed for them: idle clients and idle connections are closed in a fixed order.
 
-use crate::host::connection::Connection;
 pub use crate::host::connection::Endpoint;
+use crate::host::connection::HostConnection;
 use crate::os::clock::Clock;
 use crate::os::socket::{self, SocketError};
 use crate::postgres;
@@ -33,7 +33,7 @@
 /// An idle connection.
 struct PooledConnection {
     idle_since: Time,
-    connection: Connection,
+    connection: HostConnection,
 }
 
 impl PooledConnection {
@@ -51,7 +51,7 @@
 }
 
 /// All database hosts that discovery lists.
-pub struct Hosts {
+pub struct HostPool {
     hosts: RefCell<BTreeMap<MemberId, Host>>,
     pub(super) clock: Clock,
     pub(super) budget: Rc<Budget>,
@@ -62,7 +62,7 @@
     pub(super) open_attempts: Gauge,
 }
 
-impl Hosts {
+impl HostPool {
     /// No hosts yet. A connection must come up within `connect_span`; hosts close idle ones after `idle_span` (both
     /// microseconds).
     pub fn new(
@@ -72,8 +72,8 @@
         read_buffer: Rc<ReadBuffer>,
         connect_span: Time,
         idle_span: Time,
-    ) -> Rc<Hosts> {
-        Rc::new(Hosts {
+    ) -> Rc<HostPool> {
+        Rc::new(HostPool {
             hosts: RefCell::new(BTreeMap::new()),
             clock,
             budget,
@@ -184,7 +184,7 @@
     }
 
     /// Takes an idle connection that may carry a request, if there is one.
-    pub(super) fn take_idle(&self, id: MemberId) -> Option<Connection> {
+    pub(super) fn take_idle(&self, id: MemberId) -> Option<HostConnection> {
         let now = self.clock.now();
         let mut hosts = self.hosts.borrow_mut();
         let idle = &mut hosts.get_mut(&id)?.idle;
@@ -208,7 +208,7 @@
     }
 
     /// Keeps a connection idle, unless its host moved, started again, is draining or is no longer listed.
-    pub(super) fn put_back(&self, id: MemberId, connection: Connection) {
+    pub(super) fn put_back(&self, id: MemberId, connection: HostConnection) {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts.get_mut(&id).filter(|host| host.endpoint == connection.endpoint && host.endpoint.up);
         match (self.idle_policy.get().may_keep(host.is_some()), host) {
@@ -247,7 +247,7 @@
     /// # Errors
     ///
     /// [`Event::NotTried`] if nothing went to the host, [`Event::Refused`] if it did not take the connection.
-    pub(super) async fn connect(&self, id: MemberId) -> Result<Connection, Event> {
+    pub(super) async fn connect(&self, id: MemberId) -> Result<HostConnection, Event> {
         let endpoint = self.hosts.borrow().get(&id).map(|host| host.endpoint).filter(|endpoint| endpoint.up);
         let endpoint = endpoint.ok_or(Event::NotTried(End::NoAddress))?;
         if !self.ensure_descriptor() {
@@ -259,7 +259,7 @@
             socket::through_shortages(CONNECT_ATTEMPTS, || socket::connect(endpoint.address)).await;
         let stream = connected.map_err(|error| after_failed_connect(&error))?;
         let _ = stream.set_nodelay(true);
-        let connection = Connection::new(stream, endpoint, slot);
+        let connection = HostConnection::new(stream, endpoint, slot);
         let mut startup = Vec::new();
         postgres::put_startup(&mut startup);
         // A failure shows when the greeting is read.
--- a/src/host/streamed_row.rs
+++ b/src/host/streamed_row.rs
@@ -2,9 +2,9 @@
 //! is no retry: either the client gets all of the row, or its connection ends in the middle, which the client can tell.
 
 use crate::facade::Outcome;
-use crate::host::connection::Connection;
+use crate::host::connection::HostConnection;
 use crate::host::load_report::outcome;
-use crate::host::pool::Hosts;
+use crate::host::pool::HostPool;
 use crate::os::socket;
 use crate::postgres::read_buffer;
 use crate::postgres::{Answer, AnswerAssembler, Reply};
@@ -22,9 +22,9 @@
 
 /// A row that has begun, and the connection that it comes on.
 pub struct StreamedRow {
-    hosts: Rc<Hosts>,
+    pool: Rc<HostPool>,
     host: MemberId,
-    connection: Connection,
+    connection: HostConnection,
     assembler: AnswerAssembler,
     /// Bytes of the row's message that have not been passed on.
     remaining_bytes: usize,
@@ -40,13 +40,13 @@
 
 impl StreamedRow {
     pub(super) fn new(
-        hosts: Rc<Hosts>,
+        pool: Rc<HostPool>,
         host: MemberId,
-        connection: Connection,
+        connection: HostConnection,
         assembler: AnswerAssembler,
     ) -> StreamedRow {
         let remaining_bytes = connection.framer.long_row().unwrap_or_default();
-        StreamedRow { hosts, host, connection, assembler, remaining_bytes }
+        StreamedRow { pool, host, connection, assembler, remaining_bytes }
     }
 
     /// The parameters that the host has reported before the row.
@@ -87,12 +87,12 @@
     pub async fn complete(mut self) -> Result<RowCompletion, End> {
         let reply = self.read_reply().await?;
         let Answer::Row(mut messages) = reply.answer else { return Err(End::HostMalformed) };
-        let outcome = outcome(End::Served, &reply.parameters, &self.hosts.counters);
-        let StreamedRow { hosts, host, connection, .. } = self;
+        let outcome = outcome(End::Served, &reply.parameters, &self.pool.counters);
+        let StreamedRow { pool, host, connection, .. } = self;
         if reply.ready && connection.framer.is_empty() {
-            hosts.put_back(host, connection);
+            pool.put_back(host, connection);
         } else {
-            hosts.counters.ended(End::HostSurplus);
+            pool.counters.ended(End::HostSurplus);
         }
         Ok(RowCompletion { command_complete: messages.pop().unwrap_or_default(), outcome })
     }
@@ -116,17 +116,17 @@
     }
 
     async fn read(&mut self, max_bytes: usize) -> Result<(), End> {
-        let clock = self.hosts.clock;
+        let clock = self.pool.clock;
         let deadline = clock.now() + PROGRESS_TIMEOUT;
         tokio::select! {
             biased;
-            read = self.connection.read(&self.hosts.read_buffer, max_bytes) => read.map_err(|_| End::BrokenSent),
+            read = self.connection.read(&self.pool.read_buffer, max_bytes) => read.map_err(|_| End::BrokenSent),
             () = clock.sleep_until(deadline) => Err(End::HostStalled),
         }
     }
 
     async fn write(&self, writer: &mut WriteHalf<'_>, mut bytes: Bytes) -> Result<(), End> {
-        let clock = self.hosts.clock;
+        let clock = self.pool.clock;
         while bytes.has_remaining() {
             let deadline = clock.now() + PROGRESS_TIMEOUT;
             tokio::select! {
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -1,7 +1,7 @@
 //! The event loop of a running gateway: signals, operators' commands, and the steps of its lifecycle.
 
 use crate::process::error::{GatewayError, ReloadError};
-use petrelgauge::client::context::Front;
+use petrelgauge::client::context::ClientContext;
 use petrelgauge::control::config::{Config, ConfigError};
 use petrelgauge::control::ops::CommandRequest;
 use petrelgauge::control::{ControlPlane, Reloaded};
@@ -33,7 +33,7 @@
     /// Counts since the start.
     pub counters: Rc<Counters>,
     /// What the client sessions share.
-    pub front: Rc<Front>,
+    pub client_context: Rc<ClientContext>,
     /// Exchange with other processes of this gateway, where the platform holds the clients' socket.
     pub handover: Option<Rc<Handover>>,
     /// Clock time from which on the list of the configuration will do (microseconds).
@@ -103,7 +103,7 @@
             Some(command) = self.commands.recv() => Ok(Wakeup::Command(command)),
             () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Due)),
             () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if stage == Stage::Closing => {
-                let (clients, attempts) = (self.front.open_sessions.get(), self.control.host_pool.open_attempts());
+                let (clients, attempts) = (self.client_context.open_sessions.get(), self.control.host_pool.open_attempts());
                 Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
             }
             Some(ended) = self.tasks.join_next(), if stage == Stage::Serving => Err(GatewayError::TaskEnded(ended)),
@@ -142,9 +142,11 @@
         }
         log::info!("gateway stopping");
         let longest = self.control.facade.read(|table| table.longest_deadline(self.clock.now()));
-        self.front.final_answer_deadline.set(self.lifecycle.answer_deadline(longest));
-        self.front.final_read_deadlines.set(self.lifecycle.read_deadlines(longest));
-        self.control.facade.update(|table| table.set_final_answer_by(self.front.final_answer_deadline.get()));
+        self.client_context.final_answer_deadline.set(self.lifecycle.answer_deadline(longest));
+        self.client_context.final_read_deadlines.set(self.lifecycle.read_deadlines(longest));
+        self.control
+            .facade
+            .update(|table| table.set_final_answer_by(self.client_context.final_answer_deadline.get()));
         self.control.leadership.iter().for_each(|leadership| leadership.stop());
     }
 
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -2,13 +2,13 @@
 
 use crate::process::error::GatewayError;
 use crate::process::gateway::GatewayProcess;
-use petrelgauge::client::context::Front;
+use petrelgauge::client::context::ClientContext;
 use petrelgauge::control::config::Config;
 use petrelgauge::control::ops::{CommandListener, CommandRequest};
 use petrelgauge::control::{ControlPlane, Dependencies, RoutingDecisions};
 use petrelgauge::facade::Facade;
 use petrelgauge::handover::Handover;
-use petrelgauge::host::pool::Hosts;
+use petrelgauge::host::pool::HostPool;
 use petrelgauge::os::clock::Clock;
 use petrelgauge::os::datagram::{self, DatagramSocket};
 use petrelgauge::os::signals::Signals;
@@ -81,16 +81,23 @@
         let (names, reservation) = (control.host_names.clone(), full_reservation.clone());
         tasks.spawn_local(handover.clone().keep(clock, facade.clone(), budget.clone(), names, reservation));
     }
-    let front = Rc::new(resources.front(&config, control.host_pool.clone(), followed_state));
+    let client_context =
+        Rc::new(resources.client_context(&config, control.host_pool.clone(), followed_state));
     let has_received_list = control.has_received_list.clone();
-    tasks.spawn_local(accept_clients(front.clone(), listener, shared, has_received_list, list_deadline));
+    tasks.spawn_local(accept_clients(
+        client_context.clone(),
+        listener,
+        shared,
+        has_received_list,
+        list_deadline,
+    ));
     log::info!("gateway serving name={} address={}", config.name, config.listen);
     Ok(GatewayProcess {
         config,
         clock,
         control,
         counters: resources.counters,
-        front,
+        client_context,
         handover,
         list_deadline,
         full_reservation,
@@ -129,15 +136,15 @@
     }
 
     /// What the client sessions share.
-    fn front(
+    fn client_context(
         &self,
         config: &Config,
-        hosts: Rc<Hosts>,
+        host_pool: Rc<HostPool>,
         serving_state: watch::Receiver<ServingState>,
-    ) -> Front {
-        Front {
+    ) -> ClientContext {
+        ClientContext {
             facade: self.facade.clone(),
-            hosts,
+            host_pool,
             clock: self.clock,
             budget: self.budget.clone(),
             counters: self.counters.clone(),
@@ -156,14 +163,14 @@
         &self,
         address: SocketAddr,
         commands: &mpsc::Sender<CommandRequest>,
-        hosts: &Rc<Hosts>,
+        host_pool: &Rc<HostPool>,
         tasks: &mut JoinSet<()>,
     ) -> Result<(), GatewayError> {
         let failed = |source| GatewayError::ListenForOperators { address, source };
         let listener = listen(address).await.map_err(failed)?;
         let command_listener = CommandListener {
             commands: commands.clone(),
-            host_pool: hosts.clone(),
+            host_pool: host_pool.clone(),
             clock: self.clock,
             counters: self.counters.clone(),
         };
@@ -212,19 +219,19 @@
 
 /// Accepts clients; beside a process that still serves, only from when they can be served.
 async fn accept_clients(
-    front: Rc<Front>,
+    client_context: Rc<ClientContext>,
     listener: TcpListener,
     shared: bool,
     has_received_list: Rc<Cell<bool>>,
     list_deadline: Time,
 ) {
-    let clock = front.clock;
+    let clock = client_context.clock;
     let hosts_are_missing = || {
-        let incomplete = front.hosts.listed_count() == 0 || !has_received_list.get();
+        let incomplete = client_context.host_pool.listed_count() == 0 || !has_received_list.get();
         clock.now() < list_deadline && incomplete
     };
     while shared && hosts_are_missing() {
         clock.sleep_until(clock.now() + HOSTS_POLL_INTERVAL).await;
     }
-    front.accept(listener, shared).await
+    client_context.accept(listener, shared).await
 }
