--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -1,9 +1,9 @@
-//! Endpoint updates of discovery and new configurations. The program on sockets, as in `client_protocol.rs`.
+//! Endpoint updates of discovery and reloaded configurations, tested on a running gateway.
 
 use petrelgauge_test_support::{gateway_program, kinds, list, select, Harness, Reply};
 
 #[test]
-fn a_drain_update_is_heeded_and_an_unusable_one_changes_nothing() {
+fn a_drain_update_is_applied_and_an_unusable_one_changes_nothing() {
     let harness = Harness::new(gateway_program!());
     let old = harness.host(vec![]);
     let new = harness.host((0..20).map(|_| Reply::Row(b"new")).collect());
@@ -22,9 +22,9 @@
     assert_eq!((old.queries(), new.queries()), (0, 20));
 }
 
-// A connection that outlived its host's last run, or moved with it, ends as a reset when it is used.
+// A connection to an earlier run of a host is reset when it is used.
 #[test]
-fn connections_are_used_again_until_their_host_starts_anew() {
+fn connections_are_reused_until_their_host_restarts() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")]);
     let anew = harness.entries(&[(&host, "up", "primary")]).replace("ms\":0", "ms\":1000");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_watch_that_ends_is_taken_up_again_where_it_stood() {
+fn an_ended_watch_resumes_after_its_last_revision() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![]);
     let entries = harness.entries(&[(&host, "up", "primary")]);
@@ -53,9 +53,9 @@
     assert!(second.starts_with("GET /discovery/hosts?watch=1&after=7 HTTP/1.1\r\n"), "{second}");
 }
 
-// Without a handler the signal kills the process. The environment still names the old source after a reload.
+// Without a handler, SIGHUP kills the process. The environment still names the old discovery address after the reload.
 #[test]
-fn a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing() {
+fn a_reload_moves_the_watch_and_an_unusable_configuration_changes_nothing() {
     let harness = Harness::new(gateway_program!());
     let (old, new) = (harness.host(vec![Reply::Row(b"old")]), harness.host(vec![Reply::Row(b"new")]));
     let entries = harness.entries(&[(&old, "removed", "standby"), (&new, "up", "primary")]);
@@ -81,8 +81,8 @@
     assert_eq!(client.ask(&select("a", "view", 5000))[1].1[6..], *b"new");
 }
 
-// What the agent of discovery holds counts as notified, and binds 2 s later, also where a gateway of many has just started
-// with an old list. A fleet that spread its first calls over 8 s forwarded to draining hosts.
+// An update binds 2 s after the discovery agent has it, also for a gateway that has just started with an old list.
+// Regression: a fleet that spread its first requests over 8 s sent to draining hosts.
 #[test]
 fn a_gateway_of_the_largest_fleet_polls_for_updates_before_old_updates_bind() {
     let harness = Harness::new(gateway_program!());
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn lines_of_a_chunked_answer_are_found_whatever_the_cuts() {
+fn lines_of_a_chunked_response_are_found_whatever_the_cuts() {
     let valid = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7;x=y\r\n{\"a\":1}\r\n1\r\n\n\r\n\
         A\r\n\n{\"b\":2}\n\n\r\n";
     let parse = |pieces: &[&[u8]]| {
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,5 @@
-//! A watch of discovery that dies, falls silent or brings what cannot be used: its updates are not lost. Each
-//! source follows a script, byte by byte.
+//! A discovery watch that breaks, falls silent or sends unusable events loses no update. Each discovery service follows
+//! a script, byte by byte.
 
 use petrelgauge_test_support::{
     chunk, gateway_program, kinds, list, select, Gateway, Harness, Host, Reply, ScriptedDiscovery, Step, HEAD,
@@ -7,7 +7,7 @@
 
 const COMPLETE_LIST: &str = "GET /discovery/hosts HTTP/1.1";
 
-/// A gateway that knows two hosts, and its discovery. The second host is the one that stays.
+/// A gateway with two hosts and scripted discovery. The scripts drain the first host.
 struct Watched {
     gateway: Gateway,
     source: ScriptedDiscovery,
@@ -30,7 +30,7 @@
         Watched { gateway, source, hosts }
     }
 
-    /// From when so many lists have come, nothing goes to the host that drains.
+    /// Waits until so many lists are applied, then checks that the draining host gets no queries.
     fn drained_with(&self, lists: u64) {
         self.gateway.wait_for("lists=", |count| count >= lists);
         let mut client = self.gateway.client();
@@ -41,31 +41,31 @@
     }
 }
 
-/// The members of lists.
+/// The rows of both hosts, before and after the first one drains.
 struct HostEntries {
     up: String,
     drained: String,
 }
 
-/// A script that begins with this list, on one line.
-fn begins(revision: u64, complete: bool, entries: &str) -> Vec<Step> {
+/// A script whose first event is this list, on one line.
+fn script_with_list(revision: u64, complete: bool, entries: &str) -> Vec<Step> {
     vec![Step::Write(HEAD.to_vec()), Step::Write(chunk(&format!("{}\n", list(revision, complete, entries))))]
 }
 
-fn then(mut script: Vec<Step>, more: Vec<Step>) -> Vec<Step> {
+fn followed_by(mut script: Vec<Step>, more: Vec<Step>) -> Vec<Step> {
     script.extend(more);
     script
 }
 
-/// Indented over several lines, as tools for people write it.
+/// A list indented over several lines.
 fn indented(list: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(list).expect("a list");
     serde_json::to_string_pretty(&value).expect("text") + "\n"
 }
 
-// The line was counted and passed over, and the watch went on behind it: the drain that it carried was never heard of.
+// Regression: the unusable line was skipped and the watch went on, so the drain that it announced was lost.
 #[test]
-fn what_a_line_carried_that_cannot_be_used_is_asked_for_anew() {
+fn an_unusable_watch_event_makes_the_gateway_request_the_complete_list() {
     let malformed = [
         "{\"revision\":42,\"complete\":false,\"members\":[{\"id\":\"s-0\",\"phase\":\"drai\n",
         "noise\n",
@@ -73,15 +73,16 @@
     ];
     for line in malformed {
         let watched = Watched::new(|entries| {
-            // The change behind it is none that matters.
-            let behind = Step::Write(chunk(&format!("{}\n", list(43, false, ""))));
-            let watch =
-                then(begins(41, true, &entries.up), vec![Step::Write(chunk(line)), behind, Step::Heartbeat]);
-            vec![watch, then(begins(43, true, &entries.drained), vec![Step::Silence])]
+            let empty_update = Step::Write(chunk(&format!("{}\n", list(43, false, ""))));
+            let watch = followed_by(
+                script_with_list(41, true, &entries.up),
+                vec![Step::Write(chunk(line)), empty_update, Step::Heartbeat],
+            );
+            vec![watch, followed_by(script_with_list(43, true, &entries.drained), vec![Step::Silence])]
         });
         assert!(watched.source.next().contains("watch=1&after=41"));
         assert_eq!(watched.source.next(), COMPLETE_LIST, "{line}");
-        // The one of the configuration, the first of the watch, the change behind, and the one that was called for.
+        // The configuration's list, the first and the empty update of the watch, and the requested complete list.
         watched.drained_with(4);
         watched.gateway.wait_for_counter("bad_lists=1 ");
         watched.gateway.wait_for_counter("watches=1 ");
@@ -89,17 +90,20 @@
 }
 
 #[test]
-fn a_call_that_is_not_answered_with_a_list_is_made_again() {
+fn a_complete_list_request_without_a_list_in_response_is_repeated() {
     let watched = Watched::new(|entries| {
-        let watch = then(begins(41, true, &entries.up), vec![Step::Write(chunk("noise\n")), Step::Heartbeat]);
-        let refused = vec![Step::Write(b"HTTP/1.1 503 Busy\r\n\r\n".to_vec())];
+        let watch = followed_by(
+            script_with_list(41, true, &entries.up),
+            vec![Step::Write(chunk("noise\n")), Step::Heartbeat],
+        );
+        let rejected = vec![Step::Write(b"HTTP/1.1 503 Busy\r\n\r\n".to_vec())];
         let malformed = vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("{\"revision\":44,\"comp\n"))];
         vec![
             watch,
-            refused,
+            rejected,
             malformed,
             Vec::new(),
-            then(begins(44, true, &entries.drained), vec![Step::Silence]),
+            followed_by(script_with_list(44, true, &entries.drained), vec![Step::Silence]),
         ]
     });
     watched.source.next();
@@ -109,12 +113,12 @@
     watched.drained_with(3);
 }
 
-// The list is owed still when the watch whose line was malformed has ended.
+// The complete list is still needed after the watch with the unusable event has ended.
 #[test]
-fn a_watch_that_ends_behind_a_line_that_cannot_be_used_is_opened_for_the_complete_list() {
+fn a_watch_that_ends_after_an_unusable_event_is_reopened_for_the_complete_list() {
     let watched = Watched::new(|entries| {
-        let watch = then(begins(41, true, &entries.up), vec![Step::Write(chunk("noise\n"))]);
-        vec![watch, then(begins(44, true, &entries.drained), vec![Step::Heartbeat])]
+        let watch = followed_by(script_with_list(41, true, &entries.up), vec![Step::Write(chunk("noise\n"))]);
+        vec![watch, followed_by(script_with_list(44, true, &entries.drained), vec![Step::Heartbeat])]
     });
     watched.source.next();
     let second = watched.source.next();
@@ -123,45 +127,49 @@
 }
 
 #[test]
-fn changes_whose_revision_goes_back_are_not_used_and_the_complete_list_is_asked_for() {
+fn changes_with_a_decreasing_revision_are_rejected_and_the_complete_list_is_requested() {
     let watched = Watched::new(|entries| {
-        let back = Step::Write(chunk(&format!("{}\n", list(40, false, &entries.up))));
-        let watch = then(begins(45, true, &entries.drained), vec![back, Step::Heartbeat]);
-        vec![watch, then(begins(45, true, &entries.drained), vec![Step::Silence])]
+        let older_update = Step::Write(chunk(&format!("{}\n", list(40, false, &entries.up))));
+        let watch =
+            followed_by(script_with_list(45, true, &entries.drained), vec![older_update, Step::Heartbeat]);
+        vec![watch, followed_by(script_with_list(45, true, &entries.drained), vec![Step::Silence])]
     });
     watched.source.next();
     assert_eq!(watched.source.next(), COMPLETE_LIST);
     watched.drained_with(3);
 }
 
-// It was cut at each line end, and no part of it was a list.
+// Regression: the list was cut at each line end, and no part was a list.
 #[test]
-fn a_list_that_comes_indented_is_taken_as_one_on_a_line_is() {
+fn an_indented_list_is_read_like_one_on_a_single_line() {
     let watched = Watched::new(|entries| {
         let first = indented(&list(42, true, &entries.up));
         let second = indented(&list(43, false, &entries.drained));
         let (one, other) = second.split_at(second.len() / 2);
-        let says = [&first, one, other].map(|text| Step::Write(chunk(text)));
-        vec![then(vec![Step::Write(HEAD.to_vec())], then(says.to_vec(), vec![Step::Heartbeat]))]
+        let updates = [&first, one, other].map(|text| Step::Write(chunk(text)));
+        vec![followed_by(
+            vec![Step::Write(HEAD.to_vec())],
+            followed_by(updates.to_vec(), vec![Step::Heartbeat]),
+        )]
     });
     watched.drained_with(3);
     watched.gateway.wait_for_counter("bad_lists=0 ");
 }
 
-// The list that its end cut off was never parsed, nor was one whose last line has no end.
+// Regression: a list without a line end at the end of the response was never parsed.
 #[test]
-fn an_answer_with_a_length_or_an_end_is_read_to_its_last_byte() {
+fn a_response_with_a_length_or_an_end_is_read_to_its_last_byte() {
     let complete = |entries: &HostEntries| list(42, true, &entries.drained);
-    let counted = Watched::new(|entries| {
+    let fixed_length = Watched::new(|entries| {
         let text = complete(entries);
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-        vec![vec![Step::Write(answer.into_bytes()), Step::Silence]]
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+        vec![vec![Step::Write(response.into_bytes()), Step::Silence]]
     });
-    counted.drained_with(2);
-    let ended = Watched::new(|entries| {
+    fixed_length.drained_with(2);
+    let until_close = Watched::new(|entries| {
         vec![vec![Step::Write(format!("HTTP/1.1 200 OK\r\n\r\n{}", complete(entries)).into_bytes())]]
     });
-    ended.drained_with(2);
+    until_close.drained_with(2);
     let chunked = Watched::new(|entries| {
         vec![vec![
             Step::Write(HEAD.to_vec()),
@@ -172,9 +180,9 @@
     chunked.drained_with(2);
 }
 
-// Bytes that make no line kept a dead watch open for good.
+// Regression: bytes that complete no line kept a dead watch open.
 #[test]
-fn a_watch_that_brings_no_line_any_more_is_opened_anew_wherever_it_stopped() {
+fn a_silent_watch_is_reopened_wherever_its_response_stopped() {
     let half = "{\"revision\":42,\"comp";
     let stops: Vec<Vec<Step>> = vec![
         vec![],
@@ -190,8 +198,11 @@
         for (place, stop) in stops.into_iter().enumerate() {
             scope.spawn(move || {
                 let watched = Watched::new(|entries| {
-                    let stop = then(stop.clone(), vec![Step::Silence]);
-                    vec![stop, then(begins(42, true, &entries.drained), vec![Step::Heartbeat])]
+                    let stop = followed_by(stop.clone(), vec![Step::Silence]);
+                    vec![
+                        stop,
+                        followed_by(script_with_list(42, true, &entries.drained), vec![Step::Heartbeat]),
+                    ]
                 });
                 watched.source.next();
                 let second = watched.source.next();
@@ -202,9 +213,9 @@
     });
 }
 
-// A list of an earlier run of a host took its address away, while the decisions passed over it.
+// Regression: a row about an earlier run removed the host's address, although the decisions ignored the row.
 #[test]
-fn an_update_on_an_earlier_run_of_a_host_is_ignored_everywhere() {
+fn an_update_about_an_earlier_run_of_a_host_is_ignored_everywhere() {
     for phase in ["removed", "up"] {
         let harness = Harness::new(gateway_program!());
         let (host, nobody) =
@@ -217,7 +228,10 @@
         let old = runs(&nobody, phase, 1_763_000_000_000);
         let (now, old) = (list(42, true, &now), list(43, false, &old));
         let updates = [now, old].map(|text| Step::Write(chunk(&format!("{text}\n"))));
-        let script = then(vec![Step::Write(HEAD.to_vec())], then(updates.to_vec(), vec![Step::Heartbeat]));
+        let script = followed_by(
+            vec![Step::Write(HEAD.to_vec())],
+            followed_by(updates.to_vec(), vec![Step::Heartbeat]),
+        );
         let config = harness.config();
         let (gateway, _source) = harness.start_scripted(&config, vec![script]);
         gateway.wait_for("lists=", |count| count >= 3);
