--- a/src/handover/exchange.rs
+++ b/src/handover/exchange.rs
@@ -1,167 +1,172 @@
-//! This process's record, and what is known of its siblings.
+//! The exchange of handover records between the processes of a gateway.
 
-use crate::handover::heartbeat::{Heartbeat, HeartbeatResult, Knowledge};
+use crate::handover::exchange_state::ExchangeState;
+use crate::handover::heartbeat::{Heartbeat, HeartbeatResult, RecordContent};
 use crate::handover::record_directory::{DiskDirectory, RecordDirectory};
-use crate::handover::record_store::{PublishError, RecordStore, Scan};
-use crate::handover::sibling_state::State;
+use crate::handover::record_store::{FoundRecord, RecordStore};
 use crate::Time;
-use petrelgauge_handover::{gateway_identity, HandoverRecord, Reservation};
+use petrelgauge_handover::{gateway_identity, HandoverRecord, RecordError, Reservation};
 use std::cell::{Cell, RefCell};
-use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// LearnedState are of use to another process for so long (microseconds): samples are of the last seconds, roles may have
-/// changed since.
-const BELIEFS_VALID_FOR: Time = 10_000_000;
+/// Age up to which the learned state of another process is used (microseconds). Latency samples are from the last seconds,
+/// and roles may have changed since.
+const LEARNED_STATE_MAX_AGE: Time = 10_000_000;
+
+/// What a [`HandoverExchange`] on disk is built from.
+pub struct ExchangeOptions<'a> {
+    /// Directory of the records.
+    pub directory: PathBuf,
+    /// Name of the gateway. Processes with the same name and address are siblings.
+    pub gateway_name: &'a str,
+    /// Address at which the gateway serves clients.
+    pub listen: SocketAddr,
+    /// Number of this process, different from its siblings' numbers.
+    pub process_id: u64,
+    /// Digest of the settings in force.
+    pub settings_digest: u64,
+}
+
+/// The record of another process whose learned state can be used.
+pub struct InheritedRecord {
+    /// The record, with its times on this process's clock.
+    pub record: HandoverRecord,
+    /// Age of the record (microseconds).
+    pub age: Time,
+}
 
 /// This process's record, and what is known of its siblings.
-pub struct Handover {
+pub struct HandoverExchange {
     store: RecordStore,
-    /// Where the records lie, for the log.
-    place: String,
-    /// A digest of the settings in force.
-    settings: Cell<u64>,
-    state: RefCell<State>,
+    /// Name of the directory in log lines.
+    directory_name: String,
+    settings_digest: Cell<u64>,
+    state: RefCell<ExchangeState>,
 }
 
-impl Handover {
-    /// For a process with this number, of the gateway of this name that listens there, whose settings have this digest;
-    /// records lie in `folder`.
-    pub fn new(folder: PathBuf, name: &str, listen: SocketAddr, process: u64, settings: u64) -> Handover {
-        let place = folder.display().to_string();
-        let gateway = gateway_identity(name, &listen.to_string());
-        let directory = Arc::new(DiskDirectory(folder));
-        Handover { place, ..Handover::in_directory(directory, gateway, process, settings) }
+impl HandoverExchange {
+    /// An exchange through a directory of the file system.
+    pub fn new(options: ExchangeOptions) -> HandoverExchange {
+        let ExchangeOptions { directory, gateway_name, listen, process_id, settings_digest } = options;
+        let directory_name = directory.display().to_string();
+        let gateway = gateway_identity(gateway_name, &listen.to_string());
+        let directory = Arc::new(DiskDirectory(directory));
+        let exchange = HandoverExchange::in_directory(directory, gateway, process_id, settings_digest);
+        HandoverExchange { directory_name, ..exchange }
     }
 
-    /// The same with records in any directory, for the gateway of this identity.
+    /// An exchange through any directory, for a process of the gateway with identity `gateway`.
     pub fn in_directory(
         directory: Arc<dyn RecordDirectory>,
         gateway: String,
-        process: u64,
-        settings: u64,
-    ) -> Handover {
-        let store = RecordStore::new(directory, gateway, process);
-        let (place, settings) = ("its directory".to_string(), Cell::new(settings));
-        Handover { store, place, settings, state: RefCell::default() }
+        process_id: u64,
+        settings_digest: u64,
+    ) -> HandoverExchange {
+        HandoverExchange {
+            store: RecordStore::new(directory, gateway, process_id),
+            directory_name: "its directory".to_string(),
+            settings_digest: Cell::new(settings_digest),
+            state: RefCell::default(),
+        }
     }
 
-    /// Settings with this digest are in force from now on.
-    pub fn follow(&self, settings: u64) {
-        self.settings.set(settings);
+    /// Sets the digest of the settings in force, after a reload.
+    pub fn set_settings_digest(&self, settings_digest: u64) {
+        self.settings_digest.set(settings_digest);
     }
 
-    /// The newest record of another process whose learned_state are of use here, on this process's clock, and its age
-    /// (microseconds). Blocks; for the start.
-    pub fn inherit(&self, now: Time) -> Option<(HandoverRecord, Time)> {
+    /// Returns the newest record of another process whose learned state can be used here: not older than 10 s, learned
+    /// under the same settings, and not empty. Blocks on file operations; called once, at startup.
+    pub fn inherit(&self, now: Time) -> Option<InheritedRecord> {
         let scan = self.store.scan();
-        self.scanned(now, &scan);
+        self.state.borrow_mut().on_scan(now, &scan, &self.directory_name);
         let scan = scan.ok()?;
-        if let Some(gateway) = scan.foreign.first() {
-            let count = scan.foreign.len();
+        if let Some(gateway) = scan.foreign_gateways.first() {
+            let count = scan.foreign_gateways.len();
             log::warn!("foreign handover records ignored count={count} first={gateway}");
         }
-        let usable = scan.records.into_iter().filter_map(|found| {
-            let record = found.record.on_reader_clock(now.saturating_sub(found.age));
-            let age = record.check_settings(self.settings.get());
-            let age = age.and_then(|()| record.check_age(now, BELIEFS_VALID_FOR));
-            age.map(|age| (record, age))
-                .map_err(|cause| log::warn!("handover record rejected cause={cause}"))
-                .ok()
-        });
-        usable.filter(|(record, _)| !record.learned_state.is_empty()).min_by_key(|(_, age)| *age)
+        let mut newest: Option<InheritedRecord> = None;
+        for found in scan.records {
+            let inherited = match self.check_learned_state(found, now) {
+                Ok(inherited) => inherited,
+                Err(cause) => {
+                    log::warn!("handover record rejected cause={cause}");
+                    continue;
+                }
+            };
+            let is_newer = newest.as_ref().is_none_or(|newest| inherited.age < newest.age);
+            if is_newer && !inherited.record.learned_state.is_empty() {
+                newest = Some(inherited);
+            }
+        }
+        newest
     }
 
-    /// Removes this process's record: the process ends.
+    /// Removes this process's record at the end of the process.
     pub fn withdraw(&self) {
         self.store.withdraw();
     }
 
-    /// Makes the next heartbeat, with what this process has in flight or reserved now.
-    pub fn begin(&self, now: Time, reservation: Reservation, knowledge: Knowledge) -> Heartbeat {
+    /// Prepares a heartbeat that publishes what this process uses and has learned.
+    pub fn begin_heartbeat(&self, now: Time, usage: Reservation, content: RecordContent) -> Heartbeat {
         let mut state = self.state.borrow_mut();
         state.publication.begin(now);
-        let Knowledge { numbers, learned_state } = knowledge;
         let record = HandoverRecord {
             gateway: self.store.gateway().to_string(),
-            settings: self.settings.get(),
-            process: self.store.process(),
+            settings: self.settings_digest.get(),
+            process: self.store.process_id(),
             written: now,
-            reservation,
-            numbers,
-            learned_state,
+            reservation: usage,
+            numbers: content.host_ids.into_iter().collect(),
+            learned_state: content.learned_state,
         };
-        let abandoned = std::mem::take(&mut state.abandoned);
-        Heartbeat { store: self.store.clone(), begun: now, reservation, bytes: record.encode(), abandoned }
-    }
-
-    /// Learns from a heartbeat that has ended now.
-    pub fn finish(&self, now: Time, result: HeartbeatResult) {
-        let HeartbeatResult { begun, reservation, published, refreshed, scan } = result;
-        let blind = published.is_err();
-        self.published(begun, reservation, published, refreshed);
-        self.scanned(now, &scan);
-        let mut state = self.state.borrow_mut();
-        let state = &mut *state;
-        if let Ok(scan) = scan {
-            let abandoned = state.retention.abandoned(now, &scan.files);
-            // Where this process cannot write, its siblings may not be able to either: their files are all that is left
-            // of them.
-            state.abandoned = if blind { Vec::new() } else { abandoned };
-        }
-    }
-
-    fn published(
-        &self,
-        begun: Time,
-        reservation: Reservation,
-        published: Result<(), PublishError>,
-        refreshed: bool,
-    ) {
-        let publication = &mut self.state.borrow_mut().publication;
-        match published {
-            Ok(()) if publication.succeeded(begun, reservation) => {
-                log::info!("handover record written again directory={}", self.place);
-            }
-            Ok(()) => {}
-            Err(cause) if publication.failed(begun, refreshed) => {
-                log::warn!("handover record not written directory={} cause={cause}", self.place);
-            }
-            Err(_) => {}
+        Heartbeat {
+            store: self.store.clone(),
+            started_at: now,
+            reservation: usage,
+            record: record.encode(),
+            abandoned_files: state.take_abandoned_files(),
         }
     }
 
-    fn scanned(&self, now: Time, scan: &io::Result<Scan>) {
+    /// Records the outcome of a heartbeat that has ended now.
+    pub fn finish_heartbeat(&self, now: Time, result: HeartbeatResult) {
+        let directory = &self.directory_name;
         let mut state = self.state.borrow_mut();
-        match scan {
-            Ok(scan) => state.observe(now, scan, &self.place),
-            Err(cause) => {
-                if !std::mem::replace(&mut state.scan_failing, true) {
-                    log::warn!("handover records not read directory={} cause={cause}", self.place);
-                }
-            }
+        state.on_publish(&result, directory);
+        state.on_scan(now, &result.scan, directory);
+        if let Ok(scan) = &result.scan {
+            state.update_abandoned_files(now, scan, result.published.is_ok());
         }
     }
 
-    /// Siblings that are alive (count), as of the last heartbeat.
-    pub fn live_siblings(&self, now: Time) -> usize {
+    /// Number of siblings that were alive at the last heartbeat.
+    pub fn live_sibling_count(&self, now: Time) -> usize {
         let state = self.state.borrow();
-        state.siblings.live_count(state.scanned_at.unwrap_or(now))
+        state.siblings.live_count(state.last_scan_or(now))
     }
 
-    /// What this process may use of the gateway's limits now.
+    /// What this process may use now of the gateway's `limits`.
     pub fn limit(&self, now: Time, limits: Reservation) -> Reservation {
         let state = self.state.borrow();
         if state.siblings.is_empty() {
             return limits;
         }
-        let available = state.siblings.available(state.scanned_at.unwrap_or(now), limits);
-        if state.scan_failing {
+        let available = state.siblings.available(state.last_scan_or(now), limits);
+        if state.is_scan_failing {
             state.publication.limit_unobserved(now, limits, available)
         } else {
             state.publication.limit(now, limits, available)
         }
     }
+
+    /// Moves a record to this process's clock and checks that its learned state applies here.
+    fn check_learned_state(&self, found: FoundRecord, now: Time) -> Result<InheritedRecord, RecordError> {
+        let record = found.record.on_reader_clock(now.saturating_sub(found.age));
+        record.check_settings(self.settings_digest.get())?;
+        let age = record.check_age(now, LEARNED_STATE_MAX_AGE)?;
+        Ok(InheritedRecord { record, age })
+    }
 }
--- a/src/handover/heartbeat.rs
+++ b/src/handover/heartbeat.rs
@@ -1,46 +1,50 @@
-//! One heartbeat: replaces this process's record and reads those of its siblings.
+//! The blocking part of a heartbeat: file operations alone, without access to the rest of the gateway.
 
 use crate::handover::record_store::{PublishError, RecordStore, Scan};
 use crate::{MemberId, Time};
 use petrelgauge_handover::Reservation;
 use petrelgauge_policy::LearnedState;
+use std::collections::BTreeMap;
 use std::io;
 
-/// What a record passes on of what its writer knows.
+/// What a record passes on to the next process.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
-    /// The number of each member, by its name.
-    pub numbers: Vec<(String, MemberId)>,
+pub struct RecordContent {
+    /// The number of each host, by its name.
+    pub host_ids: BTreeMap<String, MemberId>,
     /// What the decisions have learned.
     pub learned_state: LearnedState,
 }
 
-/// A heartbeat to make, on a thread that may block.
+/// A heartbeat that is ready to run.
 pub struct Heartbeat {
     pub(super) store: RecordStore,
-    pub(super) begun: Time,
+    pub(super) started_at: Time,
+    /// What the record states as used.
     pub(super) reservation: Reservation,
-    pub(super) bytes: Vec<u8>,
-    pub(super) abandoned: Vec<String>,
+    /// The encoded record.
+    pub(super) record: Vec<u8>,
+    /// Names of files to remove.
+    pub(super) abandoned_files: Vec<String>,
 }
 
-/// What came of a heartbeat.
+/// The outcome of a heartbeat.
 pub struct HeartbeatResult {
-    pub(super) begun: Time,
+    pub(super) started_at: Time,
     pub(super) reservation: Reservation,
     pub(super) published: Result<(), PublishError>,
-    /// The record was not replaced, but shows that this process runs.
-    pub(super) refreshed: bool,
+    /// Whether the modification time of the last record was advanced, because a new record could not be published.
+    pub(super) is_refreshed: bool,
     pub(super) scan: io::Result<Scan>,
 }
 
 impl Heartbeat {
-    /// Replaces the record, removes what is abandoned and reads what is there. Blocks.
+    /// Publishes the record, removes abandoned files and reads the records of the siblings. Blocks on file operations.
     pub fn run(self) -> HeartbeatResult {
-        let Heartbeat { store, begun, reservation, bytes, abandoned } = self;
-        let published = store.publish(&bytes);
-        let refreshed = published.is_err() && store.refresh().is_ok();
-        abandoned.iter().for_each(|name| store.remove_abandoned(name));
-        HeartbeatResult { begun, reservation, published, refreshed, scan: store.scan() }
+        let Heartbeat { store, started_at, reservation, record, abandoned_files } = self;
+        let published = store.publish(&record);
+        let is_refreshed = published.is_err() && store.refresh().is_ok();
+        abandoned_files.iter().for_each(|name| store.remove_abandoned(name));
+        HeartbeatResult { started_at, reservation, published, is_refreshed, scan: store.scan() }
     }
 }
--- a/src/handover/record_directory.rs
+++ b/src/handover/record_directory.rs
@@ -1,5 +1,4 @@
-//! The directory that the processes of a gateway share, as far as handover records need one. Behind a trait, so that tests
-//! can have a full disk.
+//! The directory that the processes of a gateway share, behind a trait so that tests can inject faults.
 
 use crate::Time;
 use std::fs;
@@ -7,93 +6,93 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// When a file was modified, on the clock of the file system.
+/// Modification time of a file, by the file system's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FileTimes {
+pub struct ModificationTime {
     /// Microseconds of Unix time.
-    pub modified: Time,
-    /// How long ago that is (microseconds); negative if that clock was set back since.
+    pub at: Time,
+    /// Time since then (microseconds); negative if the clock was set back.
     pub age: Time,
 }
 
-/// A file that was read.
+/// Content of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileContent {
-    /// Its bytes.
+    /// The bytes that were read.
     pub bytes: Vec<u8>,
-    /// Of the state that was read.
-    pub times: FileTimes,
+    /// Modification time of the file when it was read.
+    pub modified: ModificationTime,
 }
 
-/// A flat directory. Every call may block, and may fail at any time.
+/// A directory without subdirectories. Every call may block, and may fail at any time.
 pub trait RecordDirectory: Send + Sync {
-    /// Names of the files that begin so, in any order, `max_count` at most.
+    /// Names of files that begin with `prefix`, in any order, at most `max_count`.
     ///
     /// # Errors
     ///
     /// Fails if the directory cannot be listed.
-    fn names(&self, prefix: &str, max_count: usize) -> io::Result<Vec<String>>;
-    /// When a file was modified.
+    fn list_files(&self, prefix: &str, max_count: usize) -> io::Result<Vec<String>>;
+    /// Modification time of a file.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such file, or its state cannot be read.
-    fn times(&self, name: &str) -> io::Result<FileTimes>;
-    /// The first `max_bytes` of a file.
+    /// Fails if the file does not exist or its metadata cannot be read.
+    fn modified_at(&self, name: &str) -> io::Result<ModificationTime>;
+    /// Reads the first `max_bytes` of a file.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such file, or it cannot be read.
+    /// Fails if the file does not exist or cannot be read.
     fn read(&self, name: &str, max_bytes: usize) -> io::Result<FileContent>;
-    /// Replaces or makes a file. If this fails, any part of it may be there.
+    /// Creates a file or replaces its content. Not atomic: after a failure, any part may have been written.
     ///
     /// # Errors
     ///
-    /// Fails if not all of it could be written.
+    /// Fails if not all bytes could be written.
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Renames a file over another one, as one step.
+    /// Atomically renames a file, replacing a file named `to`.
     ///
     /// # Errors
     ///
     /// Fails if nothing was renamed.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Changes when a file was modified (microseconds of Unix time), which needs no space.
+    /// Sets the modification time of a file (microseconds of Unix time). Needs no space.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such file, or its date cannot be set.
-    fn set_modified(&self, name: &str, modified: Time) -> io::Result<()>;
+    /// Fails if the file does not exist or its time cannot be set.
+    fn set_modified(&self, name: &str, modified_at: Time) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such file, or it cannot be removed.
+    /// Fails if the file does not exist or cannot be removed.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
 /// A directory of the file system.
 pub struct DiskDirectory(
-    /// Its path.
+    /// Path of the directory.
     pub PathBuf,
 );
 
 impl RecordDirectory for DiskDirectory {
-    fn names(&self, prefix: &str, max_count: usize) -> io::Result<Vec<String>> {
+    fn list_files(&self, prefix: &str, max_count: usize) -> io::Result<Vec<String>> {
         let entries = fs::read_dir(&self.0)?;
         let names = entries.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
         Ok(names.filter(|name| name.starts_with(prefix)).take(max_count).collect())
     }
 
-    fn times(&self, name: &str) -> io::Result<FileTimes> {
-        file_times(&fs::metadata(self.0.join(name))?)
+    fn modified_at(&self, name: &str) -> io::Result<ModificationTime> {
+        modification_time(&fs::metadata(self.0.join(name))?)
     }
 
     fn read(&self, name: &str, max_bytes: usize) -> io::Result<FileContent> {
         let file = fs::File::open(self.0.join(name))?;
-        let times = file_times(&file.metadata()?)?;
+        let modified = modification_time(&file.metadata()?)?;
         let mut bytes = Vec::new();
         file.take(max_bytes as u64).read_to_end(&mut bytes)?;
-        Ok(FileContent { bytes, times })
+        Ok(FileContent { bytes, modified })
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -104,9 +103,9 @@
         fs::rename(self.0.join(from), self.0.join(to))
     }
 
-    fn set_modified(&self, name: &str, modified: Time) -> io::Result<()> {
+    fn set_modified(&self, name: &str, modified_at: Time) -> io::Result<()> {
         let file = fs::OpenOptions::new().write(true).open(self.0.join(name))?;
-        file.set_modified(UNIX_EPOCH + Duration::from_micros(modified.max(0) as u64))
+        file.set_modified(UNIX_EPOCH + Duration::from_micros(modified_at.max(0) as u64))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
@@ -114,9 +113,9 @@
     }
 }
 
-fn file_times(metadata: &fs::Metadata) -> io::Result<FileTimes> {
-    let modified = unix_time(metadata.modified()?);
-    Ok(FileTimes { modified, age: unix_time(SystemTime::now()) - modified })
+fn modification_time(metadata: &fs::Metadata) -> io::Result<ModificationTime> {
+    let at = unix_time(metadata.modified()?);
+    Ok(ModificationTime { at, age: unix_time(SystemTime::now()) - at })
 }
 
 fn unix_time(time: SystemTime) -> Time {
--- a/src/handover/record_store.rs
+++ b/src/handover/record_store.rs
@@ -1,4 +1,4 @@
-//! Handover records as files: this process's own, which is replaced as a whole or not at all, and those of its siblings.
+//! Handover records as files: this process's own, which is replaced atomically, and its siblings'.
 
 use crate::handover::record_directory::{FileContent, RecordDirectory};
 use crate::Time;
@@ -10,131 +10,141 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Records of this gateway, and of others, that are read at most (count). There are two processes, three by mistake.
+/// Maximum number of records that are read, of this gateway and of other gateways each.
 const MAX_RECORDS: usize = 8;
-/// Files that are looked at, at most (count).
-const MAX_LISTED: usize = 256;
-/// A record that cannot be replaced is dated later by so much (microseconds): a sign of life that coarse file systems
-/// keep, and too little to make the record look newer than it is.
+/// Maximum number of files that are listed.
+const MAX_LISTED_FILES: usize = 256;
+/// Step by which the modification time of a record advances as a sign of life (microseconds): visible on file systems with
+/// coarse times, and too short to make the record look newer than it is.
 const REFRESH_STEP: Time = 1_000;
-/// The names of files are stored data, and stay as they are.
+// File names are stored data and must not change.
 const PREFIX: &str = "petrelgauge-";
 const RECORD_SUFFIX: &str = ".letter";
 const UNFINISHED_SUFFIX: &str = ".half";
 
-/// Why this process's record was not replaced.
+/// Why this process's record was not published.
 #[derive(Debug, thiserror::Error)]
 pub enum PublishError {
-    /// The new record could not be written beside the old one.
+    /// The new record could not be written to a temporary file.
     #[error("writing failed: {0}")]
     Write(io::Error),
-    /// It could not take the old one's place.
+    /// The temporary file could not be renamed to the record.
     #[error("renaming failed: {0}")]
     Rename(io::Error),
 }
 
-/// A sibling's record that can be read.
+/// A readable record of a sibling.
 #[derive(Debug)]
 pub struct FoundRecord {
     /// The record.
     pub record: HandoverRecord,
-    /// A digest of the file, with its modification time.
+    /// Digest of the file's content and modification time.
     pub fingerprint: u64,
-    /// How long ago the file was modified (microseconds).
+    /// Time since the file was modified (microseconds).
     pub age: Time,
 }
 
-/// A file of a sibling that holds no readable record.
+/// A file that looks like a record and cannot be read as one.
 #[derive(Debug)]
 pub struct UnreadableRecord {
-    /// Whose it is, if its name says so.
+    /// The sibling that it belongs to by its name, if any.
     pub process: Option<u64>,
-    /// What changes with the file.
+    /// A value that changes with the file.
     pub fingerprint: u64,
     /// Why it cannot be read.
     pub cause: RecordError,
 }
 
-/// What lies in the directory besides this process's own files.
+/// A sibling that has written part of its first record.
+#[derive(Debug)]
+pub struct UnfinishedRecord {
+    /// The sibling.
+    pub process: u64,
+    /// A value that changes with the file.
+    pub fingerprint: u64,
+}
+
+/// Files in the directory except this process's own.
 #[derive(Debug, Default)]
 pub struct Scan {
-    /// Siblings' records.
+    /// Readable records of siblings.
     pub records: Vec<FoundRecord>,
-    /// Siblings' records that cannot be read, and other files that look like records.
+    /// Files that look like records and cannot be read as one.
     pub unreadable: Vec<UnreadableRecord>,
-    /// Siblings that have no record, but the beginning of one, each with a digest of it.
-    pub unfinished: Vec<(u64, u64)>,
-    /// Identities of other gateways.
-    pub foreign: Vec<String>,
-    /// The files of this gateway's siblings.
+    /// Siblings without a record that have begun to write one.
+    pub unfinished: Vec<UnfinishedRecord>,
+    /// Identities of other gateways that have records in this directory.
+    pub foreign_gateways: Vec<String>,
+    /// All files of siblings.
     pub files: Vec<FileState>,
 }
 
-/// The files of one process.
+/// Access to the record of one process, and to its siblings' records.
 #[derive(Clone)]
 pub struct RecordStore {
     directory: Arc<dyn RecordDirectory>,
     /// The gateway's identity.
     gateway: String,
-    /// The number of the process.
-    process: u64,
-    withdrawn: Arc<AtomicBool>,
+    process_id: u64,
+    /// Set once the process ends. Shared with a heartbeat that may be writing on another thread.
+    is_withdrawn: Arc<AtomicBool>,
 }
 
 impl RecordStore {
-    /// The files of this process of the gateway with this identity.
-    pub fn new(directory: Arc<dyn RecordDirectory>, gateway: String, process: u64) -> RecordStore {
-        RecordStore { directory, gateway, process, withdrawn: Arc::default() }
+    /// The record store of a process of the gateway with identity `gateway`.
+    pub fn new(directory: Arc<dyn RecordDirectory>, gateway: String, process_id: u64) -> RecordStore {
+        RecordStore { directory, gateway, process_id, is_withdrawn: Arc::default() }
     }
 
-    /// The gateway's identity.
+    /// Identity of the gateway.
     pub fn gateway(&self) -> &str {
         &self.gateway
     }
 
-    /// The number of this process.
-    pub fn process(&self) -> u64 {
-        self.process
+    /// Number of this process.
+    pub fn process_id(&self) -> u64 {
+        self.process_id
     }
 
-    /// Replaces this process's record.
+    /// Atomically replaces this process's record.
     ///
     /// # Errors
     ///
-    /// Fails if the new record could not be written or put in place; the last one stays.
+    /// Fails if the new record could not be written or renamed; the last one stays in place.
     pub fn publish(&self, bytes: &[u8]) -> Result<(), PublishError> {
-        let unfinished = self.file_name(self.process, UNFINISHED_SUFFIX);
+        let unfinished = self.file_name(self.process_id, UNFINISHED_SUFFIX);
         self.directory.write(&unfinished, bytes).map_err(PublishError::Write)?;
         let renamed = self.directory.rename(&unfinished, &self.own_record());
-        if self.withdrawn.load(Ordering::Relaxed) {
+        // The process may have ended while this write was in progress.
+        if self.is_withdrawn.load(Ordering::Relaxed) {
             self.remove_own();
         }
         renamed.map_err(PublishError::Rename)
     }
 
-    /// Shows by the date of the last record that this process runs, where a new one cannot be written.
+    /// Advances the modification time of the last record: a sign of life where no new record can be written.
     ///
     /// # Errors
     ///
-    /// Fails if the date of the record cannot be set.
+    /// Fails if there is no record or its modification time cannot be set.
     pub fn refresh(&self) -> io::Result<()> {
         let record = self.own_record();
-        let times = self.directory.times(&record)?;
-        self.directory.set_modified(&record, times.modified + REFRESH_STEP)
+        let modified = self.directory.modified_at(&record)?;
+        self.directory.set_modified(&record, modified.at + REFRESH_STEP)
     }
 
-    /// Removes this process's files; it ends. A write that is still out leaves none either.
+    /// Removes this process's files at its end. A write in progress on another thread removes what it writes.
     pub fn withdraw(&self) {
-        self.withdrawn.store(true, Ordering::Relaxed);
+        self.is_withdrawn.store(true, Ordering::Relaxed);
         self.remove_own();
     }
 
     fn remove_own(&self) {
         let _ = self.directory.remove(&self.own_record());
-        let _ = self.directory.remove(&self.file_name(self.process, UNFINISHED_SUFFIX));
+        let _ = self.directory.remove(&self.file_name(self.process_id, UNFINISHED_SUFFIX));
     }
 
-    /// Removes a file that was found abandoned, unless it turns out to be another gateway's.
+    /// Removes an abandoned file, unless it has become the record of another gateway.
     pub fn remove_abandoned(&self, name: &str) {
         let record = self.directory.read(name, MAX_RECORD_BYTES + 1).ok();
         let record = record.and_then(|content| HandoverRecord::decode(&content.bytes).ok());
@@ -143,37 +153,38 @@
         }
     }
 
-    /// Reads what lies there.
+    /// Reads the files of the directory.
     ///
     /// # Errors
     ///
-    /// Fails if the directory cannot be listed; a file that cannot be read is part of the result.
+    /// Fails if the directory cannot be listed. A file that cannot be read is part of the result.
     pub fn scan(&self) -> io::Result<Scan> {
         let mut scan = Scan { files: self.sibling_files()?, ..Scan::default() };
         let files = scan.files.clone();
         let records = files.iter().filter(|file| file.name.ends_with(RECORD_SUFFIX));
-        records
-            .take(MAX_RECORDS)
-            .for_each(|file| self.read_into(&mut scan, &file.name, file.modified as u64));
-        let others = self.other_files()?;
-        others.iter().for_each(|name| self.read_into(&mut scan, name, 0));
-        scan.unfinished = self.unfinished(&scan.files);
+        for file in records.take(MAX_RECORDS) {
+            self.read_into(&mut scan, &file.name, file.modified as u64);
+        }
+        for name in self.records_of_other_gateways()? {
+            self.read_into(&mut scan, &name, 0);
+        }
+        scan.unfinished = self.unfinished_records(&scan.files);
         Ok(scan)
     }
 
-    /// Files with the prefix of this gateway, but for this process's, the last modified first.
+    /// Files of this gateway's other processes, the last modified first.
     fn sibling_files(&self) -> io::Result<Vec<FileState>> {
-        let own = self.file_name(self.process, "");
+        let own = self.file_name(self.process_id, "");
         let mut files = Vec::new();
-        for name in self.directory.names(&self.prefix(), MAX_LISTED)? {
-            let known = name.ends_with(RECORD_SUFFIX) || name.ends_with(UNFINISHED_SUFFIX);
-            if !known || name.starts_with(&own) {
+        for name in self.directory.list_files(&self.prefix(), MAX_LISTED_FILES)? {
+            let has_known_suffix = name.ends_with(RECORD_SUFFIX) || name.ends_with(UNFINISHED_SUFFIX);
+            if !has_known_suffix || name.starts_with(&own) {
                 continue;
             }
-            match self.directory.times(&name) {
-                Ok(times) => files.push(FileState { name, modified: times.modified, age: times.age }),
+            match self.directory.modified_at(&name) {
+                Ok(modified) => files.push(FileState { name, modified: modified.at, age: modified.age }),
                 Err(cause) if cause.kind() == io::ErrorKind::NotFound => {}
-                // It is there; that is all that is known of it.
+                // The file exists, which is all that is known of it.
                 Err(_) => files.push(FileState { name, modified: 0, age: 0 }),
             }
         }
@@ -181,53 +192,53 @@
         Ok(files)
     }
 
-    /// Records that other gateways left, by their names.
-    fn other_files(&self) -> io::Result<Vec<String>> {
+    /// Names of records of other gateways.
+    fn records_of_other_gateways(&self) -> io::Result<Vec<String>> {
         let prefix = self.prefix();
-        let names = self.directory.names(PREFIX, MAX_LISTED)?;
+        let names = self.directory.list_files(PREFIX, MAX_LISTED_FILES)?;
         let others =
             names.into_iter().filter(|name| !name.starts_with(&prefix) && name.ends_with(RECORD_SUFFIX));
         Ok(others.take(MAX_RECORDS).collect())
     }
 
-    /// `modified` stands for the content of a file that cannot be read.
-    fn read_into(&self, scan: &mut Scan, name: &str, modified: u64) {
+    /// Reads a record into `scan`. `fallback_fingerprint` is used if the file cannot be read.
+    fn read_into(&self, scan: &mut Scan, name: &str, fallback_fingerprint: u64) {
         let process = self.process_of(name, RECORD_SUFFIX);
         match self.directory.read(name, MAX_RECORD_BYTES + 1) {
             Ok(content) => self.decode_into(scan, process, &content),
             Err(cause) if cause.kind() == io::ErrorKind::NotFound => {}
             Err(_) => {
-                let (fingerprint, cause) = (modified, RecordError::Damaged);
+                let (fingerprint, cause) = (fallback_fingerprint, RecordError::Damaged);
                 scan.unreadable.push(UnreadableRecord { process, fingerprint, cause });
             }
         }
     }
 
     fn decode_into(&self, scan: &mut Scan, process: Option<u64>, content: &FileContent) {
-        let fingerprint = xxh3_64_with_seed(&content.bytes, content.times.modified as u64);
+        let fingerprint = xxh3_64_with_seed(&content.bytes, content.modified.at as u64);
         match HandoverRecord::decode(&content.bytes) {
-            Ok(record) if record.gateway != self.gateway => scan.foreign.push(record.gateway),
+            Ok(record) if record.gateway != self.gateway => scan.foreign_gateways.push(record.gateway),
             Ok(record) if Some(record.process) == process => {
-                scan.records.push(FoundRecord { record, fingerprint, age: content.times.age });
+                scan.records.push(FoundRecord { record, fingerprint, age: content.modified.age });
             }
-            // A copy under another name is no sibling.
+            // A copy of a record under another name is not a sibling's.
             Ok(_) => {}
             Err(cause) => scan.unreadable.push(UnreadableRecord { process, fingerprint, cause }),
         }
     }
 
-    /// Processes that have the beginning of a record and no record.
-    fn unfinished(&self, files: &[FileState]) -> Vec<(u64, u64)> {
+    /// Siblings that have an unfinished record and no published one.
+    fn unfinished_records(&self, files: &[FileState]) -> Vec<UnfinishedRecord> {
         let published = files.iter().filter_map(|file| self.process_of(&file.name, RECORD_SUFFIX));
         let published: BTreeSet<u64> = published.collect();
-        let begun = files.iter().filter_map(|file| {
+        let unfinished = files.iter().filter_map(|file| {
             let process = self.process_of(&file.name, UNFINISHED_SUFFIX)?;
-            Some((process, file.modified as u64))
+            Some(UnfinishedRecord { process, fingerprint: file.modified as u64 })
         });
-        begun.filter(|(process, _)| !published.contains(process)).take(MAX_RECORDS).collect()
+        unfinished.filter(|record| !published.contains(&record.process)).take(MAX_RECORDS).collect()
     }
 
-    /// The process that a file of this gateway belongs to, by its name.
+    /// The process of this gateway that a file belongs to by its name.
     fn process_of(&self, name: &str, suffix: &str) -> Option<u64> {
         let digits = name.strip_prefix(&self.prefix())?.strip_suffix(suffix)?;
         u64::from_str_radix(digits, 16).ok()
@@ -238,7 +249,7 @@
     }
 
     fn own_record(&self) -> String {
-        self.file_name(self.process, RECORD_SUFFIX)
+        self.file_name(self.process_id, RECORD_SUFFIX)
     }
 
     fn file_name(&self, process: u64, suffix: &str) -> String {
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -5,7 +5,7 @@
 use petrelgauge::control::config::{Config, ConfigError};
 use petrelgauge::control::ops::CommandRequest;
 use petrelgauge::control::{ControlPlane, Reloaded};
-use petrelgauge::handover::Handover;
+use petrelgauge::handover::HandoverExchange;
 use petrelgauge::os::clock::Clock;
 use petrelgauge::os::signals::{Signal, Signals};
 use petrelgauge::resources::counters::Counters;
@@ -35,7 +35,7 @@
     /// What the client sessions share.
     pub client_context: Rc<ClientContext>,
     /// Exchange with other processes of this gateway, where the platform holds the clients' socket.
-    pub handover: Option<Rc<Handover>>,
+    pub handover: Option<Rc<HandoverExchange>>,
     /// Clock time from which on the list of the configuration will do (microseconds).
     pub list_deadline: Time,
     /// The most that this process may reserve while it is the gateway's only one.
@@ -174,7 +174,7 @@
         self.full_reservation
             .set(Reservation { open: max_open_requests as usize, ..self.full_reservation.get() });
         if let Some(handover) = &self.handover {
-            handover.follow(new.settings_digest);
+            handover.set_settings_digest(new.settings_digest);
         }
         self.discovery_address.send_if_modified(|known| std::mem::replace(known, address) != address);
         self.config = new;
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -7,7 +7,7 @@
 use petrelgauge::control::ops::{CommandListener, CommandRequest};
 use petrelgauge::control::{ControlPlane, Dependencies, RoutingDecisions};
 use petrelgauge::facade::Facade;
-use petrelgauge::handover::Handover;
+use petrelgauge::handover::{ExchangeOptions, HandoverExchange, HeartbeatTask, InheritedRecord};
 use petrelgauge::host::pool::HostPool;
 use petrelgauge::os::clock::Clock;
 use petrelgauge::os::datagram::{self, DatagramSocket};
@@ -77,9 +77,15 @@
         resources.listen_for_operators(address, &command_sender, &control.host_pool, &mut tasks).await?;
     }
     if let Some(handover) = &handover {
-        let Resources { facade, budget, .. } = &resources;
-        let (names, reservation) = (control.host_names.clone(), full_reservation.clone());
-        tasks.spawn_local(handover.clone().keep(clock, facade.clone(), budget.clone(), names, reservation));
+        let heartbeats = HeartbeatTask {
+            exchange: handover.clone(),
+            clock,
+            facade: resources.facade.clone(),
+            budget: resources.budget.clone(),
+            host_names: control.host_names.clone(),
+            limits: full_reservation.clone(),
+        };
+        tasks.spawn_local(heartbeats.run());
     }
     let client_context =
         Rc::new(resources.client_context(&config, control.host_pool.clone(), followed_state));
@@ -188,15 +194,23 @@
     }
 }
 
-fn open_handover(config: &Config) -> Handover {
-    let writer = config.seed ^ u64::from(std::process::id());
-    Handover::new(std::env::temp_dir(), &config.name, config.listen, writer, config.settings_digest)
+fn open_handover(config: &Config) -> HandoverExchange {
+    HandoverExchange::new(ExchangeOptions {
+        directory: std::env::temp_dir(),
+        gateway_name: &config.name,
+        listen: config.listen,
+        process_id: config.seed ^ u64::from(std::process::id()),
+        settings_digest: config.settings_digest,
+    })
 }
 
 /// Takes over what the process before this one has learned. Gives the numbers that it had assigned to hosts.
-fn adopt_learned_state(handover: &Option<Rc<Handover>>, resources: &Resources) -> BTreeMap<String, MemberId> {
+fn adopt_learned_state(
+    handover: &Option<Rc<HandoverExchange>>,
+    resources: &Resources,
+) -> BTreeMap<String, MemberId> {
     let inherit = handover.as_ref().and_then(|handover| handover.inherit(resources.clock.now()));
-    inherit.map_or_else(BTreeMap::new, |(record, age)| {
+    inherit.map_or_else(BTreeMap::new, |InheritedRecord { record, age }| {
         log::info!("learned state adopted hosts={} age_us={age}", record.numbers.len());
         resources.facade.update(|table| table.adopt_learned_state(record.learned_state));
         record.numbers.into_iter().collect()
--- a/tests/faulty_directory/mod.rs
+++ b/tests/faulty_directory/mod.rs
@@ -1,6 +1,6 @@
 //! A directory of handover records in memory, which fails as a test has it.
 
-use petrelgauge::handover::record_directory::{FileContent, FileTimes, RecordDirectory};
+use petrelgauge::handover::record_directory::{FileContent, ModificationTime, RecordDirectory};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex};
@@ -66,7 +66,7 @@
 }
 
 impl RecordDirectory for FaultyDirectory {
-    fn names(&self, prefix: &str, max_count: usize) -> Result<Vec<String>> {
+    fn list_files(&self, prefix: &str, max_count: usize) -> Result<Vec<String>> {
         fails(self.faults().list)?;
         let named = |files: &mut Files| {
             let names = files.by_name.keys().filter(|name| name.starts_with(prefix));
@@ -75,21 +75,21 @@
         Ok(self.with(named))
     }
 
-    fn times(&self, name: &str) -> Result<FileTimes> {
-        let times = |files: &mut Files| {
+    fn modified_at(&self, name: &str) -> Result<ModificationTime> {
+        let modification_time = |files: &mut Files| {
             let (_, modified) = files.by_name.get(name).ok_or_else(missing)?;
-            Ok(FileTimes { modified: *modified, age: files.now - modified })
+            Ok(ModificationTime { at: *modified, age: files.now - modified })
         };
-        self.with(times)
+        self.with(modification_time)
     }
 
     fn read(&self, name: &str, max_bytes: usize) -> Result<FileContent> {
         fails(self.faults().read)?;
-        let times = self.times(name)?;
+        let modified = self.modified_at(name)?;
         let bytes = self.with(|files| files.by_name.get(name).map(|(bytes, _)| bytes.clone()));
         let mut bytes = bytes.ok_or_else(missing)?;
         bytes.truncate(max_bytes);
-        Ok(FileContent { bytes, times })
+        Ok(FileContent { bytes, modified })
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> Result<()> {
--- a/tests/handover_directory.rs
+++ b/tests/handover_directory.rs
@@ -4,7 +4,7 @@
 mod faulty_directory;
 
 use faulty_directory::{Faults, FaultyDirectory, Files, BROKEN, FULL};
-use petrelgauge::handover::{Handover, Knowledge};
+use petrelgauge::handover::{HandoverExchange, RecordContent};
 use petrelgauge_handover::retention::RECORD_RETENTION;
 use petrelgauge_handover::siblings::{HEARTBEAT_INTERVAL, LIVENESS_TIMEOUT};
 use petrelgauge_handover::Reservation;
@@ -21,7 +21,7 @@
 
 /// A process of the gateway.
 struct Process {
-    handover: Handover,
+    handover: HandoverExchange,
     directory: Arc<FaultyDirectory>,
     in_use: Reservation,
 }
@@ -44,7 +44,7 @@
         let directory = FaultyDirectory { files: self.files.clone(), faults: Mutex::new(faults) };
         let directory = Arc::new(directory);
         let number = self.processes.len() as u64 + 1;
-        let handover = Handover::in_directory(directory.clone(), GATEWAY.to_string(), number, 7);
+        let handover = HandoverExchange::in_directory(directory.clone(), GATEWAY.to_string(), number, 7);
         handover.inherit(self.now);
         self.processes.push(Process { handover, directory, in_use });
         self.processes.len() - 1
@@ -64,8 +64,9 @@
     /// A heartbeat of every process, one after the other, and the pause until the next.
     fn heartbeat(&mut self) {
         for process in &self.processes {
-            let heartbeat = process.handover.begin(self.now, process.in_use, Knowledge::default());
-            process.handover.finish(self.now, heartbeat.run());
+            let heartbeat =
+                process.handover.begin_heartbeat(self.now, process.in_use, RecordContent::default());
+            process.handover.finish_heartbeat(self.now, heartbeat.run());
         }
         self.now += HEARTBEAT_INTERVAL;
         self.files.lock().expect("no panic").now = self.now;
@@ -186,8 +187,9 @@
         let cut = (complete[..cut].to_vec(), machine.now);
         machine.files.lock().expect("no panic").by_name.insert(name.clone(), cut);
         let process = &machine.processes[1];
-        let heartbeat = process.handover.begin(machine.now, process.in_use, Knowledge::default());
-        process.handover.finish(machine.now, heartbeat.run());
+        let heartbeat =
+            process.handover.begin_heartbeat(machine.now, process.in_use, RecordContent::default());
+        process.handover.finish_heartbeat(machine.now, heartbeat.run());
         machine.now += HEARTBEAT_INTERVAL;
         assert_eq!(machine.limit(1), REST);
     }
@@ -250,7 +252,7 @@
     let end = machine.now + RECORD_RETENTION + 4 * HEARTBEAT_INTERVAL;
     while machine.now < end {
         machine.heartbeat();
-        assert_eq!(machine.processes[0].handover.live_siblings(machine.now).min(1), 1);
+        assert_eq!(machine.processes[0].handover.live_sibling_count(machine.now).min(1), 1);
     }
     assert_eq!(count(&machine), 2, "the records of the two that run are left");
 }
