--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn one_that_starts_beside_another_starts_from_what_that_one_learned() {
+fn a_process_started_beside_another_inherits_its_learned_state() {
     let (mut harness, _host) = shared(200_000);
     let old = harness.beside();
     old.call_until(b"ready\n", "YES");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_new_process_that_dies_before_its_yes_changes_nothing() {
+fn a_new_process_that_dies_before_it_is_ready_changes_nothing() {
     let (mut harness, _host) = shared(200_000);
     let old = harness.beside();
     old.call_until(b"ready\n", "YES");
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_old_process_that_stands_still_keeps_nobody_from_the_new_one() {
+fn a_stalled_old_process_does_not_keep_clients_from_the_new_one() {
     let (mut harness, _host) = shared(1000);
     let mut old = harness.beside();
     old.call_until(b"ready\n", "YES");
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn an_old_process_that_is_killed_while_it_drains_leaves_the_new_one_alone() {
+fn an_old_process_killed_while_it_drains_does_not_disturb_the_new_one() {
     let (mut harness, host) = shared(0);
     drop(host);
     let host = harness.host(vec![Reply::Nothing, Reply::Row(b"v"), Reply::Row(b"v")]);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_socket_is_named() {
+fn a_descriptor_that_is_not_a_socket_is_named_in_the_error() {
     let harness = Harness::new(gateway_program!());
     let config = harness.config();
     for (text, cause) in
--- a/tests/handover_directory.rs
+++ b/tests/handover_directory.rs
@@ -1,5 +1,5 @@
-//! Faults of the directory that the processes of a gateway share: a full disk, input and output errors, records that are
-//! cut, files that a killed process left. Two processes' handover parts before one directory in memory, in simulated time.
+//! Faults of the directory that the processes of a gateway share: a full disk, I/O errors, truncated records, files of
+//! killed processes. The exchanges of several processes share one directory in memory, in simulated time.
 
 mod faulty_directory;
 
@@ -15,7 +15,7 @@
 const GATEWAY: &str = "127.0.0.1:5433 n1";
 const LIMITS: Reservation = Reservation { sockets: 384, memory: 48 << 20, open: 128 };
 const IN_USE: Reservation = Reservation { sockets: 200, memory: 20 << 20, open: 60 };
-/// What is left beside [`IN_USE`].
+/// What [`IN_USE`] leaves of the limits.
 const REST: Reservation = Reservation { sockets: 184, memory: 28 << 20, open: 68 };
 const START: i64 = 1_000_000_000;
 
@@ -26,7 +26,7 @@
     in_use: Reservation,
 }
 
-/// Some processes before one directory.
+/// The processes that share one directory.
 struct Machine {
     files: Arc<Mutex<Files>>,
     now: i64,
@@ -50,7 +50,7 @@
         self.processes.len() - 1
     }
 
-    /// One that has a sibling which uses as much as it can get; both have published.
+    /// A process that uses [`IN_USE`] and a sibling that uses nothing; both have published their records.
     fn pair() -> Machine {
         let mut machine = Machine::new();
         machine.start(IN_USE, Faults::default());
@@ -61,7 +61,7 @@
         machine
     }
 
-    /// A heartbeat of every process, one after the other, and the pause until the next.
+    /// Makes a heartbeat of each process in turn, and waits for the interval between heartbeats.
     fn heartbeat(&mut self) {
         for process in &self.processes {
             let heartbeat =
@@ -80,8 +80,8 @@
         *self.processes[process].directory.faults.lock().expect("no panic") = faults;
     }
 
-    /// Beats for a span, and checks after each that what the two may use does not exceed the limits by more than one
-    /// minimum share.
+    /// Makes heartbeats for a span, and checks after each that the two processes together may not exceed the limits by more
+    /// than one minimum share.
     fn stays_within_limits_for(&mut self, span: i64) {
         let most = LIMITS.saturating_add(LIMITS.minimum_share());
         let end = self.now + span;
@@ -108,7 +108,7 @@
         machine.heartbeat();
         assert_eq!((machine.limit(0), machine.limit(1)), (IN_USE, REST));
     }
-    // Its own use does not count while it cannot be stated.
+    // A lower usage frees nothing while it cannot be published.
     machine.processes[0].in_use = Reservation { sockets: 5, ..IN_USE };
     machine.heartbeat();
     assert_eq!(machine.limit(1), REST);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_process_that_can_change_nothing_gives_way_before_its_sibling_takes_everything() {
+fn a_process_that_can_write_nothing_falls_to_the_minimum_share_before_its_sibling_uses_all_limits() {
     for fault in [BROKEN, Faults { rename: None, ..BROKEN }, Faults { write: None, ..BROKEN }] {
         let mut machine = Machine::pair();
         machine.fault(0, fault);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn while_nobody_can_write_no_file_is_removed_and_nobody_takes_everything() {
+fn while_no_process_can_write_no_file_is_removed_and_none_uses_all_limits() {
     let mut machine = Machine::pair();
     [0, 1].iter().for_each(|process| machine.fault(*process, BROKEN));
     machine.stays_within_limits_for(2 * RECORD_RETENTION);
@@ -156,7 +156,7 @@
     machine.heartbeat();
     machine.fault(0, FULL);
     let second = machine.start(Reservation::default(), FULL);
-    // Before its first heartbeat nothing of the second can be seen.
+    // Before its first heartbeat the second process leaves no trace.
     machine.heartbeat();
     for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
         machine.heartbeat();
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_process_alone_keeps_its_limits_whatever_its_directory_does() {
+fn a_process_without_siblings_keeps_its_limits_whatever_its_directory_does() {
     let mut machine = Machine::new();
     machine.start(IN_USE, BROKEN);
     for fault in [BROKEN, FULL, Faults { list: Some(ErrorKind::Other), ..BROKEN }] {
@@ -193,7 +193,7 @@
         machine.now += HEARTBEAT_INTERVAL;
         assert_eq!(machine.limit(1), REST);
     }
-    // One that starts now has never read it.
+    // A process that starts now has never read the record.
     let third = machine.start(Reservation::default(), Faults::default());
     assert_eq!(machine.limit(third).sockets, LIMITS.sockets / 2);
     machine.heartbeat();
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_directory_that_cannot_be_read_does_not_free_what_siblings_reserve() {
+fn an_unreadable_directory_does_not_free_what_siblings_reserve() {
     for fault in [
         Faults { list: Some(ErrorKind::Other), ..Faults::default() },
         Faults { list: Some(ErrorKind::Other), ..BROKEN },
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn files_that_no_process_owns_are_removed_in_bounded_time() {
+fn abandoned_files_are_removed_in_bounded_time() {
     let mut machine = Machine::pair();
     let prefix = machine.record_name(0).replace(&format!("{:016x}.letter", 1), "");
     let name = machine.record_name(0);
