--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -9,7 +9,7 @@
 use crate::discovery::watch::{DiscoveryWatch, WatchOptions};
 use crate::facade::Facade;
 use crate::fleet::leadership::FleetLeadership;
-use crate::fleet::peers::Peers;
+use crate::fleet::peers::{PeerExchange, PeerOptions};
 use crate::fleet::quota_lending::Demand;
 use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
@@ -63,11 +63,10 @@
     pub list_revision: Rc<Cell<u64>>,
     pub(super) read_wait_bound: Time,
     clock: Clock,
-    counters: Rc<Counters>,
     /// Taken by [`ControlPlane::start`].
     discovery_watch: Option<DiscoveryWatch>,
     /// Taken by [`ControlPlane::start`]. `None` where gateways exchange no datagrams.
-    peers: Option<Peers<S>>,
+    peer_exchange: Option<PeerExchange<S>>,
 }
 
 impl<S: DatagramSocket + 'static> ControlPlane<S> {
@@ -106,8 +105,16 @@
         let leadership = fleet_leadership(config, &facade, clock, &counters, &host_names, demand)?;
         let datagram_address =
             broadcast_address.or_else(|| config.peer_listen.filter(|_| leadership.is_some()));
-        let peers = match datagram_address {
-            Some(address) => Some(open_peers(config, address, bind).await?),
+        let peer_exchange = match datagram_address {
+            Some(address) => Some(PeerExchange::new(PeerOptions {
+                self_index: config.peer_index().ok_or(ControlError::NotListed)?,
+                socket: open_socket(address, bind).await?,
+                addresses: config.peers.clone(),
+                facade: facade.clone(),
+                leadership: leadership.clone(),
+                clock,
+                counters,
+            })),
             None => None,
         };
         Ok(ControlPlane {
@@ -119,9 +126,8 @@
             list_revision: discovery_watch.revision(),
             read_wait_bound,
             clock,
-            counters,
             discovery_watch: Some(discovery_watch),
-            peers,
+            peer_exchange,
         })
     }
 
@@ -133,27 +139,23 @@
         }
         tasks.spawn_local(step_decisions(self.facade.clone(), self.clock));
         tasks.spawn_local(close_unused_connections(self.host_pool.clone(), self.clock));
-        if let Some(peers) = self.peers.take() {
-            let (facade, counters) = (self.facade.clone(), self.counters.clone());
-            tasks.spawn_local(peers.talk(facade, self.clock, counters, self.leadership.clone()));
+        if let Some(peer_exchange) = self.peer_exchange.take() {
+            tasks.spawn_local(peer_exchange.run());
         }
     }
 
     /// Number of state entries that grow with the fleet: hosts, quotas, watermarks of other gateways.
     pub fn entry_count(&self) -> usize {
-        let leadership_entries = self.leadership.as_ref().map_or(0, |leadership| leadership.entries());
+        let leadership_entries = self.leadership.as_ref().map_or(0, |leadership| leadership.entry_count());
         self.host_names.len() + leadership_entries + self.facade.read(|table| table.session_entries())
     }
 }
 
 /// Opens the socket for datagrams between gateways at `address`, retrying while the machine lacks resources.
-async fn open_peers<S: DatagramSocket, F: Future<Output = Result<S, SocketError>>>(
-    config: &Config,
+async fn open_socket<S, F: Future<Output = Result<S, SocketError>>>(
     address: SocketAddr,
     bind: impl Fn(SocketAddr) -> F,
-) -> Result<Peers<S>, ControlError> {
-    let peer_index = config.peer_index().ok_or(ControlError::NotListed)?;
+) -> Result<S, ControlError> {
     let socket = socket::through_shortages(BIND_ATTEMPTS, || bind(address)).await;
-    let socket = socket.map_err(|source| ControlError::Bind { address, source })?;
-    Ok(Peers::new(socket, peer_index, config.peers.clone()))
+    socket.map_err(|source| ControlError::Bind { address, source })
 }
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -4,9 +4,9 @@
 use crate::control::error::ControlError;
 use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
-use crate::fleet::leadership::{FleetLeadership, LeadershipConfig};
-use crate::fleet::primary_discovery::PrimaryDiscovery;
-use crate::fleet::quota_lending::{Demand, QuotaLending};
+use crate::fleet::leadership::{FleetLeadership, LeadershipConfig, LeadershipOptions};
+use crate::fleet::primary_discovery::{PrimaryDiscovery, PrimaryDiscoveryOptions};
+use crate::fleet::quota_lending::{Demand, QuotaLending, QuotaLendingOptions};
 use crate::os::clock::Clock;
 use crate::resources::counters::Counters;
 use petrelgauge_ownership::LeaseManager;
@@ -31,24 +31,35 @@
     let settings = record.settings(self_id, config.peers.len())?;
     let now = clock.now();
     let lease_manager = LeaseManager::new(settings, now, config.seed)?;
-    // Drawn anew at each start: a restarted process must not accept quota that was granted to its predecessor.
-    let incarnation = Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32();
     let quota_lending = record.quota_lending.then(|| {
-        QuotaLending::new(&lease_manager, record.shards, incarnation, facade.clone(), clock, demand)
+        QuotaLending::new(QuotaLendingOptions {
+            settings: lease_manager.settings().clone(),
+            shards: record.shards,
+            // Differs at each start: a restarted process must not accept quota that was granted to its predecessor.
+            first_report_number: Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32(),
+            facade: facade.clone(),
+            clock,
+            demand,
+        })
+    });
+    let primary_discovery = PrimaryDiscovery::new(PrimaryDiscoveryOptions {
+        shards: record.shards,
+        facade: facade.clone(),
+        clock,
+        counters: counters.clone(),
+        host_names: host_names.clone(),
     });
-    let primary_discovery =
-        PrimaryDiscovery::new(record.shards, facade.clone(), clock, counters.clone(), host_names.clone());
     let leadership_config = LeadershipConfig {
         primary_discovery: record.primary_discovery,
         shards: record.shards,
         secret: record.secret,
     };
-    Ok(Some(FleetLeadership::new(
+    Ok(Some(FleetLeadership::new(LeadershipOptions {
+        config: leadership_config,
         lease_manager,
         primary_discovery,
         quota_lending,
-        leadership_config,
         clock,
-        counters.clone(),
-    )))
+        counters: counters.clone(),
+    })))
 }
--- a/src/fleet/announced_primaries.rs
+++ b/src/fleet/announced_primaries.rs
@@ -1,51 +1,63 @@
-//! Primaries that this gateway has announced, or that were announced to it, and which of them are due for repetition.
+//! The primaries that this gateway has announced or learned from announcements, and which are due for repetition.
 
 use crate::{GroupId, MemberId, Time};
 use std::collections::BTreeMap;
 
-/// Shortest time until an announcement is repeated (microseconds): datagrams get lost, gateways start.
+/// Shortest time between two announcements of the same primary (microseconds): datagrams get lost, gateways restart.
 const MIN_REPEAT_INTERVAL: Time = 1_000_000;
-/// Maximum number of repetitions per second: 2 KB a second for each receiver.
+/// Maximum number of repetitions per second: 2 KB per second and receiver.
 const MAX_REPEATS_PER_SECOND: Time = 100;
-/// Microseconds in a second.
-const SECOND: Time = 1_000_000;
+const MICROSECONDS_PER_SECOND: Time = 1_000_000;
 
+/// The last announcement of a group.
 #[derive(Clone, Copy)]
 struct Announcement {
-    member: MemberId,
-    at: Time,
+    primary: MemberId,
+    announced_at: Time,
 }
 
-/// The announced primary of each group, with an entry for each group that the list names and that has a primary.
+/// The announced primary of each group. Bounded by the groups of the endpoint list.
 #[derive(Default)]
-pub struct AnnouncedPrimaries {
-    groups: BTreeMap<GroupId, Announcement>,
+pub(super) struct AnnouncedPrimaries {
+    by_group: BTreeMap<GroupId, Announcement>,
 }
 
 impl AnnouncedPrimaries {
-    /// A primary was announced, by this gateway or by another one.
-    pub fn insert(&mut self, now: Time, group: GroupId, member: MemberId) {
-        self.groups.insert(group, Announcement { member, at: now });
+    /// Records an announcement by this gateway or another one.
+    pub(super) fn insert(&mut self, now: Time, group: GroupId, primary: MemberId) {
+        self.by_group.insert(group, Announcement { primary, announced_at: now });
     }
 
-    /// Forgets groups: the next leader of their shard has to be sent everything.
-    pub fn forget(&mut self, is_forgotten: impl Fn(GroupId) -> bool) {
-        self.groups.retain(|group, _| !is_forgotten(*group));
+    /// Forgets the announcements of the groups that match, so that they are announced again.
+    pub(super) fn remove_groups(&mut self, is_removed: impl Fn(GroupId) -> bool) {
+        self.by_group.retain(|group, _| !is_removed(*group));
     }
 
-    /// Whether this primary is to be announced now: it is new or, if announcements are repeated, it was announced a
-    /// while ago.
-    pub fn is_due(&self, now: Time, group: GroupId, member: MemberId, repeats: bool) -> bool {
-        let Some(last) = self.groups.get(&group) else { return true };
-        last.member != member || (repeats && now - last.at >= self.repeat_interval())
+    /// Whether this primary should be announced now: it differs from the last one announced or its last
+    /// announcement is older than the repeat interval, where announcements are repeated.
+    pub(super) fn is_due(&self, now: Time, group: GroupId, primary: MemberId, repeats: Repeats) -> bool {
+        let Some(last) = self.by_group.get(&group) else { return true };
+        let is_repeat_due = repeats == Repeats::Periodic && now - last.announced_at >= self.repeat_interval();
+        last.primary != primary || is_repeat_due
     }
 
-    /// Number of groups.
-    pub fn len(&self) -> usize {
-        self.groups.len()
+    /// Number of groups with an announced primary.
+    pub(super) fn len(&self) -> usize {
+        self.by_group.len()
     }
 
+    /// Grows with the number of groups, to keep to [`MAX_REPEATS_PER_SECOND`].
     fn repeat_interval(&self) -> Time {
-        MIN_REPEAT_INTERVAL.max(self.groups.len() as Time * SECOND / MAX_REPEATS_PER_SECOND)
+        let group_count = self.by_group.len() as Time;
+        MIN_REPEAT_INTERVAL.max(group_count * MICROSECONDS_PER_SECOND / MAX_REPEATS_PER_SECOND)
     }
 }
+
+/// Whether unchanged primaries are announced again.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Repeats {
+    /// Again after each repeat interval.
+    Periodic,
+    /// Only changes are announced.
+    Never,
+}
--- a/src/fleet/codec.rs
+++ b/src/fleet/codec.rs
@@ -1,33 +1,35 @@
-//! Encoding and decoding of this gateway's datagrams about leadership roles.
+//! Encoding and decoding of datagrams about leadership roles.
 
 use petrelgauge_ownership::{DatagramError, GatewayId, Message, ReceivedMessage, Settings};
 
-/// An encoded message and the gateway that it is for.
+/// An encoded message and its receiver.
 pub struct OutgoingDatagram {
-    /// The receiver, by its index among the peers.
+    /// Index of the receiver among the peers.
     pub to: GatewayId,
-    /// The datagram.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// What all gateways of the fleet must have alike to understand each other, and this one's number.
+/// Encodes and decodes messages for one gateway of a fleet. Gateways with other lease settings, shards or secret cannot
+/// read them.
 #[derive(Clone, Copy, Debug)]
-pub struct FleetCodec {
+pub(super) struct FleetCodec {
     self_id: GatewayId,
     /// Fingerprint of the acceptors, durations and shards.
-    fleet: u32,
+    fleet_fingerprint: u32,
     secret: u64,
 }
 
 impl FleetCodec {
-    /// For a fleet with these settings whose roles have this many shards.
-    pub fn new(settings: &Settings, shards: u16, secret: u64) -> FleetCodec {
-        FleetCodec { self_id: settings.self_id, fleet: settings.sharded_fingerprint(shards), secret }
+    /// The codec of a gateway with these settings in a fleet whose roles have `shards` shards.
+    pub(super) fn new(settings: &Settings, shards: u16, secret: u64) -> FleetCodec {
+        let fleet_fingerprint = settings.sharded_fingerprint(shards);
+        FleetCodec { self_id: settings.self_id, fleet_fingerprint, secret }
     }
 
     /// Encodes a message.
-    pub fn encode(&self, message: &Message) -> Vec<u8> {
-        message.encode(self.self_id, self.fleet, self.secret)
+    pub(super) fn encode(&self, message: &Message) -> Vec<u8> {
+        message.encode(self.self_id, self.fleet_fingerprint, self.secret)
     }
 
     /// Decodes a datagram.
@@ -35,7 +37,7 @@
     /// # Errors
     ///
     /// Fails if the datagram is malformed, or of another version, fleet or secret.
-    pub fn decode(&self, bytes: &[u8]) -> Result<ReceivedMessage, DatagramError> {
-        Message::decode(bytes, self.fleet, self.secret)
+    pub(super) fn decode(&self, bytes: &[u8]) -> Result<ReceivedMessage, DatagramError> {
+        Message::decode(bytes, self.fleet_fingerprint, self.secret)
     }
 }
--- a/src/fleet/leadership.rs
+++ b/src/fleet/leadership.rs
@@ -1,9 +1,9 @@
-//! This gateway's part in the fleet's leadership roles: carries messages between the lease manager, primary discovery,
-//! quota lending and the other gateways. Who leads, and whether a notification is admitted, `petrelgauge_ownership`
-//! decides; what follows from a notification, the decisions.
+//! This gateway's part in the fleet's leadership roles: routes messages between the lease manager, primary discovery, quota
+//! lending and the other gateways.
 //!
-//! Each role can have several shards with a leader each. Acceptors then place the shards among themselves, and know by
-//! heartbeats which of them are present.
+//! Who leads, and whether a notification is admitted, is decided in `petrelgauge_ownership`. Each role can have several
+//! shards with a leader each; acceptors then place the shards among themselves, and learn from heartbeats which of them
+//! are present.
 
 use crate::fleet::codec::{FleetCodec, OutgoingDatagram};
 use crate::fleet::primary_discovery::{discovery_role, PrimaryDiscovery, PRIMARY_DISCOVERY};
@@ -13,7 +13,7 @@
 use crate::Time;
 use petrelgauge_ownership::{
     GatewayId, LeadershipRole, LeaseHolder, LeaseManager, Message, Notification, Outgoing, Placement,
-    ReceivedMessage,
+    PrimaryAnnouncement,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,57 +21,74 @@
 /// Time between two checks of who leads and what is to be announced (microseconds).
 const CHECK_INTERVAL: Time = 50_000;
 
-/// Which roles there are; the same at all gateways.
+/// Which roles exist; the same at all gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct LeadershipConfig {
     /// Whether primary discovery has a leader.
     pub primary_discovery: bool,
-    /// Shards of each role.
+    /// Number of shards of each role, at least 1.
     pub shards: u16,
     /// The fleet's secret.
     pub secret: u64,
 }
 
+/// What a [`FleetLeadership`] is built from.
+pub struct LeadershipOptions {
+    /// Which roles exist.
+    pub config: LeadershipConfig,
+    /// The leases of this gateway.
+    pub lease_manager: LeaseManager,
+    /// The part in primary discovery, also where it has no leader.
+    pub primary_discovery: PrimaryDiscovery,
+    /// The part in quota lending, if this gateway takes part.
+    pub quota_lending: Option<QuotaLending>,
+    /// Clock of the leases.
+    pub clock: Clock,
+    /// Counts rejected datagrams.
+    pub counters: Rc<Counters>,
+}
+
 /// This gateway's part in the fleet's leadership roles.
 pub struct FleetLeadership {
     lease_manager: RefCell<LeaseManager>,
-    discovery: RefCell<PrimaryDiscovery>,
+    primary_discovery: RefCell<PrimaryDiscovery>,
     quota_lending: Option<RefCell<QuotaLending>>,
-    /// Of an acceptor, if there are several shards.
+    /// Which shards this gateway campaigns for; only at an acceptor of a fleet with several shards.
     placement: Option<RefCell<Placement>>,
-    /// All roles of this fleet.
+    /// All roles of the fleet.
     roles: Vec<LeadershipRole>,
     codec: FleetCodec,
     clock: Clock,
     counters: Rc<Counters>,
     next_check_at: Cell<Time>,
-    /// The last datagram could not be used: such datagrams are logged once in a row.
-    is_failing: Cell<bool>,
+    /// Whether the last datagram was rejected: the first of several in a row is logged.
+    is_rejecting: Cell<bool>,
     is_stopping: Cell<bool>,
 }
 
 impl FleetLeadership {
-    /// A part in these roles.
-    pub fn new(
-        mut lease_manager: LeaseManager,
-        discovery: PrimaryDiscovery,
-        quota_lending: Option<QuotaLending>,
-        config: LeadershipConfig,
-        clock: Clock,
-        counters: Rc<Counters>,
-    ) -> Rc<FleetLeadership> {
+    /// Starts taking part. Acceptors are the only candidates, however many gateways there are; without shards, each
+    /// campaigns for every role at once.
+    pub fn new(options: LeadershipOptions) -> Rc<FleetLeadership> {
+        let LeadershipOptions {
+            config,
+            mut lease_manager,
+            primary_discovery,
+            quota_lending,
+            clock,
+            counters,
+        } = options;
         let now = clock.now();
         let settings = lease_manager.settings().clone();
-        let roles = roles(config, quota_lending.is_some());
+        let roles = all_roles(config, quota_lending.is_some());
         let is_placed = settings.is_acceptor() && config.shards > 1;
         let placement = is_placed.then(|| Placement::new(&settings, config.shards, now));
         if settings.is_acceptor() && !is_placed {
-            // Only acceptors are candidates, however many gateways there are.
             roles.iter().for_each(|role| lease_manager.campaign(now, *role));
         }
         Rc::new(FleetLeadership {
             lease_manager: RefCell::new(lease_manager),
-            discovery: RefCell::new(discovery),
+            primary_discovery: RefCell::new(primary_discovery),
             quota_lending: quota_lending.map(RefCell::new),
             placement: placement.map(RefCell::new),
             roles,
@@ -79,68 +96,66 @@
             clock,
             counters,
             next_check_at: Cell::new(0),
-            is_failing: Cell::new(false),
+            is_rejecting: Cell::new(false),
             is_stopping: Cell::new(false),
         })
     }
 
-    /// Whether these bytes are about leadership roles.
-    pub fn is_for(bytes: &[u8]) -> bool {
-        Message::has_magic_byte(bytes)
+    /// Whether a datagram is about leadership roles.
+    pub fn is_for(datagram: &[u8]) -> bool {
+        Message::has_magic_byte(datagram)
     }
 
-    /// When [`FleetLeadership::on_deadline`] is to be called at the latest.
+    /// The latest time to call [`FleetLeadership::on_deadline`].
     pub fn next_deadline(&self) -> Time {
         let leases = self.lease_manager.borrow().next_deadline();
-        let reports = self.quota_lending.as_ref().and_then(|lending| lending.borrow().next_deadline());
+        let quota_reports = self.quota_lending.as_ref().and_then(|lending| lending.borrow().next_deadline());
         let heartbeat = self.placement.as_ref().map(|placement| placement.borrow().next_deadline());
-        let deadlines = [leases, reports, heartbeat].into_iter().flatten();
+        let deadlines = [leases, quota_reports, heartbeat].into_iter().flatten();
         deadlines.fold(self.next_check_at.get(), Time::min)
     }
 
-    /// The datagrams to send now.
+    /// Returns the datagrams that are due.
     pub fn on_deadline(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         if self.is_stopping.get() {
-            self.next_check_at.set(now + CHECK_INTERVAL);
-            let releases = self.lease_manager.borrow_mut().release_all(now);
-            return self.encode(releases);
+            return self.release_leases(now);
         }
-        let mut outgoing = self.place_shards(now);
-        outgoing.extend(self.lease_manager.borrow_mut().on_deadline(now));
-        let mut datagrams = self.encode(outgoing);
+        let mut messages = self.place_shards(now);
+        messages.extend(self.lease_manager.borrow_mut().on_deadline(now));
+        let mut datagrams = self.deliver(messages);
         if now >= self.next_check_at.get() {
             self.next_check_at.set(now + CHECK_INTERVAL);
-            datagrams.extend(self.discover_primaries(now));
+            datagrams.extend(self.announce_primaries(now));
         }
         if let Some(lending) = &self.quota_lending {
-            let outgoing = lending.borrow_mut().on_deadline(&mut self.lease_manager.borrow_mut());
-            datagrams.extend(self.encode(outgoing));
+            let messages = lending.borrow_mut().on_deadline(&mut self.lease_manager.borrow_mut());
+            datagrams.extend(self.deliver(messages));
         }
         datagrams
     }
 
-    /// A datagram arrived: the datagrams to send in response.
+    /// Handles a datagram and returns the responses.
     pub fn on_datagram(&self, bytes: &[u8]) -> Vec<OutgoingDatagram> {
-        let ReceivedMessage { from, message } = match self.codec.decode(bytes) {
-            Ok(decoded) => decoded,
+        let received = match self.codec.decode(bytes) {
+            Ok(received) => received,
             Err(cause) => {
                 self.counters.bad_words.add();
-                if !self.is_failing.replace(true) {
+                if !self.is_rejecting.replace(true) {
                     log::warn!("leadership datagram rejected cause={cause}");
                 }
                 return Vec::new();
             }
         };
-        self.is_failing.set(false);
+        self.is_rejecting.set(false);
         if let Some(placement) = &self.placement {
-            placement.borrow_mut().on_heartbeat(self.clock.now(), from);
+            placement.borrow_mut().on_heartbeat(self.clock.now(), received.from);
         }
-        let outgoing = self.on_message(from, message);
-        self.encode(outgoing)
+        let responses = self.on_message(received.from, received.message);
+        self.deliver(responses)
     }
 
-    /// The gateway stops: it releases its leases and is no candidate any more.
+    /// Begins a graceful shutdown: from the next deadline on, this gateway releases its leases and is no candidate.
     pub fn stop(&self) {
         self.is_stopping.set(true);
     }
@@ -152,75 +167,93 @@
         self.roles.iter().filter(|role| lease_manager.held_term(now, **role).is_some()).count()
     }
 
-    /// Number of roles whose leader it knows.
+    /// Number of roles whose lease holder is known.
     pub fn known_lease_holders(&self) -> usize {
         let now = self.clock.now();
         let lease_manager = self.lease_manager.borrow();
         self.roles.iter().filter(|role| lease_manager.lease_holder(now, **role).is_some()).count()
     }
 
-    /// Number of entries of state.
-    pub fn entries(&self) -> usize {
-        let quotas = self.quota_lending.as_ref().map_or(0, |lending| lending.borrow().entries());
-        self.discovery.borrow().entries() + quotas
+    /// Number of state entries.
+    pub fn entry_count(&self) -> usize {
+        let quota_entries = self.quota_lending.as_ref().map_or(0, |lending| lending.borrow().entry_count());
+        self.primary_discovery.borrow().entry_count() + quota_entries
     }
 
-    /// The counters as text. Their names are an interface to operators.
+    /// The counters in their text form. Their names are an interface to operators.
     pub fn counts(&self) -> String {
-        let holder = self.lease_manager.borrow().lease_holder(self.clock.now(), discovery_role(0));
-        let leader = match holder {
+        let lease_holder = self.lease_manager.borrow().lease_holder(self.clock.now(), discovery_role(0));
+        let leader = match lease_holder {
             Some(LeaseHolder { gateway, term }) => format!("{gateway} term={term}"),
             None => "nobody".to_string(),
         };
         let lending = self.quota_lending.as_ref().map(|lending| format!(" {}", lending.borrow().counts()));
         let lending = lending.unwrap_or_default();
-        let (owned, known, roles) = (self.held_leases(), self.known_lease_holders(), self.roles.len());
+        let (held, known, roles) = (self.held_leases(), self.known_lease_holders(), self.roles.len());
         let counts = self.lease_manager.borrow().counts();
-        format!("{counts} duties_owned={owned} duties_known={known} duties={roles} scout={leader}{lending}")
+        format!("{counts} duties_owned={held} duties_known={known} duties={roles} scout={leader}{lending}")
+    }
+
+    fn release_leases(&self, now: Time) -> Vec<OutgoingDatagram> {
+        self.next_check_at.set(now + CHECK_INTERVAL);
+        let releases = self.lease_manager.borrow_mut().release_all(now);
+        self.deliver(releases)
     }
 
-    /// Heartbeats, and the shards that this acceptor campaigns for or withdraws from.
+    /// Campaigns for the shards that this acceptor should lead and withdraws from the others. Returns releases and due
+    /// heartbeats.
     fn place_shards(&self, now: Time) -> Vec<Outgoing> {
         let Some(placement) = &self.placement else { return Vec::new() };
         let mut placement = placement.borrow_mut();
-        let mut lease_manager = self.lease_manager.borrow_mut();
         let heartbeats = placement.due_heartbeats(now).into_iter();
-        let mut outgoing: Vec<Outgoing> =
+        let mut messages: Vec<Outgoing> =
             heartbeats.map(|to| Outgoing { to, message: Message::Heartbeat }).collect();
         for role in &self.roles {
-            let shard = role.shard as u16;
-            let should_campaign = placement.should_campaign(now, shard);
-            let should_yield = placement.should_yield(now, shard);
-            let is_holding = lease_manager.held_term(now, *role).is_some();
-            if !lease_manager.is_campaigning(*role) {
-                if should_campaign && !should_yield {
-                    lease_manager.campaign(now, *role);
-                }
-            // A lease that is held is kept until a preferred acceptor has settled.
-            } else if (is_holding && should_yield) || (!is_holding && !should_campaign) {
-                outgoing.extend(lease_manager.withdraw(now, *role));
+            messages.extend(self.place_shard(now, &placement, *role));
+        }
+        messages
+    }
+
+    fn place_shard(&self, now: Time, placement: &Placement, role: LeadershipRole) -> Vec<Outgoing> {
+        let mut lease_manager = self.lease_manager.borrow_mut();
+        let shard = role.shard as u16;
+        let should_campaign = placement.should_campaign(now, shard);
+        let should_yield = placement.should_yield(now, shard);
+        if !lease_manager.is_campaigning(role) {
+            if should_campaign && !should_yield {
+                lease_manager.campaign(now, role);
             }
+            return Vec::new();
+        }
+        // A held lease is kept until a preferred acceptor has settled.
+        let is_holding = lease_manager.held_term(now, role).is_some();
+        let should_withdraw = if is_holding { should_yield } else { !should_campaign };
+        if should_withdraw {
+            lease_manager.withdraw(now, role)
+        } else {
+            Vec::new()
         }
-        outgoing
     }
 
-    fn discover_primaries(&self, now: Time) -> Vec<OutgoingDatagram> {
+    fn announce_primaries(&self, now: Time) -> Vec<OutgoingDatagram> {
         let mut lease_manager = self.lease_manager.borrow_mut();
-        let mut discovery = self.discovery.borrow_mut();
-        discovery.check_leaders(now, &lease_manager);
-        discovery.announce(now, &mut lease_manager, &self.codec)
+        let mut primary_discovery = self.primary_discovery.borrow_mut();
+        primary_discovery.update_leaders(now, &lease_manager);
+        primary_discovery.due_datagrams(now, &mut lease_manager, &self.codec)
     }
 
-    /// Handles a message; the effects of a notification only if it is admitted.
+    /// Handles a message and returns the responses. A notification takes effect only if its term is admitted.
     fn on_message(&self, from: GatewayId, message: Message) -> Vec<Outgoing> {
         let now = self.clock.now();
-        let mut outgoing = Vec::new();
+        let mut responses = Vec::new();
         if self.is_admitted(&message) {
-            self.on_primaries(now, &message);
-            outgoing.extend(self.on_quotas(from, &message));
+            for primary in announced_primaries(&message) {
+                self.primary_discovery.borrow_mut().on_announcement(now, *primary);
+            }
+            responses.extend(self.on_quota_message(from, &message));
         }
-        outgoing.extend(self.lease_manager.borrow_mut().on_message(now, from, message));
-        outgoing
+        responses.extend(self.lease_manager.borrow_mut().on_message(now, from, message));
+        responses
     }
 
     fn is_admitted(&self, message: &Message) -> bool {
@@ -230,41 +263,27 @@
         }
     }
 
-    fn on_primaries(&self, now: Time, message: &Message) {
-        let primaries = match message {
-            Message::PrimaryReport(primary) => std::slice::from_ref(primary),
-            Message::PrimaryReports { primaries } => primaries,
-            Message::Notification { role, notification, .. } if role.kind == PRIMARY_DISCOVERY => {
-                match notification {
-                    Notification::Primary(primary) => std::slice::from_ref(primary),
-                    Notification::Primaries { primaries } => primaries,
-                    _ => return,
-                }
-            }
-            _ => return,
-        };
-        let mut discovery = self.discovery.borrow_mut();
-        primaries.iter().for_each(|primary| discovery.on_announcement(now, *primary));
-    }
-
-    fn on_quotas(&self, from: GatewayId, message: &Message) -> Vec<Outgoing> {
+    fn on_quota_message(&self, from: GatewayId, message: &Message) -> Vec<Outgoing> {
         let is_about_quotas = match message {
             Message::QuotaReport(_) => true,
             Message::Notification { role, .. } => role.kind == QUOTA_LENDING,
             _ => false,
         };
+        let Some(lending) = self.quota_lending.as_ref().filter(|_| is_about_quotas) else {
+            return Vec::new();
+        };
         let mut lease_manager = self.lease_manager.borrow_mut();
-        let is_gateway = from < lease_manager.settings().gateways;
-        let lending = self.quota_lending.as_ref().filter(|_| is_about_quotas && is_gateway);
-        lending.map_or_else(Vec::new, |lending| {
-            lending.borrow_mut().on_message(from, message, &mut lease_manager)
-        })
+        if from >= lease_manager.settings().gateways {
+            return Vec::new();
+        }
+        lending.borrow_mut().on_message(from, message, &mut lease_manager)
     }
 
-    /// Encodes messages. What is for this gateway itself is handled at once.
-    fn encode(&self, outgoing: Vec<Outgoing>) -> Vec<OutgoingDatagram> {
+    /// Encodes the messages to other gateways. Messages to this gateway itself are handled at once, and their responses
+    /// delivered.
+    fn deliver(&self, messages: Vec<Outgoing>) -> Vec<OutgoingDatagram> {
         let self_id = self.lease_manager.borrow().settings().self_id;
-        let mut pending = outgoing;
+        let mut pending = messages;
         let mut datagrams = Vec::new();
         while let Some(Outgoing { to, message }) = pending.pop() {
             if to == self_id {
@@ -277,10 +296,26 @@
     }
 }
 
+/// The primaries that a message announces or reports.
+fn announced_primaries(message: &Message) -> &[PrimaryAnnouncement] {
+    match message {
+        Message::PrimaryReport(primary) => std::slice::from_ref(primary),
+        Message::PrimaryReports { primaries } => primaries,
+        Message::Notification { role, notification, .. } if role.kind == PRIMARY_DISCOVERY => {
+            match notification {
+                Notification::Primary(primary) => std::slice::from_ref(primary),
+                Notification::Primaries { primaries } => primaries,
+                _ => &[],
+            }
+        }
+        _ => &[],
+    }
+}
+
 /// All roles of a fleet: each shard of each kind.
-fn roles(config: LeadershipConfig, lends_quota: bool) -> Vec<LeadershipRole> {
+fn all_roles(config: LeadershipConfig, lends_quota: bool) -> Vec<LeadershipRole> {
     let kinds = [(config.primary_discovery, PRIMARY_DISCOVERY), (lends_quota, QUOTA_LENDING)];
-    let kinds = kinds.into_iter().filter(|(is_on, _)| *is_on).map(|(_, kind)| kind);
+    let enabled_kinds = kinds.into_iter().filter(|(is_enabled, _)| *is_enabled).map(|(_, kind)| kind);
     let shards = 0..u64::from(config.shards);
-    kinds.flat_map(|kind| shards.clone().map(move |shard| LeadershipRole { kind, shard })).collect()
+    enabled_kinds.flat_map(|kind| shards.clone().map(move |shard| LeadershipRole { kind, shard })).collect()
 }
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between instances: watermark broadcasts, sent at their pace and received as they come, whose contents the
-//! sessions decide; and datagrams about leadership roles, which `leadership.rs` reads and writes.
+//! The datagram socket between gateways: sends watermark broadcasts and messages about leadership roles when they are due,
+//! and dispatches those that arrive. What they say is decided in the sessions and in `leadership`.
 
 use crate::facade::Facade;
 use crate::fleet::codec::OutgoingDatagram;
@@ -8,144 +8,162 @@
 use crate::os::datagram::{self, DatagramSocket};
 use crate::os::socket::{self, SocketError};
 use crate::resources::counters::Counters;
-use crate::Time;
 use petrelgauge_lifecycle::request_table::DueBroadcasts;
 use petrelgauge_sessions::{BroadcastError, MAX_DATAGRAM_BYTES};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Where this instance hears the others, and where they hear it.
-pub struct Peers<S> {
-    socket: S,
-    /// One address for each, in the order of their numbers.
-    all: Vec<SocketAddr>,
-    /// This one's number.
-    me: usize,
-    /// The last datagram could not be sent for a fault of this machine: logged once in a row.
-    failed_to_send: Cell<bool>,
+/// What a [`PeerExchange`] is built from.
+pub struct PeerOptions<S> {
+    /// The socket that is bound to this gateway's address.
+    pub socket: S,
+    /// Addresses of all gateways, in the order of their numbers.
+    pub addresses: Vec<SocketAddr>,
+    /// This gateway's index among them.
+    pub self_index: usize,
+    /// The decisions, with the sessions whose watermarks are exchanged.
+    pub facade: Facade,
+    /// This gateway's part in the leadership roles, if there are any.
+    pub leadership: Option<Rc<FleetLeadership>>,
+    /// Clock of all deadlines.
+    pub clock: Clock,
+    /// Counts datagrams.
+    pub counters: Rc<Counters>,
 }
 
-impl<S: DatagramSocket> Peers<S> {
-    /// With this socket, as the one of this number among all.
-    pub fn new(socket: S, me: usize, all: Vec<SocketAddr>) -> Peers<S> {
-        Peers { socket, all, me, failed_to_send: Cell::new(false) }
+/// The exchange of datagrams with the other gateways.
+pub struct PeerExchange<S> {
+    options: PeerOptions<S>,
+    failures: ReportedFailures,
+}
+
+/// Failures that persist. The first of several in a row is logged.
+#[derive(Default)]
+struct ReportedFailures {
+    is_send_failing: Cell<bool>,
+    is_receive_failing: Cell<bool>,
+    is_rejecting: Cell<bool>,
+}
+
+impl<S: DatagramSocket> PeerExchange<S> {
+    /// Builds the exchange.
+    pub fn new(options: PeerOptions<S>) -> PeerExchange<S> {
+        PeerExchange { options, failures: ReportedFailures::default() }
     }
 
-    /// Sends and receives datagrams for as long as the gateway runs, whatever fails.
-    pub async fn talk(
-        self,
-        facade: Facade,
-        clock: Clock,
-        counters: Rc<Counters>,
-        leadership: Option<Rc<FleetLeadership>>,
-    ) {
-        // One byte more than any that can be used, to recognize those that are cut.
+    /// Sends and receives datagrams. Never returns, whatever fails.
+    pub async fn run(self) {
+        let clock = self.options.clock;
+        // One byte more than the longest valid datagram, so that truncated ones are recognized by their length.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        let (mut rejecting, mut failing) = (false, false);
         loop {
-            let DueBroadcasts { datagrams, next_at: next } =
-                facade.update(|table| table.due_broadcasts(clock.now()));
-            datagrams.iter().for_each(|datagram| self.broadcast(datagram, &counters));
-            let due = leadership.iter().map(|leadership| leadership.next_deadline());
-            let Some(next) = next.into_iter().chain(due).min() else { return std::future::pending().await };
+            let DueBroadcasts { datagrams: broadcasts, next_at: next_broadcast_at } =
+                self.options.facade.update(|table| table.due_broadcasts(clock.now()));
+            broadcasts.iter().for_each(|datagram| self.broadcast(datagram));
+            let leadership_deadline =
+                self.options.leadership.as_ref().map(|leadership| leadership.next_deadline());
+            let next_at = next_broadcast_at.into_iter().chain(leadership_deadline).min();
+            let Some(next_at) = next_at else { return std::future::pending().await };
             tokio::select! {
                 biased;
-                () = clock.sleep_until(next) => {}
-                received = datagram::receive(&self.socket, &mut bytes) => match received {
-                    Ok(length) => {
-                        failing = false;
-                        counters.heard.add();
-                        counters.heard_bytes.add_many(length);
-                        let rejected = self.take(&bytes[..length], &facade, clock, &leadership, &counters);
-                        log_first_rejection(rejected, &mut rejecting);
-                    }
+                () = clock.sleep_until(next_at) => {}
+                received = datagram::receive(&self.options.socket, &mut bytes) => match received {
+                    Ok(length) => self.on_datagram(&bytes[..length]),
                     Err(error) => {
-                        log_first_failed_receive(&error, &mut failing);
-                        // Calls that fail each time must not take up the processor.
+                        self.failures.on_receive_error(&error);
+                        // Without a pause, a receive that fails each time would take all processor time.
                         socket::pause_after_shortage().await;
                     }
                 }
             }
-            self.act(&leadership, clock.now(), &counters);
-        }
-    }
-
-    /// Sends a datagram to all other instances.
-    fn broadcast(&self, datagram: &[u8], counters: &Counters) {
-        for (_, other) in self.all.iter().enumerate().filter(|(number, _)| *number != self.me) {
-            self.send_one(datagram, *other, counters);
+            self.send_due_leadership_messages();
         }
     }
 
-    /// Sends a datagram. One that cannot be sent is lost like any other.
-    fn send_one(&self, datagram: &[u8], to: SocketAddr, counters: &Counters) {
-        counters.told.add();
-        counters.told_bytes.add_many(datagram.len());
-        match datagram::send(&self.socket, datagram, to) {
-            Ok(()) => self.failed_to_send.set(false),
-            Err(error) => log_first_failed_send(&error, &self.failed_to_send),
-        }
+    /// Handles a datagram of another gateway.
+    fn on_datagram(&self, datagram: &[u8]) {
+        self.failures.is_receive_failing.set(false);
+        self.options.counters.heard.add();
+        self.options.counters.heard_bytes.add_many(datagram.len());
+        let dispatched = self.dispatch(datagram);
+        self.failures.on_dispatched(dispatched);
     }
 
-    /// Hands a datagram to the part of the gateway that it is for.
-    fn take(
-        &self,
-        datagram: &[u8],
-        facade: &Facade,
-        clock: Clock,
-        leadership: &Option<Rc<FleetLeadership>>,
-        counters: &Counters,
-    ) -> Result<(), BroadcastError> {
-        match leadership {
+    fn dispatch(&self, datagram: &[u8]) -> Result<(), BroadcastError> {
+        match &self.options.leadership {
             Some(leadership) if FleetLeadership::is_for(datagram) => {
-                let datagrams = leadership.on_datagram(datagram);
-                self.send(datagrams, counters);
+                self.send_all(leadership.on_datagram(datagram));
                 Ok(())
             }
-            _ => facade.update(|table| table.receive_broadcast(clock.now(), datagram)),
+            _ => {
+                let now = self.options.clock.now();
+                self.options.facade.update(|table| table.receive_broadcast(now, datagram))
+            }
+        }
+    }
+
+    fn send_due_leadership_messages(&self) {
+        let Some(leadership) = &self.options.leadership else { return };
+        if self.options.clock.now() >= leadership.next_deadline() {
+            self.send_all(leadership.on_deadline());
         }
     }
 
-    /// What the leadership have to say by now. It goes out at once: nothing of it waits for another turn.
-    fn act(&self, leadership: &Option<Rc<FleetLeadership>>, now: Time, counters: &Counters) {
-        if let Some(leadership) = leadership.as_ref().filter(|leadership| now >= leadership.next_deadline()) {
-            self.send(leadership.on_deadline(), counters);
+    /// Sends a datagram to all other gateways.
+    fn broadcast(&self, datagram: &[u8]) {
+        let PeerOptions { addresses, self_index, .. } = &self.options;
+        for (index, address) in addresses.iter().enumerate() {
+            if index != *self_index {
+                self.send(datagram, *address);
+            }
         }
     }
 
-    fn send(&self, datagrams: Vec<OutgoingDatagram>, counters: &Counters) {
+    /// Sends datagrams to the configured addresses of their receivers; never to an address that a datagram came from.
+    fn send_all(&self, datagrams: Vec<OutgoingDatagram>) {
         for OutgoingDatagram { to, bytes } in datagrams {
-            // Only addresses of the configuration, and none that a datagram named.
-            if let Some(address) = self.all.get(usize::from(to)) {
-                self.send_one(&bytes, *address, counters);
+            if let Some(address) = self.options.addresses.get(usize::from(to)) {
+                self.send(&bytes, *address);
             }
         }
     }
-}
 
-/// Logs the first of several calls in a row that received nothing, for a fault of this machine. That a peer's machine
-/// answers that nobody listens there means that this peer is not up.
-fn log_first_failed_receive(error: &SocketError, failing: &mut bool) {
-    if matches!(error, SocketError::OwnShortage(_)) && !std::mem::replace(failing, true) {
-        log::warn!("peer datagram not received cause={error}");
+    /// Sends a datagram. One that cannot be sent is lost, as any datagram may be.
+    fn send(&self, datagram: &[u8], to: SocketAddr) {
+        self.options.counters.told.add();
+        self.options.counters.told_bytes.add_many(datagram.len());
+        match datagram::send(&self.options.socket, datagram, to) {
+            Ok(()) => self.failures.is_send_failing.set(false),
+            Err(error) => self.failures.on_send_error(&error),
+        }
     }
 }
 
-/// The same for datagrams that were not sent.
-fn log_first_failed_send(error: &SocketError, failing: &Cell<bool>) {
-    if matches!(error, SocketError::OwnShortage(_)) && !failing.replace(true) {
-        log::warn!("peer datagram not sent cause={error}");
+impl ReportedFailures {
+    /// A failed send. An unreachable peer is no fault of this machine and is not logged.
+    fn on_send_error(&self, error: &SocketError) {
+        if is_own_fault(error) && !self.is_send_failing.replace(true) {
+            log::warn!("peer datagram not sent cause={error}");
+        }
     }
-}
 
-/// Logs the first of several rejected datagrams in a row.
-fn log_first_rejection(received: Result<(), BroadcastError>, rejecting: &mut bool) {
-    let Err(cause) = received else {
-        *rejecting = false;
-        return;
-    };
-    if !std::mem::replace(rejecting, true) {
-        log::warn!("peer datagram rejected cause={cause}");
+    /// A failed receive. The kernel also reports here that no peer listens at an address; that is not logged.
+    fn on_receive_error(&self, error: &SocketError) {
+        if is_own_fault(error) && !self.is_receive_failing.replace(true) {
+            log::warn!("peer datagram not received cause={error}");
+        }
+    }
+
+    fn on_dispatched(&self, dispatched: Result<(), BroadcastError>) {
+        let was_rejecting = self.is_rejecting.replace(dispatched.is_err());
+        if let (Err(cause), false) = (dispatched, was_rejecting) {
+            log::warn!("peer datagram rejected cause={cause}");
+        }
     }
 }
+
+/// Whether an error is a fault of this machine.
+fn is_own_fault(error: &SocketError) -> bool {
+    matches!(error, SocketError::OwnShortage(_))
+}
--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -1,12 +1,12 @@
 //! Primary discovery for the whole fleet.
 //!
 //! The leader of a shard announces to all gateways which member answered as the primary of a group; a gateway that has
-//! such an answer reports it to the leader. While every shard has a leader, the other gateways try members of a group
-//! without a primary less often, the more gateways there are: together they try about as often as one alone would.
+//! received such an answer reports it to the leader. While every shard has a leader, the other gateways try members of a
+//! group without a known primary less often, the more gateways there are: together about as often as one gateway alone.
 
 use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
-use crate::fleet::announced_primaries::AnnouncedPrimaries;
+use crate::fleet::announced_primaries::{AnnouncedPrimaries, Repeats};
 use crate::fleet::codec::{FleetCodec, OutgoingDatagram};
 use crate::os::clock::Clock;
 use crate::resources::counters::Counters;
@@ -17,123 +17,129 @@
 };
 use std::rc::Rc;
 
-/// The kind of the role of primary discovery; each shard has a lease of its own.
+/// Kind of the leadership role of primary discovery; each shard has a lease of its own.
 pub const PRIMARY_DISCOVERY: u8 = 1;
-/// Attempts are at most this many times as rare as usual: without any announcement that arrives, a write still finds its
-/// primary within seconds.
-const MAX_ATTEMPT_INTERVAL: Time = 64;
-/// Maximum number of groups whose primaries are announced without shards, where each takes a datagram.
+/// Largest factor by which the interval between attempts at unknown primaries grows. Even if no announcement arrives, a
+/// write then finds its primary within seconds.
+const MAX_ATTEMPT_INTERVAL_FACTOR: Time = 64;
+/// Maximum number of groups that are announced in a fleet without shards, where each takes a datagram.
 const MAX_UNSHARDED_GROUPS: usize = 64;
 
-/// The role of primary discovery in a shard.
-pub fn discovery_role(shard: u16) -> LeadershipRole {
+/// The leadership role of primary discovery for a shard.
+pub(super) fn discovery_role(shard: u16) -> LeadershipRole {
     LeadershipRole { kind: PRIMARY_DISCOVERY, shard: u64::from(shard) }
 }
 
+/// What a [`PrimaryDiscovery`] is built from.
+pub struct PrimaryDiscoveryOptions {
+    /// Number of shards, at least 1.
+    pub shards: u16,
+    /// The decisions: they know primaries from answers and use announced ones.
+    pub facade: Facade,
+    /// Clock of the leases.
+    pub clock: Clock,
+    /// Counts announcements.
+    pub counters: Rc<Counters>,
+    /// Names and numbers of the hosts; announcements carry the hash of a name.
+    pub host_names: Rc<HostNames>,
+}
+
 /// This gateway's part in primary discovery.
 pub struct PrimaryDiscovery {
-    shards: u16,
-    /// The leaders as last seen, by shard.
+    options: PrimaryDiscoveryOptions,
+    /// The last known leaders, by shard.
     leaders: Vec<Option<LeaseHolder>>,
     announced: AnnouncedPrimaries,
-    facade: Facade,
-    clock: Clock,
-    counters: Rc<Counters>,
-    /// The list's names and the decisions' numbers for them.
-    names: Rc<HostNames>,
 }
 
 impl PrimaryDiscovery {
-    /// A part in primary discovery with this many shards.
-    pub fn new(
-        shards: u16,
-        facade: Facade,
-        clock: Clock,
-        counters: Rc<Counters>,
-        names: Rc<HostNames>,
-    ) -> PrimaryDiscovery {
-        let leaders = vec![None; usize::from(shards)];
-        let announced = AnnouncedPrimaries::default();
-        PrimaryDiscovery { shards, leaders, announced, facade, clock, counters, names }
+    /// Starts without known leaders.
+    pub fn new(options: PrimaryDiscoveryOptions) -> PrimaryDiscovery {
+        let leaders = vec![None; usize::from(options.shards)];
+        PrimaryDiscovery { options, leaders, announced: AnnouncedPrimaries::default() }
     }
 
-    /// Another gateway names a primary. A member that is not on this gateway's list is ignored.
-    pub fn on_announcement(&mut self, now: Time, primary: PrimaryAnnouncement) {
-        let Some(member) = self.names.by_hash(primary.member) else { return };
-        self.counters.words.add();
-        // It need not be sent back.
-        let group = self.facade.read(|table| table.group_of(member));
+    /// Handles a primary that another gateway announced or reported. One that is not on this gateway's endpoint list is
+    /// ignored.
+    pub(super) fn on_announcement(&mut self, now: Time, announcement: PrimaryAnnouncement) {
+        let Some(member) = self.options.host_names.by_hash(announcement.member) else { return };
+        self.options.counters.words.add();
+        // Recorded as announced, so that it is not sent back.
+        let group = self.options.facade.read(|table| table.group_of(member));
         if let Some(group) = group {
             self.announced.insert(now, group, member);
         }
-        self.facade.update(|table| table.gossiped_primary(now, member, primary.position));
+        self.options.facade.update(|table| table.gossiped_primary(now, member, announcement.position));
     }
 
-    /// Looks who leads which shard, and adapts how often this gateway tries members by itself.
-    pub fn check_leaders(&mut self, now: Time, lease_manager: &LeaseManager) {
-        let current = (0..self.shards).map(|shard| lease_manager.lease_holder(now, discovery_role(shard)));
-        let current: Vec<Option<LeaseHolder>> = current.collect();
-        if current == self.leaders {
+    /// Updates the known leaders and adapts how often this gateway tries members without a known primary.
+    pub(super) fn update_leaders(&mut self, now: Time, lease_manager: &LeaseManager) {
+        let shards = self.options.shards;
+        let leaders: Vec<Option<LeaseHolder>> =
+            (0..shards).map(|shard| lease_manager.lease_holder(now, discovery_role(shard))).collect();
+        if leaders == self.leaders {
             return;
         }
-        self.leaders = current;
-        let (leaders, shards) = (&self.leaders, self.shards);
-        self.announced.forget(|group| leaders[usize::from(shard_of(group, shards))].is_none());
-        let interval_factor = self.attempt_interval(lease_manager);
-        self.facade.update(|table| table.set_discovery_interval_factor(interval_factor));
+        // The next leader of a shard without one has to be sent everything.
+        self.announced.remove_groups(|group| leaders[usize::from(shard_of(group, shards))].is_none());
+        self.leaders = leaders;
+        let interval_factor = self.attempt_interval_factor(lease_manager);
+        self.options.facade.update(|table| table.set_discovery_interval_factor(interval_factor));
         self.log_leaders();
     }
 
-    /// The datagrams that announce primaries: to all gateways from a shard's leader, also repeatedly; to the leader from
-    /// the others.
-    pub fn announce(
+    /// Returns the announcements that are due: to all gateways for the shards that this gateway leads, and to the leaders
+    /// of the other shards.
+    pub(super) fn due_datagrams(
         &mut self,
         now: Time,
         lease_manager: &mut LeaseManager,
         codec: &FleetCodec,
     ) -> Vec<OutgoingDatagram> {
-        let known = self.facade.read(|table| table.primaries());
+        let known_primaries = self.options.facade.read(|table| table.primaries());
         let mut datagrams = Vec::new();
-        for shard in 0..self.shards {
-            let leader = lease_manager.lease_holder(now, discovery_role(shard));
-            let Some(LeaseHolder { gateway: leader, .. }) = leader else { continue };
-            let is_leader = leader == lease_manager.settings().self_id;
-            let due = self.due_announcements(now, &known, shard, is_leader);
-            datagrams.extend(match is_leader {
-                true => self.notify_all(lease_manager, codec, shard, &due),
-                false => self.report_to(leader, codec, &due),
-            });
+        for shard in 0..self.options.shards {
+            let Some(leader) = lease_manager.lease_holder(now, discovery_role(shard)) else { continue };
+            if leader.gateway == lease_manager.settings().self_id {
+                // Repeated, since a notification may be lost and gateways restart.
+                let due = self.due_announcements(now, &known_primaries, shard, Repeats::Periodic);
+                datagrams.extend(self.notify_all(lease_manager, codec, shard, &due));
+            } else {
+                let due = self.due_announcements(now, &known_primaries, shard, Repeats::Never);
+                datagrams.extend(self.report_to(leader.gateway, codec, &due));
+            }
         }
         datagrams
     }
 
-    /// Number of entries of state.
-    pub fn entries(&self) -> usize {
+    /// Number of state entries.
+    pub(super) fn entry_count(&self) -> usize {
         self.announced.len()
     }
 
-    /// How many times as rare as usual this gateway tries members of a group without a primary.
-    fn attempt_interval(&self, lease_manager: &LeaseManager) -> Time {
+    /// The factor by which the interval between this gateway's attempts at unknown primaries grows: 1 unless every shard
+    /// has a leader that tries members in its place.
+    fn attempt_interval_factor(&self, lease_manager: &LeaseManager) -> Time {
         let settings = lease_manager.settings();
         let is_relieved = |leader: &Option<LeaseHolder>| {
-            leader.is_some_and(|leader| leader.gateway != settings.self_id || self.shards > 1)
+            leader.is_some_and(|leader| leader.gateway != settings.self_id || self.options.shards > 1)
         };
         if !self.leaders.iter().all(is_relieved) {
             return 1;
         }
-        (Time::from(settings.gateways) / 2).clamp(1, MAX_ATTEMPT_INTERVAL)
+        (Time::from(settings.gateways) / 2).clamp(1, MAX_ATTEMPT_INTERVAL_FACTOR)
     }
 
     fn log_leaders(&self) {
         let known: Vec<&LeaseHolder> = self.leaders.iter().flatten().collect();
-        let count = self.leaders.len();
+        let shards = self.leaders.len();
         match known.first() {
             None => log::info!("primary discovery has no leader"),
-            Some(LeaseHolder { gateway, term }) if count == 1 => {
+            Some(LeaseHolder { gateway, term }) if shards == 1 => {
                 log::info!("primary discovery has a leader gateway={gateway} term={term}");
             }
-            Some(_) if known.len() == count => {
-                log::info!("primary discovery has all leaders shards={count}")
+            Some(_) if known.len() == shards => {
+                log::info!("primary discovery has all leaders shards={shards}")
             }
             Some(_) => {
                 log::info!("primary discovery lacks leaders");
@@ -141,41 +147,44 @@
         }
     }
 
-    /// The primaries of a shard that are to be announced now. They count as announced from here on.
+    /// Returns the primaries of a shard that are due for announcement, and records them as announced.
     fn due_announcements(
         &mut self,
         now: Time,
-        known: &[KnownPrimary],
+        known_primaries: &[KnownPrimary],
         shard: u16,
-        repeats: bool,
+        repeats: Repeats,
     ) -> Vec<PrimaryAnnouncement> {
-        let limit = if self.shards == 1 { MAX_UNSHARDED_GROUPS } else { usize::MAX };
-        let in_shard = known.iter().filter(|primary| shard_of(primary.group, self.shards) == shard);
+        let shards = self.options.shards;
+        let max_groups = if shards == 1 { MAX_UNSHARDED_GROUPS } else { usize::MAX };
+        let in_shard = known_primaries.iter().filter(|primary| shard_of(primary.group, shards) == shard);
         let mut due = Vec::new();
-        for KnownPrimary { group, member, evidence_at } in in_shard.take(limit) {
-            let Some(hash) = self.names.hash(*member) else { continue };
+        for KnownPrimary { group, member, evidence_at } in in_shard.take(max_groups) {
+            let Some(name_hash) = self.options.host_names.hash(*member) else { continue };
             if self.announced.is_due(now, *group, *member, repeats) {
                 self.announced.insert(now, *group, *member);
-                due.push(PrimaryAnnouncement { member: hash, position: *evidence_at });
+                due.push(PrimaryAnnouncement { member: name_hash, position: *evidence_at });
             }
         }
         due
     }
 
+    /// Encodes reports to a shard's leader.
     fn report_to(
         &self,
         leader: GatewayId,
         codec: &FleetCodec,
         due: &[PrimaryAnnouncement],
     ) -> Vec<OutgoingDatagram> {
-        let report = |part: &[PrimaryAnnouncement]| match self.shards {
+        let to_message = |part: &[PrimaryAnnouncement]| match self.options.shards {
             1 => Message::PrimaryReport(part[0]),
             _ => Message::PrimaryReports { primaries: part.to_vec() },
         };
         let parts = due.chunks(self.announcements_per_datagram());
-        parts.map(|part| OutgoingDatagram { to: leader, bytes: codec.encode(&report(part)) }).collect()
+        parts.map(|part| OutgoingDatagram { to: leader, bytes: codec.encode(&to_message(part)) }).collect()
     }
 
+    /// Encodes notifications to all gateways under this gateway's lease. Stops when the lease is lost.
     fn notify_all(
         &self,
         lease_manager: &mut LeaseManager,
@@ -187,12 +196,13 @@
         let gateways = lease_manager.settings().gateways;
         let mut datagrams = Vec::new();
         for part in due.chunks(self.announcements_per_datagram()) {
-            let notification = match self.shards {
+            let notification = match self.options.shards {
                 1 => Notification::Primary(part[0]),
                 _ => Notification::Primaries { primaries: part.to_vec() },
             };
-            // The lease is checked right before each of them is sent.
-            let message = lease_manager.notification(self.clock.now(), discovery_role(shard), notification);
+            // The time is read again for each part: the lease must be held right before it is sent.
+            let now = self.options.clock.now();
+            let message = lease_manager.notification(now, discovery_role(shard), notification);
             let Some(message) = message else { break };
             let bytes = codec.encode(&message);
             let others = (0..gateways).filter(|to| *to != self_id);
@@ -202,7 +212,7 @@
     }
 
     fn announcements_per_datagram(&self) -> usize {
-        if self.shards == 1 {
+        if self.options.shards == 1 {
             1
         } else {
             MAX_ANNOUNCEMENTS
--- a/src/fleet/quota_lending.rs
+++ b/src/fleet/quota_lending.rs
@@ -1,5 +1,5 @@
-//! Quota lending, as one gateway carries it: reports, rounds and grants of each shard as messages, and the quotas in force
-//! for the decisions. What is lent and granted, and until when, `petrelgauge_ownership::quota` decides.
+//! Quota lending at one gateway: exchanges the reports, rounds and grants of each shard, and applies the resulting quotas to
+//! the decisions. What is lent and granted, and until when, is decided in `petrelgauge_ownership::quota`.
 
 use crate::facade::Facade;
 use crate::os::clock::Clock;
@@ -8,32 +8,48 @@
     GroupDemand, GroupGrant, MeanRate, Quota, QuotaPool, QuotaReport, QuotaTotals, RequestRates,
 };
 use petrelgauge_ownership::{
-    shard_of, GatewayId, LeadershipRole, LeaseManager, Message, Notification, Outgoing, Term,
+    shard_of, GatewayId, LeadershipRole, LeaseManager, Message, Notification, Outgoing, Settings, Term,
 };
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The kind of the role of quota lending; each shard has a lease of its own.
+/// Kind of the leadership role of quota lending; each shard has a lease of its own.
 pub const QUOTA_LENDING: u8 = 2;
-/// Thousandths in one even quota.
-const EVEN_QUOTA: f64 = 1000.0;
+/// Unit of quotas in counters: thousandths of an even quota.
+const THOUSANDTHS: f64 = 1000.0;
 
-/// Requests that arrived for each group so far.
+/// Returns the number of requests received so far, by group.
 pub type Demand = Rc<dyn Fn() -> BTreeMap<GroupId, u64>>;
 
-/// One shard.
+/// The state of one shard.
 struct Shard {
-    /// This gateway's quotas of the shard's groups.
+    /// This gateway's quotas for the shard's groups.
     quota: Quota,
-    /// While this gateway holds the lease of the shard.
+    /// The quotas of all gateways, while this one holds the shard's lease.
     pool: Option<QuotaPool>,
 }
 
-/// This gateway's quotas and, for the shards whose lease it holds, the pools.
+/// What a [`QuotaLending`] is built from.
+pub struct QuotaLendingOptions {
+    /// Gateways, acceptors and durations of the leases.
+    pub settings: Settings,
+    /// Number of shards, at least 1.
+    pub shards: u16,
+    /// Number of the first report, drawn at random; see [`Quota::new`].
+    pub first_report_number: u32,
+    /// The decisions that apply the quotas.
+    pub facade: Facade,
+    /// Clock of the leases and loans.
+    pub clock: Clock,
+    /// Requests received per group.
+    pub demand: Demand,
+}
+
+/// This gateway's part in quota lending.
 pub struct QuotaLending {
     shards: Vec<Shard>,
-    rates: RequestRates,
-    /// What the decisions apply now, of groups whose quota is not the even one.
+    request_rates: RequestRates,
+    /// Quotas that the decisions apply, of the groups whose quota is not the even one.
     applied: BTreeMap<GroupId, QuotaAdjustment>,
     facade: Facade,
     clock: Clock,
@@ -45,41 +61,36 @@
 }
 
 impl QuotaLending {
-    /// For a gateway that starts now, with this many shards. `number` is random, see [`Quota::new`].
-    pub fn new(
-        lease_manager: &LeaseManager,
-        shards: u16,
-        number: u32,
-        facade: Facade,
-        clock: Clock,
-        demand: Demand,
-    ) -> QuotaLending {
-        let new_quota = || Quota::new(lease_manager.settings().clone(), clock.now(), number);
+    /// Starts with the minimum quota for every group.
+    pub fn new(options: QuotaLendingOptions) -> QuotaLending {
+        let QuotaLendingOptions { settings, shards, first_report_number, facade, clock, demand } = options;
+        let new_quota = || Quota::new(settings.clone(), clock.now(), first_report_number);
         let shards = (0..shards.max(1)).map(|_| Shard { quota: new_quota(), pool: None }).collect();
-        let (rates, applied) = (RequestRates::default(), BTreeMap::new());
-        QuotaLending { shards, rates, applied, facade, clock, demand }
+        let (request_rates, applied) = (RequestRates::default(), BTreeMap::new());
+        QuotaLending { shards, request_rates, applied, facade, clock, demand }
     }
 
-    /// When [`QuotaLending::on_deadline`] is to be called at the latest; rounds are opened at any call.
-    pub fn next_deadline(&self) -> Option<Time> {
+    /// When the next report is due, the latest time to call [`QuotaLending::on_deadline`]. A due round is opened at any
+    /// call.
+    pub(super) fn next_deadline(&self) -> Option<Time> {
         self.shards.iter().filter_map(|shard| shard.quota.next_deadline()).min()
     }
 
-    /// The messages to send now.
-    pub fn on_deadline(&mut self, lease_manager: &mut LeaseManager) -> Vec<Outgoing> {
+    /// Opens due rounds, and returns these and due reports as messages.
+    pub(super) fn on_deadline(&mut self, lease_manager: &mut LeaseManager) -> Vec<Outgoing> {
         let now = self.clock.now();
         let mut outgoing = Vec::new();
         for shard in 0..self.shards.len() {
             outgoing.extend(self.open_round(now, shard, lease_manager));
         }
         if self.next_deadline().is_some_and(|deadline| now >= deadline) {
-            outgoing.extend(self.report(now, lease_manager));
+            outgoing.extend(self.due_reports(now, lease_manager));
         }
         outgoing
     }
 
-    /// A message arrived whose term the lease manager admits.
-    pub fn on_message(
+    /// Handles a message whose term the lease manager has admitted, and returns the responses.
+    pub(super) fn on_message(
         &mut self,
         from: GatewayId,
         message: &Message,
@@ -98,37 +109,41 @@
         }
     }
 
-    /// Number of entries of state.
-    pub fn entries(&self) -> usize {
+    /// Number of state entries.
+    pub(super) fn entry_count(&self) -> usize {
         let pools = self.shards.iter().filter_map(|shard| shard.pool.as_ref());
         let groups = self.shards.iter().map(|shard| shard.quota.groups().count());
         groups.sum::<usize>() + pools.map(QuotaPool::entries).sum::<usize>()
     }
 
-    /// The counters as text, in thousandths of an even quota. Their names are an interface to operators.
-    pub fn counts(&self) -> String {
+    /// The counters in their text form, in thousandths of an even quota. Their names are an interface to operators.
+    pub(super) fn counts(&self) -> String {
         let now = self.clock.now();
         let extras = self.shards.iter().flat_map(|shard| shard_extras(now, shard));
-        let (lent, granted) = extras.fold((0, 0), |(lent, granted), extra| match extra < 0 {
-            true => (lent - extra, granted),
-            false => (lent, granted + extra),
-        });
+        let (mut lent, mut borrowed) = (0, 0);
+        for extra in extras {
+            if extra < 0 {
+                lent -= extra;
+            } else {
+                borrowed += extra;
+            }
+        }
+        let own_totals = format!("share_lent={lent} share_given={borrowed}");
         let pools = self.shards.iter().filter_map(|shard| shard.pool.as_ref());
-        let totals: Vec<QuotaTotals> = pools.map(|pool| pool.totals(now)).collect();
-        let own = format!("share_lent={lent} share_given={granted}");
-        if totals.is_empty() {
-            return own;
+        let pool_totals: Vec<QuotaTotals> = pools.map(|pool| pool.totals(now)).collect();
+        if pool_totals.is_empty() {
+            return own_totals;
         }
-        let pool_lent: i64 = totals.iter().map(|totals| totals.lent).sum();
-        let pool_granted: i64 = totals.iter().map(|totals| totals.granted).sum();
-        format!("{own} pool_lent={pool_lent} pool_given={pool_granted}")
+        let pool_lent: i64 = pool_totals.iter().map(|totals| totals.lent).sum();
+        let pool_granted: i64 = pool_totals.iter().map(|totals| totals.granted).sum();
+        format!("{own_totals} pool_lent={pool_lent} pool_given={pool_granted}")
     }
 
     fn shard_of(&self, group: GroupId) -> usize {
         usize::from(shard_of(group, self.shards.len() as u16))
     }
 
-    /// Opens a round of a shard if it is time and this gateway holds the lease. Without the lease there is no pool.
+    /// Opens a round of a shard if it is due and this gateway holds the lease. Drops the pool if it does not.
     fn open_round(&mut self, now: Time, shard: usize, lease_manager: &mut LeaseManager) -> Vec<Outgoing> {
         let pool = &mut self.shards[shard].pool;
         let Some(term) = lease_manager.held_term(now, lending_role(shard)) else {
@@ -142,14 +157,16 @@
         let round = pool.open_round(now);
         let mut outgoing = Vec::new();
         for mean_rates in round.parts {
-            let Some(part) = self.round_part(shard, round.number, mean_rates, lease_manager) else { break };
-            outgoing.extend(part);
+            let messages = self.round_messages(shard, round.number, mean_rates, lease_manager);
+            let Some(messages) = messages else { break };
+            outgoing.extend(messages);
         }
         outgoing
     }
 
-    /// A part of a round for all gateways, this one included. The lease is checked right before each part is sent.
-    fn round_part(
+    /// Returns one part of a round as messages to all gateways, this one included; `None` if the lease is lost. The lease
+    /// must be held right before each part is sent.
+    fn round_messages(
         &self,
         shard: usize,
         round: u32,
@@ -162,12 +179,12 @@
         Some(gateways.map(|to| Outgoing { to, message: message.clone() }).collect())
     }
 
-    /// The reports that are due. What they lend is applied before anybody learns of it.
-    fn report(&mut self, now: Time, lease_manager: &LeaseManager) -> Vec<Outgoing> {
-        let counts = (self.demand)();
-        self.rates.observe(now, &counts);
+    /// Returns the reports that are due. What they lend is deducted from this gateway's own quota before they are sent.
+    fn due_reports(&mut self, now: Time, lease_manager: &LeaseManager) -> Vec<Outgoing> {
+        let request_counts = (self.demand)();
+        self.request_rates.observe(now, &request_counts);
         let mut rates: Vec<BTreeMap<GroupId, u32>> = vec![BTreeMap::new(); self.shards.len()];
-        for (group, rate) in self.rates.per_group() {
+        for (group, rate) in self.request_rates.per_group() {
             rates[self.shard_of(group)].insert(group, rate);
         }
         let mut outgoing = Vec::new();
@@ -176,7 +193,7 @@
                 outgoing.extend(to_lease_holder(now, index, report, lease_manager));
             }
         }
-        self.apply(now, counts.keys().copied());
+        self.apply(now, request_counts.keys().copied());
         outgoing
     }
 
@@ -198,7 +215,7 @@
         }
     }
 
-    /// The grant for a report, all of whose groups are of one shard.
+    /// Returns the grant for a report, if there is one. All groups of a report are of one shard; others are ignored.
     fn grant(
         &mut self,
         now: Time,
@@ -222,12 +239,12 @@
         Some(Outgoing { to: from, message })
     }
 
-    /// Passes the quotas of these groups to the decisions, where they have changed.
+    /// Applies the quotas of these groups to the decisions, where they have changed.
     fn apply(&mut self, now: Time, groups: impl Iterator<Item = GroupId>) {
         for group in groups {
             let adjustment = self.shards[self.shard_of(group)].quota.current(now, group);
-            let before = self.applied.get(&group).copied().unwrap_or_default();
-            if adjustment == before {
+            let applied = self.applied.get(&group).copied().unwrap_or_default();
+            if adjustment == applied {
                 continue;
             }
             self.facade.update(|table| table.adjust_quota(group, adjustment));
@@ -241,8 +258,8 @@
     }
 }
 
-/// A report goes to the holder of the lease that its round was opened under. A later holder could not count on it; what
-/// it lends binds all the same.
+/// Addresses a report to the lease holder that opened its round. A later holder cannot use the report, so it is dropped;
+/// what it lends stays in force.
 fn to_lease_holder(
     now: Time,
     shard: usize,
@@ -256,8 +273,8 @@
     Some(Outgoing { to: holder.gateway, message: Message::QuotaReport(report) })
 }
 
-/// What a gateway uses of each group of a shard beside its even quota, in thousandths; negative if it lends.
+/// What this gateway borrows of each group of a shard, in thousandths of an even quota; negative if it lends.
 fn shard_extras(now: Time, shard: &Shard) -> impl Iterator<Item = i64> + '_ {
-    let extra = move |group| (shard.quota.current(now, group).extra * EVEN_QUOTA).round() as i64;
+    let extra = move |group| (shard.quota.current(now, group).extra * THOUSANDTHS).round() as i64;
     shard.quota.groups().map(extra)
 }
--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -6,7 +6,7 @@
 
 use common::{settings, MS};
 use petrelgauge::facade::{Facade, SessionTracking};
-use petrelgauge::fleet::peers::Peers;
+use petrelgauge::fleet::peers::{PeerExchange, PeerOptions};
 use petrelgauge::os::clock::Clock;
 use petrelgauge::os::datagram::{self, DatagramSocket};
 use petrelgauge::os::socket::{classify, Call, SocketError};
@@ -143,8 +143,8 @@
     }
 }
 
-/// Lets a gateway talk over a socket until it has heard the datagram and sent some of its own.
-fn talk(socket: &'static FaultySocket) {
+/// Runs a gateway's exchange over a socket until it has received the datagram and sent some of its own.
+fn run_exchange(socket: &'static FaultySocket) {
     let (clock, counters) = (Clock::start(), Rc::new(Counters::default()));
     let interval =
         petrelgauge_sessions::Settings { instances: 2, broadcast_interval: 5 * MS, ..Default::default() };
@@ -152,10 +152,18 @@
     let set = petrelgauge::Settings { may_probe: false, ..settings() };
     let facade = Facade::with_sessions(set, 11, Some(SessionTracking { tracker, classes: vec![2, 5] }))
         .expect("sound settings");
-    let peers = Peers::new(socket, 0, vec![peer(), peer()]);
+    let exchange = PeerExchange::new(PeerOptions {
+        socket,
+        addresses: vec![peer(), peer()],
+        self_index: 0,
+        facade,
+        leadership: None,
+        clock,
+        counters: counters.clone(),
+    });
     block_on(async {
         tokio::select! {
-            () = peers.talk(facade, clock, counters.clone(), None) => panic!("it never ends"),
+            () = exchange.run() => panic!("it never ends"),
             () = async {
                 while counters.heard.get() == 0 || Instant::now() < socket.failing_until {
                     tokio::time::sleep(Duration::from_millis(1)).await;
@@ -171,7 +179,7 @@
 fn receives_that_fail_neither_end_the_exchange_nor_take_up_the_processor() {
     for (number, _) in ERRORS {
         let socket: &FaultySocket = Box::leak(Box::new(FaultySocket::new(number, 0, u32::MAX)));
-        talk(socket);
+        run_exchange(socket);
         // One call each 2 ms, and some for the turns of sends between them.
         assert!(socket.receive_calls.get() < 100, "{} calls: {}", socket.receive_calls.get(), error(number));
     }
@@ -181,7 +189,7 @@
 fn receives_that_are_interrupted_or_not_ready_are_made_again_at_once() {
     for number in [libc::EINTR, libc::EAGAIN] {
         let socket: &FaultySocket = Box::leak(Box::new(FaultySocket::new(number, 0, 50)));
-        talk(socket);
+        run_exchange(socket);
         assert!(socket.receive_calls.get() > 50, "{}", error(number));
     }
 }
