--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -2,6 +2,7 @@
 
 use crate::control::config::Config;
 use crate::control::decisions::RoutingDecisions;
+use crate::control::dependencies::Dependencies;
 use crate::control::error::ControlError;
 use crate::control::leadership::fleet_leadership;
 use crate::control::tasks::{close_unused_connections, step_decisions};
@@ -10,18 +11,13 @@
 use crate::facade::Facade;
 use crate::fleet::leadership::FleetLeadership;
 use crate::fleet::peers::{PeerExchange, PeerOptions};
-use crate::fleet::quota_lending::Demand;
 use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
 use crate::os::datagram::DatagramSocket;
 use crate::os::socket::{self, SocketError};
-use crate::postgres::read_buffer::ReadBuffer;
-use crate::resources::budget::Budget;
-use crate::resources::counters::Counters;
-use crate::{MemberId, Time};
+use crate::Time;
 use petrelgauge_lifecycle::backoff::Backoff;
 use std::cell::Cell;
-use std::collections::BTreeMap;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,22 +27,6 @@
 /// Attempts to open the datagram socket at startup while the machine lacks descriptors or memory (count).
 const BIND_ATTEMPTS: u32 = 500;
 
-/// What a control plane needs from its process.
-pub struct Dependencies {
-    /// Clock of all deadlines.
-    pub clock: Clock,
-    /// Limits on descriptors and message memory.
-    pub budget: Rc<Budget>,
-    /// Buffer that all connections read into.
-    pub read_buffer: Rc<ReadBuffer>,
-    /// Counters that operators see.
-    pub counters: Rc<Counters>,
-    /// Requests received per group, the base of quota lending.
-    pub demand: Demand,
-    /// Numbers of the hosts that another process of this gateway knew, by their names; empty without one.
-    pub assigned_ids: BTreeMap<String, MemberId>,
-}
-
 /// The control plane of one gateway. `S` is the socket for datagrams between gateways.
 pub struct ControlPlane<S> {
     /// The routing decisions.
@@ -79,44 +59,30 @@
     pub async fn new<F: Future<Output = Result<S, SocketError>>>(
         config: &mut Config,
         decisions: RoutingDecisions,
-        dependencies: Dependencies,
+        mut dependencies: Dependencies,
         bind: impl Fn(SocketAddr) -> F,
     ) -> Result<ControlPlane<S>, ControlError> {
         let RoutingDecisions { facade, read_wait_bound, gateway_count, broadcast_address, .. } = decisions;
-        let Dependencies { clock, budget, read_buffer, counters, demand, assigned_ids } = dependencies;
-        let host_pool = HostPool::new(
-            clock,
-            budget,
-            counters.clone(),
-            read_buffer,
-            config.info.connect_span(),
-            config.info.idle_span(),
-        );
+        let clock = dependencies.clock;
+        let host_pool = new_host_pool(config, &dependencies);
         let discovery_watch = DiscoveryWatch::new(WatchOptions {
             facade: facade.clone(),
             host_pool: host_pool.clone(),
-            counters: counters.clone(),
+            counters: dependencies.counters.clone(),
             clock,
             backoff: Backoff::new(gateway_count, config.seed.rotate_left(32)),
             initial_list: config.initial_list.take(),
-            assigned_ids,
+            assigned_ids: std::mem::take(&mut dependencies.assigned_ids),
         });
         let host_names = discovery_watch.host_names();
-        let leadership = fleet_leadership(config, &facade, clock, &counters, &host_names, demand)?;
+        let leadership = fleet_leadership(config, &dependencies, &facade, &host_names)?;
         let datagram_address =
             broadcast_address.or_else(|| config.peer_listen.filter(|_| leadership.is_some()));
-        let peer_exchange = match datagram_address {
-            Some(address) => Some(PeerExchange::new(PeerOptions {
-                self_index: config.peer_index().ok_or(ControlError::NotListed)?,
-                socket: open_socket(address, bind).await?,
-                addresses: config.peers.clone(),
-                facade: facade.clone(),
-                leadership: leadership.clone(),
-                clock,
-                counters,
-            })),
-            None => None,
-        };
+        let mut peer_exchange = None;
+        if let Some(address) = datagram_address {
+            let options = peer_options(config, &dependencies, &facade, &leadership)?;
+            peer_exchange = Some(PeerExchange::new(open_socket(address, bind).await?, options));
+        }
         Ok(ControlPlane {
             facade,
             host_pool,
@@ -151,6 +117,33 @@
     }
 }
 
+fn new_host_pool(config: &Config, dependencies: &Dependencies) -> Rc<HostPool> {
+    HostPool::new(
+        dependencies.clock,
+        dependencies.budget.clone(),
+        dependencies.counters.clone(),
+        dependencies.read_buffer.clone(),
+        config.info.connect_span(),
+        config.info.idle_span(),
+    )
+}
+
+fn peer_options(
+    config: &Config,
+    dependencies: &Dependencies,
+    facade: &Facade,
+    leadership: &Option<Rc<FleetLeadership>>,
+) -> Result<PeerOptions, ControlError> {
+    Ok(PeerOptions {
+        addresses: config.peers.clone(),
+        self_index: config.peer_index().ok_or(ControlError::NotListed)?,
+        facade: facade.clone(),
+        leadership: leadership.clone(),
+        clock: dependencies.clock,
+        counters: dependencies.counters.clone(),
+    })
+}
+
 /// Opens the socket for datagrams between gateways at `address`, retrying while the machine lacks resources.
 async fn open_socket<S, F: Future<Output = Result<S, SocketError>>>(
     address: SocketAddr,
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -1,14 +1,14 @@
 //! This gateway's part in the fleet's leadership roles, built from its configuration.
 
 use crate::control::config::Config;
+use crate::control::dependencies::Dependencies;
 use crate::control::error::ControlError;
 use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
 use crate::fleet::leadership::{FleetLeadership, LeadershipConfig, LeadershipOptions};
 use crate::fleet::primary_discovery::{PrimaryDiscovery, PrimaryDiscoveryOptions};
-use crate::fleet::quota_lending::{Demand, QuotaLending, QuotaLendingOptions};
-use crate::os::clock::Clock;
-use crate::resources::counters::Counters;
+use crate::fleet::quota_lending::{QuotaLending, QuotaLendingOptions};
+use crate::Time;
 use petrelgauge_ownership::LeaseManager;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,11 +17,9 @@
 /// Builds the leadership roles of the operator's `ownership` record; `None` without one.
 pub(super) fn fleet_leadership(
     config: &Config,
+    dependencies: &Dependencies,
     facade: &Facade,
-    clock: Clock,
-    counters: &Rc<Counters>,
     host_names: &Rc<HostNames>,
-    demand: Demand,
 ) -> Result<Option<Rc<FleetLeadership>>, ControlError> {
     let Some(record) = &config.operator.ownership else { return Ok(None) };
     if config.peer_listen.is_none() {
@@ -29,37 +27,41 @@
     }
     let self_id = config.peer_index().ok_or(ControlError::NotListedFor { record: "ownership" })?;
     let settings = record.settings(self_id, config.peers.len())?;
+    let Dependencies { clock, counters, .. } = dependencies;
     let now = clock.now();
-    let lease_manager = LeaseManager::new(settings, now, config.seed)?;
+    let lease_manager = LeaseManager::new(settings.clone(), now, config.seed)?;
     let quota_lending = record.quota_lending.then(|| {
         QuotaLending::new(QuotaLendingOptions {
-            settings: lease_manager.settings().clone(),
+            settings,
             shards: record.shards,
-            // Differs at each start: a restarted process must not accept quota that was granted to its predecessor.
-            first_report_number: Pcg64Mcg::seed_from_u64(config.seed ^ now as u64).next_u32(),
+            first_report_number: first_report_number(config.seed, now),
             facade: facade.clone(),
-            clock,
-            demand,
+            clock: *clock,
+            demand: dependencies.demand.clone(),
         })
     });
     let primary_discovery = PrimaryDiscovery::new(PrimaryDiscoveryOptions {
         shards: record.shards,
         facade: facade.clone(),
-        clock,
+        clock: *clock,
         counters: counters.clone(),
         host_names: host_names.clone(),
     });
-    let leadership_config = LeadershipConfig {
-        primary_discovery: record.primary_discovery,
-        shards: record.shards,
-        secret: record.secret,
-    };
     Ok(Some(FleetLeadership::new(LeadershipOptions {
-        config: leadership_config,
+        config: LeadershipConfig {
+            primary_discovery: record.primary_discovery,
+            shards: record.shards,
+            secret: record.secret,
+        },
         lease_manager,
         primary_discovery,
         quota_lending,
-        clock,
+        clock: *clock,
         counters: counters.clone(),
     })))
 }
+
+/// Differs at each start: a restarted process must not accept quota that was granted to its predecessor.
+fn first_report_number(seed: u64, now: Time) -> u32 {
+    Pcg64Mcg::seed_from_u64(seed ^ now as u64).next_u32()
+}
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -8,7 +8,8 @@
 //! | `config` | reads the environment and the configuration file |
 //! | `effective_settings`, `session_tracking`, `decisions` | derive the routing decisions from a configuration |
 //! | `leadership` | builds the gateway's part in the fleet's leadership roles |
-//! | `control_plane` | connects these and starts their tasks; `tasks` has the periodic ones |
+//! | `dependencies` | what the process provides: clock, limits, counters |
+//! | `control_plane` | connects all of these and starts their tasks; `tasks` has the periodic ones |
 //! | `reload` | applies a configuration that was read again |
 //! | `ops` | accepts operators' commands |
 //! | `error` | why a start or a reload fails |
@@ -22,6 +23,7 @@
 pub mod config;
 mod control_plane;
 mod decisions;
+mod dependencies;
 mod effective_settings;
 mod error;
 mod leadership;
@@ -30,7 +32,8 @@
 mod session_tracking;
 mod tasks;
 
-pub use control_plane::{ControlPlane, Dependencies};
+pub use control_plane::ControlPlane;
 pub use decisions::RoutingDecisions;
+pub use dependencies::Dependencies;
 pub use error::ControlError;
 pub use reload::Reloaded;
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -14,10 +14,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What a [`PeerExchange`] is built from.
-pub struct PeerOptions<S> {
-    /// The socket that is bound to this gateway's address.
-    pub socket: S,
+/// What a [`PeerExchange`] is built from, beside its socket.
+pub struct PeerOptions {
     /// Addresses of all gateways, in the order of their numbers.
     pub addresses: Vec<SocketAddr>,
     /// This gateway's index among them.
@@ -34,7 +32,9 @@
 
 /// The exchange of datagrams with the other gateways.
 pub struct PeerExchange<S> {
-    options: PeerOptions<S>,
+    /// Bound to this gateway's address.
+    socket: S,
+    options: PeerOptions,
     failures: ReportedFailures,
 }
 
@@ -47,9 +47,9 @@
 }
 
 impl<S: DatagramSocket> PeerExchange<S> {
-    /// Builds the exchange.
-    pub fn new(options: PeerOptions<S>) -> PeerExchange<S> {
-        PeerExchange { options, failures: ReportedFailures::default() }
+    /// An exchange over the socket that is bound to this gateway's address.
+    pub fn new(socket: S, options: PeerOptions) -> PeerExchange<S> {
+        PeerExchange { socket, options, failures: ReportedFailures::default() }
     }
 
     /// Sends and receives datagrams. Never returns, whatever fails.
@@ -68,7 +68,7 @@
             tokio::select! {
                 biased;
                 () = clock.sleep_until(next_at) => {}
-                received = datagram::receive(&self.options.socket, &mut bytes) => match received {
+                received = datagram::receive(&self.socket, &mut bytes) => match received {
                     Ok(length) => self.on_datagram(&bytes[..length]),
                     Err(error) => {
                         self.failures.on_receive_error(&error);
@@ -133,7 +133,7 @@
     fn send(&self, datagram: &[u8], to: SocketAddr) {
         self.options.counters.told.add();
         self.options.counters.told_bytes.add_many(datagram.len());
-        match datagram::send(&self.options.socket, datagram, to) {
+        match datagram::send(&self.socket, datagram, to) {
             Ok(()) => self.failures.is_send_failing.set(false),
             Err(error) => self.failures.on_send_error(&error),
         }
--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -152,15 +152,15 @@
     let set = petrelgauge::Settings { may_probe: false, ..settings() };
     let facade = Facade::with_sessions(set, 11, Some(SessionTracking { tracker, classes: vec![2, 5] }))
         .expect("sound settings");
-    let exchange = PeerExchange::new(PeerOptions {
-        socket,
+    let options = PeerOptions {
         addresses: vec![peer(), peer()],
         self_index: 0,
         facade,
         leadership: None,
         clock,
         counters: counters.clone(),
-    });
+    };
+    let exchange = PeerExchange::new(socket, options);
     block_on(async {
         tokio::select! {
             () = exchange.run() => panic!("it never ends"),
