--- a/crates/lab/src/sessions/mod.rs
+++ b/crates/lab/src/sessions/mod.rs
@@ -65,9 +65,9 @@
     CounterName { key: "by_token", logged: "by_token" },
     CounterName { key: "by_memory", logged: "by_memory" },
     CounterName { key: "by_peers", logged: "by_peers" },
-    CounterName { key: "open", logged: "open" },
-    CounterName { key: "settled", logged: "settled" },
-    CounterName { key: "behind", logged: "behind" },
+    CounterName { key: "open", logged: "unknown" },
+    CounterName { key: "settled", logged: "lowered" },
+    CounterName { key: "behind", logged: "unproven" },
     CounterName { key: "bad_bulletins", logged: "broadcasts_rejected" },
     CounterName { key: "gaps", logged: "gaps" },
 ];
--- a/crates/sessions/src/answer_check.rs
+++ b/crates/sessions/src/answer_check.rs
@@ -6,12 +6,12 @@
 use crate::settings::{PositionScope, Settings};
 use petrelgauge_policy::{mutant, Mutant, Role, Time};
 
-/// What an answer proves of a minimum position.
+/// Whether an answer proves a minimum position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The data hold everything that the session must see.
+    /// The data contain everything that the session must see.
     Proven,
-    /// They may not: the answer must not reach the client.
+    /// Something may be missing: the answer must not reach the client.
     Unproven,
 }
 
@@ -20,29 +20,31 @@
 pub struct AnswerEvidence {
     /// Position reported with the answer, in microseconds.
     pub position: Option<Time>,
-    /// Highest position that the host had reported when the read was sent: positions never go back.
+    /// Highest position that the host had reported when the read was sent. Positions never go back.
     pub position_at_send: Option<Time>,
     /// The role that the host reported.
     pub role: Option<Role>,
 }
 
-/// What the answer proves.
+/// Checks whether the answer's data have reached the minimum position.
 ///
-/// A primary reads its position a moment before it answers, by a clock that may differ, and is given that
-/// much slack. A deposed primary stands where its log ended; what it lacks was committed after the take-over,
-/// later by more than [`MAX_CLOCK_ERROR`] allows.
+/// A primary reads its position shortly before it answers, by a clock that may differ, and is allowed that
+/// much slack. The log of a deposed primary has ended; what it lacks was committed after the failover, later
+/// by more than [`MAX_CLOCK_ERROR`] allows.
 pub(crate) fn verify(settings: &Settings, minimum: &MinimumPosition, answer: &AnswerEvidence) -> Verdict {
     let required = minimum.position();
     let position = position_of_data(settings, answer);
-    let reached = position.is_some_and(|position| position + slack(settings, answer.role) >= required);
-    let enforced = position.is_none() && proven_without_position(settings, answer.role);
-    match reached || required == 0 || enforced || mutant(Mutant::StaleAnswerDelivered) {
-        true => Verdict::Proven,
-        false => Verdict::Unproven,
+    let has_reached = position.is_some_and(|position| position + slack(settings, answer.role) >= required);
+    let is_enforced = position.is_none() && is_proven_without_position(settings, answer.role);
+    let is_proven = has_reached || required == 0 || is_enforced || mutant(Mutant::StaleAnswerDelivered);
+    if is_proven {
+        Verdict::Proven
+    } else {
+        Verdict::Unproven
     }
 }
 
-/// The position that the data are known to have had.
+/// The position that the data are known to have reached.
 fn position_of_data(settings: &Settings, answer: &AnswerEvidence) -> Option<Time> {
     match (settings.position_scope, answer.role) {
         (PositionScope::DataRead, _) | (_, Some(Role::Primary)) => answer.position,
@@ -58,9 +60,9 @@
     }
 }
 
-/// Whether an answer without a position proves what is needed: where hosts never report one, because the host
-/// itself rejects reads for which it lags too far, or because it is the primary.
-fn proven_without_position(settings: &Settings, role: Option<Role>) -> bool {
-    let enforced = settings.hosts_enforce_positions || role == Some(Role::Primary);
-    !settings.hosts_report_positions && enforced
+/// Whether an answer without a position is proof where hosts never report one: either the host itself rejects
+/// reads for which it lags too far, or it is the primary.
+fn is_proven_without_position(settings: &Settings, role: Option<Role>) -> bool {
+    let is_implied = settings.hosts_enforce_positions || role == Some(Role::Primary);
+    !settings.hosts_report_positions && is_implied
 }
--- a/crates/sessions/src/counts.rs
+++ b/crates/sessions/src/counts.rs
@@ -1,24 +1,24 @@
-//! Statistics of session consistency, as they are logged.
+//! Counters of session consistency, as they are logged.
 
-/// Counts since the start of the instance.
+/// Counters since the start of the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Reads whose minimum position came from the client's token.
     pub by_token: u64,
     /// Reads whose minimum position came from this instance's memory.
     pub by_memory: u64,
-    /// Reads whose minimum position came from the other instances' broadcasts at once.
+    /// Reads whose minimum position came from the other instances' broadcasts when they arrived.
     pub by_peers: u64,
     /// Reads that needed everything committed before they arrived.
-    pub open: u64,
+    pub unknown: u64,
     /// Of these, reads whose position was lowered while they waited.
-    pub settled: u64,
+    pub lowered: u64,
     /// Answers that did not prove their minimum position and were withheld.
-    pub behind: u64,
+    pub unproven: u64,
     /// Tokens older than [`crate::Settings::token_age`].
-    pub old_tokens: u64,
+    pub expired_tokens: u64,
     /// Tokens with times ahead of the clock.
-    pub early_tokens: u64,
+    pub future_tokens: u64,
     /// Broadcasts encoded.
     pub sent: u64,
     /// Broadcasts decoded and applied.
@@ -30,10 +30,14 @@
 impl std::fmt::Display for Counts {
     /// One log line, `sessions:` followed by `name=count` pairs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Counts { by_token, by_memory, by_peers, open, settled, behind, .. } = self;
-        let Counts { old_tokens, early_tokens, sent, received, rejected, .. } = self;
-        write!(f, "sessions: by_token={by_token} by_memory={by_memory} by_peers={by_peers} open={open} ")?;
-        write!(f, "settled={settled} behind={behind} old_tokens={old_tokens} early_tokens={early_tokens} ")?;
+        let Counts { by_token, by_memory, by_peers, unknown, lowered, unproven, .. } = self;
+        let Counts { expired_tokens, future_tokens, sent, received, rejected, .. } = self;
+        write!(
+            f,
+            "sessions: by_token={by_token} by_memory={by_memory} by_peers={by_peers} unknown={unknown} "
+        )?;
+        write!(f, "lowered={lowered} unproven={unproven} ")?;
+        write!(f, "expired_tokens={expired_tokens} future_tokens={future_tokens} ")?;
         write!(f, "broadcasts_sent={sent} broadcasts_received={received} broadcasts_rejected={rejected}")
     }
 }
--- a/crates/sessions/src/encoding.rs
+++ b/crates/sessions/src/encoding.rs
@@ -25,12 +25,12 @@
     time.max(0) as u64 / MICROSECONDS_PER_MILLISECOND
 }
 
-/// The time of so many milliseconds.
+/// Milliseconds as a time in microseconds.
 pub(crate) fn time_of(milliseconds: u64) -> Time {
     milliseconds as Time * MICROSECONDS_PER_MILLISECOND as Time
 }
 
-/// Appends a time; one past the range is written as the largest.
+/// Appends a time. One out of range is encoded as the maximum.
 pub(crate) fn push_milliseconds(bytes: &mut Vec<u8>, milliseconds: u64) {
     push_low_bytes(bytes, milliseconds.min(MAX_MILLISECONDS), TIME_BYTES);
 }
@@ -45,14 +45,13 @@
     bytes.extend_from_slice(&big_endian[big_endian.len() - width..]);
 }
 
-/// The checksum of a message under a seed made of the shared secret and the message's kind.
+/// Checksum of a message. The seed combines the shared secret and the kind of the message.
 pub(crate) fn checksum(bytes: &[u8], seed: u64) -> [u8; CHECKSUM_BYTES] {
     let hash = xxh3_64_with_seed(bytes, seed);
     ((hash >> 32) as u32).to_be_bytes()
 }
 
-/// Reads the fields of a message one after another. The caller has checked the message's length; past the end
-/// all fields read as 0.
+/// Reads the fields of a message in order. Fields past the end are 0; the caller has checked the length.
 pub(crate) struct FieldReader<'a> {
     remaining: &'a [u8],
 }
--- a/crates/sessions/src/known_range.rs
+++ b/crates/sessions/src/known_range.rs
@@ -1,9 +1,8 @@
-//! How far the watermarks of another instance are known here: up to when without a gap, and what may lie in
-//! the gaps.
+//! How far the watermarks of another instance are known here, and an upper bound of those in gaps.
 
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Intervals that may wait for a missing one before them.
+/// Maximum number of intervals that wait for a missing one before them.
 const MAX_PENDING: usize = 4;
 
 /// An interval that a broadcast covers. Times in microseconds of the sender's clock.
@@ -26,30 +25,30 @@
     until: Time,
 }
 
-/// What is known of the watermarks that one instance records in one group. Times in microseconds of that
-/// instance's clock, but for the time since when an interval is missing.
+/// How far the watermarks that another instance records in one group are known. Times in microseconds of that
+/// instance's clock, unless stated otherwise.
 ///
-/// States: nothing received (`known_until` is 0); contiguous (nothing pending); waiting (later intervals are
-/// pending, one before them is missing). A gap that stays open is closed with an upper bound: whatever was
-/// recorded in it was committed before the gap ended.
+/// States: empty (`known_until` is 0); contiguous (nothing is pending); waiting (an interval before the
+/// pending ones is missing). A gap that stays open is closed with an upper bound: whatever was recorded in it
+/// was committed before the gap ended.
 #[derive(Clone, Debug, Default)]
 pub struct KnownRange {
-    /// Start of the latest run that was received from.
+    /// Start of the sender's latest known run.
     epoch: Time,
     /// Every watermark recorded up to then is known, or bounded by `omitted_bound` or `gap_end`.
     known_until: Time,
-    /// Watermarks that were never received were recorded up to then at the latest; 0 for none.
+    /// End of the last closed gap, an upper bound of the watermarks never received; 0 if there are none.
     gap_end: Time,
     omitted_bound: Time,
     pending: Vec<PendingInterval>,
-    /// Local time since when an interval is missing.
+    /// Since when an interval is missing, by the local clock.
     gap_since: Time,
     /// Gaps closed so far.
     gaps: u64,
 }
 
 impl KnownRange {
-    /// Records a received interval at the local time `now`. Repeated and late ones never reduce what is
+    /// Records an interval received at the local time `now`. Duplicates and late ones never reduce what is
     /// known.
     pub fn record_interval(&mut self, now: Time, interval: PeerInterval) {
         self.omitted_bound = self.omitted_bound.max(interval.omitted_bound);
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Every watermark recorded up to this time is known here; 0 if nothing was received.
+    /// Every watermark recorded up to this time is known or bounded; 0 if nothing was received.
     pub fn known_until(&self) -> Time {
         self.known_until
     }
@@ -94,7 +93,7 @@
         self.gaps
     }
 
-    /// The instance has restarted: what its last run recorded and did not send is lost.
+    /// The sender has restarted: what its last run recorded and did not send is lost.
     fn begin_epoch(&mut self, interval: PeerInterval) {
         self.pending.clear();
         self.epoch = interval.epoch;
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,30 +1,29 @@
 //! Session consistency across gateways: read-your-writes and monotonic reads for each session, through any
-//! gateway instance and after any restart. Where something is unknown, the required position is estimated too
-//! high, never too low.
+//! gateway instance and after any restart. Where something is unknown, the required position is
+//! overestimated, never underestimated.
 //!
-//! **What it decides.** Which log position the data of a read must have reached
-//! ([`SessionTracker::begin_read`]), whether less is enough by now ([`SessionTracker::recheck_read`]), and
-//! whether an answer proves that position ([`SessionTracker::verify_answer`]). It learns from answers
+//! **What it decides.** Which log position the data of a read must have reached, its minimum position
+//! ([`SessionTracker::begin_read`]); whether a lower one is enough by now ([`SessionTracker::recheck_read`]);
+//! and whether an answer proves it ([`SessionTracker::verify_answer`]). It learns from answers
 //! ([`SessionTracker::record_read`], [`SessionTracker::record_write`],
-//! [`SessionTracker::record_unconfirmed_write`]), from the tokens that clients carry, from the broadcasts of
-//! other instances, and from a snapshot. The routing policy chooses the host; it is given the minimum
-//! position as a commit that must be visible. There is no clock and no I/O here: every call takes the current
-//! time.
+//! [`SessionTracker::record_unconfirmed_write`]), from clients' tokens, from watermark broadcasts of other
+//! instances, and from a snapshot. The routing policy, which chooses the host, gets the minimum position as a
+//! commit that must be visible. There is no clock and no I/O here: every call takes the current time.
 //!
-//! | module | concern |
+//! | module | contents |
 //! | --- | --- |
-//! | `session_key`, `watermark` | the name of a session and what it has seen |
+//! | `session_key`, `watermark` | identity of a session, and what it has seen |
 //! | `session_tracker` | the state of one instance: reads, writes, tokens, broadcasts |
-//! | `minimum_position`, `answer_check` | what a read needs, and whether an answer proves it |
+//! | `minimum_position`, `answer_check` | the position that a read needs, and whether an answer proves it |
 //! | `session_memory`, `sketch` | exact watermarks of recent sessions, an upper bound for all others |
 //! | `token`, `session_tokens` | the client's copy of a watermark, and the tokens set for a connection |
 //! | `peer_exchange`, `outbox`, `watermark_broadcast`, `known_range` | exchange of watermarks between instances |
-//! | `snapshot` | what is carried over a restart |
-//! | `settings`, `counts` | configuration and statistics |
+//! | `snapshot` | the state that survives a restart |
+//! | `settings`, `counts` | configuration and counters |
 //!
 //! **States.** A read's minimum position rests on a [`PositionSource`]: the client's token, local memory, or
 //! the broadcasts of all other instances. Otherwise it is unknown, and the read needs everything committed
-//! before it arrived; a recheck lowers that once the broadcasts cover the time of its arrival.
+//! before it arrived, until the broadcasts cover the time of its arrival and a recheck lowers the position.
 //!
 //! **Bounds.** Exact watermarks: [`Settings::exact_sessions`]. Sketch: two rows of [`Settings::sketch_width`]
 //! cells. Groups whose watermarks are exchanged: [`MAX_GROUPS`]; each has 32 datagrams' worth of pending
@@ -94,7 +93,7 @@
     PositionScope, Promise, Settings, SettingsError, MAX_CLOCK_ERROR, MAX_EXACT_SESSIONS, MAX_INSTANCES,
 };
 pub use sketch::{overestimate_rate, MaxSketch, ROWS};
-pub use snapshot::Snapshot;
+pub use snapshot::{Snapshot, SnapshotKind};
 pub use token::{Token, TokenError, NEW_SESSION};
 pub use watermark::Watermark;
 pub use watermark_broadcast::{
--- a/crates/sessions/src/minimum_position.rs
+++ b/crates/sessions/src/minimum_position.rs
@@ -2,28 +2,28 @@
 
 use petrelgauge_policy::Time;
 
-/// What a read of a session needs. Times in microseconds.
+/// The position that a read needs, with its components. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MinimumPosition {
     /// When the read arrived.
     pub arrived_at: Time,
-    /// Upper bound of what is known of the session, from all sources.
+    /// Upper bound of the session's known watermarks, from all sources.
     pub known: Time,
-    /// Set where the session may have seen something unknown here: then everything committed before this is
-    /// needed.
+    /// Present if the session may have seen something unknown here. Then everything committed before this
+    /// time is needed.
     pub unknown_until: Option<Time>,
-    /// Upper bound of a commit by a write of the session that is still in flight; 0 for none.
+    /// Latest commit time of a write of the session that is still in flight; 0 if there is none.
     pub pending_write: Time,
-    /// What the position rests on.
+    /// What the position is derived from.
     pub source: PositionSource,
 }
 
-/// What a [`MinimumPosition`] rests on.
+/// What a [`MinimumPosition`] is derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionSource {
     /// The client's token.
     Token,
-    /// This instance's memory: the session was nowhere else.
+    /// This instance's memory, for sessions that use no other instance.
     LocalMemory,
     /// The broadcasts of all other instances, which cover the time when the read arrived.
     Peers,
@@ -37,7 +37,7 @@
         MinimumPosition { arrived_at, known, unknown_until: None, pending_write: 0, source }
     }
 
-    /// A position where something unknown may have been acknowledged before `unknown_until`.
+    /// A position for a session that may have been acknowledged something unknown before `unknown_until`.
     pub(crate) fn from_unknown(arrived_at: Time, known: Time, unknown_until: Time) -> MinimumPosition {
         MinimumPosition {
             arrived_at,
@@ -53,7 +53,7 @@
         self.known.max(self.unknown_until.unwrap_or(0)).max(self.pending_write)
     }
 
-    /// The same with a write in flight that may have been committed at `commit_bound` at the latest.
+    /// The same position, with a write in flight that may commit at `commit_bound` at the latest.
     #[must_use]
     pub fn with_pending_write(self, commit_bound: Time) -> MinimumPosition {
         MinimumPosition { pending_write: self.pending_write.max(commit_bound), ..self }
--- a/crates/sessions/src/outbox.rs
+++ b/crates/sessions/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The watermarks of one group that this instance has yet to send to the others.
+//! The watermarks of one group that are waiting to be broadcast.
 
 use crate::settings::Promise;
 use crate::watermark::Watermark;
@@ -7,16 +7,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Pending watermarks at most: two intervals' worth at many times what a datagram holds.
+/// Maximum number of pending watermarks: two intervals at many times the capacity of a datagram.
 const MAX_PENDING: usize = 32 * MAX_ENTRIES;
 
 const MICROSECONDS_PER_MILLISECOND: Time = 1_000;
 
-/// Watermarks of one group that wait to be sent, one datagram per interval.
+/// Watermarks of one group that wait to be broadcast, one datagram per interval.
 ///
-/// Each datagram covers the interval of the one before as well, so that one lost datagram leaves no gap. What
-/// does not fit is omitted, the lowest watermarks first, and bounded by `omitted_bound`: receivers then
-/// require that much of every session, which costs nothing once the replicas have passed it.
+/// Each datagram also covers the interval before its own, so that one lost datagram leaves no gap. Watermarks
+/// that don't fit are omitted, the lowest ones first, and bounded by `omitted_bound`. Receivers then require
+/// that position of every session, which costs nothing once the replicas have passed it.
 #[derive(Clone, Debug)]
 pub struct Outbox {
     sender: BroadcastSender,
@@ -61,7 +61,7 @@
     /// The next datagram: everything recorded up to `now` (microseconds) since the interval before the last
     /// one.
     pub fn next_broadcast(&mut self, now: Time) -> WatermarkBroadcast {
-        // What is recorded later in this same microsecond must belong to the next interval.
+        // What is recorded later in the same microsecond must belong to the next interval.
         let until = whole_milliseconds(now - 1).max(self.last_until);
         let from = self.previous_until;
         self.pending.retain(|pending| pending.recorded_at > from);
--- a/crates/sessions/src/peer_exchange.rs
+++ b/crates/sessions/src/peer_exchange.rs
@@ -8,11 +8,11 @@
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
-/// Groups whose watermarks are exchanged, at most. A read of a further group needs everything committed
-/// before it arrived.
+/// Maximum number of groups whose watermarks are exchanged. A read of any other group needs everything
+/// committed before it arrived.
 pub const MAX_GROUPS: usize = 1024;
 
-/// What this instance sends to the others, and what it has received from them.
+/// The watermarks to send to the other instances, and how far theirs are known.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerExchange {
     instance: u16,
@@ -26,8 +26,8 @@
 #[derive(Clone, Debug)]
 struct GroupExchange {
     outbox: Outbox,
-    /// By the number of the instance; this instance's own place stays empty.
-    received: Vec<KnownRange>,
+    /// By instance number; the entry of this instance stays empty.
+    known_ranges: Vec<KnownRange>,
 }
 
 impl PeerExchange {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Starts over at another epoch. The groups stay tracked: the other instances wait for their broadcasts.
+    /// Starts over at another epoch. The groups stay tracked, since the other instances wait for their
+    /// broadcasts.
     pub(crate) fn restart(&mut self, epoch: Time) {
         self.epoch = epoch;
         for group in std::mem::take(&mut self.groups).into_keys() {
@@ -76,35 +77,35 @@
             until: broadcast.until,
             omitted_bound: broadcast.omitted_bound,
         };
-        let received =
-            self.group(group).and_then(|exchange| exchange.received.get_mut(usize::from(instance)));
-        if let Some(range) = received {
+        let known_range =
+            self.group(group).and_then(|exchange| exchange.known_ranges.get_mut(usize::from(instance)));
+        if let Some(range) = known_range {
             range.record_interval(now, interval);
         }
     }
 
     /// Closes gaps that have been open for longer than `timeout` (microseconds).
     pub(crate) fn expire_gaps(&mut self, now: Time, timeout: Time) {
-        for range in self.groups.values_mut().flat_map(|exchange| &mut exchange.received) {
+        for range in self.groups.values_mut().flat_map(|exchange| &mut exchange.known_ranges) {
             range.expire_gaps(now, timeout);
         }
     }
 
-    /// What is known of each other instance in this group, if anything is exchanged there.
+    /// The known range of each other instance in this group; `None` if the group is not tracked.
     pub(crate) fn others(&self, group: GroupId) -> Option<impl Iterator<Item = &KnownRange>> {
         let own = usize::from(self.instance);
-        let received = &self.groups.get(&group)?.received;
-        Some(received.iter().enumerate().filter(move |(place, _)| *place != own).map(|(_, range)| range))
+        let known_ranges = &self.groups.get(&group)?.known_ranges;
+        Some(known_ranges.iter().enumerate().filter(move |(place, _)| *place != own).map(|(_, range)| range))
     }
 
     /// Gaps closed with an upper bound, over all groups and instances.
     pub(crate) fn gaps(&self) -> u64 {
-        self.groups.values().flat_map(|exchange| &exchange.received).map(KnownRange::gaps).sum()
+        self.groups.values().flat_map(|exchange| &exchange.known_ranges).map(KnownRange::gaps).sum()
     }
 
-    /// Number of known ranges held, over all groups.
+    /// Number of known ranges, over all groups.
     pub(crate) fn range_count(&self) -> usize {
-        self.groups.values().map(|exchange| exchange.received.len()).sum()
+        self.groups.values().map(|exchange| exchange.known_ranges.len()).sum()
     }
 
     fn group(&mut self, group: GroupId) -> Option<&mut GroupExchange> {
@@ -114,7 +115,7 @@
         let sender = BroadcastSender { instance: self.instance, group, epoch: self.epoch };
         let empty = || GroupExchange {
             outbox: Outbox::new(sender, self.promise),
-            received: vec![KnownRange::default(); usize::from(self.instances)],
+            known_ranges: vec![KnownRange::default(); usize::from(self.instances)],
         };
         Some(self.groups.entry(group).or_insert_with(empty))
     }
--- a/crates/sessions/src/session_key.rs
+++ b/crates/sessions/src/session_key.rs
@@ -6,8 +6,8 @@
 /// Bits of the hash of a session's name, in memory and on the wire.
 pub const NAME_HASH_BITS: u32 = 40;
 
-/// A session within a group. Two sessions whose names have the same hash share a watermark, which can only
-/// raise what their reads need.
+/// A session in a group. Sessions whose names have the same hash share a watermark, which can only raise the
+/// minimum positions of their reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SessionKey {
     /// The group.
--- a/crates/sessions/src/session_memory.rs
+++ b/crates/sessions/src/session_memory.rs
@@ -1,4 +1,4 @@
-//! The watermarks that this instance remembers: exact for recent sessions, an upper bound for all others.
+//! The watermarks that this instance remembers: exact ones for recent sessions, upper bounds for all others.
 
 use crate::session_key::SessionKey;
 use crate::sketch::MaxSketch;
@@ -13,7 +13,7 @@
 pub struct SessionEntry {
     /// Its watermark.
     pub watermark: Watermark,
-    /// The watermark covers everything that the session did before this time (microseconds), at any instance.
+    /// The watermark covers everything that the session did at any instance before this time (microseconds).
     pub complete_until: Time,
 }
 
@@ -21,7 +21,7 @@
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 const HASH_ROTATION: u32 = 25;
 
-/// Mixes a key's fields. Names are keyed hashes already, so this only has to mix in the group.
+/// Hashes a key. Its name is a keyed hash already, so this only has to mix in the group.
 #[derive(Clone, Default)]
 pub struct KeyHasher(u64);
 
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Joins a watermark into what is known and gives the result. `complete_until` is 0 where nothing is
-    /// known of what the watermark covers.
+    /// Joins a watermark into what is known of a session and returns the result. `complete_until` is 0 if it
+    /// is unknown what the watermark covers.
     pub fn join(&mut self, key: SessionKey, watermark: Watermark, complete_until: Time) -> Watermark {
         let known = self.get(key);
         let entry = SessionEntry {
@@ -99,7 +99,7 @@
         entry.watermark
     }
 
-    /// Distrusts what was recorded by a clock that was wrong: no watermark lies above `ceiling`, and none is complete.
+    /// Corrects watermarks recorded by a wrong clock: caps them at `ceiling` and marks them as incomplete.
     pub fn distrust(&mut self, ceiling: Time) {
         for (_, entry) in self.exact.iter_mut() {
             *entry = SessionEntry { watermark: entry.watermark.capped_at(ceiling), complete_until: 0 };
@@ -133,7 +133,7 @@
         self.highest_evicted
     }
 
-    /// Estimated size in bytes: entries with their list links and table slots, and the sketch.
+    /// Estimated size in bytes, of exact entries with their list links and table slots, and of the sketch.
     pub fn bytes(&self) -> usize {
         const LINKS: usize = 2 * std::mem::size_of::<usize>();
         const TABLE_SLOT: usize = 2 * (std::mem::size_of::<usize>() * 2 + 1);
--- a/crates/sessions/src/session_tokens.rs
+++ b/crates/sessions/src/session_tokens.rs
@@ -1,10 +1,10 @@
-//! The tokens that a client has set for its connection.
+//! The session tokens that a client has set for its connection.
 
 use crate::token::{Token, TokenError};
 use petrelgauge_policy::GroupId;
 
-/// Tokens that a connection may hold. One more is rejected: dropping one silently would let a read go back in
-/// time.
+/// Maximum number of tokens of a connection. More are rejected: dropping one silently would let a read go
+/// back in time.
 pub const MAX_TOKENS: usize = 16;
 
 const SEPARATOR: char = '+';
@@ -23,17 +23,17 @@
 }
 
 impl SessionTokens {
-    /// Sets the tokens of a client, separated by `+`. They replace all tokens of the groups that they belong
-    /// to.
+    /// Sets a client's tokens, separated by `+`. They replace all earlier tokens of their groups.
     ///
     /// # Errors
     ///
-    /// The error of the first token that cannot be decoded, or [`TokenError::TooMany`]; nothing changes then.
+    /// Fails with the error of the first token that cannot be decoded, or with [`TokenError::TooMany`].
+    /// Nothing changes then.
     pub fn set(&mut self, text: &str, secret: u64) -> Result<(), TokenError> {
         let new = parse(text, secret)?;
-        let replaced = |group| new.iter().any(|token| token.group == group);
+        let is_replaced = |group| new.iter().any(|token| token.group == group);
         let mut tokens: Vec<ConnectionToken> =
-            self.tokens.iter().filter(|token| !replaced(token.group)).cloned().collect();
+            self.tokens.iter().filter(|token| !is_replaced(token.group)).cloned().collect();
         tokens.extend(new);
         if tokens.len() > MAX_TOKENS {
             return Err(TokenError::TooMany);
--- a/crates/sessions/src/session_tracker/broadcasts.rs
+++ b/crates/sessions/src/session_tracker/broadcasts.rs
@@ -6,19 +6,19 @@
 use petrelgauge_policy::{GroupId, Time};
 
 impl SessionTracker {
-    /// Sends broadcasts of this group from now on, even while nothing is recorded in it: otherwise an
-    /// instance that is idle in a group would keep all others from ever knowing enough of it.
+    /// Sends broadcasts of this group from now on, even while nothing is recorded in it. Without them the
+    /// other instances could not know that this one has recorded nothing.
     pub fn track_group(&mut self, group: GroupId) {
-        if self.exchanges() {
+        if self.has_peers() {
             self.peers.track(group);
         }
     }
 
-    /// Applies a datagram of another instance.
+    /// Applies a broadcast of another instance.
     ///
     /// # Errors
     ///
-    /// A datagram that cannot be used; nothing changes then but the count of rejected ones.
+    /// Fails if the datagram is no valid broadcast of another instance. It is counted and otherwise ignored.
     pub fn receive(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
         let applied = self.apply_broadcast(now, bytes);
         match applied {
@@ -28,14 +28,14 @@
         applied
     }
 
-    /// Datagrams due now, each to be sent to every other instance. Call again at
+    /// The broadcasts that are due, each to be sent to every other instance. Call again at
     /// [`SessionTracker::next_broadcast_at`].
     pub fn due_broadcasts(&mut self, now: Time) -> Vec<Vec<u8>> {
         if self.next_broadcast_at().is_none_or(|due| now < due) {
             return Vec::new();
         }
-        self.broadcast_at = now;
-        self.latest = self.latest.max(now);
+        self.last_broadcast_at = now;
+        self.latest_call_at = self.latest_call_at.max(now);
         self.expire_gaps(now);
         let secret = self.settings.secret;
         let datagrams: Vec<Vec<u8>> =
@@ -44,14 +44,14 @@
         datagrams
     }
 
-    /// When the next datagrams are due, if there are other instances to send them to.
+    /// When the next broadcasts are due; `None` without other instances.
     pub fn next_broadcast_at(&self) -> Option<Time> {
-        self.exchanges().then(|| self.broadcast_at + self.settings.broadcast_interval)
+        self.has_peers().then(|| self.last_broadcast_at + self.settings.broadcast_interval)
     }
 
     fn apply_broadcast(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
         let broadcast = WatermarkBroadcast::decode(bytes, self.settings.secret)?;
-        // An interval that ends in the future would pass for knowledge of what has not happened yet.
+        // An interval that ends in the future would cover reads that have not arrived yet.
         if broadcast.until > self.latest_clock(now) {
             return Err(BroadcastError::InvalidInterval);
         }
--- a/crates/sessions/src/session_tracker/mod.rs
+++ b/crates/sessions/src/session_tracker/mod.rs
@@ -18,36 +18,37 @@
 use crate::session_key::SessionKey;
 use crate::session_memory::SessionMemory;
 use crate::settings::{Settings, SettingsError};
-use crate::snapshot::Snapshot;
+use crate::snapshot::{Snapshot, SnapshotKind};
 use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
 
-/// Broadcast intervals after which a missing broadcast is given up.
+/// Broadcast intervals after which a missing broadcast is taken for lost.
 const GAP_TIMEOUT_INTERVALS: Time = 3;
 
-/// Everything that one instance knows of sessions. It has no clock: every call takes the current time `now`
-/// in microseconds. A time slightly before that of the previous call does no harm.
+/// The state of session consistency at one instance. It has no clock: every call takes the current time `now`
+/// in microseconds. Time may go back slightly between calls.
 #[derive(Clone, Debug)]
 pub struct SessionTracker {
     settings: Settings,
-    /// Watermarks recorded here up to then may be lost; 0 if none are.
+    /// Watermarks that this instance recorded up to then may be lost; 0 if none are.
     lost_until: Time,
-    /// Upper bound of watermarks that a clean snapshot omitted.
+    /// Upper bound of the watermarks that the snapshot restored from had omitted.
     omitted_bound: Time,
     memory: SessionMemory,
     peers: PeerExchange,
     /// When broadcasts were last sent.
-    broadcast_at: Time,
+    last_broadcast_at: Time,
     /// Latest time of any call that recorded or sent watermarks.
-    latest: Time,
+    latest_call_at: Time,
     counts: Counts,
 }
 
 impl SessionTracker {
-    /// A tracker that starts now and knows nothing: whatever was acknowledged before is taken to be lost.
+    /// Creates a tracker that starts now without a snapshot. Whatever this instance acknowledged before
+    /// counts as lost.
     ///
     /// # Errors
     ///
-    /// Settings that are out of range.
+    /// Fails if a setting is out of range.
     pub fn new(settings: Settings, now: Time) -> Result<SessionTracker, SettingsError> {
         settings.check()?;
         Ok(SessionTracker {
@@ -56,18 +57,19 @@
             settings,
             lost_until: if mutant(Mutant::WatermarkLossForgotten) { 0 } else { now },
             omitted_bound: 0,
-            broadcast_at: now,
-            latest: now,
+            last_broadcast_at: now,
+            latest_call_at: now,
             counts: Counts::default(),
         })
     }
 
-    /// A tracker that starts now from a snapshot. Its watermarks hold at any age; what was recorded after it
-    /// is lost unless it is clean. A snapshot from the future was taken by another clock and is ignored.
+    /// Creates a tracker that starts now from a snapshot of any age. Unless that was taken at a clean
+    /// shutdown, what was recorded after it counts as lost. A snapshot from the future was taken by another
+    /// clock and is ignored.
     ///
     /// # Errors
     ///
-    /// Settings that are out of range.
+    /// Fails if a setting is out of range.
     pub fn restore(
         settings: Settings,
         now: Time,
@@ -81,30 +83,30 @@
             let complete_until = entry.complete_until.min(snapshot.taken_at);
             tracker.memory.join(*key, entry.watermark, complete_until);
         }
-        if snapshot.clean {
+        if snapshot.kind == SnapshotKind::CleanShutdown {
             tracker.lost_until = snapshot.lost_until.min(now);
             tracker.omitted_bound = snapshot.omitted_bound;
         }
         Ok(tracker)
     }
 
-    /// Starts over with a clock that shows `now` from here on, since the one used so far was wrong. What is known of
-    /// sessions is kept and taken for incomplete; intervals of the other instances are awaited anew.
+    /// Starts over after the clock was corrected to `now`. Watermarks are kept but count as incomplete, and
+    /// intervals of the other instances are awaited anew.
     pub fn restart(&mut self, now: Time) {
         self.memory.distrust(self.latest_clock(now));
         self.peers.restart(now);
         self.omitted_bound = self.omitted_bound.min(now);
         self.lost_until = now;
-        self.broadcast_at = now;
-        self.latest = now;
+        self.last_broadcast_at = now;
+        self.latest_call_at = now;
     }
 
-    /// The watermarks of this moment. `clean` states that nothing will be answered any more.
-    pub fn snapshot(&self, now: Time, clean: bool) -> Snapshot {
+    /// Takes a snapshot of all watermarks.
+    pub fn snapshot(&self, now: Time, kind: SnapshotKind) -> Snapshot {
         let highest_evicted = self.memory.highest_evicted().required_position(self.settings.promise);
         Snapshot {
             taken_at: now,
-            clean,
+            kind,
             lost_until: self.lost_until,
             omitted_bound: self.omitted_bound.max(highest_evicted),
             entries: self.memory.iter().collect(),
@@ -126,7 +128,7 @@
         &self.memory
     }
 
-    /// The key of a session by its name.
+    /// The key of the session with this name.
     pub fn session_key(&self, group: GroupId, name: &str) -> SessionKey {
         SessionKey::new(self.settings.secret, group, name)
     }
@@ -136,13 +138,13 @@
         self.peers.gaps()
     }
 
-    /// Entries held about other instances, over all groups.
+    /// Number of ranges known of other instances, over all groups.
     pub fn peer_entries(&self) -> usize {
         self.peers.range_count()
     }
 
-    /// Whether watermarks are exchanged with other instances.
-    fn exchanges(&self) -> bool {
+    /// Whether there are other instances to exchange watermarks with.
+    fn has_peers(&self) -> bool {
         self.settings.roams && self.settings.instances > 1
     }
 
--- a/crates/sessions/src/session_tracker/reads.rs
+++ b/crates/sessions/src/session_tracker/reads.rs
@@ -9,7 +9,7 @@
 use petrelgauge_policy::{GroupId, Time};
 
 impl SessionTracker {
-    /// What a read that has just arrived needs.
+    /// The minimum position of a read that has just arrived.
     pub fn begin_read(&mut self, now: Time, key: SessionKey, token: Option<&Token>) -> MinimumPosition {
         if let Some(minimum) = token.and_then(|token| self.minimum_by_token(now, key, token)) {
             return minimum;
@@ -19,12 +19,12 @@
             PositionSource::Token => {}
             PositionSource::LocalMemory => self.counts.by_memory += 1,
             PositionSource::Peers => self.counts.by_peers += 1,
-            PositionSource::Unknown => self.counts.open += 1,
+            PositionSource::Unknown => self.counts.unknown += 1,
         }
         minimum
     }
 
-    /// What a waiting read needs, if that is less by now.
+    /// The minimum position of a waiting read, if it is lower than `minimum` by now.
     pub fn recheck_read(
         &mut self,
         now: Time,
@@ -39,32 +39,32 @@
         if current.position() >= minimum.position() {
             return None;
         }
-        self.counts.settled += 1;
+        self.counts.lowered += 1;
         Some(current)
     }
 
-    /// What an answer proves of a read's minimum position.
+    /// Whether an answer proves that its data have reached a read's minimum position.
     pub fn verify_answer(&mut self, minimum: &MinimumPosition, answer: &AnswerEvidence) -> Verdict {
         let verdict = verify(&self.settings, minimum, answer);
         if verdict == Verdict::Unproven {
-            self.counts.behind += 1;
+            self.counts.unproven += 1;
         }
         verdict
     }
 
-    /// What a read needs by its token, if that covers everything that the session did.
+    /// The minimum position by the client's token, if that covers everything that the session did.
     fn minimum_by_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Option<MinimumPosition> {
         let known = self.merge_token(now, key, token).required_position(self.settings.promise);
-        let recent = now - token.issued_at <= self.settings.token_age;
-        if !recent || token.issued_at > self.latest_clock(now) {
-            self.counts.old_tokens += 1;
+        let is_recent = now - token.issued_at <= self.settings.token_age;
+        if !is_recent || token.issued_at > self.latest_clock(now) {
+            self.counts.expired_tokens += 1;
             return None;
         }
         self.counts.by_token += 1;
         Some(MinimumPosition::from_known(now, known, PositionSource::Token))
     }
 
-    /// What a read without a token that arrived at `arrived_at` needs by what is known now.
+    /// The minimum position, by what is known now, of a read without a token that arrived at `arrived_at`.
     fn current_minimum(&self, arrived_at: Time, key: SessionKey) -> MinimumPosition {
         let entry = self.memory.get(key);
         let remembered = entry.watermark.required_position(self.settings.promise).max(self.omitted_bound);
@@ -81,18 +81,19 @@
         }
     }
 
-    /// Upper bound of what was recorded here for a session and is lost; 0 for nothing. It was committed
-    /// before this run began.
+    /// Upper bound of the watermarks that this instance recorded for a session and has lost; 0 if there are
+    /// none. They were committed before this run began.
     fn lost_bound(&self, entry: &SessionEntry) -> Time {
-        if entry.complete_until < self.lost_until {
-            self.latest_clock(self.lost_until)
-        } else {
+        let is_complete = entry.complete_until >= self.lost_until;
+        if is_complete {
             0
+        } else {
+            self.latest_clock(self.lost_until)
         }
     }
 
-    /// Upper bound of what other instances may have recorded for a session and this one does not know, if
-    /// their broadcasts cover the time `arrived_at`. Their clocks may be ahead of this one.
+    /// Upper bound of what other instances may have recorded for a session without this one knowing; `None`
+    /// unless their broadcasts cover the time `arrived_at`. Their clocks may be ahead of this one's.
     fn bound_by_peers(&self, arrived_at: Time, group: GroupId, entry: &SessionEntry) -> Option<Time> {
         if self.settings.instances < 2 {
             return None;
--- a/crates/sessions/src/session_tracker/tokens.rs
+++ b/crates/sessions/src/session_tracker/tokens.rs
@@ -11,7 +11,7 @@
     ///
     /// # Errors
     ///
-    /// A token that cannot be used: it never lowers what a read needs.
+    /// Fails if tokens are disabled, or if this one is invalid or belongs to another session or group.
     pub fn parse_token(&self, now: Time, text: &str, key: SessionKey) -> Result<Token, TokenError> {
         if !self.settings.tokens {
             return Err(TokenError::Disabled);
@@ -33,13 +33,14 @@
         Some(Token { key, watermark, issued_at: now }.encode(self.settings.secret))
     }
 
-    /// Merges the token of a request: the token of its answer will replace it. A forged one raises what its
-    /// own session must see, up to the current time at most, and affects no other session.
+    /// Merges the token of a request into what is known of the session; the token of the answer will replace
+    /// it at the client. A forged token can raise the minimum position of its own session up to the current
+    /// time, and affects no other session.
     pub fn merge_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Watermark {
         let latest_clock = self.latest_clock(now);
         let watermark = token.watermark.capped_at(latest_clock);
         if watermark != token.watermark || token.issued_at > latest_clock {
-            self.counts.early_tokens += 1;
+            self.counts.future_tokens += 1;
         }
         self.memory.join(key, watermark, 0)
     }
--- a/crates/sessions/src/settings.rs
+++ b/crates/sessions/src/settings.rs
@@ -1,19 +1,22 @@
-//! Configuration of session consistency, and its validation.
+//! Settings of session consistency, and their validation.
 
 use petrelgauge_policy::Time;
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Instances that exchange watermarks, at most: each costs some state per group.
+/// Maximum number of instances that exchange watermarks. Each costs some state per group.
 pub const MAX_INSTANCES: u16 = 1024;
-/// Largest difference of clocks, in microseconds. Twice that is less than any change of primary takes.
+/// Maximum clock error (microseconds). Twice that is less than any failover of a primary takes.
 pub const MAX_CLOCK_ERROR: Time = 100_000;
-/// Sessions whose watermarks are kept exactly, at most.
+/// Maximum number of sessions whose watermarks are kept exactly.
 pub const MAX_EXACT_SESSIONS: usize = 16 * 1024 * 1024;
 
 const MAX_SKETCH_WIDTH: usize = 1 << 24;
+/// Valid position granularities (microseconds).
 const POSITION_GRANULARITIES: RangeInclusive<Time> = 1..=10_000;
+/// Valid broadcast intervals (microseconds).
 const BROADCAST_INTERVALS: RangeInclusive<Time> = 1_000..=10_000_000;
+/// Valid read waits (microseconds).
 const READ_WAITS: RangeInclusive<Time> = 0..=1_000_000;
 
 /// What is promised to a session.
@@ -30,49 +33,49 @@
 pub enum PositionScope {
     /// The data that were read.
     DataRead,
-    /// The host when it answered; the data may be older. Then only positions reported before the read was
-    /// sent count.
+    /// The host when it answered; the data may be older. Only positions reported before the read was sent
+    /// count.
     HostAtAnswer,
 }
 
 /// How sessions are tracked. Durations in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// What is promised.
+    /// What is promised to a session.
     pub promise: Promise,
     /// What a reported position refers to.
     pub position_scope: PositionScope,
-    /// Hosts report positions. Where they do not, a primary's answer proves what a read needs.
+    /// Whether hosts report positions. If not, a primary's answer proves any minimum position.
     pub hosts_report_positions: bool,
-    /// Hosts reject reads for which they lag too far. Where they report no positions, any answer then proves
-    /// what the read needs.
+    /// Whether hosts reject reads for which they lag too far. If so, and if they report no positions, any
+    /// answer proves its minimum position.
     pub hosts_enforce_positions: bool,
-    /// Require everything that may have been acknowledged. Otherwise only what is known is required, and a
-    /// session can see less than it should after a restart or at another instance.
+    /// Whether reads require everything that may have been acknowledged. If not, they require only what is
+    /// known, and a session can miss something after a restart or at another instance.
     pub conservative: bool,
-    /// A session may reach more than one instance.
+    /// Whether a session may use more than one instance.
     pub roams: bool,
-    /// Clients carry tokens: they return the newest one with every request.
+    /// Whether clients carry tokens and return the newest one with every request.
     pub tokens: bool,
     /// Instances that exchange watermarks, including this one; 0 where none do.
     pub instances: u16,
     /// Number of this instance among them, from 0.
     pub instance: u16,
-    /// Sessions whose watermarks are kept exactly; the older ones share the cells of a sketch.
+    /// Number of sessions whose watermarks are kept exactly. All others share the cells of a sketch.
     pub exact_sessions: usize,
-    /// Cells in each row of the sketch; a power of two.
+    /// Number of cells in each row of the sketch, a power of two.
     pub sketch_width: usize,
     /// Age after which a token no longer covers everything that its session did.
     pub token_age: Time,
-    /// Largest difference of two clocks, of instances or hosts.
+    /// Maximum difference of two clocks, of instances or hosts.
     pub clock_error: Time,
     /// Step to which hosts round positions down and commits up.
     pub position_granularity: Time,
     /// Time between two broadcasts of a group.
     pub broadcast_interval: Time,
-    /// Longest that a read waits for a replica that is about to reach its minimum position.
+    /// Maximum time that a read waits for a replica to reach its minimum position.
     pub max_read_wait: Time,
-    /// Seeds hashes and checksums; the same at all instances.
+    /// Key of hashes and checksums, the same at all instances.
     pub secret: u64,
 }
 
@@ -101,7 +104,7 @@
     }
 }
 
-/// Settings that cannot be used. The texts are shown with the line of the operator's file.
+/// Why settings are invalid. The texts are shown with the line of the operator's file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// [`Settings::exact_sessions`] is out of range.
@@ -128,12 +131,12 @@
     /// [`Settings::instances`] is out of range.
     #[error("at most {MAX_INSTANCES} instances exchange watermarks, not {0}")]
     TooManyInstances(u16),
-    /// [`Settings::instance`] is no number among the instances.
+    /// [`Settings::instance`] is not below [`Settings::instances`].
     #[error("instance {instance} is none of {instances}")]
     Instance {
         /// Number of this instance.
         instance: u16,
-        /// How many there are.
+        /// Number of instances.
         instances: u16,
     },
 }
@@ -143,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// The first value that is out of range.
+    /// Fails with the first value that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_sizes()?;
         self.check_durations()?;
--- a/crates/sessions/src/sketch.rs
+++ b/crates/sessions/src/sketch.rs
@@ -9,11 +9,11 @@
 /// Rows of the sketch, each with a hash of its own.
 pub const ROWS: usize = 2;
 
-/// Cells that hold the highest watermark of all keys hashed onto them. The bound of a key is the least of its
-/// cells.
+/// Rows of cells, each with the highest watermark of all keys hashed onto it. The bound of a key is the
+/// lowest of its cells.
 ///
-/// It is never below the highest watermark inserted for the key. It lies above where, in every row, another
-/// key with a higher watermark shares the key's cell: [`overestimate_rate`] gives how often.
+/// The bound is never below the highest watermark inserted for the key. It is above if in every row a key
+/// with a higher watermark shares the key's cell; [`overestimate_rate`] predicts how often.
 #[derive(Clone)]
 pub struct MaxSketch {
     cells: Vec<Watermark>,
@@ -22,7 +22,7 @@
 }
 
 impl std::fmt::Debug for MaxSketch {
-    /// Only the cells in use, by their index.
+    /// Shows only the cells in use, by index.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let used = self.cells.iter().enumerate().filter(|(_, watermark)| **watermark != Watermark::NONE);
         f.debug_map().entries(used).finish()
@@ -44,12 +44,12 @@
         debug_assert!(self.upper_bound(key).covers(watermark));
     }
 
-    /// Caps every cell: no watermark that was inserted was really above this.
+    /// Caps every cell, if no watermark inserted was really above `ceiling`.
     pub fn cap(&mut self, ceiling: Time) {
         self.cells.iter_mut().for_each(|cell| *cell = cell.capped_at(ceiling));
     }
 
-    /// At least the join of all watermarks inserted for this key.
+    /// An upper bound of the join of all watermarks inserted for this key.
     pub fn upper_bound(&self, key: SessionKey) -> Watermark {
         let [first, second] = self.cell_indices(key).map(|index| self.cells[index]);
         Watermark { written: first.written.min(second.written), read: first.read.min(second.read) }
@@ -72,8 +72,8 @@
     }
 }
 
-/// Share of keys whose bound lies above their own watermark, if `higher` other keys with higher watermarks
-/// were inserted into rows of `width` cells: every row must have at least one of them in the key's cell.
+/// Expected share of keys whose bound is above their own watermark, if `higher` keys with higher watermarks
+/// were inserted into rows of `width` cells: in every row at least one of them shares the key's cell.
 pub fn overestimate_rate(higher: f64, width: usize) -> f64 {
     let collision = 1.0 - (-higher / width as f64).exp();
     collision.powi(ROWS as i32)
--- a/crates/sessions/src/token.rs
+++ b/crates/sessions/src/token.rs
@@ -1,4 +1,5 @@
-//! The token that a client carries: a session's watermark in one group, opaque, versioned and checksummed.
+//! Session tokens: a session's watermark in one group, carried by the client; opaque, versioned and
+//! checksummed.
 
 use crate::encoding::{
     checksum, milliseconds_down, milliseconds_up, push_milliseconds, push_name_hash, FieldReader,
@@ -11,10 +12,10 @@
 use petrelgauge_policy::{GroupId, Time};
 use thiserror::Error;
 
-/// The version written, the only one read.
+/// Version of the encoding, the only one that is decoded.
 pub const VERSION: u8 = 1;
 
-/// What a client sends in place of a token with the first request of a session.
+/// What a client sends instead of a token with the first request of a session.
 pub const NEW_SESSION: &str = "new";
 
 const VERSION_BYTES: usize = 1;
@@ -33,7 +34,7 @@
     pub key: SessionKey,
     /// The session's watermark.
     pub watermark: Watermark,
-    /// When it was issued: the watermark covers what the session did before.
+    /// When it was issued. The watermark covers everything that the session did before.
     pub issued_at: Time,
 }
 
@@ -55,7 +56,7 @@
     /// It belongs to another group.
     #[error("the session token is of another cluster")]
     WrongGroup,
-    /// More than may be set for a connection.
+    /// There are more than a connection may hold.
     #[error("more session tokens are set than a connection may hold")]
     TooMany,
     /// Tokens are disabled by the settings.
@@ -64,12 +65,12 @@
 }
 
 impl Token {
-    /// The token of a session that has seen nothing yet, which a client claims with [`NEW_SESSION`].
+    /// The token of a session that has seen nothing yet; clients send [`NEW_SESSION`] for it.
     pub fn new_session(key: SessionKey, now: Time) -> Token {
         Token { key, watermark: Watermark::NONE, issued_at: now }
     }
 
-    /// The token as text that needs no quoting in a statement's comment.
+    /// Encodes the token as text that needs no quoting in a statement's comment.
     pub fn encode(&self, secret: u64) -> String {
         let mut bytes = Vec::with_capacity(BYTES);
         bytes.push(VERSION);
@@ -87,7 +88,8 @@
     ///
     /// # Errors
     ///
-    /// [`TokenError::Malformed`], [`TokenError::UnsupportedVersion`] or [`TokenError::InvalidChecksum`].
+    /// Fails with [`TokenError::Malformed`], [`TokenError::UnsupportedVersion`] or
+    /// [`TokenError::InvalidChecksum`].
     pub fn decode(text: &str, secret: u64) -> Result<Token, TokenError> {
         if text.len() != TEXT_LENGTH {
             return Err(TokenError::Malformed);
@@ -104,9 +106,9 @@
         Ok(decode_fields(&body[VERSION_BYTES..]))
     }
 
-    /// What two tokens of the same session say together: the join of both watermarks, as of the later issue.
-    /// A client with several requests in flight holds several; the token of an answer replaces those sent
-    /// with its request.
+    /// Merges two tokens of the same session: the join of both watermarks, with the later time of issue. A
+    /// client with several requests in flight holds several tokens; the token of an answer replaces those
+    /// sent with its request.
     #[must_use]
     pub fn join(self, other: Token) -> Token {
         let newer = if other.issued_at > self.issued_at { other } else { self };
@@ -117,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// [`TokenError::WrongGroup`] or [`TokenError::WrongSession`].
+    /// Fails with [`TokenError::WrongGroup`] or [`TokenError::WrongSession`].
     pub fn check_session(&self, key: SessionKey) -> Result<(), TokenError> {
         if self.key.group != key.group {
             return Err(TokenError::WrongGroup);
--- a/crates/sessions/src/watermark.rs
+++ b/crates/sessions/src/watermark.rs
@@ -1,18 +1,19 @@
-//! What a session has seen of a group: its highest commit and its highest position read.
+//! What a session has seen of a group: its highest commit and the highest position that it has read.
 
 use crate::settings::Promise;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// The watermark of a session in one group. Clock times of the group's log in microseconds; 0 where there is
+/// The watermark of a session in one group: positions of the group's log, as times in microseconds; 0 for
 /// none.
 ///
-/// Watermarks form a join-semilattice under [`Watermark::join`]: commutative, associative, idempotent, never
-/// lower. They may be merged from any source in any order and any number of times with the same result.
+/// Watermarks form a join-semilattice under [`Watermark::join`], which is commutative, associative and
+/// idempotent and never lowers a component. They can be merged from any sources, in any order and any number
+/// of times, with the same result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Watermark {
-    /// Highest commit of a served write of the session, or an upper bound of it.
+    /// Highest commit of an answered write of the session, or an upper bound of it.
     pub written: Time,
-    /// Position that a later read must reach so as not to go back in time, or an upper bound of it.
+    /// Highest position that the session has read, or an upper bound of it.
     pub read: Time,
 }
 
@@ -27,7 +28,7 @@
             return other;
         }
         let joined = Watermark { written: self.written.max(other.written), read: self.read.max(other.read) };
-        debug_assert!(joined.covers(self) && joined.covers(other), "a merge never lowers");
+        debug_assert!(joined.covers(self) && joined.covers(other), "a join never lowers");
         joined
     }
 
@@ -36,7 +37,7 @@
         self.written >= other.written && self.read >= other.read
     }
 
-    /// The position (microseconds) that a read of the session needs under this promise.
+    /// The position (microseconds) that a read of the session needs for this promise.
     pub fn required_position(self, promise: Promise) -> Time {
         match promise {
             Promise::Writes => self.written,
--- a/crates/sessions/src/watermark_broadcast.rs
+++ b/crates/sessions/src/watermark_broadcast.rs
@@ -10,9 +10,9 @@
 use petrelgauge_policy::{GroupId, Time};
 use thiserror::Error;
 
-/// Longest datagram in bytes.
+/// Maximum length of a datagram (bytes).
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The version written. Others are rejected: a later version may give the same bytes another meaning.
+/// Version of the encoding. Others are rejected, since they may give the same bytes another meaning.
 pub const VERSION: u8 = 1;
 
 const VERSION_BYTES: usize = 1;
@@ -24,31 +24,31 @@
 const AGE_BYTES: usize = 2;
 /// Name, age of `written`, age of `read`.
 const ENTRY_BYTES: usize = NAME_HASH_BYTES + 2 * AGE_BYTES;
-/// Entries that one datagram can hold.
+/// Maximum number of entries in one datagram.
 pub const MAX_ENTRIES: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / ENTRY_BYTES;
 
-/// A watermark is encoded as its age in milliseconds before a reference this far after the end of the
-/// interval.
+/// Watermarks are encoded as ages relative to a reference time, which is this long after the end of the
+/// interval (milliseconds).
 const REFERENCE_AHEAD_MS: u64 = 2_000;
 /// Encodes a missing component of a watermark.
 const ABSENT: u16 = u16::MAX;
-/// The greatest age; older watermarks are encoded as this old, which only raises them.
+/// Maximum age (milliseconds). Older watermarks are encoded with this age, which only raises them.
 const MAX_AGE: u64 = ABSENT as u64 - 1;
-/// Distinguishes the checksum from a token's under the same secret.
+/// Keeps the checksum apart from a token's under the same secret.
 const CHECKSUM_SEED: u64 = 0xB111_E714;
 
-/// Who sends a broadcast.
+/// The sender of a broadcast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BroadcastSender {
     /// Number of the instance.
     pub instance: u16,
-    /// The group that its broadcasts are about.
+    /// The group of the watermarks.
     pub group: GroupId,
     /// When the instance started, in microseconds.
     pub epoch: Time,
 }
 
-/// The watermark of one session.
+/// The watermark of one session in a broadcast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BroadcastEntry {
     /// Hash of the session's name.
@@ -60,19 +60,19 @@
 /// One datagram. Times in microseconds, whole milliseconds when encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatermarkBroadcast {
-    /// Who sends it.
+    /// Its sender.
     pub sender: BroadcastSender,
     /// Start of the interval, exclusive.
     pub from: Time,
     /// End of the interval, inclusive.
     pub until: Time,
-    /// No watermark that was omitted, here or in an earlier broadcast, lies above this.
+    /// Upper bound of the watermarks omitted in this and in earlier broadcasts.
     pub omitted_bound: Time,
     /// Watermarks recorded in the interval, [`MAX_ENTRIES`] at most.
     pub entries: Vec<BroadcastEntry>,
 }
 
-/// Why a datagram cannot be used.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BroadcastError {
     /// Too short, too long, or of another length than its number of entries needs.
@@ -93,8 +93,8 @@
 }
 
 impl WatermarkBroadcast {
-    /// Encodes the broadcast. Watermarks are rounded up; entries beyond [`MAX_ENTRIES`] are left out, and the
-    /// caller must have included them in `omitted_bound`.
+    /// Encodes the broadcast. Watermarks are rounded up. Entries beyond [`MAX_ENTRIES`] are left out; the
+    /// caller must have covered them by `omitted_bound`.
     pub fn encode(&self, secret: u64) -> Vec<u8> {
         debug_assert!(self.entries.len() <= MAX_ENTRIES);
         let entries = &self.entries[..self.entries.len().min(MAX_ENTRIES)];
@@ -116,7 +116,8 @@
     ///
     /// # Errors
     ///
-    /// All errors but [`BroadcastError::UnknownInstance`]: who may send is for the receiver to know.
+    /// Fails with any error except [`BroadcastError::UnknownInstance`]: which instances exist is known to the
+    /// caller.
     pub fn decode(bytes: &[u8], secret: u64) -> Result<WatermarkBroadcast, BroadcastError> {
         let body = verified_body(bytes, secret)?;
         let mut reader = FieldReader::new(&body[VERSION_BYTES..]);
@@ -139,7 +140,7 @@
         Ok(WatermarkBroadcast { sender, from, until, omitted_bound, entries })
     }
 
-    /// Whether a watermark can be encoded in an interval with this end. One that lies too far ahead of it
+    /// Whether a watermark can be encoded in an interval that ends at `until`. One too far ahead of it
     /// cannot.
     pub fn can_encode(watermark: Watermark, until: Time) -> bool {
         milliseconds_up(watermark.written.max(watermark.read)) <= reference_milliseconds(until)
--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -327,23 +327,25 @@
         instance.tracker = SessionTracker::new(set, 0).expect("sound settings");
         return;
     }
-    let clean = rng.random_bool(0.3);
-    let latest = instance.tracker.snapshot(local, clean);
-    let snapshot = match (clean, instance.saved.take()) {
+    let is_clean = rng.random_bool(0.3);
+    let kind = if is_clean { SnapshotKind::CleanShutdown } else { SnapshotKind::Running };
+    let latest = instance.tracker.snapshot(local, kind);
+    let snapshot = match (is_clean, instance.saved.take()) {
         (true, _) => latest.clone(),
         (false, Some(old)) => old,
         (false, None) => Snapshot::default(),
     };
     let snapshot = match fault {
-        InjectedFault::AgeForgotten => Snapshot { clean: true, ..snapshot },
+        InjectedFault::AgeForgotten => Snapshot { kind: SnapshotKind::CleanShutdown, ..snapshot },
         InjectedFault::MergeTakesNewer => {
             let lower = |(key, entry): (SessionKey, SessionEntry)| {
                 (key, SessionEntry { watermark: Watermark::NONE, ..entry })
             };
-            Snapshot { clean: true, entries: latest.entries.iter().copied().map(lower).collect(), ..latest }
+            let entries = latest.entries.iter().copied().map(lower).collect();
+            Snapshot { kind: SnapshotKind::CleanShutdown, entries, ..latest }
         }
         _ => snapshot,
     };
     instance.tracker = SessionTracker::restore(set, local, &snapshot).expect("sound settings");
-    instance.saved = Some(Snapshot { clean: false, ..latest });
+    instance.saved = Some(Snapshot { kind: SnapshotKind::Running, ..latest });
 }
--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -50,9 +50,8 @@
     }
 
     fn snapshot(&mut self, snapshot: &Snapshot) {
-        for number in
-            [snapshot.taken_at, i64::from(snapshot.clean), snapshot.lost_until, snapshot.omitted_bound]
-        {
+        let is_clean = snapshot.kind == SnapshotKind::CleanShutdown;
+        for number in [snapshot.taken_at, i64::from(is_clean), snapshot.lost_until, snapshot.omitted_bound] {
             self.number(number);
         }
         for (key, entry) in &snapshot.entries {
@@ -74,11 +73,11 @@
             counts.by_token,
             counts.by_memory,
             counts.by_peers,
-            counts.open,
-            counts.settled,
-            counts.behind,
-            counts.old_tokens,
-            counts.early_tokens,
+            counts.unknown,
+            counts.lowered,
+            counts.unproven,
+            counts.expired_tokens,
+            counts.future_tokens,
             counts.sent,
             counts.received,
             counts.rejected,
@@ -269,8 +268,9 @@
     }
 
     fn restart(&mut self, place: usize) {
-        let clean = self.rng.random_bool(0.5);
-        let snapshot = self.instances[place].snapshot(self.now, clean);
+        let is_clean = self.rng.random_bool(0.5);
+        let kind = if is_clean { SnapshotKind::CleanShutdown } else { SnapshotKind::Running };
+        let snapshot = self.instances[place].snapshot(self.now, kind);
         self.digest.snapshot(&snapshot);
         self.digest.counts(&self.instances[place]);
         self.now += self.rng.random_range(MS..200 * MS);
@@ -289,7 +289,7 @@
     (0..STEPS).for_each(|_| run.step());
     for tracker in &run.instances {
         run.digest.counts(tracker);
-        run.digest.snapshot(&tracker.snapshot(run.now, true));
+        run.digest.snapshot(&tracker.snapshot(run.now, SnapshotKind::CleanShutdown));
     }
     run.digest.0.digest()
 }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -67,7 +67,7 @@
     let attempt = send(&mut simulation, &mut ticket);
     assert!(!attempt.report(simulation.now, served(newer - MS, Role::Replica)), "it would go back");
     let counts = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept").counts;
-    assert_eq!((counts.behind, counts.by_token), (2, 3));
+    assert_eq!((counts.unproven, counts.by_token), (2, 3));
 }
 
 #[test]
@@ -133,7 +133,7 @@
     let attempt = send(&mut simulation, &mut ticket);
     assert!(attempt.report(simulation.now, served(arrived - MS, Role::Replica)), "nothing stands against it");
     let counts = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept").counts;
-    assert_eq!((counts.settled, counts.received), (1, 2));
+    assert_eq!((counts.lowered, counts.received), (1, 2));
     assert!(simulation.facade.update(|table| table.receive_broadcast(simulation.now, b"garbage")).is_err());
 }
 
@@ -207,7 +207,7 @@
     assert_eq!(kinds(&answer), "EZ");
     assert!(answer[0].1.windows(6).any(|code| code == b"C53300"));
     assert!(host.queries() >= 1, "it was asked");
-    gateway.wait_for("behind=", |count| count >= 1);
+    gateway.wait_for("unproven=", |count| count >= 1);
 }
 
 #[test]
