--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small simulation with an oracle: instances whose clocks differ, messages that get lost, restarts,
-//! clients with and without tokens, and replicas that show the oldest data they may.
+//! A simulation with an oracle: instances whose clocks differ, lost datagrams, restarts, clients with and
+//! without tokens, and replicas whose data are as old as a read's minimum position allows.
 #![allow(dead_code)]
 
 use petrelgauge_policy::{Role, Time};
@@ -11,14 +11,14 @@
 pub const MS: Time = 1_000;
 pub const G: u64 = 2;
 
-/// What a run plays.
+/// Parameters of a run.
 #[derive(Clone)]
 pub struct Scenario {
     pub settings: Settings,
     pub instances: u16,
     pub loss: f64,
     pub restarts: f64,
-    /// Clients hand back their newest token.
+    /// Whether clients return their tokens.
     pub tokens: bool,
     pub steps: usize,
     pub fault: InjectedFault,
@@ -28,18 +28,19 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum InjectedFault {
     Nothing,
-    /// A restarted instance does not count what it recorded before as lost.
+    /// A restarted instance ignores that it has lost watermarks.
     WatermarkLossForgotten,
-    /// An old snapshot passes for one of a clean end.
+    /// An old snapshot passes for one of a clean shutdown.
     AgeForgotten,
-    /// A token's watermark is taken for nothing, as an unverified one's could be.
+    /// A token's watermark is ignored, as a forged token's could be.
     TokenUnverified,
     /// A broadcast claims to cover everything since its instance started.
     GapIgnored,
-    /// A watermark of a snapshot is lowered where it should be joined.
+    /// A snapshot's watermarks replace higher ones instead of being joined.
     MergeTakesNewer,
 }
 
+/// What a session has really seen.
 #[derive(Clone, Copy, Default)]
 struct Truth {
     written: Time,
@@ -48,39 +49,39 @@
 
 /// A read that waits for its answer.
 struct Read {
-    due: Time,
+    answered_at: Time,
     place: usize,
     run: u32,
     name: u64,
     key: SessionKey,
     minimum: MinimumPosition,
-    /// Tokens that it brought.
+    /// The tokens in its request.
     held: Vec<String>,
-    /// What its session had seen when it came.
+    /// What its session had seen when it arrived.
     seen_before: Truth,
 }
 
 struct Instance {
     runs: u32,
     tracker: SessionTracker,
-    /// Its clock is ahead by so much.
+    /// How far its clock is ahead.
     clock_offset: Time,
     saved: Option<Snapshot>,
 }
 
-/// What a run showed.
+/// Counts of a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Findings {
     pub reads: usize,
-    /// Answers accepted though their session had seen more.
+    /// Answers that were accepted although their session had seen more.
     pub stale: usize,
-    /// Reads that a replica's answer was accepted for.
+    /// Reads whose answer from a replica was accepted.
     pub by_replicas: usize,
-    /// Of these, for a minimum position that the other instances had covered.
+    /// Of these, reads whose minimum position came from the broadcasts of other instances.
     pub by_replicas_known_from_peers: usize,
     /// Answers of the primary that were rejected.
     pub blocked: usize,
-    /// Answers of a deposed primary that hid something and were accepted.
+    /// Answers of a deposed primary that were accepted although they lacked something.
     pub deposed: usize,
 }
 
@@ -104,9 +105,9 @@
     simulation.findings
 }
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct Datagram {
-    arrives: Time,
+    arrives_at: Time,
     to: usize,
     bytes: Vec<u8>,
 }
@@ -118,8 +119,8 @@
     instances: Vec<Instance>,
     truth: BTreeMap<u64, Truth>,
     tokens: BTreeMap<u64, Vec<String>>,
-    in_transit: Vec<Datagram>,
-    waiting: Vec<Read>,
+    in_flight: Vec<Datagram>,
+    open_reads: Vec<Read>,
     findings: Findings,
 }
 
@@ -130,8 +131,8 @@
         let now: Time = 1_000_000_000;
         let instances = (0..scenario.instances).map(|instance| {
             let clock_offset = if error > 0 { rng.random_range(0..=error) } else { 0 };
-            let set = Settings { instance, ..scenario.settings.clone() };
-            let tracker = SessionTracker::new(set, now + clock_offset).expect("sound settings");
+            let settings = Settings { instance, ..scenario.settings.clone() };
+            let tracker = SessionTracker::new(settings, now + clock_offset).expect("valid settings");
             Instance { runs: 0, tracker, clock_offset, saved: None }
         });
         let instances = instances.collect();
@@ -142,8 +143,8 @@
             instances,
             truth: BTreeMap::new(),
             tokens: BTreeMap::new(),
-            in_transit: Vec::new(),
-            waiting: Vec::new(),
+            in_flight: Vec::new(),
+            open_reads: Vec::new(),
             findings: Findings::default(),
         }
     }
@@ -155,8 +156,8 @@
         self.answer_due_reads();
         if self.rng.random_bool(self.scenario.restarts) {
             let place = self.rng.random_range(0..self.instances.len());
-            let set = Settings { instance: place as u16, ..self.scenario.settings.clone() };
-            restart(&mut self.instances[place], set, self.now, self.scenario.fault, &mut self.rng);
+            let settings = Settings { instance: place as u16, ..self.scenario.settings.clone() };
+            restart(&mut self.instances[place], settings, self.now, self.scenario.fault, &mut self.rng);
         }
         self.request();
     }
@@ -179,32 +180,32 @@
         }
     }
 
-    /// Over a network that loses, doubles and delays datagrams.
+    /// Sends over a network that loses, duplicates and delays datagrams.
     fn send_datagram(&mut self, to: usize, bytes: &[u8]) {
         for _ in 0..1 + usize::from(self.rng.random_bool(0.1)) {
             if !self.rng.random_bool(self.scenario.loss) {
-                let long = if self.rng.random_bool(0.05) { 300 * MS } else { 11 * MS };
-                let arrives = self.now + self.rng.random_range(1_300..long);
-                self.in_transit.push(Datagram { arrives, to, bytes: bytes.to_vec() });
+                let max_delay = if self.rng.random_bool(0.05) { 300 * MS } else { 11 * MS };
+                let arrives_at = self.now + self.rng.random_range(1_300..max_delay);
+                self.in_flight.push(Datagram { arrives_at, to, bytes: bytes.to_vec() });
             }
         }
     }
 
     fn deliver_broadcasts(&mut self) {
         let (now, instances) = (self.now, &mut self.instances);
-        self.in_transit.retain(|datagram| {
-            let due = datagram.arrives <= now;
-            if due {
+        self.in_flight.retain(|datagram| {
+            let has_arrived = datagram.arrives_at <= now;
+            if has_arrived {
                 let instance = &mut instances[datagram.to];
                 let _ = instance.tracker.receive(now + instance.clock_offset, &datagram.bytes);
             }
-            !due
+            !has_arrived
         });
     }
 
     fn answer_due_reads(&mut self) {
-        while let Some(at) = self.waiting.iter().position(|read| read.due <= self.now) {
-            let read = self.waiting.swap_remove(at);
+        while let Some(at) = self.open_reads.iter().position(|read| read.answered_at <= self.now) {
+            let read = self.open_reads.swap_remove(at);
             let instance = &mut self.instances[read.place];
             // Requests of an earlier run are not answered.
             if instance.runs != read.run {
@@ -217,14 +218,14 @@
             if self.scenario.settings.promise == Promise::WritesAndReads {
                 known.read = known.read.max(shown);
             }
-            replace(&mut self.tokens, read.name, &read.held, tracker.issue_token(local, read.key));
+            replace_tokens(&mut self.tokens, read.name, &read.held, tracker.issue_token(local, read.key));
         }
     }
 
-    /// A client's request: the beginning of a read, or a write.
+    /// A client's request: a write, or a read that will be answered later.
     fn request(&mut self) {
         let name = self.rng.random_range(0..200u64).min(self.rng.random_range(0..200));
-        // A session that does not roam has an instance of its own.
+        // A session that does not roam always uses the same instance.
         let place = if self.scenario.settings.roams {
             self.rng.random_range(0..self.instances.len())
         } else {
@@ -248,9 +249,9 @@
         } else {
             self.findings.reads += 1;
             let minimum = instance.tracker.begin_read(local, key, token.as_ref());
-            let due = self.now + self.rng.random_range(10..90 * MS);
+            let answered_at = self.now + self.rng.random_range(10..90 * MS);
             let (run, seen_before) = (instance.runs, *self.truth.entry(name).or_default());
-            self.waiting.push(Read { due, place, run, name, key, minimum, held, seen_before });
+            self.open_reads.push(Read { answered_at, place, run, name, key, minimum, held, seen_before });
         }
     }
 
@@ -270,23 +271,29 @@
         tracker.record_write(answered, key, local, Some(reported));
         let known = self.truth.entry(name).or_default();
         known.written = known.written.max(commit);
-        replace(&mut self.tokens, name, held, tracker.issue_token(answered, key));
+        replace_tokens(&mut self.tokens, name, held, tracker.issue_token(answered, key));
     }
 }
 
-/// The token of an answer takes the place of those that came with its request.
-fn replace(tokens: &mut BTreeMap<u64, Vec<String>>, name: u64, held: &[String], token: Option<String>) {
+/// Replaces the tokens that were sent with a request by the token of its answer.
+fn replace_tokens(
+    tokens: &mut BTreeMap<u64, Vec<String>>,
+    name: u64,
+    held: &[String],
+    token: Option<String>,
+) {
     let known = tokens.entry(name).or_default();
     known.retain(|text| !held.contains(text));
     known.extend(token);
 }
 
-/// What a host of this role reports that has reached `position`: whole milliseconds.
+/// What a host reports that has reached `position`. Hosts report whole milliseconds.
 fn evidence(position: Time, role: Role) -> AnswerEvidence {
     AnswerEvidence { position: Some(position / MS * MS), position_at_send: None, role: Some(role) }
 }
 
-/// Answers a read from a replica that shows little, or else from the primary; gives the position shown.
+/// Answers a read from a lagging replica, or from the primary if the replica's answer proves too little.
+/// Returns the position of the data.
 fn serve(
     tracker: &mut SessionTracker,
     read: &Read,
@@ -297,34 +304,36 @@
 ) -> Time {
     let Read { key, seen_before, .. } = read;
     let minimum = tracker.recheck_read(now + clock_offset, *key, &read.minimum).unwrap_or(read.minimum);
-    // A replica somewhere behind, often just where the minimum asks for; an old primary far behind.
-    let least = ((minimum.position() + MS - 1) / MS * MS).clamp(now - 3_000 * MS, now);
-    let position = if rng.random_bool(0.5) { least } else { now - rng.random_range(0..80 * MS) };
-    let hidden = |position: Time| position < seen_before.written || position < seen_before.read;
-    // No primary takes writes for 300 ms after one was deposed.
-    let old = now - rng.random_range(1_000 * MS..4_000 * MS);
-    let led = |tracker: &mut SessionTracker, at: Time| {
-        tracker.verify_answer(&minimum, &evidence(at, Role::Primary))
+    // Half of the replicas have just reached the minimum position, the others lag at random.
+    let required = ((minimum.position() + MS - 1) / MS * MS).clamp(now - 3_000 * MS, now);
+    let position = if rng.random_bool(0.5) { required } else { now - rng.random_range(0..80 * MS) };
+    let is_stale = |position: Time| position < seen_before.written || position < seen_before.read;
+    // No primary accepts writes for 300 ms after one was deposed.
+    let deposed_at = now - rng.random_range(1_000 * MS..4_000 * MS);
+    let verify_primary = |tracker: &mut SessionTracker, position: Time| {
+        tracker.verify_answer(&minimum, &evidence(position, Role::Primary))
     };
-    findings.deposed += usize::from(led(tracker, old) == Verdict::Proven && hidden(old + 300 * MS));
+    findings.deposed += usize::from(
+        verify_primary(tracker, deposed_at) == Verdict::Proven && is_stale(deposed_at + 300 * MS),
+    );
     let by_replica = tracker.verify_answer(&minimum, &evidence(position, Role::Replica)) == Verdict::Proven;
     findings.by_replicas += usize::from(by_replica);
     findings.by_replicas_known_from_peers +=
         usize::from(by_replica && minimum.source == PositionSource::Peers);
     if !by_replica {
-        findings.blocked += usize::from(led(tracker, now) == Verdict::Unproven);
+        findings.blocked += usize::from(verify_primary(tracker, now) == Verdict::Unproven);
     }
     let shown = if by_replica { position } else { now };
-    findings.stale += usize::from(hidden(shown));
+    findings.stale += usize::from(is_stale(shown));
     tracker.record_read(now + clock_offset, *key, &minimum, shown / MS * MS);
     shown
 }
 
-fn restart(instance: &mut Instance, set: Settings, now: Time, fault: InjectedFault, rng: &mut Pcg64Mcg) {
+fn restart(instance: &mut Instance, settings: Settings, now: Time, fault: InjectedFault, rng: &mut Pcg64Mcg) {
     let local = now + instance.clock_offset;
     instance.runs += 1;
     if fault == InjectedFault::WatermarkLossForgotten {
-        instance.tracker = SessionTracker::new(set, 0).expect("sound settings");
+        instance.tracker = SessionTracker::new(settings, 0).expect("valid settings");
         return;
     }
     let is_clean = rng.random_bool(0.3);
@@ -346,6 +355,6 @@
         }
         _ => snapshot,
     };
-    instance.tracker = SessionTracker::restore(set, local, &snapshot).expect("sound settings");
+    instance.tracker = SessionTracker::restore(settings, local, &snapshot).expect("valid settings");
     instance.saved = Some(Snapshot { kind: SnapshotKind::Running, ..latest });
 }
--- a/crates/sessions/tests/fixtures.rs
+++ b/crates/sessions/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Compatibility of what outlives a process: session tokens that clients hold and datagrams of other versions
-//! of the program. The fixtures were written by commit a97f0e8, before the crate's types were renamed.
+//! Compatibility of encodings that outlive a process: tokens held by clients, and datagrams between versions
+//! of the program. The fixtures were recorded from commit a97f0e8.
 
 use petrelgauge_policy::Time;
 use petrelgauge_sessions::*;
@@ -7,7 +7,8 @@
 
 const MS: Time = 1_000;
 const SECRET: u64 = 0x5EED;
-/// Milliseconds fit the wire exactly; the microseconds after them show how each field is rounded.
+/// A whole number of milliseconds, which encodes exactly. Microseconds added to it show how a field is
+/// rounded.
 const NOW: Time = 1_767_225_600_123_000;
 
 const TOKENS: &str = include_str!("fixtures/tokens.txt");
@@ -32,11 +33,11 @@
     SessionKey { group: 0x0102_0304_0506_0708, name_hash: name }
 }
 
-fn watermark(wrote: Time, read: Time) -> Watermark {
-    Watermark { written: wrote, read }
+fn watermark(written: Time, read: Time) -> Watermark {
+    Watermark { written, read }
 }
 
-/// Tokens by the name of their fixture, with what is read back.
+/// Names of the fixtures, with the token encoded and the token that it decodes to.
 fn tokens() -> Vec<(&'static str, Token, Token)> {
     let token = |watermark, issued_at| Token { key: key(0xFE_DCBA_9876), watermark, issued_at };
     vec![
@@ -74,7 +75,7 @@
     }
 }
 
-/// Datagrams by the name of their fixture, with what is read back.
+/// Names of the fixtures, with the broadcast encoded and the broadcast that it decodes to.
 fn datagrams() -> Vec<(&'static str, WatermarkBroadcast, WatermarkBroadcast)> {
     let full: Vec<BroadcastEntry> =
         (0..MAX_ENTRIES as u64).map(|n| entry(n << 32 | n, watermark(NOW - n as Time * MS, 0))).collect();
@@ -83,7 +84,7 @@
         entry(8, watermark(0, NOW - 7 * MS)),
         entry(0xFF_FFFF_FFFF, watermark(NOW, NOW + 2_000 * MS)),
     ];
-    // Further back than a line can say, it is brought forward to the oldest that it can.
+    // An older watermark is encoded as the oldest possible.
     let oldest = NOW + 2_000 * MS - (Time::from(u16::MAX) - 1) * MS;
     vec![
         ("empty", datagram(Vec::new()), datagram(Vec::new())),
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn tokens_are_written_as_before() {
+fn tokens_are_encoded_as_recorded() {
     let fixtures = fixtures(TOKENS);
     assert_eq!(fixtures.len(), tokens().len());
     for (name, token, _) in tokens() {
@@ -119,16 +120,16 @@
 }
 
 #[test]
-fn tokens_written_before_are_read() {
+fn recorded_tokens_are_decoded() {
     let fixtures = fixtures(TOKENS);
     for (name, _, expected) in tokens() {
         assert_eq!(Token::decode(fixtures[name], SECRET), Ok(expected), "{name}");
     }
-    assert_eq!(NEW_SESSION, "new", "what a client sends without a token");
+    assert_eq!(NEW_SESSION, "new", "what clients send without a token");
 }
 
 #[test]
-fn datagrams_are_written_as_before() {
+fn datagrams_are_encoded_as_recorded() {
     let fixtures = fixtures(DATAGRAMS);
     assert_eq!(fixtures.len(), datagrams().len());
     for (name, datagram, _) in datagrams() {
@@ -137,15 +138,14 @@
 }
 
 #[test]
-fn datagrams_written_before_are_read() {
+fn recorded_datagrams_are_decoded() {
     let fixtures = fixtures(DATAGRAMS);
     for (name, _, expected) in datagrams() {
         assert_eq!(WatermarkBroadcast::decode(&bytes_of(fixtures[name]), SECRET), Ok(expected), "{name}");
     }
 }
 
-// Both checks stand on the secret and on a constant of each form: neither passes for the other, nor under
-// another secret.
+// Checksums depend on the secret.
 #[test]
 fn fixtures_of_another_secret_are_rejected() {
     for text in fixtures(TOKENS).values() {
@@ -159,10 +159,10 @@
     }
 }
 
-// The names of sessions in tokens and datagrams are hashes: another hash would make all known watermarks
-// another session's.
+// Tokens and datagrams contain hashes of session names: with another hash function every known watermark
+// would belong to another session.
 #[test]
-fn session_names_hash_as_before() {
+fn session_names_hash_as_recorded() {
     let names = ["", "member-17", "9b1f6e2c-2f3d-4c55-9d0c-0a4f6a1f0d11"];
     let hashes = names.map(|name| SessionKey::new(SECRET, 2, name).name_hash);
     assert_eq!(hashes, [354919028394, 495073452570, 366701853798]);
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -1,4 +1,4 @@
-//! The laws of the merge, the bounds of the summary, and what cannot be read.
+//! Laws of joins, bounds of memory and sketch, rejection of invalid tokens, broadcasts and settings.
 
 mod common;
 use common::*;
@@ -44,10 +44,10 @@
     }
 
     #[test]
-    fn memory_never_errs_downward_and_keeps_its_bound(puts in prop::collection::vec((a_key(), a_watermark()), 1..400)) {
+    fn memory_never_underestimates_and_keeps_its_capacity(joins in prop::collection::vec((a_key(), a_watermark()), 1..400)) {
         let mut memory = SessionMemory::new(32, 64, 5);
         let mut truth = std::collections::BTreeMap::<SessionKey, Watermark>::new();
-        for (key, watermark) in &puts {
+        for (key, watermark) in &joins {
             memory.join(*key, *watermark, 0);
             let known = truth.entry(*key).or_default();
             *known = known.join(*watermark);
@@ -105,12 +105,12 @@
     }
 
     #[test]
-    fn what_an_outbox_omits_is_bounded(made in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
+    fn watermarks_that_an_outbox_omits_are_bounded(recorded in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
         let start = 1_000 * MS;
         let sender = BroadcastSender { instance: 0, group: G, epoch: start };
         let mut outbox = Outbox::new(sender, Promise::Writes);
         let mut now = start;
-        for (name, age) in &made {
+        for (name, age) in &recorded {
             now += MS / 2;
             let watermark = Watermark { written: now - age * MS, read: 0 };
             outbox.push(now, BroadcastEntry { name_hash: *name, watermark });
@@ -118,12 +118,12 @@
         let sent = outbox.next_broadcast(now + 2 * MS);
         prop_assert!(sent.until >= now && sent.from <= start);
         now = start;
-        for (name, age) in &made {
+        for (name, age) in &recorded {
             now += MS / 2;
             let watermark = now - age * MS;
             let entry = sent.entries.iter().find(|entry| entry.name_hash == *name);
-            let line = entry.map_or(0, |entry| entry.watermark.written);
-            prop_assert!(watermark <= line.max(sent.omitted_bound), "{watermark} is neither sent nor bounded");
+            let sent_watermark = entry.map_or(0, |entry| entry.watermark.written);
+            prop_assert!(watermark <= sent_watermark.max(sent.omitted_bound), "{watermark} is neither sent nor bounded");
         }
     }
 }
@@ -136,11 +136,11 @@
         sketch.insert(SessionKey { group: G, name_hash: name }, Watermark { written: 100, read: 0 });
     }
     let others = 20_000u64;
-    let wrong = (0..others)
+    let overestimated = (0..others)
         .filter(|n| sketch.upper_bound(SessionKey { group: G, name_hash: 1_000_000 + n }).written > 0)
         .count();
-    let (share, predicted) = (wrong as f64 / others as f64, overestimate_rate(higher as f64, width));
-    assert!((share - predicted).abs() < 0.02, "{share} measured, {predicted} predicted");
+    let (rate, predicted) = (overestimated as f64 / others as f64, overestimate_rate(higher as f64, width));
+    assert!((rate - predicted).abs() < 0.02, "{rate} measured, {predicted} predicted");
 }
 
 #[test]
@@ -148,85 +148,90 @@
     let interval = |epoch, from, until| PeerInterval { epoch, from, until, omitted_bound: 0 };
     let mut range = KnownRange::default();
     range.record_interval(0, interval(10, 10, 20));
-    assert_eq!((range.known_until(), range.gap_end()), (20, 10), "what was before the first one is unknown");
+    assert_eq!(
+        (range.known_until(), range.gap_end()),
+        (20, 10),
+        "everything before the first interval is unknown"
+    );
     range.record_interval(1, interval(10, 30, 40));
     range.record_interval(1, interval(10, 30, 40));
-    assert_eq!((range.known_until(), range.gap_end()), (20, 10), "the one between may yet come");
+    assert_eq!((range.known_until(), range.gap_end()), (20, 10), "the interval between may still arrive");
     range.record_interval(2, interval(10, 18, 30));
-    assert_eq!((range.known_until(), range.gap_end()), (40, 10), "it came");
+    assert_eq!((range.known_until(), range.gap_end()), (40, 10), "it has arrived");
     range.record_interval(3, interval(10, 50, 60));
     range.expire_gaps(100, 50);
     assert_eq!((range.known_until(), range.gap_end()), (60, 50));
     range.record_interval(101, interval(10, 40, 50));
-    assert_eq!((range.known_until(), range.gap_end()), (60, 50), "too late: nothing is taken back");
-    // A new run: what the old one made last is lost at once.
+    assert_eq!((range.known_until(), range.gap_end()), (60, 50), "a late interval changes nothing");
+    // The sender has restarted: what its earlier run had not sent is lost at once.
     range.record_interval(102, interval(70, 70, 80));
     assert_eq!((range.known_until(), range.gap_end(), range.gaps()), (80, 70, 3));
     range.record_interval(103, interval(10, 60, 200));
-    assert_eq!(range.known_until(), 80, "the old run has nothing more to say");
+    assert_eq!(range.known_until(), 80, "intervals of the earlier run are ignored");
 }
 
 #[test]
 fn forged_and_foreign_tokens_are_rejected_or_affect_only_their_session() {
     let now = 9_000_000 * MS;
-    let mut tracker = SessionTracker::new(settings(0, 0), now - 60_000 * MS).expect("sound");
+    let mut tracker = SessionTracker::new(settings(0, 0), now - 60_000 * MS).expect("valid");
     let (key, other) = (tracker.session_key(G, "one"), tracker.session_key(G, "two"));
-    let write = |key, watermark, issued_at| Token { key, watermark, issued_at }.encode(99);
-    let none = write(key, Watermark::NONE, now);
+    let encoded = |key, watermark, issued_at| Token { key, watermark, issued_at }.encode(99);
+    let none = encoded(key, Watermark::NONE, now);
     assert_eq!(tracker.parse_token(now, &none, other).err(), Some(TokenError::WrongSession));
     assert_eq!(
         tracker.parse_token(now, &none, SessionKey { group: 3, ..key }).err(),
         Some(TokenError::WrongGroup)
     );
     assert_eq!(tracker.parse_token(now, "x", key).err(), Some(TokenError::Malformed));
-    // Far ahead of the clock: held down to it, and never taken to be complete.
+    // A token from the future is capped at the current time and does not count as complete.
     let ahead = Watermark { written: now + 1_000_000 * MS, read: 0 };
-    let ahead = tracker.parse_token(now, &write(key, ahead, now + 10 * MS), key).expect("sound");
+    let ahead = tracker.parse_token(now, &encoded(key, ahead, now + 10 * MS), key).expect("valid");
     let minimum = tracker.begin_read(now, key, Some(&ahead));
     assert_eq!((minimum.position(), minimum.source), (now, PositionSource::Unknown));
     assert_eq!(
         tracker.begin_read(now, other, None).position(),
         now,
-        "no other session is asked for more than before"
+        "the minimum position of other sessions is unchanged"
     );
-    // Too old to stand for all that the session did since.
+    // An expired token does not cover what the session did since.
     let old =
-        tracker.parse_token(now, &write(other, Watermark::NONE, now - 31_000 * MS), other).expect("sound");
+        tracker.parse_token(now, &encoded(other, Watermark::NONE, now - 31_000 * MS), other).expect("valid");
     assert_eq!(tracker.begin_read(now, other, Some(&old)).source, PositionSource::Unknown);
-    let off = SessionTracker::new(Settings { tokens: false, ..settings(0, 0) }, now).expect("sound");
-    assert_eq!(off.parse_token(now, &none, key).err(), Some(TokenError::Disabled));
-    assert_eq!(off.issue_token(now, key), None);
+    let disabled = SessionTracker::new(Settings { tokens: false, ..settings(0, 0) }, now).expect("valid");
+    assert_eq!(disabled.parse_token(now, &none, key).err(), Some(TokenError::Disabled));
+    assert_eq!(disabled.issue_token(now, key), None);
 }
 
 #[test]
 fn broadcasts_from_the_future_or_unknown_instances_are_rejected() {
     let now = 1_000 * MS;
-    let mut tracker = SessionTracker::new(settings(3, 0), now).expect("sound");
-    let say = |instance, until| {
+    let mut tracker = SessionTracker::new(settings(3, 0), now).expect("valid");
+    let datagram = |instance, until| {
         WatermarkBroadcast { sender: sender(instance), ..broadcast(Vec::new(), until) }.encode(99)
     };
-    assert_eq!(tracker.receive(now, &say(1, now + MS)).err(), Some(BroadcastError::InvalidInterval));
-    assert_eq!(tracker.receive(now, &say(0, now)).err(), Some(BroadcastError::UnknownInstance));
-    assert_eq!(tracker.receive(now, &say(3, now)).err(), Some(BroadcastError::UnknownInstance));
-    let mut later = say(1, now);
-    later[0] = 2;
-    assert_eq!(tracker.receive(now, &later).err(), Some(BroadcastError::UnsupportedVersion));
-    assert!(tracker.receive(now, &say(1, now)).is_ok());
+    assert_eq!(tracker.receive(now, &datagram(1, now + MS)).err(), Some(BroadcastError::InvalidInterval));
+    assert_eq!(tracker.receive(now, &datagram(0, now)).err(), Some(BroadcastError::UnknownInstance));
+    assert_eq!(tracker.receive(now, &datagram(3, now)).err(), Some(BroadcastError::UnknownInstance));
+    let mut next_version = datagram(1, now);
+    next_version[0] = 2;
+    assert_eq!(tracker.receive(now, &next_version).err(), Some(BroadcastError::UnsupportedVersion));
+    assert!(tracker.receive(now, &datagram(1, now)).is_ok());
     assert_eq!((tracker.counts().received, tracker.counts().rejected), (1, 4));
 }
 
 #[test]
 fn invalid_settings_are_rejected_with_the_reason() {
-    let bad = |settings: Settings| settings.check().err().map(|cause| cause.to_string()).unwrap_or_default();
-    assert!(bad(Settings { sketch_width: 1000, ..settings(0, 0) }).contains("power of two"));
-    assert!(bad(Settings { exact_sessions: 0, ..settings(0, 0) }).contains("exact"));
-    assert!(bad(settings(3, 3)).contains("instance 3 is none of 3"));
-    assert_eq!(bad(settings(3, 2)), "");
+    let reason =
+        |settings: Settings| settings.check().err().map(|cause| cause.to_string()).unwrap_or_default();
+    assert!(reason(Settings { sketch_width: 1000, ..settings(0, 0) }).contains("power of two"));
+    assert!(reason(Settings { exact_sessions: 0, ..settings(0, 0) }).contains("exact"));
+    assert!(reason(settings(3, 3)).contains("instance 3 is none of 3"));
+    assert_eq!(reason(settings(3, 2)), "");
 }
 
-// Several tokens of a group set at once all count: a client with several requests open holds several.
+// A client with several requests in flight holds several tokens of a group, and all of them count.
 #[test]
-fn session_tokens_keep_all_that_was_set_or_reject_it() {
+fn session_tokens_are_all_kept_or_all_rejected() {
     let text = |group, wrote| {
         Token {
             key: SessionKey { group, name_hash: 1 },
@@ -245,10 +250,10 @@
     assert_eq!(
         (held(&tokens, 2), held(&tokens, 3)),
         (vec![two.clone()], vec![other]),
-        "what is set replaces its group's"
+        "new tokens replace those of their group"
     );
     assert_eq!(tokens.set(&format!("{one}+x"), 9), Err(TokenError::Malformed));
-    assert_eq!(held(&tokens, 2).len(), 1, "what cannot be used changes nothing");
+    assert_eq!(held(&tokens, 2).len(), 1, "invalid tokens change nothing");
     let many: Vec<String> = (0..=MAX_TOKENS as u64).map(|group| text(group, MS)).collect();
     assert_eq!(tokens.set(&many.join("+"), 9), Err(TokenError::TooMany));
     assert_eq!(held(&tokens, 2), [two]);
@@ -256,13 +261,13 @@
     assert!(held(&tokens, 2).is_empty());
 }
 
-// A customer whose hosts report no positions: every answer to a session's read was held for one that proves
-// nothing, and no such read was ever served.
+// With hosts that report no positions, no answer to a session's read was once accepted, and no such read was
+// served.
 #[test]
 fn without_reported_positions_an_answer_proves_what_its_host_enforces_or_a_primary_implies() {
     let reporting = Settings { roams: false, tokens: false, ..Default::default() };
     let verdicts = |settings: Settings, position| {
-        let mut tracker = SessionTracker::new(settings, 0).expect("sound");
+        let mut tracker = SessionTracker::new(settings, 0).expect("valid");
         let (key, now) = (tracker.session_key(G, "member-1"), 9_000 * MS);
         tracker.record_write(now, key, now - MS, Some(now - MS));
         let minimum = tracker.begin_read(now, key, None);
@@ -275,7 +280,7 @@
     let silent = Settings { hosts_report_positions: false, ..reporting.clone() };
     assert_eq!(verdicts(silent.clone(), None), [true, false, false]);
     assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..silent.clone() }, None), [true; 3]);
-    // What is reported counts, and where positions are reported an answer without one proves nothing.
+    // A reported position counts, and where positions are reported an answer without one proves nothing.
     assert_eq!(verdicts(silent, Some(8_000 * MS)), [false; 3]);
     assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..reporting }, None), [false; 3]);
 }
@@ -284,12 +289,12 @@
 fn a_session_without_writes_accepts_any_answer() {
     let settings =
         Settings { roams: false, tokens: false, hosts_report_positions: false, ..Default::default() };
-    let mut tracker = SessionTracker::new(settings, 0).expect("sound");
+    let mut tracker = SessionTracker::new(settings, 0).expect("valid");
     let key = tracker.session_key(G, "member-1");
     let minimum = tracker.begin_read(9_000 * MS, key, None);
     let replica = AnswerEvidence { role: Some(Role::Replica), ..AnswerEvidence::default() };
     assert_eq!(tracker.verify_answer(&minimum, &replica), Verdict::Proven);
-    // A write that is under way may have been answered, and the answer been lost.
+    // A write in flight may have committed and its answer been lost.
     let minimum = minimum.with_pending_write(8_900 * MS);
     assert_eq!((minimum.position(), minimum.with_pending_write(1).position()), (8_900 * MS, 8_900 * MS));
     assert_eq!(tracker.verify_answer(&minimum, &replica), Verdict::Unproven);
--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -1,5 +1,5 @@
-//! No loss, restart or clock error leads to a stale read; and the oracle that checks it detects injected
-//! faults.
+//! No lost datagram, restart or clock error leads to a stale read, and the oracle that checks it detects
+//! injected faults.
 
 mod common;
 use common::*;
@@ -19,9 +19,8 @@
     }
 }
 
-/// Without tokens and with one clock, sessions that stay with one instance: the weakest knowledge of
-/// restarts.
-fn pinned() -> Scenario {
+/// Sessions that stay with one instance, without tokens: only that instance knows what they have seen.
+fn sticky_sessions() -> Scenario {
     scenario(Settings { roams: false, tokens: false, ..settings(0, 0) }, false)
 }
 
@@ -38,7 +37,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_stale_answer_passes_under_any_loss(
+    fn no_stale_answer_is_accepted_under_any_loss(
         seed in any::<u32>(),
         loss in 0.0..0.9f64,
         restarts in 0.0..0.05f64,
@@ -48,17 +47,17 @@
     ) {
         let promise = if both { Promise::WritesAndReads } else { Promise::Writes };
         let instances = if instances == 1 { 0 } else { instances };
-        let set = Settings { clock_error: error, roams, tokens, promise, ..settings(instances, 0) };
-        let findings = run(&Scenario { loss, restarts, ..scenario(set, tokens) }, u64::from(seed));
+        let settings = Settings { clock_error: error, roams, tokens, promise, ..settings(instances, 0) };
+        let findings = run(&Scenario { loss, restarts, ..scenario(settings, tokens) }, u64::from(seed));
         prop_assert_eq!((findings.stale, findings.blocked, findings.deposed), (0, 0, 0), "{:?}", findings);
         prop_assert!(findings.reads > 500);
     }
 }
 
 #[test]
-fn replicas_serve_where_something_is_known() {
+fn replicas_serve_reads_whose_minimum_position_is_known() {
     for scenario in [
-        pinned(),
+        sticky_sessions(),
         scenario(settings(0, 0), true),
         scenario(Settings { tokens: false, ..settings(3, 0) }, false),
     ] {
@@ -70,20 +69,21 @@
 
 #[test]
 fn injected_faults_are_detected() {
-    let carried = scenario(settings(0, 0), true);
-    let exchanged = scenario(Settings { tokens: false, ..settings(3, 0) }, false);
+    let with_tokens = scenario(settings(0, 0), true);
+    let with_broadcasts = scenario(Settings { tokens: false, ..settings(3, 0) }, false);
     let cases = [
-        (InjectedFault::WatermarkLossForgotten, pinned()),
-        (InjectedFault::AgeForgotten, pinned()),
-        (InjectedFault::MergeTakesNewer, pinned()),
-        (InjectedFault::TokenUnverified, carried),
-        (InjectedFault::GapIgnored, Scenario { loss: 0.8, ..exchanged }),
+        (InjectedFault::WatermarkLossForgotten, sticky_sessions()),
+        (InjectedFault::AgeForgotten, sticky_sessions()),
+        (InjectedFault::MergeTakesNewer, sticky_sessions()),
+        (InjectedFault::TokenUnverified, with_tokens),
+        (InjectedFault::GapIgnored, Scenario { loss: 0.8, ..with_broadcasts }),
     ];
-    for (place, (fault, scenario)) in cases.into_iter().enumerate() {
-        let sound = (1..20).map(|seed| run(&scenario, seed).stale).sum::<usize>();
-        let findings =
-            (1..20).map(|seed| run(&Scenario { fault, ..scenario.clone() }, seed).stale).sum::<usize>();
-        assert_eq!(sound, 0, "case {place} without a fault");
-        assert!(findings > 0, "the fault of case {place} is not detected");
+    for (index, (fault, scenario)) in cases.into_iter().enumerate() {
+        let stale_reads = |fault| {
+            let scenario = Scenario { fault, ..scenario.clone() };
+            (1..20).map(|seed| run(&scenario, seed).stale).sum::<usize>()
+        };
+        assert_eq!(stale_reads(InjectedFault::Nothing), 0, "case {index} without a fault");
+        assert!(stale_reads(fault) > 0, "the fault of case {index} is not detected");
     }
 }
--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -1,5 +1,5 @@
-//! A seeded run of several instances whose outputs are compared, as one digest, with those of commit a97f0e8:
-//! renaming and moving code must change no token, no datagram, no decision and no count.
+//! Seeded runs of several instances whose digests of all outputs were recorded from commit a97f0e8: a
+//! refactoring must not change a token, a datagram, a decision or a counter.
 
 use petrelgauge_policy::{Role, Time};
 use petrelgauge_sessions::*;
@@ -12,7 +12,7 @@
 const GROUPS: u64 = 3;
 const START: Time = 1_000_000_000;
 
-/// Digests the outputs in the order of their making.
+/// Digest of all outputs in order.
 #[derive(Default)]
 struct Digest(Xxh3);
 
@@ -90,9 +90,9 @@
     }
 }
 
-/// A datagram under way.
+/// A datagram in flight.
 struct Datagram {
-    due: Time,
+    arrives_at: Time,
     to: usize,
     bytes: Vec<u8>,
 }
@@ -119,7 +119,7 @@
     fn new(settings: Settings, seed: u64) -> Run {
         let instances = (0..settings.instances.max(2))
             .map(|instance| {
-                SessionTracker::new(Settings { instance, ..settings.clone() }, START).expect("sound settings")
+                SessionTracker::new(Settings { instance, ..settings.clone() }, START).expect("valid settings")
             })
             .collect();
         Run {
@@ -136,68 +136,70 @@
 
     fn step(&mut self) {
         self.now += self.rng.random_range(50..3 * MS);
-        self.exchange();
+        self.exchange_broadcasts();
         let place = self.rng.random_range(0..self.instances.len());
         match self.rng.random_range(0..100) {
             0..30 => self.write(place),
             30..65 => self.read(place),
-            65..95 => self.answer(),
-            95..97 => self.garbage(place),
-            97..99 => self.serve(place),
+            65..95 => self.answer_read(),
+            95..97 => self.receive_garbage(place),
+            97..99 => self.track_random_group(place),
             _ => self.restart(place),
         }
     }
 
-    /// Sends what is due, with loss, delay and repetition, and delivers what has arrived.
-    fn exchange(&mut self) {
+    /// Sends due broadcasts with loss, delay and duplication, and delivers those that have arrived.
+    fn exchange_broadcasts(&mut self) {
         for from in 0..self.instances.len() {
             for bytes in self.instances[from].due_broadcasts(self.now) {
                 self.digest.bytes(&bytes);
                 for to in (0..self.instances.len()).filter(|to| *to != from) {
                     for _ in 0..self.rng.random_range(0..3) {
-                        let due = self.now + self.rng.random_range(MS..60 * MS);
-                        self.datagrams.push(Datagram { due, to, bytes: bytes.clone() });
+                        let arrives_at = self.now + self.rng.random_range(MS..60 * MS);
+                        self.datagrams.push(Datagram { arrives_at, to, bytes: bytes.clone() });
                     }
                 }
             }
         }
-        let (arrived, in_transit) = self.datagrams.drain(..).partition(|datagram| datagram.due <= self.now);
-        self.datagrams = in_transit;
-        let arrived: Vec<Datagram> = arrived;
+        let now = self.now;
+        let (arrived, in_flight): (Vec<_>, Vec<_>) =
+            self.datagrams.drain(..).partition(|datagram| datagram.arrives_at <= now);
+        self.datagrams = in_flight;
         for datagram in arrived {
             let received = self.instances[datagram.to].receive(self.now, &datagram.bytes);
             self.digest.number(i64::from(received.is_ok()));
         }
     }
 
-    fn key(&mut self, place: usize) -> SessionKey {
+    fn random_key(&mut self, place: usize) -> SessionKey {
         let group = self.rng.random_range(0..GROUPS);
         let session = self.rng.random_range(0..90u32).to_string();
         self.instances[place].session_key(group, &session)
     }
 
-    /// A token that some client holds, when it is this session's or by chance another's.
-    fn token(&mut self, place: usize, key: SessionKey) -> Option<Token> {
-        let held = self
+    /// The token of a request, if it has one: usually its session's newest, sometimes that of another
+    /// session.
+    fn request_token(&mut self, place: usize, key: SessionKey) -> Option<Token> {
+        let newest = self
             .tokens
             .iter()
             .rev()
             .take(200)
             .find(|text| Token::decode(text, self.settings.secret).is_ok_and(|token| token.key == key));
-        let brought = match self.rng.random_range(0..10) {
+        let text = match self.rng.random_range(0..10) {
             0 => Some(NEW_SESSION.to_string()),
             1 => self.tokens.first().cloned(),
-            2..8 => held.cloned(),
+            2..8 => newest.cloned(),
             _ => None,
         }?;
-        let taken = self.instances[place].parse_token(self.now, &brought, key);
-        self.digest.number(i64::from(taken.is_ok()));
-        taken.ok()
+        let parsed = self.instances[place].parse_token(self.now, &text, key);
+        self.digest.number(i64::from(parsed.is_ok()));
+        parsed.ok()
     }
 
     fn write(&mut self, place: usize) {
-        let key = self.key(place);
-        if let Some(token) = self.token(place, key) {
+        let key = self.random_key(place);
+        if let Some(token) = self.request_token(place, key) {
             let watermark = self.instances[place].merge_token(self.now, key, &token);
             self.digest.number(watermark.written);
             self.digest.number(watermark.read);
@@ -209,10 +211,10 @@
             1 => self.instances[place].record_write(self.now, key, arrived, None),
             _ => self.instances[place].record_write(self.now, key, arrived, Some(self.now - 5)),
         }
-        self.hand_out(place, key);
+        self.issue_token(place, key);
     }
 
-    fn hand_out(&mut self, place: usize, key: SessionKey) {
+    fn issue_token(&mut self, place: usize, key: SessionKey) {
         if let Some(token) = self.instances[place].issue_token(self.now, key) {
             self.digest.bytes(token.as_bytes());
             self.tokens.push(token);
@@ -220,8 +222,8 @@
     }
 
     fn read(&mut self, place: usize) {
-        let key = self.key(place);
-        let token = self.token(place, key);
+        let key = self.random_key(place);
+        let token = self.request_token(place, key);
         let minimum = self.instances[place].begin_read(self.now, key, token.as_ref());
         let minimum = match self.rng.random_range(0..10) {
             0 => minimum.with_pending_write(self.now - 3 * MS),
@@ -231,38 +233,38 @@
         self.reads.push(OpenRead { place, key, minimum });
     }
 
-    /// One of the open reads is answered by hosts that are more or less behind.
-    fn answer(&mut self) {
+    /// Answers a random open read from hosts with a random lag.
+    fn answer_read(&mut self) {
         if self.reads.is_empty() {
             return;
         }
-        let at = self.rng.random_range(0..self.reads.len());
-        let OpenRead { place, key, mut minimum } = self.reads.swap_remove(at);
+        let index = self.rng.random_range(0..self.reads.len());
+        let OpenRead { place, key, mut minimum } = self.reads.swap_remove(index);
         if let Some(lower) = self.instances[place].recheck_read(self.now, key, &minimum) {
             self.digest.minimum(&lower);
             minimum = lower;
         }
-        let behind = self.rng.random_range(0..80 * MS);
-        let position = (self.now - behind) / MS * MS;
-        let before = self.rng.random_bool(0.5).then_some(position - MS);
+        let lag = self.rng.random_range(0..80 * MS);
+        let position = (self.now - lag) / MS * MS;
+        let position_at_send = self.rng.random_bool(0.5).then_some(position - MS);
         let tracker = &mut self.instances[place];
         for role in [Some(Role::Replica), None, Some(Role::Primary)] {
             for position in [None, Some(position)] {
-                let answer = AnswerEvidence { position, position_at_send: before, role };
+                let answer = AnswerEvidence { position, position_at_send, role };
                 self.digest.verdict(tracker.verify_answer(&minimum, &answer));
             }
         }
         tracker.record_read(self.now, key, &minimum, position.max(minimum.position()));
-        self.hand_out(place, key);
+        self.issue_token(place, key);
     }
 
-    fn garbage(&mut self, place: usize) {
+    fn receive_garbage(&mut self, place: usize) {
         let bytes: Vec<u8> = (0..self.rng.random_range(0..300)).map(|_| self.rng.random()).collect();
         let received = self.instances[place].receive(self.now, &bytes);
         self.digest.number(i64::from(received.is_ok()));
     }
 
-    fn serve(&mut self, place: usize) {
+    fn track_random_group(&mut self, place: usize) {
         let group = self.rng.random_range(0..GROUPS);
         self.instances[place].track_group(group);
     }
@@ -279,7 +281,7 @@
             true => SessionTracker::new(settings, self.now),
             false => SessionTracker::restore(settings, self.now, &snapshot),
         }
-        .expect("sound settings");
+        .expect("valid settings");
         self.reads.retain(|read| read.place != place);
     }
 }
@@ -307,30 +309,31 @@
 }
 
 #[test]
-fn outputs_are_those_of_the_reference() {
-    let clocks = Settings { clock_error: 5 * MS, position_scope: PositionScope::HostAtAnswer, ..settings() };
-    let writes = Settings { promise: Promise::Writes, tokens: false, ..settings() };
-    let alone = Settings {
+fn outputs_are_as_recorded() {
+    let clocks_differ =
+        Settings { clock_error: 5 * MS, position_scope: PositionScope::HostAtAnswer, ..settings() };
+    let writes_only = Settings { promise: Promise::Writes, tokens: false, ..settings() };
+    let single_instance = Settings {
         instances: 0,
         roams: false,
         hosts_report_positions: false,
         hosts_enforce_positions: true,
         ..settings()
     };
-    let guessing = Settings { conservative: false, hosts_report_positions: false, ..settings() };
+    let not_conservative = Settings { conservative: false, hosts_report_positions: false, ..settings() };
     let digests = [
         digest_of(settings(), 1),
-        digest_of(clocks, 2),
-        digest_of(writes, 3),
-        digest_of(alone, 4),
-        digest_of(guessing, 5),
+        digest_of(clocks_differ, 2),
+        digest_of(writes_only, 3),
+        digest_of(single_instance, 4),
+        digest_of(not_conservative, 5),
     ];
-    let reference = [
+    let recorded = [
         17072176271574537133,
         12557625366752115743,
         5879804311106528314,
         4652350228593771726,
         11400146706638230353,
     ];
-    assert_eq!(digests, reference);
+    assert_eq!(digests, recorded);
 }
--- a/crates/sessions/tests/restart.rs
+++ b/crates/sessions/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A tracker whose clock turned out to be wrong, and starts its times over.
+//! Restarting a tracker after its clock was found to be wrong.
 
 mod common;
 use common::*;
@@ -8,34 +8,36 @@
 const HOUR: Time = 3_600_000 * MS;
 const NOON: Time = 1_000_000_000 * MS;
 
-fn pair(now: Time) -> [SessionTracker; 2] {
-    [0, 1].map(|me| {
-        let set = Settings { tokens: false, ..settings(2, me) };
-        let mut tracker = SessionTracker::new(set, now).expect("sound settings");
+/// Two instances without tokens that exchange watermarks of group `G`.
+fn two_trackers(now: Time) -> [SessionTracker; 2] {
+    [0, 1].map(|instance| {
+        let settings = Settings { tokens: false, ..settings(2, instance) };
+        let mut tracker = SessionTracker::new(settings, now).expect("valid settings");
         tracker.track_group(G);
         tracker
     })
 }
 
-/// Some paces in which they tell each other all that they made, each by its clock.
-fn exchange(trackers: &mut [SessionTracker; 2], now: [Time; 2]) {
-    for pace in 1..6 {
-        let at = now.map(|now| now + pace * 100 * MS);
+/// Lets both trackers exchange five broadcasts, each at the time of its own clock.
+fn exchange_broadcasts(trackers: &mut [SessionTracker; 2], now: [Time; 2]) {
+    for interval in 1..6 {
+        let at = now.map(|now| now + interval * 100 * MS);
         let broadcasts = [trackers[0].due_broadcasts(at[0]), trackers[1].due_broadcasts(at[1])];
         for (to, bytes) in [(1, &broadcasts[0]), (0, &broadcasts[1])] {
             for datagram in bytes {
-                // Turned away where the two clocks differ.
+                // Rejected if it is from the future by the receiver's clock.
                 let _ = trackers[to].receive(at[to] + MS, datagram);
             }
         }
     }
 }
 
-// What was heard by a clock that is ahead covers times that have not come: a read would pass for one that all is known of.
+// Intervals received by a clock that was ahead cover times that have not come yet: without the restart, a
+// read would count as covered.
 #[test]
-fn what_was_heard_by_a_clock_that_was_ahead_covers_nothing() {
-    let mut trackers = pair(NOON + HOUR);
-    exchange(&mut trackers, [NOON + HOUR; 2]);
+fn intervals_received_by_a_clock_that_was_ahead_cover_no_read() {
+    let mut trackers = two_trackers(NOON + HOUR);
+    exchange_broadcasts(&mut trackers, [NOON + HOUR; 2]);
     trackers[0].restart(NOON + 700 * MS);
     let key = trackers[0].session_key(G, "one");
     let minimum = trackers[0].begin_read(NOON + 800 * MS, key, None);
@@ -43,8 +45,8 @@
 }
 
 #[test]
-fn marks_of_a_clock_that_was_ahead_ask_for_no_time_to_come() {
-    let mut trackers = pair(NOON + HOUR);
+fn watermarks_of_a_clock_that_was_ahead_require_no_future_position() {
+    let mut trackers = two_trackers(NOON + HOUR);
     let key = trackers[0].session_key(G, "one");
     trackers[0].record_unconfirmed_write(NOON + HOUR, key);
     trackers[0].restart(NOON + MS);
@@ -52,9 +54,9 @@
 }
 
 #[test]
-fn what_was_made_by_a_clock_that_was_behind_counts_as_lost() {
-    let set = Settings { roams: false, tokens: false, ..settings(0, 0) };
-    let mut tracker = SessionTracker::new(set, NOON - HOUR).expect("sound settings");
+fn watermarks_recorded_by_a_clock_that_was_behind_count_as_lost() {
+    let settings = Settings { roams: false, tokens: false, ..settings(0, 0) };
+    let mut tracker = SessionTracker::new(settings, NOON - HOUR).expect("valid settings");
     let key = tracker.session_key(G, "one");
     tracker.record_unconfirmed_write(NOON - HOUR, key);
     tracker.restart(NOON);
@@ -62,19 +64,19 @@
 }
 
 #[test]
-fn after_a_restart_of_both_they_know_of_each_other_again() {
-    for off in [HOUR, -HOUR] {
-        let mut trackers = pair(NOON + off);
-        exchange(&mut trackers, [NOON + off; 2]);
+fn after_both_have_restarted_broadcasts_cover_reads_again() {
+    for clock_error in [HOUR, -HOUR] {
+        let mut trackers = two_trackers(NOON + clock_error);
+        exchange_broadcasts(&mut trackers, [NOON + clock_error; 2]);
         trackers[0].restart(NOON + 700 * MS);
-        exchange(&mut trackers, [NOON + 700 * MS, NOON + off + 700 * MS]);
+        exchange_broadcasts(&mut trackers, [NOON + 700 * MS, NOON + clock_error + 700 * MS]);
         trackers[1].restart(NOON + 1_400 * MS);
-        exchange(&mut trackers, [NOON + 1_400 * MS; 2]);
+        exchange_broadcasts(&mut trackers, [NOON + 1_400 * MS; 2]);
         let key = trackers[0].session_key(G, "one");
         for tracker in &mut trackers {
-            // It came well before the last interval that was broadcast.
+            // The read arrives well before the end of the last broadcast interval.
             let minimum = tracker.begin_read(NOON + 1_600 * MS, key, None);
-            assert_eq!(minimum.source, PositionSource::Peers, "{off}");
+            assert_eq!(minimum.source, PositionSource::Peers, "clock error {clock_error}");
         }
     }
 }
