--- a/src/client/acceptor.rs
+++ b/src/client/acceptor.rs
@@ -33,7 +33,7 @@
             shed: Rc::new(Notify::new()),
             serving_state: self.serving_state.clone(),
             close_from: 0,
-            cancel_key: self.cancel_keys.register(number),
+            cancel_key: self.cancel_registry.register(number),
             session_tokens: SessionTokens::default(),
         };
         let end = session.run().await;
--- a/src/client/context.rs
+++ b/src/client/context.rs
@@ -1,11 +1,11 @@
 //! What all client sessions share: the decisions, the database hosts, the process's limits, and what the gateway's own
 //! life means for them.
 
+use crate::client::cancel_registry::CancelRegistry;
 use crate::facade::Facade;
 use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
 use crate::postgres;
-use crate::postgres::cancel::CancelKeys;
 use crate::postgres::read_buffer::ReadBuffer;
 use crate::resources::budget::Budget;
 use crate::resources::counters::{Counters, Gauge};
@@ -37,7 +37,7 @@
     /// How many sessions are open.
     pub open_sessions: Gauge,
     /// Keys by which clients cancel their open queries.
-    pub cancel_keys: Rc<CancelKeys>,
+    pub cancel_registry: Rc<CancelRegistry>,
     /// The ids of open requests, as their clients name them. Bounded by the clients: each has one open request.
     pub open_request_ids: RefCell<BTreeSet<Rc<str>>>,
     /// Once the gateway stops: clock time of the last answers before the process may be killed.
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -7,6 +7,7 @@
 
 pub mod accept_loop;
 mod acceptor;
+pub mod cancel_registry;
 pub mod context;
 mod reader;
 mod request;
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -1,9 +1,9 @@
 //! One client's connection: PostgreSQL's simple queries in, one final answer out for each.
 
+use crate::client::cancel_registry::RegisteredKey;
 use crate::client::context::ClientContext;
 use crate::client::reader::{ClientEvent, ClientReader, ProtocolError, UNFINISHED, UNKNOWN};
 use crate::os::socket::{self, Unread};
-use crate::postgres::cancel::RegisteredKey;
 use crate::postgres::{self, Severity};
 use crate::resources::budget::Idleness;
 use crate::Time;
@@ -57,7 +57,7 @@
         loop {
             let event = self.hear(&life).await;
             let mut out = Vec::new();
-            event.cancel.into_iter().for_each(|key| self.context.cancel_keys.cancel(key));
+            event.cancel.into_iter().for_each(|key| self.context.cancel_registry.cancel(key));
             let mut action = life.on(clock.now(), event.event);
             if action == Action::Answer {
                 let (text, at) = event.query.unwrap_or_default();
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -2,6 +2,7 @@
 
 use crate::process::error::GatewayError;
 use crate::process::gateway::GatewayProcess;
+use petrelgauge::client::cancel_registry::CancelRegistry;
 use petrelgauge::client::context::ClientContext;
 use petrelgauge::control::config::Config;
 use petrelgauge::control::ops::{CommandListener, CommandRequest};
@@ -13,7 +14,6 @@
 use petrelgauge::os::datagram::{self, DatagramSocket};
 use petrelgauge::os::signals::Signals;
 use petrelgauge::os::socket::{self, SocketError};
-use petrelgauge::postgres::cancel::CancelKeys;
 use petrelgauge::postgres::read_buffer::ReadBuffer;
 use petrelgauge::resources::budget::Budget;
 use petrelgauge::resources::counters::{Counters, Gauge};
@@ -157,7 +157,7 @@
             read_buffer: self.read_buffer.clone(),
             serving_state,
             open_sessions: Gauge::default(),
-            cancel_keys: CancelKeys::new(config.seed.rotate_left(16)),
+            cancel_registry: CancelRegistry::new(config.seed.rotate_left(16)),
             open_request_ids: RefCell::default(),
             final_answer_deadline: Cell::new(Time::MAX),
             final_read_deadlines: Cell::default(),
