--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -177,15 +177,15 @@
     }
 
     pub(super) fn stats(&self) -> GatewayStats {
-        let Counters { told, told_bytes, heard, heard_bytes, list_bytes, .. } = &*self.counters;
+        let counters = &self.counters;
         let leadership = self.control.leadership.as_ref();
         GatewayStats {
             number: self.number,
-            datagrams_sent: told.get(),
-            bytes_sent: told_bytes.get(),
-            datagrams_received: heard.get(),
-            bytes_received: heard_bytes.get(),
-            list_bytes: list_bytes.get(),
+            datagrams_sent: counters.datagrams_sent.get(),
+            bytes_sent: counters.datagram_bytes_sent.get(),
+            datagrams_received: counters.datagrams_received.get(),
+            bytes_received: counters.datagram_bytes_received.get(),
+            list_bytes: counters.list_bytes.get(),
             list_revision: self.control.list_revision.get(),
             settings_version: self.control.facade.read(|table| table.version()),
             entries: self.control.entry_count() as u64,
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -79,10 +79,10 @@
     fn gateway_stats(&self, log: &str) -> GatewayStats {
         GatewayStats {
             number: self.number,
-            datagrams_sent: logged_counter(log, "told"),
-            bytes_sent: logged_counter(log, "told_bytes"),
-            datagrams_received: logged_counter(log, "heard"),
-            bytes_received: logged_counter(log, "heard_bytes"),
+            datagrams_sent: logged_counter(log, "datagrams_sent"),
+            bytes_sent: logged_counter(log, "datagram_bytes_sent"),
+            datagrams_received: logged_counter(log, "datagrams_received"),
+            bytes_received: logged_counter(log, "datagram_bytes_received"),
             list_bytes: logged_counter(log, "list_bytes"),
             ..GatewayStats::default()
         }
--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -34,7 +34,7 @@
     fn log_name(&self) -> &'static str {
         match self {
             RequestEnd::Answered(_) => "answered",
-            RequestEnd::Rejected { .. } => "refused",
+            RequestEnd::Rejected { .. } => "rejected",
             RequestEnd::Failed => "failed",
             RequestEnd::Cancelled => "cancelled",
         }
@@ -136,7 +136,7 @@
                 }
             },
             RequestEnd::Rejected { retry_after } => {
-                counters.refused.add();
+                counters.rejected.add();
                 let detail = (retry_after > 0).then(|| retry_after_detail(retry_after));
                 let message = "too busy for this request now";
                 let error = ErrorAnswer::new(sqlstate::TOO_MANY_CONNECTIONS, message);
--- a/src/fleet/leadership.rs
+++ b/src/fleet/leadership.rs
@@ -140,7 +140,7 @@
         let received = match self.codec.decode(bytes) {
             Ok(received) => received,
             Err(cause) => {
-                self.counters.bad_words.add();
+                self.counters.bad_leadership_datagrams.add();
                 if !self.is_rejecting.replace(true) {
                     log::warn!("leadership datagram rejected cause={cause}");
                 }
@@ -191,7 +191,7 @@
         let lending = lending.unwrap_or_default();
         let (held, known, roles) = (self.held_leases(), self.known_lease_holders(), self.roles.len());
         let counts = self.lease_manager.borrow().counts();
-        format!("{counts} duties_owned={held} duties_known={known} duties={roles} scout={leader}{lending}")
+        format!("{counts} leases_held={held} leaders_known={known} roles={roles} discovery_leader={leader}{lending}")
     }
 
     fn release_leases(&self, now: Time) -> Vec<OutgoingDatagram> {
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -84,8 +84,8 @@
     /// Handles a datagram of another gateway.
     fn on_datagram(&self, datagram: &[u8]) {
         self.failures.is_receive_failing.set(false);
-        self.options.counters.heard.add();
-        self.options.counters.heard_bytes.add_many(datagram.len());
+        self.options.counters.datagrams_received.add();
+        self.options.counters.datagram_bytes_received.add_many(datagram.len());
         let dispatched = self.dispatch(datagram);
         self.failures.on_dispatched(dispatched);
     }
@@ -131,8 +131,8 @@
 
     /// Sends a datagram. One that cannot be sent is lost, as any datagram may be.
     fn send(&self, datagram: &[u8], to: SocketAddr) {
-        self.options.counters.told.add();
-        self.options.counters.told_bytes.add_many(datagram.len());
+        self.options.counters.datagrams_sent.add();
+        self.options.counters.datagram_bytes_sent.add_many(datagram.len());
         match datagram::send(&self.socket, datagram, to) {
             Ok(()) => self.failures.is_send_failing.set(false),
             Err(error) => self.failures.on_send_error(&error),
--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -63,7 +63,7 @@
     /// ignored.
     pub(super) fn on_announcement(&mut self, now: Time, announcement: PrimaryAnnouncement) {
         let Some(member) = self.options.host_names.by_hash(announcement.member) else { return };
-        self.options.counters.words.add();
+        self.options.counters.primary_announcements.add();
         // Recorded as announced, so that it is not sent back.
         let group = self.options.facade.read(|table| table.group_of(member));
         if let Some(group) = group {
--- a/src/fleet/quota_lending.rs
+++ b/src/fleet/quota_lending.rs
@@ -128,7 +128,7 @@
                 borrowed += extra;
             }
         }
-        let own_totals = format!("share_lent={lent} share_given={borrowed}");
+        let own_totals = format!("quota_lent={lent} quota_borrowed={borrowed}");
         let pools = self.shards.iter().filter_map(|shard| shard.pool.as_ref());
         let pool_totals: Vec<QuotaTotals> = pools.map(|pool| pool.totals(now)).collect();
         if pool_totals.is_empty() {
@@ -136,7 +136,7 @@
         }
         let pool_lent: i64 = pool_totals.iter().map(|totals| totals.lent).sum();
         let pool_granted: i64 = pool_totals.iter().map(|totals| totals.granted).sum();
-        format!("{own_totals} pool_lent={pool_lent} pool_given={pool_granted}")
+        format!("{own_totals} pool_lent={pool_lent} pool_granted={pool_granted}")
     }
 
     fn shard_of(&self, group: GroupId) -> usize {
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -149,7 +149,7 @@
             if !closed {
                 return;
             }
-            self.counters.sheds.add();
+            self.counters.descriptors_freed.add();
         }
     }
 
@@ -168,7 +168,7 @@
             || shed(Idleness::Answered, 0)
             || shed(Idleness::New, 0);
         if closed {
-            self.counters.sheds.add();
+            self.counters.descriptors_freed.add();
         }
         closed
     }
--- a/src/resources/counters.rs
+++ b/src/resources/counters.rs
@@ -33,7 +33,7 @@
     /// Of these, served.
     served,
     /// Refused.
-    refused,
+    rejected,
     /// Failed.
     failed,
     /// Requests that their client cancelled.
@@ -63,21 +63,21 @@
     /// Watches of discovery begun.
     watches,
     /// Times that a descriptor had to be freed.
-    sheds,
+    descriptors_freed,
     /// Datagrams to other instances.
-    told,
+    datagrams_sent,
     /// Bytes of them.
-    told_bytes,
+    datagram_bytes_sent,
     /// Datagrams of other instances.
-    heard,
+    datagrams_received,
     /// Bytes of them.
-    heard_bytes,
+    datagram_bytes_received,
     /// Bytes that discovery's watch has brought.
     list_bytes,
     /// Announced primaries that are known members.
-    words,
+    primary_announcements,
     /// Datagrams about leaderships that could not be used.
-    bad_words,
+    bad_leadership_datagrams,
     /// Callers of the second address.
     calls,
     /// Of these, answered with no.
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -35,7 +35,7 @@
     assert!(host.next_query().contains("id=1"));
     host.wait_for_disconnect();
     assert_eq!(host.queries(), 1);
-    gateway.wait_for_counter("requests=2 served=0 refused=1 failed=1 ");
+    gateway.wait_for_counter("requests=2 served=0 rejected=1 failed=1 ");
 }
 
 #[test]
--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -165,13 +165,13 @@
         tokio::select! {
             () = exchange.run() => panic!("it never ends"),
             () = async {
-                while counters.heard.get() == 0 || Instant::now() < socket.failing_until {
+                while counters.datagrams_received.get() == 0 || Instant::now() < socket.failing_until {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             } => {}
         }
     });
-    assert_eq!(counters.heard.get(), 1, "{}", error(socket.number));
+    assert_eq!(counters.datagrams_received.get(), 1, "{}", error(socket.number));
 }
 
 // A receive that failed each time was made again without a pause.
--- a/tests/fault_schedule.rs
+++ b/tests/fault_schedule.rs
@@ -250,7 +250,7 @@
 /// Each request that was read has one end.
 fn check_counters(counters: &BTreeMap<String, u64>, answers: &[Answered], breaks: bool) {
     let count = |name: &str| counters[name];
-    let ended = ["served", "refused", "failed", "cancelled", "left"].map(count).iter().sum::<u64>();
+    let ended = ["served", "rejected", "failed", "cancelled", "left"].map(count).iter().sum::<u64>();
     assert_eq!(count("requests"), ended, "{counters:?}");
     let served = answers.iter().filter(|answer| answer.code.is_none()).count() as u64;
     assert!(served > (CLIENTS * REQUESTS / 2) as u64, "{served} served: the play shows little");
@@ -259,7 +259,10 @@
     } else {
         assert_eq!((count("requests"), count("served")), ((CLIENTS * REQUESTS) as u64, served));
     }
-    assert!(count("told") > 0 && count("heard") > 0, "datagrams went both ways: {counters:?}");
+    assert!(
+        count("datagrams_sent") > 0 && count("datagrams_received") > 0,
+        "datagrams went both ways: {counters:?}"
+    );
 }
 
 /// The configuration with a class of writes without keys, and with two other gateways at this address.
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -69,7 +69,7 @@
     assert_eq!(member, xxhash_rust::xxh3::xxh3_64(b"s-0"));
     let leader = ledger.holder_after(0).gateway;
     let other = (0..GATEWAYS).find(|place| *place != leader).expect("four others");
-    fleet.gateway(other).wait_for("words=", |count| count >= 1);
+    fleet.gateway(other).wait_for("primary_announcements=", |count| count >= 1);
 }
 
 #[test]
@@ -98,7 +98,7 @@
     for bytes in &bad {
         ledger.socket.send_to(bytes, &target).expect("sent");
     }
-    fleet.gateway(1).wait_for("bad_words=", |count| count >= 3);
+    fleet.gateway(1).wait_for("bad_leadership_datagrams=", |count| count >= 3);
     fleet.gateway(1).wait_for("notifications_rejected=", |count| count >= 1);
     ledger.read(Duration::from_millis(1200));
     assert_eq!(ledger.holder_after(0), holder, "the lease holder goes on");
@@ -243,9 +243,9 @@
     // Without a lease holder a gateway returns to its even quota.
     let who = borrower.holders.last().expect("somebody grants").gateway;
     let other = (0..GATEWAYS).find(|place| *place != who).expect("four others");
-    fleet.gateway(other).wait_for("share_lent=", |lent| lent == 500);
+    fleet.gateway(other).wait_for("quota_lent=", |lent| lent == 500);
     [0, 2, 4].into_iter().for_each(|place| fleet.kill(place));
-    fleet.gateway(1).wait_for("share_lent=", |lent| lent == 0);
+    fleet.gateway(1).wait_for("quota_lent=", |lent| lent == 0);
     assert_eq!(kinds(&fleet.gateway(1).client().ask(&select("a", "view", 20000))), "TDCZ");
 }
 
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_duties.rs
@@ -82,14 +82,14 @@
     /// Waits until each of these owns so many duties.
     fn wait_until_owned(&self, owned: &[(u16, u64)]) {
         for (place, owned) in owned {
-            self.gateway(*place).wait_for("duties_owned=", |count| count == *owned);
+            self.gateway(*place).wait_for("leases_held=", |count| count == *owned);
         }
     }
 
     /// Waits until each of these knows the owner of so many duties.
     fn wait_until_known(&self, places: &[u16], known: u64) {
         places.iter().for_each(|place| {
-            self.gateway(*place).wait_for("duties_known=", |count| count == known);
+            self.gateway(*place).wait_for("leaders_known=", |count| count == known);
         });
     }
 
@@ -133,7 +133,7 @@
     fleet.wait_until_known(&most, DUTIES);
     fleet.wait_until_known(&rest, 0);
     // Nothing is lent where nobody owns the share-out, and clients are served.
-    fleet.gateway(4).wait_for("share_lent=", |lent| lent == 0);
+    fleet.gateway(4).wait_for("quota_lent=", |lent| lent == 0);
     assert_eq!(kinds(&fleet.gateway(4).client().ask(&select("a", "view", 20000))), "TDCZ");
     links.join();
     fleet.wait_until_even();
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -89,7 +89,7 @@
     assert_eq!(kinds(&busy.rest()), "TDCZ");
     let (code, log) = gateway.ended();
     assert_eq!(code, Some(0), "{log}");
-    assert!(log.contains("requests=1 served=1 refused=0 failed=0"), "{log}");
+    assert!(log.contains("requests=1 served=1 rejected=0 failed=0"), "{log}");
 }
 
 // Day roll+mass, once in seven plays: a request that was taken 2.25 s after SIGTERM was not answered when the process was
