--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -1,13 +1,13 @@
-//! The life of a client's connection, from its opening to its end.
+//! The state machine of a client's connection, from its startup message to its end.
 //!
 //! ```text
 //! Opening --StartupReceived--> Idle --Message(Query)--> AwaitingAnswer --Answered--> Idle
-//!    |                          |                          |  \--Answered(Unusable)--> Pausing --PauseOver--> Idle
+//!    |                          |                          |  \--Answered(Unusable)--> Pausing --PauseEnded--> Idle
 //!    +--------------------------+--- ProtocolError --> CutOff  +--- Disconnected --> Ended
 //! ```
 //!
-//! What a client has sent takes precedence over every reason to close its connection: whoever steps the machine with
-//! [`Event::Shed`], [`Event::Stop`] or [`Event::Due`] says whether unread bytes are available, and those are read first.
+//! Bytes from the client take precedence over every reason to close its connection: whoever steps the machine with
+//! [`Event::Shed`], [`Event::Stop`] or [`Event::Timeout`] says whether unread bytes are available, and those are read first.
 //! A connection with an open query is not closed for its age, to free its descriptor or for a stop.
 
 use crate::ending::End;
@@ -15,28 +15,28 @@
 
 /// Time within which a client must send its startup message (microseconds).
 pub const STARTUP_TIMEOUT: Time = 2_000_000;
-/// Time without an open query after which a client is closed (microseconds): others need its descriptor.
+/// Time without an open query after which a client is closed (microseconds), since others need its descriptor.
 pub const IDLE_TIMEOUT: Time = 2_100_000;
-/// Time within which a message that has begun must be complete (microseconds) if the client is new: it has to get an
-/// answer or an error within 3 s.
+/// Time within which a new client must complete a message that it has begun (microseconds): it has to get an answer or an
+/// error within 3 s.
 pub const NEW_CLIENT_MESSAGE_TIMEOUT: Time = 2_500_000;
-/// The same for a client that has been served before, which may be slow.
+/// Time within which a client that has been served before must complete a message that it has begun (microseconds).
 pub const MESSAGE_TIMEOUT: Time = 6_000_000;
-/// Time without a further byte of an incomplete message after which a client is cut off (microseconds): a slow client
-/// may continue, one that has stopped has to get an error within 3 s.
+/// Time without a further byte of an incomplete message after which a client is cut off (microseconds). A slow client may
+/// continue; one that has stopped has to get an error within 3 s.
 pub const STALL_TIMEOUT: Time = 2_500_000;
-/// Pause after an unusable statement before the next one is read (microseconds), doubled for each further one in a row:
-/// a client that repeats it at once must not cost the others processor time.
+/// Pause after an unusable statement before the next one is read (microseconds), doubled for each further one in a row. A
+/// client that repeats it at once must not take processor time from the others.
 pub const MIN_BACKOFF: Time = 1_000;
 /// The longest such pause (microseconds).
 pub const MAX_BACKOFF: Time = 64_000;
-/// Unusable statements in a row are counted up to this (count), so that the shift can't overflow.
+/// Unusable statements in a row are counted up to this number, so that the shift can't overflow.
 const MAX_COUNTED_UNUSABLE: u32 = 16;
 
 /// Why a client may be closed to free its descriptor. Clients are closed in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Idleness {
-    /// It has been sent the reason why its connection ends, and may still read it.
+    /// It has been sent the reason why its connection ends, and has time to read it.
     CutOff,
     /// It has sent no query yet.
     New,
@@ -44,9 +44,18 @@
     Answered,
 }
 
-/// The stage of a connection.
+/// Since when a client may be closed to free its descriptor, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub struct IdleSince {
+    /// Why.
+    pub kind: Idleness,
+    /// Clock time at which it was accepted or last used its connection.
+    pub since: Time,
+}
+
+/// The state of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum ClientState {
     /// The client has not sent its startup message.
     Opening,
     /// No query is open.
@@ -55,16 +64,16 @@
     AwaitingAnswer,
     /// A statement was unusable; the next one is read after a pause.
     Pausing {
-        /// Clock time at which the pause is over.
+        /// Clock time at which the pause ends.
         until: Time,
     },
     /// The client is sent the reason why its connection ends.
     CutOff,
-    /// Over.
+    /// The connection has ended.
     Ended(End),
 }
 
-/// The kind of a message.
+/// The kind of a frontend message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MessageKind {
     /// Terminate: the client closes its connection.
@@ -77,7 +86,7 @@
     Extended,
     /// A function call.
     Function,
-    /// Flush, and what belongs to a copy: neither counts as use of the connection.
+    /// Flush and the messages of a copy, which don't count as use of the connection.
     Ignored,
     /// Not a message of the protocol.
     Unknown,
@@ -98,56 +107,56 @@
     }
 }
 
-/// What became of a query.
+/// How a query was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QueryOutcome {
-    /// It was a request, which has its final answer.
+    /// It was a request and got its final answer.
     Request,
     /// The gateway answered it by itself.
     AnsweredLocally,
-    /// It could not be used and was answered with an error.
+    /// It was unusable and got an error.
     Unusable,
 }
 
 /// What happens on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The client asks for encryption.
-    Encryption,
-    /// The client asks to cancel a query of another connection.
-    Cancel,
+    /// The client asked for encryption.
+    EncryptionRequested,
+    /// The client asked to cancel the query of another connection.
+    CancelRequested,
     /// The startup message was received.
     StartupReceived,
     /// A complete message was received.
     Message(MessageKind),
     /// The open query was answered.
     Answered(QueryOutcome),
-    /// The pause is over.
-    PauseOver,
-    /// What the client sent breaks the protocol or a limit.
+    /// The pause after an unusable statement has ended.
+    PauseEnded,
+    /// The client violated the protocol or a limit.
     ProtocolError(End),
     /// The client closed the connection, or does not read what it is sent.
     Disconnected(End),
     /// The connection should be closed to free its descriptor.
     Shed {
         /// Unread bytes are available.
-        unread: bool,
+        has_unread: bool,
     },
     /// The gateway stops.
     Stop {
         /// Unread bytes are available.
-        unread: bool,
+        has_unread: bool,
     },
-    /// The time that [`Client::due`] gave has come.
-    Due {
+    /// The time that [`ClientConnection::timeout_at`] returned has come.
+    Timeout {
         /// Unread bytes are available.
-        unread: bool,
+        has_unread: bool,
         /// When the last bytes of an incomplete message were received, if there is one.
         partial_at: Option<Time>,
     },
 }
 
-/// What is to be done.
+/// What is to be done after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Wait for the next event.
@@ -157,143 +166,157 @@
     /// Accept the startup message.
     AcceptStartup,
     /// Send ReadyForQuery.
-    Ready,
+    SendReady,
     /// Send the error that the message is not supported.
-    Unsupported {
+    RejectUnsupported {
         /// Send ReadyForQuery after it.
-        ready: bool,
+        then_ready: bool,
     },
     /// Answer the query.
-    Answer,
+    AnswerQuery,
     /// Read nothing until this time.
     Pause {
         /// Clock time.
         until: Time,
     },
     /// Send the reason why the connection ends, and leave the client time to read it.
-    CutOff {
-        /// The message is of an unknown kind; else the caller knows the reason.
-        unknown: bool,
-        /// A message was not complete in time.
-        unfinished: bool,
-    },
+    CutOff(CutOffReason),
     /// Close the connection.
     Close(End),
 }
 
+/// Why a client is cut off.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum CutOffReason {
+    /// The protocol error that the event reported.
+    ProtocolError,
+    /// A message of an unknown type.
+    UnknownMessage,
+    /// A message that was not complete in time.
+    IncompleteMessage,
+}
+
 /// A client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Client {
-    stage: Stage,
+pub struct ClientConnection {
+    state: ClientState,
     /// Clock time at which the connection is closed if no query is open.
-    idle_until: Time,
+    idle_deadline: Time,
     /// Clock time by which a message that has begun must be complete.
     message_deadline: Time,
-    idleness: Idleness,
-    idle_since: Time,
+    idle: IdleSince,
     /// After an error in extended query messages everything up to Sync is skipped.
-    skipping: bool,
-    /// It has sent a usable request.
-    trusted: bool,
-    /// Unusable statements in a row.
-    unusable_in_a_row: u32,
+    is_skipping: bool,
+    /// A request of it got its final answer.
+    has_been_served: bool,
+    consecutive_unusable: u32,
 }
 
-impl Client {
-    /// A connection that has just been accepted.
-    pub fn new(now: Time) -> Client {
-        Client {
-            stage: Stage::Opening,
-            idle_until: now + IDLE_TIMEOUT,
+impl ClientConnection {
+    /// A connection that was accepted at this clock time.
+    pub fn new(now: Time) -> ClientConnection {
+        ClientConnection {
+            state: ClientState::Opening,
+            idle_deadline: now + IDLE_TIMEOUT,
             message_deadline: now + NEW_CLIENT_MESSAGE_TIMEOUT,
-            idleness: Idleness::New,
-            idle_since: now,
-            skipping: false,
-            trusted: false,
-            unusable_in_a_row: 0,
+            idle: IdleSince { kind: Idleness::New, since: now },
+            is_skipping: false,
+            has_been_served: false,
+            consecutive_unusable: 0,
         }
     }
 
-    /// The current stage.
-    pub fn stage(&self) -> Stage {
-        self.stage
+    /// The current state.
+    pub fn state(&self) -> ClientState {
+        self.state
     }
 
-    /// Why the connection could be closed to free its descriptor, and since when.
-    pub fn idleness(&self) -> (Idleness, Time) {
-        (self.idleness, self.idle_since)
+    /// Why the connection may be closed to free its descriptor, and since when.
+    pub fn idle_since(&self) -> IdleSince {
+        self.idle
     }
 
-    /// Clock time at which [`Event::Due`] is due while no query is open.
-    pub fn due(&self) -> Time {
-        match self.stage {
-            Stage::Opening => self.idle_since + STARTUP_TIMEOUT,
-            _ => self.idle_until,
+    /// Clock time at which [`Event::Timeout`] is due while no query is open.
+    pub fn timeout_at(&self) -> Time {
+        match self.state {
+            ClientState::Opening => self.idle.since + STARTUP_TIMEOUT,
+            _ => self.idle_deadline,
         }
     }
 
-    /// Steps the machine. An event that does not fit the stage changes nothing.
+    /// Steps the machine. An event that does not fit the state changes nothing.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
         let action = self.action(now, event);
-        self.stage = self.next_stage(event, action);
+        self.state = self.next_state(event, action);
         action
     }
 
-    fn next_stage(&self, event: Event, action: Action) -> Stage {
+    fn next_state(&self, event: Event, action: Action) -> ClientState {
         match action {
-            Action::AcceptStartup => Stage::Idle,
-            Action::Answer => Stage::AwaitingAnswer,
-            Action::Pause { until } => Stage::Pausing { until },
-            Action::CutOff { .. } => Stage::CutOff,
-            Action::Close(end) => Stage::Ended(end),
-            Action::Wait | Action::DeclineEncryption | Action::Ready | Action::Unsupported { .. } => {
-                match (self.stage, event) {
-                    (Stage::AwaitingAnswer, Event::Answered(_))
-                    | (Stage::Pausing { .. }, Event::PauseOver) => Stage::Idle,
-                    (stage, _) => stage,
-                }
-            }
+            Action::AcceptStartup => ClientState::Idle,
+            Action::AnswerQuery => ClientState::AwaitingAnswer,
+            Action::Pause { until } => ClientState::Pausing { until },
+            Action::CutOff(_) => ClientState::CutOff,
+            Action::Close(end) => ClientState::Ended(end),
+            Action::Wait
+            | Action::DeclineEncryption
+            | Action::SendReady
+            | Action::RejectUnsupported { .. } => match (self.state, event) {
+                (ClientState::AwaitingAnswer, Event::Answered(_))
+                | (ClientState::Pausing { .. }, Event::PauseEnded) => ClientState::Idle,
+                (state, _) => state,
+            },
         }
     }
 
     fn action(&mut self, now: Time, event: Event) -> Action {
-        match (self.stage, event) {
-            (Stage::Ended(end), _) => Action::Close(end),
-            (Stage::CutOff, Event::Disconnected(end)) => Action::Close(end),
-            (Stage::CutOff, _) => Action::Wait,
+        match (self.state, event) {
+            (ClientState::Ended(end), _) => Action::Close(end),
+            (ClientState::CutOff, Event::Disconnected(end)) => Action::Close(end),
+            (ClientState::CutOff, _) => Action::Wait,
             (_, Event::Disconnected(end)) => Action::Close(end),
 
-            (Stage::Opening, Event::Encryption) => Action::DeclineEncryption,
-            // Nothing can be cancelled by key: a client that no longer waits closes its connection.
-            (Stage::Opening, Event::Cancel) => Action::Close(End::ClientTerminated),
-            (Stage::Opening, Event::StartupReceived) => Action::AcceptStartup,
-            (Stage::Opening, Event::Due { unread: false, .. }) => Action::Close(End::ClientSilent),
+            (ClientState::Opening, Event::EncryptionRequested) => Action::DeclineEncryption,
+            // A cancel request gets no answer: its connection is closed.
+            (ClientState::Opening, Event::CancelRequested) => Action::Close(End::ClientTerminated),
+            (ClientState::Opening, Event::StartupReceived) => Action::AcceptStartup,
+            (ClientState::Opening, Event::Timeout { has_unread: false, .. }) => {
+                Action::Close(End::ClientSilent)
+            }
 
-            (Stage::Idle, Event::Message(kind)) => self.on_message(now, kind),
-            (Stage::Idle, Event::Due { unread: false, partial_at }) => self.on_idle_due(now, partial_at),
+            (ClientState::Idle, Event::Message(kind)) => self.on_message(now, kind),
+            (ClientState::Idle, Event::Timeout { has_unread: false, partial_at }) => {
+                self.on_idle_timeout(now, partial_at)
+            }
 
-            (Stage::AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedBeforeAnswer) => {
+            (ClientState::AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedBeforeAnswer) => {
+                Action::Close(End::Stopped)
+            }
+            (ClientState::Idle, Event::Stop { .. }) if mutant(Mutant::ClosedUnread) => {
                 Action::Close(End::Stopped)
             }
-            (Stage::Idle, Event::Stop { .. }) if mutant(Mutant::ClosedUnread) => Action::Close(End::Stopped),
-            (Stage::AwaitingAnswer, Event::Answered(outcome)) => self.on_answered(now, outcome),
-            (Stage::Pausing { .. }, Event::PauseOver) => Action::Wait,
+            (ClientState::AwaitingAnswer, Event::Answered(outcome)) => self.on_answered(now, outcome),
+            (ClientState::Pausing { .. }, Event::PauseEnded) => Action::Wait,
 
-            (Stage::Opening | Stage::Idle, Event::ProtocolError(_)) => {
-                Action::CutOff { unknown: false, unfinished: false }
+            (ClientState::Opening | ClientState::Idle, Event::ProtocolError(_)) => {
+                Action::CutOff(CutOffReason::ProtocolError)
+            }
+            (ClientState::Opening | ClientState::Idle, Event::Shed { has_unread: false }) => {
+                Action::Close(End::ClientShed)
+            }
+            (ClientState::Opening | ClientState::Idle, Event::Stop { has_unread: false }) => {
+                Action::Close(End::Stopped)
             }
-            (Stage::Opening | Stage::Idle, Event::Shed { unread: false }) => Action::Close(End::ClientShed),
-            (Stage::Opening | Stage::Idle, Event::Stop { unread: false }) => Action::Close(End::Stopped),
             _ => Action::Wait,
         }
     }
 
-    /// The idle timeout of a client that has sent nothing more, or has sent a part of a message.
-    fn on_idle_due(&mut self, now: Time, partial_at: Option<Time>) -> Action {
+    /// The idle timeout of a client that has sent nothing more, or only a part of a message.
+    fn on_idle_timeout(&mut self, now: Time, partial_at: Option<Time>) -> Action {
         let Some(partial_at) = partial_at else { return Action::Close(End::ClientIdle) };
-        self.idle_until = self.message_deadline.min(partial_at + STALL_TIMEOUT);
-        if now >= self.idle_until {
-            Action::CutOff { unknown: false, unfinished: true }
+        self.idle_deadline = self.message_deadline.min(partial_at + STALL_TIMEOUT);
+        if now >= self.idle_deadline {
+            Action::CutOff(CutOffReason::IncompleteMessage)
         } else {
             Action::Wait
         }
@@ -303,43 +326,42 @@
         let action = match kind {
             MessageKind::Terminate => return Action::Close(End::ClientTerminated),
             MessageKind::Sync => {
-                self.skipping = false;
-                Action::Ready
+                self.is_skipping = false;
+                Action::SendReady
             }
-            _ if self.skipping => return Action::Wait,
-            MessageKind::Query => return Action::Answer,
+            _ if self.is_skipping => return Action::Wait,
+            MessageKind::Query => return Action::AnswerQuery,
             MessageKind::Extended => {
-                self.skipping = true;
-                Action::Unsupported { ready: false }
+                self.is_skipping = true;
+                Action::RejectUnsupported { then_ready: false }
             }
-            MessageKind::Function => Action::Unsupported { ready: true },
+            MessageKind::Function => Action::RejectUnsupported { then_ready: true },
             MessageKind::Ignored => return Action::Wait,
-            MessageKind::Unknown => return Action::CutOff { unknown: true, unfinished: false },
+            MessageKind::Unknown => return Action::CutOff(CutOffReason::UnknownMessage),
         };
         self.record_use(now);
         action
     }
 
     fn on_answered(&mut self, now: Time, outcome: QueryOutcome) -> Action {
-        self.trusted |= outcome == QueryOutcome::Request;
+        self.has_been_served |= outcome == QueryOutcome::Request;
         self.record_use(now);
-        self.unusable_in_a_row = match outcome {
+        self.consecutive_unusable = match outcome {
             QueryOutcome::Request => 0,
-            QueryOutcome::AnsweredLocally => self.unusable_in_a_row,
-            QueryOutcome::Unusable => (self.unusable_in_a_row + 1).min(MAX_COUNTED_UNUSABLE),
+            QueryOutcome::AnsweredLocally => self.consecutive_unusable,
+            QueryOutcome::Unusable => (self.consecutive_unusable + 1).min(MAX_COUNTED_UNUSABLE),
         };
-        match self.unusable_in_a_row {
+        match self.consecutive_unusable {
             0 => Action::Wait,
             count => Action::Pause { until: now + (MIN_BACKOFF << (count - 1)).min(MAX_BACKOFF) },
         }
     }
 
-    /// The connection was used: its idle time and its message deadline start again.
+    /// Restarts the idle timeout and the message deadline after the connection was used.
     fn record_use(&mut self, now: Time) {
-        self.idle_since = now;
-        self.idleness = Idleness::Answered;
-        self.idle_until = now + IDLE_TIMEOUT;
-        if self.trusted {
+        self.idle = IdleSince { kind: Idleness::Answered, since: now };
+        self.idle_deadline = now + IDLE_TIMEOUT;
+        if self.has_been_served {
             self.message_deadline = now + MESSAGE_TIMEOUT;
         }
     }
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -24,9 +24,9 @@
 /// The unit of the remaining wait that is sent to hosts (microseconds).
 const MILLISECOND: Time = 1_000;
 
-/// The stage of an attempt.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum AttemptState {
     /// A connection is being established.
     Connecting {
         /// Clock time by which the host must be ready.
@@ -87,8 +87,8 @@
     NoMemory,
     /// The router cancelled the attempt.
     Cancelled,
-    /// The time that [`Exchange::due`] gave has come.
-    Due,
+    /// The time that [`Exchange::timeout_at`] gave has come.
+    Timeout,
 }
 
 /// What happens to the connection of a finished attempt.
@@ -107,7 +107,7 @@
 /// An attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Exchange {
-    stage: Stage,
+    state: AttemptState,
     /// Clock time at which it is abandoned.
     until: Time,
     /// Clock time by which its request must be written, if at all.
@@ -127,12 +127,12 @@
     /// An attempt on a reused connection, or else on a new one, whose host must be ready by `connect_by`. It is abandoned
     /// at `until`.
     pub fn new(reused: bool, now: Time, connect_by: Time, until: Time) -> Exchange {
-        let stage = match reused {
-            true if now >= until => Stage::Ended(End::TooLate),
-            true => Stage::Writing,
-            false => Stage::Connecting { by: connect_by.min(until) },
+        let state = match reused {
+            true if now >= until => AttemptState::Ended(End::TooLate),
+            true => AttemptState::Writing,
+            false => AttemptState::Connecting { by: connect_by.min(until) },
         };
-        Exchange { stage, until, write_by: until, ready: false }
+        Exchange { state, until, write_by: until, ready: false }
     }
 
     /// The same attempt, with a request that must be written by then or not at all: after the window of its idempotency
@@ -152,43 +152,43 @@
         u64::try_from((self.until - now) / MILLISECOND).ok().filter(|left| *left > 0)
     }
 
-    /// The current stage.
-    pub fn stage(&self) -> Stage {
-        self.stage
+    /// The current state.
+    pub fn state(&self) -> AttemptState {
+        self.state
     }
 
     /// How it ended, once it has.
     pub fn ended(&self) -> Option<End> {
-        match self.stage {
-            Stage::Ended(end) => Some(end),
+        match self.state {
+            AttemptState::Ended(end) => Some(end),
             _ => None,
         }
     }
 
     /// Whether its request has been written completely, and so may have run.
     pub fn may_have_run(&self) -> bool {
-        matches!(self.stage, Stage::Waiting | Stage::Answering { .. })
+        matches!(self.state, AttemptState::Waiting | AttemptState::Answering { .. })
     }
 
-    /// Clock time at which [`Event::Due`] is due.
-    pub fn due(&self) -> Time {
-        match self.stage {
-            Stage::Connecting { by } | Stage::Greeting { by } => by.min(self.write_by),
-            Stage::Answering { by } => by.min(self.until),
-            Stage::Writing => self.write_by,
-            Stage::Waiting | Stage::Ended(_) => self.until,
+    /// Clock time at which [`Event::Timeout`] is due.
+    pub fn timeout_at(&self) -> Time {
+        match self.state {
+            AttemptState::Connecting { by } | AttemptState::Greeting { by } => by.min(self.write_by),
+            AttemptState::Answering { by } => by.min(self.until),
+            AttemptState::Writing => self.write_by,
+            AttemptState::Waiting | AttemptState::Ended(_) => self.until,
         }
     }
 
-    /// Steps the machine. An event that does not fit the stage changes nothing: a connection that is being disposed of
+    /// Steps the machine. An event that does not fit the state changes nothing: a connection that is being disposed of
     /// may still cause some.
     pub fn on(&mut self, now: Time, event: Event) {
-        self.stage = self.next(now, event);
+        self.state = self.next(now, event);
     }
 
-    fn next(&self, now: Time, event: Event) -> Stage {
-        use Stage::*;
-        match (self.stage, event) {
+    fn next(&self, now: Time, event: Event) -> AttemptState {
+        use AttemptState::*;
+        match (self.state, event) {
             (Ended(end), _) => Ended(end),
             // Whether a cancelled request ran is not known.
             (_, Event::Cancelled) => Ended(End::Cancelled),
@@ -202,10 +202,10 @@
             (Greeting { .. }, Event::Broke | Event::Malformed) => Ended(End::BrokenUnsent),
             (Greeting { .. }, Event::NoMemory) => Ended(End::NoDescriptor),
             // The attempt is out of time, which is no sign of a fault of the host.
-            (Connecting { by } | Greeting { by }, Event::Due) if self.write_by <= now && now < by => {
+            (Connecting { by } | Greeting { by }, Event::Timeout) if self.write_by <= now && now < by => {
                 Ended(End::TooLate)
             }
-            (Connecting { by } | Greeting { by }, Event::Due) if now >= by => Ended(End::ConnectSilent),
+            (Connecting { by } | Greeting { by }, Event::Timeout) if now >= by => Ended(End::ConnectSilent),
             (Writing, Event::Unwanted) => Ended(End::NotWanted),
 
             (Writing, Event::Written) if mutant(Mutant::StallLimitBeforeAnswer) => {
@@ -214,7 +214,7 @@
             (Writing, Event::Written) => Waiting,
             (Writing, Event::Broke) => Ended(End::BrokenUnsent),
             // Not written completely: it never ran.
-            (Writing, Event::Due) if now >= self.write_by => Ended(End::ConnectSilent),
+            (Writing, Event::Timeout) if now >= self.write_by => Ended(End::ConnectSilent),
 
             (Waiting, Event::Began) => Answering { by: now + ANSWER_TIMEOUT },
             (Waiting | Answering { .. }, Event::Answered { copy: true, .. }) => {
@@ -228,9 +228,9 @@
                 Ended(if mutant(Mutant::ResetCountsAsUnsent) { End::BrokenUnsent } else { End::BrokenSent })
             }
             (Waiting | Answering { .. }, Event::NoMemory) => Ended(End::NoMemory),
-            (Waiting | Answering { .. }, Event::Due) if now >= self.until => Ended(End::NoAnswer),
-            (Answering { by }, Event::Due) if now >= by => Ended(End::HostStalled),
-            (stage, _) => stage,
+            (Waiting | Answering { .. }, Event::Timeout) if now >= self.until => Ended(End::NoAnswer),
+            (Answering { by }, Event::Timeout) if now >= by => Ended(End::HostStalled),
+            (state, _) => state,
         }
     }
 
--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -3,13 +3,13 @@
 //! ```text
 //!    +------------Resume------------------+
 //!    v                                    |
-//! Serving --Drain--> DrainAnnounced --Due--> Drained
+//! Serving --Drain--> DrainAnnounced --Timeout--> Drained
 //!    |                  |                      +---Stop----+
 //!    |                  |                                  v
-//!    +-------Stop-------+--> StopAnnounced --Due------> Closing --Remaining(0, 0)--> Ended
+//!    +-------Stop-------+--> StopAnnounced --Timeout------> Closing --Remaining(0, 0)--> Ended
 //! ```
 //!
-//! How clients are treated is the [`ServingState`], which follows from the stage alone. A drained gateway keeps its
+//! How clients are treated is the [`ServingState`], which follows from the state alone. A drained gateway keeps its
 //! process, its endpoint list and what it has learned, and still accepts new clients; it only asks the load balancer in
 //! front of it (the front) to send none.
 //!
@@ -32,9 +32,9 @@
 /// some tenths of a second to send them.
 const KILL_MARGIN: Time = 250_000;
 
-/// The stage of the gateway.
+/// The state of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum GatewayState {
     /// It serves.
     Serving,
     /// It is to be drained: the readiness check fails, and clients are served as before.
@@ -96,8 +96,8 @@
         /// The new settings can be used.
         usable: bool,
     },
-    /// The time that [`Gateway::due`] gave has come.
-    Due,
+    /// The time that [`Gateway::timeout_at`] gave has come.
+    Timeout,
     /// What has not ended yet.
     Remaining {
         /// Clients' connections, including those that wait to be accepted.
@@ -153,7 +153,7 @@
 /// The life of one gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Gateway {
-    stage: Stage,
+    state: GatewayState,
     /// The listening socket for clients outlives this process: those that connect after a stop are accepted by the next
     /// process.
     shared: bool,
@@ -170,12 +170,12 @@
 impl Gateway {
     /// A serving gateway. `shared`: the listening socket for clients outlives this process.
     pub fn new(shared: bool) -> Gateway {
-        Gateway { stage: Stage::Serving, shared, stopped_at: None }
+        Gateway { state: GatewayState::Serving, shared, stopped_at: None }
     }
 
-    /// The stage of the gateway.
-    pub fn stage(&self) -> Stage {
-        self.stage
+    /// The state of the gateway.
+    pub fn state(&self) -> GatewayState {
+        self.state
     }
 
     /// Clock time by which every request admitted from now on must be answered, however long its client would wait: the
@@ -193,70 +193,76 @@
     }
 
     fn is_running(&self) -> bool {
-        matches!(self.stage, Stage::Serving | Stage::DrainAnnounced { .. } | Stage::Drained)
+        matches!(
+            self.state,
+            GatewayState::Serving | GatewayState::DrainAnnounced { .. } | GatewayState::Drained
+        )
     }
 
     /// How clients are to be treated now.
     pub fn serving_state(&self) -> ServingState {
-        match self.stage {
-            Stage::Serving | Stage::StopAnnounced { .. } => ServingState::Serving,
-            Stage::DrainAnnounced { .. } => ServingState::Unready,
-            Stage::Drained => ServingState::Draining,
-            Stage::Closing | Stage::Ended => ServingState::Stopped,
+        match self.state {
+            GatewayState::Serving | GatewayState::StopAnnounced { .. } => ServingState::Serving,
+            GatewayState::DrainAnnounced { .. } => ServingState::Unready,
+            GatewayState::Drained => ServingState::Draining,
+            GatewayState::Closing | GatewayState::Ended => ServingState::Stopped,
         }
     }
 
-    /// Clock time at which [`Event::Due`] is due, if any.
-    pub fn due(&self) -> Option<Time> {
-        match self.stage {
-            Stage::StopAnnounced { until } | Stage::DrainAnnounced { until } => Some(until),
+    /// Clock time at which [`Event::Timeout`] is due, if any.
+    pub fn timeout_at(&self) -> Option<Time> {
+        match self.state {
+            GatewayState::StopAnnounced { until } | GatewayState::DrainAnnounced { until } => Some(until),
             _ => None,
         }
     }
 
-    /// Steps the machine. An event that does not fit the stage changes nothing: a second SIGTERM hurries nothing, and a
+    /// Steps the machine. An event that does not fit the state changes nothing: a second SIGTERM hurries nothing, and a
     /// stopping gateway neither applies new settings nor drains or resumes.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
         if event == Event::Stop {
             self.stopped_at.get_or_insert(now);
         }
-        match (self.stage, event) {
+        match (self.state, event) {
             // No client connects any more, or those that do are accepted by the next process.
-            (stage, Event::Stop) if stage == Stage::Drained || (self.shared && self.is_running()) => {
-                self.stage = Stage::Closing;
+            (state, Event::Stop) if state == GatewayState::Drained || (self.shared && self.is_running()) => {
+                self.state = GatewayState::Closing;
                 Action::ApplyServingState
             }
-            (Stage::Serving | Stage::DrainAnnounced { .. }, Event::Stop) => {
-                self.stage = Stage::StopAnnounced { until: now + FRONT_NOTICE };
+            (GatewayState::Serving | GatewayState::DrainAnnounced { .. }, Event::Stop) => {
+                self.state = GatewayState::StopAnnounced { until: now + FRONT_NOTICE };
                 Action::ApplyServingState
             }
-            (Stage::Serving, Event::Drain) => {
-                self.stage = Stage::DrainAnnounced { until: now + FRONT_NOTICE };
+            (GatewayState::Serving, Event::Drain) => {
+                self.state = GatewayState::DrainAnnounced { until: now + FRONT_NOTICE };
                 Action::ApplyServingState
             }
-            (Stage::DrainAnnounced { .. } | Stage::Drained, Event::Resume) => {
-                self.stage = if mutant(Mutant::StaysDrained) { self.stage } else { Stage::Serving };
+            (GatewayState::DrainAnnounced { .. } | GatewayState::Drained, Event::Resume) => {
+                self.state = if mutant(Mutant::StaysDrained) { self.state } else { GatewayState::Serving };
                 Action::ApplyServingState
             }
-            (Stage::DrainAnnounced { until }, Event::Due) if now >= until => {
-                self.stage = Stage::Drained;
+            (GatewayState::DrainAnnounced { until }, Event::Timeout) if now >= until => {
+                self.state = GatewayState::Drained;
                 Action::ApplyServingState
             }
-            (Stage::Serving | Stage::DrainAnnounced { .. } | Stage::Drained, Event::Reload { usable }) => {
+            (
+                GatewayState::Serving | GatewayState::DrainAnnounced { .. } | GatewayState::Drained,
+                Event::Reload { usable },
+            ) => {
                 if usable {
                     Action::ApplySettings
                 } else {
                     Action::KeepSettings
                 }
             }
-            (Stage::StopAnnounced { until }, Event::Due) if now >= until => {
-                self.stage = Stage::Closing;
+            (GatewayState::StopAnnounced { until }, Event::Timeout) if now >= until => {
+                self.state = GatewayState::Closing;
                 Action::ApplyServingState
             }
-            (Stage::Closing, Event::Remaining { clients, attempts })
+            (GatewayState::Closing, Event::Remaining { clients, attempts })
                 if (clients, attempts) == (0, 0) || mutant(Mutant::ExitsWithRequestsInFlight) =>
             {
-                self.stage = Stage::Ended;
+                self.state = GatewayState::Ended;
                 Action::End
             }
             _ => Action::Wait,
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -36,7 +36,7 @@
 //! let mut attempt = Exchange::new(true, 0, 0, 500_000);
 //! attempt.on(1_000, Event::Written);
 //! assert!(attempt.may_have_run());
-//! attempt.on(500_000, Event::Due);
+//! attempt.on(500_000, Event::Timeout);
 //! // The connection is closed first; only then does the caller learn how the attempt ended.
 //! let (disposition, finished) = attempt.finish(false).expect("it has ended");
 //! assert_eq!((disposition, finished.end), (ConnectionDisposition::Close, End::NoAnswer));
--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -3,7 +3,7 @@
 //! One line per connection, one line back: `YES` or `NO` and a short reason. Commands change the gateway only through
 //! [`Event`]; they are idempotent, and a repeated one gets the reply that suits the state it finds.
 
-use crate::gateway::{Action, Event, Gateway, Stage};
+use crate::gateway::{Action, Event, Gateway, GatewayState};
 use petrelgauge_policy::Time;
 use std::fmt;
 use thiserror::Error;
@@ -91,20 +91,21 @@
 
 /// Executes a command on the gateway: the reply, and what the caller has to do.
 pub fn execute(gateway: &mut Gateway, now: Time, command: Command, known: KnownState) -> (Reply, Action) {
-    let before = gateway.stage();
+    let before = gateway.state();
     let action = match command {
         Command::Ready => Action::Wait,
         Command::Drain => gateway.on(now, Event::Drain),
         Command::Resume => gateway.on(now, Event::Resume),
     };
-    let stopping = matches!(before, Stage::StopAnnounced { .. } | Stage::Closing | Stage::Ended);
+    let stopping =
+        matches!(before, GatewayState::StopAnnounced { .. } | GatewayState::Closing | GatewayState::Ended);
     let (yes, reason) = match (command, before) {
         _ if stopping => (false, "stopping, it ends by itself".to_string()),
-        (Command::Ready, Stage::Serving) => ready(now, known),
+        (Command::Ready, GatewayState::Serving) => ready(now, known),
         (Command::Ready, _) => (false, format!("drained; call resume, settings {}", known.version)),
-        (Command::Drain, Stage::Serving) => (true, "draining, clients are gone within 4 s".into()),
+        (Command::Drain, GatewayState::Serving) => (true, "draining, clients are gone within 4 s".into()),
         (Command::Drain, _) => (true, "drained already".into()),
-        (Command::Resume, Stage::Serving) => (true, "at work already".into()),
+        (Command::Resume, GatewayState::Serving) => (true, "at work already".into()),
         (Command::Resume, _) => (true, "back at work".into()),
     };
     (Reply { yes, reason }, action)
--- a/crates/lifecycle/tests/client.rs
+++ b/crates/lifecycle/tests/client.rs
@@ -1,13 +1,15 @@
 //! When a client that is between two queries is closed, and when one that does not complete a message is.
 
-use petrelgauge_lifecycle::client::{Action, Client, Event, MessageKind, QueryOutcome, MESSAGE_TIMEOUT};
+use petrelgauge_lifecycle::client::{
+    Action, ClientConnection, CutOffReason, Event, MessageKind, QueryOutcome, MESSAGE_TIMEOUT,
+};
 use petrelgauge_policy::Time;
 
 const SECOND: Time = 1_000_000;
 
 /// A client that has had an answer at this time.
-fn served(at: Time) -> Client {
-    let mut client = Client::new(at);
+fn served(at: Time) -> ClientConnection {
+    let mut client = ClientConnection::new(at);
     client.on(at, Event::StartupReceived);
     client.on(at, Event::Message(MessageKind::Query));
     client.on(at, Event::Answered(QueryOutcome::Request));
@@ -15,13 +17,13 @@
 }
 
 /// Simulates a client that sends a part of a message at each of these times. Returns when it is cut off.
-fn cut_off_at(client: &mut Client, parts: &[Time]) -> Time {
+fn cut_off_at(client: &mut ClientConnection, parts: &[Time]) -> Time {
     for _ in 0..100 {
-        let now = client.due();
+        let now = client.timeout_at();
         let partial_at = parts.iter().copied().rfind(|at| *at <= now);
-        match client.on(now, Event::Due { unread: false, partial_at }) {
+        match client.on(now, Event::Timeout { has_unread: false, partial_at }) {
             Action::Wait => {}
-            Action::CutOff { unfinished: true, .. } => return now,
+            Action::CutOff(CutOffReason::IncompleteMessage) => return now,
             other => panic!("{other:?} at {now}"),
         }
     }
--- a/crates/lifecycle/tests/exchange.rs
+++ b/crates/lifecycle/tests/exchange.rs
@@ -1,6 +1,6 @@
 //! The remaining wait that is sent to a host, as of the first byte of the request.
 
-use petrelgauge_lifecycle::exchange::{Event, Exchange, Stage};
+use petrelgauge_lifecycle::exchange::{AttemptState, Event, Exchange};
 use proptest::prelude::*;
 
 /// An attempt on a reused connection, with its deadline at 5 s.
@@ -13,8 +13,8 @@
     let mut exchange = attempt();
     assert_eq!(exchange.remaining_wait_ms(0), Some(5_000));
     // The connection took no byte for a while.
-    exchange.on(1_200_000, Event::Due);
-    assert_eq!(exchange.stage(), Stage::Writing);
+    exchange.on(1_200_000, Event::Timeout);
+    assert_eq!(exchange.state(), AttemptState::Writing);
     assert_eq!(exchange.remaining_wait_ms(1_200_000), Some(3_800));
 }
 
--- a/crates/lifecycle/tests/ops.rs
+++ b/crates/lifecycle/tests/ops.rs
@@ -1,6 +1,6 @@
 //! Commands of the operators' address: parsing, answers and their effect on the gateway.
 
-use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage, FRONT_NOTICE};
+use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, GatewayState, ServingState, FRONT_NOTICE};
 use petrelgauge_lifecycle::ops::*;
 use petrelgauge_policy::Time;
 
@@ -26,12 +26,12 @@
     let mut gateway = Gateway::default();
     assert!(accepted(&mut gateway, 0, Command::Resume), "at work already");
     assert!(accepted(&mut gateway, 0, Command::Drain) && !accepted(&mut gateway, 1, Command::Ready));
-    assert_eq!((gateway.serving_state(), gateway.due()), (ServingState::Unready, Some(FRONT_NOTICE)));
+    assert_eq!((gateway.serving_state(), gateway.timeout_at()), (ServingState::Unready, Some(FRONT_NOTICE)));
     // The second command does not put off the first one's end.
     assert!(accepted(&mut gateway, FRONT_NOTICE / 2, Command::Drain));
-    assert_eq!(gateway.due(), Some(FRONT_NOTICE));
-    assert_eq!(gateway.on(FRONT_NOTICE, Event::Due), Action::ApplyServingState);
-    assert_eq!((gateway.serving_state(), gateway.due()), (ServingState::Draining, None));
+    assert_eq!(gateway.timeout_at(), Some(FRONT_NOTICE));
+    assert_eq!(gateway.on(FRONT_NOTICE, Event::Timeout), Action::ApplyServingState);
+    assert_eq!((gateway.serving_state(), gateway.timeout_at()), (ServingState::Draining, None));
     assert!(
         accepted(&mut gateway, FRONT_NOTICE, Command::Drain)
             && !accepted(&mut gateway, FRONT_NOTICE, Command::Ready)
@@ -51,7 +51,7 @@
     for command in [Command::Ready, Command::Drain, Command::Resume] {
         assert!(!accepted(&mut gateway, 1, command));
     }
-    assert!(matches!(gateway.stage(), Stage::StopAnnounced { .. }));
+    assert!(matches!(gateway.state(), GatewayState::StopAnnounced { .. }));
 }
 
 #[test]
--- a/crates/models/src/attempts/apply.rs
+++ b/crates/models/src/attempts/apply.rs
@@ -14,7 +14,7 @@
             Step::Written(index) => self.write(index),
             Step::Refused(index) => self.on_event(index, Event::Refused),
             Step::Broken(index) => self.on_event(index, Event::Broke),
-            Step::Due(index) => self.on_event(index, Event::Due),
+            Step::Due(index) => self.on_event(index, Event::Timeout),
             Step::Cancelled(index) => self.on_event(index, Event::Cancelled),
             Step::Answered(index, answer) => {
                 let end = match answer {
--- a/crates/models/src/attempts/steps.rs
+++ b/crates/models/src/attempts/steps.rs
@@ -33,7 +33,7 @@
         if attempt.cancelled {
             steps.push(Step::Cancelled(index));
         }
-        if self.now >= attempt.exchange.due() {
+        if self.now >= attempt.exchange.timeout_at() {
             steps.push(Step::Due(index));
         }
         if !attempt.exchange.may_have_run() {
--- a/crates/models/src/connection/apply.rs
+++ b/crates/models/src/connection/apply.rs
@@ -30,12 +30,12 @@
                 self.on_event(Event::Greeted);
             }
             Step::Due => {
-                self.now = self.due().max(self.now);
-                self.on_event(Event::Due);
+                self.now = self.timeout_at().max(self.now);
+                self.on_event(Event::Timeout);
             }
             Step::Read => self.read(),
             Step::BeginAnswerLate => {
-                self.now = self.due().max(self.now + LATE_MARGIN) - LATE_MARGIN;
+                self.now = self.timeout_at().max(self.now + LATE_MARGIN) - LATE_MARGIN;
                 self.apply_host_step(step);
             }
             _ => self.apply_host_step(step),
@@ -43,19 +43,19 @@
     }
 
     fn is_connecting(&self) -> bool {
-        matches!(self.stage(), Some(Stage::Connecting { .. }))
+        matches!(self.state(), Some(AttemptState::Connecting { .. }))
     }
 
     /// What the attempt waits for happens.
     fn proceed(&mut self) {
-        match self.stage() {
-            Some(Stage::Connecting { .. }) => {
+        match self.state() {
+            Some(AttemptState::Connecting { .. }) => {
                 if let Some(attempt) = &mut self.attempt {
                     attempt.connection = Some(Connection::default());
                 }
                 self.on_event(Event::Connected);
             }
-            Some(Stage::Greeting { .. }) => self.on_event(Event::Greeted),
+            Some(AttemptState::Greeting { .. }) => self.on_event(Event::Greeted),
             _ => {
                 let request = self.attempt.as_ref().map_or(0, |attempt| attempt.request);
                 if let Some(connection) = self.connection_mut() {
--- a/crates/models/src/connection/attempt.rs
+++ b/crates/models/src/connection/attempt.rs
@@ -45,9 +45,9 @@
     /// Steps the attempt. If it has ended, disposes of its connection and reports it.
     pub(super) fn on_event(&mut self, event: Event) {
         let Some(mut attempt) = self.attempt.take() else { return };
-        let before = attempt.exchange.stage();
+        let before = attempt.exchange.state();
         attempt.exchange.on(self.now, event);
-        record_transition(before, event, attempt.exchange.stage());
+        record_transition(before, event, attempt.exchange.state());
         if attempt.exchange.ended().is_none() {
             self.attempt = Some(attempt);
             return;
--- a/crates/models/src/connection/mod.rs
+++ b/crates/models/src/connection/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::check::{check, Report, World};
 use crate::Size;
-use petrelgauge_lifecycle::exchange::{Exchange, Stage};
+use petrelgauge_lifecycle::exchange::{AttemptState, Exchange};
 use petrelgauge_lifecycle::idle_connection::IdlePolicy;
 use petrelgauge_policy::Time;
 
@@ -179,12 +179,12 @@
         }
     }
 
-    fn stage(&self) -> Option<Stage> {
-        self.attempt.as_ref().map(|attempt| attempt.exchange.stage())
+    fn state(&self) -> Option<AttemptState> {
+        self.attempt.as_ref().map(|attempt| attempt.exchange.state())
     }
 
-    fn due(&self) -> Time {
-        self.attempt.as_ref().map_or(self.now, |attempt| attempt.exchange.due())
+    fn timeout_at(&self) -> Time {
+        self.attempt.as_ref().map_or(self.now, |attempt| attempt.exchange.timeout_at())
     }
 }
 
@@ -207,9 +207,9 @@
         let what = match step {
             Step::Send if self.idle.is_some() => "a request is sent; there is an idle connection".to_string(),
             Step::Send => "a request is sent; there is no idle connection".into(),
-            Step::Proceed => match self.stage() {
-                Some(Stage::Connecting { .. }) => "the connection is established".into(),
-                Some(Stage::Greeting { .. }) => "the host is ready".into(),
+            Step::Proceed => match self.state() {
+                Some(AttemptState::Connecting { .. }) => "the connection is established".into(),
+                Some(AttemptState::Greeting { .. }) => "the host is ready".into(),
                 _ => "the request is written completely".into(),
             },
             Step::Break => "the connection breaks or is refused".into(),
--- a/crates/models/src/connection/steps.rs
+++ b/crates/models/src/connection/steps.rs
@@ -9,12 +9,13 @@
 impl Connections {
     pub(super) fn possible_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        match self.stage() {
+        match self.state() {
             None => self.steps_between_attempts(&mut steps),
-            Some(stage) => self.steps_of_attempt(stage, &mut steps),
+            Some(state) => self.steps_of_attempt(state, &mut steps),
         }
         if let Some(connection) = self.connection().filter(|connection| !connection.closed_by_host) {
-            let is_reading = matches!(self.stage(), Some(Stage::Waiting | Stage::Answering { .. }));
+            let is_reading =
+                matches!(self.state(), Some(AttemptState::Waiting | AttemptState::Answering { .. }));
             if is_reading && !connection.unread.is_empty() {
                 steps.push(Step::Read);
             }
@@ -36,15 +37,15 @@
         }
     }
 
-    fn steps_of_attempt(&self, stage: Stage, steps: &mut Vec<Step>) {
+    fn steps_of_attempt(&self, state: AttemptState, steps: &mut Vec<Step>) {
         steps.extend([Step::Cancel, Step::Due]);
-        steps.push(if stage == Stage::Writing { Step::Unwanted } else { Step::ResourcesExhausted });
-        if matches!(stage, Stage::Greeting { .. }) {
+        steps.push(if state == AttemptState::Writing { Step::Unwanted } else { Step::ResourcesExhausted });
+        if matches!(state, AttemptState::Greeting { .. }) {
             let failures = [true, false].map(|rejected| Step::GreetingFails { rejected });
             steps.extend(failures);
             steps.push(Step::GreetedLate);
         }
-        if !matches!(stage, Stage::Waiting | Stage::Answering { .. }) {
+        if !matches!(state, AttemptState::Waiting | AttemptState::Answering { .. }) {
             steps.extend([Step::Proceed, Step::Break]);
         } else if self.connection().is_some_and(|connection| connection.unread.is_empty()) {
             steps.push(Step::Break);
--- a/crates/models/src/coverage.rs
+++ b/crates/models/src/coverage.rs
@@ -1,29 +1,29 @@
 //! Which transitions of an attempt's state machine the models take. All that exist are found by stepping the machine with
-//! every event in every stage, before its time limits and at them.
+//! every event in every state, before its time limits and at them.
 
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::exchange::{Event, Exchange, Stage};
+use petrelgauge_lifecycle::exchange::{AttemptState, Event, Exchange};
 use petrelgauge_policy::Time;
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 
 static TAKEN: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
-fn name(before: Stage, event: Event, after: Stage) -> Option<String> {
+fn name(before: AttemptState, event: Event, after: AttemptState) -> Option<String> {
     let variant = |text: String| text.split([' ', '{', '(']).next().unwrap_or("").to_string();
-    let stage = |stage: Stage| match stage {
-        Stage::Ended(end) => format!("{end:?}"),
+    let state = |state: AttemptState| match state {
+        AttemptState::Ended(end) => format!("{end:?}"),
         other => variant(format!("{other:?}")),
     };
     let event = match event {
         Event::Answered { copy: true, .. } => "Answered, a copy".to_string(),
         other => variant(format!("{other:?}")),
     };
-    (before != after).then(|| format!("{} --{event}--> {}", stage(before), stage(after)))
+    (before != after).then(|| format!("{} --{event}--> {}", state(before), state(after)))
 }
 
 /// Records that a model has stepped an attempt.
-pub fn record_transition(before: Stage, event: Event, after: Stage) {
+pub fn record_transition(before: AttemptState, event: Event, after: AttemptState) {
     if let (Some(name), Ok(mut taken)) = (name(before, event, after), TAKEN.lock()) {
         taken.insert(name);
     }
@@ -50,7 +50,7 @@
         Event::Broke,
         Event::NoMemory,
         Event::Cancelled,
-        Event::Due,
+        Event::Timeout,
     ];
     let mut all = BTreeSet::new();
     for reached in 0..=path.len() {
@@ -58,9 +58,9 @@
             for at in [now, by, now + 400_000, until] {
                 let mut one = Exchange::new(false, now, by, until);
                 path[..reached].iter().for_each(|event| one.on(now, *event));
-                let before = one.stage();
+                let before = one.state();
                 one.on(at, event);
-                all.extend(name(before, event, one.stage()));
+                all.extend(name(before, event, one.state()));
             }
         }
     }
--- a/crates/models/src/stop.rs
+++ b/crates/models/src/stop.rs
@@ -3,7 +3,7 @@
 
 use crate::check::{check, Report, World};
 use crate::Size;
-use petrelgauge_lifecycle::client::{self, Action, Client, MessageKind, QueryOutcome, Stage};
+use petrelgauge_lifecycle::client::{self, Action, ClientConnection, ClientState, MessageKind, QueryOutcome};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::gateway::{self, Gateway, ServingState};
 use petrelgauge_lifecycle::request::{self, FinalAnswer, RequestState};
@@ -61,7 +61,7 @@
 
 #[derive(Clone, Debug)]
 struct OpenConnection {
-    client: Client,
+    client: ClientConnection,
     /// Queries that were sent and not read.
     unread: u8,
     /// The open request.
@@ -109,7 +109,7 @@
         let now = self.now;
         let Some(open) = self.open_connection(index) else { return };
         match open.client.on(now, event) {
-            Action::Answer => open.request = Some(RequestState::default()),
+            Action::AnswerQuery => open.request = Some(RequestState::default()),
             Action::Close(end) => {
                 if end != End::ClientLeft && (open.unread > 0 || open.request.is_some()) {
                     self.violated = Some(ANSWERED);
@@ -157,7 +157,7 @@
                 if self.gateway.serving_state().closes_idle_clients() {
                     steps.push(Step::Stopped(index));
                 }
-                if open.client.stage() == Stage::Idle {
+                if open.client.state() == ClientState::Idle {
                     steps.push(Step::Idle(index));
                 }
             }
@@ -165,23 +165,25 @@
     }
 
     fn gateway_steps(&self, steps: &mut Vec<Step>) {
-        let stage = self.gateway.stage();
-        match stage {
-            gateway::Stage::Serving | gateway::Stage::DrainAnnounced { .. } | gateway::Stage::Drained => {
+        let state = self.gateway.state();
+        match state {
+            gateway::GatewayState::Serving
+            | gateway::GatewayState::DrainAnnounced { .. }
+            | gateway::GatewayState::Drained => {
                 steps.push(Step::Term);
-                if self.gateway.due().is_some() {
+                if self.gateway.timeout_at().is_some() {
                     steps.push(Step::Due);
                 }
-                match stage {
-                    gateway::Stage::Serving if self.drains_left > 0 => steps.push(Step::Drain),
-                    gateway::Stage::Serving => {}
+                match state {
+                    gateway::GatewayState::Serving if self.drains_left > 0 => steps.push(Step::Drain),
+                    gateway::GatewayState::Serving => {}
                     _ => steps.push(Step::Resume),
                 }
                 if self.reloads_left > 0 {
                     steps.extend([Step::Reload(true), Step::Reload(false)]);
                 }
             }
-            gateway::Stage::StopAnnounced { .. } => steps.push(Step::Due),
+            gateway::GatewayState::StopAnnounced { .. } => steps.push(Step::Due),
             _ => steps.push(Step::CheckRemaining),
         }
     }
@@ -190,7 +192,7 @@
         match *step {
             Step::Connects(index) => self.connections[index] = Connection::WaitsForAccept,
             Step::Accepted(index) => {
-                let client = Client::new(self.now);
+                let client = ClientConnection::new(self.now);
                 self.connections[index] =
                     Connection::Open(OpenConnection { client, unread: 0, request: None });
                 self.on_client_event(index, client::Event::StartupReceived);
@@ -220,11 +222,11 @@
             }
             Step::Stopped(index) => {
                 let unread = self.open_connection(index).is_some_and(|open| open.unread > 0);
-                self.on_client_event(index, client::Event::Stop { unread });
+                self.on_client_event(index, client::Event::Stop { has_unread: unread });
             }
             Step::Idle(index) => {
                 let unread = self.open_connection(index).is_some_and(|open| open.unread > 0);
-                self.on_client_event(index, client::Event::Due { unread, partial_at: None });
+                self.on_client_event(index, client::Event::Timeout { has_unread: unread, partial_at: None });
             }
             _ => {}
         }
@@ -255,7 +257,7 @@
             self.violated = Some(IN_FLIGHT);
         }
         // The gateway checks again and again: a run of nothing but checks would never be over.
-        if (clients, attempts) == (0, 0) && self.gateway.stage() != gateway::Stage::Ended {
+        if (clients, attempts) == (0, 0) && self.gateway.state() != gateway::GatewayState::Ended {
             self.violated = Some(ENDS);
         }
     }
@@ -268,7 +270,7 @@
 
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.gateway.stage() != gateway::Stage::Ended {
+        if self.gateway.state() != gateway::GatewayState::Ended {
             (0..self.connections.len()).for_each(|index| self.client_steps(index, &mut steps));
             self.gateway_steps(&mut steps);
         }
@@ -285,8 +287,8 @@
             Step::Resume => self.command(gateway::Event::Resume, true),
             Step::Reload(usable) => self.reload(usable),
             Step::Due => {
-                self.now = self.gateway.due().unwrap_or(self.now);
-                self.gateway.on(self.now, gateway::Event::Due);
+                self.now = self.gateway.timeout_at().unwrap_or(self.now);
+                self.gateway.on(self.now, gateway::Event::Timeout);
             }
             Step::CheckRemaining => self.check_remaining(),
             _ => self.apply_client_step(step),
@@ -318,7 +320,7 @@
     }
 
     fn violated_at_end(&self) -> Option<&'static str> {
-        (self.gateway.stage() != gateway::Stage::Ended).then_some(ENDS)
+        (self.gateway.state() != gateway::GatewayState::Ended).then_some(ENDS)
     }
 }
 
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -10,7 +10,7 @@
 use crate::resources::counters::Counters;
 use crate::Time;
 use bytes::Bytes;
-use petrelgauge_lifecycle::client::{Event, MessageKind, Stage};
+use petrelgauge_lifecycle::client::{ClientState, Event, MessageKind};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::read_ahead::ReadAhead;
 use std::collections::VecDeque;
@@ -226,8 +226,8 @@
 
     /// Something that can be taken up lies here: a whole message, or a reason to cut the client off. What was read in a
     /// wait that was cancelled is here and nowhere else.
-    pub(super) fn holds(&mut self, stage: Stage) -> bool {
-        if stage == Stage::Opening {
+    pub(super) fn holds(&mut self, state: ClientState) -> bool {
+        if state == ClientState::Opening {
             return self.error.is_some() || self.framer.has_opening();
         }
         self.cut();
@@ -253,12 +253,14 @@
     }
 
     /// What the client sent next. May be cancelled without loss.
-    pub(super) async fn hear(&mut self, stage: Stage) -> ClientEvent {
-        let heard = if stage == Stage::Opening {
+    pub(super) async fn hear(&mut self, state: ClientState) -> ClientEvent {
+        let heard = if state == ClientState::Opening {
             self.opening().await.map(|opened| {
                 opened.map(|opening| match opening {
-                    Opening::Encryption => Event::Encryption.into(),
-                    Opening::Cancel(key) => ClientEvent { cancel: Some(key), ..Event::Cancel.into() },
+                    Opening::Encryption => Event::EncryptionRequested.into(),
+                    Opening::Cancel(key) => {
+                        ClientEvent { cancel: Some(key), ..Event::CancelRequested.into() }
+                    }
                     Opening::Startup { minor } => {
                         self.opened = true;
                         ClientEvent { minor, ..Event::StartupReceived.into() }
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -8,7 +8,7 @@
 use crate::resources::budget::Idleness;
 use crate::Time;
 use bytes::Buf;
-use petrelgauge_lifecycle::client::{Action, Client, Event, Stage};
+use petrelgauge_lifecycle::client::{Action, ClientConnection, ClientState, CutOffReason, Event, IdleSince};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::gateway::ServingState;
 use petrelgauge_sessions::SessionTokens;
@@ -53,13 +53,13 @@
     /// Tells the connection's life what happens and does what it says, until it ends.
     async fn talk(&mut self) -> Result<End, End> {
         let clock = self.context.clock;
-        let mut life = Client::new(clock.now());
+        let mut life = ClientConnection::new(clock.now());
         loop {
             let event = self.hear(&life).await;
             let mut out = Vec::new();
             event.cancel.into_iter().for_each(|key| self.context.cancel_registry.cancel(key));
             let mut action = life.on(clock.now(), event.event);
-            if action == Action::Answer {
+            if action == Action::AnswerQuery {
                 let (text, at) = event.query.unwrap_or_default();
                 let event = match self.query(text, at).await {
                     Ok(used) => Event::Answered(used),
@@ -68,21 +68,21 @@
                 action = life.on(clock.now(), event);
             }
             match action {
-                Action::Wait | Action::Answer | Action::Pause { .. } => continue,
+                Action::Wait | Action::AnswerQuery | Action::Pause { .. } => continue,
                 Action::Close(end) => {
                     if matches!(end, End::Stopped | End::ClientIdle) {
                         self.wait_for_close().await;
                     }
                     return Ok(end);
                 }
-                Action::CutOff { unfinished: true, .. } => return self.cut_off(UNFINISHED).await,
-                Action::CutOff { .. } => return self.cut_off(event.error.unwrap_or(UNKNOWN)).await,
+                Action::CutOff(CutOffReason::IncompleteMessage) => return self.cut_off(UNFINISHED).await,
+                Action::CutOff(_) => return self.cut_off(event.error.unwrap_or(UNKNOWN)).await,
                 Action::DeclineEncryption => out.push(b'N'),
                 Action::AcceptStartup => {
                     postgres::put_startup_answer(&mut out, event.minor, self.cancel_key.key)
                 }
-                Action::Ready => postgres::put_ready(&mut out),
-                Action::Unsupported { ready } => {
+                Action::SendReady => postgres::put_ready(&mut out),
+                Action::RejectUnsupported { then_ready: ready } => {
                     put_unsupported(&mut out);
                     if ready {
                         postgres::put_ready(&mut out);
@@ -94,25 +94,25 @@
     }
 
     /// Waits for what happens next. What the client sent goes before every reason to close.
-    async fn hear(&mut self, life: &Client) -> ClientEvent {
+    async fn hear(&mut self, life: &ClientConnection) -> ClientEvent {
         let (context, shed, mut serving_state) =
             (self.context.clone(), self.shed.clone(), self.serving_state.clone());
         let clock = context.clock;
-        if let Stage::Pausing { until } = life.stage() {
+        if let ClientState::Pausing { until } = life.state() {
             return tokio::select! {
-                () = clock.sleep_until(until) => Event::PauseOver.into(),
+                () = clock.sleep_until(until) => Event::PauseEnded.into(),
                 end = self.reader.left() => match self.reader.is_failed_with(end) {
-                    true => Event::PauseOver.into(),
+                    true => Event::PauseEnded.into(),
                     false => Event::Disconnected(end).into(),
                 },
             };
         }
-        let (why, since) = life.idleness();
+        let IdleSince { kind: why, since } = life.idle_since();
         // The process may be killed soon: nothing more is read, and what was read is answered first.
         let over = clock.now() >= context.final_read_deadlines.get().of(why);
-        let done = !self.reader.holds(life.stage()) && !self.reader.is_behind();
+        let done = !self.reader.holds(life.state()) && !self.reader.is_behind();
         if serving_state.borrow().closes_idle_clients() && over && done {
-            return Event::Stop { unread: false }.into();
+            return Event::Stop { has_unread: false }.into();
         }
         let _idle = context.budget.register_idle(why, since, &shed);
         // A client that has just come is about to say something.
@@ -125,25 +125,25 @@
         };
         tokio::select! {
             biased;
-            event = self.reader.hear(life.stage()) => event,
+            event = self.reader.hear(life.state()) => event,
             () = shed.notified() => {
-                let unread = self.unread(life.stage()).await;
+                let unread = self.unread(life.state()).await;
                 if unread {
                     // It was asked to make room, and still is once that is answered.
                     shed.notify_one();
                 }
-                Event::Shed { unread }.into()
+                Event::Shed { has_unread: unread }.into()
             }
             _ = closed => {
                 let last = context.final_answer_deadline.get().min(since + LAST_MESSAGE);
                 let begun = !self.reader.framer.is_empty() && clock.now() < last;
-                let unread = self.unread(life.stage()).await;
+                let unread = self.unread(life.state()).await;
                 self.close_from = if begun { clock.now() + LOOK } else { self.close_from };
-                Event::Stop { unread: unread || begun }.into()
+                Event::Stop { has_unread: unread || begun }.into()
             }
-            () = clock.sleep_until(life.due()) => {
-                let unread = self.unread(life.stage()).await;
-                Event::Due { unread, partial_at: self.reader.partial_at() }.into()
+            () = clock.sleep_until(life.timeout_at()) => {
+                let unread = self.unread(life.state()).await;
+                Event::Timeout { has_unread: unread, partial_at: self.reader.partial_at() }.into()
             }
         }
     }
@@ -151,8 +151,8 @@
     /// Whether something lies there that has not been taken up: a query that was read is lost if its connection ends,
     /// and one that was not has to be sent again. The kernel is asked itself, for the reactor has not yet event of what
     /// came a moment ago. After it the reactor knows.
-    async fn unread(&mut self, stage: Stage) -> bool {
-        if self.reader.holds(stage) {
+    async fn unread(&mut self, state: ClientState) -> bool {
+        if self.reader.holds(state) {
             return true;
         }
         if !self.reader.may_read() {
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -76,25 +76,25 @@
         AttemptRun { exchange, io, started_at: now, written_at: None, reused }
     }
 
-    /// Does what the attempt's stage asks for, until it has ended. What the connection brings goes before a
+    /// Does what the attempt's state asks for, until it has ended. What the connection brings goes before a
     /// cancellation, and both before the deadline.
     async fn run_to_end(&self, run: &mut AttemptRun, attempt: &mut Attempt, statement: &Statement) {
         let host = attempt.host();
         // One timer for as long as the deadline is the same.
-        let mut due = run.exchange.due();
+        let mut due = run.exchange.timeout_at();
         let mut timer = pin!(self.clock.sleep_until(due));
         while run.exchange.ended().is_none() {
-            if run.exchange.due() != due {
-                due = run.exchange.due();
+            if run.exchange.timeout_at() != due {
+                due = run.exchange.timeout_at();
                 timer.set(self.clock.sleep_until(due));
             }
             let progress = tokio::select! {
                 biased;
-                progress = self.advance(run.exchange.stage(), host, &mut run.io) => progress,
+                progress = self.advance(run.exchange.state(), host, &mut run.io) => progress,
                 () = attempt.cancelled() => Progress::Event(Event::Cancelled),
                 () = &mut timer => {
                     timer.set(self.clock.sleep_until(due));
-                    Progress::Event(Event::Due)
+                    Progress::Event(Event::Timeout)
                 }
             };
             let event = match progress {
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -1,5 +1,5 @@
 //! Input and output of one attempt: connects to the database host, reads its greeting, writes the query and reads the
-//! answer, each as far as the attempt's stage asks for.
+//! answer, each as far as the attempt's state asks for.
 
 use crate::facade::Attempt;
 use crate::host::connection::HostConnection;
@@ -13,7 +13,7 @@
 use crate::MemberId;
 use bytes::Buf;
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::exchange::{Event, Exchange, Stage};
+use petrelgauge_lifecycle::exchange::{AttemptState, Event, Exchange};
 use petrelgauge_lifecycle::idle_connection::{is_copy, is_distinguishable};
 use petrelgauge_lifecycle::verdict;
 use std::collections::hash_map::DefaultHasher;
@@ -147,17 +147,19 @@
     ///
     /// Cancel safe: what was connected, written and read is kept in `io`, and a new call goes on from there. Only a
     /// connect that is under way begins anew.
-    pub(super) async fn advance(&self, stage: Stage, host: MemberId, io: &mut AttemptIo) -> Progress {
+    pub(super) async fn advance(&self, state: AttemptState, host: MemberId, io: &mut AttemptIo) -> Progress {
         if io.connection.is_none() {
             return Progress::Event(self.open_connection(host, io).await);
         }
-        match stage {
-            Stage::Connecting { .. } | Stage::Greeting { .. } => {
+        match state {
+            AttemptState::Connecting { .. } | AttemptState::Greeting { .. } => {
                 Progress::Event(self.read_greeting(io).await)
             }
-            Stage::Writing => self.write_query(io).await,
-            Stage::Waiting | Stage::Answering { .. } => Progress::Event(self.read_answer(stage, io).await),
-            Stage::Ended(_) => std::future::pending().await,
+            AttemptState::Writing => self.write_query(io).await,
+            AttemptState::Waiting | AttemptState::Answering { .. } => {
+                Progress::Event(self.read_answer(state, io).await)
+            }
+            AttemptState::Ended(_) => std::future::pending().await,
         }
     }
 
@@ -193,7 +195,7 @@
     /// Writes the first bytes of the query, if the attempt may still be made. Much may have happened while its
     /// connection came up or did not take bytes; from the clock's reading here to the first byte nothing is waited for.
     ///
-    /// None if the attempt's stage stays: either the query is written in part, or the connection took no byte and all
+    /// None if the attempt's state stays: either the query is written in part, or the connection took no byte and all
     /// of this is to be done anew.
     pub(super) fn begin_query(
         &self,
@@ -246,7 +248,7 @@
     }
 
     /// Reads what a host sends to a query.
-    async fn read_answer(&self, stage: Stage, io: &mut AttemptIo) -> Event {
+    async fn read_answer(&self, state: AttemptState, io: &mut AttemptIo) -> Event {
         let mut has_begun = false;
         loop {
             if let Some(event) = io.take_answer() {
@@ -262,7 +264,7 @@
             if !io.reserve_memory() {
                 return Event::NoMemory;
             }
-            has_begun = stage == Stage::Waiting;
+            has_begun = state == AttemptState::Waiting;
         }
     }
 
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -11,7 +11,7 @@
 use petrelgauge::resources::counters::Counters;
 use petrelgauge::Time;
 use petrelgauge_handover::Reservation;
-use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, ServingState, Stage};
+use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, GatewayState, ServingState};
 use petrelgauge_lifecycle::ops::{self, KnownState};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -96,17 +96,17 @@
 
     async fn next_wakeup(&mut self) -> Result<Wakeup, GatewayError> {
         let clock = self.clock;
-        let due = self.lifecycle.due();
-        let stage = self.lifecycle.stage();
+        let due = self.lifecycle.timeout_at();
+        let state = self.lifecycle.state();
         tokio::select! {
             signal = self.signals.next() => Ok(Wakeup::Signal(signal)),
             Some(command) = self.commands.recv() => Ok(Wakeup::Command(command)),
-            () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Due)),
-            () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if stage == Stage::Closing => {
+            () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Timeout)),
+            () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if state == GatewayState::Closing => {
                 let (clients, attempts) = (self.client_context.open_sessions.get(), self.control.host_pool.open_attempts());
                 Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
             }
-            Some(ended) = self.tasks.join_next(), if stage == Stage::Serving => Err(GatewayError::TaskEnded(ended)),
+            Some(ended) = self.tasks.join_next(), if state == GatewayState::Serving => Err(GatewayError::TaskEnded(ended)),
         }
     }
 
