--- a/crates/handover/tests/records.rs
+++ b/crates/handover/tests/records.rs
@@ -29,18 +29,18 @@
     };
     let mut actions = Vec::new();
     let entries = vec![entry(1, true), entry(2, false)].into();
-    router.step(1_000_000, &[Event::List { complete: true, entries }], &mut actions);
+    router.step(1_000_000, &[Event::List { update: Update::Complete, entries }], &mut actions);
     for turn in 0..10 {
         let now = 1_100_000 + turn * 50_000;
         let request: RequestId = turn.to_string().into();
-        let ask = Event::Request {
+        let ask = Event::Request(RequestArrival {
             request: request.clone(),
             class: 0,
             group: 9,
             time_left: 900_000,
             is_retry: false,
             minimum_position: None,
-        };
+        });
         actions.clear();
         router.step(now, &[ask], &mut actions);
         let Some(Action::Send { member, .. }) =
@@ -48,7 +48,7 @@
         else {
             continue;
         };
-        let outcome = Event::Outcome {
+        let outcome = Event::Outcome(AttemptOutcome {
             request,
             attempt: 0,
             member: *member,
@@ -58,7 +58,7 @@
             position: Some(now),
             role: Some(if *member == 1 { Role::Primary } else { Role::Replica }),
             report: Report::default(),
-        };
+        });
         router.step(now + 20_000, &[outcome], &mut actions);
     }
     router
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -6,7 +6,8 @@
 };
 use crate::class_table::{IdempotencyKey, TooManyClasses};
 use petrelgauge_policy::{
-    Entry, Event, GroupId, MemberStatus, Need, RequestId, Settings, Time, ASSUMED_KNOWN_AFTER,
+    Entry, Event, GroupId, MemberStatus, Need, RequestArrival, RequestId, Settings, Time, Update,
+    ASSUMED_KNOWN_AFTER,
 };
 use petrelgauge_sessions::{MinimumPosition, SessionKey};
 
@@ -112,14 +113,14 @@
             session,
         };
         self.open.insert(id.clone(), open);
-        self.pending_events.push(Event::Request {
+        self.pending_events.push(Event::Request(RequestArrival {
             request: id.clone(),
             class: request.class,
             group: request.group,
             time_left: request.deadline,
             is_retry: request.is_retry,
             minimum_position: session_minimum.max(request.required_position),
-        });
+        }));
         id
     }
 
@@ -183,7 +184,8 @@
         }
         self.reported_positions.retain(|id, _| self.listed.contains(id));
         self.request_counts.retain(|group, _| self.groups.contains(group));
-        self.pending_events.push(Event::List { complete, entries: entries.into() });
+        let update = if complete { Update::Complete } else { Update::Partial };
+        self.pending_events.push(Event::List { update, entries: entries.into() });
     }
 
     /// Whether requests for this group may be served: the endpoint list names the group, or none has been received.
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptInFlight, AttemptSpec, OpenRequest, Outcome, RequestTable, SessionNeed, SessionWrite};
 use petrelgauge_policy::{
-    mutant, Ending, Event, MemberId, Mutant, Need, RequestId, Role, StaleReadPolicy, Time,
+    mutant, AttemptOutcome, Ending, Event, MemberId, Mutant, Need, RequestId, Role, StaleReadPolicy, Time,
 };
 use petrelgauge_sessions::{AnswerEvidence, SessionKey, Verdict};
 
@@ -40,7 +40,7 @@
         // The request ends here and not with the next step: no rejection may replace an answer.
         let is_final_answer =
             is_answer && (self.open.remove(request).is_some() || mutant(Mutant::RejectedAfterAnswer));
-        self.pending_events.push(Event::Outcome {
+        self.pending_events.push(Event::Outcome(AttemptOutcome {
             request: request.clone(),
             attempt: attempt.id.number,
             member: attempt.host,
@@ -50,7 +50,7 @@
             position: outcome.position,
             role: outcome.role,
             report: outcome.report,
-        });
+        }));
         is_final_answer
     }
 
--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -37,8 +37,8 @@
     fn take_events(&mut self, now: Time, expired_timer: Option<RouterTimer>) -> Vec<Event> {
         let mut events = std::mem::take(&mut self.pending_events);
         for event in &mut events {
-            if let Event::Request { time_left, .. } = event {
-                *time_left -= now;
+            if let Event::Request(arrival) = event {
+                arrival.time_left -= now;
             }
         }
         if let Some(RouterTimer { token, .. }) = expired_timer {
--- a/crates/policy/benches/step.rs
+++ b/crates/policy/benches/step.rs
@@ -53,7 +53,7 @@
         primary: n.is_multiple_of(MEMBERS_OF_A_GROUP),
     };
     let entries: Vec<Entry> = (0..groups as u32 * MEMBERS_OF_A_GROUP).map(entry).collect();
-    Event::List { complete: true, entries: entries.into() }
+    Event::List { update: Update::Complete, entries: entries.into() }
 }
 
 impl Load {
@@ -74,14 +74,14 @@
         self.now += BETWEEN_REQUESTS - SERVICE_TIME;
         self.asked += 1;
         let request: RequestId = format!("r{}", self.asked).into();
-        self.step(Event::Request {
+        self.step(Event::Request(RequestArrival {
             request: request.clone(),
             class: (self.asked % 3) as usize,
             group: self.asked.wrapping_mul(7_919) % self.groups,
             time_left: 900_000,
             is_retry: false,
             minimum_position: None,
-        });
+        }));
         let sent = self.actions.iter().find_map(|action| match action {
             Action::Send { member, .. } => Some(*member),
             _ => None,
@@ -93,7 +93,7 @@
 
     fn served(&self, request: RequestId, member: MemberId) -> Event {
         let primary = (member - 1).is_multiple_of(MEMBERS_OF_A_GROUP);
-        Event::Outcome {
+        Event::Outcome(AttemptOutcome {
             request,
             attempt: 0,
             member,
@@ -103,7 +103,7 @@
             position: Some(self.now),
             role: Some(if primary { Role::Primary } else { Role::Replica }),
             report: Report::default(),
-        }
+        })
     }
 }
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -7,14 +7,14 @@
 mod events;
 mod ids;
 mod notes;
+mod scan_counts;
 mod settings;
-mod visits;
 
 pub use actions::Action;
 pub use classes::{Class, Effect, Need, Scope, ASSUMED_KNOWN_AFTER};
 pub use endpoints::{Entry, KnownPrimary, MemberStatus, QuotaAdjustment, Report, Role};
-pub use events::{Ending, Event};
+pub use events::{AttemptOutcome, Ending, Event, RequestArrival, Update};
 pub use ids::{GroupId, MemberId, RequestId, Time};
 pub use notes::{LogEntry, Note};
+pub use scan_counts::ScanCounts;
 pub use settings::{ListRole, Settings, SettingsError, StaleReadPolicy};
-pub use visits::VisitCounts;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -62,15 +62,15 @@
 //!     status: MemberStatus::Up,
 //!     primary: true,
 //! };
-//! let list = Event::List { complete: true, entries: vec![entry].into() };
-//! let request = Event::Request {
+//! let list = Event::List { update: Update::Complete, entries: vec![entry].into() };
+//! let request = Event::Request(RequestArrival {
 //!     request: "r1".into(),
 //!     class: 0,
 //!     group: 9,
 //!     time_left: 900_000,
 //!     is_retry: false,
 //!     minimum_position: None,
-//! };
+//! });
 //! router.step(1_000_000, &[list, request], &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { member: 1, .. })));
 //! ```
--- a/crates/policy/src/router/admission.rs
+++ b/crates/policy/src/router/admission.rs
@@ -2,7 +2,7 @@
 
 use super::queue::USEFUL_START_SHARE;
 use super::Router;
-use crate::interface::{Action, Class, Event, GroupId, RequestId, Time};
+use crate::interface::{Action, Class, RequestArrival, RequestId, Time};
 use crate::state::{share_of, Request};
 
 /// Share of all value that may be spent on health checks (fraction).
@@ -16,52 +16,30 @@
 /// Part of the typical time (divisor) that a first try's time may lie below it.
 const TYPICAL_TIME_TOLERANCE_DIVISOR: Time = 16;
 
-/// A request as it arrives.
-struct Arrival<'a> {
-    request: &'a RequestId,
-    class: usize,
-    group: GroupId,
-    /// Until its client gives up this try (microseconds).
-    time_left: Time,
-    is_marked_retry: bool,
-    minimum_position: Option<Time>,
-}
-
 impl Router {
-    /// Takes in a new request, or rejects it.
-    pub(super) fn admit_request(&mut self, event: &Event) {
-        let Event::Request { request, class, group, time_left, is_retry, minimum_position } = event else {
-            return;
-        };
-        let arrival = Arrival {
-            request,
-            class: *class,
-            group: *group,
-            time_left: *time_left,
-            is_marked_retry: *is_retry,
-            minimum_position: *minimum_position,
-        };
+    /// Admits a new request to the queue of its group, or rejects it.
+    pub(super) fn admit_request(&mut self, arrival: &RequestArrival) {
         let uniform_sample = self.rng.uniform_sample();
         if arrival.class >= self.settings.classes.len() {
-            return self.reject(&arrival, 0);
+            return self.reject(arrival, 0);
         }
         self.record_offered_load(arrival.group, self.settings.classes[arrival.class].latency_target);
-        self.adapt_typical_time(&arrival);
+        self.adapt_typical_time(arrival);
         if self.is_shed(&self.settings.classes[arrival.class], uniform_sample) {
-            return self.reject(&arrival, self.settings.max_retry_after);
+            return self.reject(arrival, self.settings.max_retry_after);
         }
         self.budgets.probes += PROBE_BUDGET_SHARE;
         self.budgets.trials = (self.budgets.trials + TRIAL_BUDGET_SHARE).min(MAX_SAVED_TRIALS);
-        self.insert_request(&arrival);
+        self.insert_request(arrival);
     }
 
-    fn reject(&mut self, arrival: &Arrival, wait: Time) {
+    fn reject(&mut self, arrival: &RequestArrival, wait: Time) {
         self.actions.push(Action::Reject { request: arrival.request.clone(), wait });
     }
 
     /// Moves the median of the time that first tries of a class come with.
-    fn adapt_typical_time(&mut self, arrival: &Arrival) {
-        if arrival.is_marked_retry {
+    fn adapt_typical_time(&mut self, arrival: &RequestArrival) {
+        if arrival.is_retry {
             return;
         }
         let typical = &mut self.typical_time_left[arrival.class];
@@ -76,17 +54,17 @@
     /// How long ago the client's first try came. Most requests are first tries with the same time: one with
     /// well less than the median is a later try. A marked retry was most likely rejected by a router that had
     /// kept it for as long as a start was useful.
-    fn age_at_arrival(&self, arrival: &Arrival, class: &Class) -> Time {
+    fn age_at_arrival(&self, arrival: &RequestArrival, class: &Class) -> Time {
         let typical = self.typical_time_left[arrival.class];
         let is_later_try = arrival.time_left < typical - typical / TYPICAL_TIME_TOLERANCE_DIVISOR;
         let age = if is_later_try { class.deadline - arrival.time_left } else { 0 };
-        if arrival.is_marked_retry {
+        if arrival.is_retry {
             return age.max(share_of(class.latency_target, USEFUL_START_SHARE)).max(0);
         }
         age.max(0)
     }
 
-    fn insert_request(&mut self, arrival: &Arrival) {
+    fn insert_request(&mut self, arrival: &RequestArrival) {
         let age = self.age_at_arrival(arrival, &self.settings.classes[arrival.class]);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -2,14 +2,14 @@
 
 use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
 use super::Router;
-use crate::interface::{Entry, ListRole, MemberId, MemberStatus, Time};
+use crate::interface::{Entry, ListRole, MemberId, MemberStatus, Time, Update};
 use crate::state::Member;
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Takes in an endpoint list: complete, or only the entries that changed.
-    pub(super) fn update_endpoints(&mut self, complete: bool, entries: &[Entry]) {
-        if complete {
+    /// Applies an update of the endpoint list.
+    pub(super) fn update_endpoints(&mut self, update: Update, entries: &[Entry]) {
+        if update == Update::Complete {
             self.remove_unlisted(entries);
         }
         for entry in entries {
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -56,7 +56,7 @@
             self.available = self.count_available();
         }
         for id in self.indexes.members_to_check(self.settings.may_probe) {
-            self.visits.members += 1;
+            self.scan_counts.members += 1;
             self.check_member(id);
         }
         if self.indexes.has_outdated_zones() && self.has_recent_loss() {
@@ -83,7 +83,7 @@
         if !self.indexes.lost_within(span, self.now) {
             return false;
         }
-        self.visits.members += self.members.len() as u64;
+        self.scan_counts.members += self.members.len() as u64;
         self.members.values().any(|member| self.now - member.last_loss_at < span)
     }
 
@@ -220,7 +220,7 @@
     fn cancel_attempts_at(&mut self, id: MemberId, is_retriable: impl Fn(Effect) -> bool) {
         let mut cancelled = BTreeSet::new();
         for (attempt_id, _) in self.in_flight.at_member(id) {
-            self.visits.requests += 1;
+            self.scan_counts.requests += 1;
             let Some(sequence) = self.sequences.get(&attempt_id.request) else { continue };
             let Some(request) = self.requests.get(sequence) else { continue };
             if is_retriable(self.settings.classes[request.class].effect) && !self.is_start_late(request) {
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -29,8 +29,8 @@
 use crate::in_flight::InFlightAttempts;
 use crate::indexes::Indexes;
 use crate::interface::{
-    Action, Event, GroupId, LogEntry, MemberId, Note, RequestId, Role, Settings, SettingsError, Time,
-    VisitCounts,
+    Action, Event, GroupId, LogEntry, MemberId, Note, RequestId, Role, ScanCounts, Settings, SettingsError,
+    Time,
 };
 use crate::state::{AvailableMembers, Group, LoadState, Member, Request, SeededRng};
 use admission::PROBE_BUDGET_SHARE;
@@ -95,7 +95,7 @@
     /// When health was last checked.
     pub(crate) watched_at: Time,
     pub(crate) indexes: Indexes,
-    visits: VisitCounts,
+    scan_counts: ScanCounts,
     /// Actions of the current step.
     actions: Vec<Action>,
 }
@@ -142,9 +142,9 @@
         &self.fleet_clock
     }
 
-    /// What the health checks have looked at so far.
-    pub fn visit_counts(&self) -> VisitCounts {
-        self.visits
+    /// What the health checks have scanned so far.
+    pub fn scan_counts(&self) -> ScanCounts {
+        self.scan_counts
     }
 
     /// For whoever receives the hosts' answers, to pass on what they show of the hosts' clock when they
@@ -172,9 +172,9 @@
 
     fn handle_event(&mut self, event: &Event) {
         match event {
-            Event::List { complete, entries } => self.update_endpoints(*complete, entries),
-            Event::Request { .. } => self.admit_request(event),
-            Event::Outcome { .. } => self.record_outcome(event),
+            Event::List { update, entries } => self.update_endpoints(*update, entries),
+            Event::Request(arrival) => self.admit_request(arrival),
+            Event::Outcome(outcome) => self.record_outcome(outcome),
             Event::MinimumPositionLowered { request, minimum_position } => {
                 self.lower_minimum_position(request, *minimum_position)
             }
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -5,7 +5,7 @@
 use super::evidence::{push_sample, Evidence};
 use super::health::SILENCE_FAILURES;
 use super::Router;
-use crate::interface::{Effect, Ending, Event, MemberId, Need, Note, Report, RequestId, Role, Time};
+use crate::interface::{AttemptOutcome, Effect, Ending, MemberId, Need, Note, Report, Time};
 use crate::mutant::{mutant, Mutant::UnsafeRetried};
 use crate::state::{AttemptId, InFlightAttempt, Sample};
 
@@ -15,51 +15,6 @@
 /// rejection comes at once and points to the process; what hangs points to its machine.
 const HUNG_CONNECTION_DIVISOR: Time = 16;
 
-/// The end of one attempt.
-struct AttemptOutcome<'a> {
-    request: &'a RequestId,
-    attempt: u32,
-    member: MemberId,
-    ending: Ending,
-    /// Time since the send (microseconds).
-    took: Time,
-    /// The request has its final answer.
-    closed: bool,
-    position: Option<Time>,
-    role: Option<Role>,
-    report: &'a Report,
-}
-
-impl<'a> AttemptOutcome<'a> {
-    fn from_event(event: &'a Event) -> Option<AttemptOutcome<'a>> {
-        let Event::Outcome { request, attempt, member, ending, took, closed, position, role, report } = event
-        else {
-            return None;
-        };
-        Some(AttemptOutcome {
-            request,
-            attempt: *attempt,
-            member: *member,
-            ending: *ending,
-            took: *took,
-            closed: *closed,
-            position: *position,
-            role: *role,
-            report,
-        })
-    }
-
-    /// The member itself has answered.
-    fn is_answer(&self) -> bool {
-        matches!(self.ending, Ending::Served | Ending::Error | Ending::QueueFull | Ending::Rejected)
-    }
-
-    /// The attempt got no service, and the member or the path to it is at fault.
-    fn is_failure(&self) -> bool {
-        !matches!(self.ending, Ending::Served | Ending::Rejected | Ending::Cancelled | Ending::NotSent)
-    }
-}
-
 /// What an attempt's time says of its member.
 struct Measurement {
     sent: Time,
@@ -74,15 +29,15 @@
 }
 
 impl Router {
-    /// Takes in the end of an attempt.
-    pub(super) fn record_outcome(&mut self, event: &Event) {
-        let Some(outcome) = AttemptOutcome::from_event(event) else { return };
+    /// Records the outcome of an attempt: updates the member's health, samples and concurrency limit, then
+    /// closes the request or queues it for a retry.
+    pub(super) fn record_outcome(&mut self, outcome: &AttemptOutcome) {
         let attempt_id = AttemptId { request: outcome.request.clone(), number: outcome.attempt };
         let attempt = self.in_flight.remove(&attempt_id);
         let is_write =
             attempt.as_ref().is_some_and(|attempt| self.settings.classes[attempt.class].need == Need::Write);
         if outcome.is_answer() {
-            self.record_answer(&outcome, is_write);
+            self.record_answer(outcome, is_write);
         }
         if outcome.ending == Ending::Served {
             self.record_service_time(is_write, outcome.took);
@@ -91,14 +46,14 @@
             }
         }
         if let Some(attempt) = attempt.filter(|_| self.members.contains_key(&outcome.member)) {
-            let measurement = self.measure(&outcome, &attempt);
-            self.record_sign_of_life(&outcome);
+            let measurement = self.measure(outcome, &attempt);
+            self.record_sign_of_life(outcome);
             self.update_shed_share(outcome.ending, measurement.sample);
-            self.record_sojourn(&outcome, &measurement);
-            self.record_suspicion(&outcome, &measurement);
-            self.back_off(&outcome, &measurement);
+            self.record_sojourn(outcome, &measurement);
+            self.record_suspicion(outcome, &measurement);
+            self.back_off(outcome, &measurement);
         }
-        self.settle_request(&outcome);
+        self.settle_request(outcome);
     }
 
     fn record_answer(&mut self, outcome: &AttemptOutcome, is_write: bool) {
@@ -107,7 +62,7 @@
         let position = outcome.position.filter(|_| !is_commit);
         let answer = Evidence { position, role: outcome.role, role_at: Some(now) };
         self.record_evidence(outcome.member, answer);
-        self.record_report(outcome.member, outcome.report);
+        self.record_report(outcome.member, &outcome.report);
         if let Some(committed_at) = outcome.position.filter(|_| is_commit) {
             self.record_commit(outcome.member, committed_at);
         }
@@ -209,7 +164,7 @@
 
     /// What becomes of the request: it is over, waits for another attempt, or fails.
     fn settle_request(&mut self, outcome: &AttemptOutcome) {
-        let Some(sequence) = self.sequences.get(outcome.request).copied() else { return };
+        let Some(sequence) = self.sequences.get(&outcome.request).copied() else { return };
         let Some(request) = self.requests.get_mut(&sequence) else { return };
         let never_ran = outcome.ending.never_ran();
         if let Some(attempt) = request.attempts.get_mut(outcome.attempt as usize) {
--- a/crates/policy/src/router/zones.rs
+++ b/crates/policy/src/router/zones.rs
@@ -29,7 +29,7 @@
     pub(super) fn check_zones(&mut self) {
         self.indexes.begin_zone_check();
         let mut zones: BTreeMap<Arc<str>, ZoneState> = BTreeMap::new();
-        self.visits.members += self.members.len() as u64;
+        self.scan_counts.members += self.members.len() as u64;
         for member in self.members.values().filter(|member| member.status == MemberStatus::Up) {
             let zone = zones.entry(member.zone.clone()).or_default();
             zone.last_heard_at = zone.last_heard_at.max(member.last_heard_at);
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -76,7 +76,7 @@
         settings.classes[5].deadline = 3_000 * MS;
         settings.classes[5].effect = Effect::Keyed { window: 5_000 * MS, scope: Scope::Group };
         let router = |n| Router::new(settings.clone(), 1000 + n as u64).expect("sound settings");
-        let list = |_| vec![Event::List { complete: true, entries: entries.to_vec().into() }];
+        let list = |_| vec![Event::List { update: Update::Complete, entries: entries.to_vec().into() }];
         let member = |(id, primary, slots, work)| {
             let (queue, busy) = Default::default();
             (
@@ -143,7 +143,7 @@
             let word = Event::GossipedPrimary { member, at: self.now };
             self.inbox.iter_mut().for_each(|inbox| inbox.push(word.clone()));
         }
-        self.inbox[job.router].push(Event::Outcome {
+        self.inbox[job.router].push(Event::Outcome(AttemptOutcome {
             request: job.request.clone(),
             attempt: job.attempt,
             member,
@@ -153,7 +153,7 @@
             position: spoke.then_some(self.now),
             role: spoke.then_some(role),
             report: Report::default(),
-        });
+        }));
     }
 
     /// One tick: members work, routers step.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -82,7 +82,7 @@
     pub fn new(settings: Settings) -> Harness {
         let mut harness = Harness::empty(settings);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        harness.play(Event::List { complete: true, entries: list.into() });
+        harness.play(Event::List { update: Update::Complete, entries: list.into() });
         harness
     }
 
@@ -117,7 +117,7 @@
             let Action::Send { request, member, .. } = action else { continue };
             let count = self.counts.entry(request.clone()).or_insert(0);
             let attempt = std::mem::replace(count, *count + 1);
-            let event = Event::Outcome {
+            let event = Event::Outcome(AttemptOutcome {
                 request,
                 attempt,
                 member,
@@ -127,7 +127,7 @@
                 position: Some(self.now),
                 role: Some(if member == 1 { Role::Primary } else { Role::Replica }),
                 report: Report::default(),
-            };
+            });
             served += 1;
             queue.extend(self.play(event));
         }
@@ -147,7 +147,7 @@
         lag: Option<Time>,
         role: Option<Role>,
     ) -> Vec<Action> {
-        let event = Event::Outcome {
+        let event = Event::Outcome(AttemptOutcome {
             request: name.into(),
             attempt,
             member,
@@ -158,7 +158,7 @@
             position: lag.map(|lag| self.now - lag),
             role,
             report: Report::default(),
-        };
+        });
         self.play(event)
     }
 }
@@ -168,7 +168,14 @@
 }
 
 pub fn request(name: &str, class: usize, time_left: Time, minimum_position: Option<Time>) -> Event {
-    Event::Request { request: name.into(), class, group: G, time_left, is_retry: false, minimum_position }
+    Event::Request(RequestArrival {
+        request: name.into(),
+        class,
+        group: G,
+        time_left,
+        is_retry: false,
+        minimum_position,
+    })
 }
 
 pub fn sent_to(actions: &[Action]) -> Option<MemberId> {
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -170,7 +170,8 @@
     fn list(&self, complete: bool, members: Vec<MemberId>) -> Event {
         let mut entries = members.iter().map(|id| self.hosts[id].entry.clone()).collect::<Vec<_>>();
         entries.extend(self.idle.iter().filter(|_| complete).cloned());
-        Event::List { complete, entries: entries.into() }
+        let update = if complete { Update::Complete } else { Update::Partial };
+        Event::List { update, entries: entries.into() }
     }
 
     fn pass_time(&mut self, step: usize) {
@@ -246,14 +247,14 @@
         let groups = self.groups.len() as u64;
         let place = self.below(groups).min(self.below(groups)) as usize;
         let has_minimum_position = self.below(5) == 0;
-        Event::Request {
+        Event::Request(RequestArrival {
             request,
             class: if self.below(300) == 0 { 99 } else { self.below(6) as usize },
             group: self.groups[place],
             time_left: self.one_of(&[900, 900, 900, 950, 400, 120]) * MS,
             is_retry: self.below(10) == 0,
             minimum_position: has_minimum_position.then(|| self.now - self.below(300) as Time * MS),
-        }
+        })
     }
 
     fn outcome(&mut self) -> Option<Event> {
@@ -280,7 +281,17 @@
         if closed {
             self.close(&request);
         }
-        Some(Event::Outcome { request, attempt, member, ending, took, closed, position, role, report })
+        Some(Event::Outcome(AttemptOutcome {
+            request,
+            attempt,
+            member,
+            ending,
+            took,
+            closed,
+            position,
+            role,
+            report,
+        }))
     }
 
     fn ending(&mut self, out: &InFlight, answers: bool) -> Ending {
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -14,19 +14,19 @@
 
 fn request_to(group: GroupId, name: &str) -> Event {
     // A write may use all of its member.
-    Event::Request {
+    Event::Request(RequestArrival {
         request: name.into(),
         class: 5,
         group,
         time_left: 900 * MS,
         is_retry: false,
         minimum_position: None,
-    }
+    })
 }
 
 fn only_member(status: MemberStatus) -> Event {
     let entry = Entry { group: SINGLE, ..entry(ONLY_MEMBER, status, true, 0) };
-    Event::List { complete: false, entries: vec![entry].into() }
+    Event::List { update: Update::Partial, entries: vec![entry].into() }
 }
 
 /// An event that has nothing to do with any request.
@@ -88,7 +88,7 @@
     assert_eq!(sends(&harness.play(request_to(EMPTY, "r"))), 0);
     assert_eq!(sends(&harness.play(only_member(MemberStatus::Up))), 0, "that is another group's member");
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
-    let list_change = Event::List { complete: false, entries: vec![entry].into() };
+    let list_change = Event::List { update: Update::Partial, entries: vec![entry].into() };
     assert!(sent(&harness.play(list_change), "r"));
 }
 
@@ -124,7 +124,7 @@
     }
     let member = |group| Entry { group, ..entry(group as MemberId + 100, MemberStatus::Up, true, 0) };
     let entries: Vec<Entry> = (EMPTY..EMPTY + 5).map(member).collect();
-    let sent = harness.play(Event::List { complete: false, entries: entries.into() });
+    let sent = harness.play(Event::List { update: Update::Partial, entries: entries.into() });
     let names: Vec<&str> = sent
         .iter()
         .filter_map(|action| match action {
@@ -141,7 +141,7 @@
     assert_eq!(sends(&harness.play(request_to(EMPTY, "old"))), 0);
     let mut next = taken_over(&harness, settings());
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
-    let list_change = Event::List { complete: false, entries: vec![entry].into() };
+    let list_change = Event::List { update: Update::Partial, entries: vec![entry].into() };
     assert_eq!(sends(&next.play(list_change)), 0, "the other process has that request");
     assert!(sent(&next.play(request_to(SINGLE, "new")), "new"));
 }
@@ -218,7 +218,7 @@
     harness.wait(61_000 * MS);
     assert!(!is_known(&harness, ONLY_MEMBER));
     let moved = Entry { group: EMPTY, ..entry(ONLY_MEMBER, MemberStatus::Up, true, 0) };
-    harness.play(Event::List { complete: false, entries: vec![moved].into() });
+    harness.play(Event::List { update: Update::Partial, entries: vec![moved].into() });
     harness.play(Event::GossipedPrimary { member: ONLY_MEMBER, at: harness.now });
     let primary = KnownPrimary { group: EMPTY, member: ONLY_MEMBER, evidence_at: harness.now };
     assert_eq!(harness.router.primaries(), [primary]);
@@ -229,7 +229,7 @@
 fn sent_to_a_warming_member(soft_removal: bool) -> (usize, f64) {
     let mut harness = Harness::new(settings());
     let left = (100..140).map(|id| entry(id, MemberStatus::Removed, false, 0));
-    harness.play(Event::List { complete: false, entries: left.collect() });
+    harness.play(Event::List { update: Update::Partial, entries: left.collect() });
     harness.wait(100 * MS);
     harness.router.apply_settings(Settings { soft_removal, ..settings() }).expect("sound settings");
     harness.wait(100 * MS);
@@ -238,15 +238,17 @@
         harness.serve_all(sent, 20 * MS);
     }
     let started = Entry { group: SINGLE, ..entry(ONLY_MEMBER, MemberStatus::Up, true, harness.now) };
-    harness.play(Event::List { complete: false, entries: vec![started].into() });
+    harness.play(Event::List { update: Update::Partial, entries: vec![started].into() });
     harness.wait(1_100 * MS);
-    let read = |n| Event::Request {
-        request: format!("s{n}").into(),
-        class: 2,
-        group: SINGLE,
-        time_left: 900 * MS,
-        is_retry: false,
-        minimum_position: None,
+    let read = |n| {
+        Event::Request(RequestArrival {
+            request: format!("s{n}").into(),
+            class: 2,
+            group: SINGLE,
+            time_left: 900 * MS,
+            is_retry: false,
+            minimum_position: None,
+        })
     };
     let sent = (0..FIRST_LIMIT).map(|n| sends(&harness.play(read(n)))).sum();
     (sent, harness.router.slow_start(ONLY_MEMBER).expect("it is warming up").rate)
@@ -292,14 +294,14 @@
         // Those that come later end a little earlier.
         let time_left = (900 - n) * MS;
         let name = format!("r{n}");
-        let event = Event::Request {
+        let event = Event::Request(RequestArrival {
             request: name.into(),
             class: 5,
             group: EMPTY,
             time_left,
             is_retry: false,
             minimum_position: None,
-        };
+        });
         harness.play(event);
     }
     let actions = harness.wait(600 * MS);
--- a/crates/policy/tests/events_and_settings.rs
+++ b/crates/policy/tests/events_and_settings.rs
@@ -10,17 +10,17 @@
     harness.end("never-seen", 3, 99, Ending::Served);
     harness.play(Event::Abandoned { request: "never-seen".into() });
     harness.play(Event::Probed { member: 99, ending: Ending::TimedOut, report: Report::default() });
-    harness.play(Event::List { complete: true, entries: [].into() });
+    harness.play(Event::List { update: Update::Complete, entries: [].into() });
     let odd = Report { position: Some(Time::MAX), role: None, waiting: Some(f64::NAN), busy: None };
     harness.play(Event::Probed { member: 1, ending: Ending::Served, report: odd });
-    let unknown = harness.play(Event::Request {
+    let unknown = harness.play(Event::Request(RequestArrival {
         request: "far".into(),
         class: 99,
         group: 1,
         time_left: 0,
         is_retry: true,
         minimum_position: None,
-    });
+    }));
     assert!(refused(&unknown), "a class that no setting names still gets its one answer");
     assert_eq!(sends(&harness.ask("r", 0, 900 * MS)), 0, "a group with no member up");
     let mut all = Vec::new();
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -204,10 +204,9 @@
                 entry(id + 10, MemberStatus::Up, false, fleet.now),
             ];
             let list_change: std::sync::Arc<[Entry]> = list_change.into();
-            fleet
-                .inbox
-                .iter_mut()
-                .for_each(|inbox| inbox.push(Event::List { complete: false, entries: list_change.clone() }));
+            fleet.inbox.iter_mut().for_each(|inbox| {
+                inbox.push(Event::List { update: Update::Partial, entries: list_change.clone() })
+            });
             fleet.step();
             drained.insert(id, fleet.members[&id].sent);
         }
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -209,7 +209,10 @@
             let started = if started > 0 { NOON + offset - started } else { 0 };
             entry(member, MemberStatus::Up, member == 1, started)
         };
-        harness.play(Event::List { complete: true, entries: (1..=3).map(entry).collect::<Vec<_>>().into() });
+        harness.play(Event::List {
+            update: Update::Complete,
+            entries: (1..=3).map(entry).collect::<Vec<_>>().into(),
+        });
         Shifted { harness, offset, lags, next: 0 }
     }
 
@@ -244,7 +247,7 @@
             clock.record_position(member, reported, now);
         }
         let position = clock.is_plausible(reported, now).then_some(reported);
-        self.harness.play(Event::Outcome {
+        self.harness.play(Event::Outcome(AttemptOutcome {
             request: name.into(),
             attempt: 0,
             member,
@@ -254,7 +257,7 @@
             position,
             role: Some(if member == 1 { Role::Primary } else { Role::Replica }),
             report: Report::default(),
-        });
+        }));
     }
 
     /// So many reads of any data at once, all answered after that: how many went to member 3.
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -26,13 +26,15 @@
     for n in 0..60 {
         harness.ask(&format!("fill{n}"), 4, 900 * MS);
     }
-    let repeat = |name: &str, is_retry| Event::Request {
-        request: name.into(),
-        class: 3,
-        group: G,
-        time_left: 900 * MS,
-        is_retry,
-        minimum_position: None,
+    let repeat = |name: &str, is_retry| {
+        Event::Request(RequestArrival {
+            request: name.into(),
+            class: 3,
+            group: G,
+            time_left: 900 * MS,
+            is_retry,
+            minimum_position: None,
+        })
     };
     assert!(!refused(&harness.play(repeat("first", false))), "a first attempt waits for capacity");
     assert!(refused(&harness.play(repeat("again", true))), "a repeat without a chance does not");
@@ -124,7 +126,7 @@
         harness.now += MS;
     }
     let back = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-    let actions = harness.play(Event::List { complete: true, entries: back.into() });
+    let actions = harness.play(Event::List { update: Update::Complete, entries: back.into() });
     let sent: Vec<&str> = actions
         .iter()
         .filter_map(|action| match action {
--- a/crates/policy/tests/member_faults.rs
+++ b/crates/policy/tests/member_faults.rs
@@ -83,10 +83,10 @@
     // Recorded day i5bbe18: reads given up at their latency target were never counted, and limits stayed high.
     let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    harness.play(Event::List { complete: false, entries: list.into() });
+    harness.play(Event::List { update: Update::Partial, entries: list.into() });
     let at_first: usize = (0..20).map(|n| sends(&harness.ask(&format!("a{n}"), 4, 900 * MS))).sum();
     for n in 0..at_first {
-        let event = Event::Outcome {
+        let event = Event::Outcome(AttemptOutcome {
             request: format!("a{n}").as_str().into(),
             attempt: 0,
             member: 1,
@@ -96,7 +96,7 @@
             position: None,
             role: None,
             report: Report::default(),
-        };
+        });
         let later = harness.play(event);
         harness.serve_all(later, 300 * MS);
     }
@@ -109,7 +109,7 @@
     // Recorded day if2b59f: a primary lost a share of its writes and stood at its limit with them.
     let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    harness.play(Event::List { complete: false, entries: list.into() });
+    harness.play(Event::List { update: Update::Partial, entries: list.into() });
     let lost: usize = (0..20).map(|n| sends(&harness.ask(&format!("l{n}"), 4, 1_000 * MS))).sum();
     assert!((1..20).contains(&lost), "the first ones fill the capacity");
     // One of them is answered; the others stay out past their latency target.
@@ -126,7 +126,7 @@
     // Recorded day ia7e9ba: a restarted member fell over before the list showed its start.
     let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    harness.play(Event::List { complete: false, entries: list.into() });
+    harness.play(Event::List { update: Update::Partial, entries: list.into() });
     harness.play(Event::Probed { member: 1, ending: Ending::TimedOut, report: Report::default() });
     harness.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
     let mut sent = 0;
@@ -212,11 +212,11 @@
         let mut harness = Harness::new(settings());
         for status in [MemberStatus::Draining, MemberStatus::Removed] {
             let list = (1..=3).map(|m| entry(m, status, m == 1, 0)).collect::<Vec<_>>();
-            harness.play(Event::List { complete: true, entries: list.into() });
+            harness.play(Event::List { update: Update::Complete, entries: list.into() });
         }
         harness.wait(span);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        harness.play(Event::List { complete: true, entries: list.into() });
+        harness.play(Event::List { update: Update::Complete, entries: list.into() });
         sent_to(&harness.ask("r", 2, 900 * MS)).is_some()
     };
     assert!(!back_after(10_000 * MS), "an old list does not undo a drain");
--- a/crates/policy/tests/primary_discovery.rs
+++ b/crates/policy/tests/primary_discovery.rs
@@ -87,7 +87,7 @@
     let list: Vec<Entry> = (1..=3)
         .map(|m| entry(m, MemberStatus::Up, m == 1, if m == 1 { START - 100 * MS } else { 0 }))
         .collect();
-    harness.play(Event::List { complete: true, entries: list.into() });
+    harness.play(Event::List { update: Update::Complete, entries: list.into() });
     // Its start is newer than the list's roles: before it is known to be the primary, a read may go to it as to any other.
     harness.play(Event::GossipedPrimary { member: 1, at: harness.now });
     let (mut reads, mut writes) = (0, 0);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -110,7 +110,7 @@
     for status in [MemberStatus::Draining, MemberStatus::Removed] {
         let mut harness = Harness::new(settings());
         let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
-        harness.play(Event::List { complete: false, entries: list.into() });
+        harness.play(Event::List { update: Update::Partial, entries: list.into() });
         for n in 0..50 {
             let actions = harness.ask(&format!("r{n}"), 2, 900 * MS);
             assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}");
@@ -118,7 +118,10 @@
     }
     // A complete list that leaves a member out says the same.
     let mut harness = Harness::new(settings());
-    harness.play(Event::List { complete: true, entries: [entry(1, MemberStatus::Up, true, 0)].into() });
+    harness.play(Event::List {
+        update: Update::Complete,
+        entries: [entry(1, MemberStatus::Up, true, 0)].into(),
+    });
     for n in 0..50 {
         assert!(matches!(harness.ask(&format!("r{n}"), 2, 900 * MS).as_slice(), a if sent_to(a) != Some(2)));
     }
@@ -130,7 +133,11 @@
     for complete in [false, true] {
         let mut harness = Harness::new(Settings { soft_removal: true, ..settings() });
         let gone: Vec<Entry> = (1..=3).map(|m| entry(m, MemberStatus::Removed, m == 1, 0)).collect();
-        harness.play(Event::List { complete, entries: if complete { [].into() } else { gone.into() } });
+        harness.play(if complete {
+            Event::List { update: Update::Complete, entries: [].into() }
+        } else {
+            Event::List { update: Update::Partial, entries: gone.into() }
+        });
         for n in 0..20 {
             let name = format!("g{n}");
             let member = sent_to(&harness.ask(&name, 2, 900 * MS)).expect("running members keep serving");
@@ -152,10 +159,10 @@
     for soft_removal in [false, true] {
         let mut harness = Harness::new(Settings { soft_removal, ..settings() });
         let drain = [entry(2, MemberStatus::Draining, false, 0), entry(3, MemberStatus::Draining, false, 0)];
-        harness.play(Event::List { complete: false, entries: drain.into() });
+        harness.play(Event::List { update: Update::Partial, entries: drain.into() });
         for status in [MemberStatus::Removed, MemberStatus::Up] {
             let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
-            harness.play(Event::List { complete: false, entries: list.into() });
+            harness.play(Event::List { update: Update::Partial, entries: list.into() });
             for n in 0..20 {
                 let actions = harness.ask(&format!("{status:?}{n}"), 2, 900 * MS);
                 assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}, soft {soft_removal}");
@@ -164,11 +171,11 @@
         // A new start lifts it; the old list that comes again does not undo the new start.
         let start = START - 60_000 * MS;
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        harness.play(Event::List { complete: false, entries: old.into() });
+        harness.play(Event::List { update: Update::Partial, entries: old.into() });
         let up = [entry(2, MemberStatus::Up, false, start)];
-        let mut actions = harness.play(Event::List { complete: false, entries: up.into() });
+        let mut actions = harness.play(Event::List { update: Update::Partial, entries: up.into() });
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        actions.extend(harness.play(Event::List { complete: false, entries: old.into() }));
+        actions.extend(harness.play(Event::List { update: Update::Partial, entries: old.into() }));
         harness.now += 2_000 * MS;
         actions.extend((0..20).flat_map(|n| harness.ask(&format!("new{n}"), 2, 900 * MS)));
         let hit = actions.iter().any(|a| matches!(a, Action::Send { member: 2, .. }));
@@ -187,7 +194,7 @@
             let mut harness = Harness::empty(settings.clone());
             harness.router = Router::new(settings, seed as u64).expect("sound");
             let cold = entry(1, MemberStatus::Up, true, START - 100 * MS);
-            harness.play(Event::List { complete: true, entries: [cold].into() });
+            harness.play(Event::List { update: Update::Complete, entries: [cold].into() });
             let step = 50 * MS;
             for n in 0..span / step {
                 let name = format!("r{n}");
@@ -334,7 +341,7 @@
     // Nobody is known to lead: a write finds out.
     let mut harness = Harness::empty(Settings { list_role: ListRole::Absent, ..once });
     let list = (1..=3).map(|m| entry(m, MemberStatus::Up, false, 0)).collect::<Vec<_>>();
-    harness.play(Event::List { complete: true, entries: list.into() });
+    harness.play(Event::List { update: Update::Complete, entries: list.into() });
     assert!(sent_to(&harness.ask("w", 5, 900 * MS)).is_some());
 }
 
@@ -367,7 +374,7 @@
             harness.play(Event::Probed { member: 1, ending: Ending::Served, report });
         }
         let again = entry(1, MemberStatus::Up, true, harness.now);
-        harness.play(Event::List { complete: false, entries: [again].into() });
+        harness.play(Event::List { update: Update::Partial, entries: [again].into() });
         harness.now += 20_000 * MS;
         sent_to(&harness.ask("strong", 3, 900 * MS))
     };
--- a/crates/policy/tests/visits.rs
+++ b/crates/policy/tests/scan_counts.rs
@@ -49,7 +49,7 @@
             cancelled: 0,
         };
         let entries: Vec<Entry> = (0..groups * MEMBERS_OF_A_GROUP).map(listed).collect();
-        load.step(&[Event::List { complete: true, entries: entries.into() }]);
+        load.step(&[Event::List { update: Update::Complete, entries: entries.into() }]);
         load
     }
 
@@ -60,14 +60,14 @@
             self.asked += 1;
             let name = format!("r{}", self.asked);
             let mut events = self.outcomes();
-            events.push(Event::Request {
+            events.push(Event::Request(RequestArrival {
                 request: name.as_str().into(),
                 class: READ,
                 group: GroupId::from(self.asked * 7 % FEW_GROUPS),
                 time_left: 900 * MS,
                 is_retry: false,
                 minimum_position: None,
-            });
+            }));
             events.push(Event::Timer { token: 0 });
             self.step(&events);
         }
@@ -116,11 +116,11 @@
     }
 
     /// What is looked at in the span, once everything has settled.
-    fn visits_in(&mut self, span: Time) -> VisitCounts {
-        let before = self.router.visit_counts();
+    fn visits_in(&mut self, span: Time) -> ScanCounts {
+        let before = self.router.scan_counts();
         self.run(span);
-        let after = self.router.visit_counts();
-        VisitCounts { members: after.members - before.members, requests: after.requests - before.requests }
+        let after = self.router.scan_counts();
+        ScanCounts { members: after.members - before.members, requests: after.requests - before.requests }
     }
 }
 
@@ -140,7 +140,7 @@
     let is_served = out.ending == Ending::Served;
     let role =
         if (out.member - 1).is_multiple_of(MEMBERS_OF_A_GROUP) { Role::Primary } else { Role::Replica };
-    Event::Outcome {
+    Event::Outcome(AttemptOutcome {
         request: out.request,
         attempt: out.attempt,
         member: out.member,
@@ -150,7 +150,7 @@
         position: is_served.then_some(now),
         role: is_served.then_some(role),
         report: Report::default(),
-    }
+    })
 }
 
 fn in_zone_b(member: MemberId) -> bool {
@@ -158,7 +158,7 @@
 }
 
 /// Visits of ten seconds with a zone cut off, from two seconds after the cut on.
-fn visits_during_a_cut(groups: u32) -> VisitCounts {
+fn visits_during_a_cut(groups: u32) -> ScanCounts {
     let mut load = Load::new(groups);
     load.run(3 * SECOND);
     load.is_silent = in_zone_b;
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -118,7 +118,7 @@
         let host = self.case.host;
         let Some(start) = self.starts.last() else { return };
         let line = entry(host, MemberStatus::Up, host == PRIMARY, start.at);
-        let list_change = Event::List { complete: false, entries: vec![line].into() };
+        let list_change = Event::List { update: Update::Partial, entries: vec![line].into() };
         for (router, inbox) in self.fleet.inbox.iter_mut().enumerate() {
             if heard(router, self.case.hears) {
                 inbox.push(list_change.clone());
--- a/crates/policy/tests/slow_start_work.rs
+++ b/crates/policy/tests/slow_start_work.rs
@@ -129,7 +129,7 @@
     }
 
     fn notify(&mut self, entries: Vec<Entry>) {
-        let list = Event::List { complete: false, entries: entries.into() };
+        let list = Event::List { update: Update::Partial, entries: entries.into() };
         self.fleet.inbox.iter_mut().for_each(|inbox| inbox.push(list.clone()));
     }
 
--- a/crates/policy/tests/suspected_groups.rs
+++ b/crates/policy/tests/suspected_groups.rs
@@ -109,7 +109,7 @@
 fn no_trial_goes_to_a_member_that_is_draining() {
     let mut fleet = silent_group();
     let list: Vec<Entry> = (1..=MEMBERS).map(|id| entry(id, MemberStatus::Draining, id == 1, 0)).collect();
-    fleet.inbox[0].push(Event::List { complete: true, entries: list.into() });
+    fleet.inbox[0].push(Event::List { update: Update::Complete, entries: list.into() });
     fleet.step();
     let before = sent(&fleet);
     ask_slowly(&mut fleet, 5, 3 * SECOND);
--- a/src/bin/petrelgauge-simulator-adapter/instance.rs
+++ b/src/bin/petrelgauge-simulator-adapter/instance.rs
@@ -4,7 +4,9 @@
 use crate::sessions::Sessions;
 use crate::wire::{self, OutcomeMessage, RequestMessage, WireEvent};
 use petrelgauge::settings::deployment::{self, Info};
-use petrelgauge::{Action, Ending, Entry, Event, GroupId, Need, Report, Router, Time};
+use petrelgauge::{
+    Action, AttemptOutcome, Ending, Entry, Event, GroupId, Need, Report, RequestArrival, Router, Time, Update,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -87,14 +89,14 @@
             .ok_or_else(|| EventError::UnknownClass(message.class.clone()))?;
         let group = message.group as GroupId;
         let minimum_position = self.minimum_position(now, class, group, &message);
-        Ok(Event::Request {
+        Ok(Event::Request(RequestArrival {
             class,
             group,
             time_left: message.time_left,
             is_retry: message.is_marked_retry(),
             minimum_position,
             request: message.request,
-        })
+        }))
     }
 
     /// The commit that a read must include: that of its session here, or else the one that its client names.
@@ -121,7 +123,7 @@
             let commit = position.filter(|_| ending == Ending::Served);
             sessions.end_attempt(now, &message.request, commit, message.is_final);
         }
-        Ok(Event::Outcome {
+        Ok(Event::Outcome(AttemptOutcome {
             request: message.request,
             attempt: message.attempt,
             member: message.member,
@@ -131,7 +133,7 @@
             position,
             role: message.stamp.role(),
             report: self.load_report(message.report),
-        })
+        }))
     }
 
     fn load_report(&self, values: Option<Vec<f64>>) -> Report {
@@ -146,12 +148,12 @@
     slot: u64,
     lists: &BTreeMap<u64, Arc<[Entry]>>,
 ) -> Result<Option<Event>, EventError> {
-    let complete = match mode {
+    let update = match mode {
         "X" => return Ok(None),
-        "D" => false,
-        "F" | "C" => true,
+        "D" => Update::Partial,
+        "F" | "C" => Update::Complete,
         other => return Err(EventError::UnknownMode(other.to_string())),
     };
     let entries = lists.get(&slot).ok_or(EventError::UnknownSlot(slot))?.clone();
-    Ok(Some(Event::List { complete, entries }))
+    Ok(Some(Event::List { update, entries }))
 }
