--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -3,11 +3,11 @@
 use crate::client::{Answer, Connection};
 use crate::error::LabError;
 use crate::gateways::CLASSES;
-use crate::local_runtime;
 use crate::report::Verdict;
 use crate::statements::{group_of_row, insert_row, select_row};
 use crate::test_cluster::{gateway_program, ClusterPlan, TestCluster};
 use crate::Options;
+use petrelgauge_test_support::block_on;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -51,7 +51,7 @@
 ///
 /// Fails if a cluster cannot be started.
 pub fn run(options: &Options) -> Result<Verdict, LabError> {
-    local_runtime::block_on(measure_builds(options))
+    block_on(measure_builds(options))
 }
 
 async fn measure_builds(options: &Options) -> Result<Verdict, LabError> {
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -3,9 +3,9 @@
 use crate::client::{Answer, Connection, SQLSTATE_REJECTED};
 use crate::error::LabError;
 use crate::gateways::CLASSES;
-use crate::local_runtime;
 use crate::statements::{group_of_row, insert_row, select_row};
 use crate::test_cluster::{gateway_program, ClusterPlan, TestCluster};
+use petrelgauge_test_support::block_on;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 ///
 /// Fails if the cluster cannot be started.
 pub fn up(gateways: usize, members: usize, operator: Option<PathBuf>, json: bool) -> Result<bool, LabError> {
-    local_runtime::block_on(async {
+    block_on(async {
         let operator_file = operator.map_or(Ok(String::new()), std::fs::read_to_string)?;
         let plan = ClusterPlan {
             gateways: gateways.max(1),
@@ -69,7 +69,7 @@
 ///
 /// Fails if the cluster cannot be started.
 pub fn run() -> Result<bool, LabError> {
-    local_runtime::block_on(async {
+    block_on(async {
         let plan = ClusterPlan {
             gateways: 2,
             operator_file: OPERATOR_FILE.into(),
--- a/crates/lab/src/emulated_hosts.rs
+++ b/crates/lab/src/emulated_hosts.rs
@@ -6,6 +6,7 @@
 use petrelgauge::postgres::cancel::CancelKey;
 use petrelgauge::postgres::{self, Framer, Opening, Severity};
 use petrelgauge::Time;
+use petrelgauge_test_support::Endpoint;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -19,6 +20,8 @@
 const EXECUTION_TIME: Range<Time> = 800..4_000;
 /// How often a hung host looks whether it may go on (microseconds).
 const HUNG_POLL_INTERVAL: Time = 5_000;
+/// Zone of every host.
+const ZONE: char = 'a';
 /// Bytes read from a connection at a time.
 const READ_BUFFER: usize = 16 * 1024;
 /// The class of request whose reads have a bound on staleness.
@@ -224,3 +227,26 @@
     });
     postgres::put_complete(out, "SELECT 1");
 }
+
+/// The entries of all emulated hosts as JSON, separated by commas.
+pub fn emulated_host_entries(emulated_hosts: &EmulatedHosts) -> String {
+    let addresses = emulated_hosts.addresses.borrow();
+    let mut entries = Vec::new();
+    for (group, addresses) in emulated_hosts.groups.iter().zip(addresses.iter()) {
+        let group = group.borrow();
+        for (member, address) in group.members.iter().zip(addresses) {
+            let endpoint = Endpoint {
+                name: member.name.clone(),
+                address: *address,
+                zone: ZONE,
+                machine_type: None,
+                group: group.id,
+                draining: false,
+                primary: member.role != MemberRole::Replica,
+                started_ms: member.started / 1000,
+            };
+            entries.push(endpoint.json());
+        }
+    }
+    entries.join(",")
+}
--- a/crates/lab/src/gateways.rs
+++ b/crates/lab/src/gateways.rs
@@ -1,6 +1,6 @@
 //! Real gateway processes on loopback, each with its own configuration, started, stalled and killed by experiments.
 
-use crate::child_process::ChildProcess;
+use petrelgauge_test_support::ChildProcess;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -5,30 +5,27 @@
 //! | file | what it emulates or does |
 //! | --- | --- |
 //! | `replicated_group.rs`, `emulated_hosts.rs` | a replicated log with its primary and lagging replicas, and the hosts that serve it |
-//! | `list_service.rs`, `endpoint_list.rs` | the list service that gateways discover hosts from, and its wire form |
+//! | `list_service.rs` | the list service that gateways discover hosts from |
 //! | `datagram_relay.rs` | datagrams between gateways: lost, duplicated, delayed, altered, cut |
 //! | `gateways.rs`, `test_cluster.rs` | gateway processes, and a cluster of all of the above |
 //! | `client.rs`, `statements.rs`, `ledger.rs` | clients, their statements, and what each session's reads must show |
 //! | `phase_statistics.rs`, `report.rs` | what is measured, and the report of an experiment |
-//! | `measure.rs`, `child_process.rs`, `temporary_folder.rs`, `local_runtime.rs` | what processes use, and how they run |
+//! | `measure.rs` | what processes use |
 //! | `scale/` | fleets of hollow gateways |
 //! | `cost.rs`, `ownership/`, `sessions/`, `sessions_large/` | the other experiments |
 //! | `demo.rs` | a cluster for a person, and a demonstration |
 //!
 //! An experiment is trusted once it has caught an injected fault: each names its own.
 
-pub mod child_process;
 pub mod client;
 pub mod cost;
 pub mod datagram_relay;
 pub mod demo;
 pub mod emulated_hosts;
-pub mod endpoint_list;
 pub mod error;
 pub mod gateways;
 pub mod ledger;
 pub mod list_service;
-pub mod local_runtime;
 pub mod measure;
 pub mod ownership;
 pub mod phase_statistics;
@@ -38,7 +35,6 @@
 pub mod sessions;
 pub mod sessions_large;
 pub mod statements;
-pub mod temporary_folder;
 pub mod test_cluster;
 
 use error::LabError;
--- a/crates/lab/src/list_service.rs
+++ b/crates/lab/src/list_service.rs
@@ -1,8 +1,9 @@
 //! The emulated list service of a test cluster: one watch for each gateway, and changes of the hosts published late.
 
+use crate::emulated_hosts::emulated_host_entries;
 use crate::emulated_hosts::EmulatedHosts;
-use crate::endpoint_list::{chunk, emulated_host_entries, list_line, read_request_head, RESPONSE_HEAD};
 use petrelgauge::Time;
+use petrelgauge_test_support::{line_chunk, list_line, read_request_head, RESPONSE_HEAD};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -84,10 +85,10 @@
             let revision = self.published.borrow().revision;
             if revision > sent_revision {
                 sent_revision = revision;
-                stream.write_all(chunk(&self.complete_list()).as_bytes()).await.ok()?;
+                stream.write_all(&line_chunk(&self.complete_list())).await.ok()?;
             } else if clock.now() >= next_heartbeat {
                 next_heartbeat = clock.now() + HEARTBEAT_INTERVAL;
-                stream.write_all(chunk("").as_bytes()).await.ok()?;
+                stream.write_all(&line_chunk("")).await.ok()?;
             }
             clock.sleep_until(clock.now() + POLL_INTERVAL).await;
         }
--- a/crates/lab/src/ownership/mod.rs
+++ b/crates/lab/src/ownership/mod.rs
@@ -6,12 +6,12 @@
 mod takeover_run;
 
 use crate::error::LabError;
-use crate::local_runtime;
 use crate::report::Verdict;
 use crate::test_cluster::{gateway_program, ClusterPlan, TestCluster};
 use crate::Options;
 use petrelgauge::Time;
 use petrelgauge_ownership::Settings;
+use petrelgauge_test_support::block_on;
 use serde_json::json;
 use takeover_run::{Faults, TakeoverRun};
 
@@ -52,7 +52,7 @@
 ///
 /// Fails if the cluster or a gateway of it cannot be started.
 pub fn run(options: &Options) -> Result<Verdict, LabError> {
-    local_runtime::block_on(play(options))
+    block_on(play(options))
 }
 
 async fn play(options: &Options) -> Result<Verdict, LabError> {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -4,8 +4,8 @@
 use super::hollow_gateway::{read_config, HollowGateway, SharedState};
 use super::protocol::{Command, GatewayStats, HollowPlan, Stats};
 use crate::error::LabError;
-use crate::local_runtime;
 use crate::measure::{cpu_ns, resident_kb};
+use petrelgauge_test_support::block_on;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -24,7 +24,7 @@
 /// Fails if the plan cannot be read, the experiment cannot be reached, or a gateway cannot be built.
 pub fn run(plan: &Path) -> Result<(), LabError> {
     let plan: HollowPlan = serde_json::from_str(&std::fs::read_to_string(plan)?)?;
-    local_runtime::block_on(serve(plan))
+    block_on(serve(plan))
 }
 
 async fn serve(plan: HollowPlan) -> Result<(), LabError> {
--- a/crates/lab/src/scale/list_service.rs
+++ b/crates/lab/src/scale/list_service.rs
@@ -2,7 +2,9 @@
 //! watch. It counts what its clients receive.
 
 use super::addresses::zone_name;
-use crate::endpoint_list::{chunk, list_line, read_request_head, Endpoint, LAST_CHUNK, RESPONSE_HEAD};
+use petrelgauge_test_support::{
+    line_chunk, list_line, read_request_head, Endpoint, LAST_CHUNK, RESPONSE_HEAD,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -200,9 +202,9 @@
     }
 
     async fn send(&self, stream: &mut TcpStream, line: &str) -> Option<()> {
-        let chunk = chunk(line);
+        let chunk = line_chunk(line);
         self.bytes_sent.set(self.bytes_sent.get() + chunk.len() as u64);
-        stream.write_all(chunk.as_bytes()).await.ok()
+        stream.write_all(&chunk).await.ok()
     }
 }
 
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -36,9 +36,9 @@
 mod scale_run;
 
 use crate::error::LabError;
-use crate::local_runtime;
 use crate::report::Verdict;
 use crate::Options;
+use petrelgauge_test_support::block_on;
 use run_parameters::{Mode, SHARDED, SINGLE_OWNER};
 use scale_run::ScaleRun;
 
@@ -67,5 +67,5 @@
 }
 
 fn run(mode: &Mode, options: &Options) -> Result<Verdict, LabError> {
-    local_runtime::block_on(ScaleRun::new(mode, options).play())
+    block_on(ScaleRun::new(mode, options).play())
 }
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -1,10 +1,10 @@
 //! The processes of a fleet, as the experiment controls them.
 
 use super::protocol::{Command, GatewayStats, Stats};
-use crate::child_process::ChildProcess;
 use crate::error::LabError;
 use crate::gateways::{counter_lines, logged_counter};
 use crate::measure::{cpu_ns, resident_kb};
+use petrelgauge_test_support::ChildProcess;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/lab/src/sessions/mod.rs
+++ b/crates/lab/src/sessions/mod.rs
@@ -18,12 +18,12 @@
 mod variants;
 
 use crate::error::LabError;
-use crate::local_runtime;
 use crate::report::Verdict;
 use crate::test_cluster::{gateway_program, ClusterPlan, TestCluster};
 use crate::Options;
 use comparison::{judge, SessionCounter, VariantResult};
 use petrelgauge::Time;
+use petrelgauge_test_support::block_on;
 use run_state::{InvalidTokenCounts, RunState, GATEWAYS};
 use schedule::{empty_statistics, PhaseDurations};
 use session_client::SessionClient;
@@ -78,7 +78,7 @@
 ///
 /// Fails if a cluster cannot be started.
 pub fn run(options: &Options) -> Result<Verdict, LabError> {
-    local_runtime::block_on(play_variants(options))
+    block_on(play_variants(options))
 }
 
 async fn play_variants(options: &Options) -> Result<Verdict, LabError> {
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -6,11 +6,6 @@
 use std::thread;
 use std::time::Duration;
 
-/// A list of hosts, or a change of one.
-pub fn list(revision: u64, complete: bool, entries: &str) -> String {
-    format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{entries}]}}")
-}
-
 /// Serves one watch after the other; the updates go to the first. Gives the heads of the watches, and what ends each.
 pub(crate) fn source(
     listener: TcpListener,
--- a/crates/lab/src/endpoint_list.rs
+++ b/crates/test-support/src/endpoint_list.rs
@@ -1,7 +1,5 @@
 //! The wire form of endpoint lists, as the emulated list services send them: lines of JSON in chunks of one HTTP response.
 
-use crate::emulated_hosts::EmulatedHosts;
-use crate::replicated_group::MemberRole;
 use std::net::SocketAddr;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -12,8 +10,6 @@
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 /// Longest head of a request.
 const MAX_REQUEST_HEAD: usize = 8_192;
-/// Zone of the emulated hosts.
-const EMULATED_HOSTS_ZONE: char = 'a';
 
 /// One entry of an endpoint list.
 #[derive(Clone, Debug)]
@@ -49,37 +45,19 @@
     }
 }
 
-/// The entries of all emulated hosts as JSON, separated by commas.
-pub fn emulated_host_entries(emulated_hosts: &EmulatedHosts) -> String {
-    let addresses = emulated_hosts.addresses.borrow();
-    let mut entries = Vec::new();
-    for (group, addresses) in emulated_hosts.groups.iter().zip(addresses.iter()) {
-        let group = group.borrow();
-        for (member, address) in group.members.iter().zip(addresses) {
-            let endpoint = Endpoint {
-                name: member.name.clone(),
-                address: *address,
-                zone: EMULATED_HOSTS_ZONE,
-                machine_type: None,
-                group: group.id,
-                draining: false,
-                primary: member.role != MemberRole::Replica,
-                started_ms: member.started / 1000,
-            };
-            entries.push(endpoint.json());
-        }
-    }
-    entries.join(",")
-}
-
 /// A line of the list: the complete list, or the entries that changed.
 pub fn list_line(revision: u64, complete: bool, entries: &str) -> String {
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{entries}]}}"#)
 }
 
-/// A line as a chunk of the response; an empty line is a heartbeat.
-pub fn chunk(line: &str) -> String {
-    format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
+/// A chunk of the response with this text.
+pub fn chunk(text: &str) -> Vec<u8> {
+    format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
+}
+
+/// A chunk with this line and its end; an empty line is a heartbeat.
+pub fn line_chunk(line: &str) -> Vec<u8> {
+    chunk(&format!("{line}\n"))
 }
 
 /// Reads the head of a request; none if the connection ends before it or the head is too long.
--- a/crates/test-support/src/harness.rs
+++ b/crates/test-support/src/harness.rs
@@ -1,6 +1,7 @@
 //! A test harness for one gateway: the program itself, and the scripted peers it talks to.
 
-use crate::discovery::{list, source, watch};
+use crate::discovery::{source, watch};
+use crate::endpoint_list::list_line;
 use crate::gateway::Gateway;
 use crate::host::Host;
 use crate::network::{LoopbackNetwork, ReservedPort};
@@ -185,7 +186,7 @@
     }
 
     pub fn config(&self) -> String {
-        let (listen, sockets, known) = (&self.listen, self.sockets, list(41, true, &self.known));
+        let (listen, sockets, known) = (&self.listen, self.sockets, list_line(41, true, &self.known));
         let discovery = self.discovery_address();
         let ops = self.ops.as_ref().map(|ops| format!(r#""ops":"{ops}","#)).unwrap_or_default();
         format!(
--- a/crates/test-support/src/scripted_discovery.rs
+++ b/crates/test-support/src/scripted_discovery.rs
@@ -1,5 +1,6 @@
 //! A discovery whose connections follow a script, byte by byte: what it does wrong is up to the test.
 
+use crate::endpoint_list::chunk;
 use crate::time::NEVER;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,14 +9,6 @@
 use std::thread;
 use std::time::Duration;
 
-/// The head of a watch.
-pub const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-/// A chunk with this text.
-pub fn chunk(text: &str) -> Vec<u8> {
-    format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
-}
-
 /// What a connection does next, once it was asked.
 #[derive(Clone)]
 pub enum Step {
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -1,8 +1,8 @@
 //! Daily running: the second address, draining and resuming. The program on sockets, as in `client_protocol.rs`.
 
 use petrelgauge_test_support::{
-    field, gateway_program, gateway_with_primary, insert, kinds, list, message, query, row, select, Client,
-    Gateway, Harness, Host, Reply,
+    field, gateway_program, gateway_with_primary, insert, kinds, list_line, message, query, row, select,
+    Client, Gateway, Harness, Host, Reply,
 };
 use std::io::{Read, Write};
 
@@ -12,7 +12,7 @@
 fn at_work(script: Vec<Reply>) -> (Gateway, Host) {
     let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host(script);
-    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
     gateway.call_until(b"ready\n", "YES");
     (gateway, host)
@@ -84,7 +84,7 @@
     // So few descriptors that clients take all that they are given.
     let harness = Harness::new(gateway_program!()).ops().sockets(64);
     let host = harness.host(vec![]);
-    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
     for line in [&b"READY\n"[..], b"ready please\n", b"\n", b"dra", &[b'x'; 1 << 20]] {
         let mut caller = gateway.caller();
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -2,8 +2,8 @@
 //! byte: a host welcomes a connection only when the test says so.
 
 use petrelgauge_test_support::{
-    chunk, field, gateway_program, insert, kinds, list, query, select, with_long_connect_timeout, Harness,
-    Reply, Step, HEAD,
+    chunk, field, gateway_program, insert, kinds, list_line, query, select, with_long_connect_timeout,
+    Harness, Reply, Step, RESPONSE_HEAD,
 };
 
 // The attempt was written as soon as its connection was up, however long the host had been known to drain.
@@ -19,10 +19,10 @@
             phase => harness.entries(&[(&slow, phase, "standby"), (&next, "up", "primary")]),
         };
         let script = vec![
-            Step::Write(HEAD.to_vec()),
-            Step::Write(chunk(&format!("{}\n", list(42, true, &up)))),
+            Step::Write(RESPONSE_HEAD.to_vec()),
+            Step::Write(chunk(&format!("{}\n", list_line(42, true, &up)))),
             Step::WaitForGo,
-            Step::Write(chunk(&format!("{}\n", list(43, false, &updates)))),
+            Step::Write(chunk(&format!("{}\n", list_line(43, false, &updates)))),
             Step::Heartbeat,
         ];
         let config = with_long_connect_timeout(&harness.config());
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -1,6 +1,6 @@
 //! Endpoint updates of discovery and reloaded configurations, tested on a running gateway.
 
-use petrelgauge_test_support::{gateway_program, kinds, list, select, Harness, Reply};
+use petrelgauge_test_support::{gateway_program, kinds, list_line, select, Harness, Reply};
 
 #[test]
 fn a_drain_update_is_applied_and_an_unusable_one_changes_nothing() {
@@ -9,7 +9,7 @@
     let new = harness.host((0..20).map(|_| Reply::Row(b"new")).collect());
     let first = harness.entries(&[(&old, "draining", "primary"), (&new, "up", "standby")]);
     let gateway = harness.updates(&[
-        &list(5, true, &first),
+        &list_line(5, true, &first),
         "{\"revision\":6,\"complete\":true,\"members\":[{}]}",
         "x",
     ]);
@@ -28,7 +28,8 @@
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")]);
     let anew = harness.entries(&[(&host, "up", "primary")]).replace("ms\":0", "ms\":1000");
-    let gateway = harness.list(&[(&host, "up", "primary")]).later_updates(&[&list(42, false, &anew)]).start();
+    let gateway =
+        harness.list(&[(&host, "up", "primary")]).later_updates(&[&list_line(42, false, &anew)]).start();
     let mut client = gateway.client();
     client.ask(&select("a", "view", 20000));
     gateway.rest();
@@ -45,7 +46,8 @@
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![]);
     let entries = harness.entries(&[(&host, "up", "primary")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).updates(&[&list(7, false, &entries)]).start();
+    let gateway =
+        harness.list(&[(&host, "up", "primary")]).updates(&[&list_line(7, false, &entries)]).start();
     let first = gateway.next_watch();
     assert!(first.starts_with("GET /discovery/hosts?watch=1&after=41 HTTP/1.1\r\n"), "{first}");
     gateway.end_watch();
@@ -59,7 +61,7 @@
     let harness = Harness::new(gateway_program!());
     let (old, new) = (harness.host(vec![Reply::Row(b"old")]), harness.host(vec![Reply::Row(b"new")]));
     let entries = harness.entries(&[(&old, "removed", "standby"), (&new, "up", "primary")]);
-    let (address, watches) = harness.other_source(&[&list(3, true, &entries)]);
+    let (address, watches) = harness.other_source(&[&list_line(3, true, &entries)]);
     let harness = harness.list(&[(&old, "up", "primary")]);
     let config = harness.config();
     let named = format!("\"discovery\":\"{}\"", harness.discovery_address());
@@ -91,7 +93,7 @@
     let begun = std::time::Instant::now();
     let gateway = harness
         .list(&[(&old, "up", "primary")])
-        .updates(&[&list(42, false, &updates)])
+        .updates(&[&list_line(42, false, &updates)])
         .start_changed(|config| config.replace("\"balancers\":1", "\"balancers\":10000"));
     gateway.next_watch();
     assert!(begun.elapsed() < std::time::Duration::from_secs(2), "its first call came too late");
--- a/tests/fault_schedule.rs
+++ b/tests/fault_schedule.rs
@@ -10,8 +10,8 @@
 use petrelgauge::os::signals::Signals;
 use petrelgauge::os::system_call::{set_fault_schedule, Call, Fault};
 use petrelgauge_test_support::{
-    field, gateway_program, insert, kinds, list, query, read_message, select, startup as startup_message,
-    Harness, Host, Reply,
+    field, gateway_program, insert, kinds, list_line, query, read_message, select,
+    startup as startup_message, Harness, Host, Reply,
 };
 use process::error::GatewayError;
 use rand_core::{RngCore, SeedableRng};
@@ -289,7 +289,7 @@
     let host = |role| harness.host((0..10_000).map(|_| Reply::Echo(role)).collect());
     let hosts = [host("primary"), host("standby")];
     let listed = [(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")];
-    let updates = list(42, true, &harness.entries(&listed));
+    let updates = list_line(42, true, &harness.entries(&listed));
     let harness = harness.list(&listed).updates(&[&updates]);
     let other = harness.network().udp_socket(1);
     let (config, peer_listen) = configure(&harness, &other);
--- a/tests/faulty_fleet/list.rs
+++ b/tests/faulty_fleet/list.rs
@@ -3,7 +3,7 @@
 
 use super::hosts::{Host, Mode};
 use super::{Clock, Time};
-use petrelgauge_test_support::{chunk, list, LoopbackNetwork, HEAD};
+use petrelgauge_test_support::{chunk, list_line, LoopbackNetwork, RESPONSE_HEAD};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -87,7 +87,7 @@
 
     /// The complete list as it is now.
     pub fn complete(&self) -> String {
-        list(*self.revision.borrow(), true, &self.rows_since(0))
+        list_line(*self.revision.borrow(), true, &self.rows_since(0))
     }
 
     /// What discovery does from now on. What it could not bring counts as notified a while after its return.
@@ -191,7 +191,7 @@
     async fn write_lists(&self, stream: &TcpStream, is_watch: bool) -> Option<()> {
         let mut changes = self.revision.subscribe();
         let mut sent = *changes.borrow_and_update();
-        let first = [HEAD, &chunk(&format!("{}\n", self.complete()))].concat();
+        let first = [RESPONSE_HEAD, &chunk(&format!("{}\n", self.complete()))].concat();
         write(stream, &first).await?;
         if !is_watch {
             return write(stream, &chunk("")).await;
@@ -203,7 +203,7 @@
                     let revision = *changes.borrow_and_update();
                     let rows = self.rows_since(sent);
                     sent = revision;
-                    format!("{}\n", list(revision, false, &rows))
+                    format!("{}\n", list_line(revision, false, &rows))
                 }
             };
             write(stream, &chunk(&line)).await?;
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -2,7 +2,7 @@
 //! of each attempt. A host welcomes a connection only when the test says so, and meanwhile what was known of it grows old.
 
 use petrelgauge_test_support::{
-    field, gateway_program, insert, kinds, list, query, replace_parts, select, unix_ms,
+    field, gateway_program, insert, kinds, list_line, query, replace_parts, select, unix_ms,
     with_long_connect_timeout, with_unchecked_reads, Client, Gateway, Harness, Host, ReadClass, Reply,
 };
 use std::time::Duration;
@@ -110,7 +110,7 @@
     let hosts =
         [harness.host(vec![does]), harness.host((0..30).map(|_| Reply::ReplicaAt(b"replica", at)).collect())];
     let drains = harness.entries(&[(&hosts[0], "draining", "primary"), (&hosts[1], "up", "standby")]);
-    let harness = harness.later_updates(&[&list(42, false, &drains)]);
+    let harness = harness.later_updates(&[&list_line(42, false, &drains)]);
     let gateway = harness
         .list(&[(&hosts[0], "up", "primary"), (&hosts[1], "up", "standby")])
         .start_changed(with_sessions);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,7 +1,7 @@
 //! Replacing the process: two and three processes of one gateway before the same hosts and the same listening socket,
 //! with a stop, a stall or a crash of either at each step.
 
-use petrelgauge_test_support::{gateway_program, kinds, list, select, Gateway, Harness, Host, Reply};
+use petrelgauge_test_support::{gateway_program, kinds, list_line, select, Gateway, Harness, Host, Reply};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 fn shared(answers: usize) -> (Harness, Host) {
     let harness = Harness::new(gateway_program!()).shared();
     let host = harness.host((0..answers).map(|_| Reply::Row(b"v")).collect());
-    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let harness = harness.updates(&[&line]);
     harness.discover();
     (harness, host)
@@ -148,7 +148,7 @@
     let (mut harness, host) = shared(0);
     drop(host);
     let host = harness.host(vec![Reply::Nothing, Reply::Row(b"v"), Reply::Row(b"v")]);
-    let line = list(43, true, &harness.entries(&[(&host, "up", "primary")]));
+    let line = list_line(43, true, &harness.entries(&[(&host, "up", "primary")]));
     harness = harness.updates(&[&line]);
     harness.discover();
     let old = harness.beside();
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -2,8 +2,8 @@
 //! the order of events, with a host that welcomes a connection only when the test says so.
 
 use petrelgauge_test_support::{
-    chunk, field, gateway_program, insert, kinds, list, message, query, select, startup, Client, Gateway,
-    Harness, Reply, Step, HEAD,
+    chunk, field, gateway_program, insert, kinds, list_line, message, query, select, startup, Client,
+    Gateway, Harness, Reply, Step, RESPONSE_HEAD,
 };
 use std::time::Duration;
 
@@ -118,9 +118,9 @@
         let up = harness.entries(&[(&host, "up", "primary")]);
         let harness = harness.list(&[(&host, "draining", "primary")]);
         let script = vec![
-            Step::Write(HEAD.to_vec()),
+            Step::Write(RESPONSE_HEAD.to_vec()),
             Step::WaitForGo,
-            Step::Write(chunk(&format!("{}\n", list(42, true, &up.replace("s-0", "s-1"))))),
+            Step::Write(chunk(&format!("{}\n", list_line(42, true, &up.replace("s-0", "s-1"))))),
             Step::Heartbeat,
         ];
         let config = harness.config();
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -3,7 +3,7 @@
 //! that hang.
 
 use petrelgauge_test_support::{
-    field, gateway_program, gateway_with_primary, insert, kinds, list, query, select,
+    field, gateway_program, gateway_with_primary, insert, kinds, list_line, query, select,
     with_long_connect_timeout, Client, Gateway, Harness, Reply,
 };
 use std::time::{Duration, Instant};
@@ -203,7 +203,7 @@
     let mut waits = old.client();
     waits.write(&identified(&select("a", "view", 20_000), "1"));
     hosts[0].next_query();
-    harness = harness.updates(&[&list(42, true, &drained)]);
+    harness = harness.updates(&[&list_line(42, true, &drained)]);
     harness.discover();
     let new = harness.beside();
     old.signal("TERM");
--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -2,8 +2,8 @@
 //! `client_protocol.rs`; each test has a loopback address of its own.
 
 use petrelgauge_test_support::{
-    chunk, gateway_program, gateway_with_primary, kinds, list, query, select, startup, Harness, Reply, Step,
-    HEAD,
+    chunk, gateway_program, gateway_with_primary, kinds, list_line, query, select, startup, Harness, Reply,
+    Step, RESPONSE_HEAD,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -58,8 +58,8 @@
     let hosts = [harness.host(rows(b"drains")), harness.host(rows(b"stays"))];
     let entries =
         |first: &str| harness.entries(&[(&hosts[0], first, "standby"), (&hosts[1], "up", "primary")]);
-    let line = chunk(&format!("{}\n", list(42, true, &entries("draining"))));
-    let script = vec![Step::WriteBytesApart([HEAD, &line].concat()), Step::Heartbeat];
+    let line = chunk(&format!("{}\n", list_line(42, true, &entries("draining"))));
+    let script = vec![Step::WriteBytesApart([RESPONSE_HEAD, &line].concat()), Step::Heartbeat];
     let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
     let config = harness.config();
     let (gateway, _source) = harness.start_scripted(&config, vec![script]);
@@ -76,7 +76,7 @@
 fn an_operations_call_that_comes_one_byte_at_a_time_is_answered() {
     let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host(vec![]);
-    let line = list(42, true, &harness.entries(&[(&host, "up", "primary")]));
+    let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
     gateway.call_until(b"ready\n", "YES");
     let mut caller = gateway.caller();
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -1,8 +1,8 @@
 //! Discovery that is away: at a start, while hosts begin to drain, and while idle clients hold all descriptors.
 
 use petrelgauge_test_support::{
-    chunk, gateway_program, kinds, list, select, Client, Gateway, Harness, Host, Reply, ReservedPort,
-    ScriptedDiscovery, Step, HEAD,
+    chunk, gateway_program, kinds, list_line, select, Client, Gateway, Harness, Host, Reply, ReservedPort,
+    ScriptedDiscovery, Step, RESPONSE_HEAD,
 };
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
@@ -42,8 +42,8 @@
     fn back(&self) {
         let listener = TcpListener::bind(self.discovery.address()).expect("the port is still free");
         let begun = Instant::now();
-        let line = format!("{}\n", list(42, true, &self.drained));
-        let script = vec![Step::Write(HEAD.to_vec()), Step::Write(chunk(&line)), Step::Heartbeat];
+        let line = format!("{}\n", list_line(42, true, &self.drained));
+        let script = vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk(&line)), Step::Heartbeat];
         let source = ScriptedDiscovery::play(listener, vec![script]);
         source.next();
         assert!(begun.elapsed() < NOTIFIED_WITHIN, "asked only after {:?}", begun.elapsed());
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -2,7 +2,8 @@
 //! a script, byte by byte.
 
 use petrelgauge_test_support::{
-    chunk, gateway_program, kinds, list, select, Gateway, Harness, Host, Reply, ScriptedDiscovery, Step, HEAD,
+    chunk, gateway_program, kinds, list_line, select, Gateway, Harness, Host, Reply, ScriptedDiscovery, Step,
+    RESPONSE_HEAD,
 };
 
 const COMPLETE_LIST: &str = "GET /discovery/hosts HTTP/1.1";
@@ -49,7 +50,10 @@
 
 /// A script whose first event is this list, on one line.
 fn script_with_list(revision: u64, complete: bool, entries: &str) -> Vec<Step> {
-    vec![Step::Write(HEAD.to_vec()), Step::Write(chunk(&format!("{}\n", list(revision, complete, entries))))]
+    vec![
+        Step::Write(RESPONSE_HEAD.to_vec()),
+        Step::Write(chunk(&format!("{}\n", list_line(revision, complete, entries)))),
+    ]
 }
 
 fn followed_by(mut script: Vec<Step>, more: Vec<Step>) -> Vec<Step> {
@@ -73,7 +77,7 @@
     ];
     for line in malformed {
         let watched = Watched::new(|entries| {
-            let empty_update = Step::Write(chunk(&format!("{}\n", list(43, false, ""))));
+            let empty_update = Step::Write(chunk(&format!("{}\n", list_line(43, false, ""))));
             let watch = followed_by(
                 script_with_list(41, true, &entries.up),
                 vec![Step::Write(chunk(line)), empty_update, Step::Heartbeat],
@@ -97,7 +101,8 @@
             vec![Step::Write(chunk("noise\n")), Step::Heartbeat],
         );
         let rejected = vec![Step::Write(b"HTTP/1.1 503 Busy\r\n\r\n".to_vec())];
-        let malformed = vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("{\"revision\":44,\"comp\n"))];
+        let malformed =
+            vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk("{\"revision\":44,\"comp\n"))];
         vec![
             watch,
             rejected,
@@ -129,7 +134,7 @@
 #[test]
 fn changes_with_a_decreasing_revision_are_rejected_and_the_complete_list_is_requested() {
     let watched = Watched::new(|entries| {
-        let older_update = Step::Write(chunk(&format!("{}\n", list(40, false, &entries.up))));
+        let older_update = Step::Write(chunk(&format!("{}\n", list_line(40, false, &entries.up))));
         let watch =
             followed_by(script_with_list(45, true, &entries.drained), vec![older_update, Step::Heartbeat]);
         vec![watch, followed_by(script_with_list(45, true, &entries.drained), vec![Step::Silence])]
@@ -143,12 +148,12 @@
 #[test]
 fn an_indented_list_is_read_like_one_on_a_single_line() {
     let watched = Watched::new(|entries| {
-        let first = indented(&list(42, true, &entries.up));
-        let second = indented(&list(43, false, &entries.drained));
+        let first = indented(&list_line(42, true, &entries.up));
+        let second = indented(&list_line(43, false, &entries.drained));
         let (one, other) = second.split_at(second.len() / 2);
         let updates = [&first, one, other].map(|text| Step::Write(chunk(text)));
         vec![followed_by(
-            vec![Step::Write(HEAD.to_vec())],
+            vec![Step::Write(RESPONSE_HEAD.to_vec())],
             followed_by(updates.to_vec(), vec![Step::Heartbeat]),
         )]
     });
@@ -159,7 +164,7 @@
 // Regression: a list without a line end at the end of the response was never parsed.
 #[test]
 fn a_response_with_a_length_or_an_end_is_read_to_its_last_byte() {
-    let complete = |entries: &HostEntries| list(42, true, &entries.drained);
+    let complete = |entries: &HostEntries| list_line(42, true, &entries.drained);
     let fixed_length = Watched::new(|entries| {
         let text = complete(entries);
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
@@ -172,7 +177,7 @@
     until_close.drained_with(2);
     let chunked = Watched::new(|entries| {
         vec![vec![
-            Step::Write(HEAD.to_vec()),
+            Step::Write(RESPONSE_HEAD.to_vec()),
             Step::Write(chunk(&complete(entries))),
             Step::Write(b"0\r\n\r\n".to_vec()),
         ]]
@@ -187,11 +192,11 @@
     let stops: Vec<Vec<Step>> = vec![
         vec![],
         vec![Step::Write(b"HTTP/1.1 200".to_vec())],
-        vec![Step::Write(HEAD.to_vec())],
-        vec![Step::Write(HEAD.to_vec()), Step::Write(b"ff\r\n{\"revi".to_vec())],
-        vec![Step::Write(HEAD.to_vec()), Step::Write(chunk(half))],
-        vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("\n"))],
-        vec![Step::Write(HEAD.to_vec()), Step::Write(chunk("\n")), Step::Trickle(chunk(" "))],
+        vec![Step::Write(RESPONSE_HEAD.to_vec())],
+        vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(b"ff\r\n{\"revi".to_vec())],
+        vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk(half))],
+        vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk("\n"))],
+        vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk("\n")), Step::Trickle(chunk(" "))],
         vec![Step::Trickle(b"H".to_vec())],
     ];
     std::thread::scope(|scope| {
@@ -226,10 +231,10 @@
         };
         let now = runs(&host, "up", 1_764_000_000_000);
         let old = runs(&nobody, phase, 1_763_000_000_000);
-        let (now, old) = (list(42, true, &now), list(43, false, &old));
+        let (now, old) = (list_line(42, true, &now), list_line(43, false, &old));
         let updates = [now, old].map(|text| Step::Write(chunk(&format!("{text}\n"))));
         let script = followed_by(
-            vec![Step::Write(HEAD.to_vec())],
+            vec![Step::Write(RESPONSE_HEAD.to_vec())],
             followed_by(updates.to_vec(), vec![Step::Heartbeat]),
         );
         let config = harness.config();
