--- a/crates/lab/src/emulated_hosts.rs
+++ b/crates/lab/src/emulated_hosts.rs
@@ -228,8 +228,8 @@
     postgres::put_complete(out, "SELECT 1");
 }
 
-/// The entries of all emulated hosts as JSON, separated by commas.
-pub fn emulated_host_entries(emulated_hosts: &EmulatedHosts) -> String {
+/// The list entries of all emulated hosts, as JSON.
+pub fn emulated_host_entries(emulated_hosts: &EmulatedHosts) -> Vec<String> {
     let addresses = emulated_hosts.addresses.borrow();
     let mut entries = Vec::new();
     for (group, addresses) in emulated_hosts.groups.iter().zip(addresses.iter()) {
@@ -248,5 +248,5 @@
             entries.push(endpoint.json());
         }
     }
-    entries.join(",")
+    entries
 }
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -195,13 +195,13 @@
 }
 
 async fn wait_for_newest_list(fleet: &mut Fleet) -> Result<Duration, LabError> {
-    let revision = fleet.service.revision();
+    let revision = fleet.list.service.revision();
     fleet.wait_until(WAIT_LIMIT, "the newest list", |gateway| gateway.list_revision >= revision).await
 }
 
 /// Changes the list; returns how long it takes until all hold the change.
 async fn publish_change(fleet: &mut Fleet) -> Result<Duration, LabError> {
-    fleet.service.change(0, 0);
+    fleet.list.change(0, 0);
     wait_for_newest_list(fleet).await
 }
 
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::configuration_files::{change_settings, client_address, config_path, operator_path, write_all};
 use super::fleet_plan::{FleetPlan, EMULATED_GROUPS, EMULATED_MEMBERS};
-use super::list_service::ListService;
+use super::list_service::ChangingList;
 use super::processes::{HollowProcess, RealGateway};
 use super::protocol::{Command, GatewayStats, HollowPlan, Stats};
 use super::role_costs::{cost, Cost, Costs, ProcessUse};
@@ -38,8 +38,8 @@
 pub struct Fleet {
     /// What it was made from.
     pub plan: FleetPlan,
-    /// The list service.
-    pub service: Rc<ListService>,
+    /// The endpoint list and its service.
+    pub list: Rc<ChangingList>,
     /// The hollow processes.
     pub hollow: Vec<HollowProcess>,
     real: Vec<RealGateway>,
@@ -67,12 +67,13 @@
         let emulated_hosts =
             EmulatedHosts::start(EMULATED_GROUPS, EMULATED_MEMBERS, STALENESS_BOUND, 0, rng).await?;
         let fixed_entries = emulated_host_entries(&emulated_hosts);
-        let (service, discovery) = ListService::start(plan.listed_only_hosts(), fixed_entries).await?;
+        let list = ChangingList::start(plan.listed_only_hosts(), fixed_entries).await?;
+        let discovery = list.service.address;
         let name = format!("petrelgauge-scale-{}-{}", std::process::id(), discovery.port());
         let folder = TemporaryFolder::create(&name)?;
         write_all(&plan, folder.path(), discovery)?;
         let (hollow, real) = (Vec::new(), Vec::new());
-        let mut fleet = Fleet { plan, service, hollow, real, _emulated_hosts: emulated_hosts, folder };
+        let mut fleet = Fleet { plan, list, hollow, real, _emulated_hosts: emulated_hosts, folder };
         fleet.start_real_gateways()?;
         fleet.start_hollow_processes().await?;
         fleet.wait_for_lists().await?;
@@ -220,7 +221,7 @@
             real.push(gateway.stats().await?);
         }
         let hollow = self.request_all(&Command::Stats).await?;
-        let (service_bytes, changes) = (self.service.bytes_sent.get(), self.service.changes.get());
+        let (service_bytes, changes) = (self.list.service.bytes_sent(), self.list.changes.get());
         Ok(Snapshot { taken_at: Instant::now(), hollow, real, service_bytes, changes })
     }
 
@@ -248,7 +249,7 @@
             real: Cost::mean(&of_real),
             idle: Cost::mean(&of_idle),
             service_bytes: (after.service_bytes - before.service_bytes) as f64 / seconds,
-            complete_list_bytes: self.service.complete_list_bytes.get() as f64,
+            complete_list_bytes: self.list.service.complete_list_bytes() as f64,
             changes: (after.changes - before.changes) as f64 / seconds,
         }
     }
--- a/crates/lab/src/scale/scale_run.rs
+++ b/crates/lab/src/scale/scale_run.rs
@@ -159,7 +159,7 @@
         let leases = if traffic == FleetTraffic::Leadership { self.mode.leases } else { 0 };
         fleet.wait_until(LEASES_LIMIT, "all owners", |gateway| gateway.known_lease_holders >= leases).await?;
         if size.changes_per_minute > 0.0 {
-            let changes = fleet.service.clone().keep_changing(size.changes_per_minute, self.options.seed);
+            let changes = fleet.list.clone().keep_changing(size.changes_per_minute, self.options.seed);
             tokio::task::spawn_local(changes);
         }
         Ok(fleet)
--- a/crates/lab/src/test_cluster.rs
+++ b/crates/lab/src/test_cluster.rs
@@ -4,7 +4,7 @@
 use crate::emulated_hosts::EmulatedHosts;
 use crate::error::LabError;
 use crate::gateways::{logged_counter, read_log, Gateway, GatewaySetup, PeerAddresses};
-use crate::list_service::HostListService;
+use crate::list_service::start_list_service;
 use petrelgauge::Time;
 use petrelgauge_test_support::TemporaryFolder;
 use rand::SeedableRng;
@@ -97,7 +97,8 @@
     /// Fails if a socket, file or process cannot be made, or if a gateway does not accept clients in time.
     pub async fn start(plan: ClusterPlan) -> Result<Rc<TestCluster>, LabError> {
         let emulated_hosts = start_emulated_hosts(&plan).await?;
-        let (list_service, address) = HostListService::start(emulated_hosts.clone(), LIST_DELAY).await?;
+        let list_service = start_list_service(emulated_hosts.clone(), LIST_DELAY).await?;
+        let address = list_service.address;
         let relay = DatagramRelay::new(emulated_hosts.clone(), plan.datagram_loss);
         let name = format!("petrelgauge-lab-{}-{}", std::process::id(), address.port());
         let folder = TemporaryFolder::create(&name)?;
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -8,6 +8,7 @@
 mod gateway;
 mod harness;
 mod host;
+mod list_service;
 mod local_runtime;
 mod messages;
 mod network;
@@ -25,6 +26,7 @@
 pub use gateway::{Client, Gateway};
 pub use harness::{gateway_with_primary, Harness};
 pub use host::Host;
+pub use list_service::{FirstUpdate, ListService, ServiceState};
 pub use local_runtime::block_on;
 pub use messages::{
     error, field, insert, kinds, message, parameter_status, query, read_message, ready_for_query, row,
--- a/tests/faulty_fleet/gateways.rs
+++ b/tests/faulty_fleet/gateways.rs
@@ -62,9 +62,9 @@
         let place = format!("{}/faulty-fleet-{address}", env!("CARGO_TARGET_TMPDIR"));
         let config = format!(
             r#"{{"name":"n{number}","listen":"{address}","discovery":"{}","seed":"{:x}","limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},"known":{},"settings":{}}}"#,
-            list.address,
+            list.service.address,
             plan.seed << 16 | number as u64,
-            list.complete(),
+            list.service.complete_list(),
             classes::settings(&plan),
         );
         let config_path = format!("{place}.json");
@@ -75,7 +75,7 @@
             address: address.parse().expect("an address"),
             config_path,
             log_path: format!("{place}.log"),
-            discovery: list.address,
+            discovery: list.service.address,
             child: RefCell::default(),
             signals: RefCell::default(),
             crashes: Cell::new(0),
--- a/tests/faulty_fleet/schedule.rs
+++ b/tests/faulty_fleet/schedule.rs
@@ -2,8 +2,8 @@
 //! played again.
 
 use super::hosts::Mode;
-use super::list::Service;
 use super::{below, uniform, Fleet, Plan, SlowStart};
+use petrelgauge_test_support::ServiceState;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
@@ -63,7 +63,7 @@
         times: usize,
     },
     Discovery {
-        service: Service,
+        state: ServiceState,
         span: u64,
     },
     Burst {
@@ -164,8 +164,8 @@
             times: SIGNALS.0 + below(rng, SIGNALS.1 - SIGNALS.0 + 1),
         },
         11 => {
-            let service = if below(rng, 2) == 0 { Service::Silent } else { Service::Refusing };
-            Fault::Discovery { service, span }
+            let state = if below(rng, 2) == 0 { ServiceState::Silent } else { ServiceState::Refusing };
+            Fault::Discovery { state, span }
         }
         _ if below(rng, 2) == 0 => Fault::Burst { factor: 1.4 + uniform(rng), span },
         _ => Fault::Crowd { gateway: below(rng, plan.gateways), span },
@@ -207,10 +207,10 @@
                 fleet.wait(BETWEEN_SIGNALS).await;
             }
         }
-        Fault::Discovery { service, span } => {
-            fleet.list.set_service(service);
+        Fault::Discovery { state, span } => {
+            fleet.list.set_state(state);
             fleet.wait(span).await;
-            fleet.list.set_service(Service::Up);
+            fleet.list.set_state(ServiceState::Up);
         }
         Fault::Burst { factor, span } => {
             fleet.load.set(fleet.plan.load * factor);
