--- a/crates/handover/src/reservation.rs
+++ b/crates/handover/src/reservation.rs
@@ -1,13 +1,13 @@
-//! Amounts of what the processes of one gateway share.
+//! Amounts of the resources that the processes of one gateway share.
 
 use serde::{Deserialize, Serialize};
 
-/// Whatever its siblings reserve, a process may use this part of the limits (1 / `MIN_SHARE_DIVISOR`): clients come to
-/// it already, and with nothing at all it could not even reject them.
+/// Every process may use 1 / `MIN_SHARE_DIVISOR` of the limits, whatever its siblings reserve: clients
+/// already connect to it, and without descriptors and memory it could not even reject them.
 pub const MIN_SHARE_DIVISOR: usize = 8;
 
-/// What a process has in flight or reserved, or the limit of that. It is part of the stored record: the order of its
-/// fields must not change.
+/// Amounts that a process has in use or reserved, or limits of them. Part of the stored record: the order of
+/// the fields must not change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
     /// File descriptors (count).
@@ -15,55 +15,59 @@
     /// Memory of messages (bytes).
     pub memory: usize,
     /// Requests without a final answer (count).
-    pub open: usize,
+    pub open_requests: usize,
 }
 
 impl Reservation {
-    /// The least that any process may use of these limits: an eighth, and at least one of each.
+    /// The minimum share of these limits, which any process may use: an eighth, and at least one of each.
     #[must_use]
     pub fn minimum_share(self) -> Reservation {
         self.map(|limit| (limit / MIN_SHARE_DIVISOR).max(1))
     }
 
-    /// Each amount divided.
+    /// Each amount divided by `divisor`, rounded down.
     #[must_use]
     pub fn divided_by(self, divisor: usize) -> Reservation {
         self.map(|amount| amount / divisor)
     }
 
-    /// Each sum, at most `usize::MAX`.
+    /// The sum of each amount, saturating.
     #[must_use]
     pub fn saturating_add(self, other: Reservation) -> Reservation {
         self.zip(other, usize::saturating_add)
     }
 
-    /// Each difference, at least 0.
+    /// The difference of each amount, saturating at 0.
     #[must_use]
     pub fn saturating_sub(self, other: Reservation) -> Reservation {
         self.zip(other, usize::saturating_sub)
     }
 
-    /// The smaller of each.
+    /// The minimum of each amount.
     #[must_use]
     pub fn min(self, other: Reservation) -> Reservation {
         self.zip(other, usize::min)
     }
 
-    /// The larger of each.
+    /// The maximum of each amount.
     #[must_use]
     pub fn max(self, other: Reservation) -> Reservation {
         self.zip(other, usize::max)
     }
 
     fn map(self, change: impl Fn(usize) -> usize) -> Reservation {
-        Reservation { sockets: change(self.sockets), memory: change(self.memory), open: change(self.open) }
+        Reservation {
+            sockets: change(self.sockets),
+            memory: change(self.memory),
+            open_requests: change(self.open_requests),
+        }
     }
 
     fn zip(self, other: Reservation, join: impl Fn(usize, usize) -> usize) -> Reservation {
         Reservation {
             sockets: join(self.sockets, other.sockets),
             memory: join(self.memory, other.memory),
-            open: join(self.open, other.open),
+            open_requests: join(self.open_requests, other.open_requests),
         }
     }
 }
--- a/crates/handover/src/siblings.rs
+++ b/crates/handover/src/siblings.rs
@@ -1,36 +1,36 @@
-//! The sibling processes of this one, by their records, and what of the gateway's limits they leave to it.
+//! The sibling processes of this one, known by their records, and what they leave of the gateway's limits.
 //!
-//! Every process replaces its record each [`HEARTBEAT_INTERVAL`]. A sibling is alive for [`LIVENESS_TIMEOUT`] after this
-//! process last saw its record change, on this process's own monotonic clock; the times inside a record are of another
-//! clock, which may have been started hours off, and are never compared with this one. A record that is seen for the
-//! first time counts as a change. One that lies there unchanged does not count, however often it is read.
+//! Every process replaces its record once per [`HEARTBEAT_INTERVAL`]. A sibling is alive until
+//! [`LIVENESS_TIMEOUT`] after this process last saw its record change, by this process's monotonic clock.
+//! Times inside a record are by another clock, which may be hours off, and are never compared with this one.
+//! A record that is seen for the first time counts as changed; one that is read again unchanged does not.
 //!
-//! A sibling whose record cannot be read, for once or any longer, is still there: what it last said it reserves is left to
-//! it while its file changes. Of a sibling that never was read, half of the limits is left to it, and the minimum share to
-//! one that has not yet finished its first record.
+//! A sibling whose record cannot be read still counts: its last stated reservation stays in force while its
+//! file changes. A sibling whose record could never be read counts with half of the limits, one that has not
+//! yet finished its first record with the minimum share.
 
 use crate::reservation::Reservation;
 use petrelgauge_policy::Time;
 use std::collections::BTreeMap;
 
-/// Between two records of a process (microseconds).
+/// Time between two records of a process (microseconds).
 pub const HEARTBEAT_INTERVAL: Time = 250_000;
-/// A process counts as alive for so long after its record was last seen to change (microseconds): some records may be late
-/// on a busy machine.
+/// How long a process counts as alive after its record was last seen to change (microseconds): eight
+/// heartbeats, since some are late on a busy machine.
 pub const LIVENESS_TIMEOUT: Time = 2_000_000;
-/// Siblings that are counted at most: who starts more at a time does so by mistake.
+/// Maximum number of siblings that are counted.
 pub const MAX_SIBLINGS: usize = 4;
-/// Siblings that are remembered at most, alive or not.
+/// Maximum number of siblings that are tracked, alive or not.
 pub const MAX_TRACKED: usize = 16;
-/// Of the limits, one part of so many is left to a sibling whose reservation cannot be read.
+/// A sibling whose reservation is unknown counts with 1 / `UNREADABLE_SHARE_DIVISOR` of the limits.
 const UNREADABLE_SHARE_DIVISOR: usize = 2;
 
-/// What tells two states of a sibling's file apart.
+/// Identifies a state of a sibling's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordStamp {
-    /// When the record was written, on its writer's clock (microseconds).
-    pub written: Time,
-    /// A digest of the file: of its content and its modification time.
+    /// When the record was written, by its writer's clock (microseconds).
+    pub written_at: Time,
+    /// Digest of the file's content and modification time.
     pub fingerprint: u64,
 }
 
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Claim {
     Stated(Reservation),
-    /// There is a record, and none of its states could be read.
+    /// It has a record, which could never be read.
     Unreadable,
-    /// Its first record is not finished.
+    /// It has not finished its first record.
     Unpublished,
 }
 
@@ -56,10 +56,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Sibling {
-    /// Of its last record that could be read (microseconds on the writer's clock).
-    written: Option<Time>,
+    /// When its last readable record was written, by its own clock (microseconds).
+    written_at: Option<Time>,
     fingerprint: u64,
-    /// When its file was last seen to change (microseconds on this process's clock).
+    /// When its file was last seen to change, by this process's clock (microseconds).
     changed_at: Time,
     claim: Claim,
 }
@@ -70,39 +70,41 @@
     }
 }
 
-/// The siblings that have a file in the directory. At most [`MAX_TRACKED`] are remembered.
+/// The siblings that have a file in the directory, at most [`MAX_TRACKED`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SiblingRegistry {
     siblings: BTreeMap<u64, Sibling>,
 }
 
 impl SiblingRegistry {
-    /// The record of a sibling was read. An older record than the last one of a living sibling changes nothing.
+    /// Records that a sibling's record was read. One that is older than the last record of a living sibling
+    /// is ignored.
     pub fn record_seen(&mut self, now: Time, process: u64, stamp: RecordStamp, reservation: Reservation) {
-        let RecordStamp { written, fingerprint } = stamp;
-        let (written, claim) = (Some(written), Claim::Stated(reservation));
-        let seen = Sibling { written, fingerprint, changed_at: now, claim };
+        let RecordStamp { written_at, fingerprint } = stamp;
+        let written_at = Some(written_at);
+        let seen = Sibling { written_at, fingerprint, changed_at: now, claim: Claim::Stated(reservation) };
         match self.siblings.get_mut(&process) {
             None => self.insert(process, seen),
-            Some(known) if known.fingerprint == fingerprint && known.written == written => {}
-            Some(known) if written < known.written && known.is_alive(now) => {}
+            Some(known) if known.fingerprint == fingerprint && known.written_at == written_at => {}
+            Some(known) if written_at < known.written_at && known.is_alive(now) => {}
             Some(known) => *known = seen,
         }
     }
 
-    /// There is a record of a sibling that cannot be read. What it last stated still counts.
+    /// Records that a sibling has a record that cannot be read. Its last stated reservation stays in force.
     pub fn unreadable_record_seen(&mut self, now: Time, process: u64, fingerprint: u64) {
         self.sign_of_life_seen(now, process, fingerprint, Claim::Unreadable);
     }
 
-    /// There is a file of a sibling that it has not yet made its record. What it last stated still counts.
+    /// Records that a sibling has a file that it has not yet made its record. Its last stated reservation
+    /// stays in force.
     pub fn unfinished_record_seen(&mut self, now: Time, process: u64, fingerprint: u64) {
         self.sign_of_life_seen(now, process, fingerprint, Claim::Unpublished);
     }
 
     fn sign_of_life_seen(&mut self, now: Time, process: u64, fingerprint: u64, claim: Claim) {
         match self.siblings.get_mut(&process) {
-            None => self.insert(process, Sibling { written: None, fingerprint, changed_at: now, claim }),
+            None => self.insert(process, Sibling { written_at: None, fingerprint, changed_at: now, claim }),
             Some(known) if known.fingerprint == fingerprint => {}
             Some(known) => (known.fingerprint, known.changed_at) = (fingerprint, now),
         }
@@ -114,28 +116,28 @@
         }
     }
 
-    /// These processes have files; a process that removed its own has ended.
+    /// Forgets all siblings but these, which have files. A process that has removed its own file has ended.
     pub fn retain(&mut self, processes: &[u64]) {
         self.siblings.retain(|process, _| processes.contains(process));
     }
 
-    /// The directory could not be read for this span (microseconds). What it does not show is no sign that a sibling
-    /// has stopped.
+    /// Extends the life of all siblings by a span during which the directory could not be read
+    /// (microseconds).
     pub fn unobserved_for(&mut self, span: Time) {
         self.siblings.values_mut().for_each(|known| known.changed_at = known.changed_at.saturating_add(span));
     }
 
-    /// Whether any sibling has a file, alive or not.
+    /// Whether no sibling has a file, alive or not.
     pub fn is_empty(&self) -> bool {
         self.siblings.is_empty()
     }
 
-    /// Siblings that are alive (count), [`MAX_SIBLINGS`] at most.
+    /// Number of living siblings, at most [`MAX_SIBLINGS`].
     pub fn live_count(&self, now: Time) -> usize {
         self.live(now).count()
     }
 
-    /// What the living siblings leave of the limits to this process: at least the minimum share.
+    /// What the living siblings leave of the limits to this process, at least the minimum share.
     pub fn available(&self, now: Time, limits: Reservation) -> Reservation {
         let claims = self.live(now).map(|sibling| sibling.claim.reservation(limits));
         let reserved = claims.fold(Reservation::default(), Reservation::saturating_add);
--- a/crates/handover/tests/publication.rs
+++ b/crates/handover/tests/publication.rs
@@ -1,17 +1,18 @@
-//! What a process may use while its own record cannot be replaced.
+//! Limits of a process whose own record cannot be replaced.
 
-use petrelgauge_handover::publication::{Publication, PUBLICATION_TIMEOUT, RECOVERY_DELAY};
+use petrelgauge_handover::publication::{FileRefresh, Publication, PUBLICATION_TIMEOUT, RECOVERY_DELAY};
 use petrelgauge_handover::siblings::{HEARTBEAT_INTERVAL, LIVENESS_TIMEOUT};
 use petrelgauge_handover::Reservation;
 
-const LIMITS: Reservation = Reservation { sockets: 384, memory: 48 << 20, open: 128 };
-const AVAILABLE: Reservation = Reservation { sockets: 300, memory: 40 << 20, open: 100 };
-const STATED: Reservation = Reservation { sockets: 200, memory: 8 << 20, open: 30 };
+const LIMITS: Reservation = Reservation { sockets: 384, memory: 48 << 20, open_requests: 128 };
+const AVAILABLE: Reservation = Reservation { sockets: 300, memory: 40 << 20, open_requests: 100 };
+const STATED: Reservation = Reservation { sockets: 200, memory: 8 << 20, open_requests: 30 };
 
+/// A process whose first record, which states `STATED`, was written at time 0.
 fn published() -> Publication {
     let mut publication = Publication::default();
     publication.begin(0);
-    assert!(!publication.succeeded(0, STATED));
+    assert!(!publication.record_success(0, STATED));
     publication
 }
 
@@ -21,62 +22,62 @@
 }
 
 #[test]
-fn a_failing_write_binds_to_what_was_stated_and_then_to_the_minimum_share() {
+fn failed_writes_limit_a_process_to_what_it_stated_and_then_to_the_minimum_share() {
     let mut publication = published();
-    assert!(publication.failed(HEARTBEAT_INTERVAL, false), "the first failure");
-    assert!(!publication.failed(2 * HEARTBEAT_INTERVAL, false), "a further one");
+    assert!(publication.record_failure(HEARTBEAT_INTERVAL, FileRefresh::Failed), "the first failure");
+    assert!(!publication.record_failure(2 * HEARTBEAT_INTERVAL, FileRefresh::Failed), "the second failure");
     assert_eq!(publication.limit(PUBLICATION_TIMEOUT, LIMITS, AVAILABLE), STATED);
     assert_eq!(publication.limit(PUBLICATION_TIMEOUT + 1, LIMITS, AVAILABLE), LIMITS.minimum_share());
     const { assert!(PUBLICATION_TIMEOUT + HEARTBEAT_INTERVAL < LIVENESS_TIMEOUT) };
 }
 
 #[test]
-fn a_refreshed_record_keeps_what_it_states_for_as_long_as_it_is_refreshed() {
+fn a_refreshed_file_keeps_the_stated_reservation_in_force() {
     let mut publication = published();
     for heartbeat in 1..400 {
-        publication.failed(heartbeat * HEARTBEAT_INTERVAL, true);
+        publication.record_failure(heartbeat * HEARTBEAT_INTERVAL, FileRefresh::Refreshed);
         assert_eq!(publication.limit(heartbeat * HEARTBEAT_INTERVAL, LIMITS, AVAILABLE), STATED);
     }
 }
 
 #[test]
-fn a_write_that_hangs_is_no_different_from_one_that_fails() {
+fn a_hanging_write_has_the_same_effect_as_a_failed_one() {
     let mut publication = published();
     publication.begin(HEARTBEAT_INTERVAL);
     assert_eq!(publication.limit(PUBLICATION_TIMEOUT + 1, LIMITS, AVAILABLE), LIMITS.minimum_share());
-    let mut first = Publication::default();
-    first.begin(7);
-    assert_eq!(first.limit(7 + PUBLICATION_TIMEOUT, LIMITS, AVAILABLE), AVAILABLE);
-    assert_eq!(first.limit(8 + PUBLICATION_TIMEOUT, LIMITS, AVAILABLE), LIMITS.minimum_share());
+    let mut publication = Publication::default();
+    publication.begin(7);
+    assert_eq!(publication.limit(7 + PUBLICATION_TIMEOUT, LIMITS, AVAILABLE), AVAILABLE);
+    assert_eq!(publication.limit(8 + PUBLICATION_TIMEOUT, LIMITS, AVAILABLE), LIMITS.minimum_share());
 }
 
 #[test]
-fn a_process_that_could_never_write_keeps_to_the_minimum_share() {
+fn a_process_that_has_never_written_keeps_to_the_minimum_share() {
     let mut publication = Publication::default();
     publication.begin(0);
-    publication.failed(0, false);
+    publication.record_failure(0, FileRefresh::Failed);
     assert_eq!(publication.limit(0, LIMITS, AVAILABLE), LIMITS.minimum_share());
 }
 
 #[test]
-fn after_a_failure_siblings_have_time_to_see_the_new_record() {
+fn after_a_failure_the_earlier_limit_holds_until_siblings_have_read_the_new_record() {
     let mut publication = published();
-    publication.failed(HEARTBEAT_INTERVAL, false);
-    let more = Reservation { sockets: 250, ..STATED };
-    let begun = 2 * HEARTBEAT_INTERVAL;
-    assert!(publication.succeeded(begun, more), "it works again");
-    assert_eq!(publication.limit(begun, LIMITS, AVAILABLE), STATED);
-    assert!(!publication.succeeded(begun + HEARTBEAT_INTERVAL, more));
-    assert_eq!(publication.limit(begun + HEARTBEAT_INTERVAL, LIMITS, AVAILABLE), STATED);
-    publication.succeeded(begun + RECOVERY_DELAY, more);
-    assert_eq!(publication.limit(begun + RECOVERY_DELAY, LIMITS, AVAILABLE), AVAILABLE);
+    publication.record_failure(HEARTBEAT_INTERVAL, FileRefresh::Failed);
+    let larger = Reservation { sockets: 250, ..STATED };
+    let begun_at = 2 * HEARTBEAT_INTERVAL;
+    assert!(publication.record_success(begun_at, larger), "the write before it had failed");
+    assert_eq!(publication.limit(begun_at, LIMITS, AVAILABLE), STATED);
+    assert!(!publication.record_success(begun_at + HEARTBEAT_INTERVAL, larger));
+    assert_eq!(publication.limit(begun_at + HEARTBEAT_INTERVAL, LIMITS, AVAILABLE), STATED);
+    publication.record_success(begun_at + RECOVERY_DELAY, larger);
+    assert_eq!(publication.limit(begun_at + RECOVERY_DELAY, LIMITS, AVAILABLE), AVAILABLE);
 }
 
 #[test]
-fn who_cannot_see_its_siblings_uses_no_more_than_it_has_stated() {
+fn a_process_that_cannot_see_its_siblings_uses_at_most_what_it_has_stated() {
     assert_eq!(published().limit_unobserved(HEARTBEAT_INTERVAL, LIMITS, AVAILABLE), STATED);
-    let small = Reservation { sockets: 3, memory: 1, open: 0 };
+    let small = Reservation { sockets: 3, memory: 1, open_requests: 0 };
     let mut publication = Publication::default();
-    publication.succeeded(0, small);
+    publication.record_success(0, small);
     assert_eq!(publication.limit_unobserved(0, LIMITS, AVAILABLE), LIMITS.minimum_share());
 }
--- a/crates/handover/tests/records.rs
+++ b/crates/handover/tests/records.rs
@@ -1,11 +1,14 @@
-//! Records that are cut, changed, old or of another build.
+//! Records that are truncated, corrupted, old or of another build.
 
 use petrelgauge_handover::{HandoverRecord, RecordError, MAX_RECORD_BYTES};
-use petrelgauge_policy::*;
+use petrelgauge_policy::{
+    Action, Class, Effect, Ending, Entry, Event, MemberStatus, Need, Report, RequestId, Role, Router,
+    Settings,
+};
 use proptest::prelude::*;
 
-/// A router that has learned something.
-fn learned() -> Router {
+/// A router that has learned from ten reads.
+fn learned_router() -> Router {
     let class = Class {
         name: "view".into(),
         need: Need::Eventual,
@@ -65,27 +68,27 @@
 }
 
 fn record() -> HandoverRecord {
-    let numbers = vec![("s-1".to_string(), 1), ("s-2".to_string(), 2)];
+    let member_ids = vec![("s-1".to_string(), 1), ("s-2".to_string(), 2)];
     HandoverRecord {
         process: 5,
-        written: 1_700_000,
-        numbers,
-        learned_state: learned().learned_state(),
+        written_at: 1_700_000,
+        member_ids,
+        learned_state: learned_router().learned_state(),
         ..HandoverRecord::default()
     }
 }
 
 #[test]
-fn beliefs_are_restored_without_attempts_in_flight() {
+fn learned_state_is_restored_without_attempts_in_flight() {
     let read = HandoverRecord::decode(&record().encode()).expect("complete");
     assert_eq!(format!("{:?}", read.learned_state), format!("{:?}", record().learned_state));
-    assert_eq!((read.process, read.numbers.len()), (5, 2));
+    assert_eq!((read.process, read.member_ids.len()), (5, 2));
     let text = format!("{:?}", read.learned_state);
     assert!(text.contains("in_flight: 0") && !text.contains("in_flight: 1"), "{text}");
 }
 
 #[test]
-fn an_old_record_and_one_from_the_future_are_told_apart() {
+fn an_old_record_and_one_from_the_future_are_distinct_errors() {
     let record = record();
     assert_eq!(record.check_age(1_700_500, 1_000), Ok(500));
     assert_eq!(record.check_age(1_701_001, 1_000), Err(RecordError::TooOld(1_001)));
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn an_unknown_version_is_named_and_an_oversized_record_is_rejected_unread() {
+fn an_unknown_version_and_an_oversized_record_are_typed_errors() {
     let mut bytes = record().encode();
     bytes[6] = 9;
     let end = bytes.len() - 4;
@@ -104,12 +107,12 @@
 }
 
 #[test]
-fn an_oversized_record_is_written_without_beliefs() {
-    let numbers = (0..100_000).map(|number| (format!("member-{number:020}"), number)).collect();
-    let bytes = HandoverRecord { numbers, ..record() }.encode();
+fn an_oversized_record_is_written_without_learned_state() {
+    let member_ids = (0..100_000).map(|number| (format!("member-{number:020}"), number)).collect();
+    let bytes = HandoverRecord { member_ids, ..record() }.encode();
     assert!(bytes.len() <= MAX_RECORD_BYTES);
     assert_eq!(
-        HandoverRecord::decode(&bytes).map(|record| (record.process, record.numbers.len())),
+        HandoverRecord::decode(&bytes).map(|record| (record.process, record.member_ids.len())),
         Ok((5, 0))
     );
 }
@@ -118,7 +121,7 @@
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..Default::default() })]
 
     #[test]
-    fn a_cut_or_changed_record_is_rejected(cut in 0usize..4000, place in 0usize..4000, bit in 0u8..8) {
+    fn a_truncated_or_corrupted_record_is_rejected(cut in 0usize..4000, place in 0usize..4000, bit in 0u8..8) {
         let complete = record().encode();
         let short = &complete[..cut % complete.len()];
         prop_assert_eq!(HandoverRecord::decode(short).err(), Some(RecordError::Damaged));
@@ -130,8 +133,8 @@
 }
 
 #[test]
-fn beliefs_of_other_settings_are_rejected_and_a_long_name_is_cut() {
-    let record = HandoverRecord { settings: 7, ..record() };
+fn learned_state_of_other_settings_is_rejected_and_a_long_identity_truncated() {
+    let record = HandoverRecord { settings_digest: 7, ..record() };
     let read = HandoverRecord::decode(&record.encode()).expect("complete");
     assert_eq!((read.check_settings(7), read.check_settings(8)), (Ok(()), Err(RecordError::OtherSettings)));
     let gateway = petrelgauge_handover::gateway_identity(&"ü".repeat(4000), "127.0.0.1:5433");
@@ -146,22 +149,23 @@
 const EARLIER_RECORD: &[u8] = include_bytes!("fixtures/record-of-2247fe6.bin");
 const EARLIER_CHECKSUM: u32 = 1_755_156_702;
 
-// Records of an earlier build must stay readable: postcard writes no names, but order and types of all fields. What a
-// router stores in them may change with its decisions, so this build's own record need not have the same bytes.
+// Records of an earlier build must stay readable: postcard encodes the order and the types of all fields,
+// without names. The values that a router stores may change with its decisions, so this build's own record
+// may have other bytes.
 #[test]
-fn a_record_of_an_earlier_build_is_read_and_written_again_byte_for_byte() {
+fn a_record_of_an_earlier_build_round_trips_byte_for_byte() {
     assert_eq!(crc32c::crc32c(EARLIER_RECORD), EARLIER_CHECKSUM);
     let read = HandoverRecord::decode(EARLIER_RECORD).expect("complete");
-    assert_eq!((read.process, read.written, read.numbers.len()), (5, 1_700_000, 2));
+    assert_eq!((read.process, read.written_at, read.member_ids.len()), (5, 1_700_000, 2));
     assert!(!read.learned_state.is_empty());
     assert_eq!(read.encode(), EARLIER_RECORD);
 }
 
 #[test]
-fn a_record_of_this_build_has_the_form_of_an_earlier_one() {
+fn a_record_of_this_build_has_the_layout_of_an_earlier_one() {
     let own = record().encode();
     let read = HandoverRecord::decode(&own).expect("complete");
     assert_eq!(read.encode(), own);
-    // Numbers of fixed size have moved, nothing else: no field is longer or shorter than it was.
+    // Only numbers of fixed size may differ: every field is as long as it was.
     assert_eq!(own.len(), EARLIER_RECORD.len());
 }
--- a/crates/handover/tests/stored_form.rs
+++ b/crates/handover/tests/stored_form.rs
@@ -1,31 +1,30 @@
-//! The stored form of a record must not change: `fixtures/record-version-2.bin` was written by the program as it was
-//! before this test existed (commit a97f0e8).
+//! The encoding of records must not change: `fixtures/record-version-2.bin` was recorded from commit a97f0e8.
 
 use petrelgauge_handover::{HandoverRecord, Reservation};
 use serde::Deserialize;
 
 const STORED: &[u8] = include_bytes!("fixtures/record-version-2.bin");
-/// Six bytes of magic and the version.
+/// Length of magic and version.
 const HEADER_BYTES: usize = 7;
 const CHECKSUM_BYTES: usize = 4;
 
 type Samples<T> = Vec<(i64, T)>;
 
-/// The body as it is stored, field by field and in order, apart from the types of the program.
+/// The stored fields in order, in types independent of the program's.
 #[derive(Debug, PartialEq, Deserialize)]
 struct StoredRecord {
     gateway: String,
-    settings: u64,
+    settings_digest: u64,
     process: u64,
-    written: i64,
+    written_at: i64,
     /// Sockets, memory, open requests.
     reservation: (usize, usize, usize),
-    numbers: Vec<(String, u32)>,
-    learned_state: StoredBeliefs,
+    member_ids: Vec<(String, u32)>,
+    learned_state: StoredState,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
-struct StoredBeliefs {
+struct StoredState {
     members: Vec<(u32, StoredMember)>,
     groups: Vec<(u64, StoredGroup)>,
     sojourns: Samples<f64>,
@@ -138,11 +137,11 @@
     StoredGroup { members: vec![1, 2], waiting: vec![], commits: vec![], scout_at: 0, share: (0.0, 0) }
 }
 
-fn learned_state() -> StoredBeliefs {
+fn learned_state() -> StoredState {
     let late = [2_470_000, 2_510_000, 2_550_000, 2_590_000, 2_670_000, 2_710_000, 2_750_000, 2_790_000];
     let last = [2_870_000, 2_910_000, 2_950_000];
     let late = late.into_iter().chain(last).map(|at| (at, 0.15));
-    StoredBeliefs {
+    StoredState {
         members: vec![(1, primary()), (2, replica())],
         groups: vec![(9, group())],
         sojourns: [(1_570_000, 0.1)].into_iter().chain(late).collect(),
@@ -153,12 +152,12 @@
     }
 }
 
-fn numbers() -> Vec<(String, u32)> {
+fn member_ids() -> Vec<(String, u32)> {
     [("s-1", 1), ("s-2", 2), ("s-ü-3", 70_003)].map(|(name, number)| (name.to_string(), number)).to_vec()
 }
 
 #[test]
-fn the_stored_record_holds_these_fields_in_this_order() {
+fn the_stored_record_has_these_fields_in_this_order() {
     let (head, checksum) = STORED.split_at(STORED.len() - CHECKSUM_BYTES);
     let (header, body) = head.split_at(HEADER_BYTES);
     assert_eq!(header, b"petrel\x02");
@@ -167,26 +166,26 @@
     assert!(rest.is_empty());
     let expected = StoredRecord {
         gateway: "10.0.0.5:5433 n1".into(),
-        settings: 0x1234_5678_9abc_def0,
+        settings_digest: 0x1234_5678_9abc_def0,
         process: 0xfeed_beef_0000_0007,
-        written: 1_764_670_000_123_456,
+        written_at: 1_764_670_000_123_456,
         reservation: (123, 4_567_890, 45),
-        numbers: numbers(),
+        member_ids: member_ids(),
         learned_state: learned_state(),
     };
     assert_eq!(stored, expected);
 }
 
 #[test]
-fn the_program_reads_the_stored_record_and_writes_the_same_bytes_again() {
+fn the_stored_record_is_decoded_and_encoded_to_the_same_bytes() {
     let record = HandoverRecord::decode(STORED).expect("a record of version 2");
     assert_eq!(record.gateway, "10.0.0.5:5433 n1");
-    assert_eq!(record.settings, 0x1234_5678_9abc_def0);
+    assert_eq!(record.settings_digest, 0x1234_5678_9abc_def0);
     assert_eq!(record.process, 0xfeed_beef_0000_0007);
-    assert_eq!(record.written, 1_764_670_000_123_456);
-    assert_eq!(record.reservation, Reservation { sockets: 123, memory: 4_567_890, open: 45 });
-    assert_eq!(record.numbers, numbers());
+    assert_eq!(record.written_at, 1_764_670_000_123_456);
+    assert_eq!(record.reservation, Reservation { sockets: 123, memory: 4_567_890, open_requests: 45 });
+    assert_eq!(record.member_ids, member_ids());
     let stored = postcard::to_allocvec(&record.learned_state).expect("plain data");
-    assert_eq!(postcard::from_bytes::<StoredBeliefs>(&stored).expect("the stored fields"), learned_state());
+    assert_eq!(postcard::from_bytes::<StoredState>(&stored).expect("the stored fields"), learned_state());
     assert_eq!(record.encode(), STORED);
 }
--- a/src/handover/exchange.rs
+++ b/src/handover/exchange.rs
@@ -115,11 +115,11 @@
         state.publication.begin(now);
         let record = HandoverRecord {
             gateway: self.store.gateway().to_string(),
-            settings: self.settings_digest.get(),
+            settings_digest: self.settings_digest.get(),
             process: self.store.process_id(),
-            written: now,
+            written_at: now,
             reservation: usage,
-            numbers: content.host_ids.into_iter().collect(),
+            member_ids: content.host_ids.into_iter().collect(),
             learned_state: content.learned_state,
         };
         Heartbeat {
--- a/src/handover/exchange_state.rs
+++ b/src/handover/exchange_state.rs
@@ -3,7 +3,7 @@
 use crate::handover::heartbeat::HeartbeatResult;
 use crate::handover::record_store::Scan;
 use crate::Time;
-use petrelgauge_handover::publication::Publication;
+use petrelgauge_handover::publication::{FileRefresh, Publication};
 use petrelgauge_handover::retention::RetentionTracker;
 use petrelgauge_handover::siblings::{RecordStamp, SiblingRegistry};
 use std::io;
@@ -36,13 +36,14 @@
     pub(super) fn on_publish(&mut self, result: &HeartbeatResult, directory: &str) {
         match &result.published {
             Ok(()) => {
-                let has_recovered = self.publication.succeeded(result.started_at, result.reservation);
+                let has_recovered = self.publication.record_success(result.started_at, result.reservation);
                 if has_recovered {
                     log::info!("handover record written again directory={directory}");
                 }
             }
             Err(cause) => {
-                let is_first_failure = self.publication.failed(result.started_at, result.is_refreshed);
+                let refresh = if result.is_refreshed { FileRefresh::Refreshed } else { FileRefresh::Failed };
+                let is_first_failure = self.publication.record_failure(result.started_at, refresh);
                 if is_first_failure {
                     log::warn!("handover record not written directory={directory} cause={cause}");
                 }
@@ -69,7 +70,7 @@
     /// Determines which files the next heartbeat removes. None while this process cannot write: its siblings may not be
     /// able to either, and their files are all that shows of them.
     pub(super) fn update_abandoned_files(&mut self, now: Time, scan: &Scan, can_write: bool) {
-        let abandoned = self.retention.abandoned(now, &scan.files);
+        let abandoned = self.retention.find_abandoned(now, &scan.files);
         self.abandoned_files = if can_write { abandoned } else { Vec::new() };
     }
 
@@ -99,7 +100,7 @@
         let unfinished = scan.unfinished.iter().map(|found| found.process);
         self.siblings.retain(&readable.chain(unreadable).chain(unfinished).collect::<Vec<_>>());
         for found in &scan.records {
-            let stamp = RecordStamp { written: found.record.written, fingerprint: found.fingerprint };
+            let stamp = RecordStamp { written_at: found.record.written_at, fingerprint: found.fingerprint };
             self.siblings.record_seen(now, found.record.process, stamp, found.record.reservation);
         }
         for found in &scan.unreadable {
--- a/src/handover/heartbeat_task.rs
+++ b/src/handover/heartbeat_task.rs
@@ -65,7 +65,10 @@
     }
 
     fn usage(&self) -> Reservation {
-        Reservation { open: self.facade.read(|table| table.open_request_count()), ..self.budget.usage() }
+        Reservation {
+            open_requests: self.facade.read(|table| table.open_request_count()),
+            ..self.budget.usage()
+        }
     }
 
     fn content(&self) -> RecordContent {
@@ -81,7 +84,7 @@
         let limit = self.exchange.limit(self.clock.now(), limits);
         if limit != enforced_limit.replace(limit).unwrap_or(limits) {
             self.budget.set_limits(limit.sockets, limit.memory);
-            self.facade.update(|table| table.set_max_open_requests(limit.open as u32));
+            self.facade.update(|table| table.set_max_open_requests(limit.open_requests as u32));
         }
     }
 }
--- a/src/handover/record_store.rs
+++ b/src/handover/record_store.rs
@@ -163,7 +163,7 @@
         let files = scan.files.clone();
         let records = files.iter().filter(|file| file.name.ends_with(RECORD_SUFFIX));
         for file in records.take(MAX_RECORDS) {
-            self.read_into(&mut scan, &file.name, file.modified as u64);
+            self.read_into(&mut scan, &file.name, file.modified_at as u64);
         }
         for name in self.records_of_other_gateways()? {
             self.read_into(&mut scan, &name, 0);
@@ -182,13 +182,13 @@
                 continue;
             }
             match self.directory.modified_at(&name) {
-                Ok(modified) => files.push(FileState { name, modified: modified.at, age: modified.age }),
+                Ok(modified) => files.push(FileState { name, modified_at: modified.at, age: modified.age }),
                 Err(cause) if cause.kind() == io::ErrorKind::NotFound => {}
                 // The file exists, which is all that is known of it.
-                Err(_) => files.push(FileState { name, modified: 0, age: 0 }),
+                Err(_) => files.push(FileState { name, modified_at: 0, age: 0 }),
             }
         }
-        files.sort_by_key(|file| std::cmp::Reverse(file.modified));
+        files.sort_by_key(|file| std::cmp::Reverse(file.modified_at));
         Ok(files)
     }
 
@@ -233,7 +233,7 @@
         let published: BTreeSet<u64> = published.collect();
         let unfinished = files.iter().filter_map(|file| {
             let process = self.process_of(&file.name, UNFINISHED_SUFFIX)?;
-            Some(UnfinishedRecord { process, fingerprint: file.modified as u64 })
+            Some(UnfinishedRecord { process, fingerprint: file.modified_at as u64 })
         });
         unfinished.filter(|record| !published.contains(&record.process)).take(MAX_RECORDS).collect()
     }
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -172,7 +172,7 @@
         let (address, version) = (new.discovery, self.control.facade.read(|table| table.version()));
         log::info!("configuration reloaded settings_version={version} discovery={address}");
         self.full_reservation
-            .set(Reservation { open: max_open_requests as usize, ..self.full_reservation.get() });
+            .set(Reservation { open_requests: max_open_requests as usize, ..self.full_reservation.get() });
         if let Some(handover) = &self.handover {
             handover.set_settings_digest(new.settings_digest);
         }
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -190,7 +190,7 @@
     Reservation {
         sockets: config.max_descriptors,
         memory: config.max_memory,
-        open: max_open_requests as usize,
+        open_requests: max_open_requests as usize,
     }
 }
 
@@ -211,9 +211,9 @@
 ) -> BTreeMap<String, MemberId> {
     let inherit = handover.as_ref().and_then(|handover| handover.inherit(resources.clock.now()));
     inherit.map_or_else(BTreeMap::new, |InheritedRecord { record, age }| {
-        log::info!("learned state adopted hosts={} age_us={age}", record.numbers.len());
+        log::info!("learned state adopted hosts={} age_us={age}", record.member_ids.len());
         resources.facade.update(|table| table.adopt_learned_state(record.learned_state));
-        record.numbers.into_iter().collect()
+        record.member_ids.into_iter().collect()
     })
 }
 
--- a/src/resources/budget.rs
+++ b/src/resources/budget.rs
@@ -96,7 +96,7 @@
 
     /// What is in use now: descriptors, also those that are neither a client's nor a host's, and bytes.
     pub fn usage(&self) -> Reservation {
-        Reservation { sockets: self.open.get() + OWN_DESCRIPTORS, memory: self.bytes.get(), open: 0 }
+        Reservation { sockets: self.open.get() + OWN_DESCRIPTORS, memory: self.bytes.get(), open_requests: 0 }
     }
 
     /// Counts a connection to a host for as long as the slot lives.
--- a/tests/handover_directory.rs
+++ b/tests/handover_directory.rs
@@ -13,10 +13,10 @@
 use std::sync::{Arc, Mutex, Once};
 
 const GATEWAY: &str = "127.0.0.1:5433 n1";
-const LIMITS: Reservation = Reservation { sockets: 384, memory: 48 << 20, open: 128 };
-const IN_USE: Reservation = Reservation { sockets: 200, memory: 20 << 20, open: 60 };
+const LIMITS: Reservation = Reservation { sockets: 384, memory: 48 << 20, open_requests: 128 };
+const IN_USE: Reservation = Reservation { sockets: 200, memory: 20 << 20, open_requests: 60 };
 /// What [`IN_USE`] leaves of the limits.
-const REST: Reservation = Reservation { sockets: 184, memory: 28 << 20, open: 68 };
+const REST: Reservation = Reservation { sockets: 184, memory: 28 << 20, open_requests: 68 };
 const START: i64 = 1_000_000_000;
 
 /// A process of the gateway.
