--- a/crates/handover/tests/records.rs
+++ b/crates/handover/tests/records.rs
@@ -2,8 +2,8 @@
 
 use petrelgauge_handover::{HandoverRecord, RecordError, MAX_RECORD_BYTES};
 use petrelgauge_policy::{
-    Action, Class, Effect, Ending, Entry, Event, MemberStatus, Need, Report, RequestId, Role, Router,
-    Settings,
+    Action, AttemptOutcome, Class, Effect, Ending, Entry, Event, MemberStatus, Need, Report, RequestArrival,
+    RequestId, Role, Router, Settings, Update,
 };
 use proptest::prelude::*;
 
