--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -69,6 +69,16 @@
     Stopped,
 }
 
+/// Whether the listening socket for clients outlives this process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub enum ListenerSharing {
+    /// It belongs to this process alone.
+    #[default]
+    Exclusive,
+    /// A successor process accepts the clients that this one leaves in the listen backlog.
+    WithSuccessor,
+}
+
 impl ServingState {
     /// Whether the readiness check succeeds, so that the front continues to send clients.
     pub fn reports_ready(self) -> bool {
@@ -156,21 +166,21 @@
     state: GatewayState,
     /// The listening socket for clients outlives this process: those that connect after a stop are accepted by the next
     /// process.
-    shared: bool,
+    sharing: ListenerSharing,
     /// Clock time of the first SIGTERM.
     stopped_at: Option<Time>,
 }
 
 impl Default for Gateway {
     fn default() -> Gateway {
-        Gateway::new(false)
+        Gateway::new(ListenerSharing::Exclusive)
     }
 }
 
 impl Gateway {
-    /// A serving gateway. `shared`: the listening socket for clients outlives this process.
-    pub fn new(shared: bool) -> Gateway {
-        Gateway { state: GatewayState::Serving, shared, stopped_at: None }
+    /// A serving gateway.
+    pub fn new(sharing: ListenerSharing) -> Gateway {
+        Gateway { state: GatewayState::Serving, sharing, stopped_at: None }
     }
 
     /// The state of the gateway.
@@ -225,7 +235,10 @@
         }
         match (self.state, event) {
             // No client connects any more, or those that do are accepted by the next process.
-            (state, Event::Stop) if state == GatewayState::Drained || (self.shared && self.is_running()) => {
+            (state, Event::Stop)
+                if state == GatewayState::Drained
+                    || (self.sharing == ListenerSharing::WithSuccessor && self.is_running()) =>
+            {
                 self.state = GatewayState::Closing;
                 Action::ApplyServingState
             }
--- a/crates/lifecycle/tests/client.rs
+++ b/crates/lifecycle/tests/client.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_client_that_stops_in_the_middle_of_a_message_is_cut_off_within_three_seconds_of_its_last_byte() {
+fn a_client_that_stalls_within_a_message_is_cut_off_within_three_seconds_of_its_last_byte() {
     for begun in [1, SECOND / 2, SECOND, 2 * SECOND] {
         let at = cut_off_at(&mut served(0), &[begun]);
         assert!((begun..begun + 3 * SECOND).contains(&at), "begun at {begun}, cut off at {at}");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_client_that_continues_slowly_has_the_time_for_a_complete_message() {
+fn a_slow_client_has_the_full_message_timeout() {
     let parts: Vec<Time> = (1..100).map(|number| number * SECOND).collect();
     assert_eq!(cut_off_at(&mut served(0), &parts), MESSAGE_TIMEOUT);
 }
--- a/crates/lifecycle/tests/gateway.rs
+++ b/crates/lifecycle/tests/gateway.rs
@@ -1,16 +1,16 @@
 //! The times by which a stopping gateway answers and reads.
 
 use petrelgauge_lifecycle::client::Idleness;
-use petrelgauge_lifecycle::gateway::*;
+use petrelgauge_lifecycle::gateway::{Event, Gateway, ListenerSharing, ReadDeadlines, FRONT_NOTICE};
 use petrelgauge_policy::Time;
 
 #[test]
-fn what_is_taken_after_a_stop_is_answered_before_the_kill_and_a_second_stop_changes_nothing() {
+fn answers_and_reads_end_before_the_kill_and_a_second_stop_changes_nothing() {
     let second = 1_000_000;
     for (longest, kill) in
         [(second, 17 * second / 10), (3 * second, 37 * second / 10), (30 * second, 37 * second / 10)]
     {
-        let mut gateway = Gateway::new(false);
+        let mut gateway = Gateway::new(ListenerSharing::Exclusive);
         assert_eq!(
             (gateway.answer_deadline(longest), gateway.read_deadlines(longest)),
             (Time::MAX, ReadDeadlines::default())
--- a/src/client/accept_loop.rs
+++ b/src/client/accept_loop.rs
@@ -1,20 +1,20 @@
-//! The loop that accepts clients, up to the gateway's stop and through calls that fail.
+//! The loop that accepts clients until the gateway stops, and survives failed calls.
 
 use crate::os::clock::Clock;
 use crate::os::socket::{self, Acceptor, SocketError};
 use crate::Time;
-use petrelgauge_lifecycle::gateway::ServingState;
+use petrelgauge_lifecycle::gateway::{ListenerSharing, ServingState};
 use tokio::sync::watch;
 
-/// Pause after a client could not be accepted for want of descriptors or memory (microseconds).
+/// Pause after an accept failed for lack of descriptors or memory (microseconds).
 const SHORTAGE_PAUSE: Time = 2_000;
 
-/// What is done with accepted clients.
+/// Handles accepted clients.
 pub trait ClientHandler<S> {
     /// A client was accepted.
     fn on_client(&self, stream: S);
 
-    /// None could be, for want of descriptors or memory.
+    /// A client could not be accepted for lack of descriptors or memory.
     fn on_shortage(&self);
 }
 
@@ -22,48 +22,49 @@
 pub struct AcceptLoop {
     /// The clock.
     pub clock: Clock,
-    /// What the gateway does with clients.
+    /// How the gateway treats clients.
     pub state: watch::Receiver<ServingState>,
-    /// The listening socket is shared with the process that comes next.
-    pub shared: bool,
+    /// Whether clients in the listen backlog are left to a successor.
+    pub sharing: ListenerSharing,
 }
 
 impl AcceptLoop {
-    /// Runs up to the stop. Clients in the kernel's backlog count as taken, and so those that are there by then are
-    /// accepted first, however many calls fail before; unless the socket is shared: the next process accepts those.
+    /// Accepts clients until the gateway has stopped. Clients in the listen backlog are accepted before the loop ends,
+    /// however many calls fail, unless the listening socket is shared with a successor process.
     pub async fn run<A: Acceptor>(mut self, acceptor: &A, handler: &impl ClientHandler<A::Stream>) {
-        let mut short_before = false;
-        let mut looked_again = false;
+        let mut resource_exhausted = false;
+        let mut backlog_checked = false;
         loop {
-            if self.shared && *self.state.borrow() == ServingState::Stopped {
+            if self.sharing == ListenerSharing::WithSuccessor && *self.state.borrow() == ServingState::Stopped
+            {
                 return;
             }
             let accepted = tokio::select! {
                 biased;
                 accepted = socket::accept(acceptor) => accepted,
                 _ = self.state.wait_for(|state| *state == ServingState::Stopped) => {
-                    if looked_again {
+                    if backlog_checked {
                         return;
                     }
-                    // The reactor may not have heard yet of a client that came a moment ago. After this it has.
-                    looked_again = true;
+                    // The reactor may not know yet of a client that connected a moment ago. It does after this.
+                    backlog_checked = true;
                     tokio::task::yield_now().await;
                     continue;
                 }
             };
-            looked_again = false;
+            backlog_checked = false;
             match accepted {
                 Ok(stream) => {
-                    short_before = false;
+                    resource_exhausted = false;
                     handler.on_client(stream);
-                    // What was asked to close does so, and what came with the last ones is read.
+                    // Lets sessions that were asked to close run, and new ones read, before the next accept.
                     tokio::task::yield_now().await;
                 }
-                // That client has left; the next may be there.
+                // That client has disconnected; others may be waiting.
                 Err(SocketError::Broken(_)) => tokio::task::yield_now().await,
                 Err(error) => {
-                    // Once for each row of failures: they come by the hundred.
-                    if !std::mem::replace(&mut short_before, true) {
+                    // Logged once for a series of failures: they come by the hundred.
+                    if !std::mem::replace(&mut resource_exhausted, true) {
                         log::warn!("client accept failed cause={error}");
                     }
                     handler.on_shortage();
--- a/src/client/context.rs
+++ b/src/client/context.rs
@@ -1,5 +1,5 @@
-//! What all client sessions share: the decisions, the database hosts, the process's limits, and what the gateway's own
-//! life means for them.
+//! What all client sessions share: the routing decisions, the database hosts, the process's limits and the state of the
+//! gateway.
 
 use crate::client::cancel_registry::CancelRegistry;
 use crate::facade::Facade;
@@ -20,43 +20,42 @@
 
 /// What all client sessions share.
 pub struct ClientContext {
-    /// The decisions.
+    /// The routing decisions.
     pub facade: Facade,
-    /// The database hosts.
+    /// Connections to the database hosts.
     pub host_pool: Rc<HostPool>,
     /// The clock.
     pub clock: Clock,
-    /// Descriptors and memory.
+    /// Limits on descriptors and memory.
     pub budget: Rc<Budget>,
-    /// Counts.
+    /// Event counters.
     pub counters: Rc<Counters>,
-    /// What connections read into.
+    /// The buffer that all connections read into.
     pub read_buffer: Rc<ReadBuffer>,
-    /// Whether clients are accepted, and whether idle ones are closed.
+    /// How clients are treated: whether they are accepted, and whether idle ones are closed.
     pub serving_state: watch::Receiver<ServingState>,
-    /// How many sessions are open.
+    /// Number of open sessions.
     pub open_sessions: Gauge,
-    /// Keys by which clients cancel their open queries.
+    /// The keys by which clients cancel their open queries.
     pub cancel_registry: Rc<CancelRegistry>,
-    /// The ids of open requests, as their clients name them. Bounded by the clients: each has one open request.
+    /// The ids that clients chose for their open requests; at most one for each session.
     pub open_request_ids: RefCell<BTreeSet<Rc<str>>>,
-    /// Once the gateway stops: clock time of the last answers before the process may be killed.
+    /// Clock time of the last answers of a stopping gateway; [`Time::MAX`] until it stops.
     pub final_answer_deadline: Cell<Time>,
-    /// Once the gateway stops: up to when clients are read.
+    /// Clock times until which a stopping gateway reads from its clients.
     pub final_read_deadlines: Cell<ReadDeadlines>,
 }
 
 impl ClientContext {
-    /// Appends the session's token, where its client carries one.
+    /// Appends the token of a session, if tokens are enabled.
     pub(super) fn put_session_token(&self, out: &mut Vec<u8>, session: Option<SessionKey>) {
-        if let Some(token) =
-            session.and_then(|key| self.facade.read(|table| table.token(self.clock.now(), key)))
-        {
+        let now = self.clock.now();
+        if let Some(token) = session.and_then(|key| self.facade.read(|table| table.token(now, key))) {
             postgres::put_parameter_status(out, set_statement::TOKEN_SETTING, &token);
         }
     }
 
-    /// Reserves the id of a request for as long as the value lives. None if another open request has it.
+    /// Reserves the id of a request for as long as the returned value lives. None if another open request has it.
     pub(super) fn reserve_request_id(self: &Rc<Self>, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
         let is_new = self.open_request_ids.borrow_mut().insert(id.clone());
@@ -64,7 +63,7 @@
     }
 }
 
-/// The id of an open request; dropped, another request may have it.
+/// The id of an open request. Dropping it releases the id.
 pub(super) struct ReservedRequestId {
     context: Rc<ClientContext>,
     id: Rc<str>,
--- a/src/client/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -1,25 +1,24 @@
-//! Reads a client's statement as a request: what the statement says is checked against the classes, groups and sessions
-//! that are served.
+//! Parses a query as a request for the database hosts, and checks it against the classes, groups and sessions that are
+//! served.
 
+use crate::client::client_event::Query;
 use crate::client::context::{ClientContext, ReservedRequestId};
 use crate::facade::{Request, SessionRef};
 use crate::postgres::sqlstate;
 use crate::sql::statement::{Statement, StatementError};
 use crate::{Class, Effect, Need, Time};
-use bytes::Bytes;
 use petrelgauge_lifecycle::class_table::IdempotencyKey;
 use petrelgauge_lifecycle::request_table::ClassLookup;
 use petrelgauge_sessions::{SessionKey, SessionTokens, TokenError};
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Statements and error details carry spans in milliseconds, times here are in microseconds.
+/// Statements and error details carry durations in milliseconds; clock times are in microseconds.
 pub(super) const MICROSECONDS_PER_MILLISECOND: Time = 1000;
-/// How many times the longest wait of its class a request may ask for. Two attempts' time would be generous; no client
-/// of the class waits longer than its deadline.
+/// A request may ask for at most this many times the longest wait of its class.
 const MAX_WAIT_FACTOR: Time = 2;
 
-/// Why a statement cannot be used. Its text is the message that the client gets.
+/// Why a statement is unusable. The text is the message that the client gets.
 #[derive(Debug, Error)]
 pub(super) enum UnusableStatement {
     #[error(transparent)]
@@ -55,7 +54,7 @@
     }
 }
 
-/// A request that can be admitted, with the statement that is sent for it. Its id is reserved for as long as it lives.
+/// A request that can be admitted, with the statement that is sent to a host. Its id is reserved for as long as it lives.
 pub(super) struct ClientRequest {
     pub(super) request: Request,
     pub(super) statement: Rc<Statement>,
@@ -63,53 +62,53 @@
 }
 
 impl ClientRequest {
-    /// The session that it belongs to, if any.
+    /// The session that the request belongs to, if any.
     pub(super) fn session_key(&self) -> Option<SessionKey> {
         self.request.session.as_ref().map(|session| session.key)
     }
 }
 
 impl ClientContext {
-    /// Reads a statement that came at this time, on a connection that holds these tokens.
+    /// Parses a query of a connection with these session tokens.
     ///
     /// # Errors
     ///
-    /// Why the statement cannot be used.
+    /// Why the statement is unusable.
     pub(super) fn parse_request(
         self: &Rc<Self>,
-        text: &Bytes,
-        at: Time,
+        query: &Query,
         connection_tokens: &SessionTokens,
     ) -> Result<ClientRequest, UnusableStatement> {
-        let statement = Statement::parse(text)?;
+        let arrived_at = query.arrived_at;
+        let statement = Statement::parse(&query.text)?;
         let ClassLookup { index: class_index, class } = self
             .facade
-            .read(|table| table.find_class(at, &statement.class, statement.idempotency_key))
+            .read(|table| table.find_class(arrived_at, &statement.class, statement.idempotency_key))
             .ok_or(UnusableStatement::UnknownClass)?;
         let wait = microseconds(statement.wait_ms);
-        self.check(&statement, &class, wait, at)?;
-        let session = self.session_of(class_index, &statement, at, connection_tokens)?;
+        self.check(&statement, &class, wait, arrived_at)?;
+        let session = self.session_of(class_index, &statement, arrived_at, connection_tokens)?;
         let id = self.reserve_request_id(&statement.id).ok_or(UnusableStatement::DuplicateId)?;
         let reads_session = class.need == Need::Session;
         let request = Request {
             class: class_index,
             group: statement.group,
-            deadline: at.saturating_add(wait),
+            deadline: arrived_at.saturating_add(wait),
             is_retry: statement.is_retry,
-            arrived_at: at,
+            arrived_at,
             required_position: statement.after_ms.filter(|_| reads_session).map(microseconds),
             session,
         };
         Ok(ClientRequest { request, statement: Rc::new(statement), _id: id })
     }
 
-    /// Checks what a statement asks for against its class and the groups that are served.
+    /// Checks a statement against its class and the groups that are served.
     fn check(
         &self,
         statement: &Statement,
         class: &Class,
         wait: Time,
-        at: Time,
+        arrived_at: Time,
     ) -> Result<(), UnusableStatement> {
         if statement.is_write != (class.need == Need::Write) {
             return Err(UnusableStatement::ClassMismatch);
@@ -119,7 +118,10 @@
             return Err(UnusableStatement::MissingIdempotencyKey);
         }
         if wait
-            > self.facade.read(|table| table.longest_wait(at, &class.name)).saturating_mul(MAX_WAIT_FACTOR)
+            > self
+                .facade
+                .read(|table| table.longest_wait(arrived_at, &class.name))
+                .saturating_mul(MAX_WAIT_FACTOR)
         {
             return Err(UnusableStatement::WaitTooLong);
         }
@@ -129,25 +131,24 @@
         Ok(())
     }
 
-    /// The session of a request, if its class carries sessions, with the tokens that its comment or its connection
-    /// brought.
+    /// The session of a request, if its class has sessions, with the tokens of its comment and of its connection.
     fn session_of(
         &self,
         class_index: usize,
         statement: &Statement,
-        at: Time,
+        now: Time,
         connection_tokens: &SessionTokens,
     ) -> Result<Option<SessionRef>, TokenError> {
         if !self.facade.read(|table| table.class_has_sessions(class_index)) {
             return Ok(None);
         }
         let name = statement.session.as_ref().unwrap_or(&statement.name);
-        let of_statement = statement.session_tokens.iter().flat_map(|text| text.split('+'));
-        let tokens: Vec<&str> = of_statement
+        let statement_tokens = statement.session_tokens.iter().flat_map(|text| text.split('+'));
+        let tokens: Vec<&str> = statement_tokens
             .filter(|token| !token.is_empty())
             .chain(connection_tokens.for_group(statement.group))
             .collect();
-        self.facade.read(|table| table.session_ref(at, statement.group, name, &tokens))
+        self.facade.read(|table| table.session_ref(now, statement.group, name, &tokens))
     }
 }
 
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -1,8 +1,9 @@
 //! One client's connection: PostgreSQL's simple queries in, one final answer out for each.
 
 use crate::client::cancel_registry::RegisteredKey;
+use crate::client::client_event::{ClientEvent, Payload, ProtocolError, Query};
 use crate::client::context::ClientContext;
-use crate::client::reader::{ClientEvent, ClientReader, ProtocolError, UNFINISHED, UNKNOWN};
+use crate::client::reader::ClientReader;
 use crate::os::socket::{self, Unread};
 use crate::postgres::{self, Severity};
 use crate::resources::budget::Idleness;
@@ -15,209 +16,292 @@
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::WriteHalf;
+use tokio::net::TcpStream;
 use tokio::sync::{watch, Notify};
 
-/// Span after a request's end in which its client must have taken the answer (microseconds).
-const TAKING: Time = 2_000_000;
-/// Span in which a client that is cut off may send to the end and read the reason, and in which one that is closed for
-/// the stop may take its last answer (microseconds).
-const LINGER: Time = 1_000_000;
-/// While clients are being closed: span after its coming in which a client that has asked for nothing yet is left to
-/// (microseconds), since its first query may be on its way.
-const FIRST_WORD: Time = 500_000;
-/// The same for a message that has begun, from the first wish to close on, and between two looks at it.
-const LAST_MESSAGE: Time = 2_000_000;
-const LOOK: Time = 20_000;
+/// Time after a request's deadline within which its client must read the answer (microseconds).
+const ANSWER_WRITE_TIMEOUT: Time = 2_000_000;
+/// Time after the write half was closed within which the client may read the rest and close its side (microseconds).
+const LINGERING_CLOSE_TIMEOUT: Time = 1_000_000;
+/// Time after its accept before which a client without a query is not closed for a drain or stop (microseconds): its first
+/// query may be on its way.
+const FIRST_QUERY_GRACE_PERIOD: Time = 500_000;
+/// Time after the last use of the connection until which a client that has begun a message is not closed for a drain or stop
+/// (microseconds).
+const PARTIAL_MESSAGE_GRACE_PERIOD: Time = 2_000_000;
+/// Interval at which a message that has begun is checked during that time (microseconds).
+const PARTIAL_MESSAGE_POLL_INTERVAL: Time = 20_000;
 
+/// The answer to a request for encryption.
+const ENCRYPTION_DECLINED: u8 = b'N';
+
+/// The connection of one client, owned by its task.
 pub(super) struct ClientSession<'a> {
     pub(super) context: Rc<ClientContext>,
     pub(super) reader: ClientReader<'a>,
     pub(super) writer: WriteHalf<'a>,
-    pub(super) shed: Rc<Notify>,
     pub(super) serving_state: watch::Receiver<ServingState>,
-    /// A wish to close it is put off to this time.
-    pub(super) close_from: Time,
-    /// What cancels its open query.
     pub(super) cancel_key: RegisteredKey,
-    /// Session tokens that it set.
+    /// Session tokens that the client has set for its connection.
     pub(super) session_tokens: SessionTokens,
+    /// Notified when the connection is to be closed to free its descriptor.
+    shed: Rc<Notify>,
+    /// Clock time before which the connection is not closed for a drain or stop.
+    no_close_before: Time,
 }
 
-impl ClientSession<'_> {
-    pub(super) async fn run(&mut self) -> End {
-        match self.talk().await {
-            Ok(end) | Err(end) => end,
+impl<'a> ClientSession<'a> {
+    /// The session of the client with this number.
+    pub(super) fn new(
+        context: Rc<ClientContext>,
+        stream: &'a mut TcpStream,
+        number: u32,
+    ) -> ClientSession<'a> {
+        let (reader, writer) = stream.split();
+        ClientSession {
+            reader: ClientReader::new(reader, &context),
+            writer,
+            serving_state: context.serving_state.clone(),
+            cancel_key: context.cancel_registry.register(number),
+            session_tokens: SessionTokens::default(),
+            shed: Rc::new(Notify::new()),
+            no_close_before: 0,
+            context,
         }
     }
 
-    /// Tells the connection's life what happens and does what it says, until it ends.
-    async fn talk(&mut self) -> Result<End, End> {
+    /// Drives the connection's state machine until the connection ends, and returns how it ended.
+    pub(super) async fn run_until_closed(&mut self) -> End {
         let clock = self.context.clock;
-        let mut life = ClientConnection::new(clock.now());
+        let mut connection = ClientConnection::new(clock.now());
         loop {
-            let event = self.hear(&life).await;
-            let mut out = Vec::new();
-            event.cancel.into_iter().for_each(|key| self.context.cancel_registry.cancel(key));
-            let mut action = life.on(clock.now(), event.event);
-            if action == Action::AnswerQuery {
-                let (text, at) = event.query.unwrap_or_default();
-                let event = match self.query(text, at).await {
-                    Ok(used) => Event::Answered(used),
-                    Err(end) => Event::Disconnected(end),
-                };
-                action = life.on(clock.now(), event);
+            let ClientEvent { event, payload } = self.next_event(&connection).await;
+            if let Payload::Cancel(key) = &payload {
+                self.context.cancel_registry.cancel(*key);
             }
-            match action {
-                Action::Wait | Action::AnswerQuery | Action::Pause { .. } => continue,
-                Action::Close(end) => {
-                    if matches!(end, End::Stopped | End::ClientIdle) {
-                        self.wait_for_close().await;
-                    }
-                    return Ok(end);
-                }
-                Action::CutOff(CutOffReason::IncompleteMessage) => return self.cut_off(UNFINISHED).await,
-                Action::CutOff(_) => return self.cut_off(event.error.unwrap_or(UNKNOWN)).await,
-                Action::DeclineEncryption => out.push(b'N'),
-                Action::AcceptStartup => {
-                    postgres::put_startup_answer(&mut out, event.minor, self.cancel_key.key)
+            let mut action = connection.on(clock.now(), event);
+            if let (Action::AnswerQuery, Payload::Query(query)) = (action, &payload) {
+                let answered = self.answer_query(query).await;
+                action = connection.on(clock.now(), answered);
+            }
+            match self.perform(action, &payload).await {
+                Ok(None) => {}
+                Ok(Some(end)) | Err(end) => return end,
+            }
+        }
+    }
+
+    async fn answer_query(&mut self, query: &Query) -> Event {
+        match self.answer(query).await {
+            Ok(outcome) => Event::Answered(outcome),
+            Err(end) => Event::Disconnected(end),
+        }
+    }
+
+    /// Performs an action of the state machine. Returns how the connection ended, if it did.
+    async fn perform(&mut self, action: Action, payload: &Payload) -> Result<Option<End>, End> {
+        let mut out = Vec::new();
+        match (action, payload) {
+            (Action::Wait | Action::AnswerQuery | Action::Pause { .. }, _) => return Ok(None),
+            (Action::Close(end), _) => {
+                if matches!(end, End::Stopped | End::ClientIdle) {
+                    self.close_lingering().await;
                 }
-                Action::SendReady => postgres::put_ready(&mut out),
-                Action::RejectUnsupported { then_ready: ready } => {
-                    put_unsupported(&mut out);
-                    if ready {
-                        postgres::put_ready(&mut out);
-                    }
+                return Ok(Some(end));
+            }
+            (Action::CutOff(reason), payload) => {
+                return self.cut_off(protocol_error(reason, payload)).await.map(Some);
+            }
+            (Action::DeclineEncryption, _) => out.push(ENCRYPTION_DECLINED),
+            (Action::AcceptStartup, payload) => {
+                postgres::put_startup_answer(&mut out, minor_version(payload), self.cancel_key.key);
+            }
+            (Action::SendReady, _) => postgres::put_ready(&mut out),
+            (Action::RejectUnsupported { then_ready }, _) => {
+                put_unsupported(&mut out);
+                if then_ready {
+                    postgres::put_ready(&mut out);
                 }
             }
-            self.write(&out[..], clock.now()).await?;
-        }
-    }
-
-    /// Waits for what happens next. What the client sent goes before every reason to close.
-    async fn hear(&mut self, life: &ClientConnection) -> ClientEvent {
-        let (context, shed, mut serving_state) =
-            (self.context.clone(), self.shed.clone(), self.serving_state.clone());
-        let clock = context.clock;
-        if let ClientState::Pausing { until } = life.state() {
-            return tokio::select! {
-                () = clock.sleep_until(until) => Event::PauseEnded.into(),
-                end = self.reader.left() => match self.reader.is_failed_with(end) {
-                    true => Event::PauseEnded.into(),
-                    false => Event::Disconnected(end).into(),
-                },
-            };
-        }
-        let IdleSince { kind: why, since } = life.idle_since();
-        // The process may be killed soon: nothing more is read, and what was read is answered first.
-        let over = clock.now() >= context.final_read_deadlines.get().of(why);
-        let done = !self.reader.holds(life.state()) && !self.reader.is_behind();
-        if serving_state.borrow().closes_idle_clients() && over && done {
+        }
+        self.write(&out[..], self.context.clock.now()).await?;
+        Ok(None)
+    }
+
+    /// Returns the next event. Bytes from the client take precedence over every reason to close.
+    async fn next_event(&mut self, connection: &ClientConnection) -> ClientEvent {
+        let state = connection.state();
+        if let ClientState::Pausing { until } = state {
+            return self.next_event_in_pause(until).await;
+        }
+        if self.is_past_final_read(connection) {
             return Event::Stop { has_unread: false }.into();
         }
-        let _idle = context.budget.register_idle(why, since, &shed);
-        // A client that has just come is about to say something.
-        let close_from = self.close_from.max(if why == Idleness::New { since + FIRST_WORD } else { since });
-        let closed = async {
-            let wished =
-                serving_state.wait_for(|serving_state| serving_state.closes_idle_clients()).await.is_ok();
-            clock.sleep_until(close_from.min(context.final_answer_deadline.get())).await;
-            wished
-        };
+        let (context, shed) = (self.context.clone(), self.shed.clone());
+        let IdleSince { kind, since } = connection.idle_since();
+        let _idle = context.budget.register_idle(kind, since, &shed);
+        let grace_period = if kind == Idleness::New { FIRST_QUERY_GRACE_PERIOD } else { 0 };
+        let no_close_before = self.no_close_before.max(since + grace_period);
+        let close_requested = close_requested(&context, self.serving_state.clone(), no_close_before);
         tokio::select! {
             biased;
-            event = self.reader.hear(life.state()) => event,
-            () = shed.notified() => {
-                let unread = self.unread(life.state()).await;
-                if unread {
-                    // It was asked to make room, and still is once that is answered.
-                    shed.notify_one();
-                }
-                Event::Shed { has_unread: unread }.into()
-            }
-            _ = closed => {
-                let last = context.final_answer_deadline.get().min(since + LAST_MESSAGE);
-                let begun = !self.reader.framer.is_empty() && clock.now() < last;
-                let unread = self.unread(life.state()).await;
-                self.close_from = if begun { clock.now() + LOOK } else { self.close_from };
-                Event::Stop { has_unread: unread || begun }.into()
-            }
-            () = clock.sleep_until(life.timeout_at()) => {
-                let unread = self.unread(life.state()).await;
-                Event::Timeout { has_unread: unread, partial_at: self.reader.partial_at() }.into()
-            }
+            event = self.reader.next_event(state) => event,
+            () = shed.notified() => self.on_shed(state).await,
+            () = close_requested => self.on_close_requested(state, since).await,
+            () = context.clock.sleep_until(connection.timeout_at()) => self.on_timeout(state).await,
+        }
+    }
+
+    async fn next_event_in_pause(&mut self, until: Time) -> ClientEvent {
+        let clock = self.context.clock;
+        tokio::select! {
+            () = clock.sleep_until(until) => Event::PauseEnded.into(),
+            end = self.reader.disconnected() => if self.reader.is_failed_with(end) {
+                Event::PauseEnded.into()
+            } else {
+                Event::Disconnected(end).into()
+            },
+        }
+    }
+
+    /// Whether the connection is closed for a stop without another read: the process may be killed soon, and everything that
+    /// was read has been answered.
+    fn is_past_final_read(&mut self, connection: &ClientConnection) -> bool {
+        let read_deadline = self.context.final_read_deadlines.get().of(connection.idle_since().kind);
+        self.serving_state.borrow().closes_idle_clients()
+            && self.context.clock.now() >= read_deadline
+            && !self.reader.has_event(connection.state())
+            && !self.reader.is_behind()
+    }
+
+    async fn on_shed(&mut self, state: ClientState) -> ClientEvent {
+        let has_unread = self.has_unread(state).await;
+        if has_unread {
+            // The descriptor is still needed once these bytes are answered.
+            self.shed.notify_one();
+        }
+        Event::Shed { has_unread }.into()
+    }
+
+    async fn on_close_requested(&mut self, state: ClientState, idle_since: Time) -> ClientEvent {
+        let clock = self.context.clock;
+        let partial_message_deadline =
+            self.context.final_answer_deadline.get().min(idle_since + PARTIAL_MESSAGE_GRACE_PERIOD);
+        let awaits_message = self.reader.has_partial_message() && clock.now() < partial_message_deadline;
+        let has_unread = self.has_unread(state).await;
+        if awaits_message {
+            self.no_close_before = clock.now() + PARTIAL_MESSAGE_POLL_INTERVAL;
         }
+        Event::Stop { has_unread: has_unread || awaits_message }.into()
     }
 
-    /// Whether something lies there that has not been taken up: a query that was read is lost if its connection ends,
-    /// and one that was not has to be sent again. The kernel is asked itself, for the reactor has not yet event of what
-    /// came a moment ago. After it the reactor knows.
-    async fn unread(&mut self, state: ClientState) -> bool {
-        if self.reader.holds(state) {
+    async fn on_timeout(&mut self, state: ClientState) -> ClientEvent {
+        let has_unread = self.has_unread(state).await;
+        Event::Timeout { has_unread, partial_at: self.reader.partial_at() }.into()
+    }
+
+    /// Whether the socket or the reader has bytes that were not handled yet. A query that was read but not answered is lost
+    /// when the connection closes; an unread one can be retried by the client elsewhere.
+    ///
+    /// Asks the kernel, since the reactor may not know yet of bytes that have just arrived, and then lets the reactor run.
+    async fn has_unread(&mut self, state: ClientState) -> bool {
+        if self.reader.has_event(state) {
             return true;
         }
         if !self.reader.may_read() {
             // It waits for memory in the middle of a message.
             return false;
         }
-        let unread = socket::unread_on(self.writer.as_ref()) == Unread::Bytes;
-        if unread {
+        let has_unread = socket::unread_on(self.writer.as_ref()) == Unread::Bytes;
+        if has_unread {
             tokio::task::yield_now().await;
         }
-        unread
+        has_unread
     }
 
-    /// The last answers of a stop were due.
-    pub(super) fn late(&self) -> bool {
+    /// Whether the gateway stops and the time for answers is over.
+    pub(super) fn is_past_final_answer(&self) -> bool {
         self.context.clock.now() >= self.context.final_answer_deadline.get()
     }
 
-    /// Says why the connection ends, and ends it.
+    /// Sends the client the reason why its connection ends, and ends it.
     async fn cut_off(&mut self, error: ProtocolError) -> Result<End, End> {
-        let mut out = Vec::new();
-        postgres::put_error(&mut out, Severity::Fatal, error.code, error.text, None);
         let clock = self.context.clock;
+        let mut out = Vec::new();
+        postgres::put_error(&mut out, Severity::Fatal, error.sqlstate, error.message, None);
         self.reader.fail(error);
         self.write(&out[..], clock.now()).await?;
-        // Closed with bytes unread, the connection would be reset and the client not see the reason.
+        // Closing a socket with unread bytes resets the connection, and the client would not see the reason.
         let _ = self.writer.shutdown().await;
         let _idle = self.context.budget.register_idle(Idleness::CutOff, clock.now(), &self.shed);
-        let by = clock.now() + LINGER;
+        let close_at = clock.now() + LINGERING_CLOSE_TIMEOUT;
         tokio::select! {
             () = self.reader.discard() => {}
             () = self.shed.notified() => {}
-            () = clock.sleep_until(by) => {}
+            () = clock.sleep_until(close_at) => {}
         }
         Ok(error.end)
     }
 
-    /// Closes the write half and waits until the client has closed too, so that an answer that it has not taken to the
-    /// end is not lost to the reset that bytes of it cause once the socket is closed. Nothing more is read: a query
-    /// that was read here would have no answer, and one that was not is sent again to another gateway.
-    async fn wait_for_close(&mut self) {
+    /// Closes the write half and waits until the client has closed too, so that it gets the rest of its last answer: closing
+    /// a socket with unread bytes resets the connection. Nothing more is read, since a query that is read here gets no answer,
+    /// while an unread one can be retried elsewhere.
+    async fn close_lingering(&mut self) {
         let _ = self.writer.shutdown().await;
         let now = self.context.clock.now();
-        let by = (now + LINGER).min(self.context.final_answer_deadline.get());
+        let close_at = (now + LINGERING_CLOSE_TIMEOUT).min(self.context.final_answer_deadline.get());
         let _idle = self.context.budget.register_idle(Idleness::CutOff, now, &self.shed);
         tokio::select! {
             () = self.reader.closed() => {}
             () = self.shed.notified() => {}
-            () = self.context.clock.sleep_until(by) => {}
+            () = self.context.clock.sleep_until(close_at) => {}
         }
     }
 
-    /// Writes all of it, or ends the connection of a client that does not take it.
-    pub(super) async fn write(&mut self, mut bytes: impl Buf, end: Time) -> Result<(), End> {
-        // A request that waited behind others may end long after its time.
-        let by = end.max(self.context.clock.now()) + TAKING;
+    /// Writes all of `bytes`. `deadline` is that of the answered request; a client that does not read the answer soon after
+    /// it is disconnected.
+    ///
+    /// # Errors
+    ///
+    /// How the connection ended: [`End::ClientLeft`] or [`End::ClientStuck`].
+    pub(super) async fn write(&mut self, mut bytes: impl Buf, deadline: Time) -> Result<(), End> {
+        // A request that waited behind others may end long after its deadline.
+        let write_deadline = deadline.max(self.context.clock.now()) + ANSWER_WRITE_TIMEOUT;
         tokio::select! {
             biased;
             written = socket::write_all(self.writer.as_ref(), &mut bytes) => written.map_err(|_| End::ClientLeft),
             () = self.reader.read_ahead() => Err(End::ClientLeft),
-            () = self.context.clock.sleep_until(by) => Err(End::ClientStuck),
+            () = self.context.clock.sleep_until(write_deadline) => Err(End::ClientStuck),
         }
     }
 }
 
+/// Waits until idle clients are to be closed, and then until `no_close_before` or the time of the last answers.
+async fn close_requested(
+    context: &ClientContext,
+    mut serving_state: watch::Receiver<ServingState>,
+    no_close_before: Time,
+) {
+    // An error means that the gateway has ended.
+    let _ = serving_state.wait_for(|state| state.closes_idle_clients()).await;
+    context.clock.sleep_until(no_close_before.min(context.final_answer_deadline.get())).await;
+}
+
+fn protocol_error(reason: CutOffReason, payload: &Payload) -> ProtocolError {
+    match (reason, payload) {
+        (CutOffReason::IncompleteMessage, _) => ProtocolError::INCOMPLETE_MESSAGE,
+        (CutOffReason::ProtocolError, Payload::ProtocolError(error)) => *error,
+        (CutOffReason::ProtocolError | CutOffReason::UnknownMessage, _) => ProtocolError::UNKNOWN_MESSAGE,
+    }
+}
+
+fn minor_version(payload: &Payload) -> u16 {
+    match payload {
+        Payload::Startup { minor_version } => *minor_version,
+        _ => 0,
+    }
+}
+
 fn put_unsupported(out: &mut Vec<u8>) {
     postgres::put_error(out, Severity::Error, "0A000", "only simple queries are served", None);
 }
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -19,7 +19,7 @@
 use petrelgauge::resources::counters::{Counters, Gauge};
 use petrelgauge::{MemberId, Time};
 use petrelgauge_handover::Reservation;
-use petrelgauge_lifecycle::gateway::{Gateway, ServingState};
+use petrelgauge_lifecycle::gateway::{Gateway, ListenerSharing, ServingState};
 use petrelgauge_lifecycle::ops::MAX_CALLERS;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -61,8 +61,9 @@
     let full_reservation = Rc::new(Cell::new(full_reservation(&config, decisions.max_open_requests)));
     let resources = Resources::new(&config, clock, decisions.facade.clone());
     // Where the platform holds the clients' socket, another process of this gateway may run, or have run a moment ago.
-    let shared = inherited.is_some();
-    let handover = shared.then(|| Rc::new(open_handover(&config)));
+    let sharing =
+        if inherited.is_some() { ListenerSharing::WithSuccessor } else { ListenerSharing::Exclusive };
+    let handover = inherited.is_some().then(|| Rc::new(open_handover(&config)));
     let dependencies = resources.dependencies(adopt_learned_state(&handover, &resources));
     let mut control = ControlPlane::new(&mut config, decisions, dependencies, datagram::bind).await?;
     let list_deadline = clock.now() + INITIAL_LIST_TIMEOUT;
@@ -93,7 +94,7 @@
     tasks.spawn_local(accept_clients(
         client_context.clone(),
         listener,
-        shared,
+        sharing,
         has_received_list,
         list_deadline,
     ));
@@ -107,7 +108,7 @@
         handover,
         list_deadline,
         full_reservation,
-        lifecycle: Gateway::new(shared),
+        lifecycle: Gateway::new(sharing),
         serving_state,
         discovery_address,
         commands,
@@ -235,7 +236,7 @@
 async fn accept_clients(
     client_context: Rc<ClientContext>,
     listener: TcpListener,
-    shared: bool,
+    sharing: ListenerSharing,
     has_received_list: Rc<Cell<bool>>,
     list_deadline: Time,
 ) {
@@ -244,8 +245,8 @@
         let incomplete = client_context.host_pool.listed_count() == 0 || !has_received_list.get();
         clock.now() < list_deadline && incomplete
     };
-    while shared && hosts_are_missing() {
+    while sharing == ListenerSharing::WithSuccessor && hosts_are_missing() {
         clock.sleep_until(clock.now() + HOSTS_POLL_INTERVAL).await;
     }
-    client_context.accept(listener, shared).await
+    client_context.accept(listener, sharing).await
 }
--- a/tests/accept_loop.rs
+++ b/tests/accept_loop.rs
@@ -1,9 +1,9 @@
-//! The loop that accepts clients, before a listener whose calls fail by a script: whoever is in the backlog is accepted.
+//! The loop that accepts clients, on a listener whose calls fail by a script: clients in the listen backlog are accepted.
 
 use petrelgauge::client::accept_loop::{AcceptLoop, ClientHandler};
 use petrelgauge::os::clock::Clock;
 use petrelgauge::os::socket::Acceptor;
-use petrelgauge_lifecycle::gateway::ServingState;
+use petrelgauge_lifecycle::gateway::{ListenerSharing, ServingState};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Nothing that works takes so long; what does not work fails then and does not hang.
-const NEVER: Duration = Duration::from_secs(60);
+/// A test that takes this long fails instead of hanging.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A listener whose next calls end so. Behind them, and where one is None, nothing is there yet.
+/// A listener whose calls return these results in order. After them, and for None, no client is there.
 struct ScriptedAcceptor {
     script: RefCell<VecDeque<Option<Result<u32, i32>>>>,
 }
@@ -48,13 +48,17 @@
     }
 }
 
-fn accept_all(script: VecDeque<Option<Result<u32, i32>>>, state: ServingState, shared: bool) -> Accepted {
+fn accept_all(
+    script: VecDeque<Option<Result<u32, i32>>>,
+    state: ServingState,
+    sharing: ListenerSharing,
+) -> Accepted {
     let (acceptor, accepted) = (ScriptedAcceptor { script: RefCell::new(script) }, Accepted::default());
     let (states, receiver) = watch::channel(state);
-    let accept_loop = AcceptLoop { clock: Clock::start(), state: receiver, shared };
+    let accept_loop = AcceptLoop { clock: Clock::start(), state: receiver, sharing };
     play(async {
         tokio::join!(accept_loop.run(&acceptor, &accepted), async {
-            // By now some calls have been made, and the loop pauses or goes on.
+            // The stop comes in the middle of the script.
             tokio::time::sleep(Duration::from_millis(1)).await;
             states.send_replace(ServingState::Stopped);
         })
@@ -64,11 +68,11 @@
 
 fn play(played: impl std::future::Future) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(async { tokio::time::timeout(NEVER, played).await.expect("it returns") });
+    runtime.block_on(async { tokio::time::timeout(TEST_TIMEOUT, played).await.expect("it returns") });
 }
 
 #[test]
-fn whoever_is_in_the_backlog_at_the_stop_is_accepted_through_failures() {
+fn clients_in_the_backlog_at_a_stop_are_accepted_despite_failures() {
     const FAILURES: [i32; 8] = [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -88,39 +92,42 @@
                 script.extend((0..failures).map(|_| Some(Err(FAILURES[rng.next_u32() as usize % 8]))));
                 script.push_back(Some(Ok(client)));
             }
-            let accepted = accept_all(script, state, false);
+            let accepted = accept_all(script, state, ListenerSharing::Exclusive);
             assert_eq!(*accepted.clients.borrow(), Vec::from_iter(0..8), "seed {seed}, {state:?}");
         }
     }
 }
 
-// It was paused after, as if descriptors were short, and clients that could be spared were closed for it.
+// Such failures were once treated as a shortage: the loop paused, and idle clients were closed.
 #[test]
-fn a_client_that_left_the_backlog_and_a_signal_are_no_shortage() {
+fn a_disconnected_client_or_a_signal_is_no_resource_shortage() {
     let gone = [libc::ECONNABORTED, libc::EINTR, libc::EPROTO, libc::ENETUNREACH].repeat(200);
     let script = gone.into_iter().map(|number| Some(Err(number))).chain([Some(Ok(1))]).collect();
-    let accepted = accept_all(script, ServingState::Stopped, false);
+    let accepted = accept_all(script, ServingState::Stopped, ListenerSharing::Exclusive);
     assert_eq!((accepted.clients.take(), accepted.shortages.get()), (vec![1], 0));
     let short = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     let script = short.into_iter().map(|number| Some(Err(number))).chain([Some(Ok(1))]).collect();
-    let accepted = accept_all(script, ServingState::Stopped, false);
+    let accepted = accept_all(script, ServingState::Stopped, ListenerSharing::Exclusive);
     assert_eq!((accepted.clients.take(), accepted.shortages.get()), (vec![1], 4));
 }
 
-// The loop returned with the first look at an empty backlog, before the reactor had heard of who came a moment ago.
+// The loop once returned at the first empty backlog, before the reactor knew of a client that had just connected.
 #[test]
-fn a_client_that_the_reactor_reports_one_turn_after_the_stop_is_accepted() {
+fn a_client_that_the_reactor_reports_just_after_the_stop_is_accepted() {
     let script = VecDeque::from([None, Some(Ok(1))]);
-    assert_eq!(accept_all(script, ServingState::Stopped, false).clients.take(), [1]);
+    assert_eq!(accept_all(script, ServingState::Stopped, ListenerSharing::Exclusive).clients.take(), [1]);
 }
 
 #[test]
-fn a_backlog_that_is_shared_is_left_to_the_next_process() {
+fn a_shared_backlog_is_left_to_the_successor_process() {
     let script = VecDeque::from([Some(Ok(1))]);
-    assert!(accept_all(script, ServingState::Stopped, true).clients.take().is_empty());
+    assert!(accept_all(script, ServingState::Stopped, ListenerSharing::WithSuccessor)
+        .clients
+        .take()
+        .is_empty());
 }
 
-/// A listener that reports clients that have left, until something else had its turn.
+/// A listener that reports disconnected clients until another task has run.
 struct AbortedUntil<'a> {
     other_ran: &'a Cell<bool>,
     calls: Cell<u32>,
@@ -131,7 +138,7 @@
 
     async fn accept(&self) -> io::Result<u32> {
         self.calls.set(self.calls.get() + 1);
-        assert!(self.calls.get() < 10_000, "nothing else gets a turn");
+        assert!(self.calls.get() < 10_000, "no other task runs");
         match self.other_ran.get() {
             false => Err(io::Error::from_raw_os_error(libc::ECONNABORTED)),
             true => std::future::pending().await,
@@ -140,11 +147,12 @@
 }
 
 #[test]
-fn clients_that_leave_the_backlog_without_end_do_not_keep_others_from_their_turn() {
+fn endless_disconnects_in_the_backlog_do_not_starve_other_tasks() {
     let other_ran = Cell::new(false);
     let acceptor = AbortedUntil { other_ran: &other_ran, calls: Cell::new(0) };
     let (_states, receiver) = watch::channel(ServingState::Stopped);
-    let accept_loop = AcceptLoop { clock: Clock::start(), state: receiver, shared: false };
+    let accept_loop =
+        AcceptLoop { clock: Clock::start(), state: receiver, sharing: ListenerSharing::Exclusive };
     let accepted = Accepted::default();
     play(async { tokio::join!(accept_loop.run(&acceptor, &accepted), async { other_ran.set(true) }) });
 }
