--- /dev/null
+++ b/src/resources/budget/idle_clients.rs
@@ -0,0 +1,65 @@
+//! The clients that can be closed to free their descriptors.
+
+use crate::Time;
+use petrelgauge_lifecycle::client::Idleness;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// Idle clients by their idleness, and by the order of registration within it.
+#[derive(Default)]
+pub(super) struct IdleClients {
+    clients: RefCell<BTreeMap<IdleKey, IdleClient>>,
+    next_number: Cell<u64>,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleKey {
+    idleness: Idleness,
+    number: u64,
+}
+
+struct IdleClient {
+    idle_since: Time,
+    /// Notified when the client has to close.
+    close: Rc<Notify>,
+}
+
+impl IdleClients {
+    /// Registers a client until the guard is dropped.
+    pub(super) fn register(
+        idle_clients: &Rc<IdleClients>,
+        idleness: Idleness,
+        idle_since: Time,
+        close: &Rc<Notify>,
+    ) -> IdleGuard {
+        let number = idle_clients.next_number.get();
+        idle_clients.next_number.set(number + 1);
+        let key = IdleKey { idleness, number };
+        idle_clients.clients.borrow_mut().insert(key, IdleClient { idle_since, close: close.clone() });
+        IdleGuard { idle_clients: idle_clients.clone(), key }
+    }
+
+    /// Asks the client that registered first with this idleness to close, unless it became idle after `idle_before`.
+    /// Returns whether there is one.
+    pub(super) fn shed(&self, idleness: Idleness, idle_before: Time) -> bool {
+        let mut clients = self.clients.borrow_mut();
+        let keys = IdleKey { idleness, number: 0 }..=IdleKey { idleness, number: u64::MAX };
+        let first = clients.range(keys).next().filter(|(_, client)| client.idle_since <= idle_before);
+        let Some(key) = first.map(|(key, _)| *key) else { return false };
+        clients.remove(&key).map(|client| client.close.notify_one()).is_some()
+    }
+}
+
+/// The registration of a client that can be closed, which ends when it is dropped.
+pub struct IdleGuard {
+    idle_clients: Rc<IdleClients>,
+    key: IdleKey,
+}
+
+impl Drop for IdleGuard {
+    fn drop(&mut self) {
+        self.idle_clients.clients.borrow_mut().remove(&self.key);
+    }
+}
--- a/src/resources/counters.rs
+++ b/src/resources/counters.rs
@@ -1,15 +1,16 @@
-//! What the gateway took in, sent and answered, printed at exit and on request.
+//! The counters of the gateway, logged at exit and on SIGUSR1. The names of the fields are an interface to operators.
 
 use petrelgauge_lifecycle::ending::End;
 use std::cell::Cell;
 
 macro_rules! counters {
     ($($(#[$text:meta])* $name:ident,)*) => {
-        /// Counts since the start.
+        /// Counters since the start.
         #[derive(Default)]
         pub struct Counters {
-            $($(#[$text])* pub $name: Count,)*
-            ends: [Count; End::ALL.len()],
+            $($(#[$text])* pub $name: Counter,)*
+            /// Indexed by [`End`].
+            ends: [Counter; End::ALL.len()],
         }
 
         impl std::fmt::Display for Counters {
@@ -28,104 +29,104 @@
 counters! {
     /// Client connections accepted.
     clients,
-    /// Requests taken in.
+    /// Requests received.
     requests,
-    /// Of these, served.
+    /// Requests served.
     served,
-    /// Refused.
+    /// Requests rejected.
     rejected,
-    /// Failed.
+    /// Requests that failed in another way.
     failed,
-    /// Requests that their client cancelled.
+    /// Requests cancelled by their client.
     cancelled,
-    /// Requests whose client left before the answer.
+    /// Requests whose client disconnected before the answer.
     left,
-    /// Times that reading from a client paused at a bound.
+    /// Pauses of reading from a client because it reached a limit.
     read_pauses,
-    /// Statements that could not be used.
+    /// Statements rejected as malformed.
     bad_statements,
-    /// Load reports that made no sense.
+    /// Load reports with invalid values.
     bad_reports,
-    /// Attempts handed out by the decisions.
+    /// Attempts decided on.
     attempts,
     /// Attempts written completely to a database host.
     sent,
     /// Connections opened to database hosts.
     host_connects,
-    /// Changes of the list.
+    /// Endpoint lists applied.
     lists,
-    /// Updates of discovery that could not be used.
+    /// Endpoint lists and responses of discovery rejected.
     bad_lists,
-    /// Configurations read again and taken.
+    /// Configurations reloaded.
     reloads,
-    /// Configurations read again that could not be used.
+    /// Configurations rejected at a reload.
     bad_configs,
-    /// Watches of discovery begun.
+    /// Discovery watches opened.
     watches,
-    /// Times that a descriptor had to be freed.
+    /// Idle connections closed to free a descriptor.
     descriptors_freed,
-    /// Datagrams to other instances.
+    /// Datagrams sent to other gateways.
     datagrams_sent,
-    /// Bytes of them.
+    /// Bytes of the datagrams sent.
     datagram_bytes_sent,
-    /// Datagrams of other instances.
+    /// Datagrams received from other gateways.
     datagrams_received,
-    /// Bytes of them.
+    /// Bytes of the datagrams received.
     datagram_bytes_received,
-    /// Bytes that discovery's watch has brought.
+    /// Bytes received from the discovery watch.
     list_bytes,
-    /// Announced primaries that are known members.
+    /// Announcements of primaries that are on the endpoint list.
     primary_announcements,
-    /// Datagrams about leaderships that could not be used.
+    /// Datagrams about leadership roles that were rejected.
     bad_leadership_datagrams,
-    /// Callers of the second address.
+    /// Callers of the operators' address.
     calls,
-    /// Of these, answered with no.
+    /// Callers whose command was denied.
     calls_denied,
 }
 
-/// One count.
+/// A counter that only grows.
 #[derive(Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
-    /// One more.
+impl Counter {
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// So many more.
-    pub fn add_many(&self, more: usize) {
-        self.0.set(self.0.get() + more as u64);
+    /// Adds `count`.
+    pub fn add_many(&self, count: usize) {
+        self.0.set(self.0.get() + count as u64);
     }
 
-    /// So many.
+    /// The present value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// How many there are right now.
+/// The number of things that exist now.
 #[derive(Default)]
 pub struct Gauge(Cell<usize>);
 
 impl Gauge {
-    /// One more, for as long as the guard lives: also a task that panics is counted out again.
-    pub fn enter(&self) -> Entered<'_> {
+    /// Counts one more until the guard is dropped, which also happens when a task panics.
+    pub fn enter(&self) -> GaugeGuard<'_> {
         self.0.set(self.0.get() + 1);
-        Entered(self)
+        GaugeGuard(self)
     }
 
-    /// So many.
+    /// The present number.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 }
 
-/// One that is there.
-pub struct Entered<'a>(&'a Gauge);
+/// Counts one in a [`Gauge`] until it is dropped.
+pub struct GaugeGuard<'a>(&'a Gauge);
 
-impl Drop for Entered<'_> {
+impl Drop for GaugeGuard<'_> {
     fn drop(&mut self) {
         let Gauge(count) = self.0;
         count.set(count.get() - 1);
@@ -133,9 +134,9 @@
 }
 
 impl Counters {
-    /// A connection or an attempt ended.
+    /// Counts the end of a connection or an attempt.
     pub fn ended(&self, end: End) {
-        // A way to end that the table lacks must not end the gateway.
+        // An end that is missing in `End::ALL` must not bring the gateway down.
         if let Some(count) = self.ends.get(end as usize) {
             count.add();
         }
