--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,13 +1,13 @@
 //! Experiment `cost`: processor time of the gateway per 10,000 requests, in turns with an earlier build.
 
-use crate::client::{Answer, Connection};
+use crate::client::{ask, Answer};
 use crate::error::LabError;
 use crate::gateways::CLASSES;
 use crate::report::Verdict;
 use crate::statements::{group_of_row, insert_row, select_row};
 use crate::test_cluster::{gateway_program, ClusterPlan, TestCluster};
 use crate::Options;
-use petrelgauge_test_support::block_on;
+use petrelgauge_test_support::{block_on, Connection};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -133,7 +133,7 @@
         let comment = format!("id={id},c={},d=1200,cluster={},k={id}", CLASSES[class], group_of_row(row));
         let is_write = class == 2;
         let text = if is_write { insert_row(row, &comment) } else { select_row(row, &comment) };
-        let answer = connection.query(&text, TIME_LIMIT).await;
+        let answer = ask(&mut connection, &text, TIME_LIMIT).await;
         served += u64::from(matches!(answer, Answer::Row { .. }));
     }
     served
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,11 +1,11 @@
 //! A test cluster for a person with a client of their own, and a short demonstration of the gateway.
 
-use crate::client::{Answer, Connection, SQLSTATE_REJECTED};
+use crate::client::{ask, Answer, SQLSTATE_REJECTED};
 use crate::error::LabError;
 use crate::gateways::CLASSES;
 use crate::statements::{group_of_row, insert_row, select_row};
 use crate::test_cluster::{gateway_program, ClusterPlan, TestCluster};
-use petrelgauge_test_support::block_on;
+use petrelgauge_test_support::{block_on, Connection};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -115,7 +115,7 @@
         let comment = format!("id={client}d{request},c={name},d=1200,cluster={group},k={client}k{request}");
         let is_write = class == 2;
         let text = if is_write { insert_row(row, &comment) } else { select_row(row, &comment) };
-        match connection.query(&text, TIME_LIMIT).await {
+        match ask(&mut connection, &text, TIME_LIMIT).await {
             Answer::Row { .. } => counts[class].served += 1,
             Answer::Error { code, .. } if code == SQLSTATE_REJECTED => counts[class].rejected += 1,
             _ => counts[class].failed += 1,
--- a/crates/lab/src/emulated_hosts.rs
+++ b/crates/lab/src/emulated_hosts.rs
@@ -4,16 +4,15 @@
 use crate::statements::FIRST_GROUP;
 use petrelgauge::os::clock::Clock;
 use petrelgauge::postgres::cancel::CancelKey;
-use petrelgauge::postgres::{self, Framer, Opening, Severity};
+use petrelgauge::postgres::{self, Severity};
 use petrelgauge::Time;
-use petrelgauge_test_support::Endpoint;
+use petrelgauge_test_support::{row, Endpoint, HostConnection};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::rc::Rc;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
 /// How long a host works on a statement (microseconds).
@@ -22,8 +21,6 @@
 const HUNG_POLL_INTERVAL: Time = 5_000;
 /// Zone of every host.
 const ZONE: char = 'a';
-/// Bytes read from a connection at a time.
-const READ_BUFFER: usize = 16 * 1024;
 /// The class of request whose reads have a bound on staleness.
 const BOUNDED_CLASS: &str = "view";
 /// SQLSTATE of a read at a replica that is too far behind.
@@ -125,33 +122,15 @@
 
     /// Serves one connection, until it ends or an answer is lost on purpose.
     async fn serve(&self, mut stream: TcpStream, group: usize, member: usize) -> Option<()> {
-        let _ = stream.set_nodelay(true);
-        let (mut framer, mut buffer) = (Framer::default(), vec![0; READ_BUFFER]);
-        let mut is_open = false;
+        let mut connection = HostConnection::new(&mut stream);
+        let minor = connection.startup().await?;
+        let mut welcome = Vec::new();
+        postgres::put_startup_answer(&mut welcome, minor, CancelKey { process: 1, secret: 0 });
+        connection.write(&welcome).await?;
         loop {
-            if !is_open {
-                if let Some(opening) = framer.opening().ok()? {
-                    let Opening::Startup { minor } = opening else { return None };
-                    let mut welcome = Vec::new();
-                    postgres::put_startup_answer(&mut welcome, minor, CancelKey { process: 1, secret: 0 });
-                    stream.write_all(&welcome).await.ok()?;
-                    is_open = true;
-                    continue;
-                }
-            } else if let Some(message) = framer.message().ok()? {
-                if message.kind() != b'Q' {
-                    return None;
-                }
-                let text = message.text().ok()?;
-                let statement = Statement::parse(std::str::from_utf8(&text).ok()?)?;
-                let answer = self.answer(&statement, group, member).await?;
-                stream.write_all(&answer).await.ok()?;
-                continue;
-            }
-            match stream.read(&mut buffer).await {
-                Ok(0) | Err(_) => return None,
-                Ok(count) => framer.feed(&buffer[..count]),
-            }
+            let text = connection.next_query().await?;
+            let answer = self.answer(&Statement::parse(&text)?, group, member).await?;
+            connection.write(&answer).await?;
         }
     }
 
@@ -176,7 +155,7 @@
             if self.rng.borrow_mut().random_bool(self.lost_answer_share.get()) {
                 return None;
             }
-            put_row(&mut out, version.number);
+            out.extend(row(version.number.to_string().as_bytes()));
         } else {
             let code = if is_replica { SQLSTATE_READ_ONLY } else { SQLSTATE_INTERNAL_ERROR };
             postgres::put_error(&mut out, Severity::Error, code, "not the primary", None);
@@ -210,24 +189,10 @@
         let is_replica = state.members[member].role == MemberRole::Replica;
         let count = if is_replica { &self.replica_reads } else { &self.primary_reads };
         count.set(count.get() + 1);
-        put_row(out, result.version);
+        out.extend(row(result.version.to_string().as_bytes()));
     }
 }
 
-/// Appends a row whose one value is a version's number.
-fn put_row(out: &mut Vec<u8>, version: u64) {
-    postgres::put(out, b'T', |body| {
-        body.extend_from_slice(b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
-    });
-    let value = version.to_string();
-    postgres::put(out, b'D', |body| {
-        body.extend_from_slice(&[0, 1]);
-        body.extend_from_slice(&(value.len() as u32).to_be_bytes());
-        body.extend_from_slice(value.as_bytes());
-    });
-    postgres::put_complete(out, "SELECT 1");
-}
-
 /// The list entries of all emulated hosts, as JSON.
 pub fn emulated_host_entries(emulated_hosts: &EmulatedHosts) -> Vec<String> {
     let addresses = emulated_hosts.addresses.borrow();
--- a/crates/lab/src/sessions/gateway_connections.rs
+++ b/crates/lab/src/sessions/gateway_connections.rs
@@ -1,6 +1,7 @@
 //! A client's connections to the gateways of a cluster, kept open between requests.
 
-use crate::client::{Answer, Connection};
+use crate::client::{ask, Answer};
+use petrelgauge_test_support::Connection;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,7 +23,7 @@
         time_limit: Duration,
     ) -> Answer {
         if let Some(mut connection) = self.idle.remove(&gateway) {
-            let answer = connection.query(text, time_limit).await;
+            let answer = ask(&mut connection, text, time_limit).await;
             if answer != Answer::NoAnswer {
                 self.idle.insert(gateway, connection);
                 return answer;
@@ -31,7 +32,7 @@
         }
         for candidate in (gateway..addresses.len()).chain(0..gateway) {
             let Ok(mut connection) = Connection::open(addresses[candidate]).await else { continue };
-            let answer = connection.query(text, time_limit).await;
+            let answer = ask(&mut connection, text, time_limit).await;
             if answer != Answer::NoAnswer {
                 self.idle.insert(candidate, connection);
             }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -3,11 +3,13 @@
 #![allow(missing_docs)]
 
 mod child_process;
+mod connection;
 mod discovery;
 mod endpoint_list;
 mod gateway;
 mod harness;
 mod host;
+mod host_connection;
 mod list_service;
 mod local_runtime;
 mod messages;
@@ -20,12 +22,14 @@
 mod time;
 
 pub use child_process::ChildProcess;
+pub use connection::{Connection, ConnectionEnd, Message};
 pub use endpoint_list::{
     chunk, line_chunk, list_line, read_request_head, Endpoint, LAST_CHUNK, RESPONSE_HEAD,
 };
 pub use gateway::{Client, Gateway};
 pub use harness::{gateway_with_primary, Harness};
 pub use host::Host;
+pub use host_connection::HostConnection;
 pub use list_service::{FirstUpdate, ListService, ServiceState};
 pub use local_runtime::block_on;
 pub use messages::{
--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -5,14 +5,12 @@
 use super::gateways::GatewayProcess;
 use super::hosts::Host;
 use super::{uniform, Clock, Plan, Time};
-use petrelgauge_test_support::{field, query, startup};
+use petrelgauge_test_support::{field, Connection, ConnectionEnd, Message};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 /// A final answer that comes later than this past the request's time is lost.
@@ -77,7 +75,7 @@
     ledger: Rc<Ledger>,
     load: Rc<Cell<f64>>,
     /// Connections at rest.
-    idle: Rc<RefCell<Vec<TcpStream>>>,
+    idle: Rc<RefCell<Vec<Connection>>>,
 }
 
 /// What the sending of a request led to.
@@ -140,9 +138,9 @@
         let mut fate = Fate::NotTaken;
         // A request that crosses the end of a connection at rest is sent once more, on a new one.
         for is_new in [false, true] {
-            let Some(stream) = self.connection(is_new).await else { break };
+            let Some(connection) = self.connection(is_new).await else { break };
             sent = self.clock.now();
-            match self.send(stream, &query(&text), &id, deadline, leaves).await {
+            match self.send(connection, &text, &id, deadline, leaves).await {
                 Reply::Fate(sealed) => {
                     fate = sealed;
                     break;
@@ -156,56 +154,53 @@
     }
 
     /// A connection at rest, or a new one.
-    async fn connection(&self, is_new: bool) -> Option<TcpStream> {
-        if let Some(stream) = self.idle.borrow_mut().pop().filter(|_| !is_new) {
-            return Some(stream);
+    async fn connection(&self, is_new: bool) -> Option<Connection> {
+        if let Some(connection) = self.idle.borrow_mut().pop().filter(|_| !is_new) {
+            return Some(connection);
         }
-        let connect = TcpStream::connect(self.gateway.address);
-        let mut stream = timeout(CONNECT_WITHIN, connect).await.ok()?.ok()?;
-        let _ = stream.set_nodelay(true);
-        stream.write_all(&startup()).await.ok()?;
-        timeout(LATEST_ANSWER, until_ready(&mut stream)).await.ok()?.ok()?;
-        Some(stream)
+        let open = Connection::open(self.gateway.address);
+        let mut connection = timeout(CONNECT_WITHIN, open).await.ok()?.ok()?;
+        timeout(LATEST_ANSWER, connection.until_ready()).await.ok()?.ok()?;
+        Some(connection)
     }
 
     async fn send(
         &self,
-        mut stream: TcpStream,
-        query: &[u8],
+        mut connection: Connection,
+        text: &str,
         id: &str,
         deadline: Duration,
         leaves: bool,
     ) -> Reply {
-        if stream.write_all(query).await.is_err() {
+        if connection.send(text).await.is_err() {
             return Reply::Untaken;
         }
         if leaves {
             self.clock.sleep(deadline / 8).await;
             return Reply::Fate(Fate::Left);
         }
-        let fate = match timeout(deadline + LATEST_ANSWER, until_ready(&mut stream)).await {
+        let fate = match timeout(deadline + LATEST_ANSWER, connection.until_ready()).await {
             Err(_) => return Reply::Fate(Fate::Lost("no final answer in time")),
             Ok(Ok(messages)) => fate(&messages, id),
             // A reset tells that the query was not read, or that the process is gone; see the rules.
-            Ok(Err(End::Reset)) => return Reply::Untaken,
-            Ok(Err(End::Closed)) if is_reset_behind(&stream, self.clock).await => return Reply::Untaken,
-            Ok(Err(End::Closed)) => return Reply::Fate(Fate::Lost("closed after it was read")),
+            Ok(Err(ConnectionEnd::Reset)) => return Reply::Untaken,
+            Ok(Err(ConnectionEnd::Closed)) if is_reset_behind(&connection, self.clock).await => {
+                return Reply::Untaken
+            }
+            Ok(Err(ConnectionEnd::Malformed)) => {
+                return Reply::Fate(Fate::Lost("answered with what is no message"))
+            }
+            Ok(Err(ConnectionEnd::Closed)) => return Reply::Fate(Fate::Lost("closed after it was read")),
         };
-        self.idle.borrow_mut().push(stream);
+        self.idle.borrow_mut().push(connection);
         Reply::Fate(fate)
     }
 }
 
-/// How a connection ended.
-enum End {
-    Closed,
-    Reset,
-}
-
-async fn is_reset_behind(stream: &TcpStream, clock: Clock) -> bool {
+async fn is_reset_behind(connection: &Connection, clock: Clock) -> bool {
     let until = clock.now() + RESET_WITHIN.as_micros() as Time;
     while clock.now() < until {
-        if matches!(stream.take_error(), Ok(Some(_))) {
+        if matches!(connection.take_error(), Ok(Some(_))) {
             return true;
         }
         clock.sleep(Duration::from_millis(20)).await;
@@ -213,30 +208,7 @@
     false
 }
 
-async fn until_ready(stream: &mut TcpStream) -> Result<Vec<(u8, Vec<u8>)>, End> {
-    let mut messages = Vec::new();
-    loop {
-        let mut head = [0; 5];
-        read_all(stream, &mut head).await?;
-        let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let mut body = vec![0; length - 4];
-        read_all(stream, &mut body).await?;
-        messages.push((head[0], body));
-        if head[0] == b'Z' {
-            return Ok(messages);
-        }
-    }
-}
-
-async fn read_all(stream: &mut TcpStream, bytes: &mut [u8]) -> Result<(), End> {
-    match stream.read_exact(bytes).await {
-        Ok(_) => Ok(()),
-        Err(cause) if cause.kind() == std::io::ErrorKind::UnexpectedEof => Err(End::Closed),
-        Err(_) => Err(End::Reset),
-    }
-}
-
-fn fate(messages: &[(u8, Vec<u8>)], id: &str) -> Fate {
+fn fate(messages: &[Message], id: &str) -> Fate {
     if let Some((_, body)) = messages.iter().find(|(kind, _)| *kind == b'E') {
         let code = field(body, b'C');
         return if code == "53300" || code == "57P03" { Fate::Refused(code) } else { Fate::Failed(code) };
--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -2,8 +2,7 @@
 
 use super::classes::{by_name, CLASSES};
 use super::{uniform, Clock, Plan, Time};
-use petrelgauge::postgres::{Framer, Opening};
-use petrelgauge_test_support::{error, message, parameter_status, ready_for_query, row};
+use petrelgauge_test_support::{error, message, parameter_status, ready_for_query, row, HostConnection};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -11,7 +10,6 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
@@ -19,7 +17,6 @@
 pub const SLOTS: usize = 4;
 /// Requests that may wait at a host for a slot; it rejects more.
 const QUEUE: usize = 200;
-const READ_BUFFER: usize = 4 * 1024;
 
 /// Whether a host takes part.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -160,30 +157,15 @@
     }
 
     async fn answer_all(&self, stream: &mut TcpStream) -> Option<()> {
-        let _ = stream.set_nodelay(true);
-        let (mut framer, mut buffer, mut is_open) = (Framer::default(), vec![0; READ_BUFFER], false);
+        let mut connection = HostConnection::new(stream);
+        connection.startup().await?;
+        self.until_it_answers().await;
+        connection.write(&[message(b'R', &[0; 4]), ready_for_query()].concat()).await?;
         loop {
-            if !is_open {
-                if let Some(opening) = framer.opening().ok()? {
-                    let Opening::Startup { .. } = opening else { return None };
-                    self.until_it_answers().await;
-                    let welcome = [message(b'R', &[0; 4]), ready_for_query()].concat();
-                    stream.write_all(&welcome).await.ok()?;
-                    is_open = true;
-                    continue;
-                }
-            } else if let Some(message) = framer.message().ok()? {
-                let text = message.text().ok()?;
-                let statement = self.record(std::str::from_utf8(&text).ok()?)?;
-                let answer = self.work(&statement).await;
-                self.until_it_answers().await;
-                stream.write_all(&answer).await.ok()?;
-                continue;
-            }
-            match stream.read(&mut buffer).await {
-                Ok(0) | Err(_) => return None,
-                Ok(count) => framer.feed(&buffer[..count]),
-            }
+            let statement = self.record(&connection.next_query().await?)?;
+            let answer = self.work(&statement).await;
+            self.until_it_answers().await;
+            connection.write(&answer).await?;
         }
     }
 
