--- a/src/bin/petrelgauge-simulator-adapter.rs
+++ b/src/bin/petrelgauge-simulator-adapter.rs
@@ -1,5 +1,6 @@
-//! The adapter to the simulator: JSON lines in, JSON lines out, many routers in one process.
-//! It only translates; every decision is the library's.
+//! Adapter to the simulator: reads batches of events as JSON lines and answers each with a line of actions.
+//! One process runs the routers of many gateway instances. It only translates; all decisions are made by the
+//! library.
 #![forbid(unsafe_code)]
 
 #[path = "petrelgauge-simulator-adapter/adapter.rs"]
@@ -17,10 +18,10 @@
 use error::AdapterError;
 use std::io::{BufRead, Write};
 
-/// Exit code when the reply cannot be written: the simulator has gone.
+/// Exit code if a reply cannot be written because the simulator has ended.
 const OUTPUT_CLOSED: i32 = 1;
-/// Exit code when a line cannot be read or used.
-const INPUT_UNUSABLE: i32 = 2;
+/// Exit code if a line cannot be read or is invalid.
+const INVALID_INPUT: i32 = 2;
 
 fn main() {
     let stdin = std::io::stdin();
@@ -40,7 +41,7 @@
             Ok(reply) => writeln!(output, "{reply}").and_then(|()| output.flush()),
             Err(cause) => {
                 eprintln!("petrelgauge-simulator-adapter: line {number}: {cause}");
-                std::process::exit(INPUT_UNUSABLE);
+                std::process::exit(INVALID_INPUT);
             }
         };
         if sent.is_err() {
--- a/src/bin/petrelgauge-simulator-adapter/adapter.rs
+++ b/src/bin/petrelgauge-simulator-adapter/adapter.rs
@@ -1,4 +1,4 @@
-//! All routers of the process: batches of events go to their instances, actions come back.
+//! All instances of the process: dispatches batches of events to them and collects their actions.
 
 use crate::error::{AdapterError, EventError};
 use crate::instance::Instance;
@@ -8,20 +8,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// All routers of this process.
+/// All instances of this process.
 #[derive(Default)]
 pub struct Adapter {
-    /// Endpoint lists, by the slots that they were defined under.
+    /// Endpoint lists by slot. All instances share them.
     lists: BTreeMap<u64, Arc<[Entry]>>,
+    /// By number.
     instances: BTreeMap<u64, Instance>,
 }
 
 impl Adapter {
-    /// Turns one line of events into the line of actions that answers it.
+    /// Handles one line of events and returns the line of actions that answers it.
     ///
     /// # Errors
     ///
-    /// Fails if the line is not a batch, or an event in it cannot be used.
+    /// Fails if the line is not a batch or contains an invalid event.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_slice(line).map_err(AdapterError::NotABatch)?;
         let now = batch.now;
@@ -41,7 +42,8 @@
         Ok(json!({ "groups": groups }).to_string())
     }
 
-    /// The router's events for those of one instance in a batch.
+    /// Translates the events of one instance. Those that define lists or start or end the instance are
+    /// applied at once.
     fn translate(
         &mut self,
         now: Time,
--- a/src/bin/petrelgauge-simulator-adapter/error.rs
+++ b/src/bin/petrelgauge-simulator-adapter/error.rs
@@ -1,10 +1,10 @@
-//! Why a line of the simulator cannot be used.
+//! Errors of the simulator's input.
 
 use petrelgauge::settings::deployment::DeploymentError;
 use petrelgauge::SettingsError;
 use thiserror::Error;
 
-/// Why a line cannot be answered.
+/// Why a line was not answered.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
@@ -13,7 +13,7 @@
     /// The line is not a batch of events.
     #[error("not a batch: {0}")]
     NotABatch(serde_json::Error),
-    /// An event of an instance cannot be used.
+    /// An event of an instance is invalid.
     #[error("instance {instance}: {cause}")]
     Event {
         /// Number of the instance.
@@ -23,31 +23,31 @@
     },
 }
 
-/// Why an event cannot be used.
+/// Why an event is invalid.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The instance has no settings yet.
+    /// The instance has not been configured.
     #[error("event before its Configure")]
     NotConfigured,
-    /// The settings of the deployment cannot be used.
+    /// The settings of the deployment are invalid.
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
-    /// The router does not take the settings.
+    /// The router rejects the settings.
     #[error("info: {0}")]
     Settings(#[from] SettingsError),
-    /// No endpoint list was defined under this number.
+    /// No endpoint list is defined in this slot.
     #[error("slot: no Page {0} was defined")]
     UnknownSlot(u64),
-    /// The kind of list is not known.
+    /// Unknown kind of list delivery.
     #[error("mode: unknown value {0:?}")]
     UnknownMode(String),
-    /// The settings have no class of this name.
+    /// The settings contain no class of this name.
     #[error("service: unknown class {0:?}")]
     UnknownClass(String),
-    /// The status of a member is not known.
+    /// Unknown status of a member.
     #[error("stage_state: unknown value {0:?}")]
     UnknownMemberStatus(String),
-    /// The end of an attempt is not known.
+    /// Unknown outcome of an attempt.
     #[error("status: unknown outcome {0:?}")]
     UnknownEnding(String),
 }
--- a/src/bin/petrelgauge-simulator-adapter/instance.rs
+++ b/src/bin/petrelgauge-simulator-adapter/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the gateway in the simulator: its router, and the translation of its events.
+//! One simulated gateway instance: its router, and the translation of its events.
 
 use crate::error::EventError;
 use crate::sessions::Sessions;
@@ -10,53 +10,53 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// One instance of the gateway.
+/// One simulated gateway instance.
 pub struct Instance {
     router: Router,
-    /// Places of the classes, by name.
-    class_places: BTreeMap<String, usize>,
-    /// What data the classes need, by place.
+    /// Indices of the classes, by name.
+    class_indices: BTreeMap<String, usize>,
+    /// What data the classes need, by index.
     needs: Vec<Need>,
-    /// The clock time that positions are counted from.
+    /// The clock time from which positions are counted.
     position_origin: Time,
-    /// Names of the values in a load report, in their order.
+    /// Names of the values in a load report, in order.
     report_names: Vec<String>,
     sessions: Option<Sessions>,
 }
 
 impl Instance {
-    /// An instance with the settings of its deployment.
+    /// Creates an instance with the settings of its deployment.
     ///
     /// # Errors
     ///
-    /// Fails if the settings cannot be used.
+    /// Fails if the settings are invalid.
     pub fn new(seed: u64, info: &Info) -> Result<Instance, EventError> {
         let settings = info.settings()?;
         let needs: Vec<Need> = settings.classes.iter().map(|class| class.need).collect();
-        let class_places =
-            settings.classes.iter().enumerate().map(|(place, class)| (class.name.clone(), place)).collect();
+        let class_names = settings.classes.iter().map(|class| class.name.clone());
+        let class_indices = class_names.enumerate().map(|(index, name)| (name, index)).collect();
         Ok(Instance {
             sessions: Sessions::new(info, &needs),
             needs,
-            class_places,
+            class_indices,
             position_origin: info.origin(),
             report_names: info.report_names().to_vec(),
             router: Router::new(settings, seed)?,
         })
     }
 
-    /// Steps the router, and returns its actions.
+    /// Steps the router and returns its actions.
     pub fn step(&mut self, now: Time, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.step(now, events, &mut actions);
         actions
     }
 
-    /// The router's event for one of the simulator, if it concerns the router.
+    /// Translates an event of the simulator; `None` if it does not concern the router.
     ///
     /// # Errors
     ///
-    /// Fails if the event names what is not known.
+    /// Fails if the event contains an unknown name.
     pub fn translate(
         &mut self,
         now: Time,
@@ -84,7 +84,7 @@
 
     fn request_event(&mut self, now: Time, message: RequestMessage) -> Result<Event, EventError> {
         let class = *self
-            .class_places
+            .class_indices
             .get(&message.class)
             .ok_or_else(|| EventError::UnknownClass(message.class.clone()))?;
         let group = message.group as GroupId;
@@ -99,7 +99,8 @@
         }))
     }
 
-    /// The commit that a read must include: that of its session here, or else the one that its client names.
+    /// The commit that a read must include: its session's last write through this instance, or else the
+    /// commit that the client names.
     fn minimum_position(
         &mut self,
         now: Time,
@@ -120,8 +121,12 @@
         let position = message.stamp.position(self.position_origin);
         let ending = wire::parse_ending(&message.status)?;
         if let Some(sessions) = &mut self.sessions {
-            let commit = position.filter(|_| ending == Ending::Served);
-            sessions.end_attempt(now, &message.request, commit, message.is_final);
+            if let Some(commit) = position.filter(|_| ending == Ending::Served) {
+                sessions.record_commit(now, &message.request, commit);
+            }
+            if message.is_final {
+                sessions.end_request(&message.request);
+            }
         }
         Ok(Event::Outcome(AttemptOutcome {
             request: message.request,
@@ -142,7 +147,8 @@
     }
 }
 
-/// The event for a delivery of the endpoint list. One that failed gives none: the last list stays in force.
+/// Translates a delivery of the endpoint list; `None` for a failed one, after which the last list stays in
+/// force.
 fn list_event(
     mode: &str,
     slot: u64,
--- a/src/bin/petrelgauge-simulator-adapter/sessions.rs
+++ b/src/bin/petrelgauge-simulator-adapter/sessions.rs
@@ -1,19 +1,20 @@
-//! Session consistency of an instance whose deployment has it remember the writes of its clients.
+//! Session consistency of one instance, for deployments in which gateways remember their clients' writes.
 
 use petrelgauge::settings::deployment::Info;
 use petrelgauge::{GroupId, Need, RequestId, Time};
 use petrelgauge_sessions::{SessionKey, SessionTracker};
 use std::collections::BTreeMap;
 
-/// The watermarks of an instance: of its own answers, since its start.
+/// The watermarks of one instance's own answers since its start.
 pub struct Sessions {
     tracker: SessionTracker,
-    /// Sessions of the open writes.
+    /// The sessions of writes in flight.
     open_writes: BTreeMap<RequestId, SessionKey>,
 }
 
 impl Sessions {
-    /// None where the deployment has no class for it, or clients name the commits themselves.
+    /// Creates the state of sessions; `None` if the deployment has no class for them, or if clients name
+    /// commits themselves.
     pub fn new(info: &Info, needs: &[Need]) -> Option<Sessions> {
         if !info.remembers_sessions() || !needs.contains(&Need::Session) {
             return None;
@@ -23,7 +24,7 @@
         Some(Sessions { tracker, open_writes: BTreeMap::new() })
     }
 
-    /// The position that a request must see, if it reads what its session wrote.
+    /// Records the start of a request. Returns its minimum position if it must read its session's writes.
     pub fn begin_request(
         &mut self,
         now: Time,
@@ -39,12 +40,15 @@
         (need == Need::Session).then(|| self.tracker.begin_read(now, key, None).position())
     }
 
-    /// An attempt ended; `commit` is that of a served write, `is_final` says that its request ended with it.
-    pub fn end_attempt(&mut self, now: Time, request: &RequestId, commit: Option<Time>, is_final: bool) {
-        let key =
-            if is_final { self.open_writes.remove(request) } else { self.open_writes.get(request).copied() };
-        if let (Some(key), Some(commit)) = (key, commit) {
-            self.tracker.record_write(now, key, 0, Some(commit));
+    /// Records that a write was served with this commit. Other requests are ignored.
+    pub fn record_commit(&mut self, now: Time, request: &RequestId, commit: Time) {
+        if let Some(key) = self.open_writes.get(request) {
+            self.tracker.record_write(now, *key, 0, Some(commit));
         }
     }
+
+    /// Records the end of a request.
+    pub fn end_request(&mut self, request: &RequestId) {
+        self.open_writes.remove(request);
+    }
 }
--- a/src/bin/petrelgauge-simulator-adapter/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's messages in JSON, and their words for members, endings and actions.
+//! The simulator's JSON messages, and the translation of their codes and actions.
 
 use crate::error::EventError;
 use petrelgauge::settings::deployment::Info;
@@ -7,13 +7,13 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 
-/// Flag of a request that its client marked as a retry.
+/// Flag of a request that its client has marked as a retry.
 const RETRY_FLAG: u64 = 2;
-/// Bits of a stamp that hold the role; the others hold the position.
+/// Lowest bits of a stamp, which hold the role. The others hold the position.
 const ROLE_BITS: u32 = 2;
 const MICROSECONDS_PER_MILLISECOND: Time = 1_000;
 
-/// A line: the events of all instances at one time.
+/// One line of input: the events of all instances at one time.
 #[derive(Deserialize)]
 pub struct Batch {
     /// Clock time (microseconds).
@@ -32,7 +32,7 @@
     pub events: Vec<WireEvent>,
 }
 
-/// An event as the simulator writes it.
+/// An event of the simulator.
 #[derive(Deserialize)]
 #[serde(tag = "what")]
 pub enum WireEvent {
@@ -51,7 +51,7 @@
         #[serde(rename = "rows_in")]
         rows: Vec<Row>,
     },
-    /// A defined list, or a change of it, is delivered.
+    /// Delivers a defined list, or changes to the last one.
     #[serde(rename = "Membership")]
     List {
         mode: String,
@@ -64,7 +64,7 @@
     AttemptStarted {},
     #[serde(rename = "Done")]
     Outcome(OutcomeMessage),
-    /// The client no longer waits for the request.
+    /// The client has abandoned the request.
     #[serde(rename = "Withdrawn")]
     Abandoned {
         #[serde(rename = "txn")]
@@ -92,7 +92,7 @@
 pub struct RequestMessage {
     #[serde(rename = "txn")]
     pub request: RequestId,
-    /// Until its client gives it up (microseconds).
+    /// Time until its client abandons it (microseconds).
     #[serde(rename = "time_left_us")]
     pub time_left: Time,
     #[serde(default)]
@@ -110,7 +110,7 @@
 }
 
 impl RequestMessage {
-    /// The client marked it as a retry.
+    /// Whether the client has marked it as a retry.
     pub fn is_marked_retry(&self) -> bool {
         self.flags & RETRY_FLAG != 0
     }
@@ -121,12 +121,12 @@
     }
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 #[derive(Deserialize)]
 pub struct OutcomeMessage {
     #[serde(rename = "txn")]
     pub request: RequestId,
-    /// The request ended with it.
+    /// Whether the request has ended with it.
     #[serde(default, rename = "no_more")]
     pub is_final: bool,
     #[serde(rename = "node")]
@@ -134,7 +134,7 @@
     #[serde(default, rename = "mark")]
     pub stamp: Stamp,
     pub status: String,
-    /// Time since the send (microseconds).
+    /// Duration of the attempt (microseconds).
     #[serde(default, rename = "took_us")]
     pub took: Time,
     #[serde(rename = "shot")]
@@ -143,7 +143,7 @@
     pub report: Option<Vec<f64>>,
 }
 
-/// Position and role of the member that answered, packed into one number; 0 for neither.
+/// Position and role of the member that answered, packed into one number; 0 if both are unknown.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(transparent)]
 pub struct Stamp(u64);
@@ -190,11 +190,11 @@
 }
 
 impl Row {
-    /// The entry as the router takes it.
+    /// Translates the entry for the router.
     ///
     /// # Errors
     ///
-    /// Fails if the member's status is not known.
+    /// Fails if the member's status is unknown.
     pub fn into_entry(self) -> Result<Entry, EventError> {
         let status = match self.status.as_str() {
             "U" => MemberStatus::Up,
@@ -214,11 +214,11 @@
     }
 }
 
-/// The end of an attempt or a probe by its letter.
+/// Translates the outcome of an attempt or a health check.
 ///
 /// # Errors
 ///
-/// Fails if the letter is not known.
+/// Fails if the outcome is unknown.
 pub fn parse_ending(status: &str) -> Result<Ending, EventError> {
     Ok(match status {
         "S" => Ending::Served,
@@ -234,7 +234,7 @@
     })
 }
 
-/// An action as the simulator reads it.
+/// Translates an action for the simulator.
 pub fn action_to_json(action: &Action) -> Value {
     match action {
         Action::Send { request, member, until } => {
