--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,10 @@
-//! petrelgauge routes reads and writes in a replicated store. Which member of a group gets a request is decided in
-//! the crate `petrelgauge-policy`, whose words are found here too. The gateway that serves clients with these
-//! decisions is in the modules below, a folder for each concern; between them and the decisions stands the [`facade`],
-//! which knows no protocol. Imports between folders run one way; each folder's page names what it may import.
+//! petrelgauge is a gateway between PostgreSQL clients and replicated groups of database hosts: it routes each read and
+//! write to a member of the right group.
+//!
+//! Which member gets a request is decided in the crate `petrelgauge-policy`, whose items are re-exported here. The modules
+//! below serve clients with these decisions, a folder for each concern. The [`facade`] stands between them and the
+//! decisions and knows no protocol. Imports between folders run one way; the page of each folder says what it does, what
+//! it owns and what it may import.
 
 pub mod client;
 pub mod control;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway program. See the README for what it is, and docs/ARCHITECTURE.md for how it works.
+//! The gateway program. The README says what it is for, docs/ARCHITECTURE.md how it works.
 #![forbid(unsafe_code)]
 
 mod process;
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 
 /// Exit code of a gateway that cannot start or has ended by itself.
-const FAILED: u8 = 2;
+const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
@@ -18,7 +18,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(cause) => {
             eprintln!("petrelgauge: {cause}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
@@ -27,7 +27,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(GatewayError::Runtime)?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        // First of all: a signal that nobody listens to ends the process.
+        // Before anything else: a signal without a handler kills the process.
         let signals = Signals::listen()?;
         let variable = |name: &str| std::env::var(name).ok();
         let config = Config::read(variable)?;
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why the gateway cannot start, or has ended by itself.
+//! Why the gateway cannot start, why it has ended by itself, and why a reload fails.
 
 use petrelgauge::control::config::ConfigError;
 use petrelgauge::control::ControlError;
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// What ends the program with exit code 2. Its text is the sentence that an operator reads.
+/// An error that ends the program with exit code 2. The message is shown to operators.
 #[derive(Debug, Error)]
 pub enum GatewayError {
     /// The asynchronous runtime cannot be built.
@@ -19,41 +19,41 @@
     /// The signal handlers cannot be registered.
     #[error(transparent)]
     Signals(#[from] SignalError),
-    /// There is no configuration to use.
+    /// The configuration cannot be read or used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The clients' socket that the platform holds cannot be taken over.
+    /// The clients' socket that the platform holds cannot be inherited.
     #[error(transparent)]
     InheritedSocket(#[from] InheritedSocketError),
-    /// The control part cannot start.
+    /// The control plane cannot start.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// The clients' socket that was taken over cannot be registered with the runtime.
+    /// The inherited clients' socket cannot be registered with the runtime.
     #[error("cannot listen: {0}")]
     RegisterListener(#[source] io::Error),
     /// The clients' address cannot be bound.
     #[error("cannot listen: {0}")]
     ListenForClients(#[source] SocketError),
-    /// The address for operators cannot be bound.
+    /// The operators' address cannot be bound.
     #[error("ops: cannot listen at {address}: {source}")]
     ListenForOperators {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The failed system call.
         source: SocketError,
     },
-    /// A task that must run for as long as the gateway has ended.
+    /// A task that must run as long as the gateway has ended.
     #[error("a task ended: {0:?}")]
     TaskEnded(Result<(), JoinError>),
 }
 
-/// Why a configuration that was read again cannot be used.
+/// Why a reloaded configuration is rejected. The message is logged.
 #[derive(Debug, Error)]
 pub enum ReloadError {
-    /// There is no configuration to use.
+    /// It cannot be read or used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The running gateway cannot follow it.
+    /// The running gateway cannot change to it.
     #[error(transparent)]
     Control(#[from] ControlError),
 }
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -1,4 +1,4 @@
-//! The event loop of a running gateway: signals, operators' commands, and the steps of its lifecycle.
+//! The event loop of a running gateway: handles signals and operators' commands, and steps the lifecycle.
 
 use crate::process::error::{GatewayError, ReloadError};
 use petrelgauge::client::context::ClientContext;
@@ -19,44 +19,50 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Between two looks at what is still open while the gateway closes (microseconds).
+/// Time between two checks for open sessions and attempts while the gateway closes (microseconds).
 const CLOSING_POLL_INTERVAL: Time = 10_000;
 
-/// A gateway whose tasks run. `S` is the socket for datagrams between gateways.
+/// A gateway whose tasks are running. `S` is the socket for datagrams between gateways.
 pub struct GatewayProcess<S> {
     /// The configuration in force.
     pub config: Config,
-    /// The clock.
+    /// Clock of the lifecycle.
     pub clock: Clock,
-    /// Decisions, hosts, discovery and the part in the fleet.
+    /// Decisions, hosts, discovery and the gateway's part in the fleet.
     pub control: ControlPlane<S>,
-    /// Counts since the start.
+    /// Counters that operators see.
     pub counters: Rc<Counters>,
     /// What the client sessions share.
     pub client_context: Rc<ClientContext>,
-    /// Exchange with other processes of this gateway, where the platform holds the clients' socket.
+    /// Exchange with sibling processes, where the platform holds the clients' socket.
     pub handover: Option<Rc<HandoverExchange>>,
-    /// Clock time from which on the list of the configuration will do (microseconds).
-    pub list_deadline: Time,
-    /// The most that this process may reserve while it is the gateway's only one.
-    pub full_reservation: Rc<Cell<Reservation>>,
-    /// Where the gateway is between its start and its end.
+    /// Clock time from which the configuration's endpoint list is accepted, if discovery has sent none (microseconds).
+    pub initial_list_deadline: Time,
+    /// Limits of the gateway, which sibling processes share.
+    pub limits: Rc<Cell<Reservation>>,
+    /// The state of the gateway between start and end.
     pub lifecycle: Gateway,
-    /// Tells the client sessions how to treat clients.
+    /// Channels between the event loop and the tasks.
+    pub channels: Channels,
+    /// Signals to the process.
+    pub signals: Signals,
+    /// The tasks, none of which ends by itself.
+    pub tasks: JoinSet<()>,
+}
+
+/// Channels between the event loop and the tasks.
+pub struct Channels {
+    /// Notifies the client sessions how to treat clients.
     pub serving_state: watch::Sender<ServingState>,
-    /// Tells the watch of discovery which address to use.
+    /// Notifies the discovery watch which address to use.
     pub discovery_address: watch::Sender<SocketAddr>,
     /// Commands of operators.
     pub commands: mpsc::Receiver<CommandRequest>,
-    /// Keeps the channel of commands open where no address for operators is set.
+    /// Keeps the channel of commands open where no address for operators is configured.
     pub _command_sender: mpsc::Sender<CommandRequest>,
-    /// Signals of the platform.
-    pub signals: Signals,
-    /// The tasks, none of which ends by itself.
-    pub tasks: JoinSet<()>,
 }
 
-/// What the event loop has to act on.
+/// What the event loop handles next.
 enum Wakeup {
     Signal(Signal),
     Command(CommandRequest),
@@ -68,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a task ends: without one the gateway would go on and serve nobody.
+    /// Fails if a task ends, because the gateway would go on without serving anyone.
     pub async fn run(mut self) -> Result<(), GatewayError> {
         loop {
             self.publish_serving_state();
@@ -91,19 +97,20 @@
 
     fn publish_serving_state(&self) {
         let new = self.lifecycle.serving_state();
-        self.serving_state.send_if_modified(|state| std::mem::replace(state, new) != new);
+        self.channels.serving_state.send_if_modified(|state| std::mem::replace(state, new) != new);
     }
 
     async fn next_wakeup(&mut self) -> Result<Wakeup, GatewayError> {
         let clock = self.clock;
-        let due = self.lifecycle.timeout_at();
+        let timeout_at = self.lifecycle.timeout_at();
         let state = self.lifecycle.state();
         tokio::select! {
             signal = self.signals.next() => Ok(Wakeup::Signal(signal)),
-            Some(command) = self.commands.recv() => Ok(Wakeup::Command(command)),
-            () = clock.sleep_until(due.unwrap_or_default()), if due.is_some() => Ok(Wakeup::Lifecycle(Event::Timeout)),
+            Some(command) = self.channels.commands.recv() => Ok(Wakeup::Command(command)),
+            () = clock.sleep_until(timeout_at.unwrap_or_default()), if timeout_at.is_some() => Ok(Wakeup::Lifecycle(Event::Timeout)),
             () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if state == GatewayState::Closing => {
-                let (clients, attempts) = (self.client_context.open_sessions.get(), self.control.host_pool.open_attempts());
+                let clients = self.client_context.open_sessions.get();
+                let attempts = self.control.host_pool.open_attempts();
                 Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
             }
             Some(ended) = self.tasks.join_next(), if state == GatewayState::Serving => Err(GatewayError::TaskEnded(ended)),
@@ -118,19 +125,19 @@
         }
     }
 
-    /// Carries out an operator's command and answers it.
+    /// Executes an operator's command and replies to it.
     fn execute(&mut self, command: CommandRequest) {
         let known = KnownState {
             hosts: self.control.host_pool.listed_count(),
             list_received: self.control.has_received_list.get(),
-            accept_initial_list_at: self.list_deadline,
-            version: self.control.facade.read(|table| table.version()),
+            accept_initial_list_at: self.initial_list_deadline,
+            version: self.settings_version(),
         };
         let (reply, action) = ops::execute(&mut self.lifecycle, self.clock.now(), command.command, known);
         if action == Action::ApplyServingState {
             log::info!("command executed command={:?} answer={}", command.command, reply.reason);
         }
-        // A caller that has left needs no answer.
+        // The caller may have disconnected.
         let _ = command.reply.send(reply);
     }
 
@@ -141,16 +148,18 @@
             return;
         }
         log::info!("gateway stopping");
-        let longest = self.control.facade.read(|table| table.longest_deadline(self.clock.now()));
-        self.client_context.final_answer_deadline.set(self.lifecycle.answer_deadline(longest));
-        self.client_context.final_read_deadlines.set(self.lifecycle.read_deadlines(longest));
-        self.control
-            .facade
-            .update(|table| table.set_final_answer_by(self.client_context.final_answer_deadline.get()));
-        self.control.leadership.iter().for_each(|leadership| leadership.stop());
+        let facade = &self.control.facade;
+        let longest_deadline = facade.read(|table| table.longest_deadline(self.clock.now()));
+        let final_answer_deadline = self.lifecycle.answer_deadline(longest_deadline);
+        self.client_context.final_answer_deadline.set(final_answer_deadline);
+        self.client_context.final_read_deadlines.set(self.lifecycle.read_deadlines(longest_deadline));
+        facade.update(|table| table.set_final_answer_by(final_answer_deadline));
+        if let Some(leadership) = &self.control.leadership {
+            leadership.stop();
+        }
     }
 
-    /// Reads the configuration again and follows it, if it can be used.
+    /// Reads the configuration again and applies it. An unusable one changes nothing.
     fn reload(&mut self) {
         let new = self.config.reread(|name| std::env::var(name).ok());
         let event = Event::Reload { usable: new.is_ok() };
@@ -158,37 +167,41 @@
         if !matches!(action, Action::ApplySettings | Action::KeepSettings) {
             return;
         }
-        if let Err(cause) = self.follow(new) {
+        if let Err(cause) = self.apply(new) {
             self.counters.bad_configs.add();
-            let version = self.control.facade.read(|table| table.version());
+            let version = self.settings_version();
             log::warn!("configuration rejected settings_version={version} cause={cause}");
         }
     }
 
-    fn follow(&mut self, new: Result<Config, ConfigError>) -> Result<(), ReloadError> {
+    fn apply(&mut self, new: Result<Config, ConfigError>) -> Result<(), ReloadError> {
         let reloaded = self.control.reload(self.clock.now(), &self.config, new?)?;
-        let Reloaded { config: new, max_open_requests } = reloaded;
+        let Reloaded { config, max_open_requests } = reloaded;
         self.counters.reloads.add();
-        let (address, version) = (new.discovery, self.control.facade.read(|table| table.version()));
+        let (address, version) = (config.discovery, self.settings_version());
         log::info!("configuration reloaded settings_version={version} discovery={address}");
-        self.full_reservation
-            .set(Reservation { open_requests: max_open_requests as usize, ..self.full_reservation.get() });
+        let open_requests = max_open_requests as usize;
+        self.limits.set(Reservation { open_requests, ..self.limits.get() });
         if let Some(handover) = &self.handover {
-            handover.set_settings_digest(new.settings_digest);
+            handover.set_settings_digest(config.settings_digest);
         }
-        self.discovery_address.send_if_modified(|known| std::mem::replace(known, address) != address);
-        self.config = new;
+        let discovery_address = &self.channels.discovery_address;
+        discovery_address.send_if_modified(|current| std::mem::replace(current, address) != address);
+        self.config = config;
         Ok(())
     }
 
+    /// Version of the settings in force; each reload increments it.
+    fn settings_version(&self) -> u64 {
+        self.control.facade.read(|table| table.version())
+    }
+
     fn log_counters(&self) {
-        let sessions = self
-            .control
-            .facade
-            .read(|table| table.session_counts())
-            .map(|sessions| format!(" {} gaps={}", sessions.counts, sessions.broadcast_gaps));
-        let leadership =
-            self.control.leadership.as_ref().map(|leadership| format!(" {}", leadership.counts()));
+        let sessions = self.control.facade.read(|table| table.session_counts());
+        let sessions =
+            sessions.map(|sessions| format!(" {} gaps={}", sessions.counts, sessions.broadcast_gaps));
+        let leadership = self.control.leadership.as_ref();
+        let leadership = leadership.map(|leadership| format!(" {}", leadership.counts()));
         log::info!(
             "counters {}{}{}",
             self.counters,
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -1,12 +1,13 @@
 //! Builds a gateway from its configuration and starts its tasks.
 
 use crate::process::error::GatewayError;
-use crate::process::gateway::GatewayProcess;
+use crate::process::gateway::{Channels, GatewayProcess};
 use petrelgauge::client::cancel_registry::CancelRegistry;
 use petrelgauge::client::context::ClientContext;
 use petrelgauge::control::config::Config;
 use petrelgauge::control::ops::{CommandListener, CommandRequest};
 use petrelgauge::control::{ControlPlane, Dependencies, RoutingDecisions};
+use petrelgauge::discovery::host_names::HostNames;
 use petrelgauge::facade::Facade;
 use petrelgauge::handover::{ExchangeOptions, HandoverExchange, HeartbeatTask, InheritedRecord};
 use petrelgauge::host::pool::HostPool;
@@ -29,107 +30,133 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Span after the start in which the list of the configuration is taken to be old, until discovery sends one
+/// Time after the start for which the configuration's endpoint list counts as outdated, unless discovery sends one
 /// (microseconds).
 const INITIAL_LIST_TIMEOUT: Time = 1_500_000;
-/// Between two looks whether there are hosts to serve clients with (microseconds).
+/// Time between two checks whether hosts are known (microseconds).
 const HOSTS_POLL_INTERVAL: Time = 10_000;
-/// Times that a start tries to listen while the machine lacks descriptors or memory (count).
+/// Attempts to listen at startup while the machine lacks descriptors or memory (count).
 const LISTEN_ATTEMPTS: u32 = 500;
 
-/// What the parts of a gateway share.
-struct Resources {
+/// What the parts of a gateway have in common.
+struct SharedParts {
     clock: Clock,
     facade: Facade,
     budget: Rc<Budget>,
     read_buffer: Rc<ReadBuffer>,
     counters: Rc<Counters>,
+    /// Limits of the gateway, which sibling processes share.
+    limits: Rc<Cell<Reservation>>,
 }
 
-/// Builds the gateway and starts all of its tasks.
+/// The socket that clients connect to.
+struct ClientListener {
+    socket: TcpListener,
+    /// Whether a sibling process may accept from it, too.
+    sharing: ListenerSharing,
+}
+
+/// A gateway whose tasks have not been started.
+struct Parts<S> {
+    shared: SharedParts,
+    control: ControlPlane<S>,
+    handover: Option<Rc<HandoverExchange>>,
+    client_listener: ClientListener,
+    initial_list_deadline: Time,
+}
+
+/// Builds the gateway and starts all of its tasks. `inherited` is the clients' socket, if the platform holds it.
 ///
 /// # Errors
 ///
-/// Fails if the settings cannot be used or an address cannot be bound.
+/// Fails if the configuration is unusable or an address cannot be bound.
 pub async fn start(
     mut config: Config,
     inherited: Option<StdTcpListener>,
     signals: Signals,
 ) -> Result<GatewayProcess<impl DatagramSocket>, GatewayError> {
-    let clock = Clock::start().ahead(config.operator.clock_shift);
-    let decisions = RoutingDecisions::new(&config, clock.now())?;
-    let full_reservation = Rc::new(Cell::new(full_reservation(&config, decisions.max_open_requests)));
-    let resources = Resources::new(&config, clock, decisions.facade.clone());
-    // Where the platform holds the clients' socket, another process of this gateway may run, or have run a moment ago.
-    let sharing =
-        if inherited.is_some() { ListenerSharing::WithSuccessor } else { ListenerSharing::Exclusive };
-    let handover = inherited.is_some().then(|| Rc::new(open_handover(&config)));
-    let dependencies = resources.dependencies(adopt_learned_state(&handover, &resources));
-    let mut control = ControlPlane::new(&mut config, decisions, dependencies, datagram::bind).await?;
-    let list_deadline = clock.now() + INITIAL_LIST_TIMEOUT;
-    let listener = listen_for_clients(inherited, config.listen).await?;
-    let (discovery_address, followed_address) = watch::channel(config.discovery);
-    let (serving_state, followed_state) = watch::channel(ServingState::Serving);
+    let Parts { shared, mut control, handover, client_listener, initial_list_deadline } =
+        build(&mut config, inherited).await?;
+    let sharing = client_listener.sharing;
+    let (discovery_address, discovery_address_changes) = watch::channel(config.discovery);
+    let (serving_state, serving_state_changes) = watch::channel(ServingState::Serving);
     let (command_sender, commands) = mpsc::channel(MAX_CALLERS);
+    let client_context =
+        Rc::new(shared.client_context(&config, control.host_pool.clone(), serving_state_changes));
 
     let mut tasks = JoinSet::new();
-    control.start(&mut tasks, followed_address);
+    control.start(&mut tasks, discovery_address_changes);
     if let Some(address) = config.ops {
-        resources.listen_for_operators(address, &command_sender, &control.host_pool, &mut tasks).await?;
+        let command_listener = shared.command_listener(command_sender.clone(), control.host_pool.clone());
+        tasks.spawn_local(command_listener.accept(listen_for_operators(address).await?));
     }
-    if let Some(handover) = &handover {
-        let heartbeats = HeartbeatTask {
-            exchange: handover.clone(),
-            clock,
-            facade: resources.facade.clone(),
-            budget: resources.budget.clone(),
-            host_names: control.host_names.clone(),
-            limits: full_reservation.clone(),
-        };
+    if let Some(exchange) = &handover {
+        let heartbeats = shared.heartbeat_task(exchange.clone(), control.host_names.clone());
         tasks.spawn_local(heartbeats.run());
     }
-    let client_context =
-        Rc::new(resources.client_context(&config, control.host_pool.clone(), followed_state));
     let has_received_list = control.has_received_list.clone();
-    tasks.spawn_local(accept_clients(
-        client_context.clone(),
-        listener,
-        sharing,
-        has_received_list,
-        list_deadline,
-    ));
+    let accepting =
+        accept_clients(client_context.clone(), client_listener, has_received_list, initial_list_deadline);
+    tasks.spawn_local(accepting);
     log::info!("gateway serving name={} address={}", config.name, config.listen);
     Ok(GatewayProcess {
         config,
-        clock,
+        clock: shared.clock,
         control,
-        counters: resources.counters,
+        counters: shared.counters,
         client_context,
         handover,
-        list_deadline,
-        full_reservation,
+        initial_list_deadline,
+        limits: shared.limits,
         lifecycle: Gateway::new(sharing),
-        serving_state,
-        discovery_address,
-        commands,
-        _command_sender: command_sender,
+        channels: Channels { serving_state, discovery_address, commands, _command_sender: command_sender },
         signals,
         tasks,
     })
 }
 
-impl Resources {
-    fn new(config: &Config, clock: Clock, facade: Facade) -> Resources {
-        Resources {
+/// Builds the parts of a gateway and opens its sockets.
+async fn build(
+    config: &mut Config,
+    inherited: Option<StdTcpListener>,
+) -> Result<Parts<impl DatagramSocket + 'static>, GatewayError> {
+    let clock = Clock::start().ahead(config.operator.clock_shift);
+    let decisions = RoutingDecisions::new(config, clock.now())?;
+    let shared = SharedParts::new(config, clock, &decisions);
+    // Where the platform holds the clients' socket, another process of this gateway may be running or have just ended.
+    let sharing =
+        if inherited.is_some() { ListenerSharing::WithSuccessor } else { ListenerSharing::Exclusive };
+    let handover = inherited.is_some().then(|| Rc::new(open_handover(config)));
+    let assigned_ids = match &handover {
+        Some(exchange) => shared.inherit_learned_state(exchange),
+        None => BTreeMap::new(),
+    };
+    let dependencies = shared.dependencies(assigned_ids);
+    let control = ControlPlane::new(config, decisions, dependencies, datagram::bind).await?;
+    let initial_list_deadline = clock.now() + INITIAL_LIST_TIMEOUT;
+    let socket = listen_for_clients(inherited, config.listen).await?;
+    let client_listener = ClientListener { socket, sharing };
+    Ok(Parts { shared, control, handover, client_listener, initial_list_deadline })
+}
+
+impl SharedParts {
+    fn new(config: &Config, clock: Clock, decisions: &RoutingDecisions) -> SharedParts {
+        let limits = Reservation {
+            sockets: config.max_descriptors,
+            memory: config.max_memory,
+            open_requests: decisions.max_open_requests as usize,
+        };
+        SharedParts {
             clock,
-            facade,
+            facade: decisions.facade.clone(),
             budget: Budget::new(config.max_descriptors, config.max_memory),
             read_buffer: ReadBuffer::new(),
             counters: Rc::new(Counters::default()),
+            limits: Rc::new(Cell::new(limits)),
         }
     }
 
-    /// What the control plane needs. `assigned_ids` are the numbers that hosts have from another process.
+    /// What the control plane needs. `assigned_ids` are the numbers of the hosts that another process knew.
     fn dependencies(&self, assigned_ids: BTreeMap<String, MemberId>) -> Dependencies {
         let facade = self.facade.clone();
         Dependencies {
@@ -165,33 +192,34 @@
         }
     }
 
-    /// Starts the task that takes operators' commands.
-    async fn listen_for_operators(
+    fn command_listener(
         &self,
-        address: SocketAddr,
-        commands: &mpsc::Sender<CommandRequest>,
-        host_pool: &Rc<HostPool>,
-        tasks: &mut JoinSet<()>,
-    ) -> Result<(), GatewayError> {
-        let failed = |source| GatewayError::ListenForOperators { address, source };
-        let listener = listen(address).await.map_err(failed)?;
-        let command_listener = CommandListener {
-            commands: commands.clone(),
-            host_pool: host_pool.clone(),
+        commands: mpsc::Sender<CommandRequest>,
+        host_pool: Rc<HostPool>,
+    ) -> CommandListener {
+        CommandListener { commands, host_pool, clock: self.clock, counters: self.counters.clone() }
+    }
+
+    fn heartbeat_task(&self, exchange: Rc<HandoverExchange>, host_names: Rc<HostNames>) -> HeartbeatTask {
+        HeartbeatTask {
+            exchange,
             clock: self.clock,
-            counters: self.counters.clone(),
-        };
-        tasks.spawn_local(command_listener.accept(listener));
-        Ok(())
+            facade: self.facade.clone(),
+            budget: self.budget.clone(),
+            host_names,
+            limits: self.limits.clone(),
+        }
     }
-}
 
-/// The most that this process may reserve while it is the gateway's only one.
-pub fn full_reservation(config: &Config, max_open_requests: u32) -> Reservation {
-    Reservation {
-        sockets: config.max_descriptors,
-        memory: config.max_memory,
-        open_requests: max_open_requests as usize,
+    /// Adopts what another process of this gateway has learned, if it left a usable record. Returns the numbers that it
+    /// had assigned to hosts.
+    fn inherit_learned_state(&self, exchange: &HandoverExchange) -> BTreeMap<String, MemberId> {
+        let Some(InheritedRecord { record, age }) = exchange.inherit(self.clock.now()) else {
+            return BTreeMap::new();
+        };
+        log::info!("learned state adopted hosts={} age_us={age}", record.member_ids.len());
+        self.facade.update(|table| table.adopt_learned_state(record.learned_state));
+        record.member_ids.into_iter().collect()
     }
 }
 
@@ -205,19 +233,6 @@
     })
 }
 
-/// Takes over what the process before this one has learned. Gives the numbers that it had assigned to hosts.
-fn adopt_learned_state(
-    handover: &Option<Rc<HandoverExchange>>,
-    resources: &Resources,
-) -> BTreeMap<String, MemberId> {
-    let inherit = handover.as_ref().and_then(|handover| handover.inherit(resources.clock.now()));
-    inherit.map_or_else(BTreeMap::new, |InheritedRecord { record, age }| {
-        log::info!("learned state adopted hosts={} age_us={age}", record.member_ids.len());
-        resources.facade.update(|table| table.adopt_learned_state(record.learned_state));
-        record.member_ids.into_iter().collect()
-    })
-}
-
 async fn listen_for_clients(
     inherited: Option<StdTcpListener>,
     address: SocketAddr,
@@ -228,25 +243,28 @@
     }
 }
 
+async fn listen_for_operators(address: SocketAddr) -> Result<TcpListener, GatewayError> {
+    listen(address).await.map_err(|source| GatewayError::ListenForOperators { address, source })
+}
+
 async fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
     socket::through_shortages(LISTEN_ATTEMPTS, || async { socket::listen(address) }).await
 }
 
-/// Accepts clients; beside a process that still serves, only from when they can be served.
+/// Accepts clients. Beside a sibling process that may still serve, waits until hosts are known.
 async fn accept_clients(
     client_context: Rc<ClientContext>,
-    listener: TcpListener,
-    sharing: ListenerSharing,
+    listener: ClientListener,
     has_received_list: Rc<Cell<bool>>,
-    list_deadline: Time,
+    initial_list_deadline: Time,
 ) {
     let clock = client_context.clock;
-    let hosts_are_missing = || {
-        let incomplete = client_context.host_pool.listed_count() == 0 || !has_received_list.get();
-        clock.now() < list_deadline && incomplete
+    let is_missing_hosts = || {
+        let has_hosts = client_context.host_pool.listed_count() > 0;
+        clock.now() < initial_list_deadline && !(has_hosts && has_received_list.get())
     };
-    while sharing == ListenerSharing::WithSuccessor && hosts_are_missing() {
+    while listener.sharing == ListenerSharing::WithSuccessor && is_missing_hosts() {
         clock.sleep_until(clock.now() + HOSTS_POLL_INTERVAL).await;
     }
-    client_context.accept(listener, sharing).await
+    client_context.accept(listener.socket, listener.sharing).await
 }
