--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -11,7 +11,9 @@
 const MICROSECONDS_PER_MILLISECOND: Time = 1000;
 
 /// An endpoint list. The names of its fields are those of its JSON form.
+// Operators see `expecting` in the message about a list of another type.
 #[derive(Debug, Clone, Deserialize)]
+#[serde(expecting = "struct List")]
 pub struct EndpointList {
     pub(super) revision: u64,
     /// Whether it has a row for every host, not only for those that changed.
@@ -21,6 +23,7 @@
 
 /// One host of a list.
 #[derive(Debug, Clone, Deserialize)]
+#[serde(expecting = "struct Row")]
 pub(super) struct EndpointRow {
     /// Name of the host, the same at every gateway and across restarts.
     pub(super) id: String,
