--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -1,11 +1,11 @@
-//! The attempts in flight, and those at each member, so that what is asked of one member costs as much as it
-//! has in flight.
+//! The attempts in flight, indexed by member, so that a query about one member costs as much as it has in
+//! flight.
 
 use crate::interface::MemberId;
 use crate::state::{AttemptId, InFlightAttempt};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Attempts whose outcome has not come yet, also those whose request is over.
+/// Attempts whose outcome has not arrived yet, including those whose request is closed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlightAttempts {
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
@@ -14,13 +14,12 @@
 }
 
 impl InFlightAttempts {
-    /// An attempt is sent.
     pub(crate) fn insert(&mut self, id: AttemptId, attempt: InFlightAttempt) {
         self.by_member.entry(attempt.member).or_default().insert(id.clone());
         self.attempts.insert(id, attempt);
     }
 
-    /// The outcome of an attempt has come.
+    /// Removes an attempt whose outcome has arrived.
     pub(crate) fn remove(&mut self, id: &AttemptId) -> Option<InFlightAttempt> {
         let attempt = self.attempts.remove(id)?;
         if let Some(ids) = self.by_member.get_mut(&attempt.member) {
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -1,9 +1,9 @@
-//! What a router has learned of the members, as plain data that one process of a gateway can leave to the
-//! next. Nothing here decides anything.
+//! What a router has learned of the members, as plain data that one process of a gateway can hand over to the
+//! next. No decisions are made here.
 //!
-//! All of it is stored with its time, on the clock of the router that learned it (see
-//! [`LearnedState::shift_clock`]): samples expire by themselves, and what a member reports outweighs all of it.
-//! What was in flight or waiting belongs to requests of the other process and is left out.
+//! Everything is stored with its time, by the clock of the router that learned it (see
+//! [`LearnedState::shift_clock`]): samples expire by themselves, and reports of members outweigh all of it.
+//! Attempts in flight and waiting requests belong to the other process and are left out.
 
 use crate::interface::{GroupId, KnownPrimary, MemberId, QuotaAdjustment, Time};
 use crate::router::Router;
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a router has learned.
+/// What a router has learned. Stored in handover records without field names: order and types must stay.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LearnedState {
     members: BTreeMap<MemberId, Member>,
@@ -25,14 +25,14 @@
 }
 
 impl LearnedState {
-    /// Nothing was learned.
+    /// Whether nothing was learned.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Moves all times of the learning router's clock by `offset` (microseconds), for a reader whose clock differs. What
-    /// was never seen stays so, and times of others (starts, positions, commits) stay as they were reported. Lags were
-    /// measured against the other clock and are dropped.
+    /// Converts the times of the learning router's clock to a clock that is ahead of it by `offset` (microseconds).
+    /// "Never" stays as it is, and so do times of the hosts' clock (starts, positions, commits). Lags were measured
+    /// against the other clock and are dropped.
     pub fn shift_clock(&mut self, offset: Time) {
         self.members.values_mut().for_each(|member| shift_member(member, offset));
         for group in self.groups.values_mut() {
@@ -44,10 +44,12 @@
     }
 }
 
-/// The times 0 and 1 stand for "never" and "by the endpoint list alone".
+/// Up to this, times are not points of the clock: 0 stands for "never" and 1 for "by the endpoint list alone".
+const LAST_SPECIAL_TIME: Time = 1;
+
 fn shift(time: &mut Time, offset: Time) {
-    if *time > 1 {
-        *time = time.saturating_add(offset).max(2);
+    if *time > LAST_SPECIAL_TIME {
+        *time = time.saturating_add(offset).max(LAST_SPECIAL_TIME + 1);
     }
 }
 
@@ -79,7 +81,7 @@
         let mut members = self.members.clone();
         for (id, member) in &mut members {
             member.last_listed_at = self.last_listed(*id, member);
-            // It is by this process's clock, and not stored either.
+            // Not stored in records; reset here for routers of the same process.
             member.listed_at = 0;
             member.sampling_salt = 0;
             member.in_flight = 0;
@@ -110,7 +112,7 @@
         self.members.get(&member).map(|member| member.group)
     }
 
-    /// The members taken for the primaries of their groups by evidence of their own.
+    /// The members taken for the primaries of their groups, except where only the endpoint list says so.
     pub fn primaries(&self) -> Vec<KnownPrimary> {
         self.groups.keys().filter_map(|group| self.known_primary(*group)).collect()
     }
@@ -118,15 +120,14 @@
     fn known_primary(&self, group: GroupId) -> Option<KnownPrimary> {
         let member = self.primary(group)?;
         let evidence_at = self.members.get(&member)?.primary_evidence_at;
-        // Evidence from the endpoint list alone has the time 1: every router knows it.
-        (evidence_at > 1).then_some(KnownPrimary { group, member, evidence_at })
+        (evidence_at > LAST_SPECIAL_TIME).then_some(KnownPrimary { group, member, evidence_at })
     }
 
-    /// Starts from what another router has learned. To be called before the first step: the list that follows
-    /// says which of these members there still are.
+    /// Begins with what another router has learned. Must be called before the first step; the endpoint list that
+    /// follows says which of these members still exist.
     pub fn adopt_learned_state(&mut self, learned_state: LearnedState) {
         self.members = learned_state.members;
-        // Gateways that adopted alike must not draw alike.
+        // Gateways that adopt the same state must not sample the same reads.
         let mut salts = self.rng.clone();
         self.members.values_mut().for_each(|member| member.sampling_salt = salts.next_u64());
         self.groups = learned_state.groups;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,32 +5,31 @@
 //!
 //! | file in `router/` | what it decides |
 //! | --- | --- |
-//! | `mod.rs` | what a router keeps, one step |
-//! | `admission.rs` | how a new request is taken in or shed |
-//! | `bookkeeping.rs` | nothing: keeps queues, members and their indexes in step |
-//! | `queue.rs` | the order of dispatch, expiry, eviction |
-//! | `completion.rs` | the final answer of a request, and cancelling its attempts |
-//! | `endpoints.rs` | what the endpoint list says |
-//! | `evidence.rs` | roles, positions and commits, as members report them |
-//! | `outcomes.rs` | what the end of an attempt teaches |
-//! | `concurrency.rs` | the concurrency limit of a member, and this router's quota |
-//! | `load.rs` | nothing: records what members serve and what clients offer |
+//! | `mod.rs` | the state of a router and the order of one step |
+//! | `admission.rs` | whether a new request is queued or rejected at once |
+//! | `queue.rs` | the order of dispatch, expiry and eviction of a group's queue |
+//! | `dispatch.rs` | the rules that every send must satisfy |
+//! | `primary.rs` | which member is taken for the primary, and how it is found |
+//! | `reads.rs` | which members a read may use, and when it waits |
+//! | `freshness.rs` | the commit that a read must see, and the forecast of lags and sojourns |
+//! | `selection.rs` | the member of a read, by trials over the forecast |
+//! | `outcomes.rs` | what the end of an attempt shows of its member, and what becomes of its request |
+//! | `completion.rs` | the final answer of a request, and the cancellation of its attempts |
+//! | `concurrency.rs` | the concurrency limit of a member, and this router's quota of it |
 //! | `overload.rs` | the share of reads that is shed |
-//! | `health.rs` | suspicion, probes, ejection of silent members |
-//! | `zones.rs` | zones that are unreachable as a whole |
+//! | `health.rs` | which members are suspected, probed and ejected |
+//! | `zones.rs` | which zones are unreachable as a whole |
 //! | `slow_start.rs` | how much work a member that has just started may be sent |
-//! | `token_bucket.rs` | when a request is paid for in slow start |
+//! | `token_bucket.rs` | whether a request is paid for in slow start |
 //! | `sampled_reads.rs` | which new reads a warming replica receives beside that |
-//! | `primary.rs` | which member is taken for the primary, and how it is found |
-//! | `reads.rs` | which members a read may use |
-//! | `freshness.rs` | the commit that a read must see, and the forecast of lags and sojourns |
-//! | `selection.rs` | the trials that select the member of a read |
-//! | `dispatch.rs` | the rules that every send must pass |
+//! | `endpoints.rs` | which members and groups exist, and how they are listed |
+//! | `evidence.rs` | nothing: records roles, positions and commits |
+//! | `load.rs` | nothing: records what members serve and what clients offer |
+//! | `bookkeeping.rs` | nothing: keeps queues, members and their indexes consistent |
 //!
-//! `interface.rs` names the types of the public interface (settings, events, actions), `state.rs` holds the
-//! state as plain data, `in_flight.rs` and `indexes.rs` which of it a step has to look at, and `learned_state.rs` what of it one
-//! router can leave to the next; none of them decides. `fleet_clock.rs` relates the hosts' clock to the
-//! router's own.
+//! `interface.rs` names the types of the public interface (settings, events, actions) and `state.rs` holds the
+//! state as plain data. `in_flight.rs` and `indexes.rs` say which of it a step has to scan, `learned_state.rs` what
+//! one process can hand over to the next; none of these decides. `fleet_clock.rs` estimates the hosts' clock.
 //!
 //! Bounds: requests by what clients can hold open ([`Settings::max_open_requests`]), members by the endpoint
 //! list and a minute more, samples by a fixed count for each member.
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -1,20 +1,21 @@
-//! By when a keyed request may be retried.
+//! The deadline for retries of a request with an idempotency key.
 
 use crate::{Effect, Time};
 
-/// The longest that a process may be held up between reading its clock and the bytes of a query leaving it
-/// (microseconds). A retry is not begun in the last such span of its key's window, since it could arrive behind it.
+/// Longest delay of a process between reading its clock and the bytes of a query leaving it (microseconds). No retry is
+/// begun in the last such span of its key's window: it could arrive after the window has closed.
 pub const RETRY_WINDOW_MARGIN: Time = 150_000;
-/// Share of a window that is given up for that at the most: one part in so many. The whole of [`RETRY_WINDOW_MARGIN`] is kept
-/// from a window of 4.8 s on; a shorter one would otherwise lose much of the time in which it can be used.
-const LARGEST_SHARE: Time = 32;
+/// Divisor of a window: the largest margin that is kept in it. Windows shorter than 4.8 s would otherwise lose much of
+/// their time to [`RETRY_WINDOW_MARGIN`].
+const MAX_MARGIN_DIVISOR: Time = 32;
 
 impl Effect {
     /// The time by which a retry must be written, if its first attempt that may have run was ordered at `first`.
+    /// [`Time::MAX`] without a key.
     pub fn retry_deadline(self, first: Time) -> Time {
         match self {
             Effect::Keyed { window, .. } => {
-                let margin = RETRY_WINDOW_MARGIN.min(window / LARGEST_SHARE);
+                let margin = RETRY_WINDOW_MARGIN.min(window / MAX_MARGIN_DIVISOR);
                 first.saturating_add(window - margin)
             }
             Effect::Safe | Effect::Unsafe => Time::MAX,
--- a/crates/policy/src/router/admission.rs
+++ b/crates/policy/src/router/admission.rs
@@ -1,19 +1,19 @@
-//! Admission: a new request is shed or takes its place in the queue of its group.
+//! Admission: a new request is rejected at once, or it joins the queue of its group.
 
 use super::queue::USEFUL_START_SHARE;
 use super::Router;
 use crate::interface::{Action, Class, RequestArrival, RequestId, Time};
 use crate::state::{share_of, Request};
 
-/// Share of all value that may be spent on health checks (fraction).
+/// Share of the value of all requests that may be spent on health checks (fraction).
 pub(super) const PROBE_BUDGET_SHARE: f64 = 0.002;
-/// Share of requests that may be sent to suspected members, to try them (fraction).
+/// Share of requests that may be sent to suspected members as trials (fraction).
 const TRIAL_BUDGET_SHARE: f64 = 0.06;
-/// Trials that are saved up at most (count).
+/// Burst of the budget of trials (count).
 const MAX_SAVED_TRIALS: f64 = 2.0;
-/// Part of the typical time (divisor) by which the estimate moves for each first try.
+/// Divisor of the typical time left: the step by which one first attempt moves the estimate.
 const TYPICAL_TIME_STEP_DIVISOR: Time = 64;
-/// Part of the typical time (divisor) that a first try's time may lie below it.
+/// Divisor of the typical time left: how far below it a client's first attempt may lie.
 const TYPICAL_TIME_TOLERANCE_DIVISOR: Time = 16;
 
 impl Router {
@@ -24,7 +24,7 @@
             return self.reject(arrival, 0);
         }
         self.record_offered_load(arrival.group, self.settings.classes[arrival.class].latency_target);
-        self.adapt_typical_time(arrival);
+        self.adapt_typical_time_left(arrival);
         if self.is_shed(&self.settings.classes[arrival.class], uniform_sample) {
             return self.reject(arrival, self.settings.max_retry_after);
         }
@@ -37,8 +37,8 @@
         self.actions.push(Action::Reject { request: arrival.request.clone(), wait });
     }
 
-    /// Moves the median of the time that first tries of a class come with.
-    fn adapt_typical_time(&mut self, arrival: &RequestArrival) {
+    /// Moves the running median of the time left that first attempts of a class arrive with.
+    fn adapt_typical_time_left(&mut self, arrival: &RequestArrival) {
         if arrival.is_retry {
             return;
         }
@@ -51,13 +51,14 @@
         }
     }
 
-    /// How long ago the client's first try came. Most requests are first tries with the same time: one with
-    /// well less than the median is a later try. A marked retry was most likely rejected by a router that had
-    /// kept it for as long as a start was useful.
+    /// How long ago the client's first attempt was (microseconds). Most requests are first attempts with the
+    /// same time left, so one with well less than the median is taken for a retry. A request that is marked
+    /// as a retry was most likely rejected by a router after it had waited there for as long as a start was
+    /// useful.
     fn age_at_arrival(&self, arrival: &RequestArrival, class: &Class) -> Time {
         let typical = self.typical_time_left[arrival.class];
-        let is_later_try = arrival.time_left < typical - typical / TYPICAL_TIME_TOLERANCE_DIVISOR;
-        let age = if is_later_try { class.deadline - arrival.time_left } else { 0 };
+        let looks_like_retry = arrival.time_left < typical - typical / TYPICAL_TIME_TOLERANCE_DIVISOR;
+        let age = if looks_like_retry { class.deadline - arrival.time_left } else { 0 };
         if arrival.is_retry {
             return age.max(share_of(class.latency_target, USEFUL_START_SHARE)).max(0);
         }
@@ -86,7 +87,7 @@
         self.enqueue(arrival.group, sequence);
     }
 
-    /// The position that a waiting request must see is lower by now.
+    /// Lowers the minimum position of a waiting request; a higher one is ignored.
     pub(super) fn lower_minimum_position(&mut self, request: &RequestId, position: Time) {
         let Some(sequence) = self.sequences.get(request) else { return };
         let Some(request) = self.requests.get_mut(sequence) else { return };
--- a/crates/policy/src/router/bookkeeping.rs
+++ b/crates/policy/src/router/bookkeeping.rs
@@ -5,17 +5,17 @@
 use crate::interface::{GroupId, MemberId, MemberStatus, Time};
 use crate::state::Member;
 
-/// Span after which a removed member is forgotten (microseconds): no list that old may name it again.
+/// Span after which a removed member is forgotten (microseconds): longer than a late list may still name it.
 const FORGET_AFTER: Time = 60_000_000;
 
 impl Router {
-    /// The request waits in its group from now on.
+    /// Adds a request to the queue of its group.
     pub(super) fn enqueue(&mut self, group: GroupId, sequence: u64) {
         self.groups.entry(group).or_default().waiting.insert(sequence);
         self.indexes.add_waiting(group);
     }
 
-    /// The request no longer waits in its group.
+    /// Removes a request from the queue of its group.
     pub(super) fn dequeue(&mut self, group: GroupId, sequence: u64) {
         let Some(state) = self.groups.get_mut(&group) else { return };
         state.waiting.remove(&sequence);
@@ -24,18 +24,18 @@
         }
     }
 
-    /// The list names the status of a member.
+    /// Sets the status that the endpoint list names for a member.
     pub(super) fn set_status(&mut self, id: MemberId, status: MemberStatus) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.status = status;
         member.drained |= status == MemberStatus::Draining;
-        if self.indexes.note_status(id, status) {
-            member.last_listed_at = member.last_listed_at.max(self.watched_at);
+        if self.indexes.update_status(id, status) {
+            member.last_listed_at = member.last_listed_at.max(self.health_checked_at);
         }
     }
 
-    /// Notes for members that were removed which of them are kept, and forgets those that were not for a
-    /// minute. Members that are not removed must be kept.
+    /// Forgets the removed members for which `is_kept` has returned false for as long as `FORGET_AFTER`. It
+    /// has to return true for members that are not removed.
     pub(super) fn forget_members(&mut self, is_kept: impl Fn(&Member) -> bool) {
         let now = self.now;
         let members = &mut self.members;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Removes members from their groups that are no longer known.
+    /// Removes forgotten members from their groups.
     fn prune_groups(&mut self) {
         let members = &self.members;
         for group in self.groups.values_mut() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Brings the indexes in line with members and groups, when all of them have changed.
+    /// Rebuilds the indexes after all members and groups have been replaced.
     pub(crate) fn rebuild_indexes(&mut self) {
         self.prune_groups();
         self.indexes = Indexes::of(&self.members, &self.groups);
@@ -81,7 +81,7 @@
         if self.indexes.is_delisted(id) {
             member.last_listed_at
         } else {
-            member.last_listed_at.max(self.watched_at)
+            member.last_listed_at.max(self.health_checked_at)
         }
     }
 }
--- a/crates/policy/src/router/completion.rs
+++ b/crates/policy/src/router/completion.rs
@@ -1,4 +1,4 @@
-//! Completion: the final answer of a request, and cancelling what it has in flight.
+//! Completion: the final answer of a request, and the cancellation of its attempts in flight.
 
 use super::Router;
 use crate::interface::{Action, Class, Effect, MemberId, RequestId, Scope};
@@ -6,17 +6,17 @@
 use crate::state::Request;
 
 impl Router {
-    /// Gives the one final answer of a request that this router ends itself: a rejection where a retry is
-    /// harmless, a failure elsewhere.
+    /// Gives the one final answer of a request that no member has answered: a rejection if the client may
+    /// safely retry, otherwise a failure.
     pub(super) fn finish(&mut self, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else { return };
         let class = &self.settings.classes[request.class];
         let id = request.id.clone();
-        let harmless = is_retry_harmless(request, class);
+        let is_harmless = is_retry_harmless(request, class);
         if class.effect == Effect::Safe {
             self.cancel_attempts(sequence, None);
         }
-        self.actions.push(if harmless {
+        self.actions.push(if is_harmless {
             Action::Reject { request: id, wait: self.settings.max_retry_after }
         } else {
             Action::Fail { request: id }
@@ -24,7 +24,7 @@
         self.forget_request(sequence);
     }
 
-    /// The request has its answer, or nobody waits for it any more.
+    /// Closes a request that has its answer, or that nobody waits for any more.
     pub(super) fn close(&mut self, sequence: u64) {
         self.cancel_attempts(sequence, None);
         self.forget_request(sequence);
@@ -43,7 +43,7 @@
         self.dequeue(request.group, sequence);
     }
 
-    /// Cancels what a request has in flight, at one member or at all of them.
+    /// Cancels the attempts of a request in flight: those at one member, or all with `None`.
     pub(super) fn cancel_attempts(&mut self, sequence: u64, at: Option<MemberId>) {
         if !self.settings.may_cancel {
             return;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Whether the client may send the request again without a second effect.
+/// Whether a retry of the client cannot have a second effect.
 fn is_retry_harmless(request: &Request, class: &Class) -> bool {
     match class.effect {
         Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
--- a/crates/policy/src/router/concurrency.rs
+++ b/crates/policy/src/router/concurrency.rs
@@ -1,76 +1,83 @@
-//! The concurrency limit of each member and this router's quota of it.
+//! The concurrency limit of each member, and this router's quota of it.
 
 use super::Router;
 use crate::interface::{GroupId, MemberId, Time};
 use crate::state::Member;
 
-/// Mean sojourn that the limit steers to (share of the latency target): work is of very unequal length, so
-/// the mean must stay well below the target.
+/// Mean sojourn that the concurrency limit is steered to (share of the latency target). Work is of very
+/// unequal length, so the mean has to stay well below the target.
 pub(super) const TARGET_SOJOURN: f64 = 0.21;
-/// Attempts that a member may have in flight before it has shown what it carries (count).
+/// Concurrency limit of a member that has not served anything yet (count).
 pub(super) const INITIAL_CONCURRENCY_LIMIT: f64 = 6.0;
-/// Largest limit of a member (count).
+/// Largest concurrency limit of a member (count).
 const MAX_CONCURRENCY_LIMIT: f64 = 512.0;
-/// Routers up to which each may use the whole limit (count); more of them get a quota each.
+/// Number of routers up to which each may use the whole limit (count); more of them get a quota each.
 const ROUTERS_WITH_FULL_LIMIT: f64 = 8.0;
-/// Exponent by which the quota falls with the number of routers: over 1, as each of many learns late.
+/// Exponent by which the quota falls with the number of routers. Above 1, since each of many learns late.
 const QUOTA_EXPONENT: f64 = 1.15;
-/// Most that one answer counts in the mean sojourn (fraction): the mean must not swing past its samples.
+/// Largest weight of one answer in the mean sojourn (fraction): more would let the mean overshoot.
 const MAX_SAMPLE_WEIGHT: f64 = 0.5;
 /// Weight of one answer in the mean sojourn at the full quota (fraction).
 const SAMPLE_WEIGHT: f64 = 0.15;
+/// Smallest mean sojourn that the limit is steered by (latency targets): keeps the ratio finite.
+const MIN_MEAN_SOJOURN: f64 = 1e-6;
+/// Smallest ratio of the target sojourn to the mean one that a step is derived from: bounds the step down.
+const MIN_SOJOURN_RATIO: f64 = 0.5;
+/// Growth term of the step for one answer, to be divided by the root of the limit.
+const GROWTH: f64 = 0.5;
 /// Step of the limit for one answer at the full quota (count).
 const LIMIT_STEP: f64 = 0.5;
 /// Share of the limit that must be in use for it to grow (fraction).
 const GROWTH_UTILIZATION: f64 = 0.7;
 /// Factor on the limit for one answer that the queue is full, at the full quota.
 const QUEUE_FULL_BACKOFF: f64 = 0.8;
-/// Pauses that are saved up (count): some routers have many times the work of others, and never in even
-/// steps.
+/// Pauses that a router may save up (count): some routers have many times the work of others, and never
+/// evenly spaced.
 const SAVED_PAUSES: f64 = 12.0;
-/// Longest pause for one attempt (latency targets).
-const LONGEST_PACING: f64 = 3.0;
-/// From so many failures in a row on a member gets one attempt at a time (count).
+/// Largest sojourn that a pause is derived from (latency targets).
+const MAX_PACING_SOJOURN: f64 = 3.0;
+/// Consecutive failures from which on a member gets one attempt at a time (count).
 const SINGLE_ATTEMPT_FAILURES: u32 = 4;
 
-/// The part of the limits that each of so many routers may use.
+/// The even quota: the share of each member's concurrency limit that each of so many routers may use.
 pub(super) fn even_quota(routers: u32) -> f64 {
     (ROUTERS_WITH_FULL_LIMIT / f64::from(routers)).powf(QUOTA_EXPONENT).min(1.0)
 }
 
 impl Router {
-    /// This router's part in the limits of a group's members: the even one, with what was lent or borrowed.
-    pub(super) fn quota_part(&self, group: GroupId) -> f64 {
+    /// This router's quota of the limits of a group's members (fraction): the even one, adjusted by loans.
+    pub(super) fn quota(&self, group: GroupId) -> f64 {
         self.base_quota * self.groups.get(&group).map_or(1.0, |state| state.quota_adjustment.at(self.now))
     }
 
-    /// Whether a member may take one more attempt of this class, with this share of the quota open to it.
+    /// Whether a member may take one more attempt of this class, within a share of this router's quota.
     pub(super) fn has_capacity(&self, id: MemberId, share: f64, class: usize) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         self.has_concurrency(id, share) && self.has_slow_start_tokens(member, class)
     }
 
-    /// The same without regard to its slow start.
+    /// Whether its concurrency limit allows one more attempt, within a share of this router's quota. Slow
+    /// start is not considered.
     pub(super) fn has_concurrency(&self, id: MemberId, share: f64) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         let limit = if member.consecutive_failures >= SINGLE_ATTEMPT_FAILURES {
             1.0
         } else {
-            member.concurrency_limit * self.quota_part(member.group) * share
+            member.concurrency_limit * self.quota(member.group) * share
         };
         let in_flight = f64::from(member.in_flight.saturating_sub(member.presumed_lost));
         in_flight < limit.max(1.0) && self.now >= member.paced_until
     }
 }
 
-/// Moves the limit of a member towards the target sojourn. The smaller a router's quota, the fewer of the
-/// answers it sees, and the more each of them counts.
+/// Moves the limit of a member towards the target sojourn. A router with a small quota sees few of the
+/// member's answers, so each of them counts more.
 pub(super) fn adapt_concurrency_limit(member: &mut Member, sojourn: f64, quota: f64) {
     let weight = (SAMPLE_WEIGHT / quota.sqrt()).min(MAX_SAMPLE_WEIGHT);
     member.load += (sojourn - member.load) * weight;
-    let ratio = (TARGET_SOJOURN / member.load.max(1e-6)).clamp(0.5, 1.0);
-    // The root keeps small limits growing, so that many routers share a member evenly and none starves.
-    let growth = 0.5 / member.concurrency_limit.sqrt();
+    let ratio = (TARGET_SOJOURN / member.load.max(MIN_MEAN_SOJOURN)).clamp(MIN_SOJOURN_RATIO, 1.0);
+    // The root lets small limits grow faster, so that many routers share a member evenly and none starves.
+    let growth = GROWTH / member.concurrency_limit.sqrt();
     let step = LIMIT_STEP / quota.sqrt() * (ratio - 1.0 + growth);
     let in_use = f64::from(member.in_flight) + 1.0;
     if step < 0.0 || in_use >= GROWTH_UTILIZATION * member.concurrency_limit * quota {
@@ -85,10 +92,10 @@
 }
 
 /// Spaces the sends to a member of which this router may use less than one attempt: a tenth of an attempt is
-/// one attempt and a pause nine times as long.
+/// one attempt followed by a pause nine times as long.
 pub(super) fn pace_sends(member: &mut Member, sojourn: f64, latency_target: f64, quota: f64, now: Time) {
     let pause = latency_target
-        * sojourn.max(member.load).clamp(TARGET_SOJOURN, LONGEST_PACING)
+        * sojourn.max(member.load).clamp(TARGET_SOJOURN, MAX_PACING_SOJOURN)
         * (1.0 / (member.concurrency_limit * quota) - 1.0).max(0.0);
     let saved = if sojourn < 1.0 { SAVED_PAUSES * pause } else { 0.0 };
     member.paced_until = member.paced_until.max(now - saved as Time) + pause as Time;
--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: the rules that every send must pass, whatever path wants it, and the send itself.
+//! Dispatch: the rules that every send must satisfy, whatever path asks for it, and the send itself.
 
 use super::Router;
 use crate::interface::{
@@ -7,19 +7,28 @@
 use crate::mutant::{mutant, Mutant::UnsafeRetried, Mutant::UnwantedHedge};
 use crate::state::{Attempt, AttemptId, InFlightAttempt, Member, Request};
 
+/// When an attempt is given up.
+#[derive(Clone, Copy)]
+struct AttemptDeadline {
+    at: Time,
+    /// The same of an attempt that is a trial of a suspected member.
+    trial_end: Time,
+}
+
 impl Router {
     /// Whether this attempt may be sent at all.
-    fn is_allowed(&self, request: &Request, id: MemberId) -> bool {
+    fn is_send_allowed(&self, request: &Request, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         let class = &self.settings.classes[request.class];
-        // Rule 1: only an open request, and only while its client waits. No key is used after its window.
+        // Rule 1: only an open request, while its client waits and the window of its key is open.
         let in_time =
             self.now < request.deadline && !request.is_exhausted(class, self.now + self.settings.granularity);
-        // Rule 2: no second effect, and no hedged request where there may be none.
+        // Rule 2: no second effect, and no hedged request unless hedging is enabled.
         let is_alone = self.settings.may_hedge || mutant(UnwantedHedge) || !request.has_attempt_in_flight();
         let has_no_second_effect = self.has_no_second_effect(request, class.effect, id, member);
-        // Rule 3: nothing new to a member known to drain or be removed (the grace is not used).
+        // Rule 3: nothing new to a member known to drain or to be removed (the grace period is not used).
         let in_service = self.is_in_service(member) && member.group == request.group;
+        // Rule 5: only data known to be fresh enough.
         let fresh = self.is_fresh(self.now, &request.id, id);
         // Rule 4: the slow-start budget.
         in_time
@@ -40,8 +49,9 @@
         }
     }
 
-    /// Rule 5: where members do not check for themselves, the data must be known to be fresh enough. That is
-    /// asked again right before an attempt's first byte: a connection may have taken long to come up.
+    /// Whether the data of a member is known to be fresh enough for a request (rule 5); true where members
+    /// check that themselves. To be asked again right before the first byte of an attempt, since its
+    /// connection may have taken long to open.
     pub fn is_fresh(&self, now: Time, request: &RequestId, id: MemberId) -> bool {
         let Some(sequence) = self.sequences.get(request) else { return false };
         let (Some(state), Some(member)) = (self.requests.get(sequence), self.members.get(&id)) else {
@@ -57,8 +67,8 @@
         is_known || member.is_primary() && self.is_surely_primary(now, request, id, member, need)
     }
 
-    /// Whether a member may still be taken for the primary. An attempt long in flight may have been answered
-    /// by one that is primary no more, and that answer been lost: then only recent evidence counts.
+    /// Whether a member can still be taken for the primary. An attempt that has been in flight for long may
+    /// have been answered by a former primary, and the answer lost: then only recent evidence counts.
     fn is_surely_primary(
         &self,
         now: Time,
@@ -79,21 +89,21 @@
     pub(super) fn send(&mut self, sequence: u64, id: MemberId) {
         let Some(request) = self.requests.get(&sequence) else { return };
         let Some(member) = self.members.get(&id) else { return };
-        if !self.is_allowed(request, id) {
+        if !self.is_send_allowed(request, id) {
             return;
         }
-        let until = self.attempt_deadline(request, member);
+        let deadline = self.attempt_deadline(request, member);
         let slow_start_tokens = self.slow_start_tokens_after_send(member, request.class);
-        if self.is_trial_paid(request, member) {
+        if self.is_paid_trial(request, member) {
             self.budgets.trials -= 1.0;
         }
-        self.note_send(id, slow_start_tokens, until);
-        self.insert_attempt(sequence, id, until);
+        self.record_send(id, slow_start_tokens, deadline);
+        self.insert_attempt(sequence, id, deadline);
     }
 
-    /// Until when an attempt may take. A suspected member is tried for a short while, so that the request has
-    /// time left for another. A primary gets more: what no other can take is better off in its queue, if it
-    /// is only overloaded.
+    /// A trial of a suspected member is short, so that the request has time left for another attempt. It is
+    /// longer at a primary: a request that no other member can serve is better off in its queue, if it is
+    /// only overloaded.
     fn attempt_deadline(&self, request: &Request, member: &Member) -> AttemptDeadline {
         let span = if member.is_primary() {
             (request.deadline - self.now) / 2
@@ -105,13 +115,13 @@
         AttemptDeadline { at, trial_end }
     }
 
-    /// Whether this send is a trial that the budget pays for. Where no other member is left, it costs no
-    /// request a better place.
-    fn is_trial_paid(&self, request: &Request, member: &Member) -> bool {
+    /// Whether this send is a trial that the budget pays for. It is free where only suspected members are
+    /// left, since the request has no better place to go to.
+    fn is_paid_trial(&self, request: &Request, member: &Member) -> bool {
         member.suspected && !member.is_primary() && !self.has_only_suspected_members(request.group)
     }
 
-    fn note_send(&mut self, id: MemberId, slow_start_tokens: f64, deadline: AttemptDeadline) {
+    fn record_send(&mut self, id: MemberId, slow_start_tokens: f64, deadline: AttemptDeadline) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.slow_start_tokens = slow_start_tokens;
         if member.suspected {
@@ -124,8 +134,8 @@
         let Some(request) = self.requests.get_mut(&sequence) else { return };
         let Some(member) = self.members.get_mut(&id) else { return };
         let number = request.attempts.len() as u32;
-        let beside = f64::from(member.in_flight);
-        let in_flight = InFlightAttempt { member: id, sent: now, class: request.class, beside };
+        let others_in_flight = f64::from(member.in_flight);
+        let in_flight = InFlightAttempt { member: id, sent: now, class: request.class, others_in_flight };
         self.in_flight.insert(AttemptId { request: request.id.clone(), number }, in_flight);
         member.in_flight += 1;
         request.attempts.push(Attempt { member: id, sent: now, in_flight: true, ..Attempt::default() });
@@ -136,11 +146,3 @@
         }
     }
 }
-
-/// When an attempt is given up.
-#[derive(Clone, Copy)]
-struct AttemptDeadline {
-    at: Time,
-    /// Until when a suspected member is tried.
-    trial_end: Time,
-}
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which members and groups there are, and what the list says of them.
+//! The endpoint list: which members and groups exist, and how they are listed.
 
 use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
 use super::Router;
@@ -29,7 +29,7 @@
     fn update_endpoint(&mut self, entry: &Entry) {
         self.fleet_clock.record_start(entry.member, entry.started, self.now);
         match self.members.get(&entry.member) {
-            // A list that is delivered late or twice overwrites nothing newer.
+            // A list that arrives late or twice must not overwrite newer entries.
             Some(member) if member.started > entry.started => return,
             Some(member) if member.started == entry.started => {}
             _ => self.start_member(entry),
@@ -41,8 +41,8 @@
         }
     }
 
-    /// A member that is new or has restarted: all is forgotten but what is in flight and its denial of being
-    /// primary.
+    /// Starts a member that is new or has restarted. Of an earlier start only the attempts in flight and the
+    /// evidence of being a replica are kept.
     fn start_member(&mut self, entry: &Entry) {
         let mut member = self.new_member(entry);
         member.slow_start_tokens = self.initial_slow_start_tokens();
@@ -51,7 +51,7 @@
             member.in_flight = earlier.in_flight;
             member.replica_evidence_at = earlier.replica_evidence_at;
         }
-        self.indexes.note_doubt(entry.member, &member);
+        self.indexes.update_doubt(entry.member, &member);
         self.members.insert(entry.member, member);
     }
 
@@ -59,7 +59,7 @@
         let listed_as_primary = entry.primary
             && match self.settings.list_role {
                 ListRole::Absent => false,
-                // Roles as they were at the beginning say nothing of a member that has started since.
+                // Roles of the first list say nothing of a member that has started since.
                 ListRole::Static => entry.started <= 0,
                 ListRole::Trailing => true,
             };
@@ -70,7 +70,7 @@
             weight: if valid_weight { entry.weight } else { 1.0 },
             started: entry.started,
             listed_at: self.now,
-            // The list is the weakest evidence: anything a member says itself outweighs it.
+            // The list is the weakest evidence: any report of a member outweighs it.
             primary_evidence_at: Time::from(listed_as_primary),
             concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
             last_heard_at: self.now,
--- a/crates/policy/src/router/evidence.rs
+++ b/crates/policy/src/router/evidence.rs
@@ -1,17 +1,17 @@
-//! Evidence from answers and load reports: roles, positions and commits of members.
+//! Evidence: roles, positions and commits, as members report them with answers and health checks.
 
 use super::Router;
 use crate::interface::{MemberId, Role, Time};
 use crate::state::{Sample, Samples};
 
-/// Lag and sojourn samples kept for a member (count).
+/// Lag samples and sojourn samples kept for a member (count each).
 pub(super) const SAMPLES_KEPT: usize = 12;
 /// Commits kept for a group (count).
 const COMMITS_KEPT: usize = 4 * SAMPLES_KEPT;
-/// Age from which a sample is left out (microseconds): a few seconds.
+/// Age from which on a sample is ignored (microseconds).
 const SAMPLE_AGE_LIMIT: Time = 3_000_000;
 
-/// What a member said of itself.
+/// What a member has reported of itself.
 #[derive(Clone, Copy)]
 pub(super) struct Evidence {
     pub(super) position: Option<Time>,
@@ -21,7 +21,7 @@
 }
 
 impl Router {
-    /// Takes in what a member said of its role and position. Older evidence never replaces newer.
+    /// Records what a member has reported of its role and position. Older evidence never replaces newer.
     pub(super) fn record_evidence(&mut self, id: MemberId, evidence: Evidence) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Notes the time of a commit that a member acknowledged.
+    /// Records the time of a commit that a member has acknowledged.
     pub(super) fn record_commit(&mut self, id: MemberId, committed_at: Time) {
         let Some(member) = self.members.get(&id) else { return };
         let commits = &mut self.groups.entry(member.group).or_default().commits;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The samples that are not too old to say anything.
+    /// The samples younger than `SAMPLE_AGE_LIMIT`.
     pub(super) fn recent<'a, T>(
         &self,
         samples: &'a Samples<T>,
--- a/crates/policy/src/router/freshness.rs
+++ b/crates/policy/src/router/freshness.rs
@@ -3,40 +3,41 @@
 
 use super::concurrency::TARGET_SOJOURN;
 use super::evidence::SAMPLES_KEPT;
+use super::primary::PrimaryRank;
 use super::Router;
 use crate::interface::{MemberId, Need, Time};
 
-/// Random commits that a forecast draws at most (count).
+/// Largest number of commits that one forecast draws (count).
 const MAX_FORECAST_COMMITS: usize = 8 * SAMPLES_KEPT;
-/// Lag samples from which a trend is estimated (count).
+/// Lag samples from which on a trend is estimated (count).
 const MIN_TREND_SAMPLES: usize = 3;
 /// Steepest fall of a lag (microseconds a microsecond).
 const STEEPEST_FALL: f64 = -4.0;
-/// Steepest rise of a lag (microseconds a microsecond): a replica that has stopped.
+/// Steepest rise of a lag (microseconds a microsecond): that of a replica that has stopped applying commits.
 const STEEPEST_RISE: f64 = 1.0;
-/// Factor on the drawn sojourn of a primary that has enough work of its own.
+/// Factor on the drawn sojourn of a primary that ranks behind the replicas.
 const PRIMARY_HANDICAP: f64 = 2.0;
 
 impl Router {
-    /// The newest commit a read must see (hosts' clock), or none where any data will do.
+    /// The newest commit that a read must see (hosts' clock); `None` where any data will do.
     pub(super) fn forecast_commit(&mut self, sequence: u64) -> Option<Time> {
         let request = self.requests.get(&sequence)?;
         let minimum = request.minimum_position;
         let Need::Bounded(bound) = self.settings.classes[request.class].need else { return minimum };
         let horizon = self.fleet_clock.horizon(bound, self.now);
         let commits = &self.groups.get(&request.group)?.commits;
-        let place = commits.partition_point(|commit| *commit <= horizon);
-        if place < commits.len() || commits.len() < 2 {
-            let newest = if place > 0 { commits[place - 1] } else { horizon };
+        let known = commits.partition_point(|commit| *commit <= horizon);
+        if known < commits.len() || commits.len() < 2 {
+            let newest = if known > 0 { commits[known - 1] } else { horizon };
             return minimum.max(Some(newest));
         }
-        let last = commits[place - 1];
+        let last = commits[known - 1];
         let pairs = commits.iter().zip(commits.iter().skip(1));
         let gaps: Vec<Time> = pairs.map(|(earlier, later)| (later - earlier).max(1)).collect();
         minimum.max(Some(self.draw_last_commit(last, &gaps, horizon)))
     }
 
-    /// The last commit before the horizon, if commits went on with gaps as these.
+    /// Draws the last commit before the horizon, continuing from `last` with gaps resampled from `gaps`.
     fn draw_last_commit(&mut self, last: Time, gaps: &[Time], horizon: Time) -> Time {
         let mut commit = last;
         for _ in 0..MAX_FORECAST_COMMITS {
@@ -49,8 +50,8 @@
         horizon
     }
 
-    /// A drawn lag (microseconds): a recent sample, moved on by the trend of the member's samples. A member
-    /// without samples has none, so that it is tried.
+    /// Draws a replication lag (microseconds): a recent sample, extrapolated by the trend of the member's
+    /// samples. A member without samples counts as having no lag, so that it is tried.
     pub(super) fn draw_lag(&mut self, id: MemberId) -> Time {
         let random = self.rng.next_u64() as usize;
         let Some(member) = self.members.get(&id).filter(|member| !member.is_primary()) else { return 0 };
@@ -66,10 +67,10 @@
         (drawn.value + change as Time).max(0)
     }
 
-    /// A drawn sojourn in latency targets: a recent sample, scaled to what is in flight now. The fewer
-    /// samples a member has, the more often one of all members stands in: a router with little traffic hears
-    /// most of them seldom, and hundreds of routers must not all take the same unheard member.
-    pub(super) fn draw_sojourn(&mut self, id: MemberId, primary_has_time: bool) -> f64 {
+    /// Draws a sojourn (latency targets): a recent sample, scaled to what is in flight now. The fewer samples
+    /// a member has, the more often a sample of any member takes their place: a router with little traffic
+    /// seldom has an answer of each, and hundreds of routers must not all choose the same unknown member.
+    pub(super) fn draw_sojourn(&mut self, id: MemberId, primary_rank: PrimaryRank) -> f64 {
         let random = self.rng.next_u64() as usize;
         let position = self.rng.uniform_sample();
         let Some(member) = self.members.get(&id) else { return TARGET_SOJOURN };
@@ -79,7 +80,7 @@
         let of_any_member = || all.clone().nth((position * all.clone().count() as f64) as usize);
         let drawn = own.clone().nth(random % (own_count + 1)).or_else(of_any_member);
         let sojourn = drawn.map_or(TARGET_SOJOURN * position, |sample| sample.value);
-        let is_handicapped = member.is_primary() && !primary_has_time;
+        let is_handicapped = member.is_primary() && primary_rank == PrimaryRank::BehindReplicas;
         let handicap = if is_handicapped { PRIMARY_HANDICAP } else { 1.0 };
         sojourn * (1.0 + f64::from(member.in_flight)) * handicap
     }
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -1,4 +1,4 @@
-//! Health: which members are suspected, probed, tried again and given up.
+//! Health: which members are suspected, probed with health checks, ejected and cancelled at.
 
 use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
 use super::Router;
@@ -6,23 +6,33 @@
 use crate::state::{share_of, AvailableMembers, Member};
 use std::collections::BTreeSet;
 
-/// Failures in a row that a silent member counts as having (count): the first pause, in doublings of the
-/// granularity.
+/// Consecutive failures that a silent member counts as having at least (count). They set its first ejection,
+/// in doublings of the granularity.
 pub(super) const SILENCE_FAILURES: u32 = 4;
-/// Wait (latency targets) after which work counts as lost at a member that answers: sooner, and overload
-/// looks as loss.
+/// Wait after which an attempt counts as lost at a member that answers others (latency targets): any sooner,
+/// and overload looks like loss.
 const LOST_AFTER: f64 = 1.25;
-/// Silence that a member is allowed (share of the shortest latency target).
+/// Silence that an idle member is allowed (share of the shortest latency target).
 const ALLOWED_SILENCE: f64 = 0.3;
-/// Silence it is allowed beyond, for each latency target of its mean sojourn (share of the shortest latency
-/// target).
+/// Silence that a member is allowed beyond that, for each latency target of its mean sojourn (share of the
+/// shortest latency target).
 const ALLOWED_SILENCE_FOR_LOAD: f64 = 6.0;
-/// Part of the shortest latency target (divisor) that passes between two checks.
+/// Sum of the waits of unanswered attempts from which on silence is suspicious (latency targets).
+const SUSPICIOUS_WAITS: f64 = 1.0;
+/// Divisor of the shortest latency target: the interval between two checks.
 const CHECK_INTERVAL_DIVISOR: Time = 8;
+/// Divisor of the silence threshold: the interval of health checks of a suspected member.
+const SUSPECTED_PROBE_DIVISOR: Time = 4;
+/// Factor on the silence threshold: the interval of health checks of a member that is down, and of the
+/// members of a group without primary.
+const SLOW_PROBE_FACTOR: Time = 2;
+/// Divisor of the time for which a removed member has not answered: the interval of its health checks, which
+/// become ever rarer.
+const REMOVED_PROBE_DIVISOR: Time = 4;
 
 impl Router {
-    /// Whether a suspected member may be tried with a request of this class. Only where members can't be
-    /// probed.
+    /// Whether a request of this class may be sent to a suspected member as a trial. Only where there are no
+    /// health checks.
     pub(super) fn may_try_suspected(&self, id: MemberId, class: usize) -> bool {
         if self.settings.may_probe {
             return false;
@@ -39,15 +49,14 @@
         available.peek().is_some() && available.all(|member| member.suspected)
     }
 
-    /// Looks for members that have fallen silent, and probes those in doubt.
+    /// Checks which members have fallen silent, and probes those in doubt.
     pub(super) fn check_health(&mut self) {
-        if self.now - self.watched_at < self.shortest_latency_target / CHECK_INTERVAL_DIVISOR {
+        if self.now - self.health_checked_at < self.shortest_latency_target / CHECK_INTERVAL_DIVISOR {
             return;
         }
-        self.watched_at = self.now;
+        self.health_checked_at = self.now;
         self.indexes.begin_check(&mut self.members);
         let keeps_removed = self.settings.soft_removal;
-        // Members are replaced for as long as a router runs.
         self.forget_members(|member| {
             member.status != MemberStatus::Removed || member.in_flight > 0 || keeps_removed
         });
@@ -65,7 +74,7 @@
         self.probe_groups_without_primary();
     }
 
-    /// Members that are in service and not down.
+    /// Counts the members that are in service and not down.
     pub(crate) fn count_available(&self) -> AvailableMembers {
         let available = self.members.values().filter(|member| self.is_available(member));
         available.fold(AvailableMembers::default(), |sum, member| AvailableMembers {
@@ -87,9 +96,9 @@
         self.members.values().any(|member| self.now - member.last_loss_at < span)
     }
 
-    /// Adds up the waits for each member. Work that a member drops while it answers the rest must not use up
-    /// its capacity: it counts as lost. That covers lossy paths and hung requests of any kind; an overloaded
-    /// member gets some more work.
+    /// Adds up the waits at each member. An attempt that a member does not answer while it answers later ones
+    /// counts as lost, so that it does not use up the member's capacity. That covers lossy paths and hung
+    /// requests of any kind; an overloaded member gets somewhat more work.
     fn sum_up_waits(&mut self) {
         for attempt in self.in_flight.iter() {
             let Some(member) = self.members.get_mut(&attempt.member) else { continue };
@@ -107,17 +116,18 @@
         }
     }
 
-    /// Suspects a silent member. Nothing heard since several were sent says soon what one alone says after
-    /// its latency target; an overloaded member is given longer. That covers what hangs or is cut off; a
-    /// member that pauses is suspected for a moment.
+    /// Suspects a silent member. Several unanswered attempts show soon what one alone shows only after its
+    /// latency target; a member under load is given longer. That covers members that hang or are cut off; one
+    /// that pauses is suspected for a moment.
     fn check_member(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let allowed = ALLOWED_SILENCE + ALLOWED_SILENCE_FOR_LOAD * member.load;
         let allowed = share_of(self.shortest_latency_target, allowed);
         let waits = member.silent_waits;
+        let is_silent = waits.total_in_targets >= SUSPICIOUS_WAITS && waits.longest > allowed;
         if self.settings.may_probe {
             member.suspected |= waits.longest > self.silence_threshold;
-        } else if waits.total_in_targets >= 1.0 && waits.longest > allowed && !member.suspected {
+        } else if is_silent && !member.suspected {
             self.log_note(Note::MemberSuspected {
                 member: id,
                 silence: waits.longest,
@@ -127,11 +137,11 @@
             self.suspect_silent_member(id);
         }
         let Some(member) = self.members.get(&id) else { return };
-        self.indexes.note_doubt(id, member);
+        self.indexes.update_doubt(id, member);
         if member.down {
-            self.probe(id, 2 * self.silence_threshold);
+            self.probe(id, SLOW_PROBE_FACTOR * self.silence_threshold);
         } else if member.suspected {
-            self.probe(id, self.silence_threshold / 4);
+            self.probe(id, self.silence_threshold / SUSPECTED_PROBE_DIVISOR);
         }
     }
 
@@ -141,7 +151,7 @@
                 continue;
             }
             for id in self.group_members(group).to_vec() {
-                self.probe(id, 2 * self.silence_threshold);
+                self.probe(id, SLOW_PROBE_FACTOR * self.silence_threshold);
             }
         }
     }
@@ -153,22 +163,21 @@
         self.indexes.record_loss(member, self.now);
         member.consecutive_failures = member.consecutive_failures.max(SILENCE_FAILURES);
         member.ejected_until = self.now + (self.settings.granularity << member.consecutive_failures);
-        self.indexes.note_doubt(id, member);
+        self.indexes.update_doubt(id, member);
         self.cancel_attempts_at(id, |effect| effect == Effect::Safe);
     }
 
-    /// Probes a member that is not being probed, at most once in `pause` (microseconds), while the budget
-    /// lasts.
-    fn probe(&mut self, id: MemberId, pause: Time) {
+    /// Sends a health check to a member, unless one is in flight, the last was sent within `interval`
+    /// (microseconds), or the budget is used up.
+    fn probe(&mut self, id: MemberId, interval: Time) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let is_removed = member.status == MemberStatus::Removed;
         if !self.settings.may_probe || member.probe_in_flight || is_removed && !self.settings.soft_removal {
             return;
         }
-        // What is called removed and does not answer is probed ever more rarely.
         let unanswered = member.probed_at - member.last_heard_at;
-        let pause = if is_removed { pause.max(unanswered / 4) } else { pause };
-        if self.now - member.probed_at <= pause || self.budgets.probes < self.settings.probe_price {
+        let interval = if is_removed { interval.max(unanswered / REMOVED_PROBE_DIVISOR) } else { interval };
+        if self.now - member.probed_at <= interval || self.budgets.probes < self.settings.probe_price {
             return;
         }
         self.budgets.probes -= self.settings.probe_price;
@@ -177,7 +186,7 @@
         self.actions.push(Action::Probe { member: id });
     }
 
-    /// Takes in the end of a probe.
+    /// Records the outcome of a health check.
     pub(super) fn record_probe(&mut self, id: MemberId, ending: Ending, report: &Report) {
         self.record_report(id, report);
         let slow_start_tokens = self.initial_slow_start_tokens();
@@ -195,7 +204,8 @@
         }
     }
 
-    /// A member that was down may have restarted unannounced: its slow start begins now.
+    /// Returns a member to service. It may have restarted without the endpoint list saying so, so its slow
+    /// start begins now.
     fn mark_up(&mut self, id: MemberId, slow_start_tokens: f64) {
         let Some(member) = self.members.get_mut(&id) else { return };
         self.indexes.set_down(id, member, false);
@@ -216,7 +226,8 @@
         self.cancel_attempts_at(id, |effect| effect != Effect::Unsafe);
     }
 
-    /// Cancels work at a member that does not answer, so that it can go elsewhere while there is time.
+    /// Cancels attempts at a member that does not answer, so that their requests can be sent elsewhere while
+    /// there is time.
     fn cancel_attempts_at(&mut self, id: MemberId, is_retriable: impl Fn(Effect) -> bool) {
         let mut cancelled = BTreeSet::new();
         for (attempt_id, _) in self.in_flight.at_member(id) {
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -1,5 +1,5 @@
-//! The router: its state and one step. The types that it meets the embedding program with (settings, events,
-//! actions) are in `interface.rs`; read that first. The state is plain data in `state.rs`. Each file here
+//! The router: its state, and one step. Begin with `interface.rs`, which has the types that it shares with
+//! the embedding program (settings, events, actions). Its state is plain data in `state.rs`; each file here
 //! decides one concern.
 
 mod admission;
@@ -39,25 +39,26 @@
 
 /// A time before all others, with room to subtract from.
 const NEVER: Time = Time::MIN / 2;
-/// Requests' worth of probes that a router starts with (count), as it may start in the middle of a fault.
+/// Requests' worth of health checks in the budget of a new router (count): it may start in the middle of a
+/// fault.
 const INITIAL_PROBE_REQUESTS: f64 = 100.0;
-/// Shortest span between two notes in the log (microseconds).
+/// Shortest interval between two notes in the log (microseconds).
 const LOG_INTERVAL: Time = 200_000;
 
-/// Token buckets that requests fill.
+/// Budgets that each admitted request refills.
 #[derive(Clone, Debug, Default)]
 struct Budgets {
-    /// What may be spent on probes, in the unit of `Settings::probe_price`.
+    /// For health checks, in the unit of `Settings::probe_price`.
     probes: f64,
-    /// Requests that may be sent to suspected members (count).
+    /// For trials: requests that may be sent to suspected members (count).
     trials: f64,
 }
 
-/// One router: feed it events, carry out its actions.
+/// One router: it is stepped with events, and its actions are carried out by the embedding program.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
     settings: Settings,
-    /// This router's even part in the limits of the members (fraction).
+    /// Even quota of the members' concurrency limits (fraction).
     base_quota: f64,
     pub(crate) rng: SeededRng,
     /// The hosts' clock in relation to `now`.
@@ -72,15 +73,14 @@
     sequences: BTreeMap<RequestId, u64>,
     in_flight: InFlightAttempts,
     next_sequence: u64,
-    /// Median of the time that first tries of each class come with (microseconds).
+    /// For each class, the running median of the time left that first attempts arrive with (microseconds).
     typical_time_left: Vec<Time>,
-    /// A timer is set.
     is_timer_set: bool,
-    /// When the list was last subscribed to.
+    /// When the endpoint list was last subscribed to.
     list_watched_at: Time,
     budgets: Budgets,
-    /// Silence that raises suspicion where members can be probed: half the longest latency target
-    /// (microseconds).
+    /// Silence from which on a member is suspected where there are health checks: half the longest latency
+    /// target (microseconds).
     silence_threshold: Time,
     /// Shortest latency target of all classes (microseconds).
     pub(crate) shortest_latency_target: Time,
@@ -90,10 +90,10 @@
     suppressed_notes: u32,
     /// Load of the members as a whole.
     pub(crate) load: LoadState,
-    /// Members that are in service and not down.
+    /// Members that are in service and not down, as of the last health check.
     available: AvailableMembers,
     /// When health was last checked.
-    pub(crate) watched_at: Time,
+    pub(crate) health_checked_at: Time,
     pub(crate) indexes: Indexes,
     scan_counts: ScanCounts,
     /// Actions of the current step.
@@ -101,7 +101,7 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet. The seed is its only source of random numbers.
+    /// A router without any knowledge. The seed is its only source of random numbers.
     ///
     /// # Errors
     ///
@@ -112,18 +112,18 @@
             list_watched_at: NEVER,
             budgets: Budgets { probes: INITIAL_PROBE_REQUESTS * PROBE_BUDGET_SHARE, trials: 0.0 },
             logged_at: NEVER,
-            watched_at: NEVER,
+            health_checked_at: NEVER,
             ..Router::default()
         };
         router.apply_settings(settings)?;
         Ok(router)
     }
 
-    /// Replaces the settings. Classes of open requests and of attempts in flight must keep their places.
+    /// Replaces the settings. Classes of open requests and of attempts in flight must keep their indices.
     ///
     /// # Errors
     ///
-    /// Fails if the settings are not valid; those before them stay in force then.
+    /// Fails if the settings are not valid; the earlier ones then stay in force.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let latency_targets = || settings.classes.iter().map(|class| class.latency_target);
@@ -137,23 +137,23 @@
         Ok(())
     }
 
-    /// What is known of the hosts' clock. Times that cross machines are compared through it alone.
+    /// The estimate of the hosts' clock. Times of different machines are compared through it alone.
     pub fn fleet_clock(&self) -> &FleetClock {
         &self.fleet_clock
     }
 
+    /// The estimate of the hosts' clock, for the embedding program to record what hosts' answers show of it
+    /// at the time of their arrival.
+    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
+        &mut self.fleet_clock
+    }
+
     /// What the health checks have scanned so far.
     pub fn scan_counts(&self) -> ScanCounts {
         self.scan_counts
     }
 
-    /// For whoever receives the hosts' answers, to pass on what they show of the hosts' clock when they
-    /// arrive.
-    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
-        &mut self.fleet_clock
-    }
-
-    /// Takes one batch of events, all at `now`, and appends what is to be done.
+    /// Processes one batch of events, all at the time `now`, and appends the actions to carry out.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Makes sure of another step while requests are open.
+    /// Requests another step while requests are open.
     fn set_timer(&mut self) {
         if !self.is_timer_set && !self.requests.is_empty() {
             self.is_timer_set = true;
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Subscribes to the list again, where its changes come only on request.
+    /// Renews the subscription to the endpoint list, where changes are sent on request only.
     fn watch_list(&mut self) {
         if self.settings.list_on_request
             && self.now - self.list_watched_at > self.settings.list_poll_interval / 2
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -1,5 +1,4 @@
-//! What the end of an attempt teaches: load, the member's limit and its health, and what becomes of its
-//! request.
+//! Outcomes: what the end of an attempt shows of its member, and what becomes of its request.
 
 use super::concurrency::{adapt_concurrency_limit, pace_sends, reduce_concurrency_limit};
 use super::evidence::{push_sample, Evidence};
@@ -9,22 +8,22 @@
 use crate::mutant::{mutant, Mutant::UnsafeRetried};
 use crate::state::{AttemptId, InFlightAttempt, Sample};
 
-/// Longest pause after failures in a row, in doublings of the granularity (count).
+/// Most doublings of the granularity that an ejection lasts (count).
 const MAX_BACKOFF_DOUBLINGS: u32 = 7;
-/// Part of the shortest latency target (divisor) past which a failed connection counts as one that hung: a
-/// rejection comes at once and points to the process; what hangs points to its machine.
+/// Divisor of the shortest latency target: a connection that takes longer to fail has hung. A connection
+/// refused at once points to the process, one that hangs to its machine.
 const HUNG_CONNECTION_DIVISOR: Time = 16;
 
-/// What an attempt's time says of its member.
+/// What the time of an attempt shows of its member.
 struct Measurement {
     sent: Time,
     /// Latency target of the request's class (microseconds).
     latency_target: f64,
     /// Time from send to end, in latency targets.
     sojourn: f64,
-    /// The same for each attempt in flight at the send.
+    /// The sojourn, divided by the attempts in flight at the send, this one included.
     sample: Sample<f64>,
-    /// This router's part in the member's limit.
+    /// This router's quota of the member's concurrency limit (fraction).
     quota: f64,
 }
 
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Takes in the role and position of a load report.
+    /// Records the role and position of a load report.
     pub(super) fn record_report(&mut self, id: MemberId, report: &Report) {
         let role_at = self.fleet_clock.as_of(report, self.now);
         let evidence = Evidence { position: report.position, role: report.role, role_at };
@@ -83,8 +82,8 @@
             sent: attempt.sent,
             latency_target,
             sojourn,
-            sample: Sample { taken_at: self.now, value: sojourn / (1.0 + attempt.beside) },
-            quota: group.map_or(self.base_quota, |group| self.quota_part(group)),
+            sample: Sample { taken_at: self.now, value: sojourn / (1.0 + attempt.others_in_flight) },
+            quota: group.map_or(self.base_quota, |group| self.quota(group)),
         }
     }
 
@@ -102,15 +101,16 @@
         }
     }
 
-    /// Whether the member has been silent for all of the attempt's time. With health checks, one of them
-    /// would have reported before.
+    /// Whether the attempt timed out at a member that was silent all that time. Where there are health
+    /// checks, they find that out instead.
     fn was_silent(&self, outcome: &AttemptOutcome, measurement: &Measurement) -> bool {
         let silent = self.members.get(&outcome.member).is_some_and(|m| m.last_heard_at <= measurement.sent);
         outcome.ending == Ending::TimedOut && silent && !self.settings.may_probe
     }
 
-    /// Adapts the member's limit. Work given up unanswered took at least this long: without it only the quick
-    /// answers would count, and an overloaded member would look fine.
+    /// Records the sojourn and adapts the member's concurrency limit. An attempt that was given up counts
+    /// with the time it took so far: without it only quick answers would count, and an overloaded member
+    /// would look healthy.
     fn record_sojourn(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let was_silent = self.was_silent(outcome, measurement);
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Suspects a member that was silent, or of which two connections in a row failed: one may be chance.
+    /// Suspects a member that was silent, or to which two connections in a row failed: one may be chance.
     fn record_suspicion(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let was_silent = self.was_silent(outcome, measurement);
         let hung = outcome.took > self.shortest_latency_target / HUNG_CONNECTION_DIVISOR;
@@ -146,12 +146,13 @@
                 self.indexes.record_loss(member, self.now);
             }
         }
-        self.indexes.note_doubt(outcome.member, member);
+        self.indexes.update_doubt(outcome.member, member);
     }
 
-    /// Paces and ejects. A member that rejects fast (full, draining, its connections broken) looks idle and
-    /// quick and would draw ever more: each attempt without service doubles a pause. That covers any fault
-    /// that answers health checks and fails requests; a member hit by chance loses one pause.
+    /// Paces sends and ejects. A member that rejects fast (its queue is full, it drains, its connections
+    /// break) looks idle and quick and would attract ever more requests, so each failure in a row doubles its
+    /// ejection. That covers any fault that answers health checks and fails requests; a member that failed by
+    /// chance loses one short ejection.
     fn back_off(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
@@ -162,7 +163,7 @@
         }
     }
 
-    /// What becomes of the request: it is over, waits for another attempt, or fails.
+    /// Closes the request, queues it for another attempt, or fails it.
     fn settle_request(&mut self, outcome: &AttemptOutcome) {
         let Some(sequence) = self.sequences.get(&outcome.request).copied() else { return };
         let Some(request) = self.requests.get_mut(&sequence) else { return };
--- a/crates/policy/src/router/queue.rs
+++ b/crates/policy/src/router/queue.rs
@@ -3,60 +3,59 @@
 use super::concurrency::TARGET_SOJOURN;
 use super::overload::value_for_work;
 use super::Router;
-use crate::interface::{Class, Effect, GroupId, MemberId, Need};
+use crate::interface::{Class, Effect, GroupId, MemberId, Need, Time};
 use crate::state::{share_of, Request};
 use std::collections::BTreeSet;
 
-/// Share of the latency target after which the start of a request is no longer useful: the rest is for the
-/// work itself.
+/// Share of the latency target after which the start of a request is no longer useful: the rest is needed for
+/// the work itself.
 pub(super) const USEFUL_START_SHARE: f64 = 1.0 - TARGET_SOJOURN;
-/// Share of the requests clients can hold open that are kept here (fraction): the rest is for those yet to
-/// come.
+/// Share of `max_open_requests` that requests may occupy (fraction): the rest is for those yet to come.
 const OPEN_REQUESTS_SHARE: f64 = 0.85;
-/// Chance of completion of a write while its group has no primary to be sent to (fraction).
+/// Factor on the value of requests that only the primary can serve: other members may yet take the reads.
+const PRIMARY_ONLY_FACTOR: f64 = 2.0;
+/// Chance of completion of a write while its group has no primary that it could be sent to (fraction).
 const COMPLETION_CHANCE_WITHOUT_PRIMARY: f64 = 0.1;
-/// Part of the latency target (divisor) for which a member that has ended an attempt gets no other of the
-/// request.
-const RETRY_PAUSE_DIVISOR: i64 = 8;
+/// Divisor of the latency target: how long a member that has ended an attempt gets no other of the request.
+const RETRY_PAUSE_DIVISOR: Time = 8;
 
-/// A request with the value of each unit of its work.
+/// A request with its value for each unit of its work.
 struct RankedRequest {
     value: f64,
     sequence: u64,
 }
 
 impl Router {
-    /// A start of the request now would come too late for its latency target.
+    /// Whether a start of the request now would be too late for its latency target.
     pub(super) fn is_start_late(&self, request: &Request) -> bool {
         let useful = share_of(self.settings.classes[request.class].latency_target, USEFUL_START_SHARE);
         self.now - request.first_arrived_at >= useful
     }
 
-    /// Value for each unit of work, as of now. What only the primary can do counts twice: other members may
-    /// yet take the reads.
+    /// Value of the request for each unit of its work, as of now.
     fn value_density(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let only_primary = matches!(class.need, Need::Write | Need::Strong);
-        let factor = if only_primary { 2.0 } else { 1.0 };
+        let factor = if only_primary { PRIMARY_ONLY_FACTOR } else { 1.0 };
         let late_factor = if self.is_start_late(request) { class.late_share } else { 1.0 };
         factor * value_for_work(class) * late_factor
     }
 
-    /// Sends what waits in a group, the highest value first and the latest first among equals. Once one new
-    /// request of a class finds no member, no other of that class is tried in this step.
+    /// Sends what waits in a group, the highest value first and the latest first among equals. Once a new
+    /// request finds no member, no other new request of its class is considered in this step.
     pub(super) fn dispatch_queue(&mut self, group: GroupId) {
         self.refill_slow_start_buckets(group);
         let mut stuck_classes: BTreeSet<usize> = BTreeSet::new();
         for sequence in self.dispatch_order(group) {
             let Some(request) = self.requests.get(&sequence) else { continue };
             let class = request.class;
-            let is_plain = request.attempts.is_empty() && request.minimum_position.is_none();
-            if is_plain && stuck_classes.contains(&class) {
+            let is_interchangeable = request.attempts.is_empty() && request.minimum_position.is_none();
+            if is_interchangeable && stuck_classes.contains(&class) {
                 continue;
             }
             if let Some(member) = self.select_member(sequence, class) {
                 self.send(sequence, member);
-            } else if is_plain {
+            } else if is_interchangeable {
                 stuck_classes.insert(class);
             }
         }
@@ -81,13 +80,14 @@
         }
     }
 
-    /// The member has just ended another attempt of this request.
+    /// Whether the member has ended another attempt of this request a moment ago.
     pub(super) fn was_just_tried(&self, request: &Request, id: MemberId) -> bool {
         let pause = self.settings.classes[request.class].latency_target / RETRY_PAUSE_DIVISOR;
         request.attempts.iter().any(|attempt| attempt.member == id && self.now - attempt.ended_at < pause)
     }
 
-    /// Ends the requests for which an answer would come too late, or of which no further attempt is possible.
+    /// Finishes the requests whose answer would be too late, and those that no further attempt is possible
+    /// for.
     pub(super) fn expire_requests(&mut self) {
         let is_expired = |request: &Request| self.is_expired(request, &self.settings.classes[request.class]);
         let expired = self.requests.iter().filter(|(_, request)| is_expired(request));
@@ -98,24 +98,25 @@
     }
 
     fn is_expired(&self, request: &Request, class: &Class) -> bool {
-        // Never sent by half its time, it has little chance here; its client still has time to retry.
+        // Unsent by half of its time, a request has little chance here, and its client still has time to
+        // retry.
         let unsent = request.attempts.iter().all(|attempt| !attempt.in_flight && !attempt.reached);
         let deadline = if unsent { request.unsent_deadline.min(request.deadline) } else { request.deadline };
         if self.now + 2 * self.settings.granularity >= deadline {
             return true;
         }
-        // What is in flight is not given up for being late: its work goes on, and its client would come
-        // again.
+        // An attempt in flight is not given up for being late: its work would go on, and its client retry.
         if request.has_attempt_in_flight() {
             return false;
         }
         let has_no_late_value = class.effect == Effect::Safe && class.late_share <= 0.0;
-        let worthless = has_no_late_value && self.is_start_late(request);
-        worthless || request.is_exhausted(class, self.now + self.settings.granularity)
+        let is_worthless = has_no_late_value && self.is_start_late(request);
+        is_worthless || request.is_exhausted(class, self.now + self.settings.granularity)
     }
 
-    /// Clients hold only so many connections: with all of them in use the next request reaches nobody. What
-    /// has the least to gain is evicted from the queues, and then late reads that are in flight.
+    /// Evicts requests while there are too many: first waiting ones with the least to gain, and late reads in
+    /// flight. Clients hold a bounded number of connections, and with all of them in use no new request could
+    /// arrive.
     pub(super) fn evict_lowest_priority(&mut self) {
         let most = (f64::from(self.settings.max_open_requests) * OPEN_REQUESTS_SHARE) as usize;
         let excess = self.requests.len().saturating_sub(most);
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -1,13 +1,15 @@
-//! Reads that a replica may serve: which members are usable, trials of suspected ones, and waits for a
+//! Reads that a replica may serve: which members are usable, trials of suspected members, and waits for a
 //! replica that is about to be fresh enough.
 
-use super::primary::PRIMARY_READ_SHARE;
+use super::primary::{PrimaryRank, PRIMARY_READ_SHARE};
 use super::Router;
 use crate::interface::{Effect, MemberId, Time};
 use crate::state::{share_of, Request};
 
-/// Part of the latency target that a read waits for a replica at most (fraction).
-const READ_WAIT_BOUND: f64 = 0.25;
+/// Longest wait of a read for a replica (share of the latency target).
+const MAX_READ_WAIT_SHARE: f64 = 0.25;
+/// Longest latency target of a request that may be spent on a trial (shortest latency targets).
+const MAX_TRIAL_TARGETS: Time = 2;
 
 impl Router {
     /// The member for a read, if one is usable now.
@@ -17,18 +19,19 @@
             return Some(id);
         }
         let primary = self.primary(request.group);
-        let wait_until = self.read_wait_end(request);
+        let wait_until = self.read_wait_deadline(request);
         let awaited = request.minimum_position.filter(|_| self.may_wait(request, wait_until));
         let awaited = awaited.map(|position| self.fleet_clock.own_time(position));
         let usable = self.usable_for_read(request, primary);
         let commit = self.forecast_commit(sequence);
-        let primary_has_time = self.draw_primary_has_time(usable.len());
-        let choice = self.select_fresh(commit, &usable, primary_has_time);
+        let primary_rank = self.draw_primary_rank(usable.len());
+        let choice = self.select_fresh(commit, &usable, primary_rank);
         let Some(position_at) = awaited else { return choice };
-        if choice != primary || primary_has_time {
+        if choice != primary || primary_rank == PrimaryRank::AmongReplicas {
             return choice;
         }
-        // A replica about to pass the position is worth a short wait, unless the primary has time for reads.
+        // Only the primary is fresh, and it has enough work of its own: a short wait is better if a replica
+        // is about to reach the position.
         for id in usable.into_iter().filter(|id| Some(*id) != primary) {
             let fresh_at = position_at + self.draw_lag(id);
             if (self.now..wait_until).contains(&fresh_at) {
@@ -38,7 +41,7 @@
         choice
     }
 
-    /// A suspected member that this request may find out about.
+    /// A suspected member that this request may be spent on as a trial.
     fn suspected_to_try(&self, request: &Request) -> Option<MemberId> {
         if self.settings.classes[request.class].effect != Effect::Safe {
             return None;
@@ -52,39 +55,39 @@
         self.group_members(request.group).iter().copied().find(|id| self.may_try_with(request, *id))
     }
 
-    /// Whether the request may be sent to a suspected member beside others that are well: a short one,
-    /// without attempts so far, while the budget lasts.
+    /// Whether the request may be sent to a suspected member although others are healthy: a short one without
+    /// attempts, while the budget lasts.
     fn may_spend_trial(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
-        let is_short = class.latency_target <= 2 * self.shortest_latency_target;
+        let is_short = class.latency_target <= MAX_TRIAL_TARGETS * self.shortest_latency_target;
         request.attempts.is_empty() && is_short && self.budgets.trials >= 1.0
     }
 
-    /// Where only suspected members are left: the one whose last trial is the longest ago, so that a member
-    /// that is well again is found beside others that are not. Any attempt of a read may be spent on it: it
-    /// has nowhere else to go.
+    /// Where only suspected members are left, the one whose last trial is the longest ago: a member that has
+    /// recovered is found beside others that have not. Any attempt of a read may be spent on it, since no
+    /// other member would serve it.
     fn least_recently_tried(&self, request: &Request) -> Option<MemberId> {
         let may_try = |id: &MemberId| self.may_try_with(request, *id) && !self.was_just_tried(request, *id);
         let candidates = self.group_members(request.group).iter().copied().filter(may_try);
         candidates.min_by_key(|id| (self.members[id].ejected_until, *id))
     }
 
-    /// Whether this request may find out about a suspected member. One that needs fresher data than the
-    /// member is known to have would not be sent there, and must go to another.
+    /// Whether this request may be sent to a suspected member as a trial. A member whose data is not known to
+    /// be fresh enough is left to other requests.
     fn may_try_with(&self, request: &Request, id: MemberId) -> bool {
         self.may_try_suspected(id, request.class) && self.is_fresh(self.now, &request.id, id)
     }
 
-    /// Only one attempt is left, which the primary gets.
+    /// Whether only one attempt is left. It is kept for the primary.
     fn is_last_attempt(&self, request: &Request) -> bool {
         let most = self.settings.classes[request.class].attempts as usize;
         !request.attempts.is_empty() && request.attempts.len() + 1 >= most
     }
 
-    fn read_wait_end(&self, request: &Request) -> Time {
+    fn read_wait_deadline(&self, request: &Request) -> Time {
         let latency_target = self.settings.classes[request.class].latency_target;
         request.first_arrived_at
-            + self.settings.read_wait_bound.min(share_of(latency_target, READ_WAIT_BOUND))
+            + self.settings.read_wait_bound.min(share_of(latency_target, MAX_READ_WAIT_SHARE))
     }
 
     fn may_wait(&self, request: &Request, wait_until: Time) -> bool {
@@ -98,10 +101,10 @@
             let is_primary = Some(id) == primary;
             let share = if is_primary { PRIMARY_READ_SHARE } else { 1.0 };
             let Some(member) = self.members.get(&id) else { continue };
-            let is_free = self.is_selectable(id)
+            let has_capacity = self.is_selectable(id)
                 && self.has_concurrency(id, share)
                 && self.may_send_in_slow_start(request, id, member);
-            if is_free && !self.was_just_tried(request, id) && (!only_primary || is_primary) {
+            if has_capacity && !self.was_just_tried(request, id) && (!only_primary || is_primary) {
                 usable.push(id);
             }
         }
@@ -111,13 +114,4 @@
         }
         usable
     }
-
-    /// Draws whether the primary ranks with the replicas. It has work of its own, and ranks later for reads
-    /// but for so many as bring it to an even share of all work: more would overload it, fewer the replicas.
-    fn draw_primary_has_time(&mut self, usable_members: usize) -> bool {
-        let time = self.load.service_time;
-        let write_share = time.writes / (time.reads + time.writes).max(1.0);
-        let threshold = 1.0 - write_share * usable_members as f64;
-        self.rng.uniform_sample() * (1.0 - write_share) < threshold
-    }
 }
--- a/crates/policy/src/router/zones.rs
+++ b/crates/policy/src/router/zones.rs
@@ -1,16 +1,16 @@
-//! Zones that are unreachable as a whole. Each member of them would else be found out by a request of its
-//! own, at every router.
+//! Zones that are unreachable as a whole. Otherwise every router would lose a request at each of their
+//! members before it suspects it.
 
 use super::Router;
 use crate::interface::{MemberId, MemberStatus, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Members of a zone that must have fallen silent since any of it was heard, for it to be unreachable
-/// (count).
+/// Members of a zone that must have been lost since the last sign of life of any of its members, for the zone
+/// to count as unreachable (count).
 const UNREACHABLE_ZONE_LOSSES: usize = 3;
 
-/// What was last heard of a zone.
+/// Signs of life and losses in a zone.
 #[derive(Default)]
 struct ZoneState {
     last_heard_at: Time,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,6 +1,8 @@
 //! The state of a router as plain data: members, groups, requests and attempts. No decisions are made here.
 
-use crate::interface::*;
+use crate::interface::{
+    Class, GroupId, MemberId, MemberStatus, QuotaAdjustment, RequestId, Time, ASSUMED_KNOWN_AFTER,
+};
 use crate::mutant::{mutant, Mutant::RetriedAfterKeyWindow};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,7 +23,7 @@
         self.0.next_u64()
     }
 
-    /// A sample of the uniform distribution over 0 to 1.
+    /// A uniform sample of 0 to 1, both included.
     pub(crate) fn uniform_sample(&mut self) -> f64 {
         self.next_u64() as f64 / u64::MAX as f64
     }
@@ -40,10 +42,10 @@
     pub(crate) value: T,
 }
 
-/// The latest measurements, oldest first. At most `SAMPLES_KEPT` of them.
+/// The latest measurements, oldest first: at most `SAMPLES_KEPT` of them.
 pub(crate) type Samples<T> = VecDeque<Sample<T>>;
 
-/// Waits of the attempts that a member has not answered since it was last heard.
+/// Waits of the attempts that a member has not answered since its last sign of life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SilentWaits {
     /// Sum of the waits, each in latency targets of its class.
@@ -52,7 +54,7 @@
     pub(crate) longest: Time,
 }
 
-/// Time that members lately spent on served attempts (microseconds, decayed).
+/// Time that members recently spent on served attempts (microseconds, decayed).
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ServiceTime {
     pub(crate) reads: f64,
@@ -97,7 +99,7 @@
     (span as f64 * share) as Time
 }
 
-/// What a router knows of a member.
+/// What a router knows of a member. Times are by the router's clock where nothing else is said.
 ///
 /// Stored in handover records without field names: order, types and serde attributes must stay.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -107,51 +109,51 @@
     /// Capacity in relation to other members.
     pub(crate) weight: f64,
     pub(crate) status: MemberStatus,
-    /// Listed as draining since its last start: that stays so, whatever later lists say.
+    /// Listed as draining since its last start. Later lists do not take that back.
     pub(crate) drained: bool,
-    /// When it last started, by the hosts' clock; 0 for long ago.
+    /// Its last start, by the hosts' clock; 0 for long ago.
     pub(crate) started: Time,
-    /// When it was first listed with this start, by the router's clock. Not left to the next process.
+    /// When it was first listed with this start. Not part of the learned state.
     #[serde(skip)]
     pub(crate) listed_at: Time,
-    /// When it last answered after being down.
+    /// When it last answered a health check after being down.
     pub(crate) recovered_at: Time,
     /// Newest evidence that it is primary; 1 where only the endpoint list says so.
     pub(crate) primary_evidence_at: Time,
     /// Newest evidence that it is a replica.
     pub(crate) replica_evidence_at: Time,
-    /// Highest position it ever reported, by the hosts' clock.
+    /// Highest position that it reported, by the hosts' clock.
     pub(crate) position: Time,
     /// Replication lags (microseconds).
     pub(crate) lags: Samples<Time>,
-    /// Sojourns (time from send to answer, queueing included) in latency targets, for each attempt in flight
-    /// at the send.
+    /// Sojourns (time from send to answer, queueing included) in latency targets, each divided by the attempts
+    /// in flight at the send, its own included.
     pub(crate) sojourns: Samples<f64>,
-    /// Moving mean of the sojourns, in latency targets.
+    /// Moving mean of the undivided sojourns, in latency targets.
     pub(crate) load: f64,
     /// Attempts that all routers together may have in flight here.
     pub(crate) concurrency_limit: f64,
-    /// No send before this, where this router's quota is less than one attempt.
+    /// No sends before this: pacing where this router's quota is less than one attempt.
     pub(crate) paced_until: Time,
     /// Attempts of this router in flight here.
     pub(crate) in_flight: u32,
-    /// Of these, long past their latency target while the member has answered others since.
+    /// Of these, attempts long past their latency target while the member has answered others since.
     pub(crate) presumed_lost: u32,
-    /// Attempts unanswered since the member was last heard.
+    /// Attempts unanswered since the last sign of life.
     pub(crate) silent_waits: SilentWaits,
     /// When it was last in service or had an attempt in flight.
     pub(crate) last_listed_at: Time,
     /// Last sign of life.
     pub(crate) last_heard_at: Time,
-    /// When an attempt there last hung unanswered.
+    /// When an attempt here last hung unanswered.
     pub(crate) last_loss_at: Time,
-    /// It is taken for unresponsive until it answers.
+    /// Taken for unresponsive until it answers.
     pub(crate) suspected: bool,
-    /// Its health check failed.
+    /// Its last health check failed.
     pub(crate) down: bool,
     /// Attempts in a row that got no service.
     pub(crate) consecutive_failures: u32,
-    /// No sends before this (outlier ejection).
+    /// No sends before this: outlier ejection.
     pub(crate) ejected_until: Time,
     pub(crate) probe_in_flight: bool,
     pub(crate) probed_at: Time,
@@ -164,7 +166,7 @@
 }
 
 impl Member {
-    /// Its newest evidence says that it is the primary.
+    /// Whether its newest evidence says that it is the primary.
     pub(crate) fn is_primary(&self) -> bool {
         self.primary_evidence_at > self.replica_evidence_at
     }
@@ -179,7 +181,7 @@
     pub(crate) waiting: BTreeSet<u64>,
     /// Times of the last commits, by the hosts' clock, in ascending order.
     pub(crate) commits: VecDeque<Time>,
-    /// When a member was last tried to find the primary.
+    /// When a request was last sent to a member to find the primary.
     pub(crate) last_discovery_at: Time,
     /// Quota borrowed from other routers, or lent to them.
     pub(crate) quota_adjustment: QuotaAdjustment,
@@ -199,9 +201,9 @@
     pub(crate) in_flight: bool,
     /// The member may have executed it.
     pub(crate) may_have_run: bool,
-    /// It was written to the member, as far as its ending tells.
+    /// It was written to the member, as far as its ending shows.
     pub(crate) reached: bool,
-    /// When it ended, unless it was cancelled.
+    /// When it ended; 0 while it is in flight, and if it was cancelled.
     pub(crate) ended_at: Time,
 }
 
@@ -209,35 +211,37 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Request {
     pub(crate) id: RequestId,
+    /// Its place in the order of arrival.
     pub(crate) sequence: u64,
+    /// Index of its class in the settings.
     pub(crate) class: usize,
     pub(crate) group: GroupId,
-    /// When the client's first try came, as far as that shows.
+    /// Estimated time at which the client first sent it, to any router.
     pub(crate) first_arrived_at: Time,
-    /// When it came here.
+    /// When it arrived at this router.
     pub(crate) arrived_at: Time,
-    /// When its client gives up this try.
+    /// When its client gives it up.
     pub(crate) deadline: Time,
-    /// A request never sent is given up by then: half of its time is over.
+    /// When it is given up if it was never sent: half of its time has passed.
     pub(crate) unsent_deadline: Time,
-    /// Commit that its data must hold, by the hosts' clock.
+    /// Commit that its data must include, by the hosts' clock.
     pub(crate) minimum_position: Option<Time>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// One of its attempts is in flight.
+    /// Whether one of its attempts is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// The first attempt that ran or may yet, as far as is known.
+    /// The first attempt that has run or may yet run, as far as is known.
     pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.in_flight || attempt.may_have_run)
     }
 
-    /// No further attempt can follow by then: all are used, or the window of its idempotency key has closed,
-    /// which the first attempt that may have run opened.
+    /// Whether no further attempt can be sent from this time on: all are used, or the window of its idempotency
+    /// key has closed, which the first attempt that may have run opened.
     pub(crate) fn is_exhausted(&self, class: &Class, by: Time) -> bool {
         let closes = match self.first_possible_execution() {
             Some(first) if !mutant(RetriedAfterKeyWindow) => class.effect.retry_deadline(first.sent),
@@ -254,18 +258,18 @@
     pub(crate) number: u32,
 }
 
-/// An attempt in flight, kept until its outcome comes, also when its request is over.
+/// An attempt in flight. It is kept until its outcome arrives, even after its request is closed.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
     pub(crate) member: MemberId,
     pub(crate) sent: Time,
     pub(crate) class: usize,
-    /// Attempts of this router in flight at the member when it was sent.
-    pub(crate) beside: f64,
+    /// Other attempts of this router in flight at the member when it was sent (count).
+    pub(crate) others_in_flight: f64,
 }
 
 impl InFlightAttempt {
-    /// It was sent so long ago that the answer counts as known, if it was written at once and lost.
+    /// Whether it was sent so long ago that the member's answer, if it was lost, already counts as known.
     pub(crate) fn may_be_lost(&self, now: Time) -> bool {
         self.sent <= now - ASSUMED_KNOWN_AFTER
     }
