--- a/src/bin/petrelgauge-simulator-adapter/instance.rs
+++ b/src/bin/petrelgauge-simulator-adapter/instance.rs
@@ -3,7 +3,7 @@
 use crate::error::EventError;
 use crate::sessions::Sessions;
 use crate::wire::{self, OutcomeMessage, RequestMessage, WireEvent};
-use petrelgauge::settings::deployment::{self, Info};
+use petrelgauge::settings::deployment::{self, DeploymentSettings};
 use petrelgauge::{
     Action, AttemptOutcome, Ending, Entry, Event, GroupId, Need, Report, RequestArrival, Router, Time, Update,
 };
@@ -30,7 +30,7 @@
     /// # Errors
     ///
     /// Fails if the settings are invalid.
-    pub fn new(seed: u64, info: &Info) -> Result<Instance, EventError> {
+    pub fn new(seed: u64, info: &DeploymentSettings) -> Result<Instance, EventError> {
         let settings = info.settings()?;
         let needs: Vec<Need> = settings.classes.iter().map(|class| class.need).collect();
         let class_names = settings.classes.iter().map(|class| class.name.clone());
@@ -39,7 +39,7 @@
             sessions: Sessions::new(info, &needs),
             needs,
             class_indices,
-            position_origin: info.origin(),
+            position_origin: info.position_origin(),
             report_names: info.report_names().to_vec(),
             router: Router::new(settings, seed)?,
         })
@@ -143,7 +143,7 @@
 
     fn load_report(&self, values: Option<Vec<f64>>) -> Report {
         let names = self.report_names.iter().map(String::as_str);
-        deployment::report(self.position_origin, names.zip(values.unwrap_or_default()))
+        deployment::load_report(self.position_origin, names.zip(values.unwrap_or_default()))
     }
 }
 
--- a/src/bin/petrelgauge-simulator-adapter/sessions.rs
+++ b/src/bin/petrelgauge-simulator-adapter/sessions.rs
@@ -1,6 +1,6 @@
 //! Session consistency of one instance, for deployments in which gateways remember their clients' writes.
 
-use petrelgauge::settings::deployment::Info;
+use petrelgauge::settings::deployment::DeploymentSettings;
 use petrelgauge::{GroupId, Need, RequestId, Time};
 use petrelgauge_sessions::{SessionKey, SessionTracker};
 use std::collections::BTreeMap;
@@ -15,8 +15,8 @@
 impl Sessions {
     /// Creates the state of sessions; `None` if the deployment has no class for them, or if clients name
     /// commits themselves.
-    pub fn new(info: &Info, needs: &[Need]) -> Option<Sessions> {
-        if !info.remembers_sessions() || !needs.contains(&Need::Session) {
+    pub fn new(info: &DeploymentSettings, needs: &[Need]) -> Option<Sessions> {
+        if !info.tracks_sessions() || !needs.contains(&Need::Session) {
             return None;
         }
         let settings = petrelgauge_sessions::Settings { roams: false, ..Default::default() };
--- a/src/bin/petrelgauge-simulator-adapter/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's JSON messages, and the translation of their codes and actions.
 
 use crate::error::EventError;
-use petrelgauge::settings::deployment::Info;
+use petrelgauge::settings::deployment::DeploymentSettings;
 use petrelgauge::{Action, Ending, Entry, MemberId, MemberStatus, RequestId, Role, Time};
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -40,7 +40,7 @@
     Configure {
         #[serde(rename = "prng")]
         seed: u64,
-        info: Box<Info>,
+        info: Box<DeploymentSettings>,
     },
     /// The instance ends.
     Teardown,
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,8 +1,8 @@
 //! The configuration of a gateway, read from the environment and the JSON file that it names.
 
 use crate::discovery::endpoint_list::EndpointList;
-use crate::settings::deployment::{DeploymentError, Info};
-use crate::settings::operator::{Operator, OperatorError};
+use crate::settings::deployment::{DeploymentError, DeploymentSettings};
+use crate::settings::operator::{OperatorConfig, OperatorError};
 use crate::SettingsError;
 use serde::Deserialize;
 use serde_json::Value;
@@ -96,7 +96,7 @@
     /// The endpoint list in use until discovery sends one.
     pub initial_list: Option<EndpointList>,
     /// The deployment's settings.
-    pub info: Info,
+    pub deployment: DeploymentSettings,
     /// Digest of the deployment's settings, independent of the order of their keys.
     pub settings_digest: u64,
     /// Paths of all keys of the deployment's settings.
@@ -106,7 +106,7 @@
     /// Addresses of all gateways of the fleet, this one included, in the order of their numbers.
     pub peers: Vec<SocketAddr>,
     /// What the operator's file enables.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
 }
 
 /// The keys of the configuration file.
@@ -168,7 +168,7 @@
         if let Some(key) = self.settings_keys.difference(&config.settings_keys).next() {
             return Err(ConfigError::MissingKey(key.clone()));
         }
-        config.info.settings()?.check()?;
+        config.deployment.settings()?.check()?;
         Ok(config)
     }
 
@@ -176,7 +176,7 @@
     /// at, the gateway's number in the deployment's settings is its index.
     pub fn peer_index(&self) -> Option<usize> {
         let listed = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
-        listed.or(self.info.number().filter(|number| *number < self.peers.len()))
+        listed.or(self.deployment.gateway_number().filter(|number| *number < self.peers.len()))
     }
 
     /// Keys that differ in `new` and that only a restart can change.
@@ -213,7 +213,7 @@
             Ok(text) => text,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
         };
-        let operator = Operator::load(var("PETRELGAUGE_FILE").as_deref())?;
+        let operator = OperatorConfig::load(var("PETRELGAUGE_FILE").as_deref())?;
         match Config::parse(&text, var, precedence) {
             Ok(config) => Ok(Config { operator, ..config }),
             Err(source) => Err(ConfigError::InvalidFile { path, source }),
@@ -229,7 +229,7 @@
         let values = Values { var };
         let settings_keys = key_paths(&file.settings);
         let settings_digest = digest(&file.settings);
-        let info = parse_settings(file.settings)?;
+        let deployment = parse_settings(file.settings)?;
         let listen = values.required("GW_LISTEN", file.listen, Precedence::Environment)?;
         let discovery = values.required("GW_DISCOVERY", file.discovery, precedence)?;
         let ops = values.optional("GW_OPS", file.ops);
@@ -243,12 +243,12 @@
             max_descriptors: file.limits.sockets,
             max_memory: file.limits.memory_mb.saturating_mul(BYTES_PER_MEGABYTE),
             initial_list: file.known,
-            info,
+            deployment,
             settings_digest,
             settings_keys,
             peer_listen: file.peer_listen.map(|text| parse_address("peer_listen", text)).transpose()?,
             peers: peers.collect::<Result<_, _>>()?,
-            operator: Operator::default(),
+            operator: OperatorConfig::default(),
         })
     }
 }
@@ -293,14 +293,14 @@
 }
 
 /// Parses the deployment's settings. Unknown keys are logged and skipped.
-fn parse_settings(settings: Value) -> Result<Info, ConfigFileError> {
+fn parse_settings(settings: Value) -> Result<DeploymentSettings, ConfigFileError> {
     let mut unknown_keys = Vec::new();
-    let info = serde_ignored::deserialize(settings, |path| unknown_keys.push(path.to_string()))
+    let deployment = serde_ignored::deserialize(settings, |path| unknown_keys.push(path.to_string()))
         .map_err(ConfigFileError::InvalidSettings)?;
     for key in unknown_keys {
         log::info!("unknown setting ignored key={key}");
     }
-    Ok(info)
+    Ok(deployment)
 }
 
 /// Paths of all keys of nested objects, without those inside lists: which keys a list's entry needs depends on the entry.
--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -123,8 +123,8 @@
         dependencies.budget.clone(),
         dependencies.counters.clone(),
         dependencies.read_buffer.clone(),
-        config.info.connect_span(),
-        config.info.idle_span(),
+        config.deployment.connect_timeout(),
+        config.deployment.host_idle_timeout(),
     )
 }
 
--- a/src/control/effective_settings.rs
+++ b/src/control/effective_settings.rs
@@ -12,7 +12,7 @@
 
 /// The deployment's settings, adjusted to what a gateway with this wire protocol and these descriptors can do.
 pub(super) fn effective_settings(config: &Config) -> Result<Settings, DeploymentError> {
-    let mut settings = config.info.settings()?;
+    let mut settings = config.deployment.settings()?;
     // The wire protocol has no health checks, and the discovery watch is always open.
     settings.may_probe = false;
     settings.list_on_request = false;
--- a/src/control/reload.rs
+++ b/src/control/reload.rs
@@ -29,7 +29,8 @@
         // The process keeps the descriptors that it was started with.
         settings.max_open_requests = settings.max_open_requests.min(max_clients(in_force));
         let max_open_requests = settings.max_open_requests;
-        let (connect_timeout, idle_timeout) = (new.info.connect_span(), new.info.idle_span());
+        let (connect_timeout, idle_timeout) =
+            (new.deployment.connect_timeout(), new.deployment.host_idle_timeout());
         self.facade
             .update(|table| table.apply_settings(now, settings, &session_classes))
             .map_err(ControlError::SettingsRejected)?;
--- a/src/control/session_tracking.rs
+++ b/src/control/session_tracking.rs
@@ -3,7 +3,7 @@
 use crate::control::config::Config;
 use crate::control::error::ControlError;
 use crate::facade::SessionTracking;
-use crate::settings::operator::{SessionClassesError, Sessions};
+use crate::settings::operator::{SessionClassesError, SessionsRecord};
 use crate::{Class, Need, Time};
 use petrelgauge_sessions::{SessionTracker, Settings};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 /// Sessions as the operator's record describes them.
 fn operator_sessions(
     config: &Config,
-    record: &Sessions,
+    record: &SessionsRecord,
     classes: Vec<usize>,
     now: Time,
 ) -> Result<SessionSetup, ControlError> {
@@ -57,8 +57,8 @@
     let settings = Settings {
         roams: false,
         tokens: false,
-        hosts_report_positions: config.info.tells_positions(),
-        hosts_enforce_positions: config.info.checks(),
+        hosts_report_positions: config.deployment.hosts_report_positions(),
+        hosts_enforce_positions: config.deployment.hosts_enforce_positions(),
         ..Settings::default()
     };
     let tracker = SessionTracker::new(settings, 0)?;
@@ -72,10 +72,10 @@
     classes: &[Class],
 ) -> Result<Vec<usize>, SessionClassesError> {
     if let Some(record) = &config.operator.sessions {
-        return record.places(classes);
+        return record.class_indices(classes);
     }
     let has_session_reads = classes.iter().any(|class| class.need == Need::Session);
-    if !has_session_reads || !config.info.remembers_sessions() {
+    if !has_session_reads || !config.deployment.tracks_sessions() {
         return Ok(Vec::new());
     }
     let carries_sessions = |index: &usize| matches!(classes[*index].need, Need::Write | Need::Session);
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -42,6 +42,6 @@
         Some((name.trim().to_string(), value))
     };
     let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
-    let report = deployment::report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
+    let report = deployment::load_report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
     verdict::is_plausible_report(&report).then_some(report)
 }
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use petrelgauge::discovery::endpoint_list::EndpointList;
 use petrelgauge::postgres::{self, AnswerAssembler, Framer};
-use petrelgauge::settings::operator::Operator;
+use petrelgauge::settings::operator::OperatorConfig;
 use petrelgauge::sql::set_statement;
 use petrelgauge::sql::statement::Statement;
 use petrelgauge_sessions::{
@@ -225,7 +225,7 @@
     let mut read = 0u32;
     rounds(7, &corpus, |bytes| {
         let text = String::from_utf8_lossy(bytes);
-        match Operator::read("f.cue", &text) {
+        match OperatorConfig::parse("f.cue", &text) {
             Ok(_) => read += 1,
             Err(cause) => assert!(cause.line >= 1 && cause.line <= text.lines().count() + 1, "{cause}"),
         }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -5,7 +5,7 @@
 
 use facade_simulation::*;
 use petrelgauge::facade::{Attempt, Outcome, Ticket};
-use petrelgauge::settings::operator::Operator;
+use petrelgauge::settings::operator::OperatorConfig;
 use petrelgauge::*;
 use petrelgauge_sessions::{BroadcastEntry, BroadcastSender, Token, Watermark, WatermarkBroadcast};
 use petrelgauge_test_support::{
@@ -232,8 +232,10 @@
         ("other: {}", "no field \"other\""),
     ];
     for (text, cause) in cases {
-        let said =
-            Operator::read("petrelgauge.cue", text).err().map(|cause| cause.to_string()).unwrap_or_default();
+        let said = OperatorConfig::parse("petrelgauge.cue", text)
+            .err()
+            .map(|cause| cause.to_string())
+            .unwrap_or_default();
         assert!(said.starts_with("petrelgauge.cue:1:") && said.contains(cause), "{text}: {said}");
     }
     for (classes, cause) in [("\"view\"", "one class that writes"), ("\"view\", \"nope\"", "no class")] {
