--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -147,7 +147,8 @@
 }
 
 impl Config {
-    /// Reads the environment through `var` and the file that `GW_CONFIG` names. The environment takes precedence.
+    /// Reads the environment through `var` and the file that `GW_CONFIG` names. The environment takes
+    /// precedence.
     ///
     /// # Errors
     ///
@@ -156,13 +157,13 @@
         Config::load(var, Precedence::Environment)
     }
 
-    /// Reads the configuration again while the gateway runs. The environment is still that of the start, so the file takes
-    /// precedence for the discovery address, which may move.
+    /// Reads the configuration again while the gateway runs. The environment is still that of the start, so
+    /// the file takes precedence for the discovery address, which may move.
     ///
     /// # Errors
     ///
-    /// Fails if a file cannot be read or used. Fails also if the settings lack a key that those in force have: the file
-    /// is then taken for incomplete, because the missing key would silently get its default.
+    /// Fails if a file cannot be read or used. Fails also if the settings lack a key that those in force
+    /// have: the file is then taken for incomplete, because the missing key would silently get its default.
     pub fn reread(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let config = Config::load(var, Precedence::File)?;
         if let Some(key) = self.settings_keys.difference(&config.settings_keys).next() {
@@ -172,8 +173,8 @@
         Ok(config)
     }
 
-    /// This gateway's index among the peers. If the peers reach each other through other addresses than those they listen
-    /// at, the gateway's number in the deployment's settings is its index.
+    /// This gateway's index among the peers. If the peers reach each other through other addresses than those
+    /// they listen at, the gateway's number in the deployment's settings is its index.
     pub fn peer_index(&self) -> Option<usize> {
         let listed = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
         listed.or(self.deployment.gateway_number().filter(|number| *number < self.peers.len()))
@@ -303,7 +304,8 @@
     Ok(deployment)
 }
 
-/// Paths of all keys of nested objects, without those inside lists: which keys a list's entry needs depends on the entry.
+/// Paths of all keys of nested objects, without those inside lists: which keys a list's entry needs depends
+/// on the entry.
 fn key_paths(settings: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     collect_key_paths("", settings, &mut paths);
--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -50,8 +50,9 @@
 }
 
 impl<S: DatagramSocket + 'static> ControlPlane<S> {
-    /// Builds a control plane and applies the configuration's initial endpoint list, which it takes out of `config`.
-    /// `bind` opens the socket for datagrams between gateways; it is called only if the configuration needs one.
+    /// Builds a control plane and applies the configuration's initial endpoint list, which it takes out of
+    /// `config`. `bind` opens the socket for datagrams between gateways; it is called only if the
+    /// configuration needs one.
     ///
     /// # Errors
     ///
@@ -97,8 +98,8 @@
         })
     }
 
-    /// Spawns the background tasks, none of which ends by itself. The discovery watch follows the latest address of
-    /// `discovery`. A second call spawns the periodic tasks alone.
+    /// Spawns the background tasks, none of which ends by itself. The discovery watch follows the latest
+    /// address of `discovery`. A second call spawns the periodic tasks alone.
     pub fn start(&mut self, tasks: &mut JoinSet<()>, discovery: watch::Receiver<SocketAddr>) {
         if let Some(discovery_watch) = self.discovery_watch.take() {
             tasks.spawn_local(discovery_watch.follow(discovery));
--- a/src/control/decisions.rs
+++ b/src/control/decisions.rs
@@ -8,7 +8,8 @@
 use crate::Time;
 use std::net::SocketAddr;
 
-/// The routing decisions of one gateway before its first endpoint list, and the settings that other parts derive from.
+/// The routing decisions of one gateway before its first endpoint list, and the settings that other parts
+/// derive from.
 pub struct RoutingDecisions {
     /// The decisions.
     pub facade: Facade,
--- a/src/control/effective_settings.rs
+++ b/src/control/effective_settings.rs
@@ -4,13 +4,14 @@
 use crate::settings::deployment::DeploymentError;
 use crate::{Settings, Time};
 
-/// Time that a request and its rejection spend queued in this process (microseconds). A larger value would have rejected
-/// clients return after their Retry-After with no time left.
+/// Time that a request and its rejection spend queued in this process (microseconds). A larger value would
+/// have rejected clients return after their Retry-After with no time left.
 const QUEUEING_ALLOWANCE: Time = 3_000;
 /// Clients may use this fraction of the descriptors, as a divisor; each open request belongs to one client.
 const CLIENT_DESCRIPTOR_DIVISOR: u32 = 3;
 
-/// The deployment's settings, adjusted to what a gateway with this wire protocol and these descriptors can do.
+/// The deployment's settings, adjusted to what a gateway with this wire protocol and these descriptors can
+/// do.
 pub(super) fn effective_settings(config: &Config) -> Result<Settings, DeploymentError> {
     let mut settings = config.deployment.settings()?;
     // The wire protocol has no health checks, and the discovery watch is always open.
--- a/src/control/error.rs
+++ b/src/control/error.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the control plane cannot start, or cannot apply a reloaded configuration. The messages are shown to operators.
+/// Why the control plane cannot start, or cannot apply a reloaded configuration. The messages are shown to
+/// operators.
 #[derive(Debug, Error)]
 pub enum ControlError {
     /// A value of the deployment's settings is missing or unknown.
@@ -29,7 +30,8 @@
     /// The lease settings are out of range.
     #[error("ownership: {0}")]
     Ownership(#[from] petrelgauge_ownership::SettingsError),
-    /// A record of the operator's file needs other gateways, and the configuration has no address to receive from them.
+    /// A record of the operator's file needs other gateways, and the configuration has no address to receive
+    /// from them.
     #[error("{record}: the configuration names no peer_listen")]
     MissingPeerListen {
         /// Name of the record.
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -40,13 +40,6 @@
             demand: dependencies.demand.clone(),
         })
     });
-    let primary_discovery = PrimaryDiscovery::new(PrimaryDiscoveryOptions {
-        shards: record.shards,
-        facade: facade.clone(),
-        clock: *clock,
-        counters: counters.clone(),
-        host_names: host_names.clone(),
-    });
     Ok(Some(FleetLeadership::new(LeadershipOptions {
         config: LeadershipConfig {
             primary_discovery: record.primary_discovery,
@@ -54,13 +47,28 @@
             secret: record.secret,
         },
         lease_manager,
-        primary_discovery,
+        primary_discovery: primary_discovery(record.shards, dependencies, facade, host_names),
         quota_lending,
         clock: *clock,
         counters: counters.clone(),
     })))
 }
 
+fn primary_discovery(
+    shards: u16,
+    dependencies: &Dependencies,
+    facade: &Facade,
+    host_names: &Rc<HostNames>,
+) -> PrimaryDiscovery {
+    PrimaryDiscovery::new(PrimaryDiscoveryOptions {
+        shards,
+        facade: facade.clone(),
+        clock: dependencies.clock,
+        counters: dependencies.counters.clone(),
+        host_names: host_names.clone(),
+    })
+}
+
 /// Differs at each start: a restarted process must not accept quota that was granted to its predecessor.
 fn first_report_number(seed: u64, now: Time) -> u32 {
     Pcg64Mcg::seed_from_u64(seed ^ now as u64).next_u32()
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,12 +1,12 @@
-//! The control plane of a gateway: it builds the routing decisions, the discovery watch, the host pool and the gateway's
-//! part in the fleet from one [`Config`](config::Config), runs their background tasks and applies reloaded configurations.
-//! It serves no client; the program puts [`client`](crate::client) in front of it, and the laboratory runs many control
-//! planes in one process with emulated demand.
+//! The control plane of a gateway: it builds the routing decisions, the discovery watch, the host pool and
+//! the gateway's part in the fleet from one [`Config`](config::Config), runs their background tasks and
+//! applies reloaded configurations. It serves no client; the program puts [`client`](crate::client) in front
+//! of it, and the laboratory runs many control planes in one process with emulated demand.
 //!
 //! | file | job |
 //! | --- | --- |
 //! | `config` | reads the environment and the configuration file |
-//! | `effective_settings`, `session_tracking`, `decisions` | derive the routing decisions from a configuration |
+//! | `effective_settings`, `session_tracking`, `decisions` | derive the decisions from a configuration |
 //! | `leadership` | builds the gateway's part in the fleet's leadership roles |
 //! | `dependencies` | what the process provides: clock, limits, counters |
 //! | `control_plane` | connects all of these and starts their tasks; `tasks` has the periodic ones |
@@ -14,11 +14,11 @@
 //! | `ops` | accepts operators' commands |
 //! | `error` | why a start or a reload fails |
 //!
-//! Owns no state of its own beyond handles to the parts. The configuration in force belongs to the caller, because the
-//! program and the laboratory read it from different places.
+//! Owns no state of its own beyond handles to the parts. The configuration in force belongs to the caller,
+//! because the program and the laboratory read it from different places.
 //!
-//! May import: `discovery`, `facade`, `fleet`, `host`, `os`, `postgres`, `resources`, `settings`. Must not import `client`
-//! or `handover`: a control plane has to run without either.
+//! May import: `discovery`, `facade`, `fleet`, `host`, `os`, `postgres`, `resources`, `settings`. Must not
+//! import `client` or `handover`: a control plane has to run without either.
 
 pub mod config;
 mod control_plane;
--- a/src/control/ops.rs
+++ b/src/control/ops.rs
@@ -1,5 +1,5 @@
-//! The address for operators' commands: one line per connection, one line back. Commands and replies are defined in
-//! `petrelgauge_lifecycle::ops`; the gateway's event loop executes them.
+//! The address for operators' commands: one line per connection, one line back. Commands and replies are
+//! defined in `petrelgauge_lifecycle::ops`; the gateway's event loop executes them.
 
 use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
@@ -42,7 +42,8 @@
 }
 
 impl CommandListener {
-    /// Accepts callers. Never returns. Beyond [`MAX_CALLERS`], the caller that has waited longest is disconnected.
+    /// Accepts callers. Never returns. Beyond [`MAX_CALLERS`], the caller that has waited longest is
+    /// disconnected.
     pub async fn accept(self, listener: TcpListener) {
         let this = Rc::new(self);
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
@@ -93,7 +94,9 @@
         let clock = self.clock;
         let line = tokio::select! {
             line = read_line(stream) => line,
-            () = clock.sleep_until(clock.now() + LINE_TIMEOUT) => Err(LineError::Invalid(CommandError::TimedOut)),
+            () = clock.sleep_until(clock.now() + LINE_TIMEOUT) => {
+                Err(LineError::Invalid(CommandError::TimedOut))
+            }
         };
         match line {
             Ok(line) => match ops::parse(&line) {
--- a/src/control/reload.rs
+++ b/src/control/reload.rs
@@ -16,8 +16,8 @@
 }
 
 impl<S> ControlPlane<S> {
-    /// Applies `new` to a control plane that runs under `in_force`. Open requests keep the classes that they were
-    /// admitted with. Keys that only a restart can change keep their old value and are logged.
+    /// Applies `new` to a control plane that runs under `in_force`. Open requests keep the classes that they
+    /// were admitted with. Keys that only a restart can change keep their old value and are logged.
     ///
     /// # Errors
     ///
--- a/src/control/session_tracking.rs
+++ b/src/control/session_tracking.rs
@@ -17,8 +17,8 @@
     pub(super) broadcast_address: Option<SocketAddr>,
 }
 
-/// Sets up the sessions of the operator's `sessions` record. Without one, session reads that the deployment asks for see
-/// the writes that this gateway has answered since its start.
+/// Sets up the sessions of the operator's `sessions` record. Without one, session reads that the deployment
+/// asks for see the writes that this gateway has answered since its start.
 pub(super) fn session_tracking(
     config: &Config,
     classes: &[Class],
@@ -65,8 +65,8 @@
     Ok(SessionSetup { tracking: Some(SessionTracking { tracker, classes }), broadcast_address: None })
 }
 
-/// Indices of the classes that carry sessions: those that the operator's record names, or else the writes and session
-/// reads of a deployment that asks for them.
+/// Indices of the classes that carry sessions: those that the operator's record names, or else the writes and
+/// session reads of a deployment that asks for them.
 pub(super) fn session_class_indices(
     config: &Config,
     classes: &[Class],
--- a/src/discovery/endpoint_table.rs
+++ b/src/discovery/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! Applies endpoint lists to the host pool, the routing decisions and the table of host names, and numbers the hosts.
+//! Applies endpoint lists to the host pool, the routing decisions and the table of host names, and numbers
+//! the hosts.
 
 use crate::discovery::endpoint_list::{EndpointList, EndpointRow, Phase};
 use crate::discovery::host_names::HostNames;
@@ -10,8 +11,8 @@
 use std::rc::Rc;
 
 const MICROSECONDS_PER_MILLISECOND: Time = 1000;
-/// Time for which a removed host keeps its number (microseconds): by then no attempt at it is open, and the decisions
-/// have forgotten it.
+/// Time for which a removed host keeps its number (microseconds): by then no attempt at it is open, and the
+/// decisions have forgotten it.
 const REMOVED_HOST_RETENTION: Time = 60_000_000;
 
 /// The hosts of the endpoint list in force.
@@ -87,8 +88,8 @@
         self.facade.update(|table| table.update_endpoints(complete, entries));
     }
 
-    /// Removes rows about an earlier run of a host than the latest known one. Returns the numbers of these hosts, which
-    /// count as listed.
+    /// Removes rows about an earlier run of a host than the latest known one. Returns the numbers of these
+    /// hosts, which count as listed.
     fn remove_outdated_rows(&self, list: &mut EndpointList) -> BTreeSet<MemberId> {
         let mut outdated_names = BTreeSet::new();
         let mut restarted_since = BTreeSet::new();
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Forgets hosts that were removed longer than [`REMOVED_HOST_RETENTION`] ago. One that is listed again later is new.
+    /// Forgets hosts that were removed longer than [`REMOVED_HOST_RETENTION`] ago. One that is listed again
+    /// later is new.
     fn forget_removed(&mut self, now: Time) {
         let host_names = &self.host_names;
         self.known_hosts.retain(|name, host| {
--- a/src/discovery/host_names.rs
+++ b/src/discovery/host_names.rs
@@ -1,12 +1,13 @@
-//! Names, numbers and hashes of the hosts: discovery knows a host by its name, the decisions by its number, and other
-//! gateways by the hash of its name.
+//! Names, numbers and hashes of the hosts: discovery knows a host by its name, the decisions by its number,
+//! and other gateways by the hash of its name.
 
 use crate::MemberId;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The table of hosts. Has an entry for each listed host, and for removed ones until their number is free again.
+/// The table of hosts. Has an entry for each listed host, and for removed ones until their number is free
+/// again.
 #[derive(Default)]
 pub struct HostNames {
     id_by_name: RefCell<BTreeMap<String, MemberId>>,
--- a/src/discovery/http_response.rs
+++ b/src/discovery/http_response.rs
@@ -71,12 +71,13 @@
 }
 
 impl ResponseReader {
-    /// Parses `bytes`, the next ones of the response, and appends the lines of the body that are now complete to `lines`,
-    /// without their line ends.
+    /// Parses `bytes`, the next ones of the response, and appends the lines of the body that are now complete
+    /// to `lines`, without their line ends.
     ///
     /// # Errors
     ///
-    /// Fails when the body is complete or the response is malformed. Lines found before that have been appended.
+    /// Fails when the body is complete or the response is malformed. Lines found before that have been
+    /// appended.
     pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), ResponseError> {
         self.unparsed.extend_from_slice(bytes);
         let mut unparsed = std::mem::take(&mut self.unparsed);
--- a/src/discovery/list_assembler.rs
+++ b/src/discovery/list_assembler.rs
@@ -1,4 +1,5 @@
-//! Assembles the lines of a discovery response into the texts of endpoint lists, each on one line or indented over several.
+//! Assembles the lines of a discovery response into the texts of endpoint lists, each on one line or indented
+//! over several.
 
 use crate::discovery::http_response::MAX_LINE_BYTES;
 
@@ -31,8 +32,8 @@
         self.text.is_empty()
     }
 
-    /// Adds a line without its line end, and appends what it completes or cuts off to `texts`. An empty line, or a line
-    /// that is a list by itself according to `is_list`, ends an incomplete list.
+    /// Adds a line without its line end, and appends what it completes or cuts off to `texts`. An empty line,
+    /// or a line that is a list by itself according to `is_list`, ends an incomplete list.
     pub fn add_line(&mut self, line: &[u8], is_list: impl Fn(&[u8]) -> bool, texts: &mut Vec<ListText>) {
         let is_empty_line = line.trim_ascii().is_empty();
         if !self.is_empty() && (is_empty_line || line.starts_with(b"{") && is_list(line)) {
--- a/src/discovery/list_request.rs
+++ b/src/discovery/list_request.rs
@@ -127,8 +127,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the response has ended for whatever reason. A last line without a line end is still used if it is a
-    /// list or completes one.
+    /// Fails when the response has ended for whatever reason. A last line without a line end is still used if
+    /// it is a list or completes one.
     pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), RequestError> {
         let silent_at = *self.last_line_at.get_or_insert_with(|| clock.now()) + WATCH_TIMEOUT;
         let mut bytes = [0; MAX_READ_BYTES];
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! Keeps a watch of the endpoint list open: one long HTTP response, retried with backoff, and beside it a request for the
-//! complete list after an update that could not be used.
+//! Keeps a watch of the endpoint list open: one long HTTP response, retried with backoff, and beside it a
+//! request for the complete list after an update that could not be used.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::endpoint_table::EndpointTable;
@@ -75,7 +75,8 @@
 }
 
 impl DiscoveryWatch {
-    /// Builds a watch and applies the initial list. A list that lacks the address of a host is logged and ignored.
+    /// Builds a watch and applies the initial list. A list that lacks the address of a host is logged and
+    /// ignored.
     pub fn new(options: WatchOptions) -> DiscoveryWatch {
         let WatchOptions { facade, host_pool, counters, clock, backoff, initial_list, assigned_ids } =
             options;
@@ -119,8 +120,8 @@
             let error = tokio::select! {
                 error = self.watch(address) => error,
                 Ok(()) = addresses.changed() => {
-                    // The new source may number revisions differently, so its complete list is requested. The present
-                    // list stays in force until it arrives.
+                    // The new source may number revisions differently, so its complete list is requested. The
+                    // present list stays in force until it arrives.
                     self.watch_state.on_source_changed();
                     last_cause.clear();
                     continue;
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Applies updates of the watch. An unusable one leaves the list in force, and the complete list is needed from then on,
-    /// because what it changed is not repeated. Returns whether there was one.
+    /// Applies updates of the watch. An unusable one leaves the list in force, and the complete list is
+    /// needed from then on, because what it changed is not repeated. Returns whether there was one.
     fn apply_updates(&mut self, updates: &[ListText]) -> bool {
         let mut has_lost_update = false;
         for text in updates {
--- a/src/fleet/announced_primaries.rs
+++ b/src/fleet/announced_primaries.rs
@@ -1,9 +1,11 @@
-//! The primaries that this gateway has announced or learned from announcements, and which are due for repetition.
+//! The primaries that this gateway has announced or learned from announcements, and which are due for
+//! repetition.
 
 use crate::{GroupId, MemberId, Time};
 use std::collections::BTreeMap;
 
-/// Shortest time between two announcements of the same primary (microseconds): datagrams get lost, gateways restart.
+/// Shortest time between two announcements of the same primary (microseconds): datagrams get lost, gateways
+/// restart.
 const MIN_REPEAT_INTERVAL: Time = 1_000_000;
 /// Maximum number of repetitions per second: 2 KB per second and receiver.
 const MAX_REPEATS_PER_SECOND: Time = 100;
--- a/src/fleet/codec.rs
+++ b/src/fleet/codec.rs
@@ -10,8 +10,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// Encodes and decodes messages for one gateway of a fleet. Gateways with other lease settings, shards or secret cannot
-/// read them.
+/// Encodes and decodes messages for one gateway of a fleet. Gateways with other lease settings, shards or
+/// secret cannot read them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetCodec {
     self_id: GatewayId,
--- a/src/fleet/leadership.rs
+++ b/src/fleet/leadership.rs
@@ -1,9 +1,9 @@
-//! This gateway's part in the fleet's leadership roles: routes messages between the lease manager, primary discovery, quota
-//! lending and the other gateways.
+//! This gateway's part in the fleet's leadership roles: routes messages between the lease manager, primary
+//! discovery, quota lending and the other gateways.
 //!
-//! Who leads, and whether a notification is admitted, is decided in `petrelgauge_ownership`. Each role can have several
-//! shards with a leader each; acceptors then place the shards among themselves, and learn from heartbeats which of them
-//! are present.
+//! Who leads, and whether a notification is admitted, is decided in `petrelgauge_ownership`. Each role can
+//! have several shards with a leader each; acceptors then place the shards among themselves, and learn from
+//! heartbeats which of them are present.
 
 use crate::fleet::codec::{FleetCodec, OutgoingDatagram};
 use crate::fleet::primary_discovery::{discovery_role, PrimaryDiscovery, PRIMARY_DISCOVERY};
@@ -67,8 +67,8 @@
 }
 
 impl FleetLeadership {
-    /// Starts taking part. Acceptors are the only candidates, however many gateways there are; without shards, each
-    /// campaigns for every role at once.
+    /// Starts taking part. Acceptors are the only candidates, however many gateways there are; without
+    /// shards, each campaigns for every role at once.
     pub fn new(options: LeadershipOptions) -> Rc<FleetLeadership> {
         let LeadershipOptions {
             config,
@@ -155,7 +155,8 @@
         self.deliver(responses)
     }
 
-    /// Begins a graceful shutdown: from the next deadline on, this gateway releases its leases and is no candidate.
+    /// Begins a graceful shutdown: from the next deadline on, this gateway releases its leases and is no
+    /// candidate.
     pub fn stop(&self) {
         self.is_stopping.set(true);
     }
@@ -191,7 +192,8 @@
         let lending = lending.unwrap_or_default();
         let (held, known, roles) = (self.held_leases(), self.known_lease_holders(), self.roles.len());
         let counts = self.lease_manager.borrow().counts();
-        format!("{counts} leases_held={held} leaders_known={known} roles={roles} discovery_leader={leader}{lending}")
+        let leases = format!("leases_held={held} leaders_known={known} roles={roles}");
+        format!("{counts} {leases} discovery_leader={leader}{lending}")
     }
 
     fn release_leases(&self, now: Time) -> Vec<OutgoingDatagram> {
@@ -200,8 +202,8 @@
         self.deliver(releases)
     }
 
-    /// Campaigns for the shards that this acceptor should lead and withdraws from the others. Returns releases and due
-    /// heartbeats.
+    /// Campaigns for the shards that this acceptor should lead and withdraws from the others. Returns
+    /// releases and due heartbeats.
     fn place_shards(&self, now: Time) -> Vec<Outgoing> {
         let Some(placement) = &self.placement else { return Vec::new() };
         let mut placement = placement.borrow_mut();
@@ -279,8 +281,8 @@
         lending.borrow_mut().on_message(from, message, &mut lease_manager)
     }
 
-    /// Encodes the messages to other gateways. Messages to this gateway itself are handled at once, and their responses
-    /// delivered.
+    /// Encodes the messages to other gateways. Messages to this gateway itself are handled at once, and their
+    /// responses delivered.
     fn deliver(&self, messages: Vec<Outgoing>) -> Vec<OutgoingDatagram> {
         let self_id = self.lease_manager.borrow().settings().self_id;
         let mut pending = messages;
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -1,5 +1,6 @@
-//! The datagram socket between gateways: sends watermark broadcasts and messages about leadership roles when they are due,
-//! and dispatches those that arrive. What they say is decided in the sessions and in `leadership`.
+//! The datagram socket between gateways: sends watermark broadcasts and messages about leadership roles when
+//! they are due, and dispatches those that arrive. What they say is decided in the sessions and in
+//! `leadership`.
 
 use crate::facade::Facade;
 use crate::fleet::codec::OutgoingDatagram;
@@ -55,7 +56,8 @@
     /// Sends and receives datagrams. Never returns, whatever fails.
     pub async fn run(self) {
         let clock = self.options.clock;
-        // One byte more than the longest valid datagram, so that truncated ones are recognized by their length.
+        // One byte more than the longest valid datagram, so that truncated ones are recognized by their
+        // length.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let DueBroadcasts { datagrams: broadcasts, next_at: next_broadcast_at } =
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Sends datagrams to the configured addresses of their receivers; never to an address that a datagram came from.
+    /// Sends datagrams to the configured addresses of their receivers; never to an address that a datagram
+    /// came from.
     fn send_all(&self, datagrams: Vec<OutgoingDatagram>) {
         for OutgoingDatagram { to, bytes } in datagrams {
             if let Some(address) = self.options.addresses.get(usize::from(to)) {
--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -1,8 +1,9 @@
 //! Primary discovery for the whole fleet.
 //!
-//! The leader of a shard announces to all gateways which member answered as the primary of a group; a gateway that has
-//! received such an answer reports it to the leader. While every shard has a leader, the other gateways try members of a
-//! group without a known primary less often, the more gateways there are: together about as often as one gateway alone.
+//! The leader of a shard announces to all gateways which member answered as the primary of a group; a gateway
+//! that has received such an answer reports it to the leader. While every shard has a leader, the other
+//! gateways try members of a group without a known primary less often, the more gateways there are: together
+//! about as often as one gateway alone.
 
 use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
@@ -19,8 +20,8 @@
 
 /// Kind of the leadership role of primary discovery; each shard has a lease of its own.
 pub const PRIMARY_DISCOVERY: u8 = 1;
-/// Largest factor by which the interval between attempts at unknown primaries grows. Even if no announcement arrives, a
-/// write then finds its primary within seconds.
+/// Largest factor by which the interval between attempts at unknown primaries grows. Even if no announcement
+/// arrives, a write then finds its primary within seconds.
 const MAX_ATTEMPT_INTERVAL_FACTOR: Time = 64;
 /// Maximum number of groups that are announced in a fleet without shards, where each takes a datagram.
 const MAX_UNSHARDED_GROUPS: usize = 64;
@@ -59,8 +60,8 @@
         PrimaryDiscovery { options, leaders, announced: AnnouncedPrimaries::default() }
     }
 
-    /// Handles a primary that another gateway announced or reported. One that is not on this gateway's endpoint list is
-    /// ignored.
+    /// Handles a primary that another gateway announced or reported. One that is not on this gateway's
+    /// endpoint list is ignored.
     pub(super) fn on_announcement(&mut self, now: Time, announcement: PrimaryAnnouncement) {
         let Some(member) = self.options.host_names.by_hash(announcement.member) else { return };
         self.options.counters.primary_announcements.add();
@@ -88,8 +89,8 @@
         self.log_leaders();
     }
 
-    /// Returns the announcements that are due: to all gateways for the shards that this gateway leads, and to the leaders
-    /// of the other shards.
+    /// Returns the announcements that are due: to all gateways for the shards that this gateway leads, and to
+    /// the leaders of the other shards.
     pub(super) fn due_datagrams(
         &mut self,
         now: Time,
@@ -117,8 +118,8 @@
         self.announced.len()
     }
 
-    /// The factor by which the interval between this gateway's attempts at unknown primaries grows: 1 unless every shard
-    /// has a leader that tries members in its place.
+    /// The factor by which the interval between this gateway's attempts at unknown primaries grows: 1 unless
+    /// every shard has a leader that tries members in its place.
     fn attempt_interval_factor(&self, lease_manager: &LeaseManager) -> Time {
         let settings = lease_manager.settings();
         let is_relieved = |leader: &Option<LeaseHolder>| {
--- a/src/fleet/quota_lending.rs
+++ b/src/fleet/quota_lending.rs
@@ -1,5 +1,6 @@
-//! Quota lending at one gateway: exchanges the reports, rounds and grants of each shard, and applies the resulting quotas to
-//! the decisions. What is lent and granted, and until when, is decided in `petrelgauge_ownership::quota`.
+//! Quota lending at one gateway: exchanges the reports, rounds and grants of each shard, and applies the
+//! resulting quotas to the decisions. What is lent and granted, and until when, is decided in
+//! `petrelgauge_ownership::quota`.
 
 use crate::facade::Facade;
 use crate::os::clock::Clock;
@@ -70,8 +71,8 @@
         QuotaLending { shards, request_rates, applied, facade, clock, demand }
     }
 
-    /// When the next report is due, the latest time to call [`QuotaLending::on_deadline`]. A due round is opened at any
-    /// call.
+    /// When the next report is due, the latest time to call [`QuotaLending::on_deadline`]. A due round is
+    /// opened at any call.
     pub(super) fn next_deadline(&self) -> Option<Time> {
         self.shards.iter().filter_map(|shard| shard.quota.next_deadline()).min()
     }
@@ -116,7 +117,8 @@
         groups.sum::<usize>() + pools.map(QuotaPool::entries).sum::<usize>()
     }
 
-    /// The counters in their text form, in thousandths of an even quota. Their names are an interface to operators.
+    /// The counters in their text form, in thousandths of an even quota. Their names are an interface to
+    /// operators.
     pub(super) fn counts(&self) -> String {
         let now = self.clock.now();
         let extras = self.shards.iter().flat_map(|shard| shard_extras(now, shard));
@@ -164,8 +166,8 @@
         outgoing
     }
 
-    /// Returns one part of a round as messages to all gateways, this one included; `None` if the lease is lost. The lease
-    /// must be held right before each part is sent.
+    /// Returns one part of a round as messages to all gateways, this one included; `None` if the lease is
+    /// lost. The lease must be held right before each part is sent.
     fn round_messages(
         &self,
         shard: usize,
@@ -179,7 +181,8 @@
         Some(gateways.map(|to| Outgoing { to, message: message.clone() }).collect())
     }
 
-    /// Returns the reports that are due. What they lend is deducted from this gateway's own quota before they are sent.
+    /// Returns the reports that are due. What they lend is deducted from this gateway's own quota before they
+    /// are sent.
     fn due_reports(&mut self, now: Time, lease_manager: &LeaseManager) -> Vec<Outgoing> {
         let request_counts = (self.demand)();
         self.request_rates.observe(now, &request_counts);
@@ -215,7 +218,8 @@
         }
     }
 
-    /// Returns the grant for a report, if there is one. All groups of a report are of one shard; others are ignored.
+    /// Returns the grant for a report, if there is one. All groups of a report are of one shard; others are
+    /// ignored.
     fn grant(
         &mut self,
         now: Time,
@@ -258,8 +262,8 @@
     }
 }
 
-/// Addresses a report to the lease holder that opened its round. A later holder cannot use the report, so it is dropped;
-/// what it lends stays in force.
+/// Addresses a report to the lease holder that opened its round. A later holder cannot use the report, so it
+/// is dropped; what it lends stays in force.
 fn to_lease_holder(
     now: Time,
     shard: usize,
--- a/src/handover/exchange.rs
+++ b/src/handover/exchange.rs
@@ -11,8 +11,8 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Age up to which the learned state of another process is used (microseconds). Latency samples are from the last seconds,
-/// and roles may have changed since.
+/// Age up to which the learned state of another process is used (microseconds). Latency samples are from the
+/// last seconds, and roles may have changed since.
 const LEARNED_STATE_MAX_AGE: Time = 10_000_000;
 
 /// What a [`HandoverExchange`] on disk is built from.
@@ -77,8 +77,8 @@
         self.settings_digest.set(settings_digest);
     }
 
-    /// Returns the newest record of another process whose learned state can be used here: not older than 10 s, learned
-    /// under the same settings, and not empty. Blocks on file operations; called once, at startup.
+    /// Returns the newest record of another process whose learned state can be used here: not older than 10
+    /// s, learned under the same settings, and not empty. Blocks on file operations; called once, at startup.
     pub fn inherit(&self, now: Time) -> Option<InheritedRecord> {
         let scan = self.store.scan();
         self.state.borrow_mut().on_scan(now, &scan, &self.directory_name);
--- a/src/handover/exchange_state.rs
+++ b/src/handover/exchange_state.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Determines which files the next heartbeat removes. None while this process cannot write: its siblings may not be
-    /// able to either, and their files are all that shows of them.
+    /// Determines which files the next heartbeat removes. None while this process cannot write: its siblings
+    /// may not be able to either, and their files are all that shows of them.
     pub(super) fn update_abandoned_files(&mut self, now: Time, scan: &Scan, can_write: bool) {
         let abandoned = self.retention.find_abandoned(now, &scan.files);
         self.abandoned_files = if can_write { abandoned } else { Vec::new() };
--- a/src/handover/heartbeat.rs
+++ b/src/handover/heartbeat.rs
@@ -33,13 +33,15 @@
     pub(super) started_at: Time,
     pub(super) reservation: Reservation,
     pub(super) published: Result<(), PublishError>,
-    /// Whether the modification time of the last record was advanced, because a new record could not be published.
+    /// Whether the modification time of the last record was advanced, because a new record could not be
+    /// published.
     pub(super) is_refreshed: bool,
     pub(super) scan: io::Result<Scan>,
 }
 
 impl Heartbeat {
-    /// Publishes the record, removes abandoned files and reads the records of the siblings. Blocks on file operations.
+    /// Publishes the record, removes abandoned files and reads the records of the siblings. Blocks on file
+    /// operations.
     pub fn run(self) -> HeartbeatResult {
         let Heartbeat { store, started_at, reservation, record, abandoned_files } = self;
         let published = store.publish(&record);
--- a/src/handover/heartbeat_task.rs
+++ b/src/handover/heartbeat_task.rs
@@ -46,8 +46,9 @@
         }
     }
 
-    /// Runs a heartbeat on a thread of its own, because a write can take longer than clients may wait. Meanwhile the limit
-    /// is enforced, which falls while this process's record grows old. `None` if the thread has panicked.
+    /// Runs a heartbeat on a thread of its own, because a write can take longer than clients may wait.
+    /// Meanwhile the limit is enforced, which falls while this process's record grows old. `None` if the
+    /// thread has panicked.
     async fn run_blocking(
         &self,
         heartbeat: Heartbeat,
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Applies the present limit if it differs from the one in force, which at first are the gateway's limits.
+    /// Applies the present limit if it differs from the one in force, which at first are the gateway's
+    /// limits.
     fn enforce_limit(&self, enforced_limit: &mut Option<Reservation>) {
         let limits = self.limits.get();
         let limit = self.exchange.limit(self.clock.now(), limits);
--- a/src/handover/record_store.rs
+++ b/src/handover/record_store.rs
@@ -14,8 +14,8 @@
 const MAX_RECORDS: usize = 8;
 /// Maximum number of files that are listed.
 const MAX_LISTED_FILES: usize = 256;
-/// Step by which the modification time of a record advances as a sign of life (microseconds): visible on file systems with
-/// coarse times, and too short to make the record look newer than it is.
+/// Step by which the modification time of a record advances as a sign of life (microseconds): visible on file
+/// systems with coarse times, and too short to make the record look newer than it is.
 const REFRESH_STEP: Time = 1_000;
 // File names are stored data and must not change.
 const PREFIX: &str = "petrelgauge-";
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -36,7 +36,8 @@
     pub client_context: Rc<ClientContext>,
     /// Exchange with sibling processes, where the platform holds the clients' socket.
     pub handover: Option<Rc<HandoverExchange>>,
-    /// Clock time from which the configuration's endpoint list is accepted, if discovery has sent none (microseconds).
+    /// Clock time from which the configuration's endpoint list is accepted, if discovery has sent none
+    /// (microseconds).
     pub initial_list_deadline: Time,
     /// Limits of the gateway, which sibling processes share.
     pub limits: Rc<Cell<Reservation>>,
@@ -103,17 +104,22 @@
     async fn next_wakeup(&mut self) -> Result<Wakeup, GatewayError> {
         let clock = self.clock;
         let timeout_at = self.lifecycle.timeout_at();
-        let state = self.lifecycle.state();
+        let is_serving = self.lifecycle.state() == GatewayState::Serving;
+        let is_closing = self.lifecycle.state() == GatewayState::Closing;
         tokio::select! {
             signal = self.signals.next() => Ok(Wakeup::Signal(signal)),
             Some(command) = self.channels.commands.recv() => Ok(Wakeup::Command(command)),
-            () = clock.sleep_until(timeout_at.unwrap_or_default()), if timeout_at.is_some() => Ok(Wakeup::Lifecycle(Event::Timeout)),
-            () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if state == GatewayState::Closing => {
+            () = clock.sleep_until(timeout_at.unwrap_or_default()), if timeout_at.is_some() => {
+                Ok(Wakeup::Lifecycle(Event::Timeout))
+            }
+            () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if is_closing => {
                 let clients = self.client_context.open_sessions.get();
                 let attempts = self.control.host_pool.open_attempts();
                 Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
             }
-            Some(ended) = self.tasks.join_next(), if state == GatewayState::Serving => Err(GatewayError::TaskEnded(ended)),
+            Some(ended) = self.tasks.join_next(), if is_serving => {
+                Err(GatewayError::TaskEnded(ended))
+            }
         }
     }
 
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -30,8 +30,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Time after the start for which the configuration's endpoint list counts as outdated, unless discovery sends one
-/// (microseconds).
+/// Time after the start for which the configuration's endpoint list counts as outdated, unless discovery
+/// sends one (microseconds).
 const INITIAL_LIST_TIMEOUT: Time = 1_500_000;
 /// Time between two checks whether hosts are known (microseconds).
 const HOSTS_POLL_INTERVAL: Time = 10_000;
@@ -54,6 +54,9 @@
     socket: TcpListener,
     /// Whether a sibling process may accept from it, too.
     sharing: ListenerSharing,
+    has_received_list: Rc<Cell<bool>>,
+    /// Clock time from which the configuration's endpoint list is accepted, if discovery has sent none.
+    initial_list_deadline: Time,
 }
 
 /// A gateway whose tasks have not been started.
@@ -62,10 +65,10 @@
     control: ControlPlane<S>,
     handover: Option<Rc<HandoverExchange>>,
     client_listener: ClientListener,
-    initial_list_deadline: Time,
 }
 
-/// Builds the gateway and starts all of its tasks. `inherited` is the clients' socket, if the platform holds it.
+/// Builds the gateway and starts all of its tasks. `inherited` is the clients' socket, if the platform holds
+/// it.
 ///
 /// # Errors
 ///
@@ -75,9 +78,8 @@
     inherited: Option<StdTcpListener>,
     signals: Signals,
 ) -> Result<GatewayProcess<impl DatagramSocket>, GatewayError> {
-    let Parts { shared, mut control, handover, client_listener, initial_list_deadline } =
-        build(&mut config, inherited).await?;
-    let sharing = client_listener.sharing;
+    let Parts { shared, mut control, handover, client_listener } = build(&mut config, inherited).await?;
+    let ClientListener { sharing, initial_list_deadline, .. } = client_listener;
     let (discovery_address, discovery_address_changes) = watch::channel(config.discovery);
     let (serving_state, serving_state_changes) = watch::channel(ServingState::Serving);
     let (command_sender, commands) = mpsc::channel(MAX_CALLERS);
@@ -94,10 +96,7 @@
         let heartbeats = shared.heartbeat_task(exchange.clone(), control.host_names.clone());
         tasks.spawn_local(heartbeats.run());
     }
-    let has_received_list = control.has_received_list.clone();
-    let accepting =
-        accept_clients(client_context.clone(), client_listener, has_received_list, initial_list_deadline);
-    tasks.spawn_local(accepting);
+    tasks.spawn_local(client_listener.accept(client_context.clone()));
     log::info!("gateway serving name={} address={}", config.name, config.listen);
     Ok(GatewayProcess {
         config,
@@ -123,7 +122,8 @@
     let clock = Clock::start().ahead(config.operator.clock_shift);
     let decisions = RoutingDecisions::new(config, clock.now())?;
     let shared = SharedParts::new(config, clock, &decisions);
-    // Where the platform holds the clients' socket, another process of this gateway may be running or have just ended.
+    // Where the platform holds the clients' socket, another process of this gateway may be running or have
+    // just ended.
     let sharing =
         if inherited.is_some() { ListenerSharing::WithSuccessor } else { ListenerSharing::Exclusive };
     let handover = inherited.is_some().then(|| Rc::new(open_handover(config)));
@@ -135,8 +135,9 @@
     let control = ControlPlane::new(config, decisions, dependencies, datagram::bind).await?;
     let initial_list_deadline = clock.now() + INITIAL_LIST_TIMEOUT;
     let socket = listen_for_clients(inherited, config.listen).await?;
-    let client_listener = ClientListener { socket, sharing };
-    Ok(Parts { shared, control, handover, client_listener, initial_list_deadline })
+    let has_received_list = control.has_received_list.clone();
+    let client_listener = ClientListener { socket, sharing, has_received_list, initial_list_deadline };
+    Ok(Parts { shared, control, handover, client_listener })
 }
 
 impl SharedParts {
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Adopts what another process of this gateway has learned, if it left a usable record. Returns the numbers that it
-    /// had assigned to hosts.
+    /// Adopts what another process of this gateway has learned, if it left a usable record. Returns the
+    /// numbers that it had assigned to hosts.
     fn inherit_learned_state(&self, exchange: &HandoverExchange) -> BTreeMap<String, MemberId> {
         let Some(InheritedRecord { record, age }) = exchange.inherit(self.clock.now()) else {
             return BTreeMap::new();
@@ -251,20 +252,18 @@
     socket::through_shortages(LISTEN_ATTEMPTS, || async { socket::listen(address) }).await
 }
 
-/// Accepts clients. Beside a sibling process that may still serve, waits until hosts are known.
-async fn accept_clients(
-    client_context: Rc<ClientContext>,
-    listener: ClientListener,
-    has_received_list: Rc<Cell<bool>>,
-    initial_list_deadline: Time,
-) {
-    let clock = client_context.clock;
-    let is_missing_hosts = || {
-        let has_hosts = client_context.host_pool.listed_count() > 0;
-        clock.now() < initial_list_deadline && !(has_hosts && has_received_list.get())
-    };
-    while listener.sharing == ListenerSharing::WithSuccessor && is_missing_hosts() {
-        clock.sleep_until(clock.now() + HOSTS_POLL_INTERVAL).await;
+impl ClientListener {
+    /// Accepts clients. Beside a sibling process that may still serve, waits until hosts are known.
+    async fn accept(self, client_context: Rc<ClientContext>) {
+        let clock = client_context.clock;
+        while self.sharing == ListenerSharing::WithSuccessor && self.is_missing_hosts(&client_context) {
+            clock.sleep_until(clock.now() + HOSTS_POLL_INTERVAL).await;
+        }
+        client_context.accept(self.socket, self.sharing).await
+    }
+
+    fn is_missing_hosts(&self, client_context: &ClientContext) -> bool {
+        let has_hosts = client_context.host_pool.listed_count() > 0 && self.has_received_list.get();
+        client_context.clock.now() < self.initial_list_deadline && !has_hosts
     }
-    client_context.accept(listener.socket, listener.sharing).await
 }
--- a/src/resources/budget/idle_clients.rs
+++ b/src/resources/budget/idle_clients.rs
@@ -41,8 +41,8 @@
         IdleGuard { idle_clients: idle_clients.clone(), key }
     }
 
-    /// Asks the client that registered first with this idleness to close, unless it became idle after `idle_before`.
-    /// Returns whether there is one.
+    /// Asks the client that registered first with this idleness to close, unless it became idle after
+    /// `idle_before`. Returns whether there is one.
     pub(super) fn shed(&self, idleness: Idleness, idle_before: Time) -> bool {
         let mut clients = self.clients.borrow_mut();
         let keys = IdleKey { idleness, number: 0 }..=IdleKey { idleness, number: u64::MAX };
--- a/src/resources/budget/memory.rs
+++ b/src/resources/budget/memory.rs
@@ -6,8 +6,8 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// Clients may use `CLIENT_MEMORY_PARTS` of `MESSAGE_MEMORY_PARTS` of the message memory; the rest is left to answers of
-/// hosts.
+/// Clients may use `CLIENT_MEMORY_PARTS` of `MESSAGE_MEMORY_PARTS` of the message memory; the rest is left to
+/// answers of hosts.
 const MESSAGE_MEMORY_PARTS: usize = 4;
 const CLIENT_MEMORY_PARTS: usize = 3;
 /// Bytes that any connection may hold, however much all connections hold together; enough for usual messages.
@@ -47,7 +47,8 @@
 pub struct MemoryReservation {
     budget: Rc<MemoryBudget>,
     bytes: usize,
-    /// The connection may hold more than the guaranteed bytes while all connections hold at most this many bytes.
+    /// The connection may hold more than the guaranteed bytes while all connections hold at most this many
+    /// bytes.
     max_total_bytes: usize,
     /// Whether it may exceed `max_total_bytes` to complete one message.
     has_reserve: Cell<bool>,
@@ -67,8 +68,8 @@
         MemoryReservation { budget: budget.clone(), bytes: 0, max_total_bytes, has_reserve: Cell::new(false) }
     }
 
-    /// Sets the number of bytes that the connection holds. Returns whether they are within the limits; a smaller number
-    /// than before always is. They are counted in either case.
+    /// Sets the number of bytes that the connection holds. Returns whether they are within the limits; a
+    /// smaller number than before always is. They are counted in either case.
     pub fn resize(&mut self, bytes: usize) -> bool {
         let used_bytes = self.budget.used_bytes.get() - self.bytes + bytes;
         self.budget.used_bytes.set(used_bytes);
@@ -79,8 +80,9 @@
         bytes <= previous_bytes || bytes <= GUARANTEED_BYTES || used_bytes <= self.max_total_bytes
     }
 
-    /// Takes the reserve of one message, unless another connection holds it; returns whether this connection holds it now.
-    /// Without the reserve, incomplete messages could fill the memory so that none could ever be completed.
+    /// Takes the reserve of one message, unless another connection holds it; returns whether this connection
+    /// holds it now. Without the reserve, incomplete messages could fill the memory so that none could ever
+    /// be completed.
     pub fn acquire_reserve(&self) -> bool {
         if !self.budget.is_reserve_in_use.replace(true) {
             self.has_reserve.set(true);
@@ -105,8 +107,8 @@
         shared_bytes.max(GUARANTEED_BYTES.saturating_sub(self.bytes))
     }
 
-    /// Completes when a connection shrinks its reservation or releases the reserve. A release between this call and the
-    /// first poll is not missed.
+    /// Completes when a connection shrinks its reservation or releases the reserve. A release between this
+    /// call and the first poll is not missed.
     pub fn released(&self) -> Notified<'_> {
         self.budget.released.notified()
     }
--- a/src/resources/counters.rs
+++ b/src/resources/counters.rs
@@ -1,4 +1,5 @@
-//! The counters of the gateway, logged at exit and on SIGUSR1. The names of the fields are an interface to operators.
+//! The counters of the gateway, logged at exit and on SIGUSR1. The names of the fields are an interface to
+//! operators.
 
 use petrelgauge_lifecycle::ending::End;
 use std::cell::Cell;
--- a/src/resources/mod.rs
+++ b/src/resources/mod.rs
@@ -5,8 +5,8 @@
 //! | `budget` | shares descriptors and message memory among the connections of clients and hosts |
 //! | `counters` | the counters that operators see |
 //!
-//! Owns the number of open connections, the bytes that they hold, and the list of clients that can be closed. Who is
-//! closed first is decided by the callers.
+//! Owns the number of open connections, the bytes that they hold, and the list of clients that can be closed.
+//! Who is closed first is decided by the callers.
 //!
 //! May import: `postgres`.
 
--- a/src/settings/deployment/json_form.rs
+++ b/src/settings/deployment/json_form.rs
@@ -1,5 +1,5 @@
-//! The JSON form of a deployment's settings. The names of the fields are those of the platform's keys; `DEFAULT_` constants
-//! stand where a key is missing.
+//! The JSON form of a deployment's settings. The names of the fields are those of the platform's keys;
+//! `DEFAULT_` constants stand where a key is missing.
 
 use crate::Time;
 use serde::Deserialize;
--- a/src/settings/deployment/mod.rs
+++ b/src/settings/deployment/mod.rs
@@ -1,5 +1,5 @@
-//! A deployment's settings, from their JSON form to [`Settings`]. The gateway and the adapter to the simulator both read
-//! them here, so that they decide by the same values.
+//! A deployment's settings, from their JSON form to [`Settings`]. The gateway and the adapter to the
+//! simulator both read them here, so that they decide by the same values.
 
 mod classes;
 mod error;
@@ -20,13 +20,14 @@
         self.my_number
     }
 
-    /// The time that reported positions are counted from (microseconds of Unix time); 0 where they are Unix times.
+    /// The time that reported positions are counted from (microseconds of Unix time); 0 where they are Unix
+    /// times.
     pub fn position_origin(&self) -> Time {
         self.family_info.origin_time_us
     }
 
-    /// Whether session reads must see the writes that this gateway has answered. Otherwise clients name the commit that a
-    /// read must see.
+    /// Whether session reads must see the writes that this gateway has answered. Otherwise clients name the
+    /// commit that a read must see.
     pub fn tracks_sessions(&self) -> bool {
         self.family_info.session_marks == "kept"
     }
--- a/src/settings/operator/mod.rs
+++ b/src/settings/operator/mod.rs
@@ -1,4 +1,5 @@
-//! The operator's file: typed records that enable features beside the platform's settings. Without the file, none is enabled.
+//! The operator's file: typed records that enable features beside the platform's settings. Without the file,
+//! none is enabled.
 
 mod ownership_record;
 mod sessions_record;
--- a/src/settings/operator/ownership_record.rs
+++ b/src/settings/operator/ownership_record.rs
@@ -75,8 +75,8 @@
     })
 }
 
-/// Parses the durations, and checks them with as many gateways as acceptors: the number of gateways is not known here, but
-/// an error can name the place in the file.
+/// Parses the durations, and checks them with as many gateways as acceptors: the number of gateways is not
+/// known here, but an error can name the place in the file.
 fn parse_lease_settings(record: &mut Record, acceptors: usize) -> Result<Settings, RecordError> {
     let base = Settings::default();
     let drift_bound =
