--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -1,28 +1,28 @@
-//! The life of one attempt to have a request served by a host, from its start to its report.
+//! The state machine of one attempt to have a request served by a host, from its start to its report.
 //!
 //! ```text
-//!            Connected          Greeted           Written            Began
+//!            Connected          HostReady         Written          AnswerBegan
 //! Connecting ---------> Greeting -------> Writing -------> Waiting ---------> Answering
 //!     |                    |                 |                |                   |
 //!     +--------------------+-----------------+----------------+-------------------+--> Ended(end)
 //! ```
 //!
-//! With the first bytes of a long row an attempt ends as [`End::Flows`]: the request has its answer, and the connection
-//! is lent to the client's session, which streams the row.
+//! With the first bytes of a long row an attempt ends as [`End::Flows`]: the request has its answer, and the connection is
+//! lent to the client's session, which streams the row.
 //!
-//! A reused connection begins in Writing. Whatever the state, an attempt ends once, by [`Exchange::on`], and its
-//! connection is disposed of (kept idle or closed) before the end may be reported: [`Exchange::finish`] says how, and
-//! only its result holds the end. Otherwise a retry could be sent while a connection still carries the first attempt.
+//! An attempt on a reused connection begins in Writing. Whatever the state, an attempt ends once, by [`Exchange::on`], and
+//! its connection is kept or closed before the end may be reported: [`Exchange::finish`] says which. Otherwise a retry could
+//! be sent while a connection still carries the first attempt.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Time within which an answer that has begun must be complete (microseconds): hosts write an answer at once. A host that
-/// stalls in the middle would otherwise hold its request until the attempt's deadline.
+/// Time within which an answer that has begun must be complete (microseconds). Hosts write an answer at once; one that stalls
+/// in the middle would otherwise hold its request until the attempt's deadline.
 pub const ANSWER_TIMEOUT: Time = 300_000;
 
-/// The unit of the remaining wait that is sent to hosts (microseconds).
-const MILLISECOND: Time = 1_000;
+/// The remaining wait is sent to hosts in milliseconds.
+const MICROSECONDS_PER_MILLISECOND: Time = 1_000;
 
 /// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -46,7 +46,7 @@
         /// Clock time by which it must be complete.
         by: Time,
     },
-    /// Over.
+    /// The attempt has ended.
     Ended(End),
 }
 
@@ -57,32 +57,32 @@
     Connected,
     /// The host refused the connection.
     Refused,
-    /// No connection could be tried: there was no descriptor, or no address.
-    NotTried(End),
+    /// No connect was attempted: there was no descriptor or no address.
+    NotConnected(End),
     /// The host is ready for a request.
-    Greeted,
+    HostReady,
     /// The host rejected the connection with an error.
     Rejected(End),
-    /// Before the first byte of the request: its client has left, it was cancelled, or its host accepts no more
-    /// requests.
+    /// The request must not be begun any more: its client has left, the attempt was cancelled, it is too late, or its host
+    /// accepts no more requests.
     Unwanted,
     /// The last byte of the request was written.
     Written,
     /// The first bytes of an answer were received.
-    Began,
+    AnswerBegan,
     /// A complete answer was received.
     Answered {
         /// How the attempt ended according to it.
         end: End,
         /// It equals the previous answer on the connection byte for byte.
-        copy: bool,
+        is_duplicate: bool,
     },
-    /// A long row has begun: it is streamed to the client.
-    Flows,
-    /// The host broke the protocol.
+    /// A long row has begun, which is to be streamed to the client.
+    LongRowBegan,
+    /// The host violated the protocol.
     Malformed,
     /// The connection broke or ended.
-    Broke,
+    ConnectionLost,
     /// There is no memory to buffer more of the answer.
     NoMemory,
     /// The router cancelled the attempt.
@@ -91,16 +91,16 @@
     Timeout,
 }
 
-/// What happens to the connection of a finished attempt.
+/// What is to be done with the connection of a finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionDisposition {
-    /// It is kept idle and may carry another request.
+    /// Keep it idle: it may carry another request.
     Reuse,
-    /// It is handed to the client's session, which streams the row that has begun on it.
+    /// Hand it to the client's session, which streams the row that has begun on it.
     Lend,
-    /// It is closed: bytes were received that belong to no answer, and more may follow.
+    /// Close it: bytes were received that belong to no answer, and more may follow.
     CloseSurplus,
-    /// It is closed because of the way the attempt ended.
+    /// Close it because of the way the attempt ended.
     Close,
 }
 
@@ -109,47 +109,53 @@
 pub struct Exchange {
     state: AttemptState,
     /// Clock time at which it is abandoned.
-    until: Time,
+    deadline: Time,
     /// Clock time by which its request must be written, if at all.
-    write_by: Time,
+    write_deadline: Time,
     /// The host said that it is ready for another request.
-    ready: bool,
+    is_host_ready: bool,
 }
 
-/// A finished attempt: its end may be reported once the connection has been disposed of.
+/// A finished attempt. Its end may be reported once the connection has been disposed of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedAttempt {
     /// How it ended.
     pub end: End,
+    /// What is to be done with its connection.
+    pub disposition: ConnectionDisposition,
 }
 
 impl Exchange {
-    /// An attempt on a reused connection, or else on a new one, whose host must be ready by `connect_by`. It is abandoned
-    /// at `until`.
-    pub fn new(reused: bool, now: Time, connect_by: Time, until: Time) -> Exchange {
-        let state = match reused {
-            true if now >= until => AttemptState::Ended(End::TooLate),
-            true => AttemptState::Writing,
-            false => AttemptState::Connecting { by: connect_by.min(until) },
-        };
-        Exchange { state, until, write_by: until, ready: false }
+    /// An attempt on a new connection, whose host must be ready by `connect_deadline`. It is abandoned at `deadline`.
+    pub fn connecting(connect_deadline: Time, deadline: Time) -> Exchange {
+        Exchange::in_state(AttemptState::Connecting { by: connect_deadline.min(deadline) }, deadline)
+    }
+
+    /// An attempt on a reused connection. It is abandoned at `deadline`.
+    pub fn reusing(now: Time, deadline: Time) -> Exchange {
+        let state = if now >= deadline { AttemptState::Ended(End::TooLate) } else { AttemptState::Writing };
+        Exchange::in_state(state, deadline)
+    }
+
+    fn in_state(state: AttemptState, deadline: Time) -> Exchange {
+        Exchange { state, deadline, write_deadline: deadline, is_host_ready: false }
     }
 
     /// The same attempt, with a request that must be written by then or not at all: after the window of its idempotency
     /// key a retry would have a second effect, however long its connection took to be established.
-    pub fn written_by(self, at: Time) -> Exchange {
-        let write_by = if mutant(Mutant::RetryWrittenLate) { self.until } else { self.until.min(at) };
-        Exchange { write_by, ..self }
+    pub fn with_write_deadline(self, at: Time) -> Exchange {
+        let write_deadline =
+            if mutant(Mutant::RetryWrittenLate) { self.deadline } else { self.deadline.min(at) };
+        Exchange { write_deadline, ..self }
     }
 
-    /// How many whole milliseconds the host still has to answer if the first byte of the request is written now, to be
-    /// sent with it. None if the request must not be written any more: less than a millisecond is left, which can't be
-    /// expressed, or it would be too late.
+    /// The remaining wait that is sent with the request if its first byte is written now, in whole milliseconds. None if the
+    /// request must not be written any more: it is too late, or less than a millisecond is left.
     pub fn remaining_wait_ms(&self, now: Time) -> Option<u64> {
-        if now >= self.write_by {
+        if now >= self.write_deadline {
             return None;
         }
-        u64::try_from((self.until - now) / MILLISECOND).ok().filter(|left| *left > 0)
+        u64::try_from((self.deadline - now) / MICROSECONDS_PER_MILLISECOND).ok().filter(|left| *left > 0)
     }
 
     /// The current state.
@@ -173,10 +179,10 @@
     /// Clock time at which [`Event::Timeout`] is due.
     pub fn timeout_at(&self) -> Time {
         match self.state {
-            AttemptState::Connecting { by } | AttemptState::Greeting { by } => by.min(self.write_by),
-            AttemptState::Answering { by } => by.min(self.until),
-            AttemptState::Writing => self.write_by,
-            AttemptState::Waiting | AttemptState::Ended(_) => self.until,
+            AttemptState::Connecting { by } | AttemptState::Greeting { by } => by.min(self.write_deadline),
+            AttemptState::Answering { by } => by.min(self.deadline),
+            AttemptState::Writing => self.write_deadline,
+            AttemptState::Waiting | AttemptState::Ended(_) => self.deadline,
         }
     }
 
@@ -187,81 +193,123 @@
     }
 
     fn next(&self, now: Time, event: Event) -> AttemptState {
-        use AttemptState::*;
         match (self.state, event) {
-            (Ended(end), _) => Ended(end),
+            (AttemptState::Ended(end), _) => AttemptState::Ended(end),
             // Whether a cancelled request ran is not known.
-            (_, Event::Cancelled) => Ended(End::Cancelled),
-            (Connecting { .. }, Event::NotTried(end)) => Ended(end),
+            (_, Event::Cancelled) => AttemptState::Ended(End::Cancelled),
+            (AttemptState::Connecting { by } | AttemptState::Greeting { by }, Event::Timeout) => {
+                self.on_connect_timeout(now, by)
+            }
+            (AttemptState::Connecting { by }, event) => self.next_when_connecting(by, event),
+            (AttemptState::Greeting { .. }, event) => self.next_when_greeting(now, event),
+            (AttemptState::Writing, event) => self.next_when_writing(now, event),
+            (AttemptState::Waiting | AttemptState::Answering { .. }, event) => {
+                self.next_when_written(now, event)
+            }
+        }
+    }
 
-            (Connecting { by }, Event::Connected) => Greeting { by },
-            (Connecting { .. }, Event::Refused) => Ended(End::ConnectRefused),
-            (Greeting { .. }, Event::Greeted) if now >= self.write_by => Ended(End::TooLate),
-            (Greeting { .. }, Event::Greeted) => Writing,
-            (Greeting { .. }, Event::Rejected(end)) => Ended(end),
-            (Greeting { .. }, Event::Broke | Event::Malformed) => Ended(End::BrokenUnsent),
-            (Greeting { .. }, Event::NoMemory) => Ended(End::NoDescriptor),
+    fn on_connect_timeout(&self, now: Time, connect_deadline: Time) -> AttemptState {
+        if now >= connect_deadline {
+            AttemptState::Ended(End::ConnectSilent)
+        } else if now >= self.write_deadline {
             // The attempt is out of time, which is no sign of a fault of the host.
-            (Connecting { by } | Greeting { by }, Event::Timeout) if self.write_by <= now && now < by => {
-                Ended(End::TooLate)
-            }
-            (Connecting { by } | Greeting { by }, Event::Timeout) if now >= by => Ended(End::ConnectSilent),
-            (Writing, Event::Unwanted) => Ended(End::NotWanted),
+            AttemptState::Ended(End::TooLate)
+        } else {
+            self.state
+        }
+    }
 
-            (Writing, Event::Written) if mutant(Mutant::StallLimitBeforeAnswer) => {
-                Answering { by: now + ANSWER_TIMEOUT }
+    fn next_when_connecting(&self, by: Time, event: Event) -> AttemptState {
+        match event {
+            Event::Connected => AttemptState::Greeting { by },
+            Event::Refused => AttemptState::Ended(End::ConnectRefused),
+            Event::NotConnected(end) => AttemptState::Ended(end),
+            _ => self.state,
+        }
+    }
+
+    fn next_when_greeting(&self, now: Time, event: Event) -> AttemptState {
+        match event {
+            Event::HostReady if now >= self.write_deadline => AttemptState::Ended(End::TooLate),
+            Event::HostReady => AttemptState::Writing,
+            Event::Rejected(end) => AttemptState::Ended(end),
+            Event::ConnectionLost | Event::Malformed => AttemptState::Ended(End::BrokenUnsent),
+            Event::NoMemory => AttemptState::Ended(End::NoDescriptor),
+            _ => self.state,
+        }
+    }
+
+    fn next_when_writing(&self, now: Time, event: Event) -> AttemptState {
+        match event {
+            Event::Unwanted => AttemptState::Ended(End::NotWanted),
+            Event::Written if mutant(Mutant::StallLimitBeforeAnswer) => {
+                AttemptState::Answering { by: now + ANSWER_TIMEOUT }
             }
-            (Writing, Event::Written) => Waiting,
-            (Writing, Event::Broke) => Ended(End::BrokenUnsent),
+            Event::Written => AttemptState::Waiting,
+            Event::ConnectionLost => AttemptState::Ended(End::BrokenUnsent),
             // Not written completely: it never ran.
-            (Writing, Event::Timeout) if now >= self.write_by => Ended(End::ConnectSilent),
+            Event::Timeout if now >= self.write_deadline => AttemptState::Ended(End::ConnectSilent),
+            _ => self.state,
+        }
+    }
 
-            (Waiting, Event::Began) => Answering { by: now + ANSWER_TIMEOUT },
-            (Waiting | Answering { .. }, Event::Answered { copy: true, .. }) => {
-                // It is not known to which request this answer belongs, nor whether the request has run.
-                Ended(if mutant(Mutant::DuplicateAnswerAccepted) { End::Served } else { End::HostRepeated })
+    /// The request has been written and may have run.
+    fn next_when_written(&self, now: Time, event: Event) -> AttemptState {
+        match (self.state, event) {
+            (AttemptState::Waiting, Event::AnswerBegan) => {
+                AttemptState::Answering { by: now + ANSWER_TIMEOUT }
+            }
+            // It is not known to which request a duplicate belongs, nor whether this one has run.
+            (_, Event::Answered { is_duplicate: true, .. }) if mutant(Mutant::DuplicateAnswerAccepted) => {
+                AttemptState::Ended(End::Served)
+            }
+            (_, Event::Answered { is_duplicate: true, .. }) => AttemptState::Ended(End::HostRepeated),
+            (_, Event::Answered { end, .. }) => AttemptState::Ended(end),
+            (_, Event::LongRowBegan) => AttemptState::Ended(End::Flows),
+            (_, Event::Malformed) => AttemptState::Ended(End::HostMalformed),
+            (_, Event::ConnectionLost) if mutant(Mutant::ResetCountsAsUnsent) => {
+                AttemptState::Ended(End::BrokenUnsent)
             }
-            (Waiting | Answering { .. }, Event::Answered { end, .. }) => Ended(end),
-            (Waiting | Answering { .. }, Event::Flows) => Ended(End::Flows),
-            (Waiting | Answering { .. }, Event::Malformed) => Ended(End::HostMalformed),
-            (Waiting | Answering { .. }, Event::Broke) => {
-                Ended(if mutant(Mutant::ResetCountsAsUnsent) { End::BrokenUnsent } else { End::BrokenSent })
+            (_, Event::ConnectionLost) => AttemptState::Ended(End::BrokenSent),
+            (_, Event::NoMemory) => AttemptState::Ended(End::NoMemory),
+            (_, Event::Timeout) if now >= self.deadline => AttemptState::Ended(End::NoAnswer),
+            (AttemptState::Answering { by }, Event::Timeout) if now >= by => {
+                AttemptState::Ended(End::HostStalled)
             }
-            (Waiting | Answering { .. }, Event::NoMemory) => Ended(End::NoMemory),
-            (Waiting | Answering { .. }, Event::Timeout) if now >= self.until => Ended(End::NoAnswer),
-            (Answering { by }, Event::Timeout) if now >= by => Ended(End::HostStalled),
             (state, _) => state,
         }
     }
 
-    /// The host said, with its answer, that it is ready for another request.
-    pub fn host_is_ready(&mut self) {
-        self.ready = true;
+    /// Records that the host said, with its answer, that it is ready for another request.
+    pub fn record_host_ready(&mut self) {
+        self.is_host_ready = true;
     }
 
-    /// What is to be done with the connection, and the result, once the attempt has ended. The connection is reused only
-    /// if the host sent a complete answer and is ready for another request. `unread`: bytes are available on it that
-    /// belong to no answer. None while the attempt is in flight.
-    pub fn finish(self, unread: bool) -> Option<(ConnectionDisposition, FinishedAttempt)> {
+    /// How the attempt ended and what is to be done with its connection; none while the attempt is in flight.
+    ///
+    /// The connection is reused only if the host sent a complete answer and is ready for another request. `has_unread`:
+    /// bytes are available on it that belong to no answer.
+    pub fn finish(self, has_unread: bool) -> Option<FinishedAttempt> {
         let end = self.ended()?;
+        Some(FinishedAttempt { end, disposition: self.disposition(end, has_unread) })
+    }
+
+    fn disposition(&self, end: End, has_unread: bool) -> ConnectionDisposition {
         if end == End::Flows {
-            return Some((
-                if mutant(Mutant::StreamingConnectionPooled) {
-                    ConnectionDisposition::Reuse
-                } else {
-                    ConnectionDisposition::Lend
-                },
-                FinishedAttempt { end },
-            ));
+            return if mutant(Mutant::StreamingConnectionPooled) {
+                ConnectionDisposition::Reuse
+            } else {
+                ConnectionDisposition::Lend
+            };
         }
         // Nothing was written for an unwanted attempt: its connection is as it was.
-        let reusable = end.is_answer() && self.ready || end == End::NotWanted;
-        let disposition = match (reusable, unread && !mutant(Mutant::UnreadConnectionPooled)) {
+        let is_reusable = end.is_answer() && self.is_host_ready || end == End::NotWanted;
+        match (is_reusable, has_unread && !mutant(Mutant::UnreadConnectionPooled)) {
             (true, false) => ConnectionDisposition::Reuse,
             (true, true) => ConnectionDisposition::CloseSurplus,
             (false, _) if mutant(Mutant::ReportedBeforeClose) => ConnectionDisposition::Reuse,
             (false, _) => ConnectionDisposition::Close,
-        };
-        Some((disposition, FinishedAttempt { end }))
+        }
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -33,13 +33,13 @@
 //! use petrelgauge_lifecycle::ending::End;
 //!
 //! // On a reused connection: the request is written, and then the host stays silent.
-//! let mut attempt = Exchange::new(true, 0, 0, 500_000);
+//! let mut attempt = Exchange::reusing(0, 500_000);
 //! attempt.on(1_000, Event::Written);
 //! assert!(attempt.may_have_run());
 //! attempt.on(500_000, Event::Timeout);
 //! // The connection is closed first; only then does the caller learn how the attempt ended.
-//! let (disposition, finished) = attempt.finish(false).expect("it has ended");
-//! assert_eq!((disposition, finished.end), (ConnectionDisposition::Close, End::NoAnswer));
+//! let finished = attempt.finish(false).expect("it has ended");
+//! assert_eq!((finished.disposition, finished.end), (ConnectionDisposition::Close, End::NoAnswer));
 //! ```
 
 pub mod backoff;
--- a/crates/lifecycle/tests/exchange.rs
+++ b/crates/lifecycle/tests/exchange.rs
@@ -5,7 +5,7 @@
 
 /// An attempt on a reused connection, with its deadline at 5 s.
 fn attempt() -> Exchange {
-    Exchange::new(true, 0, 0, 5_000_000)
+    Exchange::reusing(0, 5_000_000)
 }
 
 #[test]
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_retry_is_not_begun_once_its_window_closes() {
-    let exchange = attempt().written_by(2_000_000);
+    let exchange = attempt().with_write_deadline(2_000_000);
     assert_eq!(exchange.remaining_wait_ms(1_999_999), Some(3_000));
     assert_eq!(exchange.remaining_wait_ms(2_000_000), None);
 }
--- a/crates/models/src/attempts/apply.rs
+++ b/crates/models/src/attempts/apply.rs
@@ -13,7 +13,7 @@
             }
             Step::Written(index) => self.write(index),
             Step::Refused(index) => self.on_event(index, Event::Refused),
-            Step::Broken(index) => self.on_event(index, Event::Broke),
+            Step::Broken(index) => self.on_event(index, Event::ConnectionLost),
             Step::Due(index) => self.on_event(index, Event::Timeout),
             Step::Cancelled(index) => self.on_event(index, Event::Cancelled),
             Step::Answered(index, answer) => {
@@ -22,7 +22,7 @@
                     HostAnswer::Rejection => End::Rejected,
                     HostAnswer::Error => End::HostError,
                 };
-                self.on_event(index, Event::Answered { end, copy: false });
+                self.on_event(index, Event::Answered { end, is_duplicate: false });
             }
             Step::ClientLeaves(index) => {
                 self.requests[index].client_left = true;
@@ -35,7 +35,7 @@
 
     /// The attempt is connected, and its request is written completely, unless its time limit comes first.
     fn write(&mut self, index: usize) {
-        for event in [Event::Connected, Event::Greeted, Event::Written] {
+        for event in [Event::Connected, Event::HostReady, Event::Written] {
             if self.attempts[index].exchange.ended().is_none() {
                 self.attempts[index].may_have_run = event == Event::Written;
                 self.on_event(index, event);
--- a/crates/models/src/attempts/commands.rs
+++ b/crates/models/src/attempts/commands.rs
@@ -40,8 +40,8 @@
     fn start_attempt(&mut self, spec: AttemptSpec) {
         self.check_start(&spec);
         // All connections are new here: the model `connection` has reused ones.
-        let exchange = Exchange::new(false, self.now, self.now + CONNECT_TIMEOUT, spec.deadline)
-            .written_by(spec.write_deadline);
+        let exchange = Exchange::connecting(self.now + CONNECT_TIMEOUT, spec.deadline)
+            .with_write_deadline(spec.write_deadline);
         self.attempts.push(Attempt {
             spec,
             exchange,
@@ -100,7 +100,7 @@
         attempt.exchange.on(now, event);
         let Some(end) = attempt.exchange.ended() else { return };
         // The connection is disposed of before the attempt is reported: there is no other way to learn the end.
-        let Some((_, finished)) = attempt.exchange.clone().finish(false) else { return };
+        let Some(finished) = attempt.exchange.clone().finish(false) else { return };
         if matches!(end, End::Rejected | End::QueueFull) {
             attempt.may_have_run = false;
         }
--- a/crates/models/src/connection/apply.rs
+++ b/crates/models/src/connection/apply.rs
@@ -17,17 +17,17 @@
             Step::Cancel => self.on_event(Event::Cancelled),
             Step::Unwanted => self.on_event(Event::Unwanted),
             Step::ResourcesExhausted if self.is_connecting() => {
-                self.on_event(Event::NotTried(End::NoDescriptor))
+                self.on_event(Event::NotConnected(End::NoDescriptor))
             }
             Step::ResourcesExhausted => self.on_event(Event::NoMemory),
             Step::Break if self.is_connecting() => self.on_event(Event::Refused),
-            Step::Break => self.on_event(Event::Broke),
+            Step::Break => self.on_event(Event::ConnectionLost),
             Step::GreetingFails { rejected: true } => self.on_event(Event::Rejected(End::QueueFull)),
             Step::GreetingFails { rejected: false } => self.on_event(Event::Malformed),
             Step::GreetedLate => {
                 // The gateway was held up past the deadline of the whole attempt.
                 self.now = self.now.max(START + ATTEMPT_TIMEOUT) + ATTEMPT_TIMEOUT;
-                self.on_event(Event::Greeted);
+                self.on_event(Event::HostReady);
             }
             Step::Due => {
                 self.now = self.timeout_at().max(self.now);
@@ -55,7 +55,7 @@
                 }
                 self.on_event(Event::Connected);
             }
-            Some(AttemptState::Greeting { .. }) => self.on_event(Event::Greeted),
+            Some(AttemptState::Greeting { .. }) => self.on_event(Event::HostReady),
             _ => {
                 let request = self.attempt.as_ref().map_or(0, |attempt| attempt.request);
                 if let Some(connection) = self.connection_mut() {
@@ -106,20 +106,20 @@
         match connection.unread.remove(0) {
             Bytes::Part => {
                 self.answer_begun = true;
-                self.on_event(Event::Began);
+                self.on_event(Event::AnswerBegan);
             }
             Bytes::Row(request) => {
                 (self.answered, self.answer_begun) = (Some(request), true);
-                self.on_event(Event::Flows);
+                self.on_event(Event::LongRowBegan);
             }
             Bytes::Garbage => self.on_event(Event::Malformed),
-            Bytes::End => self.on_event(Event::Broke),
+            Bytes::End => self.on_event(Event::ConnectionLost),
             Bytes::Answer { request, has_position } => {
                 let this = answer_hash(request, has_position);
                 let last = std::mem::replace(&mut connection.last_answer, this);
-                let copy = is_copy(connection.copy_expected, last, this);
+                let is_duplicate = is_copy(connection.copy_expected, last, this);
                 (self.answered, self.answer_begun) = (Some(request), true);
-                self.on_event(Event::Answered { end: End::Served, copy });
+                self.on_event(Event::Answered { end: End::Served, is_duplicate });
             }
         }
     }
--- a/crates/models/src/connection/attempt.rs
+++ b/crates/models/src/connection/attempt.rs
@@ -14,8 +14,11 @@
         self.next_request += 1;
         (self.answered, self.answer_begun) = (None, false);
         let connection = self.reuse();
-        let (reused, now) = (connection.is_some(), self.now);
-        let exchange = Exchange::new(reused, now, now + CONNECT_TIMEOUT, now + ATTEMPT_TIMEOUT);
+        let (now, deadline) = (self.now, self.now + ATTEMPT_TIMEOUT);
+        let exchange = match connection {
+            Some(_) => Exchange::reusing(now, deadline),
+            None => Exchange::connecting(now + CONNECT_TIMEOUT, deadline),
+        };
         self.attempt = Some(Attempt { request, exchange, connection });
     }
 
@@ -58,13 +61,13 @@
     fn finish(&mut self, attempt: Attempt) {
         let Attempt { request, mut exchange, connection } = attempt;
         if self.answered.is_some() {
-            exchange.host_is_ready();
+            exchange.record_host_ready();
         }
         // A copy or garbage may have been read together with the answer.
         let unread = connection
             .as_ref()
             .is_some_and(|connection| connection.unread.first().is_some_and(|bytes| *bytes != Bytes::End));
-        let Some((disposition, finished)) = exchange.finish(unread) else {
+        let Some(finished) = exchange.finish(unread) else {
             self.violated = Some(ONCE);
             return;
         };
@@ -74,12 +77,12 @@
         let unanswered =
             connection.as_ref().is_some_and(|connection| connection.unanswered.contains(&request));
         if !finished.end.is_answer()
-            && disposition == ConnectionDisposition::Reuse
+            && finished.disposition == ConnectionDisposition::Reuse
             && (unanswered || finished.end != End::NotWanted)
         {
             self.violated = Some(CLOSED);
         }
-        if let (ConnectionDisposition::Reuse, Some(connection)) = (disposition, connection) {
+        if let (ConnectionDisposition::Reuse, Some(connection)) = (finished.disposition, connection) {
             if unread {
                 self.violated = Some(UNREAD);
             }
--- a/crates/models/src/coverage.rs
+++ b/crates/models/src/coverage.rs
@@ -16,7 +16,7 @@
         other => variant(format!("{other:?}")),
     };
     let event = match event {
-        Event::Answered { copy: true, .. } => "Answered, a copy".to_string(),
+        Event::Answered { is_duplicate: true, .. } => "Answered, a copy".to_string(),
         other => variant(format!("{other:?}")),
     };
     (before != after).then(|| format!("{} --{event}--> {}", state(before), state(after)))
@@ -32,22 +32,22 @@
 /// All transitions of the machine, and those of them that no model has taken in this process.
 pub fn transitions() -> (BTreeSet<String>, Vec<String>) {
     let (now, by, until): (Time, Time, Time) = (1_000, 200_000, 900_000);
-    let path = [Event::Connected, Event::Greeted, Event::Written, Event::Began];
-    let answered = |copy| Event::Answered { end: End::Served, copy };
+    let path = [Event::Connected, Event::HostReady, Event::Written, Event::AnswerBegan];
+    let answered = |is_duplicate| Event::Answered { end: End::Served, is_duplicate };
     let events = [
         Event::Connected,
         Event::Refused,
-        Event::NotTried(End::NoDescriptor),
-        Event::Greeted,
+        Event::NotConnected(End::NoDescriptor),
+        Event::HostReady,
         Event::Rejected(End::QueueFull),
         Event::Unwanted,
         Event::Written,
-        Event::Began,
+        Event::AnswerBegan,
         answered(false),
         answered(true),
-        Event::Flows,
+        Event::LongRowBegan,
         Event::Malformed,
-        Event::Broke,
+        Event::ConnectionLost,
         Event::NoMemory,
         Event::Cancelled,
         Event::Timeout,
@@ -56,7 +56,7 @@
     for reached in 0..=path.len() {
         for event in events {
             for at in [now, by, now + 400_000, until] {
-                let mut one = Exchange::new(false, now, by, until);
+                let mut one = Exchange::connecting(by, until);
                 path[..reached].iter().for_each(|event| one.on(now, *event));
                 let before = one.state();
                 one.on(at, event);
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -15,7 +15,7 @@
 use crate::sql::statement::Statement;
 use crate::{MemberId, SlowStart, Time};
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange};
+use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange, FinishedAttempt};
 use std::pin::pin;
 use std::rc::Rc;
 
@@ -70,9 +70,12 @@
         let io = AttemptIo::new(self.take_idle(attempt.host()), self.budget.reserve_host_memory());
         let now = self.clock.now();
         let reused = io.connection.is_some();
-        let up_by = now + self.connect_timeout(attempt.host());
-        let exchange =
-            Exchange::new(reused, now, up_by, attempt.deadline()).written_by(attempt.write_deadline());
+        let exchange = if reused {
+            Exchange::reusing(now, attempt.deadline())
+        } else {
+            Exchange::connecting(now + self.connect_timeout(attempt.host()), attempt.deadline())
+        };
+        let exchange = exchange.with_write_deadline(attempt.write_deadline());
         AttemptRun { exchange, io, started_at: now, written_at: None, reused }
     }
 
@@ -109,7 +112,7 @@
 
     fn on_event(&self, run: &mut AttemptRun, host: MemberId, event: Event) {
         run.exchange.on(self.clock.now(), event);
-        if event == Event::Greeted {
+        if event == Event::HostReady {
             self.record_connected(host, self.clock.now() - run.started_at);
         }
         if run.written_at.is_none() && run.exchange.may_have_run() {
@@ -128,11 +131,10 @@
         let AttemptRun { mut exchange, io, started_at, written_at, reused } = run;
         let AttemptIo { connection, reply, memory, assembler, .. } = io;
         if reply.as_ref().is_some_and(|reply| reply.ready) {
-            exchange.host_is_ready();
+            exchange.record_host_ready();
         }
         let unread = connection.as_ref().is_some_and(|connection| !connection.framer.is_empty());
-        let (disposition, finished) = exchange.finish(unread)?;
-        let end = finished.end;
+        let FinishedAttempt { end, disposition } = exchange.finish(unread)?;
         let streamed = self.release(attempt.host(), connection, assembler, disposition);
         self.count_end(attempt.host(), end);
         log::debug!(
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -64,7 +64,7 @@
 
     /// Takes the messages of a greeting that were read. None if it goes on.
     fn take_greeting(&mut self) -> Option<Event> {
-        let Some(connection) = &mut self.connection else { return Some(Event::Broke) };
+        let Some(connection) = &mut self.connection else { return Some(Event::ConnectionLost) };
         loop {
             let message = match connection.next() {
                 Ok(Some(message)) => message,
@@ -77,7 +77,7 @@
                 | message_type::BACKEND_KEY_DATA
                 | message_type::NOTICE_RESPONSE
                 | message_type::NEGOTIATE_PROTOCOL_VERSION => {}
-                message_type::READY_FOR_QUERY => return Some(Event::Greeted),
+                message_type::READY_FOR_QUERY => return Some(Event::HostReady),
                 message_type::ERROR_RESPONSE => return Some(self.take_rejection(message)),
                 _ => return Some(Event::Malformed),
             }
@@ -92,17 +92,17 @@
         }
         self.reply = assembler.finish();
         let end = self.reply.as_ref().map(end_of_reply);
-        end.map_or(Event::Broke, Event::Rejected)
+        end.map_or(Event::ConnectionLost, Event::Rejected)
     }
 
     /// Takes the messages of an answer that were read. None if it goes on.
     fn take_answer(&mut self) -> Option<Event> {
-        let Some(connection) = &mut self.connection else { return Some(Event::Broke) };
+        let Some(connection) = &mut self.connection else { return Some(Event::ConnectionLost) };
         loop {
             let message = match connection.next() {
                 Ok(Some(message)) => message,
                 Ok(None) => return None,
-                Err(Event::Flows) if !self.assembler.awaits_row() => return Some(Event::Malformed),
+                Err(Event::LongRowBegan) if !self.assembler.awaits_row() => return Some(Event::Malformed),
                 Err(event) => return Some(event),
             };
             self.answer_bytes += message.raw.len();
@@ -117,22 +117,22 @@
 
     /// The answer is complete: whether it is a copy of the connection's last one shows in their hashes.
     fn complete_answer(&mut self, reply: Reply) -> Event {
-        let Some(connection) = &mut self.connection else { return Event::Broke };
+        let Some(connection) = &mut self.connection else { return Event::ConnectionLost };
         let is_row = matches!(reply.answer, Answer::Row(_));
         let reports_position = reply.parameters.iter().any(|(name, _)| name == LOG_POSITION);
         let hash = is_distinguishable(is_row, reports_position).then(|| self.answer_hash.finish());
         let last_hash = std::mem::replace(&mut connection.last_answer_hash, hash);
-        let copy = is_copy(connection.last_answer_is_recent, last_hash, hash);
+        let is_duplicate = is_copy(connection.last_answer_is_recent, last_hash, hash);
         let end = end_of_reply(&reply);
         self.reply = Some(reply);
-        Event::Answered { end, copy }
+        Event::Answered { end, is_duplicate }
     }
 
     /// The connection ended while an answer was awaited. An error that came before counts as the answer.
     fn end_of_connection(&mut self) -> Event {
         self.reply = self.assembler.finish();
         let end = self.reply.as_ref().map(end_of_reply);
-        end.map_or(Event::Broke, |end| Event::Answered { end, copy: false })
+        end.map_or(Event::ConnectionLost, |end| Event::Answered { end, is_duplicate: false })
     }
 
     /// Accounts for the bytes that are held. False if that is more than may be.
@@ -175,11 +175,11 @@
 
     /// Waits until the query can be begun, or writes the rest of one that has been.
     async fn write_query(&self, io: &mut AttemptIo) -> Progress {
-        let Some(connection) = &io.connection else { return Progress::Event(Event::Broke) };
+        let Some(connection) = &io.connection else { return Progress::Event(Event::ConnectionLost) };
         if let Some(rest) = &mut io.unwritten {
             return Progress::Event(match socket::write_all(&connection.stream, rest).await {
                 Ok(()) => self.on_query_written(),
-                Err(_) => Event::Broke,
+                Err(_) => Event::ConnectionLost,
             });
         }
         if io.write_failed_locally {
@@ -188,7 +188,7 @@
         }
         match socket::writable(&connection.stream).await {
             Ok(()) => Progress::MayBegin,
-            Err(_) => Progress::Event(Event::Broke),
+            Err(_) => Progress::Event(Event::ConnectionLost),
         }
     }
 
@@ -204,7 +204,7 @@
         statement: &Statement,
         io: &mut AttemptIo,
     ) -> Option<Event> {
-        let Some(connection) = &io.connection else { return Some(Event::Broke) };
+        let Some(connection) = &io.connection else { return Some(Event::ConnectionLost) };
         let host_accepts = self.accepts(attempt.host(), connection.endpoint);
         let now = self.clock.now();
         if !host_accepts || !attempt.is_wanted(now) {
@@ -223,7 +223,7 @@
                 io.write_failed_locally = true;
                 None
             }
-            Err(_) => Some(Event::Broke),
+            Err(_) => Some(Event::ConnectionLost),
         }
     }
 
@@ -239,7 +239,7 @@
                 return event;
             }
             if self.read_more(io).await.is_err() {
-                return Event::Broke;
+                return Event::ConnectionLost;
             }
             if !io.reserve_memory() {
                 return Event::NoMemory;
@@ -256,7 +256,7 @@
             }
             // Most answers come in one read; only of one that does not it is reported that it has begun.
             if has_begun {
-                return Event::Began;
+                return Event::AnswerBegan;
             }
             if self.read_more(io).await.is_err() {
                 return io.end_of_connection();
@@ -269,7 +269,7 @@
     }
 
     async fn read_more(&self, io: &mut AttemptIo) -> Result<(), Event> {
-        let connection = io.connection.as_mut().ok_or(Event::Broke)?;
+        let connection = io.connection.as_mut().ok_or(Event::ConnectionLost)?;
         connection.read(&self.read_buffer, read_buffer::SIZE).await
     }
 }
--- a/src/host/connection.rs
+++ b/src/host/connection.rs
@@ -52,12 +52,12 @@
     ///
     /// # Errors
     ///
-    /// [`Event::Flows`] if it is the beginning of a row to be streamed, [`Event::Malformed`] if it is no message of a
+    /// [`Event::LongRowBegan`] if it is the beginning of a row to be streamed, [`Event::Malformed`] if it is no message of a
     /// host.
     pub(super) fn next(&mut self) -> Result<Option<Message>, Event> {
         match self.framer.kind() {
             Some(kind) if !message_type::SENT_BY_HOSTS.contains(&kind) => Err(Event::Malformed),
-            Some(message_type::DATA_ROW) if self.framer.long_row().is_some() => Err(Event::Flows),
+            Some(message_type::DATA_ROW) if self.framer.long_row().is_some() => Err(Event::LongRowBegan),
             _ => self.framer.message().map_err(|_| Event::Malformed),
         }
     }
@@ -72,10 +72,10 @@
     ///
     /// # Errors
     ///
-    /// [`Event::Broke`] if the connection ended or broke.
+    /// [`Event::ConnectionLost`] if the connection ended or broke.
     pub(super) async fn read(&mut self, buffer: &ReadBuffer, max_bytes: usize) -> Result<(), Event> {
         loop {
-            self.stream.readable().await.map_err(|_| Event::Broke)?;
+            self.stream.readable().await.map_err(|_| Event::ConnectionLost)?;
             let stream = &self.stream;
             let once = |bytes: &mut [u8]| {
                 let length = max_bytes.min(bytes.len());
@@ -85,7 +85,7 @@
                 Ok(Some(1..)) => return Ok(()),
                 Ok(None) => {}
                 Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
-                Ok(Some(0)) | Err(_) => return Err(Event::Broke),
+                Ok(Some(0)) | Err(_) => return Err(Event::ConnectionLost),
             }
         }
     }
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -246,12 +246,12 @@
     ///
     /// # Errors
     ///
-    /// [`Event::NotTried`] if nothing went to the host, [`Event::Refused`] if it did not take the connection.
+    /// [`Event::NotConnected`] if nothing went to the host, [`Event::Refused`] if it did not take the connection.
     pub(super) async fn connect(&self, id: MemberId) -> Result<HostConnection, Event> {
         let endpoint = self.hosts.borrow().get(&id).map(|host| host.endpoint).filter(|endpoint| endpoint.up);
-        let endpoint = endpoint.ok_or(Event::NotTried(End::NoAddress))?;
+        let endpoint = endpoint.ok_or(Event::NotConnected(End::NoAddress))?;
         if !self.ensure_descriptor() {
-            return Err(Event::NotTried(End::NoDescriptor));
+            return Err(Event::NotConnected(End::NoDescriptor));
         }
         let slot = self.budget.acquire_host_slot();
         self.counters.host_connects.add();
@@ -273,7 +273,7 @@
     match error {
         SocketError::Unreachable(_) | SocketError::Broken(_) => Event::Refused,
         SocketError::OwnShortage(_) | SocketError::Interrupted | SocketError::WouldBlock => {
-            Event::NotTried(End::NoDescriptor)
+            Event::NotConnected(End::NoDescriptor)
         }
     }
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -101,7 +101,7 @@
         libc::EAGAIN,
         libc::ENETUNREACH,
     ] {
-        assert_eq!(event(number), Event::NotTried(End::NoDescriptor), "{}", error(number));
+        assert_eq!(event(number), Event::NotConnected(End::NoDescriptor), "{}", error(number));
     }
     for number in [libc::ECONNREFUSED, libc::EHOSTUNREACH, libc::ETIMEDOUT, libc::ECONNRESET] {
         assert_eq!(event(number), Event::Refused, "{}", error(number));
