--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -1,7 +1,7 @@
 //! What hosts report about their clock, and times that cross machines.
 
 use super::{AttemptInFlight, AttemptSpec, Outcome, RequestTable};
-use petrelgauge_policy::{Ending, MemberId, Need, Report, Time};
+use petrelgauge_policy::{Commit, Ending, MemberId, Need, Report, Time};
 
 /// A change of the estimated clock offset after which the session tracker is restarted (microseconds).
 const MAX_TRACKER_DRIFT: Time = 1_000_000;
@@ -35,9 +35,13 @@
         let served_write = in_flight.filter(is_write).filter(|_| outcome.ending == Ending::Served);
         let fleet_clock = self.router.fleet_clock_mut();
         match (served_write, outcome.position) {
-            (Some(write), Some(commit)) => {
-                fleet_clock.record_commit(host, commit, write.ordered_at, now, write.is_first)
-            }
+            (Some(write), Some(commit)) => fleet_clock.record_commit(Commit {
+                member: host,
+                committed_at: commit,
+                sent_at: write.ordered_at,
+                received_at: now,
+                is_first_attempt: write.is_first,
+            }),
             (None, Some(position)) => fleet_clock.record_position(host, position, now),
             (_, None) => {}
         }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types between a router and the program that embeds it: settings, events and actions. No decisions are
+//! The interface between a router and the program that embeds it: settings, events and actions. No decisions are
 //! made here.
 
 mod actions;
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -1,4 +1,4 @@
-//! The actions that a router wants carried out.
+//! The actions of a router.
 
 use super::ids::{MemberId, RequestId, Time};
 use super::notes::LogEntry;
@@ -6,32 +6,32 @@
 /// An action that the embedding program carries out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send an attempt of a request to a member.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The member.
         member: MemberId,
-        /// Clock time at which it is given up.
+        /// Clock time at which the attempt times out.
         until: Time,
     },
-    /// Final answer: rejected, harmless to try again.
+    /// Final answer: rejected, and safe to retry.
     Reject {
         /// The request.
         request: RequestId,
         /// Retry-After for the client (microseconds); 0 for none.
         wait: Time,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed, and it may have had an effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0 in the order of sends.
         attempt: u32,
     },
     /// Send a health check to a member.
@@ -39,15 +39,15 @@
         /// The member.
         member: MemberId,
     },
-    /// Subscribe to list changes.
+    /// Subscribe to changes of the endpoint list.
     WatchList,
-    /// Request the complete list.
+    /// Request the complete endpoint list.
     ReadList,
     /// Set a timer.
     Timer {
-        /// Returned by the timer's event.
+        /// Passed back with [`Event::Timer`](super::Event::Timer).
         token: u64,
-        /// Clock time.
+        /// Clock time at which it fires.
         at: Time,
     },
     /// Write a note for operators to the log.
--- a/crates/policy/src/interface/classes.rs
+++ b/crates/policy/src/interface/classes.rs
@@ -1,28 +1,28 @@
-//! Classes of requests: the data they need, the effect of a retry, and the value of an answer.
+//! Classes of requests: what data they need, what a retry may do, and what an answer is worth.
 
 use super::ids::Time;
 
-/// Span after which what a member has answered counts as known (microseconds; see the protocol page), whether
-/// or not the answer has arrived: a connection may fail silently.
+/// Span after which the answer of a member counts as known (microseconds; see the protocol page), whether or not
+/// it has arrived: a connection may fail silently.
 pub const ASSUMED_KNOWN_AFTER: Time = 100_000;
 
 /// What data a request of a class needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Need {
-    /// A write: only the primary takes it.
+    /// A write: only the primary serves it.
     Write,
-    /// All commits before the request reached the router.
+    /// All commits from before the request arrived at the router.
     Strong,
     /// Commits up to the request's minimum position.
     Session,
-    /// Data no older than this span when it is sent.
+    /// Data no older than this span (microseconds) when the request is sent.
     Bounded(Time),
     /// Any data will do.
     Eventual,
 }
 
 impl Need {
-    /// How old its data may be, where that is bounded by a span.
+    /// The largest age of its data (microseconds), if it is bounded.
     pub fn bound(self) -> Option<Time> {
         match self {
             Need::Bounded(bound) => Some(bound),
@@ -31,23 +31,23 @@
     }
 }
 
-/// What a retry of a request does.
+/// Whether a retry of a request may have a second effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// May be retried freely.
+    /// Idempotent by nature: may be retried freely.
     Safe,
-    /// Idempotent by a key: members drop retries for `window` after the first attempt that may have run.
+    /// Idempotent by a key: members ignore retries for `window` after the first attempt that may have run.
     Keyed {
-        /// How long the key is remembered.
+        /// How long members remember the key (microseconds).
         window: Time,
-        /// Where it is remembered.
+        /// Which members remember it.
         scope: Scope,
     },
-    /// Must not run twice.
+    /// Not idempotent: must not run twice.
     Unsafe,
 }
 
-/// Members that share the memory of an idempotency key.
+/// The members that share the memory of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Scope {
     /// All members.
@@ -61,20 +61,20 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name; never looked at by the decisions.
+    /// Its name. No decision depends on it.
     pub name: String,
     /// What data it needs.
     pub need: Need,
-    /// What a retry does.
+    /// Whether a retry may have a second effect.
     pub effect: Effect,
-    /// Most attempts for one request.
+    /// Largest number of attempts for one request.
     pub attempts: u32,
-    /// An answer within this span has the full value (microseconds).
+    /// Time within which an answer has its full value (microseconds).
     pub latency_target: Time,
-    /// How long a client waits in all, over all its attempts (microseconds).
+    /// How long a client waits in total, over all its attempts (microseconds).
     pub deadline: Time,
     /// Value of an answer within the latency target.
     pub priority_weight: f64,
-    /// Share of the value of an answer after the latency target.
+    /// Share of that value that a later answer has (fraction).
     pub late_share: f64,
 }
--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, this router's quota, and what members report of themselves.
+//! Entries of the endpoint list, quota adjustments, roles and load reports.
 
 use super::ids::{GroupId, MemberId, Time};
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 /// Status of a member in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// Runs.
+    /// In service.
     #[default]
     Up,
-    /// Finishes its work.
+    /// Shutting down gracefully: it finishes the work that it has.
     Draining,
     /// Removed.
     Removed,
@@ -24,9 +24,9 @@
     pub group: GroupId,
     /// Its zone.
     pub zone: String,
-    /// Its size in relation to the others.
+    /// Its capacity in relation to the others.
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// Its last start, by the hosts' clock; 0 for long ago.
     pub started: Time,
     /// Its status.
     pub status: MemberStatus,
@@ -34,21 +34,20 @@
     pub primary: bool,
 }
 
-/// This router's quota of the concurrency limits of a group's members, where it differs from an even one for
-/// a while.
+/// A temporary deviation of this router's quota of a group's concurrency limits from the even quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaAdjustment {
-    /// Quota borrowed, in even parts; under 0 for quota lent, which is never all of it.
+    /// Quota borrowed, in even quotas; negative for quota lent, which is never all of it.
     pub extra: f64,
-    /// When the loan ends: after that the quota is the even one.
+    /// When the loan ends, and the quota is the even one again.
     pub until: Time,
 }
 
 impl QuotaAdjustment {
-    /// The smallest quota of any router, in even parts.
+    /// The smallest quota of any router, in even quotas.
     pub const MIN_QUOTA: f64 = 0.5;
 
-    /// The quota at a time, in even parts.
+    /// The quota at a time, in even quotas.
     pub fn at(&self, now: Time) -> f64 {
         if now < self.until {
             (1.0 + self.extra).max(QuotaAdjustment::MIN_QUOTA)
@@ -61,9 +60,9 @@
 /// A member's role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Role {
-    /// It takes writes.
+    /// It serves writes.
     Primary,
-    /// It follows the primary.
+    /// It replicates the primary's commits.
     Replica,
 }
 
@@ -74,19 +73,19 @@
     pub group: GroupId,
     /// The member.
     pub member: MemberId,
-    /// When it last gave evidence of it by itself.
+    /// Newest evidence of it that came from the member itself, by the router's clock.
     pub evidence_at: Time,
 }
 
 /// A load report of a member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Clock time up to which it has applied all commits, as of the report.
+    /// Time up to which it has applied all commits (hosts' clock).
     pub position: Option<Time>,
-    /// Its role, as of the report.
+    /// Its role at that time.
     pub role: Option<Role>,
-    /// Requests waiting there.
+    /// Requests in its queue (count).
     pub waiting: Option<f64>,
-    /// Share of its processors in use.
+    /// Share of its processors in use (fraction).
     pub busy: Option<f64>,
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -3,10 +3,10 @@
 use super::classes::{Class, Effect, Need};
 use super::ids::Time;
 
-/// What a member does with a read for which it is too far behind.
+/// What a member does with a read that needs newer data than it has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum StaleReadPolicy {
-    /// It answers from what it has.
+    /// It serves the read from old data.
     Serve,
     /// It rejects the read at once.
     #[default]
@@ -15,34 +15,34 @@
     Wait(Time),
 }
 
-/// What the endpoint list says of the primary's role.
+/// How current the roles in the endpoint list are.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ListRole {
-    /// Nothing.
+    /// The list has no roles.
     #[default]
     Absent,
-    /// As it was at the start.
+    /// The roles are those of the deployment's start.
     Static,
-    /// As it was a few seconds ago.
+    /// The roles are a few seconds old.
     Trailing,
 }
 
-/// Most routers that can serve the same groups (count): a mistyped number would leave each with almost no
+/// Largest number of routers for the same groups (count): a mistyped number would leave each with almost no
 /// quota.
-const MOST_ROUTERS: u32 = 10_000;
+const MAX_ROUTERS: u32 = 10_000;
 
 /// The configuration of a router. Spans are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The classes; requests name them by place.
+    /// The classes. Requests refer to them by index.
     pub classes: Vec<Class>,
-    /// How many routers serve these groups, this one included.
+    /// Number of routers that serve these groups, this one included.
     pub routers: u32,
     /// Zone of this router.
     pub zone: String,
-    /// Least span between two batches.
+    /// Shortest interval between two steps.
     pub granularity: Time,
-    /// Most requests that clients can have open at this router.
+    /// Largest number of requests that clients can have open at this router.
     pub max_open_requests: u32,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
@@ -50,52 +50,50 @@
     pub may_hedge: bool,
     /// Members may be sent health checks.
     pub may_probe: bool,
-    /// List changes come only when asked for.
+    /// Changes of the endpoint list are sent on request only.
     pub list_on_request: bool,
     /// Longest Retry-After that a rejected client obeys; 0 where none is sent.
     pub max_retry_after: Time,
-    /// Span past the client's end in which a final answer still counts.
+    /// Time after the client's deadline in which a final answer still counts.
     pub answer_slack: Time,
-    /// Time that a request takes from its client to the router and its rejection back. A rejection of a
-    /// request never sent costs more once half of its time is over, by its client's clock.
+    /// Time that a request takes from its client to the router and its rejection back. The rejection of a request
+    /// that was never sent costs more after half of its time, by its client's clock.
     pub client_round_trip: Time,
-    /// Clock time by which every admitted request has its final answer, whatever its client would wait.
+    /// Clock time by which every admitted request has its final answer, however long its client would wait.
     pub final_answer_by: Time,
-    /// Share of its capacity that a member has right after its start (slow start).
+    /// Slow start: share of its capacity that a member has right after its start.
     pub slow_start_initial_share: f64,
-    /// Span after which a started member has all of its capacity at the latest.
+    /// Slow start: span after which a started member has its full capacity at the latest.
     pub slow_start_span: Time,
-    /// A member in slow start fails if it is sent more than this multiple of its capacity ...
+    /// Slow start: a member fails if it is sent more than this multiple of its capacity within `overload_span`.
     pub overload_factor: f64,
-    /// ... over this span.
+    /// Slow start: the span to which `overload_factor` applies.
     pub overload_span: Time,
-    /// Span in which sends to a draining or removed member must end.
+    /// Grace period in which sends to a draining or removed member must end.
     pub drain_grace: Time,
     /// A router that has not polled the list for this long counts as notified of its changes.
     pub list_poll_interval: Time,
-    /// Only a member listed as draining gets no requests, not one merely missing from the list.
+    /// A member that is merely missing from the endpoint list still gets requests; a draining one does not.
     pub soft_removal: bool,
-    /// What a member that lags does with a read.
+    /// What a member does with a read that needs newer data than it has.
     pub stale_read_policy: StaleReadPolicy,
-    /// What the endpoint list says of the primary.
+    /// How current the roles in the endpoint list are.
     pub list_role: ListRole,
-    /// Longest that a read waits for a replica about to reach its minimum position; 0 where none does.
+    /// Longest wait of a read for a replica that is about to reach its minimum position; 0 for none.
     pub read_wait_bound: Time,
-    /// Primary discovery: factor on the interval between two attempts to find the primary of a group; 1 for a
-    /// router that searches alone (count).
+    /// Primary discovery: factor on the interval between two attempts to find the primary of a group (count); 1 for
+    /// a router that searches alone.
     pub discovery_interval_factor: Time,
-    /// The router's clock may differ from the hosts' by any span: the difference is then estimated from their
-    /// answers.
+    /// The router's clock may differ from the hosts' clock by any span, so the offset is estimated from their answers.
     pub clock_may_be_wrong: bool,
-    /// Price of one crossing of zones a request, as a share of the value of all requests.
+    /// Price of one crossing of zones for each request, as a share of the value of all requests.
     pub crossing_price: f64,
-    /// Price of one probe a request, as a share of the value of all requests.
+    /// Price of one health check for each request, as a share of the value of all requests.
     pub probe_price: f64,
 }
 
 impl Default for Settings {
-    /// No classes yet; one router that may do nothing but send, with figures that a small installation can
-    /// keep.
+    /// A single router without classes, which [`Settings::check`] requires, and without optional features.
     fn default() -> Settings {
         Settings {
             classes: Vec::new(),
@@ -130,28 +128,28 @@
 }
 
 impl Settings {
-    /// Checks that every figure is in its valid range.
+    /// Checks that every value is in its valid range.
     ///
     /// # Errors
     ///
-    /// Fails if there is no class, or names the first class or figure that is out of range.
+    /// Fails if there is no class; otherwise names the first class or value that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if let Some(place) = self.classes.iter().position(|class| !is_valid_class(class)) {
-            return Err(SettingsError::BadClass(place));
+        if let Some(index) = self.classes.iter().position(|class| !is_valid_class(class)) {
+            return Err(SettingsError::BadClass(index));
         }
-        let figures = [
+        let checks = [
             (self.classes.iter().all(|class| class.attempts > 0), "the most attempts"),
-            ((1..=MOST_ROUTERS).contains(&self.routers), "the number of routers"),
+            ((1..=MAX_ROUTERS).contains(&self.routers), "the number of routers"),
             (self.granularity > 0, "the granularity"),
             (self.discovery_interval_factor > 0, "the factor on the interval of primary discovery"),
             (self.overload_factor > 0.0, "the overload factor"),
             ((0.0..=1.0).contains(&self.slow_start_initial_share), "the cold share"),
         ];
-        match figures.iter().find(|(is_valid, _)| !is_valid) {
-            Some((_, figure)) => Err(SettingsError::BadFigure(figure)),
+        match checks.iter().find(|(is_valid, _)| !is_valid) {
+            Some((_, name)) => Err(SettingsError::BadFigure(name)),
             None => Ok(()),
         }
     }
@@ -165,14 +163,14 @@
     has_valid_window && has_valid_bound && has_valid_times && has_valid_weight && class.late_share.is_finite()
 }
 
-/// Why a router could not be made.
+/// Why settings are not valid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SettingsError {
-    /// No class at all.
+    /// There is no class.
     NoClasses,
-    /// The class of this place has an invalid latency target, deadline, bound, window or value.
+    /// The class with this index has an invalid latency target, deadline, bound, window or value.
     BadClass(usize),
-    /// The named figure makes no sense.
+    /// The named value is out of its range.
     BadFigure(&'static str),
 }
 
@@ -180,8 +178,10 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             SettingsError::NoClasses => write!(f, "the settings name no class"),
-            SettingsError::BadClass(i) => write!(f, "class number {i} has a figure that makes no sense"),
-            SettingsError::BadFigure(what) => write!(f, "{what} makes no sense"),
+            SettingsError::BadClass(index) => {
+                write!(f, "class number {index} has a figure that makes no sense")
+            }
+            SettingsError::BadFigure(name) => write!(f, "{name} makes no sense"),
         }
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -84,7 +84,7 @@
 mod router;
 mod state;
 
-pub use fleet_clock::FleetClock;
+pub use fleet_clock::{Commit, FleetClock};
 pub use interface::*;
 pub use learned_state::LearnedState;
 #[cfg(feature = "mutants")]
--- a/crates/policy/src/mutant.rs
+++ b/crates/policy/src/mutant.rs
@@ -1,7 +1,7 @@
 //! Mutants as in mutation testing: plausible bugs that the models must detect. Without the feature `mutants`,
 //! which no release build enables, every switch is a constant false and leaves no code behind.
 
-/// An injected bug.
+/// An injected bug, by what it makes the code do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
     /// Requests are sent to a member that the endpoint list calls draining.
@@ -101,7 +101,7 @@
 }
 
 impl Mutant {
-    /// All of them.
+    /// All mutants.
     pub const ALL: [Mutant; 47] = [
         Mutant::DrainIgnored,
         Mutant::RetriedAfterKeyWindow,
@@ -153,24 +153,25 @@
     ];
 }
 
+/// The active mutant by its number, counted from 1; 0 for none.
 #[cfg(feature = "mutants")]
 static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Whether this bug is in the code of this process.
+/// Whether this mutant is active in this process.
 #[cfg(feature = "mutants")]
-pub fn mutant(bug: Mutant) -> bool {
-    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == bug as u8 + 1
+pub fn mutant(mutant: Mutant) -> bool {
+    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == mutant as u8 + 1
 }
 
-/// Whether this bug is in the code: it never is.
+/// Whether this mutant is active: never, without the feature `mutants`.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
 pub const fn mutant(_: Mutant) -> bool {
     false
 }
 
-/// Injects a bug into the code of this process, or removes it again.
+/// Activates a mutant for the whole process, or none.
 #[cfg(feature = "mutants")]
-pub fn inject_mutant(bug: Option<Mutant>) {
-    ACTIVE.store(bug.map_or(0, |bug| bug as u8 + 1), std::sync::atomic::Ordering::Relaxed);
+pub fn inject_mutant(mutant: Option<Mutant>) {
+    ACTIVE.store(mutant.map_or(0, |mutant| mutant as u8 + 1), std::sync::atomic::Ordering::Relaxed);
 }
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -20,7 +20,13 @@
 
 /// A write to member 1 whose commit is in the middle of `took`; its answer arrives at `received` of the own clock.
 fn write(clock: &mut FleetClock, offset: Time, received: Time, took: Time) {
-    clock.record_commit(1, received - took / 2 + offset, received - took, received, true);
+    clock.record_commit(Commit {
+        member: 1,
+        committed_at: received - took / 2 + offset,
+        sent_at: received - took,
+        received_at: received,
+        is_first_attempt: true,
+    });
 }
 
 /// How far the estimate is from the true offset.
@@ -109,7 +115,13 @@
         for n in 0..40 {
             // Most answers are of earlier runs; some commits are made up.
             let commit = if n % 13 == 12 { NOON + 86_400 * S } else { NOON + offset - 9 * S };
-            clock.record_commit(1, commit, NOON - 20 * MS, NOON, true);
+            clock.record_commit(Commit {
+                member: 1,
+                committed_at: commit,
+                sent_at: NOON - 20 * MS,
+                received_at: NOON,
+                is_first_attempt: true,
+            });
             write(&mut clock, offset, NOON, 20 * MS);
             let (error, _) = errors(&clock, offset);
             assert!((-3 * MS..=0).contains(&error), "{offset} {n} {error}");
@@ -120,7 +132,13 @@
 #[test]
 fn a_later_attempt_bounds_nothing_above() {
     let mut clock = enabled();
-    clock.record_commit(1, NOON - 3_600 * S, NOON - 20 * MS, NOON, false);
+    clock.record_commit(Commit {
+        member: 1,
+        committed_at: NOON - 3_600 * S,
+        sent_at: NOON - 20 * MS,
+        received_at: NOON,
+        is_first_attempt: false,
+    });
     assert_eq!(errors(&clock, 0), (0, 0));
     assert!(!clock.is_trusted());
 }
@@ -158,7 +176,7 @@
             let now = NOON + n as Time * 10 * MS;
             let reported = now - back + offset;
             if is_write {
-                clock.record_commit(member, reported, now - back - there, now, true);
+                clock.record_commit(Commit { member, committed_at: reported, sent_at: now - back - there, received_at: now, is_first_attempt: true });
                 slack.push(there);
             } else {
                 clock.record_position(member, reported, now);
@@ -242,7 +260,13 @@
         let reported = now + self.offset - 2 * MS - lag;
         let clock = self.harness.router.fleet_clock_mut();
         if class >= 4 {
-            clock.record_commit(member, reported, sent, now, true);
+            clock.record_commit(Commit {
+                member,
+                committed_at: reported,
+                sent_at: sent,
+                received_at: now,
+                is_first_attempt: true,
+            });
         } else {
             clock.record_position(member, reported, now);
         }
