--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -10,7 +10,7 @@
 
 // A signal that nobody listened to yet ended the process: a new configuration, signalled to an entire fleet while it starts.
 #[test]
-fn a_new_configuration_that_is_signalled_while_the_old_one_is_read_is_read_too() {
+fn a_reload_that_is_signalled_during_a_reload_is_made_too() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
@@ -34,7 +34,7 @@
 // Where two gateways of a machine share a folder, each read the other's handover records: it started from what the other had
 // learned, and kept to what the other left of its own limits.
 #[test]
-fn records_of_another_gateway_are_ignored() {
+fn handover_records_of_another_gateway_are_ignored() {
     let (mut one, mut other) =
         (Harness::new(gateway_program!()).shared(), Harness::new(gateway_program!()).shared());
     let hosts = [one.host(rows()), other.host(rows())];
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn figures_that_are_odd_and_can_be_kept_to_are_no_reason_not_to_start() {
+fn unusual_but_usable_settings_do_not_prevent_the_start() {
     let odd = [
         ("\"aim_us\":4000000", "\"aim_us\":40000000"),
         ("\"connect_timeout_us\":250000", "\"connect_timeout_us\":20000000"),
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_drained_gateway_says_no_closes_idle_clients_and_answers_what_it_took() {
+fn a_draining_gateway_is_not_ready_closes_idle_clients_and_answers_open_requests() {
     let (gateway, host) = at_work(vec![Reply::WaitForGo(b"late"), Reply::Row(b"new")]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     busy.write(&query(&select("a", VIEW, 20000)));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn resume_brings_it_back_without_a_restart_and_calls_may_come_twice() {
+fn resume_ends_a_drain_and_repeated_commands_are_idempotent() {
     let (gateway, _host) = at_work(vec![Reply::Row(b"one")]);
     for line in [b"drain\n", b"drain\n"] {
         assert!(gateway.call(line).starts_with("YES"));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn it_is_not_ready_without_a_host_and_stays_drained_through_a_reload() {
+fn a_gateway_is_not_ready_without_hosts_and_stays_drained_through_a_reload() {
     let harness = Harness::new(gateway_program!()).ops();
     let config = harness.config();
     let gateway = harness.start();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn calls_during_a_stop_are_answered_with_no_and_do_not_hold_it_up() {
+fn commands_during_a_shutdown_are_denied_and_do_not_delay_it() {
     let (mut gateway, _host) = at_work(vec![]);
     gateway.signal("TERM");
     gateway.call_until(b"ready\n", "NO stopping");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn bad_callers_get_a_plain_no_and_keep_nobody_out() {
+fn invalid_callers_are_denied_with_a_reason_and_do_not_block_others() {
     // So few descriptors that clients take all that they are given.
     let harness = Harness::new(gateway_program!()).ops().sockets(64);
     let host = harness.host(vec![]);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn without_its_name_nothing_listens_and_a_bad_one_is_named() {
+fn without_an_operators_address_nothing_listens_and_an_invalid_one_is_reported() {
     let harness = Harness::new(gateway_program!());
     let config = harness.config().replacen('{', r#"{"ops":"nowhere","#, 1);
     let (code, log) = harness.start_with(&config).ended();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_class_that_is_added_serves_at_once_and_one_that_is_dropped_ends_when_clients_know() {
+fn an_added_class_serves_at_once_and_a_removed_one_until_clients_know() {
     let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host((0..4).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_open_request_keeps_the_rules_it_came_with_and_the_next_one_has_the_new() {
+fn an_open_request_keeps_its_settings_through_a_reload_and_the_next_one_has_the_new() {
     let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"again"), Reply::Close]);
     let harness = harness.list(&[(&host, "up", "primary")]);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_broken_file_changes_nothing_and_is_named() {
+fn an_unusable_configuration_changes_nothing_and_is_reported() {
     let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host((0..20).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn each_error_of_a_datagram_tells_of_a_peer_or_of_this_machine() {
+fn each_datagram_error_is_classified_as_a_fault_of_the_peer_or_of_this_machine() {
     for (number, tells_of_peer) in ERRORS {
         for (call, tells_of_peer) in
             [Call::SendDatagram, Call::ReceiveDatagram].into_iter().zip(tells_of_peer)
@@ -124,7 +124,7 @@
 
 // An interrupted send lost its datagram, and so did one that met what was reported of an earlier datagram.
 #[test]
-fn a_send_that_is_interrupted_or_meets_an_earlier_error_is_made_again() {
+fn a_send_that_is_interrupted_or_reports_an_earlier_error_is_retried() {
     let sends = |number, failing| {
         let socket = FaultySocket::new(number, failing, 0);
         let sent = datagram::send(&&socket, b"one", peer());
@@ -176,7 +176,7 @@
 
 // A receive that failed each time was made again without a pause.
 #[test]
-fn receives_that_fail_neither_end_the_exchange_nor_take_up_the_processor() {
+fn failing_receives_neither_end_the_exchange_nor_take_up_the_processor() {
     for (number, _) in ERRORS {
         let socket: &FaultySocket = Box::leak(Box::new(FaultySocket::new(number, 0, u32::MAX)));
         run_exchange(socket);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn receives_that_are_interrupted_or_not_ready_are_made_again_at_once() {
+fn interrupted_or_unready_receives_are_retried_at_once() {
     for number in [libc::EINTR, libc::EAGAIN] {
         let socket: &FaultySocket = Box::leak(Box::new(FaultySocket::new(number, 0, 50)));
         run_exchange(socket);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_keyed_class_without_its_window_is_one_sentence_and_keeps_the_old_settings() {
+fn a_keyed_class_without_its_window_is_reported_in_one_sentence_and_keeps_the_old_settings() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let config = harness.config();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn settings_that_are_not_known_are_named_once_and_change_nothing() {
+fn unknown_settings_are_logged_once_and_change_nothing() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_bad_start_is_one_plain_sentence() {
+fn an_unusable_start_is_reported_in_one_sentence() {
     let harness = Harness::new(gateway_program!());
     let good = harness.config();
     let held = harness.network().tcp_listener(1);
--- a/tests/startup_errors.rs
+++ b/tests/startup_errors.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn without_a_configuration_it_says_which_one_is_missing() {
+fn a_missing_configuration_is_named_in_one_sentence() {
     let folder = Folder::new("none");
     assert_eq!(
         sentence(&folder.start(&[])),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_one_sentence() {
+fn an_unusable_configuration_is_reported_in_one_sentence() {
     let cases = [
         (r#"{"name""#, r#"{"name"#, "config.json: expected `:` at line 1 column 9"),
         (r#""seed":"8c1f30d27a5be964","#, "", "config.json: missing field `seed` at line 9 column 42"),
@@ -123,7 +123,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn an_operators_file_that_cannot_be_used_is_one_sentence() {
+fn an_unusable_operators_file_is_reported_in_one_sentence() {
     let cases = [
         ("sessions: {", "gateway.cue:1:12: a closing brace is expected here"),
         (
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_socket_that_cannot_be_taken_over_is_one_sentence() {
+fn an_unusable_inherited_socket_is_reported_in_one_sentence() {
     let cases = [
         ("x", r#"GW_ACCEPT_FD: "x" is not the number of a descriptor"#),
         ("2", r#"GW_ACCEPT_FD: "2" is not the number of a descriptor"#),
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_end_comes_before_the_kill_whatever_clients_have_begun() {
+fn the_process_ends_before_the_kill_whatever_clients_have_begun() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Nothing]);
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start_changed(brief);
@@ -57,7 +57,7 @@
 
 // The classes in force when the signal comes need not be those that the platform reckons with.
 #[test]
-fn deadlines_that_a_reload_has_just_made_longer_do_not_put_the_end_off() {
+fn deadlines_lengthened_by_a_recent_reload_do_not_delay_the_shutdown() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Nothing]);
     let harness = harness.list(&[(&host, "up", "primary")]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn sigterm_ends_idle_clients_and_answers_the_others() {
+fn sigterm_closes_idle_clients_and_answers_open_requests() {
     let (host, mut gateway) = gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"late")]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     busy.write(&query(&select("a", "view", 60_000)));
@@ -95,7 +95,7 @@
 // Day roll+mass, once in seven plays: a request that was taken 2.25 s after SIGTERM was not answered when the process was
 // killed. Its connection was still open for the answer, or for a message that had begun.
 #[test]
-fn what_comes_late_in_a_stop_is_answered_before_the_process_is_killed() {
+fn requests_received_late_in_a_shutdown_are_answered_before_the_kill() {
     let (host, mut gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Nothing]);
     let mut client = gateway.client();
@@ -119,7 +119,7 @@
 
 // A stop cuts a request's time; that must not make a first attempt look like a later one whose priority is gone.
 #[test]
-fn a_read_whose_client_waits_long_is_still_served_in_a_stop() {
+fn a_read_with_a_long_deadline_is_served_during_a_shutdown() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host((0..9).map(|_| Reply::Row(b"v")).collect());
     let gateway = harness
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -314,7 +314,7 @@
 
 // An interrupted read ended the caller's connection without an answer.
 #[test]
-fn an_operations_call_survives_interrupted_and_short_reads() {
+fn an_operators_command_survives_interrupted_and_short_reads() {
     for seed in 0..SEEDS {
         let stream = FaultyStream::new(seed, b"STATUS\nand no more of it");
         let line = block_on(ops::read_line(&stream));
@@ -324,7 +324,7 @@
 
 // An interrupted read ended the watch, and with it what it was about to announce.
 #[test]
-fn a_list_of_discovery_survives_interrupted_and_short_reads() {
+fn an_endpoint_list_survives_interrupted_and_short_reads() {
     let list = r#"{"revision":7,"complete":true,"members":[]}"#;
     let text =
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1);
