--- a/crates/policy/tests/common/counts.rs
+++ b/crates/policy/tests/common/counts.rs
@@ -5,7 +5,7 @@
 pub struct Counts {
     pub events: usize,
     pub sends: usize,
-    pub refusals: usize,
+    pub rejections: usize,
     pub failures: usize,
     pub cancellations: usize,
     pub health_checks: usize,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A test harness for one router: three members of one group, and the functions that drive it.
+//! A test harness for one router: three members of one group, and the functions that step it.
 #![allow(dead_code)]
 
 use petrelgauge_policy::*;
@@ -70,22 +70,26 @@
     Entry { member, group: G, zone: "a".into(), weight: 1.0, started, status, primary }
 }
 
+/// A router with its clock.
 pub struct Harness {
     pub router: Router,
     pub now: Time,
+    /// Actions of the last step.
     pub last: Vec<Action>,
+    /// For each request, the attempts that `serve_all` has served (count).
     pub counts: std::collections::BTreeMap<RequestId, u32>,
 }
 
 impl Harness {
-    /// Member 1 is listed as primary, 2 and 3 are replicas.
+    /// A router with a list: member 1 is the primary, 2 and 3 are replicas.
     pub fn new(settings: Settings) -> Harness {
         let mut harness = Harness::empty(settings);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        harness.play(Event::List { update: Update::Complete, entries: list.into() });
+        harness.step(Event::List { update: Update::Complete, entries: list.into() });
         harness
     }
 
+    /// A router that has received no list.
     pub fn empty(settings: Settings) -> Harness {
         Harness {
             router: Router::new(settings, 11).expect("sound settings"),
@@ -95,22 +99,26 @@
         }
     }
 
-    pub fn play(&mut self, event: Event) -> Vec<Action> {
+    /// Steps the router with one event, now.
+    pub fn step(&mut self, event: Event) -> Vec<Action> {
         self.last.clear();
         self.router.step(self.now, &[event], &mut self.last);
         self.last.clone()
     }
 
-    pub fn wait(&mut self, span: Time) -> Vec<Action> {
+    /// Lets time pass, then steps the router with a timer event.
+    pub fn advance(&mut self, span: Time) -> Vec<Action> {
         self.now += span;
-        self.play(Event::Timer { token: 0 })
+        self.step(Event::Timer { token: 0 })
     }
 
-    pub fn ask(&mut self, name: &str, class: usize, time_left: Time) -> Vec<Action> {
-        self.play(request(name, class, time_left, None))
+    /// A client sends a request of this class.
+    pub fn send_request(&mut self, name: &str, class: usize, time_left: Time) -> Vec<Action> {
+        self.step(request(name, class, time_left, None))
     }
 
-    /// Serves all that is sent, each after `took`, and all that is sent in answer; counts them.
+    /// Serves all attempts among these actions, each after `took`, and all that are sent because of it. Returns their
+    /// number.
     pub fn serve_all(&mut self, actions: Vec<Action>, took: Time) -> usize {
         let (mut queue, mut served) = (actions, 0);
         while let Some(action) = queue.pop() {
@@ -129,16 +137,24 @@
                 report: Report::default(),
             });
             served += 1;
-            queue.extend(self.play(event));
+            queue.extend(self.step(event));
         }
         served
     }
 
-    pub fn end(&mut self, name: &str, attempt: u32, member: MemberId, ending: Ending) -> Vec<Action> {
-        self.end_as(name, attempt, member, ending, None, None)
+    /// Reports how an attempt ended.
+    pub fn report_attempt(
+        &mut self,
+        name: &str,
+        attempt: u32,
+        member: MemberId,
+        ending: Ending,
+    ) -> Vec<Action> {
+        self.report_attempt_with(name, attempt, member, ending, None, None)
     }
 
-    pub fn end_as(
+    /// Reports how an attempt ended, with the lag and the role that the member reports.
+    pub fn report_attempt_with(
         &mut self,
         name: &str,
         attempt: u32,
@@ -152,14 +168,14 @@
             attempt,
             member,
             ending,
-            // No two answers take the same time.
+            // Answers take unequal times.
             took: 20 * MS + (request_hash(name) % 10) as Time * MS,
             closed: ending == Ending::Served,
             position: lag.map(|lag| self.now - lag),
             role,
             report: Report::default(),
         });
-        self.play(event)
+        self.step(event)
     }
 }
 
@@ -189,7 +205,7 @@
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
@@ -197,30 +213,30 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Teaches the router lag and role of its members by served reads.
-pub fn teach(harness: &mut Harness, lags: [Time; 3], rounds: usize) {
+/// Serves reads whose answers report these lags of members 1 to 3.
+pub fn report_lags(harness: &mut Harness, lags: [Time; 3], rounds: usize) {
     for round in 0..rounds {
         for n in 0..6 {
             let name = format!("t{}-{round}-{n}", harness.now);
-            if let Some(member) = sent_to(&harness.ask(&name, 2, 900 * MS)) {
+            if let Some(member) = sent_to(&harness.send_request(&name, 2, 900 * MS)) {
                 let role = if member == 1 { Role::Primary } else { Role::Replica };
                 let lag = lags[member as usize - 1];
-                harness.end_as(&name, 0, member, Ending::Served, Some(lag), Some(role));
+                harness.report_attempt_with(&name, 0, member, Ending::Served, Some(lag), Some(role));
             }
         }
-        harness.wait(20 * MS);
+        harness.advance(20 * MS);
     }
 }
 
-/// The part of a hundred requests of this class that a member is sent.
-pub fn share_of(harness: &mut Harness, class: usize, member: MemberId) -> f64 {
+/// The share of a hundred requests of this class that a member is sent.
+pub fn share_sent_to(harness: &mut Harness, class: usize, member: MemberId) -> f64 {
     let mut hits = 0;
     for n in 0..100 {
         let name = format!("c{}-{n}", harness.now);
-        if let Some(got) = sent_to(&harness.ask(&name, class, 900 * MS)) {
+        if let Some(got) = sent_to(&harness.send_request(&name, class, 900 * MS)) {
             hits += (got == member) as u32;
             let role = if got == 1 { Role::Primary } else { Role::Replica };
-            harness.end_as(&name, 0, got, Ending::Served, None, Some(role));
+            harness.report_attempt_with(&name, 0, got, Ending::Served, None, Some(role));
         }
         harness.now += 10 * MS;
     }
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -376,7 +376,7 @@
                 self.in_flight.push(InFlight { request, attempt, member, sent: self.now, cancelled: false });
             }
             Action::Reject { request, .. } => {
-                self.counts.refusals += 1;
+                self.counts.rejections += 1;
                 self.close(&request);
             }
             Action::Fail { request } => {
--- a/crates/policy/tests/digest.rs
+++ b/crates/policy/tests/digest.rs
@@ -24,7 +24,7 @@
 fn assert_rich(counts: &Counts) {
     assert!(counts.events >= 20_000, "{counts:?}");
     assert!(counts.sends >= 5_000, "{counts:?}");
-    assert!(counts.refusals >= 1_000, "{counts:?}");
+    assert!(counts.rejections >= 1_000, "{counts:?}");
     let rare = [
         counts.failures,
         counts.cancellations,
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -36,7 +36,7 @@
 
 fn with_single_group(settings: Settings) -> Harness {
     let mut harness = Harness::new(settings);
-    harness.play(only_member(MemberStatus::Up));
+    harness.step(only_member(MemberStatus::Up));
     harness
 }
 
@@ -62,69 +62,69 @@
 }
 
 #[test]
-fn a_request_waits_for_its_members_pause_and_goes_out_with_an_unrelated_event() {
+fn a_request_waits_for_the_end_of_its_members_ejection_and_is_sent_with_an_unrelated_event() {
     let mut harness = with_single_group(settings());
-    assert!(sent(&harness.play(request_to(SINGLE, "r")), "r"));
-    let again = harness.end("r", 0, ONLY_MEMBER, Ending::QueueFull);
+    assert!(sent(&harness.step(request_to(SINGLE, "r")), "r"));
+    let again = harness.report_attempt("r", 0, ONLY_MEMBER, Ending::QueueFull);
     assert!(!sent(&again, "r"), "its member has just rejected it");
     harness.now += 60 * MS;
-    assert!(sent(&harness.play(unrelated()), "r"));
+    assert!(sent(&harness.step(unrelated()), "r"));
 }
 
 #[test]
-fn a_request_goes_out_when_another_frees_its_member() {
+fn a_waiting_request_is_sent_when_another_frees_its_member() {
     let mut harness = with_single_group(settings());
     for n in 0..FIRST_LIMIT {
-        assert!(sent(&harness.play(request_to(SINGLE, &format!("r{n}"))), &format!("r{n}")));
+        assert!(sent(&harness.step(request_to(SINGLE, &format!("r{n}"))), &format!("r{n}")));
     }
-    assert_eq!(sends(&harness.play(request_to(SINGLE, "waits"))), 0, "its member is at its limit");
-    assert_eq!(sends(&harness.play(request("elsewhere", 2, 900 * MS, None))), 1, "another group is not");
-    assert!(sent(&harness.end("r0", 0, ONLY_MEMBER, Ending::Served), "waits"));
+    assert_eq!(sends(&harness.step(request_to(SINGLE, "waits"))), 0, "its member is at its limit");
+    assert_eq!(sends(&harness.step(request("elsewhere", 2, 900 * MS, None))), 1, "another group is not");
+    assert!(sent(&harness.report_attempt("r0", 0, ONLY_MEMBER, Ending::Served), "waits"));
 }
 
 #[test]
-fn a_request_goes_out_when_a_list_change_brings_its_group_a_member() {
+fn a_waiting_request_is_sent_when_its_group_gets_a_member() {
     let mut harness = Harness::new(settings());
-    assert_eq!(sends(&harness.play(request_to(EMPTY, "r"))), 0);
-    assert_eq!(sends(&harness.play(only_member(MemberStatus::Up))), 0, "that is another group's member");
+    assert_eq!(sends(&harness.step(request_to(EMPTY, "r"))), 0);
+    assert_eq!(sends(&harness.step(only_member(MemberStatus::Up))), 0, "that is another group's member");
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
     let list_change = Event::List { update: Update::Partial, entries: vec![entry].into() };
-    assert!(sent(&harness.play(list_change), "r"));
+    assert!(sent(&harness.step(list_change), "r"));
 }
 
 #[test]
-fn requests_go_out_when_their_group_gets_a_larger_quota() {
+fn waiting_requests_are_sent_when_their_group_gets_a_larger_quota() {
     let mut harness = with_single_group(settings());
     let quota = |extra| Event::QuotaAdjusted {
         group: SINGLE,
         adjustment: QuotaAdjustment { extra, until: START + 10_000 * MS },
     };
-    harness.play(quota(-0.5));
+    harness.step(quota(-0.5));
     let first: usize =
-        (0..FIRST_LIMIT).map(|n| sends(&harness.play(request_to(SINGLE, &format!("r{n}"))))).sum();
+        (0..FIRST_LIMIT).map(|n| sends(&harness.step(request_to(SINGLE, &format!("r{n}"))))).sum();
     assert_eq!(first, FIRST_LIMIT / 2);
-    assert_eq!(sends(&harness.play(unrelated())), 0);
-    assert_eq!(sends(&harness.play(quota(0.5))), FIRST_LIMIT / 2);
+    assert_eq!(sends(&harness.step(unrelated())), 0);
+    assert_eq!(sends(&harness.step(quota(0.5))), FIRST_LIMIT / 2);
 }
 
 #[test]
-fn a_request_goes_out_when_new_settings_allow_its_member() {
+fn a_waiting_request_is_sent_when_new_settings_allow_its_member() {
     let mut harness = with_single_group(settings());
-    harness.play(only_member(MemberStatus::Removed));
-    assert_eq!(sends(&harness.play(request_to(SINGLE, "r"))), 0);
+    harness.step(only_member(MemberStatus::Removed));
+    assert_eq!(sends(&harness.step(request_to(SINGLE, "r"))), 0);
     harness.router.apply_settings(Settings { soft_removal: true, ..settings() }).expect("sound settings");
-    assert!(sent(&harness.play(unrelated()), "r"));
+    assert!(sent(&harness.step(unrelated()), "r"));
 }
 
 #[test]
-fn several_groups_are_served_in_the_step_that_makes_it_possible() {
+fn waiting_requests_of_several_groups_are_sent_in_the_same_step() {
     let mut harness = Harness::new(settings());
     for group in EMPTY..EMPTY + 5 {
-        assert_eq!(sends(&harness.play(request_to(group, &format!("r{group}")))), 0);
+        assert_eq!(sends(&harness.step(request_to(group, &format!("r{group}")))), 0);
     }
     let member = |group| Entry { group, ..entry(group as MemberId + 100, MemberStatus::Up, true, 0) };
     let entries: Vec<Entry> = (EMPTY..EMPTY + 5).map(member).collect();
-    let sent = harness.play(Event::List { update: Update::Partial, entries: entries.into() });
+    let sent = harness.step(Event::List { update: Update::Partial, entries: entries.into() });
     let names: Vec<&str> = sent
         .iter()
         .filter_map(|action| match action {
@@ -136,90 +136,90 @@
 }
 
 #[test]
-fn a_router_that_took_over_serves_its_own_requests_and_none_of_the_others() {
+fn a_router_with_adopted_state_serves_its_own_requests_only() {
     let mut harness = with_single_group(settings());
-    assert_eq!(sends(&harness.play(request_to(EMPTY, "old"))), 0);
+    assert_eq!(sends(&harness.step(request_to(EMPTY, "old"))), 0);
     let mut next = taken_over(&harness, settings());
     let entry = Entry { group: EMPTY, ..entry(51, MemberStatus::Up, true, 0) };
     let list_change = Event::List { update: Update::Partial, entries: vec![entry].into() };
-    assert_eq!(sends(&next.play(list_change)), 0, "the other process has that request");
-    assert!(sent(&next.play(request_to(SINGLE, "new")), "new"));
+    assert_eq!(sends(&next.step(list_change)), 0, "the other process has that request");
+    assert!(sent(&next.step(request_to(SINGLE, "new")), "new"));
 }
 
 #[test]
-fn a_router_that_took_over_checks_members_that_were_in_doubt() {
+fn a_router_with_adopted_state_probes_members_that_were_in_doubt() {
     let mut harness = with_single_group(settings());
-    harness.play(request_to(SINGLE, "r"));
+    harness.step(request_to(SINGLE, "r"));
     // Not answered for well over half of the longest latency target.
     let mut probes = false;
     for _ in 0..8 {
-        probes |= probed(&harness.wait(50 * MS), ONLY_MEMBER);
+        probes |= probed(&harness.advance(50 * MS), ONLY_MEMBER);
     }
     assert!(probes, "a silent member is checked");
     let mut next = taken_over(&harness, settings());
-    assert!(probed(&next.wait(200 * MS), ONLY_MEMBER), "and by the next process too");
+    assert!(probed(&next.advance(200 * MS), ONLY_MEMBER), "and by the next process too");
 }
 
 #[test]
-fn a_member_that_is_down_is_checked_until_it_answers() {
+fn a_member_that_is_down_is_probed_until_it_answers() {
     let mut harness = with_single_group(settings());
     let result = |ending| Event::Probed { member: ONLY_MEMBER, ending, report: Report::default() };
-    harness.play(result(Ending::TimedOut));
+    harness.step(result(Ending::TimedOut));
     for _ in 0..3 {
-        assert!(probed(&harness.wait(400 * MS), ONLY_MEMBER));
-        harness.play(result(Ending::TimedOut));
+        assert!(probed(&harness.advance(400 * MS), ONLY_MEMBER));
+        harness.step(result(Ending::TimedOut));
     }
-    harness.wait(400 * MS);
-    harness.play(result(Ending::Served));
-    assert!(!probed(&harness.wait(400 * MS), ONLY_MEMBER), "it has answered");
+    harness.advance(400 * MS);
+    harness.step(result(Ending::Served));
+    assert!(!probed(&harness.advance(400 * MS), ONLY_MEMBER), "it has answered");
 }
 
 #[test]
-fn a_member_is_forgotten_a_minute_after_it_left_and_not_before() {
+fn a_member_is_forgotten_a_minute_after_its_removal_and_not_before() {
     let mut harness = with_single_group(settings());
-    harness.wait(100_000 * MS);
-    harness.play(only_member(MemberStatus::Removed));
-    harness.wait(59_000 * MS);
+    harness.advance(100_000 * MS);
+    harness.step(only_member(MemberStatus::Removed));
+    harness.advance(59_000 * MS);
     assert!(is_known(&harness, ONLY_MEMBER), "an old list may name it again");
-    harness.wait(2_000 * MS);
+    harness.advance(2_000 * MS);
     assert!(!is_known(&harness, ONLY_MEMBER));
 }
 
 #[test]
-fn a_member_that_came_back_in_time_stays_known() {
+fn a_removed_member_that_is_listed_again_within_a_minute_stays_known() {
     let mut harness = with_single_group(settings());
-    harness.play(only_member(MemberStatus::Removed));
-    harness.wait(30_000 * MS);
-    harness.play(only_member(MemberStatus::Up));
-    harness.wait(100_000 * MS);
+    harness.step(only_member(MemberStatus::Removed));
+    harness.advance(30_000 * MS);
+    harness.step(only_member(MemberStatus::Up));
+    harness.advance(100_000 * MS);
     assert!(is_known(&harness, ONLY_MEMBER));
-    harness.play(only_member(MemberStatus::Removed));
-    harness.wait(59_000 * MS);
+    harness.step(only_member(MemberStatus::Removed));
+    harness.advance(59_000 * MS);
     assert!(is_known(&harness, ONLY_MEMBER), "its minute starts anew");
 }
 
 #[test]
-fn a_takeover_keeps_what_is_left_of_a_members_minute() {
+fn adopted_state_keeps_the_remaining_time_of_a_removed_member() {
     let mut harness = with_single_group(settings());
-    harness.wait(100_000 * MS);
+    harness.advance(100_000 * MS);
     let mut next = taken_over(&harness, settings());
-    next.play(only_member(MemberStatus::Removed));
-    next.wait(59_000 * MS);
+    next.step(only_member(MemberStatus::Removed));
+    next.advance(59_000 * MS);
     assert!(is_known(&next, ONLY_MEMBER), "it was in service when the other process ended");
     let mut last = taken_over(&next, settings());
-    last.wait(2_000 * MS);
+    last.advance(2_000 * MS);
     assert!(!is_known(&last, ONLY_MEMBER), "and has been gone for a minute by now");
 }
 
 #[test]
-fn a_forgotten_member_that_comes_back_in_another_group_leaves_the_first_one() {
+fn a_forgotten_member_that_is_listed_in_another_group_leaves_the_first_one() {
     let mut harness = with_single_group(settings());
-    harness.play(only_member(MemberStatus::Removed));
-    harness.wait(61_000 * MS);
+    harness.step(only_member(MemberStatus::Removed));
+    harness.advance(61_000 * MS);
     assert!(!is_known(&harness, ONLY_MEMBER));
     let moved = Entry { group: EMPTY, ..entry(ONLY_MEMBER, MemberStatus::Up, true, 0) };
-    harness.play(Event::List { update: Update::Partial, entries: vec![moved].into() });
-    harness.play(Event::GossipedPrimary { member: ONLY_MEMBER, at: harness.now });
+    harness.step(Event::List { update: Update::Partial, entries: vec![moved].into() });
+    harness.step(Event::GossipedPrimary { member: ONLY_MEMBER, at: harness.now });
     let primary = KnownPrimary { group: EMPTY, member: ONLY_MEMBER, evidence_at: harness.now };
     assert_eq!(harness.router.primaries(), [primary]);
 }
@@ -229,17 +229,17 @@
 fn sent_to_a_warming_member(soft_removal: bool) -> (usize, f64) {
     let mut harness = Harness::new(settings());
     let left = (100..140).map(|id| entry(id, MemberStatus::Removed, false, 0));
-    harness.play(Event::List { update: Update::Partial, entries: left.collect() });
-    harness.wait(100 * MS);
+    harness.step(Event::List { update: Update::Partial, entries: left.collect() });
+    harness.advance(100 * MS);
     harness.router.apply_settings(Settings { soft_removal, ..settings() }).expect("sound settings");
-    harness.wait(100 * MS);
+    harness.advance(100 * MS);
     for n in 0..400 {
-        let sent = harness.ask(&format!("r{n}"), 2, 900 * MS);
+        let sent = harness.send_request(&format!("r{n}"), 2, 900 * MS);
         harness.serve_all(sent, 20 * MS);
     }
     let started = Entry { group: SINGLE, ..entry(ONLY_MEMBER, MemberStatus::Up, true, harness.now) };
-    harness.play(Event::List { update: Update::Partial, entries: vec![started].into() });
-    harness.wait(1_100 * MS);
+    harness.step(Event::List { update: Update::Partial, entries: vec![started].into() });
+    harness.advance(1_100 * MS);
     let read = |n| {
         Event::Request(RequestArrival {
             request: format!("s{n}").into(),
@@ -250,12 +250,12 @@
             minimum_position: None,
         })
     };
-    let sent = (0..FIRST_LIMIT).map(|n| sends(&harness.play(read(n)))).sum();
+    let sent = (0..FIRST_LIMIT).map(|n| sends(&harness.step(read(n)))).sum();
     (sent, harness.router.slow_start(ONLY_MEMBER).expect("it is warming up").rate)
 }
 
 #[test]
-fn new_settings_change_how_many_members_are_taken_to_carry_the_work() {
+fn new_settings_change_how_many_members_count_as_available() {
     let (sent, rate) = sent_to_a_warming_member(false);
     assert_eq!(sent, FIRST_LIMIT);
     let (sent_as_one_of_many, rate_as_one_of_many) = sent_to_a_warming_member(true);
@@ -270,15 +270,15 @@
 /// When a request that nothing is sent for has its final answer, after settings changed in between.
 fn ended_after(before: Settings, after: Settings) -> Time {
     let mut harness = Harness::new(before);
-    harness.play(request_to(EMPTY, "r"));
+    harness.step(request_to(EMPTY, "r"));
     harness.router.apply_settings(after).expect("sound settings");
-    let ends = |harness: &mut Harness| harness.wait(5 * MS).iter().any(|action| is_final(action, "r"));
+    let ends = |harness: &mut Harness| harness.advance(5 * MS).iter().any(|action| is_final(action, "r"));
     let ticks = (1..400).find(|_| ends(&mut harness)).expect("every request has its final answer");
     ticks * 5 * MS
 }
 
 #[test]
-fn new_settings_change_when_an_open_request_ends() {
+fn new_settings_change_when_an_open_request_expires() {
     let short = settings();
     let long = Settings { granularity: 50 * MS, ..settings() };
     // Half of 900 ms, less two times the granularity.
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn requests_whose_time_ends_together_are_ended_in_the_order_they_came() {
+fn requests_that_expire_together_are_finished_in_the_order_of_arrival() {
     let mut harness = Harness::new(settings());
     for n in 0..4 {
         // Those that come later end a little earlier.
@@ -302,9 +302,9 @@
             is_retry: false,
             minimum_position: None,
         });
-        harness.play(event);
+        harness.step(event);
     }
-    let actions = harness.wait(600 * MS);
+    let actions = harness.advance(600 * MS);
     let ended: Vec<&str> = actions
         .iter()
         .filter_map(|action| match action {
@@ -316,16 +316,16 @@
 }
 
 #[test]
-fn ended_requests_leave_nothing_behind() {
+fn closed_requests_leave_no_state_behind() {
     let mut harness = Harness::new(settings());
     let mut size_after = |rounds: usize| {
         for n in 0..rounds {
-            let sent = harness.ask(&format!("{}-{n}", harness.now), n % 6, 900 * MS);
+            let sent = harness.send_request(&format!("{}-{n}", harness.now), n % 6, 900 * MS);
             harness.serve_all(sent, 20 * MS);
-            harness.wait(5 * MS);
+            harness.advance(5 * MS);
         }
         // Also those that were not served.
-        harness.wait(2_000 * MS);
+        harness.advance(2_000 * MS);
         format!("{:?}", harness.router).len()
     };
     let first = size_after(500);
--- a/crates/policy/tests/events_and_settings.rs
+++ b/crates/policy/tests/events_and_settings.rs
@@ -5,15 +5,15 @@
 use petrelgauge_policy::*;
 
 #[test]
-fn odd_events_are_ordinary() {
+fn events_about_unknown_requests_members_and_classes_are_harmless() {
     let mut harness = Harness::new(settings());
-    harness.end("never-seen", 3, 99, Ending::Served);
-    harness.play(Event::Abandoned { request: "never-seen".into() });
-    harness.play(Event::Probed { member: 99, ending: Ending::TimedOut, report: Report::default() });
-    harness.play(Event::List { update: Update::Complete, entries: [].into() });
+    harness.report_attempt("never-seen", 3, 99, Ending::Served);
+    harness.step(Event::Abandoned { request: "never-seen".into() });
+    harness.step(Event::Probed { member: 99, ending: Ending::TimedOut, report: Report::default() });
+    harness.step(Event::List { update: Update::Complete, entries: [].into() });
     let odd = Report { position: Some(Time::MAX), role: None, waiting: Some(f64::NAN), busy: None };
-    harness.play(Event::Probed { member: 1, ending: Ending::Served, report: odd });
-    let unknown = harness.play(Event::Request(RequestArrival {
+    harness.step(Event::Probed { member: 1, ending: Ending::Served, report: odd });
+    let unknown = harness.step(Event::Request(RequestArrival {
         request: "far".into(),
         class: 99,
         group: 1,
@@ -21,17 +21,17 @@
         is_retry: true,
         minimum_position: None,
     }));
-    assert!(refused(&unknown), "a class that no setting names still gets its one answer");
-    assert_eq!(sends(&harness.ask("r", 0, 900 * MS)), 0, "a group with no member up");
+    assert!(rejected(&unknown), "a class that no setting names still gets its one answer");
+    assert_eq!(sends(&harness.send_request("r", 0, 900 * MS)), 0, "a group with no member up");
     let mut all = Vec::new();
     for _ in 0..250 {
-        all.extend(harness.wait(5 * MS));
+        all.extend(harness.advance(5 * MS));
     }
-    assert!(refused(&all));
+    assert!(rejected(&all));
 }
 
 #[test]
-fn settings_that_make_no_sense_are_named() {
+fn invalid_settings_are_rejected_by_name() {
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(Router::new(none, 1).err(), Some(SettingsError::NoClasses));
     let mut bad = settings();
@@ -55,15 +55,15 @@
         let mut all = Vec::new();
         for n in 0..200 {
             let name = format!("r{n}");
-            let actions = one.ask(&name, n % 6, 900 * MS);
+            let actions = one.send_request(&name, n % 6, 900 * MS);
             if let Some(member) = sent_to(&actions) {
-                all.extend(one.end(&name, 0, member, Ending::Served));
+                all.extend(one.report_attempt(&name, 0, member, Ending::Served));
             }
             all.extend(actions);
-            all.extend(one.wait(5 * MS));
+            all.extend(one.advance(5 * MS));
             if others {
-                two.ask(&name, 2, 500 * MS);
-                two.wait(7 * MS);
+                two.send_request(&name, 2, 500 * MS);
+                two.advance(7 * MS);
             }
         }
         all
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -33,7 +33,7 @@
 // Day join+vast: primaries slowed to a third had one attempt of each of a hundred gateways out, all the time; that is
 // seconds of work, so that all of it was given up before it was answered, and nothing was served until the day's end.
 #[test]
-fn a_hundred_routers_do_not_bury_a_slow_primary() {
+fn a_hundred_routers_do_not_overload_a_slow_primary() {
     let (share, peak) = writes_at_a_slow_primary(100);
     assert!(share > 0.5, "{share:.2} of what the primary can do was answered in time");
     assert!(peak <= 60, "{peak} attempts at the primary at once");
@@ -65,7 +65,7 @@
     fleet.served as f64 / fleet.requested as f64
 }
 
-// Day roll+mass: 7 to 37 of 100 requests were refused, while hosts answered within a tenth of a second, by gateways that
+// Day roll+mass: 7 to 37 of 100 requests were rejected, while hosts answered within a tenth of a second, by gateways that
 // held them back from a primary for seconds after each answer.
 #[test]
 fn three_hundred_uneven_routers_are_not_held_back_from_a_primary_below_overload() {
@@ -127,18 +127,18 @@
 // On all three days work that was late was called off: it went on at its member all the same, for nothing, and its
 // client came again.
 #[test]
-fn late_work_that_is_out_is_left_to_its_member() {
+fn late_attempts_in_flight_are_not_cancelled() {
     let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
-    let late = sent_to(&harness.ask("late", 2, 900 * MS)).expect("sent");
+    let late = sent_to(&harness.send_request("late", 2, 900 * MS)).expect("sent");
     let mut seen = Vec::new();
     for n in 0..120 {
         // The others answer all along; its member says nothing and is found silent.
-        let asked = harness.ask(&format!("r{n}"), 2, 900 * MS);
+        let asked = harness.send_request(&format!("r{n}"), 2, 900 * MS);
         if let Some(member) = sent_to(&asked).filter(|member| *member != late) {
-            harness.end(&format!("r{n}"), 0, member, Ending::Served);
+            harness.report_attempt(&format!("r{n}"), 0, member, Ending::Served);
         }
         seen.extend(asked);
-        seen.extend(harness.wait(5 * MS));
+        seen.extend(harness.advance(5 * MS));
     }
     let given_up = |action: &Action| match action {
         Action::Cancel { request, .. } | Action::Reject { request, .. } => &**request == "late",
@@ -146,7 +146,7 @@
     };
     // 600 ms after it was sent, with an aim of 300 ms, and a client that waits for 900 ms.
     assert!(!seen.iter().any(given_up), "it is still out");
-    let rest: Vec<Action> = (0..70).flat_map(|_| harness.wait(5 * MS)).collect();
+    let rest: Vec<Action> = (0..70).flat_map(|_| harness.advance(5 * MS)).collect();
     assert!(rest.iter().any(given_up), "and has its one answer before its client leaves");
 }
 
@@ -172,7 +172,7 @@
 // A zone's hosts all come back cold while every gateway has work waiting, and the gateways have just started too: none
 // has a rate of its own to reckon a member's share by. Together they must not push one over.
 #[test]
-fn routers_that_just_started_keep_the_warm_up_budget_at_a_hundred_and_at_three_hundred() {
+fn a_hundred_and_three_hundred_new_routers_keep_the_slow_start_budget() {
     for routers in [100, 300] {
         let entries = entries_of(1..=6, 1, START);
         let mut fleet = Fleet::new(routers, &entries, members(1..=6, Some(1), 5, 100 * MS));
@@ -201,7 +201,7 @@
 // Six in ten members are replaced while requests keep coming: nothing new goes to one that drains, from the step on in
 // which its router is notified.
 #[test]
-fn replaced_members_get_nothing_new_once_they_drain() {
+fn replaced_members_get_no_new_requests_once_they_drain() {
     let entries = entries_of(1..=10, 10, 0);
     let members = members(1..=16, Some(10), 5, 30 * MS);
     let mut fleet = Fleet::new(100, &entries, members);
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_right_clock_stays_as_it_is() {
+fn the_estimate_of_a_right_clock_stays_0() {
     let mut clock = enabled();
     assert!(!clock.is_trusted() && !clock.is_doubtful());
     clock.record_start(2, NOON - 5 * S, NOON);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_repeat_that_is_answered_with_an_earlier_commit_does_not_move_the_estimate() {
+fn a_retry_answered_with_an_earlier_commit_does_not_move_the_estimate() {
     for offset in [0, 3_600 * S, -3_600 * S] {
         let mut clock = enabled();
         clock.record_position(2, NOON + offset - MS, NOON);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_later_attempt_bounds_nothing_above() {
+fn a_later_attempt_gives_no_upper_bound() {
     let mut clock = enabled();
     clock.record_commit(Commit {
         member: 1,
@@ -227,7 +227,7 @@
             let started = if started > 0 { NOON + offset - started } else { 0 };
             entry(member, MemberStatus::Up, member == 1, started)
         };
-        harness.play(Event::List {
+        harness.step(Event::List {
             update: Update::Complete,
             entries: (1..=3).map(entry).collect::<Vec<_>>().into(),
         });
@@ -235,18 +235,18 @@
     }
 
     /// A request of this class: the member that answered it, some milliseconds after it was sent.
-    fn ask(&mut self, class: usize) -> Option<MemberId> {
+    fn send_request(&mut self, class: usize) -> Option<MemberId> {
         self.next += 1;
         let name = format!("r{}", self.next);
-        let mut actions = self.harness.ask(&name, class, 1_500 * MS);
+        let mut actions = self.harness.send_request(&name, class, 1_500 * MS);
         for _ in 0..8 {
             if let Some(member) = sent_to(&actions) {
                 self.answer(&name, class, member);
                 return Some(member);
             }
-            actions = self.harness.wait(5 * MS);
+            actions = self.harness.advance(5 * MS);
         }
-        self.harness.play(Event::Abandoned { request: name.as_str().into() });
+        self.harness.step(Event::Abandoned { request: name.as_str().into() });
         None
     }
 
@@ -271,7 +271,7 @@
             clock.record_position(member, reported, now);
         }
         let position = clock.is_plausible(reported, now).then_some(reported);
-        self.harness.play(Event::Outcome(AttemptOutcome {
+        self.harness.step(Event::Outcome(AttemptOutcome {
             request: name.into(),
             attempt: 0,
             member,
@@ -290,10 +290,10 @@
         for _ in 0..count {
             self.next += 1;
             let name = format!("b{}", self.next);
-            let actions = self.harness.ask(&name, 2, 1_500 * MS);
+            let actions = self.harness.send_request(&name, 2, 1_500 * MS);
             match sent_to(&actions) {
                 Some(member) => sent.push((name, member)),
-                None => drop(self.harness.play(Event::Abandoned { request: name.as_str().into() })),
+                None => drop(self.harness.step(Event::Abandoned { request: name.as_str().into() })),
             }
         }
         let to_started = sent.iter().filter(|(_, member)| *member == 3).count();
@@ -305,13 +305,13 @@
     fn rounds(&mut self, count: RangeInclusive<u32>) -> [u32; 3] {
         let mut went = [0; 3];
         for _ in count {
-            self.ask(5);
-            self.ask(2);
+            self.send_request(5);
+            self.send_request(2);
             for _ in 0..2 {
-                let member = self.ask(0);
+                let member = self.send_request(0);
                 member.into_iter().for_each(|member| went[member as usize - 1] += 1);
             }
-            self.harness.wait(10 * MS);
+            self.harness.advance(10 * MS);
         }
         went
     }
@@ -365,9 +365,9 @@
     let mut shifted = Shifted::new(-3_600 * S, [0, 20 * MS, 20 * MS], [0, S, S]);
     // Reads alone show that something is wrong, and a write by how much.
     (0..20).for_each(|_| {
-        shifted.ask(2);
+        shifted.send_request(2);
     });
     assert!(shifted.harness.router.fleet_clock().is_doubtful());
-    shifted.ask(5);
+    shifted.send_request(5);
     assert!(!shifted.harness.router.fleet_clock().is_doubtful());
 }
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -5,26 +5,26 @@
 use petrelgauge_policy::*;
 
 #[test]
-fn a_few_repeats_with_more_time_do_not_age_the_first_attempts() {
+fn a_few_retries_with_more_time_left_do_not_age_first_attempts() {
     // Recorded day ia66fa8: some repeats came with more time left than any first try.
     let mut harness = Harness::new(settings());
-    teach(&mut harness, [0, 10 * MS, 10 * MS], 5);
+    report_lags(&mut harness, [0, 10 * MS, 10 * MS], 5);
     for n in 0..30 {
         let name = format!("r{n}");
         let left = if n % 10 == 9 { 960 * MS } else { 450 * MS };
-        let actions = harness.ask(&name, 0, left);
+        let actions = harness.send_request(&name, 0, left);
         let member = sent_to(&actions).unwrap_or_else(|| panic!("request {n} was held beside idle members"));
-        harness.end(&name, 0, member, Ending::Served);
-        harness.wait(10 * MS);
+        harness.report_attempt(&name, 0, member, Ending::Served);
+        harness.advance(10 * MS);
     }
 }
 
 #[test]
-fn a_marked_repeat_yields_to_first_attempts() {
+fn a_marked_retry_yields_to_first_attempts() {
     // Recorded day i5bbe18: repeats of hopeless reads took the capacity of first attempts.
     let mut harness = Harness::new(settings());
     for n in 0..60 {
-        harness.ask(&format!("fill{n}"), 4, 900 * MS);
+        harness.send_request(&format!("fill{n}"), 4, 900 * MS);
     }
     let repeat = |name: &str, is_retry| {
         Event::Request(RequestArrival {
@@ -36,24 +36,24 @@
             minimum_position: None,
         })
     };
-    assert!(!refused(&harness.play(repeat("first", false))), "a first attempt waits for capacity");
-    assert!(refused(&harness.play(repeat("again", true))), "a repeat without a chance does not");
+    assert!(!rejected(&harness.step(repeat("first", false))), "a first attempt waits for capacity");
+    assert!(rejected(&harness.step(repeat("again", true))), "a repeat without a chance does not");
 }
 
 #[test]
-fn jammed_members_make_a_router_shed_reads_and_spare_writes() {
+fn overloaded_members_make_a_router_shed_reads_and_no_writes() {
     // Standard overload of graz-main-later: 60 routers with one attempt each crowd every member.
     let shed = |took: Time, class: usize| {
         let mut harness = Harness::new(settings());
-        let mut refusals = 0;
+        let mut rejections = 0;
         for n in 0..300 {
             let name = format!("x{n}");
-            let actions = harness.ask(&name, class, 900 * MS);
-            refusals += refused(&actions) as u32;
+            let actions = harness.send_request(&name, class, 900 * MS);
+            rejections += rejected(&actions) as u32;
             harness.now += took;
             harness.serve_all(actions, took);
         }
-        refusals
+        rejections
     };
     assert_eq!(shed(50 * MS, 2), 0, "quick answers: nothing is shed");
     assert!(shed(250 * MS, 2) > 30, "slow answers everywhere: reads are shed");
@@ -63,13 +63,13 @@
 // On sockets, what was held past half its time and then refused unsent cost 0.03 of a troubled day, and so did
 // what had only met members that could not be reached.
 #[test]
-fn what_was_sent_to_no_member_by_half_its_time_is_refused() {
+fn a_request_unsent_by_half_of_its_time_is_rejected() {
     let ends_after = |class: usize, client_round_trip: Time| {
         let mut harness = Harness::empty(Settings { client_round_trip, ..settings() });
-        let mut actions = harness.ask("r", class, 400 * MS);
+        let mut actions = harness.send_request("r", class, 400 * MS);
         let mut steps = 0;
-        while !refused(&actions) && steps < 100 {
-            actions = harness.wait(5 * MS);
+        while !rejected(&actions) && steps < 100 {
+            actions = harness.advance(5 * MS);
             steps += 1;
         }
         steps * 5 * MS
@@ -82,17 +82,17 @@
         assert!(ends_after(class, 1_000 * MS) >= 85 * MS, "class {class}");
     }
     let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
-    let mut actions = harness.ask("w", 4, 400 * MS);
+    let mut actions = harness.send_request("w", 4, 400 * MS);
     let (mut attempt, mut steps) = (0, 0);
-    while !refused(&actions) && steps < 100 {
+    while !rejected(&actions) && steps < 100 {
         actions = match sent_to(&actions) {
             Some(member) => {
                 attempt += 1;
-                harness.end("w", attempt - 1, member, Ending::ConnectFailed)
+                harness.report_attempt("w", attempt - 1, member, Ending::ConnectFailed)
             }
             None => {
                 steps += 1;
-                harness.wait(5 * MS)
+                harness.advance(5 * MS)
             }
         };
     }
@@ -101,19 +101,19 @@
 
 // With all their connections held, clients found none for 2762 requests of one day.
 #[test]
-fn what_has_least_to_gain_gives_way_before_clients_run_out() {
+fn requests_of_the_lowest_value_are_evicted_before_clients_run_out_of_connections() {
     let mut harness = Harness::empty(Settings { max_open_requests: 20, ..settings() });
     let asked = |harness: &mut Harness, class: usize, count: usize| -> usize {
         let name = |n: usize| format!("{class}-{n}");
-        (0..count).filter(|n| refused(&harness.ask(&name(*n), class, 900 * MS))).count()
+        (0..count).filter(|n| rejected(&harness.send_request(&name(*n), class, 900 * MS))).count()
     };
     assert_eq!(asked(&mut harness, 5, 10), 0);
     assert!(asked(&mut harness, 2, 20) > 8, "those beyond are refused at once");
     let mut gone = Vec::new();
     for _ in 0..20 {
-        gone.extend(harness.wait(5 * MS));
+        gone.extend(harness.advance(5 * MS));
     }
-    assert!(!refused(&gone), "the others wait");
+    assert!(!rejected(&gone), "the others wait");
 }
 
 // In a crowd, oldest first serves each just after its latency target. Simulator, quick: 0.778 with the oldest first.
@@ -122,11 +122,11 @@
     let mut harness = Harness::empty(settings());
     // Nobody is there to take them yet.
     for n in 0..30 {
-        assert_eq!(sent_to(&harness.ask(&format!("w{n:02}"), 2, 900 * MS)), None);
+        assert_eq!(sent_to(&harness.send_request(&format!("w{n:02}"), 2, 900 * MS)), None);
         harness.now += MS;
     }
     let back = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-    let actions = harness.play(Event::List { update: Update::Complete, entries: back.into() });
+    let actions = harness.step(Event::List { update: Update::Complete, entries: back.into() });
     let sent: Vec<&str> = actions
         .iter()
         .filter_map(|action| match action {
--- a/crates/policy/tests/member_faults.rs
+++ b/crates/policy/tests/member_faults.rs
@@ -5,86 +5,86 @@
 use petrelgauge_policy::*;
 
 #[test]
-fn a_member_that_fails_fast_draws_no_work() {
+fn a_member_that_fails_fast_attracts_no_requests() {
     // Recorded day i8e1da6: a member that rejected at once as full looked idle and drew 15% of sends.
     let mut harness = Harness::new(settings());
-    teach(&mut harness, [0, 10 * MS, 10 * MS], 5);
+    report_lags(&mut harness, [0, 10 * MS, 10 * MS], 5);
     let mut drawn = 0;
     for n in 0..200 {
         let name = format!("f{n}");
-        let mut actions = harness.ask(&name, 2, 900 * MS);
+        let mut actions = harness.send_request(&name, 2, 900 * MS);
         for attempt in 0..6 {
             match sent_to(&actions) {
                 Some(3) => {
                     drawn += 1;
-                    actions = harness.end(&name, attempt, 3, Ending::QueueFull);
+                    actions = harness.report_attempt(&name, attempt, 3, Ending::QueueFull);
                 }
-                Some(member) => actions = harness.end(&name, attempt, member, Ending::Served),
+                Some(member) => actions = harness.report_attempt(&name, attempt, member, Ending::Served),
                 None => break,
             }
         }
-        harness.wait(5 * MS);
+        harness.advance(5 * MS);
     }
     assert!((1..20).contains(&drawn), "{drawn} sends to the member that fails fast");
 }
 
 #[test]
-fn a_limit_that_fell_recovers() {
+fn a_lowered_concurrency_limit_recovers() {
     // Recorded day i17f81a: after a scare a primary's limit stayed at one attempt beside an idle primary.
     let mut harness = Harness::new(settings());
     for (round, took) in [(0, 400 * MS), (1, 20 * MS)] {
         for n in 0..40 {
             let mut sent = Vec::new();
             for k in 0..4 {
-                sent.extend(harness.ask(&format!("w{round}-{n}-{k}"), 4, 900 * MS));
+                sent.extend(harness.send_request(&format!("w{round}-{n}-{k}"), 4, 900 * MS));
             }
             harness.now += took;
             harness.serve_all(sent, took);
-            let late = harness.wait(5 * MS);
+            let late = harness.advance(5 * MS);
             harness.serve_all(late, took);
         }
     }
-    let together: usize = (0..4).map(|n| sends(&harness.ask(&format!("now{n}"), 4, 900 * MS))).sum();
+    let together: usize = (0..4).map(|n| sends(&harness.send_request(&format!("now{n}"), 4, 900 * MS))).sum();
     assert!(together >= 4, "only {together} writes may be out together");
 }
 
 #[test]
-fn a_silent_member_is_ejected_and_comes_back() {
+fn a_silent_member_is_ejected_and_recovers() {
     let mut harness = Harness::new(settings());
-    let member = sent_to(&harness.ask("r", 2, 900 * MS)).expect("sent");
+    let member = sent_to(&harness.send_request("r", 2, 900 * MS)).expect("sent");
     let mut probed = false;
     for _ in 0..40 {
-        let actions = harness.wait(5 * MS);
+        let actions = harness.advance(5 * MS);
         probed |= actions.contains(&Action::Probe { member });
     }
     assert!(probed, "a silent member is probed");
     let dead = Event::Probed { member, ending: Ending::TimedOut, report: Report::default() };
-    let actions = harness.play(dead);
+    let actions = harness.step(dead);
     assert!(actions.contains(&Action::Cancel { request: "r".into(), attempt: 0 }), "its read is cancelled");
-    let actions = harness.end("r", 0, member, Ending::Cancelled);
+    let actions = harness.report_attempt("r", 0, member, Ending::Cancelled);
     assert!(sent_to(&actions).is_some_and(|other| other != member), "and goes elsewhere");
     for n in 0..20 {
-        assert_ne!(sent_to(&harness.ask(&format!("x{n}"), 2, 900 * MS)), Some(member));
+        assert_ne!(sent_to(&harness.send_request(&format!("x{n}"), 2, 900 * MS)), Some(member));
     }
     let alive = Event::Probed { member, ending: Ending::Served, report: Report::default() };
-    let mut actions = harness.play(alive);
+    let mut actions = harness.step(alive);
     let mut back = false;
     for n in 0..200 {
         back |= actions.iter().any(|a| matches!(a, Action::Send { member: to, .. } if *to == member));
         harness.serve_all(actions, 20 * MS);
         harness.now += 20 * MS;
-        actions = harness.ask(&format!("y{n}"), 2, 900 * MS);
+        actions = harness.send_request(&format!("y{n}"), 2, 900 * MS);
     }
     assert!(back, "once it answers it takes work again, within a warming member's budget");
 }
 
 #[test]
-fn work_given_up_counts_against_a_member() {
+fn cancelled_attempts_count_against_a_member() {
     // Recorded day i5bbe18: reads given up at their latency target were never counted, and limits stayed high.
     let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    harness.play(Event::List { update: Update::Partial, entries: list.into() });
-    let at_first: usize = (0..20).map(|n| sends(&harness.ask(&format!("a{n}"), 4, 900 * MS))).sum();
+    harness.step(Event::List { update: Update::Partial, entries: list.into() });
+    let at_first: usize = (0..20).map(|n| sends(&harness.send_request(&format!("a{n}"), 4, 900 * MS))).sum();
     for n in 0..at_first {
         let event = Event::Outcome(AttemptOutcome {
             request: format!("a{n}").as_str().into(),
@@ -97,41 +97,41 @@
             role: None,
             report: Report::default(),
         });
-        let later = harness.play(event);
+        let later = harness.step(event);
         harness.serve_all(later, 300 * MS);
     }
-    let after: usize = (0..20).map(|n| sends(&harness.ask(&format!("b{n}"), 4, 900 * MS))).sum();
+    let after: usize = (0..20).map(|n| sends(&harness.send_request(&format!("b{n}"), 4, 900 * MS))).sum();
     assert!(at_first > 1 && after < at_first, "{at_first} at first, {after} after");
 }
 
 #[test]
-fn lost_writes_do_not_hold_the_capacity_of_a_member_that_answers() {
+fn lost_writes_do_not_use_up_the_capacity_of_a_member_that_answers() {
     // Recorded day if2b59f: a primary lost a share of its writes and stood at its limit with them.
     let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    harness.play(Event::List { update: Update::Partial, entries: list.into() });
-    let lost: usize = (0..20).map(|n| sends(&harness.ask(&format!("l{n}"), 4, 1_000 * MS))).sum();
+    harness.step(Event::List { update: Update::Partial, entries: list.into() });
+    let lost: usize = (0..20).map(|n| sends(&harness.send_request(&format!("l{n}"), 4, 1_000 * MS))).sum();
     assert!((1..20).contains(&lost), "the first ones fill the capacity");
     // One of them is answered; the others stay out past their latency target.
     harness.now += 100 * MS;
-    let freed = harness.end_as("l0", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
+    let freed = harness.report_attempt_with("l0", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
     harness.now += 250 * MS;
-    harness.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
-    let later = harness.wait(5 * MS);
+    harness.step(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
+    let later = harness.advance(5 * MS);
     assert!(sends(&freed) + sends(&later) > 1, "what waits goes out although the lost ones are still out");
 }
 
 #[test]
-fn a_member_back_from_being_down_counts_as_warming_up() {
+fn a_member_that_was_down_counts_as_warming_up() {
     // Recorded day ia7e9ba: a restarted member fell over before the list showed its start.
     let mut harness = Harness::new(settings());
     let list = [entry(2, MemberStatus::Removed, false, 0), entry(3, MemberStatus::Removed, false, 0)];
-    harness.play(Event::List { update: Update::Partial, entries: list.into() });
-    harness.play(Event::Probed { member: 1, ending: Ending::TimedOut, report: Report::default() });
-    harness.play(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
+    harness.step(Event::List { update: Update::Partial, entries: list.into() });
+    harness.step(Event::Probed { member: 1, ending: Ending::TimedOut, report: Report::default() });
+    harness.step(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
     let mut sent = 0;
     for n in 0..100 {
-        let actions = harness.ask(&format!("c{n}"), 2, 900 * MS);
+        let actions = harness.send_request(&format!("c{n}"), 2, 900 * MS);
         sent += harness.serve_all(actions, 20 * MS);
         harness.now += 5 * MS;
     }
@@ -142,23 +142,25 @@
 #[test]
 fn a_silent_member_loses_its_reads_soon_and_one_short_trial_brings_it_back() {
     let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
-    teach(&mut harness, [0, 10 * MS, 10 * MS], 5);
+    report_lags(&mut harness, [0, 10 * MS, 10 * MS], 5);
     let names: Vec<String> = (0..12).map(|n| format!("q{n}")).collect();
-    let sent: Vec<_> =
-        names.iter().filter_map(|name| Some((name, sent_to(&harness.ask(name, 2, 900 * MS))?))).collect();
+    let sent: Vec<_> = names
+        .iter()
+        .filter_map(|name| Some((name, sent_to(&harness.send_request(name, 2, 900 * MS))?)))
+        .collect();
     let at_two = sent.iter().filter(|(_, member)| *member == 2).count();
     assert!(at_two > 1, "{at_two} reads at the member that falls silent");
-    harness.wait(20 * MS);
+    harness.advance(20 * MS);
     for (name, member) in sent.iter().filter(|(_, member)| *member != 2) {
-        harness.end(name, 0, *member, Ending::Served);
+        harness.report_attempt(name, 0, *member, Ending::Served);
     }
     let mut off = 0;
     for _ in 0..50 {
-        let actions = harness.wait(5 * MS);
+        let actions = harness.advance(5 * MS);
         for action in &actions {
             if let Action::Cancel { request, attempt } = action {
                 off += 1;
-                harness.end(request, *attempt, 2, Ending::Cancelled);
+                harness.report_attempt(request, *attempt, 2, Ending::Cancelled);
             }
         }
     }
@@ -167,12 +169,12 @@
     let (mut trials, mut others) = (Vec::new(), 0);
     for n in 0..40 {
         let name = format!("x{n}");
-        for action in harness.ask(&name, 2, 900 * MS) {
+        for action in harness.send_request(&name, 2, 900 * MS) {
             match action {
                 Action::Send { request, member: 2, until } => trials.push((request, until - harness.now)),
                 Action::Send { request, member, .. } => {
                     others += 1;
-                    harness.end(&request, 0, member, Ending::Served);
+                    harness.report_attempt(&request, 0, member, Ending::Served);
                 }
                 _ => {}
             }
@@ -180,25 +182,25 @@
         harness.now += MS;
     }
     assert!(trials.len() == 1 && trials[0].1 <= 150 * MS && others > 30, "{trials:?} {others}");
-    harness.end(&trials[0].0.clone(), 0, 2, Ending::Served);
-    assert!(share_of(&mut harness, 2, 2) > 0.1, "its answer brings it back");
+    harness.report_attempt(&trials[0].0.clone(), 0, 2, Ending::Served);
+    assert!(share_sent_to(&mut harness, 2, 2) > 0.1, "its answer brings it back");
 }
 
 // After a cut between the data centres a silent primary stayed ejected for twice as long as now.
 #[test]
 fn a_silent_primary_that_may_not_be_probed_is_retried_soon() {
     let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
-    assert_eq!(sent_to(&harness.ask("lost", 5, 300 * MS)), Some(1));
-    (0..60).for_each(|_| drop(harness.wait(5 * MS)));
-    harness.end("lost", 0, 1, Ending::TimedOut);
-    let mut actions = harness.ask("next", 5, 900 * MS);
+    assert_eq!(sent_to(&harness.send_request("lost", 5, 300 * MS)), Some(1));
+    (0..60).for_each(|_| drop(harness.advance(5 * MS)));
+    harness.report_attempt("lost", 0, 1, Ending::TimedOut);
+    let mut actions = harness.send_request("next", 5, 900 * MS);
     let (mut steps, mut attempt) = (0, 0);
     while sent_to(&actions) != Some(1) && steps < 150 {
         if let Some(other) = sent_to(&actions) {
-            harness.end_as("next", attempt, other, Ending::Rejected, None, Some(Role::Replica));
+            harness.report_attempt_with("next", attempt, other, Ending::Rejected, None, Some(Role::Replica));
             attempt += 1;
         }
-        actions = harness.wait(5 * MS);
+        actions = harness.advance(5 * MS);
         steps += 1;
     }
     let span = steps * 5 * MS;
@@ -207,25 +209,25 @@
 
 // On the long day hosts are replaced all the time: what is remembered of each must not grow with the day.
 #[test]
-fn a_member_long_gone_is_forgotten_and_one_just_gone_is_not() {
+fn a_member_removed_long_ago_is_forgotten_and_one_just_removed_is_not() {
     let back_after = |span: Time| {
         let mut harness = Harness::new(settings());
         for status in [MemberStatus::Draining, MemberStatus::Removed] {
             let list = (1..=3).map(|m| entry(m, status, m == 1, 0)).collect::<Vec<_>>();
-            harness.play(Event::List { update: Update::Complete, entries: list.into() });
+            harness.step(Event::List { update: Update::Complete, entries: list.into() });
         }
-        harness.wait(span);
+        harness.advance(span);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
-        harness.play(Event::List { update: Update::Complete, entries: list.into() });
-        sent_to(&harness.ask("r", 2, 900 * MS)).is_some()
+        harness.step(Event::List { update: Update::Complete, entries: list.into() });
+        sent_to(&harness.send_request("r", 2, 900 * MS)).is_some()
     };
     assert!(!back_after(10_000 * MS), "an old list does not undo a drain");
     assert!(back_after(61_000 * MS), "a name that comes back later is a new member");
 }
 
 #[test]
-fn where_nothing_ever_warms_up_no_member_is_held_back() {
+fn without_a_slow_start_span_no_member_is_limited() {
     let mut harness = Harness::new(Settings { slow_start_span: 0, ..settings() });
-    let sent: usize = (0..6).map(|n| sends(&harness.ask(&format!("r{n}"), 2, 900 * MS))).sum();
+    let sent: usize = (0..6).map(|n| sends(&harness.send_request(&format!("r{n}"), 2, 900 * MS))).sum();
     assert_eq!(sent, 6, "members that run for long are warm");
 }
--- a/crates/policy/tests/minimum_positions.rs
+++ b/crates/policy/tests/minimum_positions.rs
@@ -11,11 +11,18 @@
         let name = format!("t{n}");
         // Every third is a write: the primary has work of its own.
         let class = if n % 3 == 0 { 5 } else { 2 };
-        if let Some(member) = sent_to(&harness.ask(&name, class, 900 * MS)) {
+        if let Some(member) = sent_to(&harness.send_request(&name, class, 900 * MS)) {
             let role = if member == 1 { Role::Primary } else { Role::Replica };
-            harness.end_as(&name, 0, member, Ending::Served, Some(lags[member as usize - 1]), Some(role));
+            harness.report_attempt_with(
+                &name,
+                0,
+                member,
+                Ending::Served,
+                Some(lags[member as usize - 1]),
+                Some(role),
+            );
         }
-        harness.wait(5 * MS);
+        harness.advance(5 * MS);
     }
     harness
 }
@@ -23,9 +30,9 @@
 /// The primary serves a write, and so has no time to lend.
 fn write(harness: &mut Harness, n: u32) {
     let name = format!("w{n}");
-    assert_eq!(sent_to(&harness.ask(&name, 5, 900 * MS)), Some(1));
+    assert_eq!(sent_to(&harness.send_request(&name, 5, 900 * MS)), Some(1));
     harness.now += 20 * MS;
-    harness.end_as(&name, 0, 1, Ending::Served, Some(0), Some(Role::Primary));
+    harness.report_attempt_with(&name, 0, 1, Ending::Served, Some(0), Some(Role::Primary));
 }
 
 fn holding() -> Settings {
@@ -36,19 +43,19 @@
 fn placed(harness: &mut Harness, class: usize, minimum_position: Time) -> (Option<MemberId>, Time) {
     let began = harness.now;
     let name = format!("f{began}");
-    let mut actions = harness.play(request(&name, class, 900 * MS, Some(minimum_position)));
+    let mut actions = harness.step(request(&name, class, 900 * MS, Some(minimum_position)));
     for _ in 0..30 {
         if let Some(member) = sent_to(&actions) {
-            harness.end_as(&name, 0, member, Ending::Served, None, None);
+            harness.report_attempt_with(&name, 0, member, Ending::Served, None, None);
             return (Some(member), harness.now - began);
         }
-        actions = harness.wait(5 * MS);
+        actions = harness.advance(5 * MS);
     }
     (None, harness.now - began)
 }
 
 #[test]
-fn a_read_waits_for_a_replica_that_is_about_to_pass_its_floor() {
+fn a_read_waits_for_a_replica_that_is_about_to_reach_its_minimum_position() {
     let mut harness = taught(holding(), [0, 20 * MS, 20 * MS]);
     let placings: Vec<_> = (0..20)
         .map(|n| {
@@ -63,7 +70,7 @@
 }
 
 #[test]
-fn it_does_not_wait_for_replicas_that_are_too_far_behind_or_where_none_is_to_be_waited_for() {
+fn a_read_does_not_wait_for_replicas_too_far_behind_or_where_waiting_is_disabled() {
     let mut harness = taught(holding(), [0, 500 * MS, 500 * MS]);
     let now = harness.now;
     assert_eq!(placed(&mut harness, 2, now), (Some(1), 0), "no replica will do in time");
@@ -73,7 +80,7 @@
 }
 
 #[test]
-fn a_floor_and_a_bound_hold_together() {
+fn a_minimum_position_and_a_staleness_bound_hold_together() {
     // Class 0 is bounded by 200 ms: replicas 100 ms behind will do, but not for a write 50 ms ago.
     let mut harness = taught(settings(), [0, 100 * MS, 100 * MS]);
     let now = harness.now;
@@ -86,25 +93,25 @@
 }
 
 #[test]
-fn the_primary_serves_a_floor_that_lies_ahead_of_this_clock() {
+fn the_primary_serves_a_minimum_position_ahead_of_the_routers_clock() {
     let mut harness = taught(settings(), [0, 20 * MS, 20 * MS]);
     let now = harness.now;
     assert_eq!(placed(&mut harness, 2, now + 50 * MS), (Some(1), 0));
 }
 
 #[test]
-fn a_floor_that_falls_lets_a_waiting_read_go() {
+fn a_lowered_minimum_position_releases_a_waiting_read() {
     let mut harness = taught(holding(), [0, 50 * MS, 50 * MS]);
     let now = harness.now;
-    assert_eq!(sent_to(&harness.play(request("w", 2, 900 * MS, Some(now)))), None, "it waits for a replica");
+    assert_eq!(sent_to(&harness.step(request("w", 2, 900 * MS, Some(now)))), None, "it waits for a replica");
     let actions = harness
-        .play(Event::MinimumPositionLowered { request: "w".into(), minimum_position: now - 1_000 * MS });
+        .step(Event::MinimumPositionLowered { request: "w".into(), minimum_position: now - 1_000 * MS });
     assert!(sent_to(&actions).is_some(), "any member will do now");
     // One that rises changes nothing, and one of a request that is gone neither.
     let now = harness.now;
-    harness.play(request("x", 2, 900 * MS, Some(now)));
-    harness.play(Event::MinimumPositionLowered { request: "x".into(), minimum_position: now + 900 * MS });
-    harness.play(Event::MinimumPositionLowered { request: "gone".into(), minimum_position: 0 });
-    let went = (0..12).find_map(|_| sent_to(&harness.wait(5 * MS)));
+    harness.step(request("x", 2, 900 * MS, Some(now)));
+    harness.step(Event::MinimumPositionLowered { request: "x".into(), minimum_position: now + 900 * MS });
+    harness.step(Event::MinimumPositionLowered { request: "gone".into(), minimum_position: 0 });
+    let went = (0..12).find_map(|_| sent_to(&harness.advance(5 * MS)));
     assert!(went.is_some(), "a minimum position that rises is none of its affair");
 }
--- a/crates/policy/tests/primary_discovery.rs
+++ b/crates/policy/tests/primary_discovery.rs
@@ -5,12 +5,12 @@
 use petrelgauge_policy::*;
 
 #[test]
-fn a_switch_is_found_with_the_writes_held() {
+fn waiting_writes_discover_a_changed_primary() {
     for list_role in [ListRole::Absent, ListRole::Static, ListRole::Trailing] {
         let mut harness = Harness::new(Settings { list_role, ..settings() });
         let mut actions = Vec::new();
         for n in 0..5 {
-            actions.extend(harness.ask(&format!("w{n}"), 4, 900 * MS));
+            actions.extend(harness.send_request(&format!("w{n}"), 4, 900 * MS));
         }
         let mut served = 0;
         let mut attempts = 0;
@@ -26,10 +26,17 @@
                     _ => (Ending::Rejected, Role::Replica),
                 };
                 served += (member == 3) as u32;
-                actions.extend(harness.end_as(&request, *attempt, member, ending, Some(0), Some(role)));
+                actions.extend(harness.report_attempt_with(
+                    &request,
+                    *attempt,
+                    member,
+                    ending,
+                    Some(0),
+                    Some(role),
+                ));
                 *attempt += 1;
             }
-            actions.extend(harness.wait(5 * MS));
+            actions.extend(harness.advance(5 * MS));
         }
         assert_eq!(served, 5, "{list_role:?}: all writes reach the new primary");
         assert!(attempts <= 16, "{list_role:?}: {attempts} attempts burnt");
@@ -37,14 +44,14 @@
 }
 
 #[test]
-fn a_strong_read_finds_a_primary_that_nobody_named() {
+fn a_strong_read_discovers_an_unlisted_primary() {
     // Recorded day i115826: strong reads waited for a primary that only writes went looking for.
     let mut harness = Harness::new(Settings { list_role: ListRole::Absent, ..settings() });
-    let mut actions = harness.ask("s", 3, 900 * MS);
+    let mut actions = harness.send_request("s", 3, 900 * MS);
     let mut found = false;
     for attempt in 0.. {
         while sends(&actions) == 0 && harness.now < START + 250 * MS {
-            actions = harness.wait(5 * MS);
+            actions = harness.advance(5 * MS);
         }
         let Some(member) = sent_to(&actions) else { break };
         found = member == 3;
@@ -52,23 +59,23 @@
             break;
         }
         let role = Some(Role::Replica);
-        actions = harness.end_as("s", attempt, member, Ending::Rejected, Some(0), role);
+        actions = harness.report_attempt_with("s", attempt, member, Ending::Rejected, Some(0), role);
     }
     assert!(found, "it scouts the members one by one");
 }
 
 #[test]
-fn most_reads_leave_a_primary_that_has_writes_and_some_come_to_an_idle_one() {
+fn most_reads_avoid_a_primary_with_writes_and_some_use_an_idle_one() {
     // Standard days of the later deployments: with hundreds of routers none sees how busy the primary is.
     let reads_at_primary = |writes: usize| {
         let mut harness = Harness::new(settings());
         let mut hits = 0;
         for n in 0..300 {
             for k in 0..writes {
-                let actions = harness.ask(&format!("w{n}-{k}"), 4, 900 * MS);
+                let actions = harness.send_request(&format!("w{n}-{k}"), 4, 900 * MS);
                 harness.serve_all(actions, 40 * MS);
             }
-            let actions = harness.ask(&format!("r{n}"), 2, 900 * MS);
+            let actions = harness.send_request(&format!("r{n}"), 2, 900 * MS);
             hits += (sent_to(&actions) == Some(1)) as usize;
             harness.serve_all(actions, (40 + n % 7) as Time * MS);
             harness.now += 50 * MS;
@@ -87,13 +94,13 @@
     let list: Vec<Entry> = (1..=3)
         .map(|m| entry(m, MemberStatus::Up, m == 1, if m == 1 { START - 100 * MS } else { 0 }))
         .collect();
-    harness.play(Event::List { update: Update::Complete, entries: list.into() });
+    harness.step(Event::List { update: Update::Complete, entries: list.into() });
     // Its start is newer than the list's roles: before it is known to be the primary, a read may go to it as to any other.
-    harness.play(Event::GossipedPrimary { member: 1, at: harness.now });
+    harness.step(Event::GossipedPrimary { member: 1, at: harness.now });
     let (mut reads, mut writes) = (0, 0);
     for n in 0..600 {
         let class = if n % 2 == 0 { 2 } else { 4 };
-        let actions = harness.ask(&format!("{class}-{n}"), class, 900 * MS);
+        let actions = harness.send_request(&format!("{class}-{n}"), class, 900 * MS);
         for action in &actions {
             if let Action::Send { request, member: 1, .. } = action {
                 *(if request.starts_with('2') { &mut reads } else { &mut writes }) += 1;
--- a/crates/policy/tests/quotas.rs
+++ b/crates/policy/tests/quotas.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn quotas_of_limits_hold_back_less_than_even_quotas_do() {
+fn lent_quotas_hold_back_fewer_requests_than_even_quotas() {
     for routers in [30, 100, 300] {
         let (mut held, mut held_shared) = (0.0, 0.0);
         for seed in 1..=4 {
--- a/crates/policy/tests/replica_lag.rs
+++ b/crates/policy/tests/replica_lag.rs
@@ -5,23 +5,23 @@
 use petrelgauge_policy::*;
 
 #[test]
-fn lagging_replicas_lose_bounded_reads_and_keep_the_others() {
+fn lagging_replicas_get_no_bounded_reads_but_others() {
     let mut harness = Harness::new(settings());
-    teach(&mut harness, [0, 10 * MS, 900 * MS], 20);
-    assert!(share_of(&mut harness, 0, 3) < 0.05, "bounded reads avoid the lagging replica");
+    report_lags(&mut harness, [0, 10 * MS, 900 * MS], 20);
+    assert!(share_sent_to(&mut harness, 0, 3) < 0.05, "bounded reads avoid the lagging replica");
     let mut harness = Harness::new(settings());
-    teach(&mut harness, [0, 10 * MS, 900 * MS], 20);
-    assert!(share_of(&mut harness, 2, 3) > 0.1, "reads of any data do not");
+    report_lags(&mut harness, [0, 10 * MS, 900 * MS], 20);
+    assert!(share_sent_to(&mut harness, 2, 3) > 0.1, "reads of any data do not");
 }
 
 #[test]
-fn a_session_read_with_an_old_mark_may_use_a_lagging_replica() {
+fn a_session_read_with_an_old_minimum_position_may_use_a_lagging_replica() {
     let mut harness = Harness::new(settings());
-    teach(&mut harness, [0, 500 * MS, 500 * MS], 20);
-    let old = harness.play(request("old", 1, 900 * MS, Some(harness.now - 5_000 * MS)));
+    report_lags(&mut harness, [0, 500 * MS, 500 * MS], 20);
+    let old = harness.step(request("old", 1, 900 * MS, Some(harness.now - 5_000 * MS)));
     assert!(sent_to(&old).is_some());
     for n in 0..3 {
-        let young = harness.play(request(&format!("young{n}"), 1, 900 * MS, Some(harness.now - 50 * MS)));
+        let young = harness.step(request(&format!("young{n}"), 1, 900 * MS, Some(harness.now - 50 * MS)));
         assert_eq!(sent_to(&young), Some(1), "only the primary has seen a write that young");
     }
 }
@@ -29,37 +29,54 @@
 #[test]
 fn a_lag_jump_shows_within_a_few_answers() {
     let mut harness = Harness::new(settings());
-    teach(&mut harness, [0, 10 * MS, 10 * MS], 20);
+    report_lags(&mut harness, [0, 10 * MS, 10 * MS], 20);
     let mut wasted = 0;
     for n in 0..60 {
         let name = format!("j{n}");
-        let mut actions = harness.ask(&name, 0, 900 * MS);
+        let mut actions = harness.send_request(&name, 0, 900 * MS);
         for attempt in 0..6 {
             match sent_to(&actions) {
                 Some(1) => {
-                    actions = harness.end_as(&name, attempt, 1, Ending::Served, Some(0), Some(Role::Primary))
+                    actions = harness.report_attempt_with(
+                        &name,
+                        attempt,
+                        1,
+                        Ending::Served,
+                        Some(0),
+                        Some(Role::Primary),
+                    )
                 }
                 Some(member) => {
                     wasted += 1;
                     let lag = Some(2_000 * MS);
-                    actions =
-                        harness.end_as(&name, attempt, member, Ending::Rejected, lag, Some(Role::Replica));
+                    actions = harness.report_attempt_with(
+                        &name,
+                        attempt,
+                        member,
+                        Ending::Rejected,
+                        lag,
+                        Some(Role::Replica),
+                    );
                 }
                 None => break,
             }
         }
-        harness.wait(5 * MS);
+        harness.advance(5 * MS);
     }
     assert!((1..40).contains(&wasted), "{wasted} attempts spent on replicas that jumped behind");
 }
 
 #[test]
-fn all_replicas_lagging_leave_the_primary_capacity_for_writes() {
+fn reads_leave_the_primary_capacity_for_writes_when_all_replicas_lag() {
     // Recorded day i3ea088: with all replicas behind, reads crowded the primary.
     let mut harness = Harness::new(settings());
-    teach(&mut harness, [0, 900 * MS, 900 * MS], 20);
+    report_lags(&mut harness, [0, 900 * MS, 900 * MS], 20);
     for n in 0..60 {
-        harness.ask(&format!("read{n}"), 0, 900 * MS);
+        harness.send_request(&format!("read{n}"), 0, 900 * MS);
     }
-    assert_eq!(sent_to(&harness.ask("write", 4, 900 * MS)), Some(1), "the write still finds capacity");
+    assert_eq!(
+        sent_to(&harness.send_request("write", 4, 900 * MS)),
+        Some(1),
+        "the write still finds capacity"
+    );
 }
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_repeat_that_is_held_up_is_still_inside_its_window() {
+fn a_delayed_retry_is_still_within_its_window() {
     assert_eq!(RETRY_WINDOW_MARGIN, 150_000);
     for window in [5 * SECOND, 30 * SECOND] {
         assert_eq!(keyed(window).retry_deadline(7 * SECOND) + RETRY_WINDOW_MARGIN, 7 * SECOND + window);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_short_window_keeps_most_of_its_span() {
+fn a_short_window_loses_little_to_the_margin() {
     for window in [0, 1, 40_000, 400_000, 4 * SECOND] {
         let usable = keyed(window).retry_deadline(0);
         assert!(usable <= window && usable >= window - window / 32, "{usable} of {window}");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_has_no_window_may_be_written_at_any_time_and_a_far_one_does_not_overflow() {
+fn without_a_window_there_is_no_deadline_and_a_far_one_does_not_overflow() {
     assert_eq!(Effect::Safe.retry_deadline(0), i64::MAX);
     assert_eq!(Effect::Unsafe.retry_deadline(0), i64::MAX);
     assert_eq!(keyed(i64::MAX).retry_deadline(i64::MAX), i64::MAX);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -5,16 +5,16 @@
 use petrelgauge_policy::*;
 
 #[test]
-fn every_request_ends_once_before_its_client_gives_up() {
+fn every_request_has_one_final_answer_before_its_client_gives_up() {
     for class in 0..6 {
         let mut harness = Harness::new(settings());
         let mut ends = 0;
         let left = 400 * MS;
-        let actions = harness.ask("r", class, left);
-        ends += (refused(&actions) || failed(&actions)) as u32;
+        let actions = harness.send_request("r", class, left);
+        ends += (rejected(&actions) || failed(&actions)) as u32;
         for step in 1..=100 {
-            let actions = harness.wait(5 * MS);
-            if refused(&actions) || failed(&actions) {
+            let actions = harness.advance(5 * MS);
+            if rejected(&actions) || failed(&actions) {
                 ends += 1;
                 assert!(step * 5 * MS < left + 20 * MS, "class {class} ended late");
             }
@@ -25,25 +25,25 @@
 }
 
 #[test]
-fn a_later_attempt_is_ended_by_its_own_time_left() {
+fn a_clients_retry_expires_by_its_own_time_left() {
     let mut harness = Harness::new(settings());
     for n in 0..20 {
         let name = format!("first{n}");
-        let actions = harness.ask(&name, 4, 1_000 * MS);
+        let actions = harness.send_request(&name, 4, 1_000 * MS);
         if let Some(member) = sent_to(&actions) {
-            harness.end_as(&name, 0, member, Ending::Served, None, Some(Role::Primary));
+            harness.report_attempt_with(&name, 0, member, Ending::Served, None, Some(Role::Primary));
         }
     }
-    harness.ask("again", 4, 60 * MS);
+    harness.send_request("again", 4, 60 * MS);
     let ended = (0..12).any(|_| {
-        let actions = harness.wait(5 * MS);
-        failed(&actions) || refused(&actions)
+        let actions = harness.advance(5 * MS);
+        failed(&actions) || rejected(&actions)
     });
     assert!(ended, "the short try outlived its client");
 }
 
 #[test]
-fn an_unsafe_write_is_sent_again_only_if_it_provably_never_ran() {
+fn an_unsafe_write_is_retried_only_if_it_provably_never_ran() {
     let cases = [
         (Ending::Error, false),
         (Ending::TimedOut, false),
@@ -56,10 +56,11 @@
     ];
     for (ending, harmless) in cases {
         let mut harness = Harness::new(settings());
-        let member = sent_to(&harness.ask("w", 4, 900 * MS)).expect("a write is sent to the listed primary");
-        let mut all = harness.end("w", 0, member, ending);
+        let member =
+            sent_to(&harness.send_request("w", 4, 900 * MS)).expect("a write is sent to the listed primary");
+        let mut all = harness.report_attempt("w", 0, member, ending);
         for _ in 0..200 {
-            all.extend(harness.wait(5 * MS));
+            all.extend(harness.advance(5 * MS));
         }
         if harmless {
             // Sent again and left without an answer it must end as failed, else as refused.
@@ -68,116 +69,119 @@
                 again || ending == Ending::ConnectFailed,
                 "{ending:?}: never ran, so it may go out again"
             );
-            assert_eq!((failed(&all), refused(&all)), (again, !again), "{ending:?}");
+            assert_eq!((failed(&all), rejected(&all)), (again, !again), "{ending:?}");
         } else {
             assert_eq!(sends(&all), 0, "{ending:?}: sent again");
-            assert!(failed(&all) && !refused(&all), "{ending:?}: must fail, must not be refused");
+            assert!(failed(&all) && !rejected(&all), "{ending:?}: must fail, must not be refused");
         }
     }
 }
 
 #[test]
-fn a_keyed_write_goes_out_again_only_within_its_window() {
+fn a_keyed_write_is_retried_only_within_its_window() {
     let mut harness = Harness::new(settings());
-    let member = sent_to(&harness.ask("k", 5, 900 * MS)).expect("sent");
+    let member = sent_to(&harness.send_request("k", 5, 900 * MS)).expect("sent");
     harness.now += 100 * MS;
-    let again = harness.end("k", 0, member, Ending::Error);
+    let again = harness.report_attempt("k", 0, member, Ending::Error);
     let mut early = sends(&again);
     let mut late = 0;
     for step in 0..150 {
-        let actions = harness.wait(5 * MS);
+        let actions = harness.advance(5 * MS);
         match 100 * MS + (step + 1) * 5 * MS {
             at if at < 400 * MS => early += sends(&actions),
             _ => late += sends(&actions),
         }
-        assert!(!refused(&actions), "it may have run and its scope is the group: never refused");
+        assert!(!rejected(&actions), "it may have run and its scope is the group: never refused");
     }
     assert!(early > 0, "inside the window it is repeated");
     assert_eq!(late, 0, "outside the window it is not");
 }
 
 #[test]
-fn no_two_attempts_overlap_where_copies_are_barred() {
+fn no_two_attempts_overlap_where_hedging_is_disabled() {
     let mut harness = Harness::new(settings());
-    assert_eq!(sends(&harness.ask("r", 2, 900 * MS)), 1);
+    assert_eq!(sends(&harness.send_request("r", 2, 900 * MS)), 1);
     for _ in 0..50 {
-        assert_eq!(sends(&harness.wait(5 * MS)), 0);
+        assert_eq!(sends(&harness.advance(5 * MS)), 0);
     }
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_member() {
+fn no_new_request_goes_to_a_draining_or_removed_member() {
     for status in [MemberStatus::Draining, MemberStatus::Removed] {
         let mut harness = Harness::new(settings());
         let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
-        harness.play(Event::List { update: Update::Partial, entries: list.into() });
+        harness.step(Event::List { update: Update::Partial, entries: list.into() });
         for n in 0..50 {
-            let actions = harness.ask(&format!("r{n}"), 2, 900 * MS);
+            let actions = harness.send_request(&format!("r{n}"), 2, 900 * MS);
             assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}");
         }
     }
     // A complete list that leaves a member out says the same.
     let mut harness = Harness::new(settings());
-    harness.play(Event::List {
+    harness.step(Event::List {
         update: Update::Complete,
         entries: [entry(1, MemberStatus::Up, true, 0)].into(),
     });
     for n in 0..50 {
-        assert!(matches!(harness.ask(&format!("r{n}"), 2, 900 * MS).as_slice(), a if sent_to(a) != Some(2)));
+        assert!(
+            matches!(harness.send_request(&format!("r{n}"), 2, 900 * MS).as_slice(), a if sent_to(a) != Some(2))
+        );
     }
 }
 
 #[test]
-fn where_only_a_drain_binds_a_member_called_gone_is_used_as_long_as_it_answers() {
+fn with_soft_removal_a_removed_member_is_used_as_long_as_it_answers() {
     // Standard days with a wrong list: running members called gone, or all of them, got no work.
     for complete in [false, true] {
         let mut harness = Harness::new(Settings { soft_removal: true, ..settings() });
         let gone: Vec<Entry> = (1..=3).map(|m| entry(m, MemberStatus::Removed, m == 1, 0)).collect();
-        harness.play(if complete {
+        harness.step(if complete {
             Event::List { update: Update::Complete, entries: [].into() }
         } else {
             Event::List { update: Update::Partial, entries: gone.into() }
         });
         for n in 0..20 {
             let name = format!("g{n}");
-            let member = sent_to(&harness.ask(&name, 2, 900 * MS)).expect("running members keep serving");
-            harness.end(&name, 0, member, Ending::Served);
-            harness.wait(20 * MS);
+            let member =
+                sent_to(&harness.send_request(&name, 2, 900 * MS)).expect("running members keep serving");
+            harness.report_attempt(&name, 0, member, Ending::Served);
+            harness.advance(20 * MS);
         }
         // One that is gone indeed shows by itself, and is left alone.
-        let member = sent_to(&harness.ask("lost", 2, 900 * MS)).expect("sent");
-        harness.end("lost", 0, member, Ending::ConnectFailed);
-        harness.play(Event::Probed { member, ending: Ending::ConnectFailed, report: Report::default() });
+        let member = sent_to(&harness.send_request("lost", 2, 900 * MS)).expect("sent");
+        harness.report_attempt("lost", 0, member, Ending::ConnectFailed);
+        harness.step(Event::Probed { member, ending: Ending::ConnectFailed, report: Report::default() });
         for n in 0..20 {
-            assert_ne!(sent_to(&harness.ask(&format!("h{n}"), 2, 900 * MS)), Some(member));
+            assert_ne!(sent_to(&harness.send_request(&format!("h{n}"), 2, 900 * MS)), Some(member));
         }
     }
 }
 
 #[test]
-fn a_listed_drain_binds_until_a_new_start_whatever_later_lists_say() {
+fn a_listed_drain_holds_until_the_next_start_whatever_later_lists_say() {
     for soft_removal in [false, true] {
         let mut harness = Harness::new(Settings { soft_removal, ..settings() });
         let drain = [entry(2, MemberStatus::Draining, false, 0), entry(3, MemberStatus::Draining, false, 0)];
-        harness.play(Event::List { update: Update::Partial, entries: drain.into() });
+        harness.step(Event::List { update: Update::Partial, entries: drain.into() });
         for status in [MemberStatus::Removed, MemberStatus::Up] {
             let list = [entry(2, status, false, 0), entry(3, status, false, 0)];
-            harness.play(Event::List { update: Update::Partial, entries: list.into() });
+            harness.step(Event::List { update: Update::Partial, entries: list.into() });
             for n in 0..20 {
-                let actions = harness.ask(&format!("{status:?}{n}"), 2, 900 * MS);
+                let actions = harness.send_request(&format!("{status:?}{n}"), 2, 900 * MS);
                 assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}, soft {soft_removal}");
             }
         }
         // A new start lifts it; the old list that comes again does not undo the new start.
         let start = START - 60_000 * MS;
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        harness.play(Event::List { update: Update::Partial, entries: old.into() });
+        harness.step(Event::List { update: Update::Partial, entries: old.into() });
         let up = [entry(2, MemberStatus::Up, false, start)];
-        let mut actions = harness.play(Event::List { update: Update::Partial, entries: up.into() });
+        let mut actions = harness.step(Event::List { update: Update::Partial, entries: up.into() });
         let old = [entry(2, MemberStatus::Draining, false, 0)];
-        actions.extend(harness.play(Event::List { update: Update::Partial, entries: old.into() }));
+        actions.extend(harness.step(Event::List { update: Update::Partial, entries: old.into() }));
         harness.now += 2_000 * MS;
-        actions.extend((0..20).flat_map(|n| harness.ask(&format!("new{n}"), 2, 900 * MS)));
+        actions.extend((0..20).flat_map(|n| harness.send_request(&format!("new{n}"), 2, 900 * MS)));
         let hit = actions.iter().any(|a| matches!(a, Action::Send { member: 2, .. }));
         assert!(hit, "a member that started anew takes work");
     }
@@ -194,13 +198,13 @@
             let mut harness = Harness::empty(settings.clone());
             harness.router = Router::new(settings, seed as u64).expect("sound");
             let cold = entry(1, MemberStatus::Up, true, START - 100 * MS);
-            harness.play(Event::List { update: Update::Complete, entries: [cold].into() });
+            harness.step(Event::List { update: Update::Complete, entries: [cold].into() });
             let step = 50 * MS;
             for n in 0..span / step {
                 let name = format!("r{n}");
-                let actions = harness.ask(&name, 2, 900 * MS);
+                let actions = harness.send_request(&name, 2, 900 * MS);
                 together += harness.serve_all(actions, 20 * MS);
-                let later = harness.wait(step);
+                let later = harness.advance(step);
                 together += harness.serve_all(later, 20 * MS);
             }
         }
@@ -211,47 +215,47 @@
 }
 
 #[test]
-fn where_members_do_not_check_a_read_goes_only_to_data_known_to_be_fresh() {
+fn where_members_serve_stale_reads_a_read_goes_only_to_data_known_to_be_fresh() {
     let mut harness = Harness::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     for n in 0..40 {
-        let actions = harness.ask(&format!("r{n}"), 0, 900 * MS);
+        let actions = harness.send_request(&format!("r{n}"), 0, 900 * MS);
         assert!(!matches!(sent_to(&actions), Some(2 | 3)), "nothing is known of the replicas yet");
     }
 }
 
 #[test]
-fn a_former_primary_that_said_so_gets_no_strong_read_and_no_write() {
+fn a_former_primary_that_denies_it_gets_no_strong_read_and_no_write() {
     let mut harness = Harness::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
-    let member = sent_to(&harness.ask("w", 4, 900 * MS)).expect("sent");
+    let member = sent_to(&harness.send_request("w", 4, 900 * MS)).expect("sent");
     assert_eq!(member, 1);
-    harness.end_as("w", 0, 1, Ending::Rejected, Some(0), Some(Role::Replica));
+    harness.report_attempt_with("w", 0, 1, Ending::Rejected, Some(0), Some(Role::Replica));
     harness.now += 200 * MS;
     for n in 0..10 {
-        assert_ne!(sent_to(&harness.ask(&format!("s{n}"), 3, 900 * MS)), Some(1));
+        assert_ne!(sent_to(&harness.send_request(&format!("s{n}"), 3, 900 * MS)), Some(1));
     }
 }
 
 // Found by the exhaustive models: without a class that reads, the share refused unsent was 0 to the power of 0.
 #[test]
-fn a_deployment_of_writes_alone_is_served() {
+fn a_deployment_with_writes_only_is_served() {
     let set = settings();
     let writes: Vec<Class> = set.classes.iter().filter(|class| class.need == Need::Write).cloned().collect();
     let mut harness = Harness::new(Settings { classes: writes, ..set });
-    assert_eq!(sent_to(&harness.ask("w", 1, 900 * MS)), Some(1));
+    assert_eq!(sent_to(&harness.send_request("w", 1, 900 * MS)), Some(1));
 }
 
 // With nothing out and no attempt left, or behind the window of its key, a request waited for its end and could not be sent.
 #[test]
-fn what_cannot_be_sent_again_is_ended_and_does_not_wait_for_its_time() {
+fn a_request_that_cannot_be_retried_is_finished_at_once() {
     let mut once = settings();
     once.classes.iter_mut().for_each(|class| class.attempts = 1);
     for class in [0, 2, 4, 5] {
         let mut harness = Harness::new(once.clone());
-        let member = sent_to(&harness.ask("r", class, 900 * MS)).expect("sent");
-        let mut all = harness.end("r", 0, member, Ending::Rejected);
-        (0..4).for_each(|_| all.extend(harness.wait(5 * MS)));
+        let member = sent_to(&harness.send_request("r", class, 900 * MS)).expect("sent");
+        let mut all = harness.report_attempt("r", 0, member, Ending::Rejected);
+        (0..4).for_each(|_| all.extend(harness.advance(5 * MS)));
         assert_eq!(
-            (refused(&all), sends(&all)),
+            (rejected(&all), sends(&all)),
             (true, 0),
             "class {class}: it never ran, and may not go out again"
         );
@@ -259,17 +263,17 @@
     let mut many = settings();
     many.classes[5].attempts = 1_000;
     let mut harness = Harness::new(many);
-    let mut next = sent_to(&harness.ask("k", 5, 900 * MS));
+    let mut next = sent_to(&harness.send_request("k", 5, 900 * MS));
     let (mut attempts, mut ended) = (0, None);
     for step in 0..180 {
         let mut actions = Vec::new();
         if let Some(member) = next.take() {
-            actions = harness.end("k", attempts, member, Ending::Error);
+            actions = harness.report_attempt("k", attempts, member, Ending::Error);
             attempts += 1;
         }
-        actions.extend(harness.wait(5 * MS));
+        actions.extend(harness.advance(5 * MS));
         next = sent_to(&actions);
-        assert!(!refused(&actions), "it may have run, and its scope is the group");
+        assert!(!rejected(&actions), "it may have run, and its scope is the group");
         ended = ended.or(failed(&actions).then_some(step * 5));
     }
     assert!(attempts > 1, "inside the window it is repeated");
@@ -282,15 +286,15 @@
 }
 
 #[test]
-fn what_is_known_of_a_members_data_grows_old_while_an_attempt_is_on_its_way() {
+fn a_known_position_grows_stale_while_an_attempt_connects() {
     // Class 0 is bounded by 200 ms.
     let mut harness = Harness::new(unchecked());
-    let taught = sent_to(&harness.ask("t", 2, 900 * MS)).expect("sent");
-    harness.end_as("t", 0, taught, Ending::Served, Some(50 * MS), Some(Role::Replica));
-    harness.wait(5 * MS);
+    let taught = sent_to(&harness.send_request("t", 2, 900 * MS)).expect("sent");
+    harness.report_attempt_with("t", 0, taught, Ending::Served, Some(50 * MS), Some(Role::Replica));
+    harness.advance(5 * MS);
     for n in 0..20 {
         let name: RequestId = format!("r{n}").as_str().into();
-        if sent_to(&harness.ask(&name, 0, 900 * MS)) == Some(taught) {
+        if sent_to(&harness.send_request(&name, 0, 900 * MS)) == Some(taught) {
             let at = harness.now;
             assert!(harness.router.is_fresh(at + 140 * MS, &name, taught));
             assert!(
@@ -304,79 +308,79 @@
 }
 
 #[test]
-fn a_member_that_says_that_it_does_not_lead_is_not_fresh_enough_for_the_newest_data() {
+fn a_member_that_denies_being_primary_is_not_fresh_enough_for_the_newest_data() {
     let mut harness = Harness::new(unchecked());
     let name: RequestId = "strong".into();
-    assert_eq!(sent_to(&harness.ask(&name, 3, 900 * MS)), Some(1));
+    assert_eq!(sent_to(&harness.send_request(&name, 3, 900 * MS)), Some(1));
     assert!(harness.router.is_fresh(harness.now, &name, 1));
-    harness.ask("any", 2, 900 * MS);
-    harness.play(Event::Probed {
+    harness.send_request("any", 2, 900 * MS);
+    harness.step(Event::Probed {
         member: 1,
         ending: Ending::Served,
         report: Report { position: Some(harness.now), role: Some(Role::Replica), ..Report::default() },
     });
     assert!(!harness.router.is_fresh(harness.now, &name, 1));
     // Of a request that is over nothing goes out.
-    harness.play(Event::Abandoned { request: name.clone() });
+    harness.step(Event::Abandoned { request: name.clone() });
     assert!(!harness.router.is_fresh(harness.now, &name, 1));
 }
 
 // Variant dike-log: a request's only attempt was taken for the last of several, which the primary gets. All reads went there.
 #[test]
-fn where_a_request_has_one_attempt_reads_use_the_replicas_and_a_lost_primary_is_sought() {
+fn with_one_attempt_a_request_reads_use_replicas_and_a_lost_primary_is_discovered() {
     let mut once = settings();
     once.classes.iter_mut().for_each(|class| class.attempts = 1);
     let mut harness = Harness::new(once.clone());
     let mut at = [0; 4];
     for n in 0..60 {
         let name = format!("r{n}");
-        if let Some(member) = sent_to(&harness.ask(&name, 2, 900 * MS)) {
+        if let Some(member) = sent_to(&harness.send_request(&name, 2, 900 * MS)) {
             at[member as usize] += 1;
             let role = if member == 1 { Role::Primary } else { Role::Replica };
-            harness.end_as(&name, 0, member, Ending::Served, Some(0), Some(role));
+            harness.report_attempt_with(&name, 0, member, Ending::Served, Some(0), Some(role));
         }
-        harness.wait(20 * MS);
+        harness.advance(20 * MS);
     }
     assert!(at[2] + at[3] >= 20, "{at:?}");
     // Nobody is known to lead: a write finds out.
     let mut harness = Harness::empty(Settings { list_role: ListRole::Absent, ..once });
     let list = (1..=3).map(|m| entry(m, MemberStatus::Up, false, 0)).collect::<Vec<_>>();
-    harness.play(Event::List { update: Update::Complete, entries: list.into() });
-    assert!(sent_to(&harness.ask("w", 5, 900 * MS)).is_some());
+    harness.step(Event::List { update: Update::Complete, entries: list.into() });
+    assert!(sent_to(&harness.send_request("w", 5, 900 * MS)).is_some());
 }
 
 // What is answered counts as known 0.1 s later, also if the answer is lost: one that was taken for the primary may have said
 // meanwhile that it is none.
 #[test]
-fn one_that_leads_is_not_taken_at_its_word_while_an_answer_of_it_may_be_lost() {
+fn a_primary_needs_recent_evidence_while_an_answer_of_it_may_be_lost() {
     let mut harness = Harness::new(unchecked());
-    let first = sent_to(&harness.ask("w", 5, 900 * MS)).expect("sent");
-    harness.end_as("w", 0, first, Ending::Served, Some(0), Some(Role::Primary));
-    assert_eq!((first, sent_to(&harness.ask("out", 5, 900 * MS))), (1, Some(1)));
+    let first = sent_to(&harness.send_request("w", 5, 900 * MS)).expect("sent");
+    harness.report_attempt_with("w", 0, first, Ending::Served, Some(0), Some(Role::Primary));
+    assert_eq!((first, sent_to(&harness.send_request("out", 5, 900 * MS))), (1, Some(1)));
     let name: RequestId = "strong".into();
-    harness.ask(&name, 3, 900 * MS);
+    harness.send_request(&name, 3, 900 * MS);
     let now = harness.now;
     assert!(harness.router.is_fresh(now + 99 * MS, &name, 1));
     assert!(!harness.router.is_fresh(now + 150 * MS, &name, 1), "the write has been out there for longer");
     harness.now += 150 * MS;
-    harness.end_as("out", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
+    harness.report_attempt_with("out", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
     assert!(harness.router.is_fresh(harness.now, &name, 1), "it has spoken since");
 }
 
 // Variant tide-tables, split: the list shows roles as they were at the start of the day, and its old primary came back as a
 // replica: `list host=3 up_since_ms=1796183494291 role=primary`, then reads went there, and were answered from old data.
 #[test]
-fn one_that_started_anew_is_not_taken_for_the_primary_that_the_list_says_it_was() {
+fn a_restarted_member_is_not_taken_for_the_primary_that_a_static_list_names() {
     let strong = |role: ListRole, said: Option<Role>| {
         let mut harness = Harness::new(Settings { list_role: role, ..unchecked() });
         if let Some(said) = said {
             let report = Report { position: Some(harness.now), role: Some(said), ..Report::default() };
-            harness.play(Event::Probed { member: 1, ending: Ending::Served, report });
+            harness.step(Event::Probed { member: 1, ending: Ending::Served, report });
         }
         let again = entry(1, MemberStatus::Up, true, harness.now);
-        harness.play(Event::List { update: Update::Partial, entries: [again].into() });
+        harness.step(Event::List { update: Update::Partial, entries: [again].into() });
         harness.now += 20_000 * MS;
-        sent_to(&harness.ask("strong", 3, 900 * MS))
+        sent_to(&harness.send_request("strong", 3, 900 * MS))
     };
     assert_eq!(strong(ListRole::Static, None), None);
     // A list that follows roles may be right about it, unless it has said itself that it does not lead.
--- a/crates/policy/tests/scan_counts.rs
+++ b/crates/policy/tests/scan_counts.rs
@@ -167,14 +167,14 @@
 }
 
 #[test]
-fn a_cut_zone_is_not_looked_through_with_each_check() {
+fn an_unreachable_zone_is_not_scanned_with_each_check() {
     let few = visits_during_a_cut(FEW_GROUPS);
     let many = visits_during_a_cut(MANY_GROUPS);
     assert!(many.members <= few.members * 5 / 4, "{many:?}, with few groups {few:?}");
 }
 
 #[test]
-fn a_silent_member_is_looked_at_no_more_often_beside_many_groups() {
+fn a_silent_member_is_scanned_no_more_often_beside_many_groups() {
     let visits = |groups| {
         let mut load = Load::new(groups);
         load.run(3 * SECOND);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn only_what_is_in_flight_at_silent_members_is_looked_through_to_cancel_it() {
+fn only_attempts_at_silent_members_are_scanned_for_cancellation() {
     let mut load = Load::new(MANY_GROUPS);
     load.run(3 * SECOND);
     load.is_silent = in_zone_b;
--- a/crates/policy/tests/suspected_groups.rs
+++ b/crates/policy/tests/suspected_groups.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_quiet_group_that_is_well_again_serves_the_next_read() {
+fn a_recovered_group_with_little_traffic_serves_the_next_read() {
     let mut fleet = silent_group();
     set_silent(&mut fleet, false);
     let served = fleet.served;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_quiet_silent_group_is_tried_with_every_read_within_its_attempts() {
+fn a_silent_group_with_little_traffic_is_tried_with_every_read_within_its_attempts() {
     let mut fleet = silent_group();
     let before = sent(&fleet);
     for _ in 0..5 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn one_member_that_is_well_again_is_found_beside_silent_ones() {
+fn one_recovered_member_is_found_beside_silent_ones() {
     for well in 1..=MEMBERS {
         let mut fleet = silent_group();
         if let Some(member) = fleet.members.get_mut(&well) {
@@ -117,21 +117,21 @@
 
 fn answer(harness: &mut Harness, name: &str, attempt: u32, member: MemberId) {
     let role = if member == 1 { Role::Primary } else { Role::Replica };
-    harness.end_as(name, attempt, member, Ending::Served, Some(10 * MS), Some(role));
+    harness.report_attempt_with(name, attempt, member, Ending::Served, Some(10 * MS), Some(role));
 }
 
 /// Asks for a read and waits for as long as it may take. Says where it went, if it was sent.
 fn place(harness: &mut Harness, name: &str, class: usize) -> Option<MemberId> {
-    let mut actions = harness.ask(name, class, READ_TIME);
-    while sent_to(&actions).is_none() && !refused(&actions) {
-        actions = harness.wait(5 * MS);
+    let mut actions = harness.send_request(name, class, READ_TIME);
+    while sent_to(&actions).is_none() && !rejected(&actions) {
+        actions = harness.advance(5 * MS);
     }
     sent_to(&actions)
 }
 
 /// Where members answer reads from old data, a read must not be kept for a trial that it would not be sent to.
 #[test]
-fn a_bounded_read_is_not_kept_for_a_suspected_member_that_may_be_behind() {
+fn a_bounded_read_is_not_spent_on_a_suspected_member_that_may_be_behind() {
     let settings = Settings { may_probe: false, stale_read_policy: StaleReadPolicy::Serve, ..settings() };
     let mut harness = Harness::new(settings);
     let mut lost = 0;
@@ -140,7 +140,7 @@
         match place(&mut harness, &name, READ) {
             Some(2) if n >= 60 => {
                 lost += 1;
-                let retry = harness.end(&name, 0, 2, Ending::ConnectionLost);
+                let retry = harness.report_attempt(&name, 0, 2, Ending::ConnectionLost);
                 sent_to(&retry).into_iter().for_each(|member| answer(&mut harness, &name, 1, member));
             }
             Some(member) => answer(&mut harness, &name, 0, member),
