--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -11,7 +11,7 @@
 use crate::facade::Facade;
 use crate::fleet::leadership::FleetLeadership;
 use crate::fleet::peers::{PeerExchange, PeerOptions};
-use crate::host::pool::HostPool;
+use crate::host::pool::{HostPool, HostPoolOptions};
 use crate::os::clock::Clock;
 use crate::os::datagram::DatagramSocket;
 use crate::os::socket::{self, SocketError};
@@ -119,14 +119,14 @@
 }
 
 fn new_host_pool(config: &Config, dependencies: &Dependencies) -> Rc<HostPool> {
-    HostPool::new(
-        dependencies.clock,
-        dependencies.budget.clone(),
-        dependencies.counters.clone(),
-        dependencies.read_buffer.clone(),
-        config.deployment.connect_timeout(),
-        config.deployment.host_idle_timeout(),
-    )
+    HostPool::new(HostPoolOptions {
+        clock: dependencies.clock,
+        budget: dependencies.budget.clone(),
+        counters: dependencies.counters.clone(),
+        read_buffer: dependencies.read_buffer.clone(),
+        connect_timeout: config.deployment.connect_timeout(),
+        host_idle_timeout: config.deployment.host_idle_timeout(),
+    })
 }
 
 fn peer_options(
--- a/src/control/tasks.rs
+++ b/src/control/tasks.rs
@@ -32,6 +32,6 @@
             clock.sleep_until(clock.now() + SHED_INTERVAL).await;
             host_pool.shed_excess_clients();
         }
-        host_pool.sweep();
+        host_pool.close_expired();
     }
 }
--- a/src/discovery/endpoint_table.rs
+++ b/src/discovery/endpoint_table.rs
@@ -119,7 +119,7 @@
         match row.host_port {
             Some(address) if row.phase != Phase::Removed => {
                 let is_up = row.phase == Phase::Up;
-                self.host_pool.set_endpoint(id, Endpoint { address, started: row.started_at(), up: is_up });
+                self.host_pool.set_endpoint(id, Endpoint { address, started_at: row.started_at(), is_up });
             }
             _ => self.host_pool.remove(id),
         }
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -1,5 +1,4 @@
-//! Input and output of one attempt: connects to the database host, reads its greeting, writes the query and reads the
-//! answer, each as far as the attempt's state asks for.
+//! Input and output of one attempt: connects to the database host, reads its greeting, writes the query and reads the answer.
 
 use crate::facade::Attempt;
 use crate::host::connection::HostConnection;
@@ -19,28 +18,28 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::Hasher;
 
-/// Body of an Authentication message that asks for nothing more (AuthenticationOk).
+/// Body of AuthenticationOk.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-/// The parameter in which a host reports its log position.
+/// The parameter by which a host reports its log position.
 const LOG_POSITION: &str = "log_position";
 
 /// What a step of input or output led to.
 pub(super) enum Progress {
-    /// Something happened that the attempt's state machine has to know.
+    /// An event for the attempt's state machine.
     Event(Event),
-    /// The connection takes bytes: the first of the query can be written.
-    MayBegin,
+    /// The connection is writable: the query can be begun.
+    ReadyToWrite,
 }
 
-/// An attempt's connection, and what has been written and read on it.
+/// The connection of an attempt, and what has been written and read on it.
 pub(super) struct AttemptIo {
     pub(super) connection: Option<HostConnection>,
-    /// The rest of a query of which a part has been written.
+    /// The rest of a query that was written in part.
     unwritten: Option<Box<dyn Buf>>,
-    /// The first write failed for a shortage of this machine: it is repeated after a pause.
-    write_failed_locally: bool,
+    /// The first write failed for lack of local resources. It is repeated after a pause.
+    is_write_delayed: bool,
     pub(super) assembler: AnswerAssembler,
-    /// Bytes of the answer's messages that were taken out of the framer.
+    /// Bytes of the answer that were taken out of the framer.
     answer_bytes: usize,
     answer_hash: DefaultHasher,
     pub(super) reply: Option<Reply>,
@@ -48,12 +47,12 @@
 }
 
 impl AttemptIo {
-    /// On an idle connection, or on none yet.
+    /// For an attempt on this idle connection, or on a new one.
     pub(super) fn new(connection: Option<HostConnection>, memory: MemoryReservation) -> AttemptIo {
         AttemptIo {
             connection,
             unwritten: None,
-            write_failed_locally: false,
+            is_write_delayed: false,
             assembler: AnswerAssembler::default(),
             answer_bytes: 0,
             answer_hash: DefaultHasher::new(),
@@ -62,11 +61,11 @@
         }
     }
 
-    /// Takes the messages of a greeting that were read. None if it goes on.
+    /// Handles the messages of a greeting that were read. None if the greeting is incomplete.
     fn take_greeting(&mut self) -> Option<Event> {
         let Some(connection) = &mut self.connection else { return Some(Event::ConnectionLost) };
         loop {
-            let message = match connection.next() {
+            let message = match connection.next_message() {
                 Ok(Some(message)) => message,
                 Ok(None) => return None,
                 Err(_) => return Some(Event::Malformed),
@@ -78,14 +77,14 @@
                 | message_type::NOTICE_RESPONSE
                 | message_type::NEGOTIATE_PROTOCOL_VERSION => {}
                 message_type::READY_FOR_QUERY => return Some(Event::HostReady),
-                message_type::ERROR_RESPONSE => return Some(self.take_rejection(message)),
+                message_type::ERROR_RESPONSE => return Some(self.on_rejection(message)),
                 _ => return Some(Event::Malformed),
             }
         }
     }
 
-    /// The host rejects the connection with an error.
-    fn take_rejection(&mut self, message: Message) -> Event {
+    /// The host rejected the connection with an error.
+    fn on_rejection(&mut self, message: Message) -> Event {
         let mut assembler = AnswerAssembler::default();
         if assembler.push(message).is_err() {
             return Event::Malformed;
@@ -95,11 +94,11 @@
         end.map_or(Event::ConnectionLost, Event::Rejected)
     }
 
-    /// Takes the messages of an answer that were read. None if it goes on.
+    /// Handles the messages of an answer that were read. None if the answer is incomplete.
     fn take_answer(&mut self) -> Option<Event> {
         let Some(connection) = &mut self.connection else { return Some(Event::ConnectionLost) };
         loop {
-            let message = match connection.next() {
+            let message = match connection.next_message() {
                 Ok(Some(message)) => message,
                 Ok(None) => return None,
                 Err(Event::LongRowBegan) if !self.assembler.awaits_row() => return Some(Event::Malformed),
@@ -115,27 +114,27 @@
         }
     }
 
-    /// The answer is complete: whether it is a copy of the connection's last one shows in their hashes.
+    /// The answer is complete. A duplicate of the connection's last answer is recognized by its hash.
     fn complete_answer(&mut self, reply: Reply) -> Event {
         let Some(connection) = &mut self.connection else { return Event::ConnectionLost };
         let is_row = matches!(reply.answer, Answer::Row(_));
         let reports_position = reply.parameters.iter().any(|(name, _)| name == LOG_POSITION);
         let hash = is_distinguishable(is_row, reports_position).then(|| self.answer_hash.finish());
         let last_hash = std::mem::replace(&mut connection.last_answer_hash, hash);
-        let is_duplicate = is_copy(connection.last_answer_is_recent, last_hash, hash);
+        let is_duplicate = is_copy(connection.is_last_answer_recent, last_hash, hash);
         let end = end_of_reply(&reply);
         self.reply = Some(reply);
         Event::Answered { end, is_duplicate }
     }
 
-    /// The connection ended while an answer was awaited. An error that came before counts as the answer.
-    fn end_of_connection(&mut self) -> Event {
+    /// The connection ended while an answer was awaited. An error that was received before that is the answer.
+    fn on_connection_lost(&mut self) -> Event {
         self.reply = self.assembler.finish();
         let end = self.reply.as_ref().map(end_of_reply);
         end.map_or(Event::ConnectionLost, |end| Event::Answered { end, is_duplicate: false })
     }
 
-    /// Accounts for the bytes that are held. False if that is more than may be.
+    /// Accounts for the bytes that are buffered. Returns whether that many may be.
     fn reserve_memory(&mut self) -> bool {
         let unparsed = self.connection.as_ref().map_or(0, |connection| connection.framer.len());
         self.memory.resize(self.answer_bytes + unparsed)
@@ -143,10 +142,10 @@
 }
 
 impl HostPool {
-    /// Does what the stage of an attempt asks for, until something happens.
+    /// Connects, reads or writes as the state of the attempt requires, until there is an event.
     ///
-    /// Cancel safe: what was connected, written and read is kept in `io`, and a new call goes on from there. Only a
-    /// connect that is under way begins anew.
+    /// Cancel safe: what was connected, written and read is kept in `io`, and the next call continues from there. Only a
+    /// connect in progress is started again.
     pub(super) async fn advance(&self, state: AttemptState, host: MemberId, io: &mut AttemptIo) -> Progress {
         if io.connection.is_none() {
             return Progress::Event(self.open_connection(host, io).await);
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Waits until the query can be begun, or writes the rest of one that has been.
+    /// Waits until the query can be begun, or writes the rest of a query that has been begun.
     async fn write_query(&self, io: &mut AttemptIo) -> Progress {
         let Some(connection) = &io.connection else { return Progress::Event(Event::ConnectionLost) };
         if let Some(rest) = &mut io.unwritten {
@@ -182,21 +181,21 @@
                 Err(_) => Event::ConnectionLost,
             });
         }
-        if io.write_failed_locally {
+        if io.is_write_delayed {
             socket::pause_after_shortage().await;
-            io.write_failed_locally = false;
+            io.is_write_delayed = false;
         }
         match socket::writable(&connection.stream).await {
-            Ok(()) => Progress::MayBegin,
+            Ok(()) => Progress::ReadyToWrite,
             Err(_) => Progress::Event(Event::ConnectionLost),
         }
     }
 
-    /// Writes the first bytes of the query, if the attempt may still be made. Much may have happened while its
-    /// connection came up or did not take bytes; from the clock's reading here to the first byte nothing is waited for.
+    /// Writes the first bytes of the query, if the attempt is still wanted: much may have happened while its connection was
+    /// established or not writable. It does not wait, so that the remaining wait that the query states is exact.
     ///
-    /// None if the attempt's state stays: either the query is written in part, or the connection took no byte and all
-    /// of this is to be done anew.
+    /// Returns none if the attempt continues to write: either the query was written in part, or the connection accepted no
+    /// byte and this is to be called again.
     pub(super) fn begin_query(
         &self,
         exchange: &Exchange,
@@ -220,7 +219,7 @@
             }
             Err(SocketError::WouldBlock) => None,
             Err(SocketError::OwnShortage(_)) => {
-                io.write_failed_locally = true;
+                io.is_write_delayed = true;
                 None
             }
             Err(_) => Some(Event::ConnectionLost),
@@ -232,7 +231,7 @@
         Event::Written
     }
 
-    /// Reads what a host sends before it takes queries.
+    /// Reads the host's greeting up to ReadyForQuery.
     async fn read_greeting(&self, io: &mut AttemptIo) -> Event {
         loop {
             if let Some(event) = io.take_greeting() {
@@ -247,19 +246,19 @@
         }
     }
 
-    /// Reads what a host sends to a query.
+    /// Reads the host's answer to the query.
     async fn read_answer(&self, state: AttemptState, io: &mut AttemptIo) -> Event {
         let mut has_begun = false;
         loop {
             if let Some(event) = io.take_answer() {
                 return event;
             }
-            // Most answers come in one read; only of one that does not it is reported that it has begun.
+            // Most answers come in one read. The beginning is an event of its own only for the others.
             if has_begun {
                 return Event::AnswerBegan;
             }
             if self.read_more(io).await.is_err() {
-                return io.end_of_connection();
+                return io.on_connection_lost();
             }
             if !io.reserve_memory() {
                 return Event::NoMemory;
@@ -274,7 +273,7 @@
     }
 }
 
-/// How an attempt ends that got this reply.
+/// How an attempt with this reply ends.
 fn end_of_reply(reply: &Reply) -> End {
     match &reply.answer {
         Answer::Row(_) => End::Served,
--- a/src/host/connection.rs
+++ b/src/host/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a database host: the messages that come on it, and what the kernel reports of it.
+//! One connection to a database host.
 
 use crate::os::socket::{self, SocketError, Unread};
 use crate::postgres::message_type;
@@ -7,54 +7,53 @@
 use crate::resources::budget::DescriptorSlot;
 use crate::Time;
 use petrelgauge_lifecycle::exchange::Event;
-use petrelgauge_lifecycle::idle_connection::{IdleConnection, SocketState};
+use petrelgauge_lifecycle::idle_connection::SocketState;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Where a host listens and since when it runs. A connection to another address, or to the host before its last start,
-/// is closed.
+/// The address of a host and its last start. Connections to an earlier endpoint of a host are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// When it last started (Unix time, microseconds).
-    pub started: Time,
-    /// It takes new requests: it is listed as up and is not draining.
-    pub up: bool,
+    pub started_at: Time,
+    /// It accepts new requests: it is listed as up and is not draining.
+    pub is_up: bool,
 }
 
-/// A connection that is up. Its descriptor is counted for as long as it lives.
+/// An established connection. Its descriptor is accounted for as long as it lives.
 pub(super) struct HostConnection {
     pub(super) stream: TcpStream,
     pub(super) framer: Framer,
     pub(super) endpoint: Endpoint,
-    /// Hash of the last answer, if only a copy of it can be equal to it.
+    /// Hash of the last answer, if only a duplicate of that answer can have the same hash.
     pub(super) last_answer_hash: Option<u64>,
-    /// The last answer is so recent that a copy of it may still come.
-    pub(super) last_answer_is_recent: bool,
+    /// The last answer is so recent that a duplicate of it may still arrive.
+    pub(super) is_last_answer_recent: bool,
     _slot: DescriptorSlot,
 }
 
 impl HostConnection {
-    /// On a stream that has just been connected.
+    /// The connection on a stream that has just been connected.
     pub(super) fn new(stream: TcpStream, endpoint: Endpoint, slot: DescriptorSlot) -> HostConnection {
         HostConnection {
             stream,
             framer: Framer::default(),
             endpoint,
             last_answer_hash: None,
-            last_answer_is_recent: false,
+            is_last_answer_recent: false,
             _slot: slot,
         }
     }
 
-    /// Takes the next message, if it was read completely.
+    /// Takes the next message; none if it has not been read completely.
     ///
     /// # Errors
     ///
-    /// [`Event::LongRowBegan`] if it is the beginning of a row to be streamed, [`Event::Malformed`] if it is no message of a
-    /// host.
-    pub(super) fn next(&mut self) -> Result<Option<Message>, Event> {
+    /// [`Event::LongRowBegan`] for the beginning of a row that is to be streamed, [`Event::Malformed`] for anything that is no
+    /// message of a host.
+    pub(super) fn next_message(&mut self) -> Result<Option<Message>, Event> {
         match self.framer.kind() {
             Some(kind) if !message_type::SENT_BY_HOSTS.contains(&kind) => Err(Event::Malformed),
             Some(message_type::DATA_ROW) if self.framer.long_row().is_some() => Err(Event::LongRowBegan),
@@ -62,13 +61,8 @@
         }
     }
 
-    /// What the policy for idle connections has to know of it.
-    pub(super) fn idle(&self, since: Time) -> IdleConnection {
-        IdleConnection { since, detects_copies: self.last_answer_hash.is_some() }
-    }
-
-    /// Reads once, `max_bytes` at most, into the framer. The framer bounds what is kept: no message is longer than
-    /// [`MAX_MESSAGE_BYTES`](crate::postgres::MAX_MESSAGE_BYTES). Cancel safe: nothing is read by a call that did not return.
+    /// Reads once, `max_bytes` at most, into the framer, which bounds what is buffered: no message is longer than
+    /// [`MAX_MESSAGE_BYTES`](crate::postgres::MAX_MESSAGE_BYTES). Cancel safe.
     ///
     /// # Errors
     ///
@@ -77,11 +71,11 @@
         loop {
             self.stream.readable().await.map_err(|_| Event::ConnectionLost)?;
             let stream = &self.stream;
-            let once = |bytes: &mut [u8]| {
+            let read_once = |bytes: &mut [u8]| {
                 let length = max_bytes.min(bytes.len());
                 stream.try_read(&mut bytes[..length])
             };
-            match buffer.read(once, Some(&mut self.framer)) {
+            match buffer.read(read_once, Some(&mut self.framer)) {
                 Ok(Some(1..)) => return Ok(()),
                 Ok(None) => {}
                 Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
@@ -90,7 +84,7 @@
         }
     }
 
-    /// What the kernel reports of it while it is idle.
+    /// The state of its socket, as the kernel reports it without reading.
     pub(super) fn socket_state(&self) -> SocketState {
         match socket::unread_on(&self.stream) {
             Unread::Nothing => SocketState::Quiet,
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -1,4 +1,4 @@
-//! What a host says of itself beside an answer: its role, its log position and its load report.
+//! What a host reports about itself with an answer: its role, its log position and its load.
 
 use crate::facade::Outcome;
 use crate::resources::counters::Counters;
@@ -7,9 +7,9 @@
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::verdict;
 
-/// What the decisions learn from an answered attempt. `parameters` are the names and values of the ParameterStatus messages that came
-/// with the answer; a load report that makes no sense is dropped and counted.
-pub(super) fn outcome(end: End, parameters: &[(String, String)], counters: &Counters) -> Outcome {
+/// The outcome of an attempt with an answer. `parameters` are the names and values of the ParameterStatus messages that came
+/// with it. An implausible load report is dropped and counted.
+pub(super) fn parse_outcome(end: End, parameters: &[(String, String)], counters: &Counters) -> Outcome {
     let mut outcome = Outcome::silent(end.as_ending());
     outcome.is_unusable = end == End::Unusable;
     for (name, value) in parameters {
@@ -24,7 +24,7 @@
             "log_position" => {
                 outcome.position = value.parse().ok().and_then(verdict::position_from_millis);
             }
-            "pressure" => match load_report(value) {
+            "pressure" => match parse_load_report(value) {
                 Some(report) => outcome.report = report,
                 None => counters.bad_reports.add(),
             },
@@ -34,14 +34,14 @@
     outcome
 }
 
-/// A load report: names and values, positions as Unix times in seconds. None if it makes no sense.
-fn load_report(text: &str) -> Option<Report> {
-    let pair = |pair: &str| -> Option<(String, f64)> {
+/// Parses a load report: names and values, positions as Unix times in seconds. None if it is malformed or implausible.
+fn parse_load_report(text: &str) -> Option<Report> {
+    let parse_pair = |pair: &str| -> Option<(String, f64)> {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0)?;
         Some((name.trim().to_string(), value))
     };
-    let pairs: Vec<(String, f64)> = text.split(',').map(pair).collect::<Option<_>>()?;
+    let pairs: Vec<(String, f64)> = text.split(',').map(parse_pair).collect::<Option<_>>()?;
     let report = deployment::load_report(0, pairs.iter().map(|(name, value)| (name.as_str(), *value)));
     verdict::is_plausible_report(&report).then_some(report)
 }
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -1,5 +1,4 @@
-//! The database hosts that discovery lists, and the pool of idle connections to them. New connections are made here, and
-//! descriptors are freed for them: idle clients and idle connections are closed in a fixed order.
+//! The pool of connections to the database hosts that discovery lists.
 
 pub use crate::host::connection::Endpoint;
 use crate::host::connection::HostConnection;
@@ -7,7 +6,7 @@
 use crate::os::socket::{self, SocketError};
 use crate::postgres;
 use crate::postgres::read_buffer::ReadBuffer;
-use crate::resources::budget::{Budget, Idleness};
+use crate::resources::budget::Budget;
 use crate::resources::counters::{Counters, Gauge};
 use crate::{MemberId, Time};
 use petrelgauge_lifecycle::connect_timeout::ConnectTimeout;
@@ -18,16 +17,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// While clients are too many, but descriptors are left: how long a client must have been idle to be closed
-/// (microseconds). Its next query may be on its way.
-const EXCESS_CLIENT_IDLE: Time = 100_000;
-/// When no descriptor is left: the same for a client that has asked for nothing yet (microseconds).
-const NEW_CLIENT_IDLE: Time = 20_000;
-/// When no descriptor is left: the same for a client that has been answered (microseconds). It is likely to ask again, so
-/// that connections to hosts are closed before one that was answered later.
-const ANSWERED_CLIENT_IDLE: Time = 1_000_000;
-/// How often a connect is attempted while this machine lacks what it takes (count). Together the pauses are far shorter
-/// than the span that a connection is given to come up.
+/// Connects that are attempted while they fail for lack of local resources (count). The pauses between them are far shorter
+/// than a connect timeout.
 const CONNECT_ATTEMPTS: u32 = 3;
 
 /// An idle connection.
@@ -37,20 +28,36 @@
 }
 
 impl PooledConnection {
+    /// What the idle policy has to know of it.
     fn idle(&self) -> IdleConnection {
-        self.connection.idle(self.idle_since)
+        IdleConnection { since: self.idle_since, detects_copies: self.connection.last_answer_hash.is_some() }
     }
 }
 
 struct Host {
     endpoint: Endpoint,
-    /// The one that became idle last stands last.
+    /// In the order in which they became idle.
     idle: Vec<PooledConnection>,
-    /// Connects in a row that timed out.
-    connect_timeouts: u32,
+    consecutive_connect_timeouts: u32,
 }
 
-/// All database hosts that discovery lists.
+/// What a pool needs.
+pub struct HostPoolOptions {
+    /// The clock.
+    pub clock: Clock,
+    /// Limits on descriptors and memory.
+    pub budget: Rc<Budget>,
+    /// Event counters.
+    pub counters: Rc<Counters>,
+    /// The buffer that all connections read into.
+    pub read_buffer: Rc<ReadBuffer>,
+    /// The longest that a connection may take to be established (microseconds).
+    pub connect_timeout: Time,
+    /// The time after which hosts close idle connections (microseconds).
+    pub host_idle_timeout: Time,
+}
+
+/// The database hosts that discovery lists, and the idle connections to them.
 pub struct HostPool {
     hosts: RefCell<BTreeMap<MemberId, Host>>,
     pub(super) clock: Clock,
@@ -63,69 +70,65 @@
 }
 
 impl HostPool {
-    /// No hosts yet. A connection must come up within `connect_span`; hosts close idle ones after `idle_span` (both
-    /// microseconds).
-    pub fn new(
-        clock: Clock,
-        budget: Rc<Budget>,
-        counters: Rc<Counters>,
-        read_buffer: Rc<ReadBuffer>,
-        connect_span: Time,
-        idle_span: Time,
-    ) -> Rc<HostPool> {
+    /// A pool without hosts.
+    pub fn new(options: HostPoolOptions) -> Rc<HostPool> {
         Rc::new(HostPool {
             hosts: RefCell::new(BTreeMap::new()),
-            clock,
-            budget,
-            counters,
-            read_buffer,
-            connect_timeout: Cell::new(ConnectTimeout::new(connect_span)),
-            idle_policy: Cell::new(IdlePolicy::for_hosts(idle_span)),
+            clock: options.clock,
+            budget: options.budget,
+            counters: options.counters,
+            read_buffer: options.read_buffer,
+            connect_timeout: Cell::new(ConnectTimeout::new(options.connect_timeout)),
+            idle_policy: Cell::new(IdlePolicy::for_hosts(options.host_idle_timeout)),
             open_attempts: Gauge::default(),
         })
     }
 
-    /// New settings: a connection must come up within `connect_span`; hosts close idle ones after `idle_span`.
-    pub fn reconfigure(&self, connect_span: Time, idle_span: Time) {
-        self.connect_timeout.set(self.connect_timeout.get().with_limit(connect_span));
-        self.idle_policy.set(IdlePolicy::for_hosts(idle_span));
+    /// Applies new settings; see [`HostPoolOptions`].
+    pub fn reconfigure(&self, connect_timeout: Time, host_idle_timeout: Time) {
+        self.connect_timeout.set(self.connect_timeout.get().with_limit(connect_timeout));
+        self.idle_policy.set(IdlePolicy::for_hosts(host_idle_timeout));
     }
 
-    /// Discovery lists a host at this endpoint. Idle connections to an earlier one are closed.
+    /// Adds a host or changes its endpoint. Idle connections to an earlier endpoint are closed.
     pub fn set_endpoint(&self, id: MemberId, endpoint: Endpoint) {
         let mut hosts = self.hosts.borrow_mut();
-        let host =
-            hosts.entry(id).or_insert_with(|| Host { endpoint, idle: Vec::new(), connect_timeouts: 0 });
+        let host = hosts.entry(id).or_insert_with(|| Host {
+            endpoint,
+            idle: Vec::new(),
+            consecutive_connect_timeouts: 0,
+        });
         if host.endpoint != endpoint {
-            (host.endpoint, host.connect_timeouts) = (endpoint, 0);
+            host.endpoint = endpoint;
+            host.consecutive_connect_timeouts = 0;
             host.idle.drain(..).for_each(|_| self.counters.ended(End::Retired));
         }
     }
 
-    /// Discovery no longer lists this host. Attempts that are open keep their connections.
+    /// Removes a host that discovery no longer lists. Attempts in flight keep their connections.
     pub fn remove(&self, id: MemberId) {
         let removed = self.hosts.borrow_mut().remove(&id);
         removed.into_iter().flat_map(|host| host.idle).for_each(|_| self.counters.ended(End::Retired));
     }
 
-    /// Discovery no longer lists any but these.
+    /// Removes all hosts that discovery no longer lists.
     pub fn retain_listed(&self, is_listed: &dyn Fn(MemberId) -> bool) {
         let ids: Vec<MemberId> = self.hosts.borrow().keys().copied().collect();
         ids.into_iter().filter(|id| !is_listed(*id)).for_each(|id| self.remove(id));
     }
 
-    /// How many hosts discovery lists.
+    /// Number of hosts that discovery lists.
     pub fn listed_count(&self) -> usize {
         self.hosts.borrow().len()
     }
 
-    /// How many attempts are open.
+    /// Number of attempts in flight.
     pub fn open_attempts(&self) -> usize {
         self.open_attempts.get()
     }
 
-    /// Closes idle connections that are too old or that their host has closed.
-    pub fn sweep(&self) {
+    /// Closes idle connections that have expired or that their host has closed.
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         for host in self.hosts.borrow_mut().values_mut() {
             host.idle.retain(|pooled| {
@@ -137,44 +140,8 @@
         }
     }
 
-    /// Closes idle clients while there are too many. Clients keep their connections, also those that never ask again,
-    /// and with their share of the descriptors full of these nobody else gets through.
-    pub fn shed_excess_clients(&self) {
-        let now = self.clock.now();
-        let shed = |why, span| self.budget.shed_client(why, now - span);
-        for _ in 0..self.budget.excess_clients() {
-            let closed = shed(Idleness::CutOff, EXCESS_CLIENT_IDLE)
-                || shed(Idleness::New, EXCESS_CLIENT_IDLE)
-                || shed(Idleness::Answered, EXCESS_CLIENT_IDLE);
-            if !closed {
-                return;
-            }
-            self.counters.descriptors_freed.add();
-        }
-    }
-
-    /// Closes an idle connection if no descriptor is left for a further one: clients that ask for nothing first. False if
-    /// there is none to close.
-    pub fn ensure_descriptor(&self) -> bool {
-        let (budget, now) = (&self.budget, self.clock.now());
-        let shed = |why, span| budget.shed_client(why, now - span);
-        if !budget.is_exhausted() {
-            return true;
-        }
-        let closed = shed(Idleness::CutOff, 0)
-            || shed(Idleness::New, NEW_CLIENT_IDLE)
-            || shed(Idleness::Answered, ANSWERED_CLIENT_IDLE)
-            || self.close_longest_idle()
-            || shed(Idleness::Answered, 0)
-            || shed(Idleness::New, 0);
-        if closed {
-            self.counters.descriptors_freed.add();
-        }
-        closed
-    }
-
-    /// Closes the connection to a host that has been idle for longest. False if there is none.
-    fn close_longest_idle(&self) -> bool {
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    pub(super) fn close_longest_idle(&self) -> bool {
         let mut hosts = self.hosts.borrow_mut();
         let with_idle = hosts.values_mut().filter(|host| !host.idle.is_empty());
         let Some(host) = with_idle.min_by_key(|host| host.idle[0].idle_since) else { return false };
@@ -183,7 +150,7 @@
         true
     }
 
-    /// Takes an idle connection that may carry a request, if there is one.
+    /// Takes an idle connection that may carry a request, if there is one. Unusable ones that it meets are closed.
     pub(super) fn take_idle(&self, id: MemberId) -> Option<HostConnection> {
         let now = self.clock.now();
         let mut hosts = self.hosts.borrow_mut();
@@ -193,8 +160,8 @@
             let mut pooled = idle.remove(chosen);
             let socket_state = pooled.connection.socket_state();
             match self.idle_policy.get().may_use(now, pooled.idle(), socket_state) {
-                Ok(recent) => {
-                    pooled.connection.last_answer_is_recent = recent;
+                Ok(is_recent) => {
+                    pooled.connection.is_last_answer_recent = is_recent;
                     return Some(pooled.connection);
                 }
                 Err(end) => self.counters.ended(end),
@@ -202,15 +169,16 @@
         }
     }
 
-    /// Whether a host is still at the endpoint that a connection to it has, and takes new requests.
+    /// Whether a host still has this endpoint and accepts new requests.
     pub(super) fn accepts(&self, id: MemberId, endpoint: Endpoint) -> bool {
-        endpoint.up && self.hosts.borrow().get(&id).is_some_and(|host| host.endpoint == endpoint)
+        endpoint.is_up && self.hosts.borrow().get(&id).is_some_and(|host| host.endpoint == endpoint)
     }
 
-    /// Keeps a connection idle, unless its host moved, started again, is draining or is no longer listed.
+    /// Returns a connection to the pool. It is closed if its host moved, restarted, is draining or is no longer listed.
     pub(super) fn put_back(&self, id: MemberId, connection: HostConnection) {
         let mut hosts = self.hosts.borrow_mut();
-        let host = hosts.get_mut(&id).filter(|host| host.endpoint == connection.endpoint && host.endpoint.up);
+        let host =
+            hosts.get_mut(&id).filter(|host| host.endpoint == connection.endpoint && host.endpoint.is_up);
         match (self.idle_policy.get().may_keep(host.is_some()), host) {
             (Ok(()), Some(host)) => {
                 host.idle.push(PooledConnection { idle_since: self.clock.now(), connection });
@@ -219,36 +187,37 @@
         }
     }
 
-    /// The span that a new connection to this host is given to come up.
+    /// The time within which a new connection to this host must be established (microseconds).
     pub(super) fn connect_timeout(&self, id: MemberId) -> Time {
-        let timeouts = self.hosts.borrow().get(&id).map_or(0, |host| host.connect_timeouts);
-        self.connect_timeout.get().timeout(timeouts)
+        let failures = self.hosts.borrow().get(&id).map_or(0, |host| host.consecutive_connect_timeouts);
+        self.connect_timeout.get().timeout(failures)
     }
 
-    /// A new connection to this host came up, greeting included, in this span.
+    /// Records that a new connection to this host was established, greeting included, after `took` microseconds.
     pub(super) fn record_connected(&self, id: MemberId, took: Time) {
         let mut timeout = self.connect_timeout.get();
         timeout.record_connected(took);
         self.connect_timeout.set(timeout);
         if let Some(host) = self.hosts.borrow_mut().get_mut(&id) {
-            host.connect_timeouts = 0;
+            host.consecutive_connect_timeouts = 0;
         }
     }
 
-    /// A new connection to this host did not come up in time: the next is given longer.
+    /// Records that a new connection to this host was not established in time. The next one gets more time.
     pub(super) fn record_connect_timeout(&self, id: MemberId) {
         if let Some(host) = self.hosts.borrow_mut().get_mut(&id) {
-            host.connect_timeouts = host.connect_timeouts.saturating_add(1);
+            host.consecutive_connect_timeouts = host.consecutive_connect_timeouts.saturating_add(1);
         }
     }
 
-    /// Connects to a host and sends the startup message. A call that is cancelled leaves nothing behind.
+    /// Connects to a host and sends the startup message. Cancelling it closes the connection.
     ///
     /// # Errors
     ///
-    /// [`Event::NotConnected`] if nothing went to the host, [`Event::Refused`] if it did not take the connection.
+    /// [`Event::NotConnected`] if no connect was attempted, [`Event::Refused`] if the host did not accept it.
     pub(super) async fn connect(&self, id: MemberId) -> Result<HostConnection, Event> {
-        let endpoint = self.hosts.borrow().get(&id).map(|host| host.endpoint).filter(|endpoint| endpoint.up);
+        let endpoint =
+            self.hosts.borrow().get(&id).map(|host| host.endpoint).filter(|endpoint| endpoint.is_up);
         let endpoint = endpoint.ok_or(Event::NotConnected(End::NoAddress))?;
         if !self.ensure_descriptor() {
             return Err(Event::NotConnected(End::NoDescriptor));
@@ -262,13 +231,13 @@
         let connection = HostConnection::new(stream, endpoint, slot);
         let mut startup = Vec::new();
         postgres::put_startup(&mut startup);
-        // A failure shows when the greeting is read.
+        // If this fails, so does reading the greeting.
         let _ = socket::write_all(&connection.stream, &mut &startup[..]).await;
         Ok(connection)
     }
 }
 
-/// What a failed connect means for its attempt. Only what the host did may count against the host.
+/// The event for a failed connect. Only failures that the host is responsible for may count against it.
 pub fn after_failed_connect(error: &SocketError) -> Event {
     match error {
         SocketError::Unreachable(_) | SocketError::Broken(_) => Event::Refused,
--- a/src/host/streamed_row.rs
+++ b/src/host/streamed_row.rs
@@ -1,9 +1,9 @@
-//! A long row that is passed on from a database host to a client piece by piece. Once its first byte has gone out there
-//! is no retry: either the client gets all of the row, or its connection ends in the middle, which the client can tell.
+//! A long row that is passed on from a database host to a client piece by piece. After its first byte there is no retry:
+//! either the client gets the complete row, or its connection is closed in the middle, which the client notices.
 
 use crate::facade::Outcome;
 use crate::host::connection::HostConnection;
-use crate::host::load_report::outcome;
+use crate::host::load_report::parse_outcome;
 use crate::host::pool::HostPool;
 use crate::os::socket;
 use crate::postgres::read_buffer;
@@ -14,13 +14,13 @@
 use std::rc::Rc;
 use tokio::net::tcp::WriteHalf;
 
-/// Bytes that are read at once: what a row takes of the memory while its client does not read.
+/// Most bytes that are read at once. This bounds the memory of a row whose client reads slowly.
 const PIECE_BYTES: usize = 16 * 1024;
-/// Span in which the host must go on, and the client take something (microseconds). Either may be slow by seconds; one
-/// that vanished must not keep the other's connection for good.
+/// Time within which the host must send something and the client must read something (microseconds). Either may be slow by
+/// seconds; one that has vanished must not hold the other's connection for good.
 const PROGRESS_TIMEOUT: Time = 10_000_000;
 
-/// A row that has begun, and the connection that it comes on.
+/// A row that has begun, and the host connection that it comes on.
 pub struct StreamedRow {
     pool: Rc<HostPool>,
     host: MemberId,
@@ -30,7 +30,7 @@
     remaining_bytes: usize,
 }
 
-/// What follows a row that was passed on.
+/// What the host sent after the row.
 pub struct RowCompletion {
     /// The CommandComplete message, for the client.
     pub command_complete: Bytes,
@@ -49,7 +49,7 @@
         StreamedRow { pool, host, connection, assembler, remaining_bytes }
     }
 
-    /// The parameters that the host has reported before the row.
+    /// The parameters that the host reported before the row.
     pub(super) fn parameters(&self) -> &[(String, String)] {
         self.assembler.parameters()
     }
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Who did not go on: the host ([`End::BrokenSent`], [`End::HostStalled`]) or the client ([`End::ClientLeft`],
+    /// Whose connection broke or stalled: the host's ([`End::BrokenSent`], [`End::HostStalled`]) or the client's ([`End::ClientLeft`],
     /// [`End::ClientStuck`]).
     pub async fn pass_on(&mut self, writer: &mut WriteHalf<'_>) -> Result<(), End> {
         let description = self.assembler.begin_streamed_row();
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// Reads what the host sends behind the row, and gives the connection back.
+    /// Reads what the host sends after the row, and returns the connection to the pool.
     ///
     /// # Errors
     ///
@@ -87,7 +87,7 @@
     pub async fn complete(mut self) -> Result<RowCompletion, End> {
         let reply = self.read_reply().await?;
         let Answer::Row(mut messages) = reply.answer else { return Err(End::HostMalformed) };
-        let outcome = outcome(End::Served, &reply.parameters, &self.pool.counters);
+        let outcome = parse_outcome(End::Served, &reply.parameters, &self.pool.counters);
         let StreamedRow { pool, host, connection, .. } = self;
         if reply.ready && connection.framer.is_empty() {
             pool.put_back(host, connection);
@@ -99,7 +99,7 @@
 
     async fn read_reply(&mut self) -> Result<Reply, End> {
         loop {
-            let message = match self.connection.next() {
+            let message = match self.connection.next_message() {
                 Ok(Some(message)) => message,
                 Ok(None) => {
                     self.read(read_buffer::SIZE).await?;
