--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -166,9 +166,9 @@
         }
     }
 
-    /// Applies an update of the endpoint list: the complete list, or only the changed entries.
-    pub fn update_endpoints(&mut self, complete: bool, entries: Vec<Entry>) {
-        if complete {
+    /// Applies an update of the endpoint list.
+    pub fn update_endpoints(&mut self, update: Update, entries: Vec<Entry>) {
+        if update == Update::Complete {
             self.groups.clear();
             self.listed.clear();
         }
@@ -184,7 +184,6 @@
         }
         self.reported_positions.retain(|id, _| self.listed.contains(id));
         self.request_counts.retain(|group, _| self.groups.contains(group));
-        let update = if complete { Update::Complete } else { Update::Partial };
         self.pending_events.push(Event::List { update, entries: entries.into() });
     }
 
--- a/crates/lifecycle/src/watch.rs
+++ b/crates/lifecycle/src/watch.rs
@@ -7,18 +7,19 @@
 //!
 //! ```
 //! use petrelgauge_lifecycle::watch::WatchState;
+//! use petrelgauge_policy::Update;
 //!
 //! let mut state = WatchState::default();
-//! assert!(state.on_update(7, true) && state.on_update(8, false));
+//! assert!(state.on_update(7, Update::Complete) && state.on_update(8, Update::Partial));
 //! assert_eq!(state.resume_after(), Some(8));
 //! state.on_unusable_line();
-//! assert!(state.on_update(10, false), "usable changes are applied");
+//! assert!(state.on_update(10, Update::Partial), "usable changes are applied");
 //! assert_eq!((state.needs_complete_list(), state.resume_after()), (true, None));
 //! assert!(state.on_complete_list(10));
 //! assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(10)));
 //! ```
 
-use petrelgauge_policy::Time;
+use petrelgauge_policy::{Time, Update};
 
 /// The discovery service writes an empty line every 2 s. A watch without a line for this time (microseconds) is considered
 /// dead. An update has to be known after 6 s, so little of that may be spent on waiting. Bytes that form no line don't
@@ -70,14 +71,14 @@
         self.needs_complete_list = true;
     }
 
-    /// The watch brought an update, either the complete list or changes. Returns whether it is to be applied: changes
-    /// older than earlier ones of the watch are not.
-    pub fn on_update(&mut self, revision: u64, complete: bool) -> bool {
-        if !complete && self.newest_of_watch.is_some_and(|newest| revision < newest) {
+    /// The watch brought an update. Returns whether it is to be applied: changes older than earlier ones of the watch are
+    /// not.
+    pub fn on_update(&mut self, revision: u64, update: Update) -> bool {
+        if update == Update::Partial && self.newest_of_watch.is_some_and(|newest| revision < newest) {
             self.needs_complete_list = true;
             return false;
         }
-        self.set_revision(revision, complete);
+        self.set_revision(revision, update);
         true
     }
 
@@ -88,14 +89,14 @@
         if older && !std::mem::replace(&mut self.last_call_was_older, true) {
             return false;
         }
-        self.set_revision(revision, true);
+        self.set_revision(revision, Update::Complete);
         true
     }
 
-    fn set_revision(&mut self, revision: u64, complete: bool) {
+    fn set_revision(&mut self, revision: u64, update: Update) {
         self.revision = Some(revision);
         self.newest_of_watch = Some(revision);
-        if complete {
+        if update == Update::Complete {
             self.needs_complete_list = false;
             self.last_call_was_older = false;
         }
--- a/crates/lifecycle/tests/outage.rs
+++ b/crates/lifecycle/tests/outage.rs
@@ -3,7 +3,7 @@
 
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
 use petrelgauge_lifecycle::watch::{WatchState, WATCH_TIMEOUT};
-use petrelgauge_policy::Time;
+use petrelgauge_policy::{Time, Update};
 
 const SECOND: Time = 1_000_000;
 /// Updates at the return of the discovery service are to be applied within this time (microseconds).
@@ -48,14 +48,14 @@
 #[test]
 fn a_return_with_old_or_with_new_numbers_is_followed() {
     let mut state = WatchState::default();
-    assert!(state.on_update(41, true));
+    assert!(state.on_update(41, Update::Complete));
     for _ in 0..200 {
         state.on_watch_opened();
         assert_eq!(state.resume_after(), Some(41), "what changed during the outage is asked for");
     }
-    assert!(state.on_update(60, false));
+    assert!(state.on_update(60, Update::Partial));
     // A service that lost its state restarts its numbering, with a complete list.
     state.on_watch_opened();
-    assert!(state.on_update(3, true));
+    assert!(state.on_update(3, Update::Complete));
     assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(3)));
 }
--- a/crates/lifecycle/tests/retries.rs
+++ b/crates/lifecycle/tests/retries.rs
@@ -2,7 +2,7 @@
 
 use petrelgauge_lifecycle::request_table::{AttemptSpec, Outcome, Request, RequestTable, TableCommand};
 use petrelgauge_policy::{
-    Class, Effect, Ending, Entry, MemberStatus, Need, Scope, Settings, Time, RETRY_WINDOW_MARGIN,
+    Class, Effect, Ending, Entry, MemberStatus, Need, Scope, Settings, Time, Update, RETRY_WINDOW_MARGIN,
 };
 
 const SECOND: Time = 1_000_000;
@@ -55,7 +55,7 @@
 fn a_retry_must_be_written_early_enough_that_a_stalled_process_stays_within_the_window() {
     let start = 100 * SECOND;
     let mut table = RequestTable::new(settings(), 7, None).expect("sound settings");
-    table.update_endpoints(true, vec![primary()]);
+    table.update_endpoints(Update::Complete, vec![primary()]);
     table.admit(Request {
         class: 0,
         group: 9,
--- a/crates/lifecycle/tests/watch.rs
+++ b/crates/lifecycle/tests/watch.rs
@@ -1,15 +1,16 @@
 //! The revision of the endpoint list that is in use, and whether the complete list has to be requested.
 
 use petrelgauge_lifecycle::watch::*;
+use petrelgauge_policy::Update;
 
 #[test]
 fn changes_with_a_lower_revision_are_not_used_and_the_complete_list_is_needed() {
     let mut state = WatchState::default();
-    assert!(state.on_update(41, true) && state.on_update(42, false));
-    assert!(!state.on_update(40, false));
+    assert!(state.on_update(41, Update::Complete) && state.on_update(42, Update::Partial));
+    assert!(!state.on_update(40, Update::Partial));
     assert_eq!((state.needs_complete_list(), state.resume_after()), (true, None));
     // A source that restarted its numbering sends the complete list, whatever its revision.
-    assert!(state.on_update(3, true));
+    assert!(state.on_update(3, Update::Complete));
     assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(3)));
 }
 
@@ -17,7 +18,7 @@
 fn a_call_that_was_overtaken_by_the_watch_is_repeated_and_a_source_that_restarted_is_believed() {
     let mut state = WatchState::default();
     state.on_unusable_line();
-    assert!(state.on_update(9, false));
+    assert!(state.on_update(9, Update::Partial));
     assert!(!state.on_complete_list(8));
     assert!(state.needs_complete_list());
     assert!(state.on_complete_list(8), "the same revision twice: it is the source's current one");
@@ -27,11 +28,11 @@
 #[test]
 fn the_complete_list_is_needed_still_after_a_change_of_the_source_and_after_changes() {
     let mut state = WatchState::default();
-    assert!(state.on_update(5, true));
+    assert!(state.on_update(5, Update::Complete));
     state.on_unusable_line();
     state.on_source_changed();
     state.on_watch_opened();
     assert!(state.needs_complete_list() && state.is_first_list());
-    assert!(state.on_update(6, false) && state.needs_complete_list());
-    assert!(state.on_update(7, true) && !state.needs_complete_list());
+    assert!(state.on_update(6, Update::Partial) && state.needs_complete_list());
+    assert!(state.on_update(7, Update::Complete) && !state.needs_complete_list());
 }
--- a/crates/models/src/attempts/apply.rs
+++ b/crates/models/src/attempts/apply.rs
@@ -55,6 +55,6 @@
             Change::BecomesPrimary(member) => entry(member, MemberStatus::Up, true, 0),
             Change::Restarts(member) => entry(member, MemberStatus::Up, false, self.now),
         };
-        self.table.update_endpoints(false, vec![changed]);
+        self.table.update_endpoints(Update::Partial, vec![changed]);
     }
 }
--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -168,7 +168,7 @@
             violated: None,
         };
         let members = vec![entry(1, MemberStatus::Up, true, 0), entry(2, MemberStatus::Up, false, 0)];
-        model.table.update_endpoints(true, members);
+        model.table.update_endpoints(Update::Complete, members);
         (0..model.effects.len()).for_each(|class| model.admit(class, START + wait));
         model.step_router();
         model
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The JSON form of an endpoint list: complete, or only the rows that changed.
 
-use crate::{Entry, MemberId, MemberStatus, Time};
+use crate::{Entry, MemberId, MemberStatus, Time, Update};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -56,6 +56,15 @@
 }
 
 impl EndpointList {
+    /// What its rows stand for.
+    pub(super) fn update(&self) -> Update {
+        if self.complete {
+            Update::Complete
+        } else {
+            Update::Partial
+        }
+    }
+
     /// The first host that is in service and has no address. A list with such a host is rejected.
     pub(super) fn host_without_address(&self) -> Option<&str> {
         let mut rows = self.members.iter();
--- a/src/discovery/endpoint_table.rs
+++ b/src/discovery/endpoint_table.rs
@@ -73,6 +73,7 @@
     /// Puts a list in force.
     pub(super) fn apply(&mut self, mut list: EndpointList, now: Time) {
         let restarted_since = self.remove_outdated_rows(&mut list);
+        let update = list.update();
         let EndpointList { revision, complete, members: rows } = list;
         let entries: Vec<Entry> = rows.iter().map(|row| self.apply_row(row, revision, now)).collect();
         if complete {
@@ -85,7 +86,7 @@
             "endpoint list applied revision={revision} entries={} complete={complete}",
             entries.len()
         );
-        self.facade.update(|table| table.update_endpoints(complete, entries));
+        self.facade.update(|table| table.update_endpoints(update, entries));
     }
 
     /// Removes rows about an earlier run of a host than the latest known one. Returns the numbers of these
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -208,7 +208,7 @@
         if self.watch_state.is_first_list() && !self.endpoint_table.is_empty() {
             log::info!("discovery source changed revision={revision} complete={complete}");
         }
-        if !self.watch_state.on_update(revision, complete) {
+        if !self.watch_state.on_update(revision, list.update()) {
             return Err(ListError::Outdated(revision));
         }
         self.apply(list);
@@ -257,7 +257,7 @@
             log::warn!("initial endpoint list rejected host={host} cause=no_address");
             return;
         }
-        self.watch_state.on_update(list.revision, list.complete);
+        self.watch_state.on_update(list.revision, list.update());
         self.apply(list);
     }
 
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -15,12 +15,12 @@
 fn a_complete_list_replaces_the_known_groups() {
     let simulation = simulation();
     let other = Entry { group: G + 1, ..entry(4, MemberStatus::Up, true, 0) };
-    simulation.facade.update(|table| table.update_endpoints(false, vec![other.clone()]));
+    simulation.facade.update(|table| table.update_endpoints(Update::Partial, vec![other.clone()]));
     assert!(
         simulation.facade.read(|table| table.may_serve_group(G))
             && simulation.facade.read(|table| table.may_serve_group(G + 1))
     );
-    simulation.facade.update(|table| table.update_endpoints(true, vec![other]));
+    simulation.facade.update(|table| table.update_endpoints(Update::Complete, vec![other]));
     assert!(
         !simulation.facade.read(|table| table.may_serve_group(G))
             && simulation.facade.read(|table| table.may_serve_group(G + 1))
@@ -104,6 +104,7 @@
 fn any_group_may_be_served_until_a_list_names_groups() {
     let facade = Facade::new(settings(), 11).expect("sound settings");
     assert!(facade.read(|table| table.may_serve_group(99)), "no list has been received");
-    facade.update(|table| table.update_endpoints(true, vec![entry(1, MemberStatus::Up, true, 0)]));
+    facade
+        .update(|table| table.update_endpoints(Update::Complete, vec![entry(1, MemberStatus::Up, true, 0)]));
     assert!(facade.read(|table| table.may_serve_group(G)) && !facade.read(|table| table.may_serve_group(99)));
 }
--- a/tests/facade_simulation/mod.rs
+++ b/tests/facade_simulation/mod.rs
@@ -47,7 +47,7 @@
         let facade = Facade::with_sessions(settings, 11, tracking).expect("sound settings");
         facade.update(|table| {
             table.update_endpoints(
-                true,
+                Update::Complete,
                 (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
             )
         });
