--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The life of the gateway itself: serving, draining and resuming, graceful shutdown.
+//! The state machine of the gateway process: serving, draining and resuming, graceful shutdown.
 //!
 //! ```text
 //!    +------------Resume------------------+
@@ -11,25 +11,25 @@
 //!
 //! How clients are treated is the [`ServingState`], which follows from the state alone. A drained gateway keeps its
 //! process, its endpoint list and what it has learned, and still accepts new clients; it only asks the load balancer in
-//! front of it (the front) to send none.
+//! front of it to send none.
 //!
-//! After SIGTERM new clients are accepted for a while, since the front learns of the stop with a delay. Idle clients are
-//! closed after that, the others get their answers, and the process ends when no connection and no attempt is left.
+//! After SIGTERM new clients are accepted for a while, since the load balancer learns of the stop with a delay. Idle clients
+//! are closed after that, the others get their answers, and the process ends when no connection and no attempt is left.
 
 use crate::client::Idleness;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// After SIGTERM, and after the command to drain, clients are served as before for this time (microseconds): the front
-/// needs it to notice and to send no more clients.
-pub const FRONT_NOTICE: Time = 450_000;
+/// After SIGTERM, and after the command to drain, clients are served as before for this time (microseconds). The load
+/// balancer needs it to notice and to send no more clients.
+pub const LOAD_BALANCER_NOTICE: Time = 450_000;
 
-/// After SIGTERM the platform leaves a process the longest deadline of its classes, up to this limit, and
-/// [`KILL_DELAY`] more before it is killed (microseconds; as the platform's protocol says).
+/// After SIGTERM the platform's protocol leaves a process the longest deadline of its classes, up to this limit, and
+/// [`KILL_DELAY`] more before it is killed (microseconds).
 const MAX_COUNTED_DEADLINE: Time = 3_000_000;
 /// See [`MAX_COUNTED_DEADLINE`] (microseconds).
 const KILL_DELAY: Time = 700_000;
-/// How long before the kill the last answers are given (microseconds): a machine that is short of processor time takes
-/// some tenths of a second to send them.
+/// How long before the kill the last answers are given (microseconds): a machine with little processor time takes some
+/// tenths of a second to send them.
 const KILL_MARGIN: Time = 250_000;
 
 /// The state of the gateway.
@@ -37,21 +37,21 @@
 pub enum GatewayState {
     /// It serves.
     Serving,
-    /// It is to be drained: the readiness check fails, and clients are served as before.
+    /// It will be drained: the readiness check fails, and clients are served as before.
     DrainAnnounced {
         /// Clock time until which they are.
         until: Time,
     },
     /// Clients are closed as soon as they have their answers.
     Drained,
-    /// It is to stop, and clients are served as before.
+    /// It will stop, and clients are served as before.
     StopAnnounced {
         /// Clock time until which they are.
         until: Time,
     },
     /// No new client is accepted, and idle ones are closed.
     Closing,
-    /// Over.
+    /// The process ends.
     Ended,
 }
 
@@ -61,11 +61,11 @@
     /// They are accepted and served.
     #[default]
     Serving,
-    /// The readiness check (the empty query) fails, all else is as before.
+    /// They are accepted and served, but the readiness check (the empty query) fails.
     Unready,
-    /// The same, and clients are closed as soon as they have their answers.
+    /// The readiness check fails, and clients are closed as soon as they have their answers.
     Draining,
-    /// No new client is accepted either.
+    /// No new client is accepted, and clients are closed as soon as they have their answers.
     Stopped,
 }
 
@@ -80,9 +80,9 @@
 }
 
 impl ServingState {
-    /// Whether the readiness check succeeds, so that the front continues to send clients.
+    /// Whether the readiness check succeeds, so that the load balancer continues to send clients.
     pub fn reports_ready(self) -> bool {
-        // A stop is announced by the platform itself.
+        // During a stop it need not fail: the platform itself tells the load balancer.
         matches!(self, ServingState::Serving | ServingState::Stopped)
     }
 
@@ -106,9 +106,9 @@
         /// The new settings can be used.
         usable: bool,
     },
-    /// The time that [`Gateway::timeout_at`] gave has come.
+    /// The time that [`Gateway::timeout_at`] returned has come.
     Timeout,
-    /// What has not ended yet.
+    /// The gateway checked what has not ended yet.
     Remaining {
         /// Clients' connections, including those that wait to be accepted.
         clients: usize,
@@ -117,7 +117,7 @@
     },
 }
 
-/// What is to be done.
+/// What is to be done after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Nothing.
@@ -132,19 +132,18 @@
     End,
 }
 
-/// Until when messages of clients are read during a stop (clock times).
+/// Clock times until which messages of clients are read during a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadDeadlines {
-    /// Clients that have had no answer: they are read until the last answers are given, so that none is closed without
-    /// one.
+    /// For clients without an answer: they are read until the last answers are given, so that none is closed without one.
     new: Time,
-    /// Clients that have had one. What is read from them has half of the remaining time to be answered: later it would be
-    /// rejected for lack of time, while the client of an unread query sends it again to another gateway.
+    /// For clients that have had an answer. What is read from them has half of the remaining time to be answered. Later it
+    /// would be rejected for lack of time, while the client of an unread query can retry it at another gateway.
     answered: Time,
 }
 
 impl Default for ReadDeadlines {
-    /// No stop: messages are always read.
+    /// Without a stop messages are always read.
     fn default() -> ReadDeadlines {
         ReadDeadlines { new: Time::MAX, answered: Time::MAX }
     }
@@ -152,20 +151,18 @@
 
 impl ReadDeadlines {
     /// The deadline for a client with this idleness.
-    pub fn of(self, why: Idleness) -> Time {
-        match why {
+    pub fn of(self, kind: Idleness) -> Time {
+        match kind {
             Idleness::Answered => self.answered,
             Idleness::New | Idleness::CutOff => self.new,
         }
     }
 }
 
-/// The life of one gateway process.
+/// One gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Gateway {
     state: GatewayState,
-    /// The listening socket for clients outlives this process: those that connect after a stop are accepted by the next
-    /// process.
     sharing: ListenerSharing,
     /// Clock time of the first SIGTERM.
     stopped_at: Option<Time>,
@@ -183,23 +180,23 @@
         Gateway { state: GatewayState::Serving, sharing, stopped_at: None }
     }
 
-    /// The state of the gateway.
+    /// The current state.
     pub fn state(&self) -> GatewayState {
         self.state
     }
 
-    /// Clock time by which every request admitted from now on must be answered, however long its client would wait: the
-    /// process is killed soon after. `longest`: the longest deadline of any class (microseconds).
-    pub fn answer_deadline(&self, longest: Time) -> Time {
-        let limit = longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+    /// Clock time by which every request that is admitted from now on must be answered, however long its client would wait:
+    /// the process is killed soon after. `longest_deadline` is that of any class (microseconds).
+    pub fn answer_deadline(&self, longest_deadline: Time) -> Time {
+        let limit = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         self.stopped_at.map_or(Time::MAX, |at| at + limit)
     }
 
-    /// Until when messages of clients are read. `longest`: the longest deadline of any class (microseconds).
-    pub fn read_deadlines(&self, longest: Time) -> ReadDeadlines {
-        let Some(at) = self.stopped_at else { return ReadDeadlines::default() };
-        let new = self.answer_deadline(longest);
-        ReadDeadlines { new, answered: at + ((new - at) / 2).max(FRONT_NOTICE) }
+    /// Clock times until which messages of clients are read. `longest_deadline` is that of any class (microseconds).
+    pub fn read_deadlines(&self, longest_deadline: Time) -> ReadDeadlines {
+        let Some(stopped_at) = self.stopped_at else { return ReadDeadlines::default() };
+        let new = self.answer_deadline(longest_deadline);
+        ReadDeadlines { new, answered: stopped_at + ((new - stopped_at) / 2).max(LOAD_BALANCER_NOTICE) }
     }
 
     fn is_running(&self) -> bool {
@@ -209,7 +206,7 @@
         )
     }
 
-    /// How clients are to be treated now.
+    /// How clients are treated in the current state.
     pub fn serving_state(&self) -> ServingState {
         match self.state {
             GatewayState::Serving | GatewayState::StopAnnounced { .. } => ServingState::Serving,
@@ -230,55 +227,76 @@
     /// Steps the machine. An event that does not fit the state changes nothing: a second SIGTERM hurries nothing, and a
     /// stopping gateway neither applies new settings nor drains or resumes.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
-        if event == Event::Stop {
-            self.stopped_at.get_or_insert(now);
+        match event {
+            Event::Stop => self.on_stop(now),
+            Event::Drain => self.on_drain(now),
+            Event::Resume => self.on_resume(),
+            Event::Reload { usable } => self.on_reload(usable),
+            Event::Timeout => self.on_timeout(now),
+            Event::Remaining { clients, attempts } => self.on_remaining(clients, attempts),
         }
-        match (self.state, event) {
-            // No client connects any more, or those that do are accepted by the next process.
-            (state, Event::Stop)
-                if state == GatewayState::Drained
-                    || (self.sharing == ListenerSharing::WithSuccessor && self.is_running()) =>
-            {
-                self.state = GatewayState::Closing;
-                Action::ApplyServingState
-            }
-            (GatewayState::Serving | GatewayState::DrainAnnounced { .. }, Event::Stop) => {
-                self.state = GatewayState::StopAnnounced { until: now + FRONT_NOTICE };
-                Action::ApplyServingState
-            }
-            (GatewayState::Serving, Event::Drain) => {
-                self.state = GatewayState::DrainAnnounced { until: now + FRONT_NOTICE };
-                Action::ApplyServingState
-            }
-            (GatewayState::DrainAnnounced { .. } | GatewayState::Drained, Event::Resume) => {
-                self.state = if mutant(Mutant::StaysDrained) { self.state } else { GatewayState::Serving };
-                Action::ApplyServingState
-            }
-            (GatewayState::DrainAnnounced { until }, Event::Timeout) if now >= until => {
-                self.state = GatewayState::Drained;
-                Action::ApplyServingState
+    }
+
+    fn enter(&mut self, state: GatewayState) -> Action {
+        self.state = state;
+        Action::ApplyServingState
+    }
+
+    fn on_stop(&mut self, now: Time) -> Action {
+        self.stopped_at.get_or_insert(now);
+        let is_successor_accepting = self.sharing == ListenerSharing::WithSuccessor && self.is_running();
+        match self.state {
+            // No client connects any more, or a successor process accepts those that do.
+            state if state == GatewayState::Drained || is_successor_accepting => {
+                self.enter(GatewayState::Closing)
             }
-            (
-                GatewayState::Serving | GatewayState::DrainAnnounced { .. } | GatewayState::Drained,
-                Event::Reload { usable },
-            ) => {
-                if usable {
-                    Action::ApplySettings
-                } else {
-                    Action::KeepSettings
-                }
+            GatewayState::Serving | GatewayState::DrainAnnounced { .. } => {
+                self.enter(GatewayState::StopAnnounced { until: now + LOAD_BALANCER_NOTICE })
             }
-            (GatewayState::StopAnnounced { until }, Event::Timeout) if now >= until => {
-                self.state = GatewayState::Closing;
-                Action::ApplyServingState
+            _ => Action::Wait,
+        }
+    }
+
+    fn on_drain(&mut self, now: Time) -> Action {
+        match self.state {
+            GatewayState::Serving => {
+                self.enter(GatewayState::DrainAnnounced { until: now + LOAD_BALANCER_NOTICE })
             }
-            (GatewayState::Closing, Event::Remaining { clients, attempts })
-                if (clients, attempts) == (0, 0) || mutant(Mutant::ExitsWithRequestsInFlight) =>
-            {
-                self.state = GatewayState::Ended;
-                Action::End
+            _ => Action::Wait,
+        }
+    }
+
+    fn on_resume(&mut self) -> Action {
+        match self.state {
+            state @ (GatewayState::DrainAnnounced { .. } | GatewayState::Drained) => {
+                self.enter(if mutant(Mutant::StaysDrained) { state } else { GatewayState::Serving })
             }
             _ => Action::Wait,
         }
     }
+
+    fn on_reload(&self, is_usable: bool) -> Action {
+        match is_usable {
+            _ if !self.is_running() => Action::Wait,
+            true => Action::ApplySettings,
+            false => Action::KeepSettings,
+        }
+    }
+
+    fn on_timeout(&mut self, now: Time) -> Action {
+        match self.state {
+            GatewayState::DrainAnnounced { until } if now >= until => self.enter(GatewayState::Drained),
+            GatewayState::StopAnnounced { until } if now >= until => self.enter(GatewayState::Closing),
+            _ => Action::Wait,
+        }
+    }
+
+    fn on_remaining(&mut self, clients: usize, attempts: usize) -> Action {
+        let is_idle = (clients, attempts) == (0, 0) || mutant(Mutant::ExitsWithRequestsInFlight);
+        if self.state != GatewayState::Closing || !is_idle {
+            return Action::Wait;
+        }
+        self.state = GatewayState::Ended;
+        Action::End
+    }
 }
--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -1,4 +1,4 @@
-//! Commands of the operators' address: what a line asks for, and the reply.
+//! Commands of the operators' address: parsing, execution and replies.
 //!
 //! One line per connection, one line back: `YES` or `NO` and a short reason. Commands change the gateway only through
 //! [`Event`]; they are idempotent, and a repeated one gets the reply that suits the state it finds.
@@ -8,17 +8,17 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Longest line of a caller, without its end (bytes).
+/// Longest line of a caller, without its line end (bytes).
 pub const MAX_LINE_BYTES: usize = 64;
 /// Time within which a caller's line must be complete (microseconds).
 pub const LINE_TIMEOUT: Time = 3_000_000;
-/// Concurrent callers (count). A further one replaces the one that has waited longest.
+/// Most concurrent callers (count). A further one replaces the one that has waited longest.
 pub const MAX_CALLERS: usize = 16;
 
-/// What a caller asks for.
+/// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// Readiness check: whether the gateway can serve.
+    /// Check whether the gateway can serve.
     Ready,
     /// Drain all clients.
     Drain,
@@ -40,11 +40,11 @@
     TimedOut,
 }
 
-/// Parses a line without its end.
+/// Parses a line without its line end.
 ///
 /// # Errors
 ///
-/// The line is too long or no command.
+/// Fails if the line is too long or no command.
 pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
     match line.trim_ascii() {
         _ if line.len() > MAX_LINE_BYTES => Err(CommandError::TooLong),
@@ -55,7 +55,7 @@
     }
 }
 
-/// What is known of the conditions for serving.
+/// What readiness depends on besides the state of the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KnownState {
     /// Hosts in the endpoint list.
@@ -71,7 +71,7 @@
 /// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// `YES`.
+    /// Whether it says `YES`.
     pub yes: bool,
     /// A short reason for the operator.
     pub reason: String,
@@ -89,8 +89,17 @@
     }
 }
 
-/// Executes a command on the gateway: the reply, and what the caller has to do.
-pub fn execute(gateway: &mut Gateway, now: Time, command: Command, known: KnownState) -> (Reply, Action) {
+/// What came of a command.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Execution {
+    /// The reply to the operator.
+    pub reply: Reply,
+    /// What the gateway has to do.
+    pub action: Action,
+}
+
+/// Executes a command on the gateway.
+pub fn execute(gateway: &mut Gateway, now: Time, command: Command, known: KnownState) -> Execution {
     let before = gateway.state();
     let action = match command {
         Command::Ready => Action::Wait,
@@ -108,10 +117,10 @@
         (Command::Resume, GatewayState::Serving) => (true, "at work already".into()),
         (Command::Resume, _) => (true, "back at work".into()),
     };
-    (Reply { yes, reason }, action)
+    Execution { reply: Reply { yes, reason }, action }
 }
 
-/// Whether a serving gateway is ready: it has hosts, and their list is no older than necessary.
+/// Whether a serving gateway is ready, and the reason: it needs hosts, and a list that is no older than necessary.
 fn ready(now: Time, known: KnownState) -> (bool, String) {
     let KnownState { hosts, list_received, accept_initial_list_at, version } = known;
     match (hosts, list_received) {
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,4 +1,4 @@
-//! The life of a client's request: it has exactly one final answer, and the first event that ends it decides which.
+//! The state machine of a client's request. It has exactly one final answer, and the first event that ends it decides which.
 //!
 //! An answer that a host gave takes precedence over what the router decides, and both over the client's disconnecting: the
 //! caller steps [`RequestState`] with the events in that order when it learns of several at a time.
@@ -8,26 +8,26 @@
 /// What happens to a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The router has an attempt made.
+    /// The router decided on an attempt.
     AttemptStarted,
     /// The attempt ended.
     AttemptEnded {
         /// The host's answer is the final answer of the request.
         answered: bool,
     },
-    /// The router rejects it.
+    /// The router rejected it.
     Rejected {
         /// How long the client should wait before it retries (microseconds).
         wait: Time,
     },
-    /// The router gives it up: it failed.
+    /// The router gave it up: it failed.
     Failed,
     /// The client cancelled it.
     Cancelled,
     /// The client disconnected.
     Disconnected,
-    /// Its connection or the process is about to end, and the time for an answer before that is over.
-    GracePeriodOver,
+    /// Its connection or the process is about to end, and the time for an answer before that has expired.
+    GracePeriodExpired,
 }
 
 /// The final answer of a request.
@@ -42,7 +42,7 @@
     },
     /// It failed, and may have run.
     Failed,
-    /// Its client cancelled it, and is notified of that.
+    /// Its client cancelled it, and gets an error.
     Cancelled,
     /// Its client no longer waits for an answer.
     Abandoned,
@@ -52,8 +52,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestState {
     attempt_in_flight: bool,
-    /// An attempt was made.
-    attempted: bool,
+    was_attempted: bool,
     ended: Option<FinalAnswer>,
 }
 
@@ -69,7 +68,10 @@
             return None;
         }
         match event {
-            Event::AttemptStarted => (self.attempt_in_flight, self.attempted) = (true, true),
+            Event::AttemptStarted => {
+                self.attempt_in_flight = true;
+                self.was_attempted = true;
+            }
             Event::AttemptEnded { answered } => {
                 self.attempt_in_flight = false;
                 self.ended = answered.then_some(FinalAnswer::HostAnswer);
@@ -79,8 +81,8 @@
             Event::Cancelled => self.ended = Some(FinalAnswer::Cancelled),
             Event::Disconnected => self.ended = Some(FinalAnswer::Abandoned),
             // It may have had an effect only if it was attempted.
-            Event::GracePeriodOver if self.attempted => self.ended = Some(FinalAnswer::Failed),
-            Event::GracePeriodOver => self.ended = Some(FinalAnswer::Rejected { wait: 0 }),
+            Event::GracePeriodExpired if self.was_attempted => self.ended = Some(FinalAnswer::Failed),
+            Event::GracePeriodExpired => self.ended = Some(FinalAnswer::Rejected { wait: 0 }),
         }
         self.ended
     }
--- a/crates/lifecycle/tests/backoff.rs
+++ b/crates/lifecycle/tests/backoff.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_hundred_gateways_get_through_to_a_service_that_a_fixed_pause_keeps_overloaded() {
+fn backoff_gets_a_hundred_gateways_through_where_a_fixed_pause_keeps_overloading() {
     let fixed = |_: &mut Backoff| FIRST_MEAN;
     assert_eq!(all_through(100, fixed), None, "all of them at once, each time");
     let jittered = |one: &mut Backoff| one.pause(Cause::Rejected);
@@ -38,7 +38,7 @@
 
 // An update must be known after 6 s and applied 2 s later. A watch times out after 3 s.
 #[test]
-fn two_silent_watches_in_a_row_are_over_before_an_update_must_be_applied_in_a_fleet_of_any_size() {
+fn two_silent_watches_time_out_before_an_update_is_due_in_any_fleet() {
     let worst = |gateways, seed| {
         let mut one = Backoff::new(gateways, seed);
         2 * 3_000_000 + one.pause(Cause::Lost) + one.pause(Cause::Lost)
@@ -50,7 +50,7 @@
 
 // With a pause of up to 1.6 s, 0.4 s would be left for the connection and the first line.
 #[test]
-fn however_long_calls_were_unanswered_a_pause_leaves_time_to_apply_the_updates_at_the_return() {
+fn a_pause_after_any_outage_leaves_time_to_apply_updates() {
     for seed in 0..50 {
         let mut one = Backoff::new(300, seed);
         let pauses: Vec<Time> = (0..40).map(|_| one.pause(Cause::Lost)).collect();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_success_begins_anew() {
+fn a_success_resets_the_backoff() {
     let mut backoff = Backoff::new(1, 3);
     for _ in 0..20 {
         backoff.pause(Cause::Lost);
--- a/crates/lifecycle/tests/gateway.rs
+++ b/crates/lifecycle/tests/gateway.rs
@@ -1,7 +1,7 @@
 //! The times by which a stopping gateway answers and reads.
 
 use petrelgauge_lifecycle::client::Idleness;
-use petrelgauge_lifecycle::gateway::{Event, Gateway, ListenerSharing, ReadDeadlines, FRONT_NOTICE};
+use petrelgauge_lifecycle::gateway::{Event, Gateway, ListenerSharing, ReadDeadlines, LOAD_BALANCER_NOTICE};
 use petrelgauge_policy::Time;
 
 #[test]
@@ -21,7 +21,7 @@
         let reads = gateway.read_deadlines(longest);
         assert_eq!((reads.of(Idleness::New), reads.of(Idleness::CutOff)), (by, by));
         let answered = reads.of(Idleness::Answered);
-        assert!(answered >= 5 * second + FRONT_NOTICE, "{answered}");
+        assert!(answered >= 5 * second + LOAD_BALANCER_NOTICE, "{answered}");
         assert!(answered <= by - (by - 5 * second) / 4, "{answered}");
         gateway.on(6 * second, Event::Stop);
         assert_eq!(gateway.answer_deadline(longest), by);
--- a/crates/lifecycle/tests/idle_connection.rs
+++ b/crates/lifecycle/tests/idle_connection.rs
@@ -7,7 +7,7 @@
 const IDLE_SPAN: Time = 30_000_000;
 
 #[test]
-fn a_connection_that_its_host_closed_or_reset_is_never_used_and_counts_as_closed_while_idle() {
+fn a_connection_closed_by_its_host_is_never_reused() {
     let policy = IdlePolicy::for_hosts(IDLE_SPAN);
     for since in [0, SETTLE, COPY_WINDOW, policy.span, policy.span + 1] {
         for detects_copies in [false, true] {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_connection_that_is_quiet_is_used_for_its_span() {
+fn a_quiet_connection_is_reused_within_its_idle_timeout() {
     let policy = IdlePolicy::for_hosts(IDLE_SPAN);
     let connection = IdleConnection { since: 0, detects_copies: false };
     assert_eq!(policy.may_use(COPY_WINDOW - 1, connection, SocketState::Quiet), Ok(true));
--- a/crates/lifecycle/tests/ops.rs
+++ b/crates/lifecycle/tests/ops.rs
@@ -1,13 +1,15 @@
 //! Commands of the operators' address: parsing, answers and their effect on the gateway.
 
-use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, GatewayState, ServingState, FRONT_NOTICE};
+use petrelgauge_lifecycle::gateway::{
+    Action, Event, Gateway, GatewayState, ServingState, LOAD_BALANCER_NOTICE,
+};
 use petrelgauge_lifecycle::ops::*;
 use petrelgauge_policy::Time;
 
 const KNOWN: KnownState = KnownState { hosts: 3, list_received: true, accept_initial_list_at: 0, version: 1 };
 
 fn accepted(gateway: &mut Gateway, now: Time, command: Command) -> bool {
-    execute(gateway, now, command, KNOWN).0.yes
+    execute(gateway, now, command, KNOWN).reply.yes
 }
 
 #[test]
@@ -26,15 +28,18 @@
     let mut gateway = Gateway::default();
     assert!(accepted(&mut gateway, 0, Command::Resume), "at work already");
     assert!(accepted(&mut gateway, 0, Command::Drain) && !accepted(&mut gateway, 1, Command::Ready));
-    assert_eq!((gateway.serving_state(), gateway.timeout_at()), (ServingState::Unready, Some(FRONT_NOTICE)));
+    assert_eq!(
+        (gateway.serving_state(), gateway.timeout_at()),
+        (ServingState::Unready, Some(LOAD_BALANCER_NOTICE))
+    );
     // The second command does not put off the first one's end.
-    assert!(accepted(&mut gateway, FRONT_NOTICE / 2, Command::Drain));
-    assert_eq!(gateway.timeout_at(), Some(FRONT_NOTICE));
-    assert_eq!(gateway.on(FRONT_NOTICE, Event::Timeout), Action::ApplyServingState);
+    assert!(accepted(&mut gateway, LOAD_BALANCER_NOTICE / 2, Command::Drain));
+    assert_eq!(gateway.timeout_at(), Some(LOAD_BALANCER_NOTICE));
+    assert_eq!(gateway.on(LOAD_BALANCER_NOTICE, Event::Timeout), Action::ApplyServingState);
     assert_eq!((gateway.serving_state(), gateway.timeout_at()), (ServingState::Draining, None));
     assert!(
-        accepted(&mut gateway, FRONT_NOTICE, Command::Drain)
-            && !accepted(&mut gateway, FRONT_NOTICE, Command::Ready)
+        accepted(&mut gateway, LOAD_BALANCER_NOTICE, Command::Drain)
+            && !accepted(&mut gateway, LOAD_BALANCER_NOTICE, Command::Ready)
     );
     assert!(
         accepted(&mut gateway, 9_000_000, Command::Resume)
@@ -55,10 +60,10 @@
 }
 
 #[test]
-fn it_is_ready_with_listed_hosts_or_after_a_wait_with_the_initial_list() {
+fn readiness_needs_listed_hosts_and_a_received_list_or_a_wait() {
     let ready = |now, hosts, list_received| {
         let known = KnownState { hosts, list_received, accept_initial_list_at: 100, version: 1 };
-        execute(&mut Gateway::default(), now, Command::Ready, known).0.yes
+        execute(&mut Gateway::default(), now, Command::Ready, known).reply.yes
     };
     assert!(!ready(0, 0, true) && !ready(200, 0, false), "nobody to send to");
     assert!(ready(0, 1, true));
--- a/crates/lifecycle/tests/outage.rs
+++ b/crates/lifecycle/tests/outage.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_first_call_behind_an_outage_of_minutes_comes_in_time_in_a_fleet_of_any_size() {
+fn the_first_call_after_a_long_outage_comes_in_time_in_any_fleet() {
     for gateways in [1, 20, 300, 900, 10_000] {
         for seed in 0..40 {
             for returns in [61, 75, 90, 600].map(|seconds| seconds * SECOND + seed as Time * 37_003) {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_return_with_old_or_with_new_numbers_is_followed() {
+fn a_service_returning_with_old_or_new_revisions_is_followed() {
     let mut state = WatchState::default();
     assert!(state.on_update(41, Update::Complete));
     for _ in 0..200 {
--- a/crates/lifecycle/tests/read_ahead.rs
+++ b/crates/lifecycle/tests/read_ahead.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn reading_pauses_at_the_bound_of_messages_and_goes_on_when_one_is_taken() {
+fn reading_pauses_at_the_message_bound_and_resumes_when_one_is_dequeued() {
     let mut ahead = queued(MAX_QUEUED, 100, 1_000);
     assert_eq!(ahead.allowance(), 0);
     assert!(!ahead.may_queue());
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn reading_pauses_at_the_bound_of_bytes() {
+fn reading_pauses_at_the_byte_bound() {
     let mut ahead = queued(2, MAX_BYTES / 2, 1_000);
     assert_eq!(ahead.allowance(), 0);
     ahead.on_taken(MAX_BYTES / 2);
@@ -34,43 +34,43 @@
 }
 
 #[test]
-fn what_is_read_without_a_pause_came_now() {
+fn bytes_read_without_a_pause_arrived_now() {
     let mut ahead = queued(1, 100, 1_000);
     ahead.on_read(9_000, 100, 65_536);
-    assert_eq!(ahead.arrived(), 9_000);
+    assert_eq!(ahead.arrived_at(), 9_000);
 }
 
 #[test]
-fn what_is_read_after_a_pause_may_have_come_at_its_beginning() {
+fn bytes_read_after_a_pause_may_have_arrived_when_it_began() {
     let mut ahead = queued(MAX_QUEUED, 100, 1_000);
     ahead.pause();
     ahead.on_taken(100);
     ahead.on_read(9_000, 100, 65_536);
-    assert_eq!(ahead.arrived(), 1_000);
+    assert_eq!(ahead.arrived_at(), 1_000);
     // That read left nothing behind: what comes next came after it.
     ahead.pause();
     ahead.on_read(12_000, 100, 65_536);
-    assert_eq!(ahead.arrived(), 9_000);
+    assert_eq!(ahead.arrived_at(), 9_000);
 }
 
 #[test]
-fn what_a_read_leaves_behind_came_no_later_than_what_it_took() {
+fn bytes_left_by_a_read_arrived_no_later_than_it_returned() {
     let mut ahead = ReadAhead::new();
     ahead.on_read(1_000, 65_536, 65_536);
     assert!(ahead.is_behind());
     ahead.on_read(7_000, 65_536, 65_536);
-    assert_eq!(ahead.arrived(), 1_000);
+    assert_eq!(ahead.arrived_at(), 1_000);
     ahead.on_read(8_000, 10, 65_536);
-    assert_eq!(ahead.arrived(), 1_000);
+    assert_eq!(ahead.arrived_at(), 1_000);
     assert!(!ahead.is_behind());
     ahead.on_read(9_000, 10, 65_536);
-    assert_eq!(ahead.arrived(), 9_000);
+    assert_eq!(ahead.arrived_at(), 9_000);
 }
 
 proptest! {
     /// Whatever comes, no more than the bound waits, and a connection with nothing queued may always read on.
     #[test]
-    fn bounds_hold_and_reading_never_stops_for_good(steps in prop::collection::vec((1usize..70_000, any::<bool>()), 1..200)) {
+    fn bounds_hold_and_reading_always_resumes(steps in prop::collection::vec((1usize..70_000, any::<bool>()), 1..200)) {
         const LONGEST: usize = MAX_BYTES / 2;
         let (mut ahead, mut queue, mut uncut) = (ReadAhead::new(), Vec::new(), 0usize);
         for (now, (size, take)) in steps.into_iter().enumerate() {
--- a/crates/lifecycle/tests/watch.rs
+++ b/crates/lifecycle/tests/watch.rs
@@ -4,7 +4,7 @@
 use petrelgauge_policy::Update;
 
 #[test]
-fn changes_with_a_lower_revision_are_not_used_and_the_complete_list_is_needed() {
+fn an_update_with_a_lower_revision_is_dropped_and_the_complete_list_needed() {
     let mut state = WatchState::default();
     assert!(state.on_update(41, Update::Complete) && state.on_update(42, Update::Partial));
     assert!(!state.on_update(40, Update::Partial));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_call_that_was_overtaken_by_the_watch_is_repeated_and_a_source_that_restarted_is_believed() {
+fn an_outdated_complete_list_is_requested_again_and_then_applied() {
     let mut state = WatchState::default();
     state.on_unusable_line();
     assert!(state.on_update(9, Update::Partial));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_complete_list_is_needed_still_after_a_change_of_the_source_and_after_changes() {
+fn the_complete_list_stays_needed_after_a_source_change_and_partial_updates() {
     let mut state = WatchState::default();
     assert!(state.on_update(5, Update::Complete));
     state.on_unusable_line();
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -177,7 +177,7 @@
     /// When the last bytes of an incomplete message were received, if there is one. While reading is paused for lack of
     /// memory this is now, since the client is not to blame for the delay.
     pub(super) fn partial_at(&self) -> Option<Time> {
-        let at = if self.may_read() { self.ahead.last_read() } else { self.clock.now() };
+        let at = if self.may_read() { self.ahead.last_read_at() } else { self.clock.now() };
         self.has_partial_message().then_some(at)
     }
 
@@ -240,7 +240,7 @@
             match self.framer.message() {
                 Ok(Some(message)) => {
                     self.ahead.on_queued(memory_of(&message), self.framer.len());
-                    self.queue.push_back(QueuedMessage { message, arrived_at: self.ahead.arrived() });
+                    self.queue.push_back(QueuedMessage { message, arrived_at: self.ahead.arrived_at() });
                 }
                 Ok(None) => break,
                 Err(malformed) => self.fail(malformed.into()),
--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -81,9 +81,9 @@
                 biased;
                 event = open.next_event() => event,
                 () = &mut cancelled => Event::Cancelled,
-                () = final_answer_deadline(&context) => Event::GracePeriodOver,
+                () = final_answer_deadline(&context) => Event::GracePeriodExpired,
                 end = self.reader.disconnected() => if self.reader.is_failed_with(end) {
-                    Event::GracePeriodOver
+                    Event::GracePeriodExpired
                 } else {
                     disconnected_as = end;
                     Event::Disconnected
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -12,7 +12,7 @@
 use petrelgauge::Time;
 use petrelgauge_handover::Reservation;
 use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, GatewayState, ServingState};
-use petrelgauge_lifecycle::ops::{self, KnownState};
+use petrelgauge_lifecycle::ops::{self, Execution, KnownState};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -139,7 +139,8 @@
             accept_initial_list_at: self.initial_list_deadline,
             version: self.settings_version(),
         };
-        let (reply, action) = ops::execute(&mut self.lifecycle, self.clock.now(), command.command, known);
+        let Execution { reply, action } =
+            ops::execute(&mut self.lifecycle, self.clock.now(), command.command, known);
         if action == Action::ApplyServingState {
             log::info!("command executed command={:?} answer={}", command.command, reply.reason);
         }
