--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -1,6 +1,7 @@
-//! Models `attempt`, `primary` and `request_table`: requests in the gateway's own request table and router, each attempt with its
-//! own state machine; the clients, the hosts, the endpoint list and the time belong to the model. Time passes in granules;
-//! the router's commands at each are executed at once, and everything else happens in every order between two of them.
+//! Models `attempt`, `primary` and `request_table`: requests in the gateway's own request table and router,
+//! each attempt with its own state machine; the clients, the hosts, the endpoint list and the time belong to
+//! the model. Time passes in granules; the router's commands at each are executed at once, and everything
+//! else happens in every order between two of them.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -25,8 +26,8 @@
 const START: Time = 1_000_000_000;
 /// A draining member gets nothing new after this time (microseconds).
 const DRAIN_GRACE: Time = GRANULE;
-/// The window of a payment's idempotency key (microseconds): retries are recognized for this long after the first attempt
-/// that may have run.
+/// The window of a payment's idempotency key (microseconds): retries are recognized for this long after the
+/// first attempt that may have run.
 const KEY_WINDOW: Time = 1_000_000;
 /// Attempts for one request at most (count).
 const MAX_ATTEMPTS: usize = 3;
--- a/crates/models/src/check.rs
+++ b/crates/models/src/check.rs
@@ -7,27 +7,27 @@
 use std::time::Instant;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// One state of a model: the gateway's own code, and the world around it.
+/// The state of a model: the gateway's own code and its environment.
 pub trait World: Clone + Debug + Send + Sync + 'static {
-    /// A step that can come next.
+    /// A step from one state to the next.
     type Step: Clone + Debug + PartialEq + Send + Sync + Hash + 'static;
 
-    /// The properties that are checked, in plain words.
+    /// The properties that are checked, as sentences.
     const PROPERTIES: &'static [&'static str];
 
-    /// Every step that can come next; none if the run is over.
+    /// All possible next steps; none at the end of a run.
     fn steps(&self) -> Vec<Self::Step>;
 
-    /// Takes a step.
+    /// Changes the state by a step.
     fn apply(&mut self, step: &Self::Step);
 
-    /// The step in plain words, for the trace of a run.
+    /// Describes a step, for the trace of a run.
     fn describe(&self, step: &Self::Step) -> String;
 
-    /// The property that is violated in this state, if one is.
+    /// The property that is violated in this state, if any.
     fn violated(&self) -> Option<&'static str>;
 
-    /// The property that is violated if the run is over in this state.
+    /// The property that is violated if the run ends in this state, if any.
     fn violated_at_end(&self) -> Option<&'static str> {
         None
     }
@@ -59,11 +59,12 @@
     }
 }
 
-struct Checked<W> {
+/// Adapts a [`World`] to the model checker.
+struct CheckedModel<W> {
     start: W,
 }
 
-impl<W: World> Model for Checked<W> {
+impl<W: World> Model for CheckedModel<W> {
     type State = State<W>;
     type Action = W::Step;
 
@@ -72,7 +73,7 @@
     }
 
     fn actions(&self, state: &State<W>, actions: &mut Vec<W::Step>) {
-        // After a violation nothing is of interest.
+        // A run ends at its first violation.
         if state.world.violated().is_none() {
             actions.extend(state.world.steps());
         }
@@ -84,39 +85,42 @@
         Some(State::new(world))
     }
 
-    fn properties(&self) -> Vec<Property<Checked<W>>> {
-        vec![Property::always("sound", |_, state: &State<W>| violation(&state.world).is_none())]
+    fn properties(&self) -> Vec<Property<CheckedModel<W>>> {
+        vec![Property::always(NO_VIOLATION, |_, state: &State<W>| violation(&state.world).is_none())]
     }
 }
 
+/// Name of the only property that the checker knows: no property of the model is violated.
+const NO_VIOLATION: &str = "no violation";
+
 /// The result of a model.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Distinct states.
+    /// Number of distinct states.
     pub unique: usize,
-    /// All states, including those that were reached again.
+    /// Number of states, including those reached more than once.
     pub states: usize,
-    /// Steps of the longest run.
+    /// Number of steps of the longest run.
     pub depth: usize,
-    /// How long it took (milliseconds).
+    /// Duration of the exploration (milliseconds).
     pub took_ms: u128,
-    /// The properties, in plain words.
+    /// The properties that were checked.
     pub properties: Vec<&'static str>,
-    /// The one that was violated, if one was.
+    /// The property that was violated, if any.
     pub violated: Option<&'static str>,
-    /// The shortest run that violates it, in plain words.
+    /// Descriptions of the steps of a shortest run that violates it.
     pub trace: Vec<String>,
-    /// The same run as steps, for a replay.
+    /// Names of the same steps, for a replay.
     pub path: Vec<String>,
 }
 
 impl Report {
-    /// Whether every state was visited, or a violation ended the search.
-    pub fn complete(&self) -> bool {
+    /// Whether all states were explored, or a violation ended the search.
+    pub fn is_complete(&self) -> bool {
         self.violated.is_some() || self.states < MAX_STATES
     }
 
-    /// As JSON.
+    /// The report as JSON. Its keys are read by replays of older reports.
     pub fn json(&self) -> Value {
         json!({
             "unique_states": self.unique, "states": self.states, "depth": self.depth,
@@ -126,15 +130,16 @@
     }
 }
 
-/// Explores every run from this state, or replays the one whose steps `path` names.
+/// Explores all runs from this state, or replays the one whose steps are named in `path`, unless that is
+/// empty.
 pub fn check<W: World>(start: W, path: &[String]) -> Report {
     if !path.is_empty() {
         return replay(start, path);
     }
-    let began = Instant::now();
-    let checker = Checked { start: start.clone() }
+    let started_at = Instant::now();
+    let checker = CheckedModel { start: start.clone() }
         .checker()
-        .threads(threads())
+        .threads(thread_count())
         .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join();
@@ -145,27 +150,27 @@
         properties: W::PROPERTIES.to_vec(),
         ..Report::default()
     };
-    if let Some(found) = checker.discovery("sound") {
+    if let Some(found) = checker.discovery(NO_VIOLATION) {
         let actions: Vec<W::Step> = found.into_actions();
         let names: Vec<String> = actions.iter().map(|step| format!("{step:?}")).collect();
         let replayed = replay(start, &names);
         (report.violated, report.trace, report.path) = (replayed.violated, replayed.trace, replayed.path);
     }
-    report.took_ms = began.elapsed().as_millis();
+    report.took_ms = started_at.elapsed().as_millis();
     report
 }
 
-/// States (count) after which the search is ended because the model is too large: such a report proves nothing.
+/// Number of states after which the search is stopped. Such a report proves nothing.
 const MAX_STATES: usize = 5_000_000;
 
-/// Threads of the checker at most (count).
+/// Maximum number of threads of the checker.
 const MAX_THREADS: usize = 4;
 
-fn threads() -> usize {
+fn thread_count() -> usize {
     std::thread::available_parallelism().map_or(1, |count| count.get().min(MAX_THREADS))
 }
 
-/// Replays one run. Each step is named by its debug text, as in the file of a report.
+/// Replays one run. Steps are named by their debug representation, as in reports.
 fn replay<W: World>(mut world: W, path: &[String]) -> Report {
     let mut report = Report { properties: W::PROPERTIES.to_vec(), ..Report::default() };
     for name in path {
@@ -182,8 +187,15 @@
     report
 }
 
-/// The property that is violated in this state, if one is.
+/// The property that is violated in this state, if any, including those of the end of a run.
 fn violation<W: World>(world: &W) -> Option<&'static str> {
-    let is_over = || world.steps().is_empty();
-    world.violated().or_else(|| if is_over() { world.violated_at_end() } else { None })
+    if let Some(property) = world.violated() {
+        return Some(property);
+    }
+    let is_at_end = world.steps().is_empty();
+    if is_at_end {
+        world.violated_at_end()
+    } else {
+        None
+    }
 }
--- a/crates/models/src/connection/apply.rs
+++ b/crates/models/src/connection/apply.rs
@@ -5,7 +5,8 @@
 use petrelgauge_lifecycle::exchange::Event;
 use petrelgauge_lifecycle::idle_connection::is_copy;
 
-/// How long before the attempt's deadline a late answer begins (microseconds): less than the time limit of an answer.
+/// How long before the attempt's deadline a late answer begins (microseconds): less than the time limit of an
+/// answer.
 const LATE_MARGIN: Time = 100_000;
 
 impl Connections {
@@ -125,7 +126,8 @@
     }
 }
 
-/// The hash of an answer, as the gateway remembers it: only if it has a position, so that a copy can be recognized.
+/// The hash of an answer, as the gateway remembers it: only if it has a position, so that a copy can be
+/// recognized.
 fn answer_hash(request: u8, has_position: bool) -> Option<u64> {
     has_position.then_some(u64::from(request) + 1)
 }
--- a/crates/models/src/connection/attempt.rs
+++ b/crates/models/src/connection/attempt.rs
@@ -1,5 +1,5 @@
-//! The gateway's side of the model: it chooses a connection for each request, steps the attempt, and disposes of the
-//! connection as the state machines say. The properties are checked here.
+//! The gateway's side of the model: it chooses a connection for each request, steps the attempt, and disposes
+//! of the connection as the state machines say. The properties are checked here.
 
 use super::*;
 use crate::coverage::record_transition;
--- a/crates/models/src/connection/mod.rs
+++ b/crates/models/src/connection/mod.rs
@@ -1,6 +1,6 @@
-//! Model `connection`: requests one after the other to one host, on connections that are reused. The state machines of
-//! an attempt and of an idle connection are the gateway's own code; the host, the kernel and the bytes in transit belong to
-//! the model.
+//! Model `connection`: requests one after the other to one host, on connections that are reused. The state
+//! machines of an attempt and of an idle connection are the gateway's own code; the host, the kernel and the
+//! bytes in transit belong to the model.
 //!
 //! | file | concern |
 //! | --- | --- |
--- a/crates/models/src/connection/steps.rs
+++ b/crates/models/src/connection/steps.rs
@@ -65,7 +65,8 @@
         }
         if let Some(written) = connection.written {
             let age = self.now - written.at;
-            // Surplus bytes follow an answer within the settling time; a copy that can be recognized may come later.
+            // Surplus bytes follow an answer within the settling time; a copy that can be recognized may come
+            // later.
             let copy_window = if written.has_position { COPY_WINDOW } else { SETTLE };
             if age < copy_window {
                 steps.push(Step::DuplicateAnswer);
--- a/crates/models/src/coverage.rs
+++ b/crates/models/src/coverage.rs
@@ -1,5 +1,5 @@
-//! Which transitions of an attempt's state machine the models take. All that exist are found by stepping the machine with
-//! every event in every state, before its time limits and at them.
+//! Which transitions of an attempt's state machine the models take. All existing ones are found by stepping
+//! the machine with every event in every state, before its time limits and at them.
 
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::{AttemptState, Event, Exchange};
@@ -7,32 +7,49 @@
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 
+/// Transitions taken by the models of this process.
 static TAKEN: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
-fn name(before: AttemptState, event: Event, after: AttemptState) -> Option<String> {
-    let variant = |text: String| text.split([' ', '{', '(']).next().unwrap_or("").to_string();
+/// Name of a transition; `None` if the state has not changed.
+fn transition_name(before: AttemptState, event: Event, after: AttemptState) -> Option<String> {
+    let variant_name = |text: String| text.split([' ', '{', '(']).next().unwrap_or("").to_string();
     let state = |state: AttemptState| match state {
         AttemptState::Ended(end) => format!("{end:?}"),
-        other => variant(format!("{other:?}")),
+        other => variant_name(format!("{other:?}")),
     };
     let event = match event {
         Event::Answered { is_duplicate: true, .. } => "Answered, a copy".to_string(),
-        other => variant(format!("{other:?}")),
+        other => variant_name(format!("{other:?}")),
     };
     (before != after).then(|| format!("{} --{event}--> {}", state(before), state(after)))
 }
 
-/// Records that a model has stepped an attempt.
+/// Records a step of an attempt in a model.
 pub fn record_transition(before: AttemptState, event: Event, after: AttemptState) {
-    if let (Some(name), Ok(mut taken)) = (name(before, event, after), TAKEN.lock()) {
+    if let (Some(name), Ok(mut taken)) = (transition_name(before, event, after), TAKEN.lock()) {
         taken.insert(name);
     }
 }
 
-/// All transitions of the machine, and those of them that no model has taken in this process.
-pub fn transitions() -> (BTreeSet<String>, Vec<String>) {
-    let (now, by, until): (Time, Time, Time) = (1_000, 200_000, 900_000);
-    let path = [Event::Connected, Event::HostReady, Event::Written, Event::AnswerBegan];
+/// Transitions of an attempt's state machine, by name.
+pub struct TransitionCoverage {
+    /// All of them.
+    pub all: BTreeSet<String>,
+    /// Those that no model of this process has taken.
+    pub missing: Vec<String>,
+}
+
+/// Compares the transitions taken so far with all existing ones.
+pub fn transition_coverage() -> TransitionCoverage {
+    let all = all_transitions();
+    let taken = TAKEN.lock().map(|taken| taken.clone()).unwrap_or_default();
+    let missing = all.difference(&taken).cloned().collect();
+    TransitionCoverage { all, missing }
+}
+
+fn all_transitions() -> BTreeSet<String> {
+    let (started_at, connect_by, deadline): (Time, Time, Time) = (1_000, 200_000, 900_000);
+    let path_to_answer = [Event::Connected, Event::HostReady, Event::Written, Event::AnswerBegan];
     let answered = |is_duplicate| Event::Answered { end: End::Served, is_duplicate };
     let events = [
         Event::Connected,
@@ -53,18 +70,16 @@
         Event::Timeout,
     ];
     let mut all = BTreeSet::new();
-    for reached in 0..=path.len() {
+    for reached in 0..=path_to_answer.len() {
         for event in events {
-            for at in [now, by, now + 400_000, until] {
-                let mut one = Exchange::connecting(by, until);
-                path[..reached].iter().for_each(|event| one.on(now, *event));
-                let before = one.state();
-                one.on(at, event);
-                all.extend(name(before, event, one.state()));
+            for at in [started_at, connect_by, started_at + 400_000, deadline] {
+                let mut exchange = Exchange::connecting(connect_by, deadline);
+                path_to_answer[..reached].iter().for_each(|event| exchange.on(started_at, *event));
+                let before = exchange.state();
+                exchange.on(at, event);
+                all.extend(transition_name(before, event, exchange.state()));
             }
         }
     }
-    let taken = TAKEN.lock().map(|taken| taken.clone()).unwrap_or_default();
-    let missing = all.difference(&taken).cloned().collect();
-    (all, missing)
+    all
 }
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -1,9 +1,9 @@
 //! Exhaustive models: every order of events in small cases, executed on the code that runs in the gateway.
 //!
-//! A model adds a world to that code: clients, hosts, an endpoint list, time. For each state it lists every step that could
-//! come next; the checker takes them all, breadth first, so that the first violation is found with a shortest run. The
-//! state machines of attempts and connections, the request table with the real router, and the session tracker are cloned
-//! with each state. Two states are the same if all that the code and the world contain has the same 128-bit hash.
+//! A model adds an environment to that code: clients, hosts, an endpoint list, time. For each state it lists
+//! every possible next step. The checker explores all of them breadth first, so that the first violation
+//! comes with a shortest run. The gateway's own code is part of the state and cloned with it. Two states are
+//! the same if everything in code and environment has the same 128-bit hash.
 //!
 //! | file | model |
 //! | --- | --- |
@@ -15,15 +15,18 @@
 //! | `ownership.rs` | acceptors, candidates and a fence: model `ownership` |
 //! | `placement.rs` | which acceptor should hold which shard: model `placement` |
 //! | `quota.rs` | quotas lent and granted: model `shares` |
-//! | `coverage.rs` | the transitions that the models take, of those that exist |
-//! | `check.rs` | the checker, its report, and the replay of a run |
+//! | `coverage.rs` | which transitions of an attempt's state machine the models take |
+//! | `fleet_settings.rs` | settings of leases for the models of leadership |
+//! | `check.rs` | the checker, its report, and the replay of a single run |
 //!
-//! The injected bugs of [`petrelgauge_policy::Mutant`] are compiled in for this crate only.
+//! The faults of [`petrelgauge_policy::Mutant`], which can be injected into the gateway's code, are compiled
+//! in for this crate only.
 
 pub mod attempts;
 pub mod check;
 pub mod connection;
 pub mod coverage;
+mod fleet_settings;
 pub mod ownership;
 pub mod placement;
 pub mod quota;
@@ -37,20 +40,22 @@
 /// The size of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Size {
-    /// For CI.
+    /// Small enough for CI.
     Small,
-    /// Minutes on four cores.
+    /// Takes minutes on four cores.
     Large,
 }
 
-/// A model by name.
+/// A model.
 pub struct ModelEntry {
     /// Its name.
     pub name: &'static str,
     /// What it explores.
     pub description: &'static str,
-    /// Explores all runs if the path is empty, else replays that one run.
+    /// Explores all runs, or replays one if its path is given.
     pub run: fn(Size, &[String]) -> Report,
+    /// The injected faults that it has to detect.
+    pub detects: &'static [Mutant],
 }
 
 /// All models.
@@ -59,101 +64,117 @@
         name: "attempt",
         description: "one payment, two members, three attempts, one drain; time-out against late answer",
         run: attempts::attempt,
+        detects: &[
+            Mutant::DrainIgnored,
+            Mutant::RetriedAfterKeyWindow,
+            Mutant::RetryWrittenLate,
+            Mutant::ResetCountsAsUnsent,
+            Mutant::UnwantedHedge,
+            Mutant::RejectedAsRetryable,
+            Mutant::RejectedAfterAnswer,
+        ],
     },
     ModelEntry {
         name: "primary",
-        description: "a payment and a bounded read, two members, one a stale primary; one list change, one host restart",
+        description: "a payment and a bounded read, two members, one a stale primary; \
+                      one list change, one host restart",
         run: attempts::primary,
+        detects: &[],
     },
     ModelEntry {
         name: "request_table",
-        description: "a write that must not run twice and a read; outcome, rejection, abandonment, cancellation in every order",
+        description: "a write that must not run twice and a read; \
+                      outcome, rejection, abandonment, cancellation in every order",
         run: attempts::request_table,
+        detects: &[Mutant::UnsafeRetried, Mutant::SentAfterDeadline, Mutant::CancellationUnreported],
     },
     ModelEntry {
         name: "connection",
-        description: "one host, requests one after the other; reuse, idle close, unexpected bytes, copies, stalls, age limit",
+        description: "one host, requests one after the other; \
+                      reuse, idle close, unexpected bytes, copies, stalls, age limit",
         run: connection::run,
+        detects: &[
+            Mutant::ReportedBeforeClose,
+            Mutant::StallLimitBeforeAnswer,
+            Mutant::UnreadConnectionPooled,
+            Mutant::UnexpectedBytesReused,
+            Mutant::DuplicateAnswerAccepted,
+            Mutant::StreamingConnectionPooled,
+            Mutant::ExpiredConnectionReused,
+        ],
     },
     ModelEntry {
         name: "stop",
-        description: "SIGTERM, drain, resume and reloads while clients connect, send queries, wait and leave",
+        description: "SIGTERM, drain, resume and reloads \
+                      while clients connect, send queries, wait and leave",
         run: stop::run,
+        detects: &[
+            Mutant::ClosedBeforeAnswer,
+            Mutant::ClosedUnread,
+            Mutant::ExitsWithRequestsInFlight,
+            Mutant::StaysDrained,
+        ],
     },
     ModelEntry {
         name: "rules",
         description: "three changes of settings while two requests are admitted, stay open and end",
         run: rules::run,
+        detects: &[Mutant::ClassIndexReused],
     },
     ModelEntry {
         name: "ownership",
-        description: "three acceptors, two candidates; messages lost, late and duplicated, one restart, a stalled lease holder",
+        description: "three acceptors, two candidates; \
+                      messages lost, late and duplicated, one restart, a stalled lease holder",
         run: ownership::run,
+        detects: &[
+            Mutant::SilentPeriodSkipped,
+            Mutant::PromiseForgotten,
+            Mutant::GrantHidden,
+            Mutant::LeaseEndIncluded,
+            Mutant::TermNotRaised,
+            Mutant::MinorityEnough,
+            Mutant::LeaseFromAnswer,
+            Mutant::OldRoundRenews,
+            Mutant::FenceReversed,
+            Mutant::GrantExpiresEarly,
+            Mutant::LateAnswerAccepted,
+        ],
     },
     ModelEntry {
         name: "shares",
-        description: "two lease holders, a lender to both, two borrowers; reports and grants lost or late, one restart",
+        description: "two lease holders, a lender to both, two borrowers; \
+                      reports and grants lost or late, one restart",
         run: quota::run,
+        detects: &[
+            Mutant::LoanForgotten,
+            Mutant::LentTwice,
+            Mutant::LoanCountedFromArrival,
+            Mutant::GrantUsedFromArrival,
+            Mutant::GrantReturnedEarly,
+        ],
     },
     ModelEntry {
         name: "placement",
-        description: "three acceptors, three shards of a role; acceptors stop and start, heartbeats are lost",
+        description: "three acceptors, three shards of a role; \
+                      acceptors stop and start, heartbeats are lost",
         run: placement::run,
+        detects: &[
+            Mutant::ShardKept,
+            Mutant::PrefersItself,
+            Mutant::AbsenceIgnored,
+            Mutant::YieldedAtOnce,
+            Mutant::PresenceGapIgnored,
+        ],
     },
     ModelEntry {
         name: "marks",
         description: "two instances, one session; messages lost, late and out of order, one restart",
         run: watermarks::run,
+        detects: &[
+            Mutant::MergeTakesNewer,
+            Mutant::WatermarkLossForgotten,
+            Mutant::BroadcastGapIgnored,
+            Mutant::StaleAnswerDelivered,
+        ],
     },
 ];
-
-/// The name of the model that has to find an injected bug.
-pub fn model_for(bug: Mutant) -> &'static str {
-    match bug {
-        Mutant::DrainIgnored
-        | Mutant::RetriedAfterKeyWindow
-        | Mutant::RetryWrittenLate
-        | Mutant::ResetCountsAsUnsent
-        | Mutant::UnwantedHedge
-        | Mutant::RejectedAsRetryable
-        | Mutant::RejectedAfterAnswer => "attempt",
-        Mutant::UnsafeRetried | Mutant::SentAfterDeadline | Mutant::CancellationUnreported => "request_table",
-        Mutant::ReportedBeforeClose
-        | Mutant::StallLimitBeforeAnswer
-        | Mutant::UnreadConnectionPooled
-        | Mutant::UnexpectedBytesReused
-        | Mutant::DuplicateAnswerAccepted
-        | Mutant::StreamingConnectionPooled
-        | Mutant::ExpiredConnectionReused => "connection",
-        Mutant::ClosedBeforeAnswer
-        | Mutant::ClosedUnread
-        | Mutant::ExitsWithRequestsInFlight
-        | Mutant::StaysDrained => "stop",
-        Mutant::ClassIndexReused => "rules",
-        Mutant::SilentPeriodSkipped
-        | Mutant::PromiseForgotten
-        | Mutant::GrantHidden
-        | Mutant::LeaseEndIncluded
-        | Mutant::TermNotRaised
-        | Mutant::MinorityEnough
-        | Mutant::LeaseFromAnswer
-        | Mutant::OldRoundRenews
-        | Mutant::FenceReversed
-        | Mutant::GrantExpiresEarly
-        | Mutant::LateAnswerAccepted => "ownership",
-        Mutant::LoanForgotten
-        | Mutant::LentTwice
-        | Mutant::LoanCountedFromArrival
-        | Mutant::GrantUsedFromArrival
-        | Mutant::GrantReturnedEarly => "shares",
-        Mutant::ShardKept
-        | Mutant::PrefersItself
-        | Mutant::AbsenceIgnored
-        | Mutant::YieldedAtOnce
-        | Mutant::PresenceGapIgnored => "placement",
-        Mutant::MergeTakesNewer
-        | Mutant::WatermarkLossForgotten
-        | Mutant::BroadcastGapIgnored
-        | Mutant::StaleAnswerDelivered => "marks",
-    }
-}
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -1,8 +1,10 @@
-//! Model `ownership`: three acceptors, two candidates, one role; messages lost, late and duplicated, one restart of an
-//! acceptor, a lease holder that stalls. Acceptor, candidate and fence are the gateway's own code. Time passes only where
-//! the model says so: a candidate whose deadline has passed and that does not run is stalled.
+//! Model `ownership`: three acceptors, two candidates, one role; messages lost, late and duplicated, one
+//! restart of an acceptor, a lease holder that stalls. Acceptor, candidate and fence are the gateway's own
+//! code. Time passes only where the model says so: a candidate whose deadline has passed and that does not
+//! run is stalled.
 
 use crate::check::{check, Report, World};
+use crate::fleet_settings::{settings, LEASE};
 use crate::Size;
 use petrelgauge_ownership::{
     Acceptor, Action, Candidate, Fence, LeadershipRole, LeaseRequest, LeaseResponse, Settings, Term,
@@ -15,7 +17,6 @@
     "no effect under an older term is admitted after one under a newer, and none under a newer is rejected";
 
 const ROLE: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
-const LEASE: Time = 8_000;
 const ACCEPTORS: u16 = 3;
 
 /// A step of the model.
@@ -150,7 +151,8 @@
         self.waits = faults.waits + more;
     }
 
-    /// All acceptors receive the request; two responses arrive, the third one and a duplicate of the first are late.
+    /// All acceptors receive the request; two responses arrive, the third one and a duplicate of the first
+    /// are late.
     fn double(&mut self, who: usize, pair: [u16; 2]) {
         self.may_be_late -= 1;
         let (request, responses) = self.reaches(who, pair);
@@ -302,14 +304,6 @@
 
 /// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
-    let settings = |me| Settings {
-        self_id: me,
-        gateways: 3,
-        acceptors: vec![0, 1, 2],
-        lease: LEASE,
-        drift_bound: 0.0,
-        max_delay: 1_000,
-    };
     // Acceptors past their silence, and candidates that may prepare at once.
     let now = 100_000;
     let silence = settings(0).startup_silence();
--- a/crates/models/src/placement.rs
+++ b/crates/models/src/placement.rs
@@ -1,6 +1,6 @@
-//! Model `placement`: three acceptors and three shards of a role; acceptors go and come back, heartbeats are lost, time
-//! passes. Each acceptor's placement is the gateway's own code; the model records who holds a shard as leases would: one at a
-//! time, and a holder that yields or stops leaves it free.
+//! Model `placement`: three acceptors and three shards of a role; acceptors go and come back, heartbeats are
+//! lost, time passes. Each acceptor's placement is the gateway's own code; the model records who holds a
+//! shard as leases would: one at a time, and a holder that yields or stops leaves it free.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -14,7 +14,8 @@
 const ACCEPTORS: usize = 3;
 const SHARDS: u16 = 3;
 const LEASE: Time = 1_000;
-/// Leases (count) after which each shard has its holder: the old one is absent, the new one campaigns and wins.
+/// Leases (count) after which each shard has its holder: the old one is absent, the new one campaigns and
+/// wins.
 const SETTLED: u8 = 6;
 /// Half leases (count) after which an acceptor that is up may take back its shards.
 const STAYED: u8 = 4;
@@ -53,7 +54,8 @@
 }
 
 impl Fleet {
-    /// Half a lease passes: heartbeats are exchanged, but for those of the `lost` acceptor, and shards change hands.
+    /// Half a lease passes: heartbeats are exchanged, but for those of the `lost` acceptor, and shards change
+    /// hands.
     fn pass(&mut self, lost: Option<usize>) {
         self.now += LEASE / 2;
         for from in 0..ACCEPTORS {
--- a/crates/models/src/quota.rs
+++ b/crates/models/src/quota.rs
@@ -1,18 +1,18 @@
-//! Model `shares`: two gateways that both act as the lease holder of the quotas, each with one gateway that borrows from
-//! it, and one gateway that lends to both; reports and grants are lost or late, and the lender restarts once. `Quota` and
-//! `QuotaPool` are the gateway's own code. Time passes only by steps of the model.
+//! Model `shares`: two gateways that both act as the lease holder of the quotas, each with one gateway that
+//! borrows from it, and one gateway that lends to both; reports and grants are lost or late, and the lender
+//! restarts once. `Quota` and `QuotaPool` are the gateway's own code. Time passes only by steps of the model.
 
 use crate::check::{check, Report, World};
+use crate::fleet_settings::{settings, LEASE};
 use crate::Size;
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, Quota, QuotaPool, QuotaReport};
-use petrelgauge_ownership::{Settings, Term};
+use petrelgauge_ownership::Term;
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
 const SUM: &str = "all quotas in force never exceed the even quotas together";
 
 const GROUP: GroupId = 1;
-const LEASE: Time = 8_000;
 const LENDER: usize = 0;
 const RATES: [u32; 3] = [100, 1_000, 1_000];
 
@@ -32,7 +32,8 @@
 pub enum Step {
     /// Which faults may occur: all of them at once would be more states than can be explored.
     Faults(usize),
-    /// This lease holder opens a round; what becomes of the lender's report, and of the grant to the borrower.
+    /// This lease holder opens a round; what becomes of the lender's report, and of the grant to the
+    /// borrower.
     Round(usize, Delivery, Delivery),
     /// A late message arrives.
     Arrives(usize),
@@ -78,17 +79,6 @@
     Faults { rounds: [2, 2], late: 0, restarts: 1, waits: 1 },
 ];
 
-fn settings() -> Settings {
-    Settings {
-        self_id: 0,
-        gateways: 3,
-        acceptors: vec![0, 1, 2],
-        lease: LEASE,
-        drift_bound: 0.0,
-        max_delay: 1_000,
-    }
-}
-
 fn rates(who: usize) -> BTreeMap<GroupId, u32> {
     BTreeMap::from([(GROUP, RATES[who])])
 }
@@ -103,7 +93,8 @@
         self.pools[holder].on_report(self.now, who as u16, report.round, &report.demands)
     }
 
-    /// A lease holder opens a round, the lender reports for it, and then the borrower, which is granted something.
+    /// A lease holder opens a round, the lender reports for it, and then the borrower, which is granted
+    /// something.
     fn run_round(&mut self, holder: usize, loan: Delivery, grant: Delivery) {
         self.rounds[holder] -= 1;
         let term = self.pools[holder].term();
@@ -191,7 +182,7 @@
             },
             Step::Restarts => {
                 self.restarts -= 1;
-                self.quotas[LENDER] = Quota::new(settings(), self.now, 1_000);
+                self.quotas[LENDER] = Quota::new(settings(0), self.now, 1_000);
             }
             Step::Waits(span) => {
                 self.waits -= 1;
@@ -224,7 +215,7 @@
 /// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
     let now = 100_000;
-    let mut pools: Vec<QuotaPool> = [5, 6].map(|term: Term| QuotaPool::new(settings(), term)).into();
+    let mut pools: Vec<QuotaPool> = [5, 6].map(|term: Term| QuotaPool::new(settings(0), term)).into();
     for (holder, pool) in pools.iter_mut().enumerate() {
         // Both have received reports, so that mean rates and demands are known from the first round on.
         let round = pool.open_round(now - 1).number;
@@ -240,7 +231,7 @@
     }
     let start = Fleet {
         now,
-        quotas: (0..3).map(|who| Quota::new(settings(), now - 4 * LEASE, who * 100)).collect(),
+        quotas: (0..3).map(|who| Quota::new(settings(0), now - 4 * LEASE, who * 100)).collect(),
         pools,
         rounds: [0, 0],
         late: Vec::new(),
--- a/crates/models/src/rules.rs
+++ b/crates/models/src/rules.rs
@@ -1,5 +1,5 @@
-//! Model `rules`: settings change while requests are admitted, stay open and end. The class table is the gateway's own
-//! code.
+//! Model `rules`: settings change while requests are admitted, stay open and end. The class table is the
+//! gateway's own code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
--- a/crates/models/src/stop.rs
+++ b/crates/models/src/stop.rs
@@ -1,5 +1,6 @@
-//! Model `stop`: SIGTERM, draining, resuming and reloads while clients connect, send queries, wait and leave. The state
-//! machines of the gateway, of each client's connection and of its request are the gateway's own code.
+//! Model `stop`: SIGTERM, draining, resuming and reloads while clients connect, send queries, wait and leave.
+//! The state machines of the gateway, of each client's connection and of its request are the gateway's own
+//! code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
--- a/crates/models/src/watermarks.rs
+++ b/crates/models/src/watermarks.rs
@@ -1,6 +1,6 @@
-//! Model `marks`: one session that writes and reads through two instances which broadcast its watermarks to each other; messages
-//! are lost, late and out of order, and one instance restarts without a snapshot. The session trackers are the gateway's
-//! own code.
+//! Model `marks`: one session that writes and reads through two instances which broadcast its watermarks to
+//! each other; messages are lost, late and out of order, and one instance restarts without a snapshot. The
+//! session trackers are the gateway's own code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -106,7 +106,8 @@
 }
 
 impl Instances {
-    /// The open read is answered from the oldest data that the session tracker accepts, or else by the primary.
+    /// The open read is answered from the oldest data that the session tracker accepts, or else by the
+    /// primary.
     fn answer(&mut self) {
         let Some(OpenRead { instance, minimum, last_commit, last_seen }) = self.read.take() else { return };
         let (now, key) = (self.now, self.key);
