--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,4 +1,5 @@
-//! Experiment `cost`: processor time of the gateway per 10,000 requests, in turns with an earlier build.
+//! Experiment `cost`: processor time of the gateway per 10,000 requests, compared with an earlier build. The
+//! two builds are measured in turns.
 
 use crate::client::{ask, Answer};
 use crate::error::LabError;
@@ -13,32 +14,34 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Faults that can be injected and must make the experiment fail: `slow` makes each request of this build cost half as
-/// much again.
+/// Faults that can be injected and must make the experiment fail: `slow` multiplies the measured cost of this
+/// build by [`SLOW_FACTOR`].
 pub const INJECTED_FAULTS: [&str; 1] = ["slow"];
 
-/// Clients at a time.
+/// Number of concurrent clients.
 const CLIENTS: u64 = 24;
-/// Rows that are read and written.
+/// Number of rows that are read and written.
 const ROWS: u64 = 97;
-/// Request ids of one client at most.
+/// Number of request ids reserved for each client.
 const IDS_OF_CLIENT: u64 = 100_000;
 /// The first request id after the warm-up.
 const FIRST_MEASURED_ID: u64 = 1_000_000;
-/// Part of the requests that are sent for the warm-up.
-const WARM_UP_PART: u64 = 10;
+/// The warm-up sends 1 / `WARM_UP_DIVISOR` of the measured requests.
+const WARM_UP_DIVISOR: u64 = 10;
 /// How long a client waits for an answer.
-const TIME_LIMIT: Duration = Duration::from_secs(3);
-/// How many times the earlier build's cost this build's may be.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum ratio of this build's cost to the earlier one's.
 const MAX_RATIO: f64 = 1.10;
-/// What the fault `slow` multiplies the cost by.
+/// Factor of the injected fault `slow`.
 const SLOW_FACTOR: f64 = 1.5;
 /// Title of the plot.
 const PLOT: &str = "ms of processor per 10,000 requests";
 
-/// How much is played.
+/// The size of the experiment.
 struct Size {
+    /// Measurements of each build.
     turns: u64,
+    /// Requests of each measurement.
     requests: u64,
 }
 
@@ -60,7 +63,7 @@
     let earlier_program = options.baseline.clone().unwrap_or_else(|| present_program.clone());
     let (mut present, mut earlier) = (Vec::new(), Vec::new());
     for turn in 0..turns {
-        // Each build is first as often as the other, so that changes of the machine's speed affect both.
+        // The builds take turns in being first, so that changes of the machine's speed affect both.
         let seed = options.seed + turn;
         if turn % 2 == 0 {
             present.push(measure(&present_program, seed, requests).await?);
@@ -102,15 +105,15 @@
 async fn measure(program: &Path, seed: u64, requests: u64) -> Result<f64, LabError> {
     let cluster = TestCluster::start(ClusterPlan::new(program.to_path_buf(), seed)).await?;
     let address = cluster.addresses[0];
-    // Warm-up: connections are made, and the first samples are there.
-    send_requests(address, requests / WARM_UP_PART, 0).await;
+    // The warm-up makes connections and collects the first samples.
+    send_requests(address, requests / WARM_UP_DIVISOR, 0).await;
     let before = cluster.processor_ms(0)?;
     let served = send_requests(address, requests, FIRST_MEASURED_ID).await;
     let used = cluster.processor_ms(0)? - before;
     Ok(used * 10_000.0 / served.max(1) as f64)
 }
 
-/// Sends this many requests from all clients together; returns how many were served.
+/// Sends this many requests from all clients together. Returns the number of served ones.
 async fn send_requests(address: SocketAddr, requests: u64, first_id: u64) -> u64 {
     let mut clients = tokio::task::JoinSet::new();
     for client in 0..CLIENTS {
@@ -118,8 +121,8 @@
         clients.spawn_local(run_client(address, requests / CLIENTS, first_id));
     }
     let mut served = 0;
-    while let Some(of_client) = clients.join_next().await {
-        served += of_client.unwrap_or(0);
+    while let Some(served_of_client) = clients.join_next().await {
+        served += served_of_client.unwrap_or(0);
     }
     served
 }
@@ -133,7 +136,7 @@
         let comment = format!("id={id},c={},d=1200,cluster={},k={id}", CLASSES[class], group_of_row(row));
         let is_write = class == 2;
         let text = if is_write { insert_row(row, &comment) } else { select_row(row, &comment) };
-        let answer = ask(&mut connection, &text, TIME_LIMIT).await;
+        let answer = ask(&mut connection, &text, ANSWER_TIMEOUT).await;
         served += u64::from(matches!(answer, Answer::Row { .. }));
     }
     served
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! A test cluster for a person with a client of their own, and a short demonstration of the gateway.
+//! A test cluster for manual use, and a short demonstration of the gateway.
 
 use crate::client::{ask, Answer, SQLSTATE_REJECTED};
 use crate::error::LabError;
@@ -12,18 +12,18 @@
 
 /// Seed of every demonstration.
 const SEED: u64 = 1;
-/// Clients of the demonstration.
+/// Number of concurrent clients.
 const CLIENTS: usize = 24;
-/// Requests of each client.
+/// Number of requests of each client.
 const REQUESTS: u64 = 100;
 /// Pause of a client between two requests.
 const PAUSE: Duration = Duration::from_millis(20);
 /// How long a client waits for an answer.
-const TIME_LIMIT: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// The operator's file of the demonstration.
 const OPERATOR_FILE: &str = "sessions: {classes: [\"view\", \"history\", \"pay\"], secret: \"d3\"}\n";
 
-/// Requests of one class, by their result.
+/// Requests of one class, by result.
 #[derive(Clone, Copy, Default)]
 struct ClassCounts {
     served: u64,
@@ -31,14 +31,37 @@
     failed: u64,
 }
 
-/// Starts a cluster, prints where it listens, and stays until it is interrupted.
+/// How addresses are printed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AddressFormat {
+    /// As text with an example statement.
+    Text,
+    /// As one line of JSON.
+    Json,
+}
+
+/// A cluster for manual use.
+#[derive(Clone, Debug)]
+pub struct UpOptions {
+    /// Number of gateways, at least one.
+    pub gateways: usize,
+    /// Members of each group, at least one.
+    pub members: usize,
+    /// The operator's file, if any.
+    pub operator_file: Option<PathBuf>,
+    /// How the gateways' addresses are printed.
+    pub format: AddressFormat,
+}
+
+/// Starts a cluster, prints the gateways' addresses, and runs until interrupted.
 ///
 /// # Errors
 ///
-/// Fails if the cluster cannot be started.
-pub fn up(gateways: usize, members: usize, operator: Option<PathBuf>, json: bool) -> Result<bool, LabError> {
+/// Fails if the operator's file cannot be read or the cluster cannot be started.
+pub fn up(options: UpOptions) -> Result<(), LabError> {
     block_on(async {
-        let operator_file = operator.map_or(Ok(String::new()), std::fs::read_to_string)?;
+        let UpOptions { gateways, members, operator_file, format } = options;
+        let operator_file = operator_file.map_or(Ok(String::new()), std::fs::read_to_string)?;
         let plan = ClusterPlan {
             gateways: gateways.max(1),
             members: members.max(1),
@@ -46,24 +69,28 @@
             ..ClusterPlan::new(gateway_program()?, SEED)
         };
         let cluster = TestCluster::start(plan).await?;
-        print_addresses(&cluster.addresses, json);
+        print_addresses(&cluster.addresses, format);
         tokio::signal::ctrl_c().await?;
-        Ok(true)
+        Ok(())
     })
 }
 
-fn print_addresses(addresses: &[SocketAddr], json: bool) {
+fn print_addresses(addresses: &[SocketAddr], format: AddressFormat) {
     let quoted: Vec<String> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
-    if json {
-        let (gateways, classes) = (quoted.join(","), CLASSES.join("\",\""));
-        println!(r#"{{"gateways":[{gateways}],"groups":[2,3],"classes":["{classes}"]}}"#);
-    } else {
-        println!("gateways at {}; groups 2 and 3; classes {}", quoted.join(" "), CLASSES.join(", "));
-        println!("{}", select_row(1, "id=1,c=history,d=1000,cluster=2"));
+    match format {
+        AddressFormat::Json => {
+            let (gateways, classes) = (quoted.join(","), CLASSES.join("\",\""));
+            println!(r#"{{"gateways":[{gateways}],"groups":[2,3],"classes":["{classes}"]}}"#);
+        }
+        AddressFormat::Text => {
+            println!("gateways at {}; groups 2 and 3; classes {}", quoted.join(" "), CLASSES.join(", "));
+            println!("{}", select_row(1, "id=1,c=history,d=1000,cluster=2"));
+        }
     }
 }
 
-/// Sends some load, and prints a table of what was served. Returns whether every class was served.
+/// Sends some load to a cluster and prints a table of the results. Returns whether requests of every class
+/// were served.
 ///
 /// # Errors
 ///
@@ -115,7 +142,7 @@
         let comment = format!("id={client}d{request},c={name},d=1200,cluster={group},k={client}k{request}");
         let is_write = class == 2;
         let text = if is_write { insert_row(row, &comment) } else { select_row(row, &comment) };
-        match ask(&mut connection, &text, TIME_LIMIT).await {
+        match ask(&mut connection, &text, ANSWER_TIMEOUT).await {
             Answer::Row { .. } => counts[class].served += 1,
             Answer::Error { code, .. } if code == SQLSTATE_REJECTED => counts[class].rejected += 1,
             _ => counts[class].failed += 1,
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the laboratory cannot run something.
+//! Errors of the laboratory.
 
 use crate::scale::capacity::CapacityError;
 use petrelgauge::control::config::ConfigError;
@@ -6,22 +6,24 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why an experiment or another command cannot be run. An experiment whose checks fail is no error: its verdict says so.
+/// Why an experiment or another command could not be run. Failed checks of an experiment are not errors; its
+/// verdict reports them.
 #[derive(Debug, Error)]
 pub enum LabError {
-    /// The system refused something.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A message between processes of the laboratory, or a file of theirs, is not the JSON that it should be.
+    /// A message between processes of the laboratory, or one of their files, is not valid JSON of the
+    /// expected form.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The capacity page cannot be checked or written.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
-    /// A gateway's configuration cannot be used.
+    /// A gateway's configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A gateway's control part cannot be built, or does not accept a new configuration.
+    /// A gateway's control plane cannot be built, or rejects a configuration.
     #[error(transparent)]
     Control(#[from] ControlError),
     /// No experiment has this name.
@@ -32,12 +34,12 @@
     UnknownFault {
         /// The experiment.
         experiment: String,
-        /// The fault that was asked for.
+        /// The requested fault.
         fault: String,
-        /// The faults that it has.
+        /// The faults of the experiment.
         known: String,
     },
-    /// The gateway's program is not beside the laboratory's.
+    /// The gateway's program is not in the folder of the laboratory's.
     #[error("the gateway is not built: cargo build --release --workspace")]
     GatewayNotBuilt,
     /// A gateway does not accept clients in time.
@@ -49,27 +51,27 @@
     /// A gateway is not running.
     #[error("gateway {0} is not running")]
     GatewayDown(usize),
-    /// A gateway did not log its counters when it was asked to.
+    /// A gateway did not log its counters on request.
     #[error("gateway {0} does not log its counters")]
     CountersMissing(usize),
     /// A hollow process did not connect in time.
     #[error("a hollow process does not start")]
     HollowProcessNotStarted,
-    /// Something that is no hollow process of this fleet connected.
+    /// A process that does not belong to this fleet has connected.
     #[error("a stranger among the hollow processes")]
     UnknownHollowProcess,
-    /// A hollow process ended before it was asked to.
+    /// A hollow process ended unexpectedly.
     #[error("a hollow process ended")]
     HollowProcessEnded,
     /// Not every gateway reached a state in time.
     #[error("not all gateways hold {state} within {limit:?}")]
     StateNotReached {
-        /// What they should hold.
+        /// The state.
         state: String,
-        /// The time that they had.
+        /// The time limit.
         limit: Duration,
     },
-    /// A file under `/proc` lacks a figure.
+    /// A file in `/proc` lacks a figure.
     #[error("{path} has no {name}")]
     FigureMissing {
         /// The file.
@@ -82,7 +84,7 @@
     Plot {
         /// The plot.
         plot: String,
-        /// What the drawing library says.
+        /// The error of the drawing library.
         cause: String,
     },
 }
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The consistency checker of sessions: it records the versions that each session has seen and compares every later
-//! answer with them.
+//! The consistency checker of sessions: records the versions that each session has seen, and compares all
+//! later answers with them.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// The versions of a row that a read must at least show: those that its session knew when the read began.
+/// The lowest versions of a row that a read may return: those that its session knew when the read began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExpectedVersions {
     /// The session's own last write of the row.
@@ -12,18 +12,18 @@
     pub read: u64,
 }
 
-/// What the ledger found.
+/// Counts of reads, writes and violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
     /// Reads answered with a row.
     pub reads: u64,
     /// Writes answered as served.
     pub writes: u64,
-    /// Reads that did not show the session's own write.
+    /// Reads that missed the session's own write.
     pub stale: u64,
-    /// Reads that showed an older version than an earlier read of the session.
+    /// Reads that returned an older version than an earlier read of the session.
     pub backwards: u64,
-    /// Violations of either kind whose expected version was lost by a failover, so that nobody can show it.
+    /// Violations of either kind whose expected version was lost in a failover, so that no host has it.
     pub excused: u64,
 }
 
@@ -37,7 +37,7 @@
 /// A session and a row.
 type SessionRow = (u32, u64);
 
-/// The versions that each session knows of each row. Versions of a row only grow.
+/// The versions that each session knows of each row. The versions of a row only increase.
 #[derive(Debug, Default)]
 pub struct Ledger {
     rows: HashMap<SessionRow, ExpectedVersions>,
@@ -52,13 +52,13 @@
         self.findings.writes += 1;
     }
 
-    /// What a read that the session begins now must show.
+    /// What a read of the session that begins now must return.
     pub fn expected(&self, session: u32, row: u64) -> ExpectedVersions {
         self.rows.get(&(session, row)).copied().unwrap_or_default()
     }
 
-    /// Records that a read was answered with this version, and compares it with what was expected when the read began.
-    /// `lost` holds the versions that failovers lost.
+    /// Records that a read was answered with this version, and compares it with what was expected when the
+    /// read began. `lost` has the versions that were lost in failovers.
     pub fn record_read(
         &mut self,
         session: u32,
@@ -70,22 +70,22 @@
         let known = self.rows.entry((session, row)).or_default();
         known.read = known.read.max(version);
         self.findings.reads += 1;
-        let stale = version < expected.written;
-        let backwards = version < expected.read;
-        if !stale && !backwards {
+        let is_stale = version < expected.written;
+        let is_backwards = version < expected.read;
+        if !is_stale && !is_backwards {
             return;
         }
-        let stale_excused = !stale || lost.contains_key(&expected.written);
-        let backwards_excused = !backwards || lost.contains_key(&expected.read);
+        let stale_excused = !is_stale || lost.contains_key(&expected.written);
+        let backwards_excused = !is_backwards || lost.contains_key(&expected.read);
         if stale_excused && backwards_excused {
             self.findings.excused += 1;
         } else {
-            self.findings.stale += u64::from(stale);
-            self.findings.backwards += u64::from(backwards);
+            self.findings.stale += u64::from(is_stale);
+            self.findings.backwards += u64::from(is_backwards);
         }
     }
 
-    /// What was found so far.
+    /// The counts so far.
     pub fn findings(&self) -> Findings {
         self.findings
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The laboratory: emulated database hosts, a list service and lossy datagram paths on loopback, real gateway processes
-//! in front of them, clients, a ledger that checks consistency from what was sent, executed and answered, and experiments
-//! built from these.
+//! The laboratory: experiments with real gateway processes in front of emulated database hosts, on loopback,
+//! with a list service, lossy datagram paths and clients. A ledger checks consistency from what was sent,
+//! executed and answered.
 //!
 //! | file | what it emulates or does |
 //! | --- | --- |
@@ -9,13 +9,13 @@
 //! | `datagram_relay.rs` | datagrams between gateways: lost, duplicated, delayed, altered, cut |
 //! | `gateways.rs`, `test_cluster.rs` | gateway processes, and a cluster of all of the above |
 //! | `client.rs`, `statements.rs`, `ledger.rs` | clients, their statements, and what each session's reads must show |
-//! | `phase_statistics.rs`, `report.rs` | what is measured, and the report of an experiment |
-//! | `measure.rs` | what processes use |
+//! | `phase_statistics.rs`, `report.rs` | statistics of reads, and the report of an experiment |
+//! | `measure.rs` | processor time and memory of processes |
 //! | `scale/` | fleets of hollow gateways |
 //! | `cost.rs`, `ownership/`, `sessions/`, `sessions_large/` | the other experiments |
-//! | `demo.rs` | a cluster for a person, and a demonstration |
+//! | `demo.rs` | a cluster for manual use, and a demonstration |
 //!
-//! An experiment is trusted once it has caught an injected fault: each names its own.
+//! Each experiment names faults that can be injected and that it must detect.
 
 pub mod client;
 pub mod cost;
@@ -41,16 +41,16 @@
 use report::Verdict;
 use std::path::PathBuf;
 
-/// How an experiment is run.
+/// Options of an experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// Seed of all random generators.
     pub seed: u64,
-    /// Stay under a minute.
+    /// Whether to stay under a minute.
     pub short: bool,
     /// A fault to inject, which must make the experiment fail.
     pub injected_fault: Option<String>,
-    /// An earlier build of the gateway, played in the same run.
+    /// An earlier build of the gateway to compare with in the same run.
     pub baseline: Option<PathBuf>,
 }
 
@@ -76,33 +76,33 @@
     },
     Experiment {
         name: "ownership",
-        summary: "seven gateways, one scout: killed, stalled, cut off; no two owners, terms rise, a successor in time",
+        summary: "seven gateways, one leader: killed, stalled, cut off; one lease holder, rising terms, a successor in time",
         injected_faults: &ownership::INJECTED_FAULTS,
         run: ownership::run,
     },
     Experiment {
         name: "scale",
-        summary: "fleets of hollow gateways, duties in shards over nine owners: what each role costs at the operators' size",
+        summary: "fleets of hollow gateways, roles in shards over nine acceptors: what each role costs at the operators' size",
         injected_faults: &scale::INJECTED_FAULTS,
         run: scale::run_sharded,
     },
     Experiment {
         name: "scale-single-owner",
-        summary: "fleets of hollow gateways, one owner of all duties: what each role costs at the operators' size",
+        summary: "fleets of hollow gateways, one holder of all leases: what each role costs at the operators' size",
         injected_faults: &scale::INJECTED_FAULTS,
         run: scale::run_single_owner,
     },
     Experiment {
         name: "sessions",
         summary:
-            "no stale read across gateways, lag, restarts and a take-over; what it costs against baselines",
+            "no stale read across gateways, lag, restarts and a failover; its cost against baselines",
         injected_faults: &sessions::INJECTED_FAULTS,
         run: sessions::run,
     },
     Experiment {
         name: "sessions-large",
         summary:
-            "200 instances and 10 million sessions in simulated time: memory, false floors, messages, speed",
+            "200 instances and 10 million sessions in simulated time: memory, overestimates, messages, speed",
         injected_faults: &sessions_large::INJECTED_FAULTS,
         run: sessions_large::run,
     },
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,7 @@
-//! `petrelgauge-lab`: runs experiments, starts a test cluster for a person, and shows the gateway at work.
+//! `petrelgauge-lab`: runs experiments, starts a test cluster for manual use, and demonstrates the gateway.
 
 use clap::{Parser, Subcommand};
+use petrelgauge_lab::demo::{AddressFormat, UpOptions};
 use petrelgauge_lab::error::LabError;
 use petrelgauge_lab::{demo, scale, Experiment, Options, EXPERIMENTS};
 use std::path::PathBuf;
@@ -97,18 +98,28 @@
 fn run(command: Command) -> Result<bool, LabError> {
     match command {
         Command::List => {
-            EXPERIMENTS.iter().for_each(|one| println!("{:16} {}", one.name, one.summary));
+            for experiment in &EXPERIMENTS {
+                println!("{:16} {}", experiment.name, experiment.summary);
+            }
             Ok(true)
         }
         Command::Run { name, seed, short, json, report, injected_fault, baseline } => {
             let experiment = find_experiment(&name, injected_fault.as_deref())?;
             let verdict = (experiment.run)(&Options { seed, short, injected_fault, baseline })?;
             println!("{}", verdict.json());
-            json.map_or(Ok(()), |path| std::fs::write(path, verdict.json() + "\n"))?;
-            report.map_or(Ok(()), |folder| verdict.write_page(&folder))?;
+            if let Some(path) = json {
+                std::fs::write(path, verdict.json() + "\n")?;
+            }
+            if let Some(folder) = report {
+                verdict.write_page(&folder)?;
+            }
             Ok(verdict.passed())
         }
-        Command::Up { gateways, members, operator, json } => demo::up(gateways, members, operator, json),
+        Command::Up { gateways, members, operator, json } => {
+            let format = if json { AddressFormat::Json } else { AddressFormat::Text };
+            demo::up(UpOptions { gateways, members, operator_file: operator, format })?;
+            Ok(true)
+        }
         Command::Demo => demo::run(),
         Command::Capacity { write, page, figures } => {
             scale::capacity::page(&page, &figures, write)?;
@@ -122,9 +133,9 @@
     }
 }
 
-/// The experiment of this name, which must have the fault that is to be injected.
+/// Finds an experiment by name, and checks that it has the fault to inject.
 fn find_experiment(name: &str, fault: Option<&str>) -> Result<&'static Experiment, LabError> {
-    let experiment = EXPERIMENTS.iter().find(|one| one.name == name);
+    let experiment = EXPERIMENTS.iter().find(|experiment| experiment.name == name);
     let experiment = experiment.ok_or_else(|| LabError::UnknownExperiment(name.into()))?;
     if let Some(fault) = fault.filter(|fault| !experiment.injected_faults.contains(fault)) {
         let known = experiment.injected_faults.join(", ");
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,12 +1,13 @@
-//! What the system says of a process and of the machine: processor time and memory.
+//! Processor time and memory of processes and of the machine, from `/proc`.
 
 use crate::error::LabError;
 
-/// Processor time of a process's main thread so far (nanoseconds). Gateways and hollow processes do their work there.
+/// Processor time of a process's main thread so far (nanoseconds). Gateways and hollow processes are
+/// single-threaded.
 ///
 /// # Errors
 ///
-/// Fails if the process is gone.
+/// Fails if the process has ended.
 pub fn cpu_ns(process: u32) -> Result<u64, LabError> {
     let path = format!("/proc/{process}/schedstat");
     let text = std::fs::read_to_string(&path)?;
@@ -18,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the process is gone.
+/// Fails if the process has ended.
 pub fn resident_kb(process: u32) -> Result<u64, LabError> {
     status_kb(&format!("/proc/{process}/status"), "VmRSS:")
 }
@@ -27,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the system does not say.
+/// Fails if `/proc` lacks the figure.
 pub fn available_kb() -> Result<u64, LabError> {
     status_kb("/proc/meminfo", "MemAvailable:")
 }
@@ -36,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the system does not say.
+/// Fails if `/proc` lacks the figure.
 pub fn machine_kb() -> Result<u64, LabError> {
     status_kb("/proc/meminfo", "MemTotal:")
 }
--- a/crates/lab/src/ownership/effect_ledger.rs
+++ b/crates/lab/src/ownership/effect_ledger.rs
@@ -1,25 +1,26 @@
-//! The checker of leadership: every effect of a lease holder that reaches the witness, fenced as a real receiver does it.
+//! The checker of leadership: records every effect of a lease holder that reaches the witness, fenced as by a
+//! real receiver.
 
 use petrelgauge_ownership::{Fence, LeadershipRole, LeaseHolder, Message};
 
 /// The role whose effects are checked: primary discovery.
 pub(super) const PRIMARY_DISCOVERY: LeadershipRole = LeadershipRole { kind: 1, shard: 0 };
 
-/// What the witness received.
+/// The effects that the witness has received.
 #[derive(Default)]
 pub(super) struct EffectLedger {
     fence: Fence,
-    /// Old terms are not rejected: an injected fault.
+    /// Whether old terms are admitted: an injected fault.
     without_fence: bool,
-    /// Sender and term of each effect that was admitted.
+    /// Sender and term of each admitted effect.
     pub(super) admitted: Vec<LeaseHolder>,
     /// Effects that the fence rejected.
     pub(super) rejected: u64,
     /// Datagrams that could not be decoded.
     pub(super) undecodable: u64,
-    /// What is wrong with the admitted effects.
+    /// Violations among the admitted effects.
     pub(super) violations: Vec<String>,
-    /// The last message that was admitted.
+    /// The last admitted message.
     pub(super) last_message: Option<Message>,
 }
 
@@ -44,7 +45,7 @@
         self.last_message = Some(message);
     }
 
-    /// Compares an effect of this holder with all that were admitted before.
+    /// Compares an effect of this holder with all effects admitted before.
     fn check(&mut self, holder: LeaseHolder) {
         let LeaseHolder { gateway, term } = holder;
         if let Some(last) = self.holder().filter(|last| term < last.term) {
--- a/crates/lab/src/ownership/mod.rs
+++ b/crates/lab/src/ownership/mod.rs
@@ -1,6 +1,7 @@
-//! Experiment `ownership`: seven gateways, three of them acceptors, and a relay between them that loses, duplicates,
-//! delays and cuts; the leader of primary discovery is killed, stalled and cut off, all from the seed. Effects are read by
-//! a witness among the gateways' peers, never from a gateway's own counters.
+//! Experiment `ownership`: seven gateways, three of them acceptors, and a relay between them that loses,
+//! duplicates, delays and cuts datagrams. The leader of primary discovery is killed, stalled and cut off, all
+//! from the seed. Effects are observed by a witness among the gateways' peers, never from a gateway's own
+//! counters.
 
 mod effect_ledger;
 mod takeover_run;
@@ -15,11 +16,11 @@
 use serde_json::json;
 use takeover_run::{Faults, TakeoverRun};
 
-/// Faults that can be injected and must make the experiment fail: a second lease holder under the same term; a witness
-/// without a fence that receives an old notification again; acceptors that stay away.
+/// Faults that can be injected and must make the experiment fail: a second lease holder under the same term;
+/// a witness without a fence that receives an old notification again; acceptors that stay away.
 pub const INJECTED_FAULTS: [&str; 3] = ["impostor", "fenceless", "deserted"];
 
-/// Gateways of the cluster.
+/// Number of gateways.
 const GATEWAYS: usize = 7;
 /// Numbers of the gateways that grant leases.
 const ACCEPTORS: [u16; 3] = [0, 2, 5];
@@ -27,20 +28,20 @@
 const SECRET: u64 = 0x0a;
 const OPERATOR_FILE: &str =
     "ownership: {\n  secret: \"a\"\n  electors: 3\n  lease: 1200ms\n  delay: 150ms\n  drift_percent: 2\n}\n";
-/// Duration of a lease, as the operator's file has it (microseconds).
+/// Duration of a lease, as in the operator's file (microseconds).
 const LEASE: Time = 1_200_000;
-/// Longest delay of a datagram, as the operator's file has it (microseconds).
+/// Maximum delay of a datagram, as in the operator's file (microseconds).
 const MAX_DELAY: Time = 150_000;
-/// How far clocks drift apart, as the operator's file has it.
+/// Drift bound, as in the operator's file (fraction).
 const DRIFT_BOUND: f64 = 0.02;
-/// What the machine that runs all of it may add to a takeover (microseconds): timers, eight processes, the relay's own
-/// delay.
+/// What a machine that runs all processes may add to a takeover (microseconds): timers, eight processes, the
+/// delay of the relay.
 const MACHINE_ALLOWANCE: Time = 1_500_000;
-/// Members of the one replicated group.
+/// Number of members of the only group.
 const MEMBERS: usize = 3;
-/// Share of datagrams that is lost.
+/// Share of datagrams that are lost.
 const DATAGRAM_LOSS: f64 = 0.02;
-/// By how much the gateways' clocks differ (milliseconds).
+/// Maximum difference of the gateways' clocks (milliseconds).
 const CLOCK_DIFFERENCE_MS: u64 = 20;
 /// Rounds of a full and of a short run.
 const FULL_ROUNDS: u64 = 24;
@@ -66,7 +67,7 @@
         witness: true,
         ..ClusterPlan::new(gateway_program()?, options.seed)
     };
-    // The witness is one more peer that grants nothing.
+    // The witness is an additional peer and no acceptor.
     let settings = Settings {
         self_id: GATEWAYS as u16,
         gateways: GATEWAYS as u16 + 1,
@@ -76,11 +77,11 @@
         drift_bound: DRIFT_BOUND,
     };
     let limit = settings.takeover_bound() + MACHINE_ALLOWANCE;
-    let has_fault = |fault: &str| options.injected_fault.as_deref() == Some(fault);
+    let is_injected = |fault: &str| options.injected_fault.as_deref() == Some(fault);
     let faults = Faults {
-        impostor: has_fault("impostor"),
-        without_fence: has_fault("fenceless"),
-        without_acceptors: has_fault("deserted"),
+        impostor: is_injected("impostor"),
+        without_fence: is_injected("fenceless"),
+        without_acceptors: is_injected("deserted"),
     };
     let cluster = TestCluster::start(plan).await?;
     let mut run = TakeoverRun::new(cluster.clone(), settings, faults, limit, options.seed);
@@ -92,16 +93,16 @@
 fn judge(seed: u64, run: &TakeoverRun, limit: Time) -> Verdict {
     let mut verdict = Verdict::new("ownership", seed);
     let (ledger, limit_ms) = (&run.ledger, limit / 1000);
-    verdict.check("somebody comes to own the role", run.had_holder);
-    let text = "no two owners whose effects are taken, and no older term after a newer";
+    verdict.check("a gateway acquires the lease", run.had_holder);
+    let text = "no two lease holders whose effects are admitted, and no older term after a newer one";
     verdict.check(text, ledger.violations.is_empty());
-    verdict.check(format!("a new owner within {limit_ms} ms of the last one's end"), run.late == 0);
-    let text = "nothing is taken from the side that was cut off, once there is a new owner";
+    verdict.check(format!("a new lease holder within {limit_ms} ms of the last one's end"), run.late == 0);
+    let text = "no effect of the side that was cut off is admitted once there is a new lease holder";
     verdict.check(text, run.from_disturbed_holder == 0);
     let mut takeovers: Vec<Time> = run.takeovers.iter().map(|duration| duration / 1000).collect();
     takeovers.sort_unstable();
     for (rank, duration) in takeovers.iter().enumerate() {
-        verdict.bar("take-overs, from the shortest (ms)", "ms", &rank.to_string(), *duration as f64);
+        verdict.bar("takeovers, from the shortest (ms)", "ms", &rank.to_string(), *duration as f64);
     }
     verdict.figures = json!({
         "takeovers": takeovers.len(), "median_ms": takeovers.get(takeovers.len() / 2), "longest_ms": takeovers.last(),
--- a/crates/lab/src/ownership/takeover_run.rs
+++ b/crates/lab/src/ownership/takeover_run.rs
@@ -1,4 +1,5 @@
-//! The run of the experiment: the lease holder is disturbed again and again, and a witness waits for its successor.
+//! A run of the experiment: in each round the lease holder is disturbed, and the witness waits for its
+//! successor.
 
 use super::effect_ledger::{EffectLedger, PRIMARY_DISCOVERY};
 use super::{ACCEPTORS, GATEWAYS, SECRET};
@@ -12,26 +13,26 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// Longest datagram between gateways.
+/// Maximum length of a datagram between gateways (bytes).
 const MAX_DATAGRAM: usize = 512;
-/// How often the witness looks for a new holder (microseconds).
+/// Interval at which the witness checks for a new holder (microseconds).
 const POLL_INTERVAL: Time = 20_000;
-/// How long the old holder stays disturbed after it has a successor (microseconds).
+/// How long the old holder stays disturbed once it has a successor (microseconds).
 const EXTRA_DISTURBANCE: Range<Time> = 100_000..600_000;
-/// Pause between two rounds beside the silence of a restarted acceptor (microseconds).
+/// Pause between two rounds, in addition to the silence of a restarted acceptor (microseconds).
 const ROUND_PAUSE: Time = 300_000;
-/// How many takeover limits the first holder may take: the processes start at the same time.
+/// Takeover limits until there is a first holder: all processes start at the same time.
 const FIRST_HOLDER_LIMITS: Time = 4;
-/// What stands for a holder where there is none.
+/// Placeholder for a missing holder.
 const NO_HOLDER: LeaseHolder = LeaseHolder { gateway: 0, term: 0 };
 
-/// What is done to the lease holder in a round.
+/// The fault that hits the lease holder in a round.
 enum Disturbance {
     Kill,
     Stall,
-    /// Nothing that it sends arrives.
+    /// Its outgoing datagrams are lost.
     CutOutgoing,
-    /// Nothing that it sends arrives, and nothing arrives at it.
+    /// Its outgoing and incoming datagrams are lost.
     CutBothWays,
 }
 
@@ -49,7 +50,7 @@
 /// Faults of the witness and of the acceptors that a run can inject.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Faults {
-    /// A second gateway has an effect under the holder's term.
+    /// A second gateway sends an effect under the holder's term.
     pub(super) impostor: bool,
     /// The witness has no fence, and an old effect arrives again.
     pub(super) without_fence: bool,
@@ -62,18 +63,18 @@
     cluster: Rc<TestCluster>,
     settings: Settings,
     faults: Faults,
-    /// Longest takeover (microseconds).
+    /// Maximum duration of a takeover (microseconds).
     limit: Time,
     seed: u64,
     rng: Pcg64Mcg,
     pub(super) ledger: EffectLedger,
-    /// Whether there was a holder at all.
+    /// Whether there has been a holder.
     pub(super) had_holder: bool,
     /// Duration of each takeover (microseconds).
     pub(super) takeovers: Vec<Time>,
-    /// Takeovers that exceeded the limit.
+    /// Number of takeovers that exceeded the limit.
     pub(super) late: u64,
-    /// Effects of a disturbed holder that were admitted after it had a successor.
+    /// Number of effects of a disturbed holder that were admitted after it had a successor.
     pub(super) from_disturbed_holder: u64,
 }
 
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Waits for the first holder, then plays this many rounds.
+    /// Waits for the first holder and plays this many rounds.
     pub(super) async fn play(&mut self, rounds: u64) -> Result<(), LabError> {
         let Some(mut holder) = self.wait_for_successor(0, FIRST_HOLDER_LIMITS * self.limit).await else {
             return Ok(());
@@ -129,7 +130,8 @@
             self.add_impostor();
         }
         let expected = successor.or(self.ledger.holder()).unwrap_or(NO_HOLDER);
-        // An acceptor that was killed is silent for a lease: without another one there would be no majority.
+        // A killed acceptor is silent for a lease; if another one failed meanwhile, there would be no
+        // majority.
         self.receive_for(self.settings.startup_silence() + ROUND_PAUSE).await;
         Ok(self.ledger.holder().unwrap_or(expected))
     }
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Counts effects of the disturbed holder that are admitted though it has a successor.
+    /// Counts effects of the disturbed holder that are admitted although it has a successor.
     async fn watch_disturbed_holder(&mut self, holder: LeaseHolder, has_successor: bool) {
         let before = self.ledger.admitted.len();
         let duration = self.rng.random_range(EXTRA_DISTURBANCE);
@@ -173,7 +175,7 @@
         Ok(())
     }
 
-    /// The injected fault: another gateway has an effect under the holder's term.
+    /// Injects a fault: another gateway sends an effect under the holder's term.
     fn add_impostor(&mut self) {
         let Some(LeaseHolder { gateway, term }) = self.ledger.holder() else { return };
         let notification = Notification::LeaseHeld { remaining: 1 };
@@ -181,7 +183,7 @@
         self.ledger.receive((gateway + 1) % GATEWAYS as u16, message);
     }
 
-    /// Waits for a lease holder with a higher term, for this long at most (microseconds).
+    /// Waits for a lease holder with a higher term, at most this long (microseconds).
     async fn wait_for_successor(&mut self, term: Term, limit: Time) -> Option<LeaseHolder> {
         let began_at = self.now();
         while self.now() - began_at < limit {
@@ -206,7 +208,7 @@
                     let Ok(count) = received else { continue };
                     match Message::decode(&buffer[..count], self.settings.fingerprint(), SECRET) {
                         Ok(received) => self.ledger.receive(received.from, received.message),
-                        // The relay alters some.
+                        // The relay alters some datagrams.
                         Err(_) => self.ledger.undecodable += 1,
                     }
                 }
--- a/crates/lab/src/phase_statistics.rs
+++ b/crates/lab/src/phase_statistics.rs
@@ -3,14 +3,14 @@
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 
-/// Longest latency that the histogram tells apart (microseconds): ten seconds, longer than any client waits.
-const LONGEST_LATENCY_US: u64 = 10_000_000;
-/// Significant digits of a latency.
+/// Maximum latency that the histogram distinguishes (microseconds): longer than any client waits.
+const MAX_LATENCY_US: u64 = 10_000_000;
+/// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 2;
 
-/// What happened in one phase.
+/// Statistics of the reads of one phase.
 pub struct PhaseStatistics {
-    /// The phase's name.
+    /// Name of the phase.
     pub name: &'static str,
     /// Reads that clients sent.
     pub requested: u64,
@@ -28,9 +28,9 @@
 }
 
 impl PhaseStatistics {
-    /// The statistics of a phase in which nothing has happened yet.
+    /// Empty statistics.
     pub fn new(name: &'static str) -> PhaseStatistics {
-        let latencies = Histogram::new_with_bounds(1, LONGEST_LATENCY_US, LATENCY_DIGITS);
+        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS);
         let latencies = latencies.unwrap_or_else(|cause| unreachable!("constant bounds: {cause}"));
         PhaseStatistics {
             name,
@@ -64,12 +64,12 @@
         self.served as f64 / self.requested.max(1) as f64
     }
 
-    /// The latency under which this share of the served reads stayed (milliseconds).
+    /// The quantile of the served reads' latencies for this share (milliseconds).
     pub fn latency_quantile_ms(&self, share: f64) -> f64 {
         self.latencies.value_at_quantile(share) as f64 / 1000.0
     }
 
-    /// All figures.
+    /// All figures as JSON.
     pub fn json(&self) -> Value {
         let round = |value: f64| (value * 1000.0).round() / 1000.0;
         json!({
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of an experiment: its checks, its figures as JSON, and a page with plots.
+//! The result of an experiment: its checks, its figures as JSON, and an HTML page with plots.
 
 use crate::error::LabError;
 use plotters::coord::Shift;
@@ -9,11 +9,11 @@
 
 /// Width and height of a plot (pixels).
 const PLOT_SIZE: (u32, u32) = (760, 300);
-/// Share of a place on the axis that its bars fill.
+/// Share of a category's width that its bars fill.
 const BARS_SHARE: f64 = 0.8;
-/// Share of its slot that a bar fills.
+/// Share of its slot that a bar fills, beside the gap to the next one.
 const BAR_SHARE: f64 = 0.9;
-/// How much higher than the highest bar a plot is.
+/// Height of a plot, relative to its highest bar.
 const HEADROOM: f64 = 1.1;
 
 /// A property that an experiment checks.
@@ -26,7 +26,8 @@
 struct Bar {
     plot: String,
     series: String,
-    place: String,
+    /// Its category on the horizontal axis.
+    category: String,
     value: f64,
 }
 
@@ -35,28 +36,28 @@
     experiment: &'static str,
     seed: u64,
     checks: Vec<Check>,
-    /// All that was measured.
+    /// Everything that was measured.
     pub figures: Value,
     bars: Vec<Bar>,
 }
 
 impl Verdict {
-    /// A result without any check.
+    /// A result without checks.
     pub fn new(experiment: &'static str, seed: u64) -> Verdict {
         Verdict { experiment, seed, checks: Vec::new(), figures: Value::Null, bars: Vec::new() }
     }
 
-    /// Adds a check and whether it passed.
+    /// Adds the result of a check.
     pub fn check(&mut self, text: impl Into<String>, passed: bool) {
         self.checks.push(Check { text: text.into(), passed });
     }
 
-    /// Adds a bar to a plot: one of a series, at one place of the axis.
-    pub fn bar(&mut self, plot: &str, series: &str, place: &str, value: f64) {
-        self.bars.push(Bar { plot: plot.into(), series: series.into(), place: place.into(), value });
+    /// Adds a bar to a plot, by series and by category on the horizontal axis.
+    pub fn bar(&mut self, plot: &str, series: &str, category: &str, value: f64) {
+        self.bars.push(Bar { plot: plot.into(), series: series.into(), category: category.into(), value });
     }
 
-    /// Whether every check passed, and there was one.
+    /// Whether there are checks and all of them passed.
     pub fn passed(&self) -> bool {
         !self.checks.is_empty() && self.checks.iter().all(|check| check.passed)
     }
@@ -72,7 +73,7 @@
         .to_string()
     }
 
-    /// Writes a page with all checks, plots and figures into a folder.
+    /// Writes an HTML page with all checks, plots and figures into a folder.
     ///
     /// # Errors
     ///
@@ -97,7 +98,7 @@
     }
 }
 
-/// A plot of bars as SVG.
+/// Draws a bar chart as SVG.
 fn plot_svg(plot: &str, bars: &[&Bar]) -> Result<String, LabError> {
     let mut svg = String::new();
     let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
@@ -113,25 +114,25 @@
     bars: &[&Bar],
 ) -> Result<(), Box<dyn std::error::Error + 'a>> {
     let series = distinct(bars.iter().map(|bar| bar.series.as_str()));
-    let places = distinct(bars.iter().map(|bar| bar.place.as_str()));
+    let categories = distinct(bars.iter().map(|bar| bar.category.as_str()));
     let highest = bars.iter().map(|bar| bar.value).fold(0.0, f64::max).max(1e-9) * HEADROOM;
     let mut chart = ChartBuilder::on(area)
         .caption(plot, ("sans-serif", 18))
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(48)
-        .build_cartesian_2d(0.0..places.len() as f64, 0.0..highest)?;
-    let label = |x: &f64| places.get(x.floor() as usize).copied().unwrap_or("").to_string();
+        .build_cartesian_2d(0.0..categories.len() as f64, 0.0..highest)?;
+    let label = |x: &f64| categories.get(x.floor() as usize).copied().unwrap_or("").to_string();
     let mut mesh = chart.configure_mesh();
-    mesh.disable_x_mesh().x_labels(places.len()).x_label_formatter(&label);
+    mesh.disable_x_mesh().x_labels(categories.len()).x_label_formatter(&label);
     mesh.draw()?;
     let width = BARS_SHARE / series.len().max(1) as f64;
     for (number, name) in series.iter().enumerate() {
         let colour = Palette99::pick(number).to_rgba();
-        let of_series = bars.iter().filter(|bar| bar.series == *name);
-        let rectangles = of_series.map(|bar| {
-            let place = places.iter().position(|place| *place == bar.place).unwrap_or(0) as f64;
-            let left = place + (1.0 - BARS_SHARE) / 2.0 + number as f64 * width;
+        let bars_of_series = bars.iter().filter(|bar| bar.series == *name);
+        let rectangles = bars_of_series.map(|bar| {
+            let index = categories.iter().position(|category| *category == bar.category).unwrap_or(0);
+            let left = index as f64 + (1.0 - BARS_SHARE) / 2.0 + number as f64 * width;
             Rectangle::new([(left, 0.0), (left + width * BAR_SHARE, bar.value)], colour.filled())
         });
         chart
@@ -145,7 +146,7 @@
     Ok(())
 }
 
-/// Each name once, in the order of its first appearance.
+/// The distinct names, in order of first appearance.
 fn distinct<'a>(names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut distinct = Vec::new();
     for name in names {
--- a/crates/lab/src/sessions_large/broadcasts.rs
+++ b/crates/lab/src/sessions_large/broadcasts.rs
@@ -1,4 +1,4 @@
-//! Watermark broadcasts of deployments that grow with their traffic.
+//! Watermark broadcasts in deployments whose size grows with their traffic.
 
 use super::{nanoseconds_each, MILLISECOND, SECRET, START};
 use crate::report::Verdict;
@@ -9,17 +9,17 @@
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// Instances of the deployments that are played.
+/// Sizes of the simulated deployments (instances).
 const DEPLOYMENTS: [u16; 3] = [5, 20, 50];
-/// Writes of each instance in a second.
+/// Writes per second at each instance.
 const WRITES_PER_SECOND: u64 = 54;
-/// Simulated seconds.
+/// Simulated time (seconds).
 const SECONDS: u64 = 3;
 /// Sessions of each group.
 const SESSIONS: u64 = 100_000;
-/// How long a broadcast is on its way (microseconds).
+/// Delay of a broadcast (microseconds).
 const DELAY: Time = 5 * MILLISECOND;
-/// Bytes of a full datagram, in which the cost is stated.
+/// Length of a full datagram, the unit of the cost (bytes).
 const FULL_DATAGRAM: f64 = 256.0;
 
 #[derive(Default)]
@@ -29,13 +29,13 @@
     received: u64,
 }
 
-/// Plays all deployments, checks them, and returns the figures.
+/// Simulates and checks all deployments, and returns the figures.
 pub(super) fn play(verdict: &mut Verdict, seed: u64) -> Value {
     Value::Array(DEPLOYMENTS.map(|instances| play_deployment(verdict, seed, instances)).into())
 }
 
 fn play_deployment(verdict: &mut Verdict, seed: u64, instances: u16) -> Value {
-    // Each group carries 135 writes a second.
+    // Each group gets 135 writes per second.
     let groups = u64::from(instances) * 2 / 5;
     let mut trackers = trackers(instances);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ u64::from(instances));
@@ -73,7 +73,7 @@
     (0..instances).filter_map(|instance| SessionTracker::new(settings(instance), START).ok()).collect()
 }
 
-/// Delivers all broadcasts that are due to all other instances.
+/// Delivers all due broadcasts to all other instances.
 fn exchange_broadcasts(trackers: &mut [SessionTracker], now: Time, counts: &mut BroadcastCounts) {
     for sender in 0..trackers.len() {
         for datagram in trackers[sender].due_broadcasts(now) {
--- a/crates/lab/src/sessions_large/single_tracker.rs
+++ b/crates/lab/src/sessions_large/single_tracker.rs
@@ -1,5 +1,5 @@
-//! One tracker's memory under millions of sessions: its size against its bound, false minimum positions against the
-//! predicted share, and the time of each operation against the unbounded map that the router had before.
+//! The memory of one tracker with millions of sessions: its size and bound, the measured and the predicted
+//! share of overestimated watermarks, and the time of operations, compared with an unbounded map.
 
 use super::{nanoseconds_each, share, SECRET, START};
 use crate::report::Verdict;
@@ -15,24 +15,25 @@
 
 /// Time between the writes of two sessions (microseconds).
 const WRITE_INTERVAL: Time = 20;
-/// Groups that sessions are spread over.
+/// Number of groups.
 const GROUPS: u64 = 16;
-/// Sessions that are looked up.
+/// Number of lookups.
 const LOOKUPS: u64 = 200_000;
-/// A minimum position is false if it lies in this last span though the session wrote nothing then (microseconds).
+/// A watermark in this last span is overestimated if its session wrote nothing in it (microseconds).
 const RECENT: Time = 10_000_000;
-/// Bytes of one exact session at most.
+/// Maximum size of an exact session (bytes).
 const BYTES_OF_SESSION: usize = 120;
-/// How far the measured share of false minimum positions may be from the predicted one.
+/// Maximum difference of the measured and the predicted share of overestimated watermarks.
 const SHARE_TOLERANCE: f64 = 0.05;
-/// Longest time of a merge or a lookup (nanoseconds).
+/// Maximum mean duration of a merge or a lookup (nanoseconds).
 const MAX_OPERATION_NS: f64 = 2_000.0;
-/// Names in the unbounded map at most.
+/// Maximum number of names in the unbounded map.
 const MAX_BASELINE_NAMES: u64 = 1_000_000;
-/// Bytes of one session in the unbounded map: text, counts, value, and a share of the tree's nodes.
+/// Size of a session in the unbounded map (bytes): text, reference counts, value, and a share of the tree's
+/// nodes.
 const BASELINE_BYTES_OF_SESSION: u64 = 70;
 
-/// What lookups found.
+/// Results of the lookups.
 #[derive(Default)]
 struct LookupCounts {
     /// Watermarks below the true one.
@@ -56,7 +57,7 @@
     START + session as Time * WRITE_INTERVAL
 }
 
-/// Plays this many sessions, checks the memory, and returns the figures.
+/// Simulates this many sessions, checks the memory, and returns the figures.
 pub(super) fn play(verdict: &mut Verdict, options: &Options, sessions: u64) -> Value {
     let settings = Settings { secret: SECRET, ..Settings::default() };
     let new_memory = || SessionMemory::new(settings.exact_sessions, settings.sketch_width, SECRET);
@@ -116,7 +117,7 @@
     counts
 }
 
-/// Nanoseconds of an insertion into an unbounded map by name, as the router had it before.
+/// Mean duration of an insertion into an unbounded map by name (nanoseconds).
 fn unbounded_map_ns(names: u64) -> f64 {
     let mut map: BTreeMap<Arc<str>, Time> = BTreeMap::new();
     let began_at = Instant::now();
--- a/crates/lab/src/sessions_large/tier.rs
+++ b/crates/lab/src/sessions_large/tier.rs
@@ -1,5 +1,5 @@
-//! A tier of many instances under roaming sessions, with a wave of restarts: no read may be stale, and reads go to
-//! replicas nearly as often as an oracle would send them there.
+//! A tier of many instances with roaming sessions and a wave of restarts: no read may be stale, and replicas
+//! must serve nearly as many reads as an oracle would send them.
 
 use super::{nanoseconds_each, share, MILLISECOND, SECRET, START};
 use crate::report::Verdict;
@@ -13,42 +13,42 @@
 use std::time::Instant;
 
 const SECOND: Time = 1_000_000;
-/// Sessions that are active at a time.
+/// Number of sessions that are active at a time.
 const ACTIVE_SESSIONS: usize = 200_000;
-/// Names of sessions.
+/// Number of sessions overall.
 const SESSION_NAMES: u64 = 10_000_000;
-/// One session leaves and another one comes with every so many requests.
+/// Number of requests after which one active session is replaced by another.
 const REQUESTS_PER_CHANGE: u64 = 5;
 /// Share of requests that go to another instance than the session's usual one.
 const ROAMING_SHARE: f64 = 0.2;
-/// Groups that sessions are spread over.
+/// Number of groups.
 const GROUPS: u64 = 16;
-/// Of a hundred clients, so many carry no token.
+/// Clients that carry no token (percent).
 const WITHOUT_TOKEN_PERCENT: u64 = 3;
-/// Share of requests that write.
+/// Share of writes among the requests.
 const WRITE_SHARE: f64 = 0.26;
-/// How far replicas are behind when they answer (microseconds).
+/// Lag of the replicas (microseconds).
 const REPLICA_LAG: Time = 15 * MILLISECOND;
-/// A write commits this long after it came (microseconds).
+/// Time from the arrival of a write to its commit (microseconds).
 const COMMIT_TIME: Time = MILLISECOND;
-/// A write is answered this long after it came (microseconds).
+/// Time from the arrival of a write to its answer (microseconds).
 const WRITE_TIME: Time = 2 * MILLISECOND;
-/// A read is answered this long after it came (microseconds).
+/// Time from the arrival of a read to its answer (microseconds).
 const READ_TIME: Time = MILLISECOND;
-/// How long an instance is down while it restarts (microseconds).
+/// Duration of a restart (microseconds).
 const DOWNTIME: Time = 300 * MILLISECOND;
-/// Of a hundred instances, so many restart in the wave.
+/// Instances that restart in the wave (percent).
 const RESTARTED_PERCENT: Time = 86;
-/// Longest duration of the wave (microseconds), as the users recorded it.
+/// Maximum duration of the wave (microseconds).
 const MAX_WAVE: Time = 8_900_000;
-/// The wave begins after this part of the run, and fills as much at most.
-const WAVE_PART: Time = 3;
-/// What distinguishes the random numbers of this part of the experiment.
+/// The wave begins after 1 / `WAVE_DIVISOR` of the run, and lasts at most as long.
+const WAVE_DIVISOR: Time = 3;
+/// Keeps the random numbers apart from those of other parts of the experiment.
 const SEED_MASK: u64 = 0x7134;
-/// Share of an oracle's reads at replicas that the tier must reach.
-const LEAST_REPLICA_SHARE: f64 = 0.8;
+/// Minimum ratio of reads at replicas to those that an oracle would send there.
+const MIN_REPLICA_RATIO: f64 = 0.8;
 
-/// How large a tier is.
+/// The size of a tier.
 #[derive(Clone, Copy)]
 pub(super) struct TierSize {
     pub(super) instances: usize,
@@ -59,11 +59,11 @@
 /// One instance of the tier.
 struct Instance {
     tracker: SessionTracker,
-    /// It takes no requests until this time.
+    /// It rejects requests until then.
     down_until: Time,
 }
 
-/// What is true of a session.
+/// What a session has really seen.
 #[derive(Default)]
 struct SessionTruth {
     /// The newest commit that it has seen.
@@ -72,7 +72,7 @@
     token: Option<Token>,
 }
 
-/// When instances restart.
+/// A wave of restarts.
 struct RestartWave {
     begins_at: Time,
     duration: Time,
@@ -80,12 +80,12 @@
 
 impl RestartWave {
     fn new(size: TierSize) -> RestartWave {
-        let third = size.seconds as Time * SECOND / WAVE_PART;
+        let third = size.seconds as Time * SECOND / WAVE_DIVISOR;
         RestartWave { begins_at: START + third, duration: third.min(MAX_WAVE) }
     }
 
-    /// How many of the instances have restarted by now.
-    fn restarted(&self, now: Time, instances: usize) -> usize {
+    /// Number of instances that have restarted by now.
+    fn restarted_count(&self, now: Time, instances: usize) -> usize {
         let elapsed = (now - self.begins_at).clamp(0, self.duration);
         let all = instances as Time * RESTARTED_PERCENT / 100;
         (elapsed * all / self.duration) as usize
@@ -105,7 +105,7 @@
     /// Reads that an oracle would send to a replica.
     oracle: u64,
     stale: u64,
-    /// Reads whose minimum position was not known.
+    /// Reads whose minimum position was unknown.
     unknown_minimum: u64,
 }
 
@@ -118,12 +118,12 @@
     restarted: usize,
     active: Vec<u64>,
     sessions: HashMap<u64, SessionTruth>,
-    /// Tokens lose their watermarks: an injected fault.
+    /// Whether tokens lose their watermarks: an injected fault.
     zeroes_tokens: bool,
     counts: TierCounts,
 }
 
-/// Plays a tier, checks it, and returns the figures.
+/// Simulates and checks a tier, and returns the figures.
 pub(super) fn play(verdict: &mut Verdict, options: &Options, size: TierSize) -> Value {
     let mut simulation = Simulation::new(options, size);
     let began_at = Instant::now();
@@ -137,7 +137,7 @@
     verdict.check("tier: nothing stale, the restart wave included", is_consistent);
     let oracle_part = counts.at_replicas as f64 / counts.oracle.max(1) as f64;
     let text = "tier: replicas take at least 0.8 of what an oracle gives them";
-    verdict.check(text, oracle_part >= LEAST_REPLICA_SHARE);
+    verdict.check(text, oracle_part >= MIN_REPLICA_RATIO);
     let most_bytes = instances.iter().map(|one| one.tracker.memory().bytes()).max().unwrap_or(0);
     let by_token: u64 = instances.iter().map(|one| one.tracker.counts().by_token).sum();
     json!({
@@ -201,7 +201,7 @@
     }
 
     fn restart_due_instances(&mut self, now: Time) {
-        let due = self.wave.restarted(now, self.size.instances);
+        let due = self.wave.restarted_count(now, self.size.instances);
         while self.restarted < due {
             let up_at = now + DOWNTIME;
             let tracker = new_tracker(&self.settings, up_at);
@@ -210,14 +210,14 @@
         }
     }
 
-    /// One session ends and another one begins.
+    /// Replaces one active session by another.
     fn replace_session(&mut self) {
         let index = self.rng.random_range(0..self.active.len());
         self.sessions.remove(&self.active[index]);
         self.active[index] = self.rng.random_range(0..SESSION_NAMES);
     }
 
-    /// The token that a session's request carries.
+    /// The token in a request of the session, if it has one.
     fn token_of_request(&mut self, session: u64, key: SessionKey, now: Time) -> Option<Token> {
         if session % 100 < WITHOUT_TOKEN_PERCENT {
             return None;
@@ -249,14 +249,14 @@
             role: Some(Role::Replica),
         };
         let is_proven = tracker.verify_answer(&minimum, &evidence) == petrelgauge_sessions::Verdict::Proven;
-        // What the replica cannot answer goes to the primary.
+        // A read that the replica cannot serve goes to the primary.
         let shown = if is_proven { replica_position } else { now };
         tracker.record_read(now + READ_TIME, key, &minimum, shown);
         self.counts.reads += 1;
         self.counts.unknown_minimum += u64::from(minimum.unknown_until.is_some());
         self.counts.oracle += u64::from(replica_position >= truth.seen);
         self.counts.at_replicas += u64::from(is_proven);
-        // What one session did in this step is answered before its next request comes.
+        // All earlier requests of the session were answered before this one arrived.
         self.counts.stale += u64::from(shown < truth.seen && truth.seen <= now);
         truth.seen = truth.seen.max(shown);
     }
