--- a/crates/models/src/attempts/apply.rs
+++ b/crates/models/src/attempts/apply.rs
@@ -1,8 +1,9 @@
 //! What each step changes.
 
-use super::*;
+use crate::attempts::{entry, Attempts, Change, HostAnswer, Step, GRANULE};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::Event;
+use petrelgauge_policy::MemberStatus;
 
 impl Attempts {
     pub(super) fn apply_step(&mut self, step: &Step) {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The attempt is connected, and its request is written completely, unless its time limit comes first.
+    /// Connects an attempt and writes its request completely, unless the attempt ends before.
     fn write(&mut self, index: usize) {
         for event in [Event::Connected, Event::HostReady, Event::Written] {
             if self.attempts[index].exchange.ended().is_none() {
--- a/crates/models/src/attempts/commands.rs
+++ b/crates/models/src/attempts/commands.rs
@@ -1,13 +1,18 @@
 //! Executing the commands of the request table, and reporting attempts. Most properties are checked here.
 
-use super::*;
+use crate::attempts::{
+    Attempt, Attempts, ABANDONED, ATTEMPTS, DRAINED, DRAIN_GRACE, GRANULE, MAX_ATTEMPTS, ONE_ANSWER,
+    ONE_ATTEMPT, REPORTED, RETRY, SAFE_REJECTION,
+};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::Event;
+use petrelgauge_lifecycle::exchange::Exchange;
 use petrelgauge_lifecycle::request_table::{AttemptSpec, Outcome, TableCommand};
+use petrelgauge_policy::{Effect, MemberId, Role, Time};
 
-/// Time that an attempt has to be connected (microseconds).
+/// Connect timeout of an attempt (microseconds).
 const CONNECT_TIMEOUT: Time = 3 * GRANULE;
-/// By how much the data of replicas are behind (microseconds).
+/// Lag of the replicas (microseconds).
 const REPLICA_LAG: Time = 20_000;
 
 impl Attempts {
@@ -39,7 +44,7 @@
 
     fn start_attempt(&mut self, spec: AttemptSpec) {
         self.check_start(&spec);
-        // All connections are new here: the model `connection` has reused ones.
+        // All connections are new; reused ones are explored by the model `connection`.
         let exchange = Exchange::connecting(self.now + CONNECT_TIMEOUT, spec.deadline)
             .with_write_deadline(spec.write_deadline);
         self.attempts.push(Attempt {
@@ -75,7 +80,7 @@
         }
     }
 
-    /// The window of a key applies to when a retry was written, however long its connection took.
+    /// Checks that a retry was written within the window of its key, however long its connection took.
     pub(super) fn check_written(&mut self, index: usize) {
         let request = self.attempts[index].spec.id.request.clone();
         let Effect::Keyed { window, .. } = self.effect_of(&request) else { return };
@@ -84,7 +89,7 @@
         }
     }
 
-    /// The client of this request gets a final answer.
+    /// Delivers a final answer to the client of this request.
     fn answer(&mut self, index: usize) {
         let request = &mut self.requests[index];
         request.answers += 1;
@@ -99,7 +104,7 @@
         let attempt = &mut self.attempts[index];
         attempt.exchange.on(now, event);
         let Some(end) = attempt.exchange.ended() else { return };
-        // The connection is disposed of before the attempt is reported: there is no other way to learn the end.
+        // The connection must be disposed of first: only that yields the end to report.
         let Some(finished) = attempt.exchange.clone().finish(false) else { return };
         if matches!(end, End::Rejected | End::QueueFull) {
             attempt.may_have_run = false;
@@ -113,7 +118,7 @@
         self.compare_in_flight();
     }
 
-    /// What the gateway learns from an attempt at this host that ended like this.
+    /// The outcome that the gateway reports for an attempt at this host with this end.
     fn outcome(&self, host: MemberId, end: End) -> Outcome {
         let silent = Outcome::silent(end.as_ending());
         if !end.is_answer() {
@@ -127,7 +132,7 @@
         Outcome { role: Some(role), position: Some(position), ..silent }
     }
 
-    /// The request table knows exactly the attempts that are in flight.
+    /// Checks that the request table counts exactly the attempts in flight.
     fn compare_in_flight(&mut self) {
         let in_flight = self.attempts.iter().filter(|attempt| !attempt.reported).count();
         if self.table.in_flight_attempt_count() != in_flight {
--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -1,7 +1,7 @@
 //! Models `attempt`, `primary` and `request_table`: requests in the gateway's own request table and router,
-//! each attempt with its own state machine; the clients, the hosts, the endpoint list and the time belong to
-//! the model. Time passes in granules; the router's commands at each are executed at once, and everything
-//! else happens in every order between two of them.
+//! with the state machine of each attempt. Clients, hosts, the endpoint list and time belong to the model.
+//! Time passes in granules. The router's commands are executed at once at each granule; everything else
+//! happens in every order between two granules.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -17,21 +17,23 @@
 use crate::Size;
 use petrelgauge_lifecycle::exchange::Exchange;
 use petrelgauge_lifecycle::request_table::{AttemptId, AttemptSpec, Request, RequestTable};
-use petrelgauge_policy::*;
+use petrelgauge_policy::{
+    Class, Effect, Entry, GroupId, MemberId, MemberStatus, Need, RequestId, Scope, Settings, Time,
+};
 
 const GROUP: GroupId = 2;
-/// Time passes by this much (microseconds).
+/// Granule of time (microseconds).
 const GRANULE: Time = 250_000;
 /// Clock time at the start (microseconds).
 const START: Time = 1_000_000_000;
 /// A draining member gets nothing new after this time (microseconds).
 const DRAIN_GRACE: Time = GRANULE;
-/// The window of a payment's idempotency key (microseconds): retries are recognized for this long after the
-/// first attempt that may have run.
+/// Window of a payment's idempotency key: how long after the first attempt that may have run retries are
+/// recognized (microseconds).
 const KEY_WINDOW: Time = 1_000_000;
-/// Attempts for one request at most (count).
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: usize = 3;
-/// Granules after the deadline of all requests, in which the last attempts end (count).
+/// Number of granules after the deadline of all requests, during which the last attempts end.
 const GRANULES_TO_END: Time = 4;
 /// The latency target of each class (microseconds).
 const LATENCY_TARGET: Time = 1_000_000;
@@ -41,10 +43,10 @@
 const DRAINED: &str = "nothing is sent to a draining member after the limit";
 const ABANDONED: &str = "nothing is sent for a request whose client has left or has its answer";
 const RETRY: &str = "no payment that may have run is sent again outside its class or its key's window";
-const SAFE_REJECTION: &str = "a payment that may have run is never refused as harmless";
+const SAFE_REJECTION: &str = "a payment that may have run is never rejected as safe to retry";
 const ATTEMPTS: &str = "no request has more attempts than allowed";
 const REPORTED: &str = "every attempt is reported exactly once";
-const ENDS: &str = "nothing waits for ever, and in the end nothing is held";
+const ENDS: &str = "nothing waits for ever, and in the end nothing is in flight";
 
 /// What a host can answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -70,7 +72,7 @@
     Answered(usize, HostAnswer),
     /// The connection of this attempt breaks after the request.
     Broken(usize),
-    /// The time limit of this attempt comes.
+    /// This attempt times out.
     Due(usize),
     /// The cancellation of this attempt takes effect.
     Cancelled(usize),
@@ -94,7 +96,7 @@
     id: RequestId,
     class: usize,
     until: Time,
-    /// Final answers that the client got.
+    /// Number of final answers to the client.
     answers: u8,
     client_left: bool,
 }
@@ -105,12 +107,12 @@
     }
 }
 
-/// An attempt that was ordered.
+/// An attempt that the request table has started.
 #[derive(Clone, Debug)]
 struct Attempt {
     spec: AttemptSpec,
     exchange: Exchange,
-    /// It was written completely, and the host did not reject it.
+    /// Whether it was written completely and not rejected by the host.
     may_have_run: bool,
     cancelled: bool,
     reported: bool,
@@ -126,7 +128,7 @@
     primary: MemberId,
     requests: Vec<ClientRequest>,
     attempts: Vec<Attempt>,
-    /// Changes of the endpoint list that are to come.
+    /// Changes of the endpoint list still to come.
     changes: Vec<Change>,
     /// The member that the list names as draining, and since when.
     draining: Option<(MemberId, Time)>,
@@ -281,7 +283,7 @@
     class("pay", Need::Write, Effect::Keyed { window: KEY_WINDOW, scope: Scope::Group })
 }
 
-/// How long the clients wait: so many granules, and two more in the large models.
+/// How long the clients wait: this many granules, and two more in the large models (microseconds).
 fn wait(size: Size, granules: Time) -> Time {
     GRANULE * (granules + if size == Size::Large { 2 } else { 0 })
 }
--- a/crates/models/src/attempts/steps.rs
+++ b/crates/models/src/attempts/steps.rs
@@ -1,12 +1,13 @@
 //! The steps that are possible in a state.
 
-use super::*;
+use crate::attempts::{Attempt, Attempts, ClientRequest, HostAnswer, Step};
+use petrelgauge_policy::Effect;
 
 impl Attempts {
     pub(super) fn possible_steps(&self) -> Vec<Step> {
         let is_in_flight = self.attempts.iter().any(|attempt| !attempt.reported);
         let is_open = self.requests.iter().any(ClientRequest::is_open);
-        // Changes of the endpoint list are of no interest once everything has ended.
+        // Once everything has ended, changes of the endpoint list have no effect.
         if !is_in_flight && !is_open {
             return Vec::new();
         }
@@ -14,7 +15,7 @@
         for (index, attempt) in self.attempts.iter().enumerate().filter(|(_, attempt)| !attempt.reported) {
             self.steps_of_attempt(index, attempt, &mut steps);
         }
-        // Neither a time limit nor a cancellation takes effect later than the next step of the router.
+        // Time-outs and cancellations take effect before the next step of the router.
         let must_end = steps.iter().any(|step| matches!(step, Step::Cancelled(_) | Step::Due(_)));
         if self.clients_may_leave {
             let open = self.requests.iter().enumerate().filter(|(_, request)| request.is_open());
--- a/crates/models/src/connection/apply.rs
+++ b/crates/models/src/connection/apply.rs
@@ -1,11 +1,13 @@
 //! What each step changes.
 
-use super::*;
+use crate::connection::{Bytes, Connection, Connections, Step, WrittenAnswer, ATTEMPT_TIMEOUT, START};
 use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::exchange::AttemptState;
 use petrelgauge_lifecycle::exchange::Event;
 use petrelgauge_lifecycle::idle_connection::is_copy;
+use petrelgauge_policy::Time;
 
-/// How long before the attempt's deadline a late answer begins (microseconds): less than the time limit of an
+/// How long before the attempt's deadline a late answer begins (microseconds): less than the timeout of an
 /// answer.
 const LATE_MARGIN: Time = 100_000;
 
@@ -13,7 +15,7 @@
     pub(super) fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Send => self.begin(),
-            Step::Wait(span) => (self.now, self.waited) = (self.now + span, true),
+            Step::Wait(span) => (self.now, self.has_waited) = (self.now + span, true),
             Step::Proceed => self.proceed(),
             Step::Cancel => self.on_event(Event::Cancelled),
             Step::Unwanted => self.on_event(Event::Unwanted),
@@ -26,7 +28,7 @@
             Step::GreetingFails { rejected: true } => self.on_event(Event::Rejected(End::QueueFull)),
             Step::GreetingFails { rejected: false } => self.on_event(Event::Malformed),
             Step::GreetedLate => {
-                // The gateway was held up past the deadline of the whole attempt.
+                // The gateway was stalled until after the attempt's deadline.
                 self.now = self.now.max(START + ATTEMPT_TIMEOUT) + ATTEMPT_TIMEOUT;
                 self.on_event(Event::HostReady);
             }
@@ -47,7 +49,7 @@
         matches!(self.state(), Some(AttemptState::Connecting { .. }))
     }
 
-    /// What the attempt waits for happens.
+    /// Lets the attempt make progress.
     fn proceed(&mut self) {
         match self.state() {
             Some(AttemptState::Connecting { .. }) => {
@@ -116,9 +118,9 @@
             Bytes::Garbage => self.on_event(Event::Malformed),
             Bytes::End => self.on_event(Event::ConnectionLost),
             Bytes::Answer { request, has_position } => {
-                let this = answer_hash(request, has_position);
-                let last = std::mem::replace(&mut connection.last_answer, this);
-                let is_duplicate = is_copy(connection.copy_expected, last, this);
+                let answer = answer_hash(request, has_position);
+                let last_answer = std::mem::replace(&mut connection.last_answer, answer);
+                let is_duplicate = is_copy(connection.copy_expected, last_answer, answer);
                 (self.answered, self.answer_begun) = (Some(request), true);
                 self.on_event(Event::Answered { end: End::Served, is_duplicate });
             }
@@ -126,8 +128,8 @@
     }
 }
 
-/// The hash of an answer, as the gateway remembers it: only if it has a position, so that a copy can be
-/// recognized.
+/// The hash that the gateway remembers of an answer. Only those with a position can be distinguished from
+/// their successors.
 fn answer_hash(request: u8, has_position: bool) -> Option<u64> {
     has_position.then_some(u64::from(request) + 1)
 }
--- a/crates/models/src/connection/attempt.rs
+++ b/crates/models/src/connection/attempt.rs
@@ -1,9 +1,13 @@
-//! The gateway's side of the model: it chooses a connection for each request, steps the attempt, and disposes
-//! of the connection as the state machines say. The properties are checked here.
+//! The gateway's side of the model: choosing a connection for each request, stepping the attempt, and
+//! disposing of the connection. Most properties are checked here.
 
-use super::*;
+use crate::connection::{
+    Attempt, Bytes, Connection, Connections, IdleSince, ATTEMPT_TIMEOUT, CLOSED, CONNECT_TIMEOUT,
+    IDLE_POLICY, ONCE, OWN_ANSWER, STALLED_EARLY, TOO_OLD, UNREAD,
+};
 use crate::coverage::record_transition;
 use petrelgauge_lifecycle::ending::End;
+use petrelgauge_lifecycle::exchange::Exchange;
 use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event};
 use petrelgauge_lifecycle::idle_connection::{IdleConnection, SocketState};
 
@@ -24,10 +28,10 @@
 
     /// The idle connection, if it may be reused now. One that may not is closed.
     fn reuse(&mut self) -> Option<Connection> {
-        let (since, mut connection) = self.idle.take()?;
+        let IdleSince { since, mut connection } = self.idle.take()?;
         let idle = IdleConnection { since, detects_copies: connection.last_answer.is_some() };
         if IDLE_POLICY.choose(self.now, [idle].into_iter()).is_none() {
-            self.idle = Some((since, connection));
+            self.idle = Some(IdleSince { since, connection });
             return None;
         }
         let socket = match (connection.unread.first(), connection.closed_by_host) {
@@ -72,7 +76,7 @@
             return;
         };
         self.reports += 1;
-        self.waited = false;
+        self.has_waited = false;
         self.check_end(request, finished.end);
         let unanswered =
             connection.as_ref().is_some_and(|connection| connection.unanswered.contains(&request));
@@ -87,7 +91,7 @@
                 self.violated = Some(UNREAD);
             }
             // This model has one idle connection at most; the older one is closed.
-            self.idle = Some((self.now, connection));
+            self.idle = Some(IdleSince { since: self.now, connection });
         }
     }
 
--- a/crates/models/src/connection/mod.rs
+++ b/crates/models/src/connection/mod.rs
@@ -1,6 +1,6 @@
-//! Model `connection`: requests one after the other to one host, on connections that are reused. The state
-//! machines of an attempt and of an idle connection are the gateway's own code; the host, the kernel and the
-//! bytes in transit belong to the model.
+//! Model `connection`: consecutive requests to one host on reused connections. The state machines of an
+//! attempt and of an idle connection are the gateway's own code; the host, the kernel and the bytes in flight
+//! belong to the model.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -18,7 +18,7 @@
 use petrelgauge_lifecycle::idle_connection::IdlePolicy;
 use petrelgauge_policy::Time;
 
-/// What a host has written and the gateway has not read.
+/// Bytes that a host has written and the gateway has not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Bytes {
     /// The first part of an answer.
@@ -33,7 +33,7 @@
     End,
 }
 
-/// The answer that a host wrote last, which it may write again.
+/// The last answer of a host, which it may write again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct WrittenAnswer {
     request: u8,
@@ -41,17 +41,17 @@
     at: Time,
 }
 
-/// A connection: what the host has to answer on it, the unread bytes, and what the gateway remembers of it.
+/// A connection, with the state of the host and of the gateway on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Connection {
-    /// Requests that were written and not answered, by number.
+    /// Numbers of the requests that were written and not answered.
     unanswered: Vec<u8>,
     unread: Vec<Bytes>,
-    /// Hash of the last answer that the gateway read, if a copy of it can be recognized.
+    /// Hash of the last answer that the gateway read, if duplicates of it can be detected.
     last_answer: Option<u64>,
-    /// What the host wrote last.
+    /// The host's last answer, unless something else was written after it.
     written: Option<WrittenAnswer>,
-    /// The gateway expects a copy of the last answer.
+    /// Whether the gateway expects a duplicate of the last answer.
     copy_expected: bool,
     closed_by_host: bool,
 }
@@ -69,22 +69,22 @@
 pub enum Step {
     /// The next request is sent, on an idle connection if one is suitable.
     Send,
-    /// What the attempt waits for happens: it is connected, the host is ready, the request is written.
+    /// The attempt makes progress: it is connected, the host is ready, or the request is written.
     Proceed,
     /// The connection is refused, or breaks.
     Break,
-    /// There is no descriptor for the connection, or no memory for what is read.
+    /// There is no descriptor for the connection, or no memory for the answer.
     ResourcesExhausted,
     /// The host does not accept the connection.
     GreetingFails {
-        /// It rejects the connection with an error, else it breaks the protocol.
+        /// Whether it rejects the connection with an error; otherwise it violates the protocol.
         rejected: bool,
     },
     /// The host is ready after the attempt's deadline.
     GreetedLate,
     /// The host writes the beginning of an answer.
     BeginAnswer,
-    /// The same, so late that the attempt's deadline comes before the time limit of the answer.
+    /// The same, so late that the attempt's deadline precedes the timeout of the answer.
     BeginAnswerLate,
     /// The host begins a long row.
     BeginRow,
@@ -92,10 +92,10 @@
     AnswerMalformed,
     /// The host answers.
     Answer {
-        /// With its position.
+        /// Whether with its position.
         has_position: bool,
     },
-    /// The host writes its last answer again, after the first one.
+    /// The host writes its last answer again.
     DuplicateAnswer,
     /// The host writes garbage after an answer.
     WriteGarbage,
@@ -105,14 +105,21 @@
     Read,
     /// The router cancels the attempt.
     Cancel,
-    /// The attempt is no longer wanted, and nothing of it was written.
+    /// The attempt is no longer wanted, and nothing of it has been written.
     Unwanted,
-    /// Time passes until the attempt's time limit.
+    /// Time passes until the attempt times out.
     Due,
     /// Time passes.
     Wait(Time),
 }
 
+/// An idle connection.
+#[derive(Clone, Debug)]
+struct IdleSince {
+    since: Time,
+    connection: Connection,
+}
+
 /// The state of the model.
 #[derive(Clone, Debug)]
 struct Connections {
@@ -120,22 +127,22 @@
     next_request: u8,
     max_requests: u8,
     attempt: Option<Attempt>,
-    /// The request that the present attempt got an answer to.
+    /// The request whose answer the current attempt has received.
     answered: Option<u8>,
-    /// The answer of the present attempt has begun.
+    /// Whether the answer of the current attempt has begun.
     answer_begun: bool,
-    /// The idle connection, and since when it is idle.
-    idle: Option<(Time, Connection)>,
+    idle: Option<IdleSince>,
+    /// Number of reported attempts.
     reports: u8,
-    /// Time has passed since the last report: once is enough between two requests.
-    waited: bool,
+    /// Whether time has passed since the last report. It may pass once between two requests.
+    has_waited: bool,
     violated: Option<&'static str>,
 }
 
 const IDLE_POLICY: IdlePolicy = IdlePolicy { span: 22_000_000 };
-/// Time that each attempt has (microseconds).
+/// Deadline of each attempt, from its start (microseconds).
 const ATTEMPT_TIMEOUT: Time = 2_000_000;
-/// Time within which a connection must be established (microseconds).
+/// Connect timeout of an attempt (microseconds).
 const CONNECT_TIMEOUT: Time = 250_000;
 /// Clock time at the start (microseconds).
 const START: Time = 1_000_000;
@@ -145,7 +152,7 @@
 const TOO_OLD: &str = "no connection is used that its host may be closing for age";
 const ONCE: &str = "every attempt is reported exactly once";
 const STALLED_EARLY: &str = "no attempt is given up as stalled before an answer has begun";
-const CLOSED: &str = "an attempt without an answer has its connection closed when it is told";
+const CLOSED: &str = "the connection of an attempt without an answer is closed before its end is reported";
 const ENDS: &str = "nothing waits for ever";
 
 impl Connections {
@@ -159,23 +166,22 @@
             answer_begun: false,
             idle: None,
             reports: 0,
-            waited: false,
+            has_waited: false,
             violated: None,
         }
     }
 
-    /// The connection of the attempt, or else the idle one.
+    /// The connection of the attempt, or the idle one.
     fn connection(&self) -> Option<&Connection> {
         let used = self.attempt.as_ref().and_then(|attempt| attempt.connection.as_ref());
-        used.or(self.idle.as_ref().map(|(_, connection)| connection))
+        used.or(self.idle.as_ref().map(|idle| &idle.connection))
     }
 
-    /// The same, to be changed.
     fn connection_mut(&mut self) -> Option<&mut Connection> {
         let used = self.attempt.as_mut().and_then(|attempt| attempt.connection.as_mut());
         match used {
             Some(connection) => Some(connection),
-            None => self.idle.as_mut().map(|(_, connection)| connection),
+            None => self.idle.as_mut().map(|idle| &mut idle.connection),
         }
     }
 
--- a/crates/models/src/connection/steps.rs
+++ b/crates/models/src/connection/steps.rs
@@ -1,9 +1,10 @@
 //! The steps that are possible in a state.
 
-use super::*;
+use crate::connection::{Bytes, Connection, Connections, Step, IDLE_POLICY};
+use petrelgauge_lifecycle::exchange::AttemptState;
 use petrelgauge_lifecycle::idle_connection::{COPY_WINDOW, SETTLE};
 
-/// Unread pieces on a connection at most (count), to keep the model small.
+/// Maximum number of unread messages on a connection, to keep the model small.
 const MAX_UNREAD: usize = 2;
 
 impl Connections {
@@ -31,7 +32,7 @@
             return;
         }
         steps.push(Step::Send);
-        if self.idle.is_some() && !self.waited {
+        if self.idle.is_some() && !self.has_waited {
             let spans = [SETTLE / 2, SETTLE, COPY_WINDOW, IDLE_POLICY.span + 1];
             steps.extend(spans.map(Step::Wait));
         }
@@ -65,7 +66,7 @@
         }
         if let Some(written) = connection.written {
             let age = self.now - written.at;
-            // Surplus bytes follow an answer within the settling time; a copy that can be recognized may come
+            // Garbage follows an answer within the settling time; a duplicate that can be detected may come
             // later.
             let copy_window = if written.has_position { COPY_WINDOW } else { SETTLE };
             if age < copy_window {
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -1,7 +1,7 @@
-//! Model `ownership`: three acceptors, two candidates, one role; messages lost, late and duplicated, one
-//! restart of an acceptor, a lease holder that stalls. Acceptor, candidate and fence are the gateway's own
-//! code. Time passes only where the model says so: a candidate whose deadline has passed and that does not
-//! run is stalled.
+//! Model `ownership`: three acceptors, two candidates and one role; lost, late and duplicated messages, one
+//! restart of an acceptor, and a lease holder that stalls. Acceptor, candidate and fence are the gateway's
+//! own code. Time passes only by steps of the model: a candidate that does not run although its deadline has
+//! passed is stalled.
 
 use crate::check::{check, Report, World};
 use crate::fleet_settings::{settings, LEASE};
@@ -11,8 +11,8 @@
 };
 use petrelgauge_policy::Time;
 
-const ONE: &str = "no two may act on a role at one instant";
-const RISES: &str = "each lease holder has a higher term than the one before";
+const ONE_HOLDER: &str = "no two may act on a role at one instant";
+const TERMS_RISE: &str = "each lease holder has a higher term than the one before";
 const FENCED: &str =
     "no effect under an older term is admitted after one under a newer, and none under a newer is rejected";
 
@@ -22,34 +22,36 @@
 /// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Which faults may occur: all of them at once would be more states than can be explored.
+    /// Selects the faults that may occur. All of them together would be more states than can be explored.
     Faults(usize),
-    /// A candidate's deadline has passed, and it runs.
+    /// A candidate runs after its deadline.
     Deadline(usize),
     /// A candidate's request reaches two acceptors, in this order, and their responses arrive.
     Reaches(usize, [u16; 2]),
-    /// The same; the third acceptor's response is late, and so is a duplicate of the first one's.
+    /// The request reaches all acceptors, and two responses arrive. The third one and a duplicate of the
+    /// first are late.
     Doubled(usize, [u16; 2]),
-    /// The first acceptor's response arrives; the second one's is late.
+    /// The request reaches two acceptors. The first one's response arrives, the second one's is late.
     Halved(usize, [u16; 2]),
-    /// The request reaches no acceptor now, and this one late.
+    /// The request reaches only this acceptor, late.
     Delayed(usize, u16),
     /// A late message arrives.
     Arrives(usize),
     /// An acceptor restarts.
     Restarts(u16),
-    /// A lease holder acts; the effect is on its way.
+    /// A lease holder sends an effect.
     Acts(usize),
-    /// Such an effect arrives.
+    /// An effect arrives.
     Admitted(usize),
     /// Time passes.
     Waits(Time),
 }
 
+/// A late message between a candidate and an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Late {
-    Request(usize, u16, LeaseRequest),
-    Response(usize, u16, LeaseResponse),
+enum LateMessage {
+    Request { candidate: usize, acceptor: u16, request: LeaseRequest },
+    Response { candidate: usize, acceptor: u16, response: LeaseResponse },
 }
 
 #[derive(Clone, Debug)]
@@ -60,36 +62,50 @@
     candidates: Vec<Candidate>,
     /// The request of each candidate, until it has reached an acceptor.
     requests: Vec<Option<LeaseRequest>>,
-    deadlines: Vec<u8>,
-    late: Vec<Late>,
-    may_be_late: u8,
-    restarts: u8,
-    waits: u8,
-    acts: Vec<u8>,
+    /// How often each candidate may still run after a deadline.
+    deadlines_left: Vec<u8>,
+    late: Vec<LateMessage>,
+    /// How many messages may still be late.
+    late_left: u8,
+    restarts_left: u8,
+    waits_left: u8,
+    /// How often each candidate may still act as lease holder.
+    acts_left: Vec<u8>,
+    /// Terms of the effects in flight.
     effects: Vec<Term>,
+    /// Of the receiver of the effects.
     fence: Fence,
-    admitted: Term,
-    last: Option<(usize, Term)>,
-    begun: bool,
+    /// The highest term of an effect that has arrived.
+    highest_admitted: Term,
+    last_holder: Option<Holder>,
+    /// Whether the faults have been selected.
+    has_begun: bool,
+    /// How much time may pass at once.
     spans: &'static [Time],
-    large: bool,
+    size: Size,
     violated: Option<&'static str>,
 }
 
+#[derive(Clone, Copy, Debug)]
+struct Holder {
+    candidate: usize,
+    term: Term,
+}
+
 /// How often each fault may occur.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
     /// Deadlines of each candidate.
     deadlines: [u8; 2],
-    /// Messages that are late.
+    /// Late messages.
     late: u8,
-    /// An acceptor restarts.
+    /// Restarts of acceptors.
     restarts: u8,
-    /// Time passes.
+    /// Steps in which time passes.
     waits: u8,
-    /// By so much.
+    /// How much time may pass at once.
     spans: &'static [Time],
-    /// Each candidate acts.
+    /// Effects of each candidate.
     acts: [u8; 2],
 }
 
@@ -107,120 +123,138 @@
 ];
 
 impl Fleet {
-    fn apply(&mut self, who: usize, action: Action) {
+    /// Carries out a candidate's action.
+    fn carry_out(&mut self, candidate: usize, action: Action) {
         match action {
-            Action::Send(request) => self.requests[who] = Some(request),
+            Action::Send(request) => self.requests[candidate] = Some(request),
             Action::Acquired(term) => {
-                if self.last.is_some_and(|(other, last)| other != who && term <= last) {
-                    self.violated = Some(RISES);
+                let has_term_of = |last: Holder| last.candidate != candidate && term <= last.term;
+                if self.last_holder.is_some_and(has_term_of) {
+                    self.violated = Some(TERMS_RISE);
                 }
-                self.last = Some((who, term));
+                self.last_holder = Some(Holder { candidate, term });
             }
             Action::Renewed(_) | Action::Lost(_) | Action::Wait => {}
         }
     }
 
-    fn request(&mut self, who: usize, acceptor: u16, request: LeaseRequest) -> Option<LeaseResponse> {
-        self.acceptors[acceptor as usize].on_request(self.now, who as u16, ROLE, request)
+    /// Delivers a request to an acceptor, and returns the response.
+    fn deliver_request(
+        &mut self,
+        candidate: usize,
+        acceptor: u16,
+        request: LeaseRequest,
+    ) -> Option<LeaseResponse> {
+        self.acceptors[acceptor as usize].on_request(self.now, candidate as u16, ROLE, request)
     }
 
-    fn respond(&mut self, who: usize, acceptor: u16, response: Option<LeaseResponse>) {
+    fn deliver_response(&mut self, candidate: usize, acceptor: u16, response: Option<LeaseResponse>) {
         let Some(response) = response else { return };
-        let action = self.candidates[who].on_response(self.now, acceptor, response);
-        self.apply(who, action);
+        let action = self.candidates[candidate].on_response(self.now, acceptor, response);
+        self.carry_out(candidate, action);
     }
 
-    /// The request reaches these acceptors: their responses.
-    fn reaches(
-        &mut self,
-        who: usize,
-        acceptors: [u16; 2],
-    ) -> (Option<LeaseRequest>, [Option<LeaseResponse>; 2]) {
-        let request = self.requests[who].take();
-        (request, acceptors.map(|acceptor| self.request(who, acceptor, request?)))
+    /// Delivers a candidate's request to these acceptors, and returns their responses.
+    fn reach(&mut self, candidate: usize, acceptors: [u16; 2]) -> [Option<LeaseResponse>; 2] {
+        let request = self.requests[candidate].take();
+        acceptors.map(|acceptor| self.deliver_request(candidate, acceptor, request?))
     }
 
     fn begin(&mut self, faults: Faults) {
-        let more = u8::from(self.large);
-        self.begun = true;
+        let more = u8::from(self.size == Size::Large);
+        self.has_begun = true;
         self.spans = faults.spans;
-        self.deadlines = faults.deadlines.map(|deadlines| deadlines + more).to_vec();
-        self.acts = faults.acts.to_vec();
-        self.may_be_late = faults.late;
-        self.restarts = faults.restarts;
-        self.waits = faults.waits + more;
+        self.deadlines_left = faults.deadlines.map(|deadlines| deadlines + more).to_vec();
+        self.acts_left = faults.acts.to_vec();
+        self.late_left = faults.late;
+        self.restarts_left = faults.restarts;
+        self.waits_left = faults.waits + more;
     }
 
     /// All acceptors receive the request; two responses arrive, the third one and a duplicate of the first
     /// are late.
-    fn double(&mut self, who: usize, pair: [u16; 2]) {
-        self.may_be_late -= 1;
-        let (request, responses) = self.reaches(who, pair);
+    fn double(&mut self, candidate: usize, pair: [u16; 2]) {
+        let request = self.requests[candidate];
+        let responses = self.reach(candidate, pair);
         let third = ACCEPTORS - pair[0] - pair[1];
-        let response = request.and_then(|request| self.request(who, third, request));
-        let late = [(third, response), (pair[0], responses[0])].into_iter();
-        let late = late.filter_map(|(acceptor, response)| Some(Late::Response(who, acceptor, response?)));
+        let response = request.and_then(|request| self.deliver_request(candidate, third, request));
+        self.delay_response(candidate, third, response);
+        self.delay_response(candidate, pair[0], responses[0]);
+        (0..2).for_each(|index| self.deliver_response(candidate, pair[index], responses[index]));
+    }
+
+    fn delay_response(&mut self, candidate: usize, acceptor: u16, response: Option<LeaseResponse>) {
+        let late = response.map(|response| LateMessage::Response { candidate, acceptor, response });
         self.late.extend(late);
-        (0..2).for_each(|index| self.respond(who, pair[index], responses[index]));
     }
 
     /// A late message arrives.
     fn arrive(&mut self, index: usize) {
         match self.late.remove(index) {
-            Late::Request(who, acceptor, request) => {
-                let response = self.request(who, acceptor, request);
-                self.respond(who, acceptor, response);
+            LateMessage::Request { candidate, acceptor, request } => {
+                let response = self.deliver_request(candidate, acceptor, request);
+                self.deliver_response(candidate, acceptor, response);
+            }
+            LateMessage::Response { candidate, acceptor, response } => {
+                self.deliver_response(candidate, acceptor, Some(response));
             }
-            Late::Response(who, acceptor, response) => self.respond(who, acceptor, Some(response)),
         }
     }
 
     /// An effect arrives at a receiver, whose fence admits or rejects it.
-    fn take_effect(&mut self, index: usize) {
+    fn deliver_effect(&mut self, index: usize) {
         let term = self.effects.remove(index);
-        let passed = self.fence.admit(ROLE, term).is_ok();
-        if passed != (term >= self.admitted) {
+        let is_admitted = self.fence.admit(ROLE, term).is_ok();
+        if is_admitted != (term >= self.highest_admitted) {
             self.violated = Some(FENCED);
         }
-        self.admitted = self.admitted.max(term);
+        self.highest_admitted = self.highest_admitted.max(term);
+    }
+}
+
+impl Fleet {
+    fn candidate_steps(&self, candidate: usize, steps: &mut Vec<Step>) {
+        let is_due = self.now >= self.candidates[candidate].next_deadline();
+        if self.deadlines_left[candidate] > 0 && is_due {
+            steps.push(Step::Deadline(candidate));
+        }
+        if self.requests[candidate].is_some() {
+            for pair in [[0, 1], [1, 2], [2, 0]] {
+                steps.push(Step::Reaches(candidate, pair));
+                if self.late_left > 0 {
+                    steps.extend([Step::Doubled(candidate, pair), Step::Halved(candidate, pair)]);
+                }
+            }
+            if self.late_left > 0 {
+                steps.extend((0..ACCEPTORS).map(|acceptor| Step::Delayed(candidate, acceptor)));
+            }
+        }
+        let holds_lease = self.candidates[candidate].held_term(self.now).is_some();
+        if self.acts_left[candidate] > 0 && holds_lease {
+            steps.push(Step::Acts(candidate));
+        }
     }
 }
 
 impl World for Fleet {
     type Step = Step;
 
-    const PROPERTIES: &'static [&'static str] = &[ONE, RISES, FENCED];
+    const PROPERTIES: &'static [&'static str] = &[ONE_HOLDER, TERMS_RISE, FENCED];
 
     fn steps(&self) -> Vec<Step> {
-        if !self.begun {
+        if !self.has_begun {
             return (0..FAULTS.len()).map(Step::Faults).collect();
         }
         let mut steps = Vec::new();
-        for who in 0..self.candidates.len() {
-            if self.deadlines[who] > 0 && self.now >= self.candidates[who].next_deadline() {
-                steps.push(Step::Deadline(who));
-            }
-            if self.requests[who].is_some() {
-                for pair in [[0, 1], [1, 2], [2, 0]] {
-                    steps.push(Step::Reaches(who, pair));
-                    if self.may_be_late > 0 {
-                        steps.extend([Step::Doubled(who, pair), Step::Halved(who, pair)]);
-                    }
-                }
-                if self.may_be_late > 0 {
-                    steps.extend((0..ACCEPTORS).map(|acceptor| Step::Delayed(who, acceptor)));
-                }
-            }
-            if self.acts[who] > 0 && self.candidates[who].held_term(self.now).is_some() {
-                steps.push(Step::Acts(who));
-            }
+        for candidate in 0..self.candidates.len() {
+            self.candidate_steps(candidate, &mut steps);
         }
         steps.extend((0..self.late.len()).map(Step::Arrives));
         steps.extend((0..self.effects.len()).map(Step::Admitted));
-        if self.restarts > 0 {
+        if self.restarts_left > 0 {
             steps.extend((0..ACCEPTORS).map(Step::Restarts));
         }
-        if self.waits > 0 {
+        if self.waits_left > 0 {
             steps.extend(self.spans.iter().copied().map(Step::Waits));
         }
         steps
@@ -229,68 +263,73 @@
     fn apply(&mut self, step: &Step) {
         match *step {
             Step::Faults(which) => self.begin(FAULTS[which]),
-            Step::Deadline(who) => {
-                self.deadlines[who] -= 1;
-                let action = self.candidates[who].on_deadline(self.now);
-                self.apply(who, action);
+            Step::Deadline(candidate) => {
+                self.deadlines_left[candidate] -= 1;
+                let action = self.candidates[candidate].on_deadline(self.now);
+                self.carry_out(candidate, action);
+            }
+            Step::Reaches(candidate, pair) => {
+                let responses = self.reach(candidate, pair);
+                (0..2).for_each(|index| self.deliver_response(candidate, pair[index], responses[index]));
             }
-            Step::Reaches(who, pair) => {
-                let (_, responses) = self.reaches(who, pair);
-                (0..2).for_each(|index| self.respond(who, pair[index], responses[index]));
+            Step::Doubled(candidate, pair) => {
+                self.late_left -= 1;
+                self.double(candidate, pair);
             }
-            Step::Doubled(who, pair) => self.double(who, pair),
-            Step::Halved(who, pair) => {
-                self.may_be_late -= 1;
-                let (_, [first, second]) = self.reaches(who, pair);
-                self.late.extend(second.map(|response| Late::Response(who, pair[1], response)));
-                self.respond(who, pair[0], first);
+            Step::Halved(candidate, pair) => {
+                self.late_left -= 1;
+                let [first, second] = self.reach(candidate, pair);
+                self.delay_response(candidate, pair[1], second);
+                self.deliver_response(candidate, pair[0], first);
             }
-            Step::Delayed(who, acceptor) => {
-                self.may_be_late -= 1;
-                let request = self.requests[who].take();
-                self.late.extend(request.map(|request| Late::Request(who, acceptor, request)));
+            Step::Delayed(candidate, acceptor) => {
+                self.late_left -= 1;
+                let request = self.requests[candidate].take();
+                let late = request.map(|request| LateMessage::Request { candidate, acceptor, request });
+                self.late.extend(late);
             }
             Step::Arrives(index) => self.arrive(index),
             Step::Restarts(acceptor) => {
-                self.restarts -= 1;
+                self.restarts_left -= 1;
                 self.acceptors[acceptor as usize] = Acceptor::new(&self.settings, self.now);
             }
-            Step::Acts(who) => {
-                self.acts[who] -= 1;
-                self.effects.extend(self.candidates[who].held_term(self.now));
+            Step::Acts(candidate) => {
+                self.acts_left[candidate] -= 1;
+                self.effects.extend(self.candidates[candidate].held_term(self.now));
             }
-            Step::Admitted(index) => self.take_effect(index),
+            Step::Admitted(index) => self.deliver_effect(index),
             Step::Waits(span) => {
-                self.waits -= 1;
+                self.waits_left -= 1;
                 self.now += span;
             }
         }
-        if self.candidates.iter().filter(|candidate| candidate.held_term(self.now).is_some()).count() > 1 {
-            self.violated = Some(ONE);
+        let holders = self.candidates.iter().filter(|candidate| candidate.held_term(self.now).is_some());
+        if holders.count() > 1 {
+            self.violated = Some(ONE_HOLDER);
         }
     }
 
     fn describe(&self, step: &Step) -> String {
         let what = match step {
             Step::Faults(which) => format!("faults that may occur: {:?}", FAULTS[*which]),
-            Step::Deadline(who) => format!("candidate {who} runs, its deadline has passed"),
-            Step::Reaches(who, [a, b]) => {
-                format!("candidate {who} sends to acceptors {a} and {b} and gets their responses")
+            Step::Deadline(candidate) => format!("candidate {candidate} runs after its deadline"),
+            Step::Reaches(candidate, [a, b]) => {
+                format!("candidate {candidate} sends to acceptors {a} and {b} and gets their responses")
             }
-            Step::Doubled(who, [a, b]) => {
+            Step::Doubled(candidate, [a, b]) => {
                 format!(
-                    "candidate {who} sends to all; {a} and {b} respond, the third response and a duplicate are late"
+                    "candidate {candidate} sends to all; {a} and {b} respond, the third response and a duplicate are late"
                 )
             }
-            Step::Halved(who, [a, b]) => {
-                format!("candidate {who} sends to {a} and {b}; {a} responds, {b} is late")
+            Step::Halved(candidate, [a, b]) => {
+                format!("candidate {candidate} sends to {a} and {b}; {a} responds, {b} is late")
             }
-            Step::Delayed(who, acceptor) => {
-                format!("the request of candidate {who} is late, and reaches {acceptor}")
+            Step::Delayed(candidate, acceptor) => {
+                format!("the request of candidate {candidate} is late and reaches {acceptor}")
             }
             Step::Arrives(index) => format!("a late message arrives: {:?}", self.late.get(*index)),
             Step::Restarts(acceptor) => format!("acceptor {acceptor} restarts"),
-            Step::Acts(who) => format!("candidate {who} acts as lease holder"),
+            Step::Acts(candidate) => format!("candidate {candidate} acts as lease holder"),
             Step::Admitted(index) => format!("an effect arrives, term {:?}", self.effects.get(*index)),
             Step::Waits(span) => format!("{span} pass"),
         };
@@ -304,28 +343,28 @@
 
 /// Runs the model.
 pub fn run(size: Size, path: &[String]) -> Report {
-    // Acceptors past their silence, and candidates that may prepare at once.
+    // The acceptors' silence is over, and the candidates may prepare at once.
     let now = 100_000;
     let silence = settings(0).startup_silence();
     let start = Fleet {
         now,
         settings: settings(0),
         acceptors: (0..ACCEPTORS).map(|_| Acceptor::new(&settings(0), now - silence)).collect(),
-        candidates: (0..2).map(|me| Candidate::new(settings(me), now - 4_000, 10, u64::from(me))).collect(),
+        candidates: (0..2).map(|id| Candidate::new(settings(id), now - 4_000, 10, u64::from(id))).collect(),
         requests: vec![None, None],
-        deadlines: Vec::new(),
+        deadlines_left: Vec::new(),
         late: Vec::new(),
-        may_be_late: 0,
-        restarts: 0,
-        waits: 0,
-        acts: Vec::new(),
+        late_left: 0,
+        restarts_left: 0,
+        waits_left: 0,
+        acts_left: Vec::new(),
         effects: Vec::new(),
         fence: Fence::default(),
-        admitted: 0,
-        last: None,
-        begun: false,
+        highest_admitted: 0,
+        last_holder: None,
+        has_begun: false,
         spans: &[],
-        large: size == Size::Large,
+        size,
         violated: None,
     };
     check(start, path)
--- a/crates/models/src/placement.rs
+++ b/crates/models/src/placement.rs
@@ -1,6 +1,6 @@
-//! Model `placement`: three acceptors and three shards of a role; acceptors go and come back, heartbeats are
-//! lost, time passes. Each acceptor's placement is the gateway's own code; the model records who holds a
-//! shard as leases would: one at a time, and a holder that yields or stops leaves it free.
+//! Model `placement`: three acceptors and three shards of a role; acceptors stop and restart, heartbeats are
+//! lost, time passes. Each acceptor's placement is the gateway's own code. The model stands in for the
+//! leases: a shard has one holder at a time, and none after its holder has yielded or stopped.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -9,23 +9,22 @@
 
 const ORPHANED: &str = "a shard whose holder is gone for good has another one";
 const RETURNED: &str = "once all acceptors have been up for long each shard has its first choice";
-const STEADY: &str = "a shard is given up only for one that has stayed";
+const YIELDED_TO_SETTLED: &str = "a shard is given up only for one that has stayed";
 
 const ACCEPTORS: usize = 3;
 const SHARDS: u16 = 3;
 const LEASE: Time = 1_000;
-/// Leases (count) after which each shard has its holder: the old one is absent, the new one campaigns and
-/// wins.
-const SETTLED: u8 = 6;
-/// Half leases (count) after which an acceptor that is up may take back its shards.
-const STAYED: u8 = 4;
+/// Number of leases without a fault after which each shard has a holder again.
+const FAILOVER_LEASES: u8 = 6;
+/// Number of half leases after which an acceptor that is up has settled.
+const SETTLING_HALF_LEASES: u8 = 4;
 
 /// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// An acceptor stops, or restarts.
     Toggle(usize),
-    /// Half a lease passes; the heartbeats of this acceptor, if one is named, are lost meanwhile.
+    /// Half a lease passes. If an acceptor is named, its heartbeats are lost meanwhile.
     Pass(Option<usize>),
 }
 
@@ -35,28 +34,28 @@
     placements: Vec<Option<Placement>>,
     /// The holder of each shard.
     holders: Vec<Option<usize>>,
-    /// Half leases that each acceptor has been up for, or was when it stopped.
+    /// Half leases for which each acceptor has been up, or was until it stopped.
     up_for: Vec<u8>,
-    /// Half leases since it stopped.
+    /// Half leases since each acceptor stopped.
     down_for: Vec<u8>,
-    /// Half leases since a fault.
+    /// Half leases since the last fault.
     undisturbed_for: u8,
     toggles_left: u8,
     losses_left: u8,
     steps_left: u8,
-    /// A shard was given up for an acceptor that has not stayed.
+    /// Whether a shard was yielded to an acceptor that had not settled.
     yielded_early: bool,
 }
 
-fn settings(me: usize) -> Settings {
+fn settings(id: usize) -> Settings {
     let acceptors = (0..ACCEPTORS as u16).collect();
-    Settings { self_id: me as u16, gateways: 9, acceptors, lease: LEASE, drift_bound: 0.0, max_delay: 10 }
+    Settings { self_id: id as u16, gateways: 9, acceptors, lease: LEASE, drift_bound: 0.0, max_delay: 10 }
 }
 
 impl Fleet {
-    /// Half a lease passes: heartbeats are exchanged, but for those of the `lost` acceptor, and shards change
-    /// hands.
-    fn pass(&mut self, lost: Option<usize>) {
+    /// Half a lease passes: heartbeats are exchanged, except those of the `lost` acceptor, and shards get new
+    /// holders.
+    fn pass_half_lease(&mut self, lost: Option<usize>) {
         self.now += LEASE / 2;
         for from in 0..ACCEPTORS {
             let Some(placement) = &mut self.placements[from] else { continue };
@@ -71,13 +70,13 @@
             }
         }
         for shard in 0..usize::from(SHARDS) {
-            self.release(shard);
-            self.take(shard);
+            self.yield_shard(shard);
+            self.assign_shard(shard);
         }
     }
 
-    /// The holder of a shard gives it up if it should yield.
-    fn release(&mut self, shard: usize) {
+    /// Frees a shard whose holder should yield it.
+    fn yield_shard(&mut self, shard: usize) {
         let Some(holder) = self.holders[shard] else { return };
         let Some(placement) = &self.placements[holder] else { return };
         if placement.should_yield(self.now, shard as u16) {
@@ -86,14 +85,14 @@
                 (0..ACCEPTORS).map(|rank| (shard + rank) % ACCEPTORS).take_while(|one| *one != holder);
             // An acceptor that has just stopped may not be known to be down.
             let may_be_up = |one: usize| self.placements[one].is_some() || self.down_for[one] <= 2;
-            let stayed = preferred.into_iter().any(|one| may_be_up(one) && self.up_for[one] >= STAYED);
-            self.yielded_early |= !stayed;
+            let has_settled = |one: usize| may_be_up(one) && self.up_for[one] >= SETTLING_HALF_LEASES;
+            self.yielded_early |= !preferred.into_iter().any(has_settled);
             self.holders[shard] = None;
         }
     }
 
-    /// A free shard goes to an acceptor that campaigns for it.
-    fn take(&mut self, shard: usize) {
+    /// Gives a free shard to an acceptor that campaigns for it.
+    fn assign_shard(&mut self, shard: usize) {
         if self.holders[shard].is_some() {
             return;
         }
@@ -108,7 +107,7 @@
 impl World for Fleet {
     type Step = Step;
 
-    const PROPERTIES: &'static [&'static str] = &[ORPHANED, RETURNED, STEADY];
+    const PROPERTIES: &'static [&'static str] = &[ORPHANED, RETURNED, YIELDED_TO_SETTLED];
 
     fn steps(&self) -> Vec<Step> {
         if self.steps_left == 0 {
@@ -130,7 +129,7 @@
                 self.toggles_left -= 1;
                 self.undisturbed_for = 0;
                 match self.placements[one].take() {
-                    // Its leases expire by themselves.
+                    // The leases of a stopped acceptor expire.
                     Some(_) => {
                         self.down_for[one] = 0;
                         let owned = self.holders.iter_mut().filter(|holder| **holder == Some(one));
@@ -146,14 +145,14 @@
                 self.steps_left -= 1;
                 self.losses_left -= u8::from(lost.is_some());
                 self.undisturbed_for = if lost.is_some() { 0 } else { self.undisturbed_for + 1 };
-                self.pass(lost);
+                self.pass_half_lease(lost);
                 for one in 0..ACCEPTORS {
                     let counter = if self.placements[one].is_some() {
                         &mut self.up_for[one]
                     } else {
                         &mut self.down_for[one]
                     };
-                    *counter = (*counter + 1).min(2 * SETTLED);
+                    *counter = (*counter + 1).min(2 * FAILOVER_LEASES);
                 }
             }
         }
@@ -173,9 +172,9 @@
     fn violated(&self) -> Option<&'static str> {
         let up = self.placements.iter().filter(|one| one.is_some()).count();
         if self.yielded_early {
-            return Some(STEADY);
+            return Some(YIELDED_TO_SETTLED);
         }
-        if up == 0 || self.undisturbed_for < 2 * SETTLED {
+        if up == 0 || self.undisturbed_for < 2 * FAILOVER_LEASES {
             return None;
         }
         if self.holders.iter().any(Option::is_none) {
@@ -191,7 +190,7 @@
     let large = u8::from(size == Size::Large);
     let start = Fleet {
         now: 100_000,
-        placements: (0..ACCEPTORS).map(|me| Some(Placement::new(&settings(me), SHARDS, 100_000))).collect(),
+        placements: (0..ACCEPTORS).map(|id| Some(Placement::new(&settings(id), SHARDS, 100_000))).collect(),
         holders: vec![None; usize::from(SHARDS)],
         up_for: vec![0; ACCEPTORS],
         down_for: vec![0; ACCEPTORS],
--- a/crates/models/src/quota.rs
+++ b/crates/models/src/quota.rs
@@ -1,6 +1,6 @@
-//! Model `shares`: two gateways that both act as the lease holder of the quotas, each with one gateway that
-//! borrows from it, and one gateway that lends to both; reports and grants are lost or late, and the lender
-//! restarts once. `Quota` and `QuotaPool` are the gateway's own code. Time passes only by steps of the model.
+//! Model `shares`: two gateways that both act as holder of the quota lease, each with a borrower of its own,
+//! and one gateway that lends to both. Reports and grants are lost or late, and the lender restarts once.
+//! `Quota` and `QuotaPool` are the gateway's own code. Time passes only by steps of the model.
 
 use crate::check::{check, Report, World};
 use crate::fleet_settings::{settings, LEASE};
@@ -10,30 +10,29 @@
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
-const SUM: &str = "all quotas in force never exceed the even quotas together";
+const SUM_BOUNDED: &str = "all quotas in force never exceed the even quotas together";
 
 const GROUP: GroupId = 1;
 const LENDER: usize = 0;
 const RATES: [u32; 3] = [100, 1_000, 1_000];
 
-/// What becomes of a message.
+/// Whether and when a message is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Delivery {
-    /// It is lost.
+    /// Never.
     Lost,
-    /// It arrives.
+    /// At once.
     Now,
-    /// It arrives at some time, or never.
+    /// At some later time, or never.
     Late,
 }
 
 /// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Which faults may occur: all of them at once would be more states than can be explored.
+    /// Selects the faults that may occur. All of them together would be more states than can be explored.
     Faults(usize),
-    /// This lease holder opens a round; what becomes of the lender's report, and of the grant to the
-    /// borrower.
+    /// This lease holder opens a round, with the delivery of the lender's report and of the borrower's grant.
     Round(usize, Delivery, Delivery),
     /// A late message arrives.
     Arrives(usize),
@@ -43,10 +42,11 @@
     Waits(Time),
 }
 
+/// A late message.
 #[derive(Clone, Debug)]
-enum Late {
-    Report(usize, QuotaReport),
-    Grant(usize, u32, Vec<GroupGrant>),
+enum LateMessage {
+    Report { holder: usize, report: QuotaReport },
+    Grant { borrower: usize, report_number: u32, granted: Vec<GroupGrant> },
 }
 
 #[derive(Clone, Debug)]
@@ -54,22 +54,28 @@
     now: Time,
     quotas: Vec<Quota>,
     pools: Vec<QuotaPool>,
-    rounds: [u8; 2],
-    late: Vec<Late>,
-    may_be_late: u8,
-    restarts: u8,
-    waits: u8,
-    begun: bool,
-    large: bool,
+    /// How many rounds each lease holder may still open.
+    rounds_left: [u8; 2],
+    late: Vec<LateMessage>,
+    /// How many messages may still be late.
+    late_left: u8,
+    restarts_left: u8,
+    waits_left: u8,
+    /// Whether the faults have been selected.
+    has_begun: bool,
+    size: Size,
 }
 
 /// How often each fault may occur.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
-    /// Each lease holder opens a round.
+    /// Rounds of each lease holder.
     rounds: [u8; 2],
+    /// Late messages.
     late: u8,
+    /// Restarts of the lender.
     restarts: u8,
+    /// Steps in which time passes.
     waits: u8,
 }
 
@@ -79,24 +85,23 @@
     Faults { rounds: [2, 2], late: 0, restarts: 1, waits: 1 },
 ];
 
-fn rates(who: usize) -> BTreeMap<GroupId, u32> {
-    BTreeMap::from([(GROUP, RATES[who])])
+fn rates(gateway: usize) -> BTreeMap<GroupId, u32> {
+    BTreeMap::from([(GROUP, RATES[gateway])])
 }
 
 impl Fleet {
-    fn grant(&mut self, who: usize, number: u32, granted: &[GroupGrant]) {
-        self.quotas[who].on_grant(self.now, number, granted);
+    fn deliver_grant(&mut self, borrower: usize, report_number: u32, granted: &[GroupGrant]) {
+        self.quotas[borrower].on_grant(self.now, report_number, granted);
     }
 
-    /// A report arrives at a lease holder. Returns what it grants.
-    fn report(&mut self, holder: usize, who: usize, report: &QuotaReport) -> Vec<GroupGrant> {
-        self.pools[holder].on_report(self.now, who as u16, report.round, &report.demands)
+    /// Delivers a report to a lease holder, and returns the grants.
+    fn deliver_report(&mut self, holder: usize, from: usize, report: &QuotaReport) -> Vec<GroupGrant> {
+        self.pools[holder].on_report(self.now, from as u16, report.round, &report.demands)
     }
 
-    /// A lease holder opens a round, the lender reports for it, and then the borrower, which is granted
-    /// something.
+    /// A lease holder opens a round, for which the lender reports, and then the borrower.
     fn run_round(&mut self, holder: usize, loan: Delivery, grant: Delivery) {
-        self.rounds[holder] -= 1;
+        self.rounds_left[holder] -= 1;
         let term = self.pools[holder].term();
         let round = self.pools[holder].open_round(self.now);
         let mean_rates = round.parts.first().cloned().unwrap_or_default();
@@ -112,23 +117,24 @@
     fn lend(&mut self, holder: usize, delivery: Delivery) {
         for report in self.quotas[LENDER].due_reports(self.now, &rates(LENDER)) {
             if delivery == Delivery::Late {
-                self.may_be_late -= 1;
-                self.late.push(Late::Report(holder, report));
+                self.late_left -= 1;
+                self.late.push(LateMessage::Report { holder, report });
             } else {
-                self.report(holder, LENDER, &report);
+                self.deliver_report(holder, LENDER, &report);
             }
         }
     }
 
     fn borrow(&mut self, holder: usize, borrower: usize, delivery: Delivery) {
         for report in self.quotas[borrower].due_reports(self.now, &rates(borrower)) {
-            let granted = self.report(holder, borrower, &report);
+            let granted = self.deliver_report(holder, borrower, &report);
             match delivery {
                 Delivery::Lost => {}
-                Delivery::Now => self.grant(borrower, report.number, &granted),
+                Delivery::Now => self.deliver_grant(borrower, report.number, &granted),
                 Delivery::Late => {
-                    self.may_be_late = self.may_be_late.saturating_sub(1);
-                    self.late.push(Late::Grant(borrower, report.number, granted));
+                    self.late_left = self.late_left.saturating_sub(1);
+                    let report_number = report.number;
+                    self.late.push(LateMessage::Grant { borrower, report_number, granted });
                 }
             }
         }
@@ -138,27 +144,26 @@
 impl World for Fleet {
     type Step = Step;
 
-    const PROPERTIES: &'static [&'static str] = &[SUM];
+    const PROPERTIES: &'static [&'static str] = &[SUM_BOUNDED];
 
     fn steps(&self) -> Vec<Step> {
-        if !self.begun {
+        if !self.has_begun {
             return (0..FAULTS.len()).map(Step::Faults).collect();
         }
         let mut steps = Vec::new();
-        for holder in (0..2).filter(|holder| self.rounds[*holder] > 0) {
-            for lends in [Delivery::Lost, Delivery::Now, Delivery::Late] {
-                for granted in [Delivery::Lost, Delivery::Now, Delivery::Late] {
-                    let late =
-                        [lends, granted].iter().filter(|delivery| **delivery == Delivery::Late).count();
-                    if late <= usize::from(self.may_be_late) {
-                        steps.push(Step::Round(holder, lends, granted));
+        for holder in (0..2).filter(|holder| self.rounds_left[*holder] > 0) {
+            for loan in [Delivery::Lost, Delivery::Now, Delivery::Late] {
+                for grant in [Delivery::Lost, Delivery::Now, Delivery::Late] {
+                    let late = [loan, grant].iter().filter(|delivery| **delivery == Delivery::Late).count();
+                    if late <= usize::from(self.late_left) {
+                        steps.push(Step::Round(holder, loan, grant));
                     }
                 }
             }
         }
         steps.extend((0..self.late.len()).map(Step::Arrives));
-        steps.extend((self.restarts > 0).then_some(Step::Restarts));
-        if self.waits > 0 {
+        steps.extend((self.restarts_left > 0).then_some(Step::Restarts));
+        if self.waits_left > 0 {
             steps.extend([LEASE / 4, LEASE / 2, LEASE / 4 * 3].map(Step::Waits));
         }
         steps
@@ -168,24 +173,26 @@
         match *step {
             Step::Faults(which) => {
                 let Faults { rounds, late, restarts, waits } = FAULTS[which];
-                let more = u8::from(self.large);
-                self.begun = true;
-                (self.rounds, self.may_be_late) = (rounds, late);
-                (self.restarts, self.waits) = (restarts, waits + more);
+                let more = u8::from(self.size == Size::Large);
+                self.has_begun = true;
+                (self.rounds_left, self.late_left) = (rounds, late);
+                (self.restarts_left, self.waits_left) = (restarts, waits + more);
             }
             Step::Round(holder, loan, grant) => self.run_round(holder, loan, grant),
             Step::Arrives(index) => match self.late.remove(index) {
-                Late::Report(holder, report) => {
-                    self.report(holder, LENDER, &report);
+                LateMessage::Report { holder, report } => {
+                    self.deliver_report(holder, LENDER, &report);
+                }
+                LateMessage::Grant { borrower, report_number, granted } => {
+                    self.deliver_grant(borrower, report_number, &granted);
                 }
-                Late::Grant(who, number, granted) => self.grant(who, number, &granted),
             },
             Step::Restarts => {
-                self.restarts -= 1;
+                self.restarts_left -= 1;
                 self.quotas[LENDER] = Quota::new(settings(0), self.now, 1_000);
             }
             Step::Waits(span) => {
-                self.waits -= 1;
+                self.waits_left -= 1;
                 self.now += span;
             }
         }
@@ -208,7 +215,7 @@
 
     fn violated(&self) -> Option<&'static str> {
         let extra = |quota: &Quota| quota.current(self.now, GROUP).at(self.now) - 1.0;
-        (self.quotas.iter().map(extra).sum::<f64>() > 1e-6).then_some(SUM)
+        (self.quotas.iter().map(extra).sum::<f64>() > 1e-6).then_some(SUM_BOUNDED)
     }
 }
 
@@ -217,29 +224,29 @@
     let now = 100_000;
     let mut pools: Vec<QuotaPool> = [5, 6].map(|term: Term| QuotaPool::new(settings(0), term)).into();
     for (holder, pool) in pools.iter_mut().enumerate() {
-        // Both have received reports, so that mean rates and demands are known from the first round on.
+        // Earlier reports, so that mean rates and demands are known from the first round on.
         let round = pool.open_round(now - 1).number;
-        for who in [LENDER, 1 + holder] {
-            let requested = if who == LENDER { 0 } else { 500 };
+        for gateway in [LENDER, 1 + holder] {
+            let requested = if gateway == LENDER { 0 } else { 500 };
             pool.on_report(
                 now - 1,
-                who as u16,
+                gateway as u16,
                 round,
-                &[GroupDemand { group: GROUP, rate: RATES[who], requested }],
+                &[GroupDemand { group: GROUP, rate: RATES[gateway], requested }],
             );
         }
     }
     let start = Fleet {
         now,
-        quotas: (0..3).map(|who| Quota::new(settings(0), now - 4 * LEASE, who * 100)).collect(),
+        quotas: (0..3).map(|id| Quota::new(settings(0), now - 4 * LEASE, id * 100)).collect(),
         pools,
-        rounds: [0, 0],
+        rounds_left: [0, 0],
         late: Vec::new(),
-        may_be_late: 0,
-        restarts: 0,
-        waits: 0,
-        begun: false,
-        large: size == Size::Large,
+        late_left: 0,
+        restarts_left: 0,
+        waits_left: 0,
+        has_begun: false,
+        size,
     };
     check(start, path)
 }
--- a/crates/models/src/rules.rs
+++ b/crates/models/src/rules.rs
@@ -1,5 +1,5 @@
-//! Model `rules`: settings change while requests are admitted, stay open and end. The class table is the
-//! gateway's own code.
+//! Model `rules`: settings change while requests are admitted and open. The class table is the gateway's own
+//! code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -24,7 +24,7 @@
     ClientsCatchUp,
 }
 
-/// An open request, with its class and that class's index at its admission.
+/// An open request, with the index and a copy of the class with which it was admitted.
 #[derive(Clone, Debug)]
 struct OpenRequest {
     index: usize,
@@ -35,7 +35,7 @@
 struct Changes {
     now: Time,
     classes: ClassTable,
-    /// Which settings are in force.
+    /// Number of the settings in force.
     in_force: usize,
     open: Vec<OpenRequest>,
     requests_left: u8,
@@ -70,7 +70,7 @@
 }
 
 impl Changes {
-    fn used(&self) -> BTreeSet<usize> {
+    fn used_indices(&self) -> BTreeSet<usize> {
         self.open.iter().map(|request| request.index).collect()
     }
 
@@ -79,13 +79,13 @@
             self.violated = Some(UNCHANGED);
         }
         for class in settings(self.in_force) {
-            // A request with a key never gets the previous class.
+            // The previous class applies only to requests without a key.
             let found = self.classes.find(self.now, &class.name, IdempotencyKey::Present);
             if found.is_none_or(|index| *self.classes.class(index) != class) {
                 self.violated = Some(CURRENT);
             }
         }
-        // Two settings of three classes at most side by side, and one class for each open request.
+        // The classes of two settings, and one class for each open request.
         if self.classes.table().len() > 2 * NAMES.len() + self.open.len() {
             self.violated = Some(BOUNDED);
         }
@@ -125,12 +125,12 @@
             Step::RequestEnds(index) => drop(self.open.remove(index)),
             Step::SettingsChange(which) => {
                 self.changes_left -= 1;
-                let used = self.used();
+                let used = self.used_indices();
                 if self.classes.update(self.now, settings(which), &used).is_ok() {
                     self.in_force = which;
                 }
             }
-            // A time that depends on the last change alone: a run that only waits reaches no new state.
+            // The time depends only on the last change, so that waiting again reaches no new state.
             Step::ClientsCatchUp => self.now = OVERLAP * (1 + self.classes.version() as Time),
         }
         self.check();
--- a/crates/models/src/stop.rs
+++ b/crates/models/src/stop.rs
@@ -1,6 +1,6 @@
-//! Model `stop`: SIGTERM, draining, resuming and reloads while clients connect, send queries, wait and leave.
-//! The state machines of the gateway, of each client's connection and of its request are the gateway's own
-//! code.
+//! Model `stop`: SIGTERM, draining, resuming and reloads while clients connect, send queries, wait and
+//! disconnect. The state machines of the gateway, of each client's connection and of its request are the
+//! gateway's own code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -12,10 +12,10 @@
 
 const ANSWERED: &str = "what a client sent before its connection was closed is answered";
 const ONCE: &str = "a query is answered once";
-const IN_FLIGHT: &str = "the gateway ends only when nothing is held";
+const IN_FLIGHT: &str = "the gateway ends only when nothing is in flight";
 const OLD_SETTINGS: &str = "a file that cannot be used changes nothing";
 const ENDS: &str = "after SIGTERM it ends";
-const READINESS: &str = "a gateway that was called back admits clients, and one that drains does not";
+const READINESS: &str = "a gateway that was resumed admits clients, and one that drains does not";
 
 /// A step of the model. Clients are named by their index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -32,11 +32,11 @@
     Served(usize),
     /// The router rejects its request.
     Rejected(usize),
-    /// It leaves.
+    /// It disconnects.
     Leaves(usize),
-    /// Its connection is asked to close for the stop.
+    /// Its connection is closed for the shutdown.
     Stopped(usize),
-    /// It has been idle for too long.
+    /// Its idle timeout passes.
     Idle(usize),
     /// SIGTERM.
     Term,
@@ -44,11 +44,11 @@
     Drain,
     /// An operator's command to serve again.
     Resume,
-    /// SIGHUP with a file that can, or cannot, be used.
+    /// SIGHUP, with a valid or an invalid file.
     Reload(bool),
-    /// The time in which clients are served as before is over.
+    /// The announcement period, in which clients are served as before, ends.
     Due,
-    /// The gateway checks what has not ended yet.
+    /// The gateway checks which clients and attempts remain.
     CheckRemaining,
 }
 
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 struct OpenConnection {
     client: ClientConnection,
-    /// Queries that were sent and not read.
+    /// Number of queries that were sent and not read.
     unread: u8,
     /// The open request.
     request: Option<RequestState>,
@@ -75,27 +75,34 @@
     now: Time,
     gateway: Gateway,
     connections: Vec<Connection>,
-    /// How many queries each client may still send.
+    /// Number of queries that each client may still send.
     queries_left: Vec<u8>,
     reloads_left: u8,
     drains_left: u8,
-    /// Settings that were applied so far.
+    /// Number of reloads that applied new settings.
     applied_settings: u8,
     violated: Option<&'static str>,
 }
 
+/// What has not ended.
+#[derive(Clone, Copy)]
+struct Remaining {
+    clients: usize,
+    attempts: usize,
+}
+
 impl Stops {
-    /// Connections and requests that have not ended.
-    fn remaining(&self) -> (usize, usize) {
+    /// Clients and requests that have not ended.
+    fn remaining(&self) -> Remaining {
         let is_connected = |connection: &&Connection| {
             matches!(connection, Connection::Open { .. } | Connection::WaitsForAccept)
         };
         let has_request =
             |connection: &&Connection| matches!(connection, Connection::Open(open) if open.request.is_some());
-        (
-            self.connections.iter().filter(is_connected).count(),
-            self.connections.iter().filter(has_request).count(),
-        )
+        Remaining {
+            clients: self.connections.iter().filter(is_connected).count(),
+            attempts: self.connections.iter().filter(has_request).count(),
+        }
     }
 
     fn open_connection(&mut self, index: usize) -> Option<&mut OpenConnection> {
@@ -139,7 +146,7 @@
 
     fn client_steps(&self, index: usize, steps: &mut Vec<Step>) {
         match &self.connections[index] {
-            // The front sends no client any more once it has learned of the stop.
+            // The load balancer sends no clients to a gateway that is not ready.
             Connection::NotConnected if self.gateway.serving_state() != ServingState::Stopped => {
                 steps.push(Step::Connects(index));
             }
@@ -233,7 +240,7 @@
         }
     }
 
-    /// An operator's command, after which the readiness check has to succeed or to fail.
+    /// Applies an operator's command, and checks what the readiness check reports after it.
     fn command(&mut self, event: gateway::Event, is_ready: bool) {
         self.gateway.on(self.now, event);
         if self.gateway.serving_state().reports_ready() != is_ready {
@@ -252,13 +259,14 @@
     }
 
     fn check_remaining(&mut self) {
-        let (clients, attempts) = self.remaining();
+        let Remaining { clients, attempts } = self.remaining();
+        let nothing_remains = (clients, attempts) == (0, 0);
         let action = self.gateway.on(self.now, gateway::Event::Remaining { clients, attempts });
-        if action == gateway::Action::End && (clients, attempts) != (0, 0) {
+        if action == gateway::Action::End && !nothing_remains {
             self.violated = Some(IN_FLIGHT);
         }
-        // The gateway checks again and again: a run of nothing but checks would never be over.
-        if (clients, attempts) == (0, 0) && self.gateway.state() != gateway::GatewayState::Ended {
+        // The gateway must end now, or a run could consist of checks for ever.
+        if nothing_remains && self.gateway.state() != gateway::GatewayState::Ended {
             self.violated = Some(ENDS);
         }
     }
@@ -304,15 +312,15 @@
             Step::QueryRead(index) => format!("the query of client {index} is read"),
             Step::Served(index) => format!("a host answers client {index}"),
             Step::Rejected(index) => format!("the request of client {index} is rejected"),
-            Step::Leaves(index) => format!("client {index} leaves"),
-            Step::Stopped(index) => format!("client {index} is to be closed for the stop"),
-            Step::Idle(index) => format!("client {index} has been idle for too long"),
+            Step::Leaves(index) => format!("client {index} disconnects"),
+            Step::Stopped(index) => format!("client {index} is closed for the shutdown"),
+            Step::Idle(index) => format!("client {index} reaches its idle timeout"),
             Step::Term => "SIGTERM".into(),
             Step::Drain => "an operator drains the gateway".into(),
-            Step::Resume => "an operator has the gateway serve again".into(),
-            Step::Reload(usable) => format!("SIGHUP; the file can be used: {usable}"),
-            Step::Due => "the time in which clients are served as before is over".into(),
-            Step::CheckRemaining => "the gateway checks what has not ended yet".into(),
+            Step::Resume => "an operator resumes the gateway".into(),
+            Step::Reload(usable) => format!("SIGHUP; the file is valid: {usable}"),
+            Step::Due => "the announcement period ends".into(),
+            Step::CheckRemaining => "the gateway checks what remains".into(),
         }
     }
 
--- a/crates/models/src/watermarks.rs
+++ b/crates/models/src/watermarks.rs
@@ -1,6 +1,6 @@
-//! Model `marks`: one session that writes and reads through two instances which broadcast its watermarks to
-//! each other; messages are lost, late and out of order, and one instance restarts without a snapshot. The
-//! session trackers are the gateway's own code.
+//! Model `marks`: one session writes and reads through two instances, which broadcast its watermarks to each
+//! other. Messages are lost, late and reordered, and one instance restarts without a snapshot. The session
+//! trackers are the gateway's own code.
 
 use crate::check::{check, Report, World};
 use crate::Size;
@@ -11,18 +11,18 @@
 
 /// Clock time at the start (microseconds).
 const START: Time = 1_000_000_000;
-/// Time that each step takes (microseconds).
+/// Duration of each step (microseconds).
 const STEP: Time = 10_000;
 /// Time between two broadcasts of an instance (microseconds).
 const BROADCAST_INTERVAL: Time = 20_000;
 const GROUP: u64 = 2;
-/// Datagrams in transit at most (count), to keep the model small.
-const MAX_IN_TRANSIT: usize = 3;
-/// The oldest data that a replica can have, in half steps (count).
+/// Maximum number of datagrams in flight, to keep the model small.
+const MAX_IN_FLIGHT: usize = 3;
+/// Maximum age of a replica's data, in half steps.
 const MAX_AGE: i64 = 30;
 
-const TOO_OLD: &str = "no read is answered from data below its session's watermark";
-const PRIMARY: &str = "the true primary's answer is never held back";
+const NO_STALE_READ: &str = "no read is answered from data below its session's watermark";
+const PRIMARY_ACCEPTED: &str = "the true primary's answer is never held back";
 
 /// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -39,7 +39,7 @@
     Arrives(usize),
     /// A datagram is lost.
     Lost(usize),
-    /// An instance restarts and knows nothing.
+    /// An instance restarts without a snapshot.
     Restarts(usize),
 }
 
@@ -54,7 +54,7 @@
     last_seen: Time,
 }
 
-/// A broadcast on its way to an instance.
+/// A broadcast in flight.
 #[derive(Clone, Debug)]
 struct Datagram {
     to: usize,
@@ -71,8 +71,8 @@
     /// The newest data that the session has seen.
     last_seen: Time,
     read: Option<OpenRead>,
-    /// Datagrams in transit.
-    in_transit: Vec<Datagram>,
+    /// Datagrams in flight.
+    in_flight: Vec<Datagram>,
     steps_taken: usize,
     max_steps: usize,
     restarts_left: usize,
@@ -94,8 +94,8 @@
 }
 
 fn tracker(instance: usize, now: Time) -> SessionTracker {
-    let made = SessionTracker::new(settings(instance as u16), now);
-    let mut tracker = made.unwrap_or_else(|cause| unreachable!("constant settings: {cause}"));
+    let new = SessionTracker::new(settings(instance as u16), now);
+    let mut tracker = new.unwrap_or_else(|cause| unreachable!("constant settings: {cause}"));
     tracker.track_group(GROUP);
     tracker
 }
@@ -106,8 +106,7 @@
 }
 
 impl Instances {
-    /// The open read is answered from the oldest data that the session tracker accepts, or else by the
-    /// primary.
+    /// Answers the open read from the oldest data that the session tracker accepts, or from the primary.
     fn answer(&mut self) {
         let Some(OpenRead { instance, minimum, last_commit, last_seen }) = self.read.take() else { return };
         let (now, key) = (self.now, self.key);
@@ -118,11 +117,11 @@
         let mut positions = (0..MAX_AGE).rev().map(|age| now - age * STEP / 2);
         let replica = positions.find(|position| accepts(*position, Role::Replica));
         if !accepts(now, Role::Primary) {
-            self.violated = Some(PRIMARY);
+            self.violated = Some(PRIMARY_ACCEPTED);
         }
         let seen = replica.unwrap_or(now);
         if seen < last_commit || seen < last_seen {
-            self.violated = Some(TOO_OLD);
+            self.violated = Some(NO_STALE_READ);
         }
         tracker.record_read(now, key, &minimum, seen);
         self.last_seen = self.last_seen.max(seen);
@@ -132,7 +131,7 @@
 impl World for Instances {
     type Step = Step;
 
-    const PROPERTIES: &'static [&'static str] = &[TOO_OLD, PRIMARY];
+    const PROPERTIES: &'static [&'static str] = &[NO_STALE_READ, PRIMARY_ACCEPTED];
 
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
@@ -147,10 +146,10 @@
         let is_due = |instance: &usize| {
             self.trackers[*instance].next_broadcast_at().is_some_and(|due| self.now >= due)
         };
-        if self.in_transit.len() < MAX_IN_TRANSIT {
+        if self.in_flight.len() < MAX_IN_FLIGHT {
             steps.extend((0..2).filter(is_due).map(Step::Broadcasts));
         }
-        let datagrams = 0..self.in_transit.len();
+        let datagrams = 0..self.in_flight.len();
         steps.extend(datagrams.flat_map(|index| [Step::Arrives(index), Step::Lost(index)]));
         if self.restarts_left > 0 {
             steps.extend((0..2).map(Step::Restarts));
@@ -177,15 +176,15 @@
             Step::Broadcasts(instance) => {
                 let broadcasts = self.trackers[instance].due_broadcasts(now);
                 let to = 1 - instance;
-                self.in_transit.extend(broadcasts.into_iter().map(|bytes| Datagram { to, bytes }));
+                self.in_flight.extend(broadcasts.into_iter().map(|bytes| Datagram { to, bytes }));
             }
             Step::Arrives(index) => {
-                let Datagram { to, bytes } = self.in_transit.remove(index);
+                let Datagram { to, bytes } = self.in_flight.remove(index);
                 if self.trackers[to].receive(now, &bytes).is_err() {
-                    self.violated = Some(PRIMARY);
+                    self.violated = Some(PRIMARY_ACCEPTED);
                 }
             }
-            Step::Lost(index) => drop(self.in_transit.remove(index)),
+            Step::Lost(index) => drop(self.in_flight.remove(index)),
             Step::Restarts(instance) => {
                 self.restarts_left -= 1;
                 self.trackers[instance] = tracker(instance, now);
@@ -203,9 +202,9 @@
             Step::Reads(instance) => format!("the session reads at {}", name(instance)),
             Step::Answered => "the read is answered from the oldest data that the tracker accepts".into(),
             Step::Broadcasts(instance) => format!("{} broadcasts its watermarks", name(instance)),
-            Step::Arrives(index) => format!("a datagram arrives at {}", name(&self.in_transit[*index].to)),
-            Step::Lost(index) => format!("a datagram to {} is lost", name(&self.in_transit[*index].to)),
-            Step::Restarts(instance) => format!("{} restarts and knows nothing", name(instance)),
+            Step::Arrives(index) => format!("a datagram arrives at {}", name(&self.in_flight[*index].to)),
+            Step::Lost(index) => format!("a datagram to {} is lost", name(&self.in_flight[*index].to)),
+            Step::Restarts(instance) => format!("{} restarts without a snapshot", name(instance)),
         };
         format!("after {at} ms {what}")
     }
@@ -225,7 +224,7 @@
         last_commit: 0,
         last_seen: 0,
         read: None,
-        in_transit: Vec::new(),
+        in_flight: Vec::new(),
         steps_taken: 0,
         max_steps: if size == Size::Small { 7 } else { 8 },
         restarts_left: 1,
