--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,4 +19,8 @@
 pub mod settings;
 pub mod sql;
 
-pub use petrelgauge_policy::*;
+pub use petrelgauge_policy::{
+    Action, AttemptOutcome, Class, Effect, Ending, Entry, Event, GroupId, KnownPrimary, ListRole, MemberId,
+    MemberStatus, Need, QuotaAdjustment, Report, RequestArrival, RequestId, Role, Router, Scope, Settings,
+    SettingsError, SlowStart, StaleReadPolicy, Time, Update,
+};
