--- a/crates/policy/benches/step.rs
+++ b/crates/policy/benches/step.rs
@@ -18,7 +18,7 @@
     router: Router,
     now: Time,
     groups: u64,
-    asked: u64,
+    requested: u64,
     actions: Vec<Action>,
 }
 
@@ -59,7 +59,7 @@
 impl Load {
     fn new(groups: u64) -> Load {
         let router = Router::new(settings(), 7).expect("sound settings");
-        let mut load = Load { router, now: 1_000_000_000, groups, asked: 0, actions: Vec::new() };
+        let mut load = Load { router, now: 1_000_000_000, groups, requested: 0, actions: Vec::new() };
         load.step(endpoint_list(groups));
         (0..WARM_UP).for_each(|_| load.request_and_outcome());
         load
@@ -72,12 +72,12 @@
 
     fn request_and_outcome(&mut self) {
         self.now += BETWEEN_REQUESTS - SERVICE_TIME;
-        self.asked += 1;
-        let request: RequestId = format!("r{}", self.asked).into();
+        self.requested += 1;
+        let request: RequestId = format!("r{}", self.requested).into();
         self.step(Event::Request(RequestArrival {
             request: request.clone(),
-            class: (self.asked % 3) as usize,
-            group: self.asked.wrapping_mul(7_919) % self.groups,
+            class: (self.requested % 3) as usize,
+            group: self.requested.wrapping_mul(7_919) % self.groups,
             time_left: 900_000,
             is_retry: false,
             minimum_position: None,
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -54,9 +54,9 @@
     in_flight: Vec<InFlight>,
     attempts: BTreeMap<RequestId, u32>,
     open: Vec<RequestId>,
-    checks: BTreeSet<MemberId>,
+    probes: BTreeSet<MemberId>,
     timer_at: Option<Time>,
-    asked: usize,
+    requested: usize,
     next_member: MemberId,
 }
 
@@ -75,9 +75,9 @@
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             open: Vec::new(),
-            checks: BTreeSet::new(),
+            probes: BTreeSet::new(),
             timer_at: None,
-            asked: 0,
+            requested: 0,
             next_member: 1,
         };
         for group in 1..=groups {
@@ -195,7 +195,7 @@
             self.router = Router::new(settings, phase as u64).expect("sound settings");
             self.router.adopt_learned_state(learned_state);
             self.timer_at = None;
-            self.checks.clear();
+            self.probes.clear();
             let list = self.list(true, self.hosts.keys().copied().collect());
             self.step(&[list]);
         } else {
@@ -207,7 +207,7 @@
         match self.below(1_000) {
             0..=389 => Some(self.request()),
             390..=869 => self.outcome(),
-            870..=899 => self.health_check_result(),
+            870..=899 => self.probe_outcome(),
             900..=919 => Some(self.list_change()),
             920..=939 => Some(Event::GossipedPrimary { member: self.any_member(), at: self.now - 50 * MS }),
             940..=959 => Some(self.quota()),
@@ -240,8 +240,8 @@
     }
 
     fn request(&mut self) -> Event {
-        self.asked += 1;
-        let request: RequestId = format!("r{}", self.asked).into();
+        self.requested += 1;
+        let request: RequestId = format!("r{}", self.requested).into();
         self.open.push(request.clone());
         // Some groups have most of the work, and some requests name a class that there is not.
         let groups = self.groups.len() as u64;
@@ -313,8 +313,8 @@
         }
     }
 
-    fn health_check_result(&mut self) -> Option<Event> {
-        let member = self.checks.pop_first()?;
+    fn probe_outcome(&mut self) -> Option<Event> {
+        let member = self.probes.pop_first()?;
         let host = &self.hosts[&member];
         let role = if host.entry.primary { Role::Primary } else { Role::Replica };
         let (ending, is_reported) =
@@ -390,7 +390,7 @@
             }
             Action::Probe { member } => {
                 self.counts.health_checks += 1;
-                self.checks.insert(member);
+                self.probes.insert(member);
             }
             Action::WatchList => self.counts.list_watches += 1,
             Action::ReadList => {}
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -208,7 +208,7 @@
     assert!(is_known(&next, ONLY_MEMBER), "it was in service when the other process ended");
     let mut last = taken_over(&next, settings());
     last.advance(2_000 * MS);
-    assert!(!is_known(&last, ONLY_MEMBER), "and has been gone for a minute by now");
+    assert!(!is_known(&last, ONLY_MEMBER), "and was removed a minute ago");
 }
 
 #[test]
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What is harmless at one router and harmful at a hundred: many routers, stepped together before members that they
-//! share. No chance but the routers' own, from fixed seeds.
+//! Decisions that are harmless in one router and harmful in a hundred: many routers, stepped together before members that
+//! they share. The only randomness is that of the routers, from fixed seeds.
 
 mod common;
 use common::fleet::*;
@@ -7,9 +7,16 @@
 use petrelgauge_policy::*;
 use std::collections::BTreeMap;
 
-/// Writes at a primary that can do half of them, for 20 s; gives what was served, of what it could do,
-/// in the last 10 s, and the most that it held then.
-fn writes_at_a_slow_primary(routers: usize) -> (f64, usize) {
+/// What a slow primary did in the last 10 s.
+struct SlowPrimaryLoad {
+    /// Writes served in time, as a share of what it could do.
+    served_share: f64,
+    /// The most attempts that it held at once.
+    peak: usize,
+}
+
+/// Sends writes to a primary that can do half of them, for 20 s.
+fn writes_at_a_slow_primary(routers: usize) -> SlowPrimaryLoad {
     let entries = entries_of(1..=3, 1, 0);
     let slow_primary = members(1..=1, Some(1), 5, 200 * MS);
     let replicas = members(2..=3, None, 5, 30 * MS);
@@ -27,27 +34,28 @@
         }
         fleet.step();
     }
-    ((fleet.served - served) as f64 / 250.0, fleet.members[&1].peak)
+    let served_share = (fleet.served - served) as f64 / 250.0;
+    SlowPrimaryLoad { served_share, peak: fleet.members[&1].peak }
 }
 
-// Day join+vast: primaries slowed to a third had one attempt of each of a hundred gateways out, all the time; that is
-// seconds of work, so that all of it was given up before it was answered, and nothing was served until the day's end.
+// Day join+vast: primaries slowed to a third had an attempt of each of a hundred gateways in flight at all times. That is
+// seconds of work, so all of it timed out before it was answered, and nothing was served until the end of the day.
 #[test]
 fn a_hundred_routers_do_not_overload_a_slow_primary() {
-    let (share, peak) = writes_at_a_slow_primary(100);
-    assert!(share > 0.5, "{share:.2} of what the primary can do was answered in time");
+    let SlowPrimaryLoad { served_share, peak } = writes_at_a_slow_primary(100);
+    assert!(served_share > 0.5, "{served_share:.2} of what the primary can do was answered in time");
     assert!(peak <= 60, "{peak} attempts at the primary at once");
 }
 
 #[test]
 fn five_routers_keep_a_slow_primary_at_work() {
-    let (share, _) = writes_at_a_slow_primary(5);
-    assert!(share > 0.5, "{share:.2} of what the primary can do was answered in time");
+    let served_share = writes_at_a_slow_primary(5).served_share;
+    assert!(served_share > 0.5, "{served_share:.2} of what the primary can do was answered in time");
 }
 
-/// Writes at a primary that has time for twice as many, at uneven routers: one in ten has nine times what the others
-/// have, and work comes in bursts. Gives the share that was served in time.
-fn uneven_writes_at_a_calm_primary(routers: usize) -> f64 {
+/// Sends bursts of writes to a primary that can do twice as many, by way of uneven routers: one in ten has nine times the
+/// traffic of the others. Returns the share that was served in time.
+fn uneven_writes_below_overload(routers: usize) -> f64 {
     let entries = entries_of(1..=3, 1, 0);
     let members = members(1..=3, Some(1), 5, 60 * MS);
     let mut fleet = Fleet::new(routers, &entries, members);
@@ -55,7 +63,7 @@
     for _ in 0..4_000 {
         draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let (arrives, heavy, place) = (draw >> 60, draw >> 59 & 1, (draw >> 20) as usize);
-        // Two in sixteen ticks of 5 ms bring one: 25 a second; the second of a burst comes to the same router.
+        // Two in sixteen ticks of 5 ms bring a burst of two to one router: 50 a second.
         if arrives < 2 {
             let router = if heavy == 1 { place % (routers / 10) } else { place % routers };
             (0..2).for_each(|_| fleet.send_request(router, 5, 900 * MS));
@@ -65,39 +73,42 @@
     fleet.served as f64 / fleet.requested as f64
 }
 
-// Day roll+mass: 7 to 37 of 100 requests were rejected, while hosts answered within a tenth of a second, by gateways that
-// held them back from a primary for seconds after each answer.
+// Day roll+mass: gateways rejected 7 to 37 of 100 requests while hosts answered within a tenth of a second, because they
+// paced their sends to a primary by seconds after each answer.
 #[test]
 fn three_hundred_uneven_routers_are_not_held_back_from_a_primary_below_overload() {
-    let share = uneven_writes_at_a_calm_primary(300);
+    let share = uneven_writes_below_overload(300);
     assert!(share > 0.97, "{share:.3} of the writes served");
 }
 
-/// Reads at twelve members in two zones, one of which goes silent after 3 s: nothing there comes up any more, and what
-/// is out there is never answered. Gives how many attempts the whole fleet loses there, and what is served of what is
-/// asked for, in the second half.
-fn reads_with_a_zone_lost(routers: usize) -> (usize, f64) {
+/// How reads fared after a zone became unreachable.
+struct LostZone {
+    /// Attempts that the whole fleet lost at members of the zone.
+    lost_attempts: usize,
+    /// Share of the reads served in the second half.
+    served_share: f64,
+}
+
+/// Sends reads to twelve members in two zones, one of which is silent from 3 s on: no connection opens there, and what is
+/// in flight there is never answered.
+fn reads_with_a_zone_lost(routers: usize) -> LostZone {
     let zone = |id| if id > 6 { "b" } else { "a" };
     let listed = |id| Entry { zone: zone(id).into(), ..entry(id, MemberStatus::Up, id == 1, 0) };
     let entries: Vec<Entry> = (1..=12).map(listed).collect();
     let mut fleet = Fleet::new(routers, &entries, members(1..=12, Some(1), 5, 30 * MS));
-    let (mut lost, mut served, mut asked) = (0, 0, 0);
+    let received_in_zone = |fleet: &Fleet| -> usize {
+        let in_zone = fleet.members.iter().filter(|(id, _)| zone(**id) == "b");
+        in_zone.map(|(_, member)| member.received.len()).sum()
+    };
+    let (mut received_before, mut served, mut requested) = (0, 0, 0);
     for tick in 0..2_000 {
         if tick == 600 {
-            fleet
-                .members
-                .iter_mut()
-                .filter(|(id, _)| zone(**id) == "b")
-                .for_each(|(_, member)| member.silent = true);
-            lost = fleet
-                .members
-                .values()
-                .filter(|member| member.silent)
-                .map(|member| member.received.len())
-                .sum();
+            let in_zone = fleet.members.iter_mut().filter(|(id, _)| zone(**id) == "b");
+            in_zone.for_each(|(_, member)| member.silent = true);
+            received_before = received_in_zone(&fleet);
         }
         if tick == 1_000 {
-            (served, asked) = (fleet.served, fleet.requested);
+            (served, requested) = (fleet.served, fleet.requested);
         }
         // Four reads a second at each router.
         if tick % 2 == 0 {
@@ -106,52 +117,49 @@
         }
         fleet.step();
     }
-    let silent = fleet
-        .members
-        .values()
-        .filter(|member| member.silent)
-        .map(|member| member.received.len())
-        .sum::<usize>();
-    (silent - lost, (fleet.served - served) as f64 / (fleet.requested - asked) as f64)
+    LostZone {
+        lost_attempts: received_in_zone(&fleet) - received_before,
+        served_share: (fleet.served - served) as f64 / (fleet.requested - requested) as f64,
+    }
 }
 
-// Day zone+vast: 51 gateways found out 33 dead hosts one by one and tried each again every 640 ms: nearly every read
-// was sent to one of them first.
+// Day zone+vast: 51 gateways discovered 33 dead hosts one by one and retried each every 640 ms: nearly every read was sent
+// to one of them first.
 #[test]
 fn a_lost_zone_is_detected_by_a_few_of_its_members() {
-    let (lost, served) = reads_with_a_zone_lost(100);
+    let LostZone { lost_attempts: lost, served_share: served } = reads_with_a_zone_lost(100);
     assert!(lost < 900, "{lost} attempts of a hundred routers lost in a silent zone within 7 s");
     assert!(served > 0.97, "{served:.3} of the reads served");
 }
 
-// On all three days work that was late was called off: it went on at its member all the same, for nothing, and its
-// client came again.
+// On all three days late attempts were cancelled: their members worked on all the same, for nothing, and their clients
+// retried.
 #[test]
 fn late_attempts_in_flight_are_not_cancelled() {
     let mut harness = Harness::new(Settings { may_probe: false, ..settings() });
     let late = sent_to(&harness.send_request("late", 2, 900 * MS)).expect("sent");
     let mut seen = Vec::new();
     for n in 0..120 {
-        // The others answer all along; its member says nothing and is found silent.
-        let asked = harness.send_request(&format!("r{n}"), 2, 900 * MS);
-        if let Some(member) = sent_to(&asked).filter(|member| *member != late) {
+        // The other members answer all the time; that of the late request is silent and becomes suspected.
+        let requested = harness.send_request(&format!("r{n}"), 2, 900 * MS);
+        if let Some(member) = sent_to(&requested).filter(|member| *member != late) {
             harness.report_attempt(&format!("r{n}"), 0, member, Ending::Served);
         }
-        seen.extend(asked);
+        seen.extend(requested);
         seen.extend(harness.advance(5 * MS));
     }
-    let given_up = |action: &Action| match action {
+    let gives_up_late = |action: &Action| match action {
         Action::Cancel { request, .. } | Action::Reject { request, .. } => &**request == "late",
         _ => false,
     };
-    // 600 ms after it was sent, with an aim of 300 ms, and a client that waits for 900 ms.
-    assert!(!seen.iter().any(given_up), "it is still out");
+    // 600 ms after the send, with a latency target of 300 ms and a client that waits for 900 ms.
+    assert!(!seen.iter().any(gives_up_late), "it is still in flight");
     let rest: Vec<Action> = (0..70).flat_map(|_| harness.advance(5 * MS)).collect();
-    assert!(rest.iter().any(given_up), "and has its one answer before its client leaves");
+    assert!(rest.iter().any(gives_up_late), "and has its final answer before its client leaves");
 }
 
-/// The most that was sent to any member in a window of the cold rule, as a share of what it may be sent.
-fn spent(fleet: &Fleet) -> f64 {
+/// The most that any member was sent within an overload span, as a share of its slow-start budget.
+fn busiest_window(fleet: &Fleet) -> f64 {
     let set = settings();
     let mut most: f64 = 0.0;
     for member in fleet.members.values() {
@@ -169,16 +177,16 @@
     most
 }
 
-// A zone's hosts all come back cold while every gateway has work waiting, and the gateways have just started too: none
-// has a rate of its own to reckon a member's share by. Together they must not push one over.
+// All hosts of a zone start while every gateway has requests waiting, and the gateways have just started too, so none has
+// a served load to derive its share of a budget from. Together they must not exceed it.
 #[test]
 fn a_hundred_and_three_hundred_new_routers_keep_the_slow_start_budget() {
     for routers in [100, 300] {
         let entries = entries_of(1..=6, 1, START);
         let mut fleet = Fleet::new(routers, &entries, members(1..=6, Some(1), 5, 100 * MS));
         for tick in 0..3_000 {
-            // Twice what the members can do when they are warm, and work waiting at each router from the start; a
-            // tenth of the routers gets a third of all.
+            // Twice the capacity of warm members, with requests waiting at each router from the start; a tenth of the
+            // routers gets a third of all.
             for n in 0..3 {
                 let router = if n == 2 { tick * 37 % (routers / 10) } else { (tick * 37 + n * 33) % routers };
                 fleet.send_request(router, if n == 0 { 5 } else { 2 }, 900 * MS);
@@ -189,17 +197,17 @@
             }
             fleet.step();
         }
-        let spent = spent(&fleet);
+        let busiest_window = busiest_window(&fleet);
         assert!(
-            spent <= 1.0,
-            "{routers}: a cold member was sent {spent:.2} of what it may be sent in a window"
+            busiest_window <= 1.0,
+            "{routers}: a warming member was sent {busiest_window:.2} of its budget in a window"
         );
         assert!(fleet.served > 500, "{routers}: {} served: the budget is there to be used", fleet.served);
     }
 }
 
-// Six in ten members are replaced while requests keep coming: nothing new goes to one that drains, from the step on in
-// which its router is notified.
+// Six in ten members are replaced under load: a draining member gets no new request from the step on in which its router
+// is notified.
 #[test]
 fn replaced_members_get_no_new_requests_once_they_drain() {
     let entries = entries_of(1..=10, 10, 0);
@@ -207,7 +215,7 @@
     let mut fleet = Fleet::new(100, &entries, members);
     let mut drained: BTreeMap<MemberId, usize> = BTreeMap::new();
     for tick in 0..2_000 {
-        // One leaves and one comes each second.
+        // Each second one member begins to drain and one starts.
         if tick % 200 == 199 && drained.len() < 6 {
             let id = drained.len() as MemberId + 1;
             let list_change = vec![
@@ -228,9 +236,15 @@
     }
 }
 
-/// A group loses its primary for 3 s and then has another; 50 writes a second come, each to the next router. Misses for
-/// each write, and the share of the writes served in the end.
-fn misses_for_a_lost_primary(routers: usize, announced: bool) -> (f64, f64) {
+/// How writes fared while their group had no primary.
+struct LostPrimary {
+    /// Attempts at members that were not the primary, for each write.
+    misses: f64,
+    served_share: f64,
+}
+
+/// Sends 50 writes a second, each by way of the next router, to a group that has no primary for 3 s and then another one.
+fn writes_without_primary(routers: usize, announced: bool) -> LostPrimary {
     let entries = entries_of(1..=6, 1, 0);
     let mut fleet = Fleet::new(routers, &entries, members(1..=6, None, 5, 30 * MS));
     if announced {
@@ -240,7 +254,7 @@
         set.classes[5].deadline = 3_000 * MS;
         set.classes[5].effect = Effect::Keyed { window: 5_000 * MS, scope: Scope::Group };
         set.discovery_interval_factor = (routers as Time / 2).clamp(1, 64);
-        // The first one scouts, and goes on as ever.
+        // The first router does the discovery, at its usual interval.
         let others = fleet.routers.iter_mut().skip(1);
         others.for_each(|router| router.apply_settings(set.clone()).expect("sound settings"));
     }
@@ -253,15 +267,18 @@
         }
         fleet.step();
     }
-    (fleet.misses as f64 / fleet.requested as f64, fleet.served as f64 / fleet.requested as f64)
+    let requested = fleet.requested as f64;
+    LostPrimary { misses: fleet.misses as f64 / requested, served_share: fleet.served as f64 / requested }
 }
 
-// 150 writes at 300 routers made 1035 misses, 6.9 each: every attempt but one was spent on members that were no primary.
+// 150 writes at 300 routers made 1035 misses, 6.9 each: all attempts but one went to members that were not the primary.
 #[test]
 fn an_announced_primary_spares_a_large_fleet_most_misses_and_costs_no_service() {
     for routers in [5, 50, 300] {
-        let (alone, served_alone) = misses_for_a_lost_primary(routers, false);
-        let (announced, served_announced) = misses_for_a_lost_primary(routers, true);
+        let LostPrimary { misses: alone, served_share: served_alone } =
+            writes_without_primary(routers, false);
+        let LostPrimary { misses: announced, served_share: served_announced } =
+            writes_without_primary(routers, true);
         println!("{routers}: {alone:.2} misses a write and {served_alone:.3} served, announced {announced:.2}, {served_announced:.3}");
         assert!(
             served_announced >= served_alone - 0.02,
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -40,7 +40,7 @@
     assert!(!clock.is_trusted() && !clock.is_doubtful());
     clock.record_start(2, NOON - 5 * S, NOON);
     clock.record_position(2, NOON - 20 * MS, NOON);
-    assert!(clock.is_trusted(), "its own time is what hosts tell");
+    assert!(clock.is_trusted(), "hosts report its own time");
     for n in 1..40 {
         write(&mut clock, 0, NOON + n * S, 20 * MS * n);
         clock.record_position(2 + n as MemberId % 3, NOON + n * S - 300 * MS, NOON + n * S);
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_few_retries_with_more_time_left_do_not_age_first_attempts() {
-    // Recorded day ia66fa8: some repeats came with more time left than any first try.
+    // Recorded day ia66fa8: some retries had more time left than any first attempt.
     let mut harness = Harness::new(settings());
     report_lags(&mut harness, [0, 10 * MS, 10 * MS], 5);
     for n in 0..30 {
@@ -21,12 +21,12 @@
 
 #[test]
 fn a_marked_retry_yields_to_first_attempts() {
-    // Recorded day i5bbe18: repeats of hopeless reads took the capacity of first attempts.
+    // Recorded day i5bbe18: retries of hopeless reads took the capacity of first attempts.
     let mut harness = Harness::new(settings());
     for n in 0..60 {
         harness.send_request(&format!("fill{n}"), 4, 900 * MS);
     }
-    let repeat = |name: &str, is_retry| {
+    let read = |name: &str, is_retry| {
         Event::Request(RequestArrival {
             request: name.into(),
             class: 3,
@@ -36,13 +36,13 @@
             minimum_position: None,
         })
     };
-    assert!(!rejected(&harness.step(repeat("first", false))), "a first attempt waits for capacity");
-    assert!(rejected(&harness.step(repeat("again", true))), "a repeat without a chance does not");
+    assert!(!rejected(&harness.step(read("first", false))), "a first attempt waits for capacity");
+    assert!(rejected(&harness.step(read("again", true))), "a retry without a chance does not");
 }
 
 #[test]
 fn overloaded_members_make_a_router_shed_reads_and_no_writes() {
-    // Standard overload of graz-main-later: 60 routers with one attempt each crowd every member.
+    // Standard overload of graz-main-later: 60 routers with one attempt each overload every member.
     let shed = |took: Time, class: usize| {
         let mut harness = Harness::new(settings());
         let mut rejections = 0;
@@ -103,17 +103,17 @@
 #[test]
 fn requests_of_the_lowest_value_are_evicted_before_clients_run_out_of_connections() {
     let mut harness = Harness::empty(Settings { max_open_requests: 20, ..settings() });
-    let asked = |harness: &mut Harness, class: usize, count: usize| -> usize {
+    let rejected_of = |harness: &mut Harness, class: usize, count: usize| -> usize {
         let name = |n: usize| format!("{class}-{n}");
         (0..count).filter(|n| rejected(&harness.send_request(&name(*n), class, 900 * MS))).count()
     };
-    assert_eq!(asked(&mut harness, 5, 10), 0);
-    assert!(asked(&mut harness, 2, 20) > 8, "those beyond are refused at once");
-    let mut gone = Vec::new();
+    assert_eq!(rejected_of(&mut harness, 5, 10), 0);
+    assert!(rejected_of(&mut harness, 2, 20) > 8, "requests beyond the limit are rejected at once");
+    let mut actions = Vec::new();
     for _ in 0..20 {
-        gone.extend(harness.advance(5 * MS));
+        actions.extend(harness.advance(5 * MS));
     }
-    assert!(!rejected(&gone), "the others wait");
+    assert!(!rejected(&actions), "the others wait");
 }
 
 // In a crowd, oldest first serves each just after its latency target. Simulator, quick: 0.778 with the oldest first.
--- a/crates/policy/tests/member_faults.rs
+++ b/crates/policy/tests/member_faults.rs
@@ -118,7 +118,10 @@
     harness.now += 250 * MS;
     harness.step(Event::Probed { member: 1, ending: Ending::Served, report: Report::default() });
     let later = harness.advance(5 * MS);
-    assert!(sends(&freed) + sends(&later) > 1, "what waits goes out although the lost ones are still out");
+    assert!(
+        sends(&freed) + sends(&later) > 1,
+        "waiting requests are sent although the lost attempts are still in flight"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/minimum_positions.rs
+++ b/crates/policy/tests/minimum_positions.rs
@@ -107,11 +107,11 @@
     let actions = harness
         .step(Event::MinimumPositionLowered { request: "w".into(), minimum_position: now - 1_000 * MS });
     assert!(sent_to(&actions).is_some(), "any member will do now");
-    // One that rises changes nothing, and one of a request that is gone neither.
+    // A higher one changes nothing, nor does one for an unknown request.
     let now = harness.now;
     harness.step(request("x", 2, 900 * MS, Some(now)));
     harness.step(Event::MinimumPositionLowered { request: "x".into(), minimum_position: now + 900 * MS });
-    harness.step(Event::MinimumPositionLowered { request: "gone".into(), minimum_position: 0 });
+    harness.step(Event::MinimumPositionLowered { request: "unknown".into(), minimum_position: 0 });
     let went = (0..12).find_map(|_| sent_to(&harness.advance(5 * MS)));
     assert!(went.is_some(), "a minimum position that rises is none of its affair");
 }
--- a/crates/policy/tests/primary_discovery.rs
+++ b/crates/policy/tests/primary_discovery.rs
@@ -61,7 +61,7 @@
         let role = Some(Role::Replica);
         actions = harness.report_attempt_with("s", attempt, member, Ending::Rejected, Some(0), role);
     }
-    assert!(found, "it scouts the members one by one");
+    assert!(found, "it tries the members one by one");
 }
 
 #[test]
--- a/crates/policy/tests/quotas.rs
+++ b/crates/policy/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! What the share-out of limits brings to hundreds of routers with uneven work: the decisions are told of shares as the
-//! machines of `petrelgauge-ownership` have them, over links that lose nothing.
+//! What lending quotas brings to hundreds of routers with uneven traffic. The quotas are those of the state machines of
+//! `petrelgauge-ownership`, over a network that loses nothing.
 
 mod common;
 use common::fleet::*;
@@ -11,22 +11,22 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// The share-out of one group among all routers of a fleet; the first one owns the role.
-struct Out {
+/// The quota exchange of one group among all routers of a fleet. The first router holds the lease.
+struct QuotaExchange {
     quotas: Vec<Quota>,
     rates: Vec<RequestRates>,
-    asked: Vec<u64>,
+    request_counts: Vec<u64>,
     pool: QuotaPool,
 }
 
-impl Out {
-    fn new(count: usize) -> Out {
+impl QuotaExchange {
+    fn new(count: usize) -> QuotaExchange {
         let spans =
             |me| Spans { self_id: me, gateways: count as u16, acceptors: vec![0], ..Spans::default() };
-        Out {
+        QuotaExchange {
             quotas: (0..count as u16).map(|me| Quota::new(spans(me), START, 1)).collect(),
             rates: vec![RequestRates::default(); count],
-            asked: vec![0; count],
+            request_counts: vec![0; count],
             pool: QuotaPool::new(spans(0), 1),
         }
     }
@@ -41,7 +41,7 @@
         }
         for (me, quota) in self.quotas.iter_mut().enumerate() {
             let rates = &mut self.rates[me];
-            rates.observe(now, &BTreeMap::from([(G, self.asked[me])]));
+            rates.observe(now, &BTreeMap::from([(G, self.request_counts[me])]));
             if quota.next_deadline().is_none_or(|due| now < due) {
                 continue;
             }
@@ -55,25 +55,25 @@
     }
 }
 
-/// Writes at a primary that has time for twice as many, at uneven routers: half of them come to one router in thirty, in
-/// bursts of four. Gives the share that was served in time.
+/// Sends bursts of four writes to a primary that can do twice as many, by way of uneven routers: one in thirty gets half
+/// of them. Returns the share that was served in time.
 fn uneven_writes(routers: usize, shared: bool, seed: u64) -> f64 {
     let entries = entries_of(1..=3, 1, 0);
     let mut fleet = Fleet::new(routers, &entries, members(1..=3, Some(1), 5, 60 * MS));
-    let mut out = Out::new(routers);
+    let mut exchange = QuotaExchange::new(routers);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     for tick in 0..6_400 {
         let draw = rng.next_u64();
         let (arrives, heavy, place) = (draw >> 59, draw >> 58 & 1, (draw >> 20) as usize);
         // Two in thirty-two ticks of 5 ms bring four: 50 a second.
-        // The last 2 s bring nothing new, so that all has its end.
+        // The last 2 s bring no new requests, so that all have their final answer.
         if arrives < 2 && tick < 6_000 {
             let router = if heavy == 1 { place % (routers / 30).max(1) } else { place % routers };
-            out.asked[router] += 4;
+            exchange.request_counts[router] += 4;
             (0..4).for_each(|_| fleet.send_request(router, 5, 900 * MS));
         }
         if shared {
-            out.step(&mut fleet);
+            exchange.step(&mut fleet);
         }
         fleet.step();
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -39,7 +39,7 @@
         let actions = harness.advance(5 * MS);
         failed(&actions) || rejected(&actions)
     });
-    assert!(ended, "the short try outlived its client");
+    assert!(ended, "the short attempt outlived its client");
 }
 
 #[test]
@@ -132,14 +132,14 @@
 
 #[test]
 fn with_soft_removal_a_removed_member_is_used_as_long_as_it_answers() {
-    // Standard days with a wrong list: running members called gone, or all of them, got no work.
+    // Standard days with a wrong list: running members listed as removed, or all of them, got no requests.
     for complete in [false, true] {
         let mut harness = Harness::new(Settings { soft_removal: true, ..settings() });
-        let gone: Vec<Entry> = (1..=3).map(|m| entry(m, MemberStatus::Removed, m == 1, 0)).collect();
+        let removed: Vec<Entry> = (1..=3).map(|m| entry(m, MemberStatus::Removed, m == 1, 0)).collect();
         harness.step(if complete {
             Event::List { update: Update::Complete, entries: [].into() }
         } else {
-            Event::List { update: Update::Partial, entries: gone.into() }
+            Event::List { update: Update::Partial, entries: removed.into() }
         });
         for n in 0..20 {
             let name = format!("g{n}");
@@ -148,7 +148,7 @@
             harness.report_attempt(&name, 0, member, Ending::Served);
             harness.advance(20 * MS);
         }
-        // One that is gone indeed shows by itself, and is left alone.
+        // A member that is really removed does not answer, and is ejected.
         let member = sent_to(&harness.send_request("lost", 2, 900 * MS)).expect("sent");
         harness.report_attempt("lost", 0, member, Ending::ConnectFailed);
         harness.step(Event::Probed { member, ending: Ending::ConnectFailed, report: Report::default() });
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_warming_member_gets_no_burst_however_many_routers_there_are() {
-    // Routers that know nothing of each other, one cold member as the only one up. Recorded days if22470 and
+    // Routers that know nothing of each other, one warming member as the only one up. Recorded days if22470 and
     // i115826: "at least two from each" pushed members over when hundreds of routers did it.
     for (routers, span) in [(8, 1_500 * MS), (400, 1_500 * MS)] {
         let mut together = 0;
@@ -197,8 +197,8 @@
             let settings = Settings { routers, ..settings() };
             let mut harness = Harness::empty(settings.clone());
             harness.router = Router::new(settings, seed as u64).expect("sound");
-            let cold = entry(1, MemberStatus::Up, true, START - 100 * MS);
-            harness.step(Event::List { update: Update::Complete, entries: [cold].into() });
+            let warming = entry(1, MemberStatus::Up, true, START - 100 * MS);
+            harness.step(Event::List { update: Update::Complete, entries: [warming].into() });
             let step = 50 * MS;
             for n in 0..span / step {
                 let name = format!("r{n}");
@@ -210,7 +210,7 @@
         }
         // The member's budget: 4 times 0.15 of what a slow one carries warm, some 30 a second, for 1.5 s.
         assert!(together <= 27, "{together} sends of {routers} routers to a member just started");
-        assert!(together > 0, "{routers} routers: a cold member is still of some use");
+        assert!(together > 0, "{routers} routers: a warming member still gets some requests");
     }
 }
 
@@ -320,7 +320,7 @@
         report: Report { position: Some(harness.now), role: Some(Role::Replica), ..Report::default() },
     });
     assert!(!harness.router.is_fresh(harness.now, &name, 1));
-    // Of a request that is over nothing goes out.
+    // A closed request is not sent.
     harness.step(Event::Abandoned { request: name.clone() });
     assert!(!harness.router.is_fresh(harness.now, &name, 1));
 }
--- a/crates/policy/tests/scan_counts.rs
+++ b/crates/policy/tests/scan_counts.rs
@@ -1,4 +1,4 @@
-//! What health checks look at while members are silent: it must grow with what is silent and not with what the router
+//! What health checks scan while members are silent: it must grow with what is silent and not with what the router
 //! serves. Entries are counted, no time is measured.
 
 mod common;
@@ -29,7 +29,7 @@
 struct Load {
     router: Router,
     now: Time,
-    asked: u32,
+    requested: u32,
     is_silent: fn(MemberId) -> bool,
     in_flight: Vec<InFlight>,
     attempts: BTreeMap<RequestId, u32>,
@@ -42,7 +42,7 @@
         let mut load = Load {
             router: Router::new(settings, 5).expect("sound settings"),
             now: START,
-            asked: 0,
+            requested: 0,
             is_silent: |_| false,
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
@@ -57,13 +57,13 @@
         let end = self.now + span;
         while self.now < end {
             self.now += BETWEEN_REQUESTS;
-            self.asked += 1;
-            let name = format!("r{}", self.asked);
+            self.requested += 1;
+            let name = format!("r{}", self.requested);
             let mut events = self.outcomes();
             events.push(Event::Request(RequestArrival {
                 request: name.as_str().into(),
                 class: READ,
-                group: GroupId::from(self.asked * 7 % FEW_GROUPS),
+                group: GroupId::from(self.requested * 7 % FEW_GROUPS),
                 time_left: 900 * MS,
                 is_retry: false,
                 minimum_position: None,
@@ -101,7 +101,7 @@
             (until, Ending::TimedOut)
         } else {
             // No two answers take the same time, so that no member is the quickest one.
-            let extra = Time::from(self.asked * 7_919 % 101) * MS / 10;
+            let extra = Time::from(self.requested * 7_919 % 101) * MS / 10;
             (self.now + SERVICE_TIME + extra, Ending::Served)
         };
         self.in_flight.push(InFlight { request, attempt, member, sent: self.now, due, ending });
@@ -115,8 +115,8 @@
         }
     }
 
-    /// What is looked at in the span, once everything has settled.
-    fn visits_in(&mut self, span: Time) -> ScanCounts {
+    /// What is scanned within the span, once everything has settled.
+    fn scans_in(&mut self, span: Time) -> ScanCounts {
         let before = self.router.scan_counts();
         self.run(span);
         let after = self.router.scan_counts();
@@ -158,31 +158,31 @@
 }
 
 /// Visits of ten seconds with a zone cut off, from two seconds after the cut on.
-fn visits_during_a_cut(groups: u32) -> ScanCounts {
+fn scans_during_a_cut(groups: u32) -> ScanCounts {
     let mut load = Load::new(groups);
     load.run(3 * SECOND);
     load.is_silent = in_zone_b;
     load.run(2 * SECOND);
-    load.visits_in(10 * SECOND)
+    load.scans_in(10 * SECOND)
 }
 
 #[test]
 fn an_unreachable_zone_is_not_scanned_with_each_check() {
-    let few = visits_during_a_cut(FEW_GROUPS);
-    let many = visits_during_a_cut(MANY_GROUPS);
+    let few = scans_during_a_cut(FEW_GROUPS);
+    let many = scans_during_a_cut(MANY_GROUPS);
     assert!(many.members <= few.members * 5 / 4, "{many:?}, with few groups {few:?}");
 }
 
 #[test]
 fn a_silent_member_is_scanned_no_more_often_beside_many_groups() {
-    let visits = |groups| {
+    let scans = |groups| {
         let mut load = Load::new(groups);
         load.run(3 * SECOND);
         load.is_silent = |member| member == 2;
         load.run(2 * SECOND);
-        load.visits_in(10 * SECOND).members
+        load.scans_in(10 * SECOND).members
     };
-    let (few, many) = (visits(FEW_GROUPS), visits(MANY_GROUPS));
+    let (few, many) = (scans(FEW_GROUPS), scans(MANY_GROUPS));
     // A loss has the zones checked: its trials may hang, and the answers in between clear it.
     let all = u64::from(MANY_GROUPS * MEMBERS_OF_A_GROUP);
     assert!(many <= few + 3 * all, "{many} beside many groups, {few} beside few");
@@ -193,15 +193,15 @@
     let mut load = Load::new(MANY_GROUPS);
     load.run(3 * SECOND);
     load.is_silent = in_zone_b;
-    let visits = load.visits_in(2 * SECOND);
+    let scans = load.scans_in(2 * SECOND);
     println!(
-        "VISITS {visits:?} {} sends {} asked {} out {}",
+        "{scans:?}: {} cancelled, {} attempts, {} requests, {} in flight",
         load.cancelled,
         load.attempts.values().sum::<u32>(),
-        load.asked,
+        load.requested,
         load.in_flight.len()
     );
     assert!(load.cancelled > 0);
-    // Nothing is looked through for the other members of the zone, which have nothing in flight.
-    assert!(visits.requests <= 2 * load.cancelled as u64, "{visits:?}, cancelled {}", load.cancelled);
+    // Nothing is scanned for the other members of the zone, which have nothing in flight.
+    assert!(scans.requests <= 2 * load.cancelled as u64, "{scans:?}, cancelled {}", load.cancelled);
 }
--- a/crates/policy/tests/suspected_groups.rs
+++ b/crates/policy/tests/suspected_groups.rs
@@ -1,5 +1,5 @@
-//! Groups whose members are all suspected: each read that comes may find out about one of them, and no member gets more
-//! than one such trial at a time.
+//! Groups whose members are all suspected: each read may be spent on a trial of one of them, and no member gets more than
+//! one trial at a time.
 
 mod common;
 use common::fleet::*;
@@ -24,8 +24,8 @@
     }
 }
 
-/// Asks for a read, so many times, with so long between two.
-fn ask_slowly(fleet: &mut Fleet, reads: usize, pause: Time) {
+/// Sends so many reads, with a pause after each.
+fn send_reads(fleet: &mut Fleet, reads: usize, pause: Time) {
     for _ in 0..reads {
         fleet.send_request(0, READ, READ_TIME);
         run(fleet, pause);
@@ -43,10 +43,10 @@
 /// A group that was silent for long enough that all of its members are suspected.
 fn silent_group() -> Fleet {
     let mut fleet = group();
-    ask_slowly(&mut fleet, 2, SECOND);
-    assert_eq!(fleet.served, 2, "the members are well");
+    send_reads(&mut fleet, 2, SECOND);
+    assert_eq!(fleet.served, 2, "the members are healthy");
     set_silent(&mut fleet, true);
-    ask_slowly(&mut fleet, 3, 3 * SECOND);
+    send_reads(&mut fleet, 3, 3 * SECOND);
     fleet
 }
 
@@ -55,7 +55,7 @@
     let mut fleet = silent_group();
     set_silent(&mut fleet, false);
     let served = fleet.served;
-    ask_slowly(&mut fleet, 5, 3 * SECOND);
+    send_reads(&mut fleet, 5, 3 * SECOND);
     assert_eq!(fleet.served - served, 5, "of five reads, three seconds apart");
 }
 
@@ -65,7 +65,7 @@
     let before = sent(&fleet);
     for _ in 0..5 {
         let earlier = sent(&fleet);
-        ask_slowly(&mut fleet, 1, 3 * SECOND);
+        send_reads(&mut fleet, 1, 3 * SECOND);
         let attempts = sent(&fleet) - earlier;
         assert!((1..=8).contains(&attempts), "{attempts} attempts of one read");
     }
@@ -74,14 +74,14 @@
 
 #[test]
 fn one_recovered_member_is_found_beside_silent_ones() {
-    for well in 1..=MEMBERS {
+    for recovered in 1..=MEMBERS {
         let mut fleet = silent_group();
-        if let Some(member) = fleet.members.get_mut(&well) {
+        if let Some(member) = fleet.members.get_mut(&recovered) {
             member.silent = false;
         }
         let served = fleet.served;
-        ask_slowly(&mut fleet, 6, 3 * SECOND);
-        assert!(fleet.served - served >= 5, "member {well}: {} of 6 served", fleet.served - served);
+        send_reads(&mut fleet, 6, 3 * SECOND);
+        assert!(fleet.served - served >= 5, "member {recovered}: {} of 6 served", fleet.served - served);
     }
 }
 
@@ -111,7 +111,7 @@
     fleet.pending_events[0].push(Event::List { update: Update::Complete, entries: list.into() });
     fleet.step();
     let before = sent(&fleet);
-    ask_slowly(&mut fleet, 5, 3 * SECOND);
+    send_reads(&mut fleet, 5, 3 * SECOND);
     assert_eq!(sent(&fleet), before);
 }
 
@@ -120,8 +120,8 @@
     harness.report_attempt_with(name, attempt, member, Ending::Served, Some(10 * MS), Some(role));
 }
 
-/// Asks for a read and waits for as long as it may take. Says where it went, if it was sent.
-fn place(harness: &mut Harness, name: &str, class: usize) -> Option<MemberId> {
+/// Sends a read and waits until it is sent or rejected. Returns the member that it was sent to.
+fn send_read(harness: &mut Harness, name: &str, class: usize) -> Option<MemberId> {
     let mut actions = harness.send_request(name, class, READ_TIME);
     while sent_to(&actions).is_none() && !rejected(&actions) {
         actions = harness.advance(5 * MS);
@@ -137,7 +137,7 @@
     let mut lost = 0;
     for n in 0..200 {
         let name = format!("read{n}");
-        match place(&mut harness, &name, READ) {
+        match send_read(&mut harness, &name, READ) {
             Some(2) if n >= 60 => {
                 lost += 1;
                 let retry = harness.report_attempt(&name, 0, 2, Ending::ConnectionLost);
@@ -155,7 +155,7 @@
     for n in 0..20 {
         harness.now += SECOND;
         let name = format!("bounded{n}");
-        let member = place(&mut harness, &name, BOUNDED_READ);
+        let member = send_read(&mut harness, &name, BOUNDED_READ);
         assert!(member.is_some_and(|member| member != 2), "read {n} went to {member:?}");
         member.into_iter().for_each(|member| answer(&mut harness, &name, 0, member));
     }
