--- a/crates/models/src/attempts/apply.rs
+++ b/crates/models/src/attempts/apply.rs
@@ -3,7 +3,7 @@
 use crate::attempts::{entry, Attempts, Change, HostAnswer, Step, GRANULE};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::Event;
-use petrelgauge_policy::MemberStatus;
+use petrelgauge_policy::{MemberStatus, Update};
 
 impl Attempts {
     pub(super) fn apply_step(&mut self, step: &Step) {
--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -18,7 +18,7 @@
 use petrelgauge_lifecycle::exchange::Exchange;
 use petrelgauge_lifecycle::request_table::{AttemptId, AttemptSpec, Request, RequestTable};
 use petrelgauge_policy::{
-    Class, Effect, Entry, GroupId, MemberId, MemberStatus, Need, RequestId, Scope, Settings, Time,
+    Class, Effect, Entry, GroupId, MemberId, MemberStatus, Need, RequestId, Scope, Settings, Time, Update,
 };
 
 const GROUP: GroupId = 2;
