--- a/crates/lab/src/gateways.rs
+++ b/crates/lab/src/gateways.rs
@@ -1,11 +1,9 @@
 //! Real gateway processes on loopback, each with its own configuration, started, stalled and killed by experiments.
 
-use petrelgauge_test_support::ChildProcess;
-use std::net::SocketAddr;
+use petrelgauge_test_support::{ClassSettings, DeploymentSettings, GatewayFiles, GatewayProcess, SlowStart};
+use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
 
 /// Names of the request classes: a read with a staleness bound, a read of any data, a write with an idempotency key.
 pub const CLASSES: [&str; 3] = ["view", "history", "pay"];
@@ -13,17 +11,13 @@
 const GATEWAYS_IN_SETTINGS: usize = 5;
 /// Zone of every gateway of a test cluster.
 const ZONE: char = 'a';
-/// How often a starting gateway is tried.
-const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How many times it is tried: five seconds in all.
-const READY_POLLS: usize = 500;
+/// How long a gateway may take until it answers clients.
+const READY_LIMIT: Duration = Duration::from_secs(5);
 /// The field that only the line of counters in a gateway's log has.
 const COUNTERS_LINE: &str = "requests=";
 
 /// What all gateways of a cluster have in common.
 pub struct GatewaySetup {
-    /// The gateway's program.
-    pub program: PathBuf,
     /// The folder of configurations and logs.
     pub folder: PathBuf,
     /// Where the list service listens.
@@ -45,32 +39,37 @@
     pub peers: Vec<SocketAddr>,
 }
 
+/// What distinguishes one gateway from the others.
+#[derive(Clone, Debug)]
+pub struct GatewayPlan {
+    /// Its number.
+    pub number: usize,
+    /// Its addresses for datagrams.
+    pub peer_addresses: PeerAddresses,
+    /// How far its clock is ahead (milliseconds).
+    pub clock_shift_ms: u64,
+}
+
 /// One gateway. Dropping it kills its process.
 pub struct Gateway {
     /// Where clients connect.
     pub listen: SocketAddr,
-    peer_addresses: PeerAddresses,
-    clock_shift_ms: u64,
-    number: usize,
-    process: Option<ChildProcess>,
+    plan: GatewayPlan,
+    files: GatewayFiles,
+    process: GatewayProcess,
     /// How many times it was started.
     starts: u64,
 }
 
 impl Gateway {
-    /// Chooses the client address of a gateway that is not started yet.
-    ///
-    /// # Errors
-    ///
-    /// Fails if there is no free port.
-    pub async fn new(
-        number: usize,
-        peer_addresses: PeerAddresses,
-        clock_shift_ms: u64,
-    ) -> std::io::Result<Gateway> {
-        let free = TcpListener::bind((format!("127.0.1.{}", number + 1), 0)).await?;
-        let listen = free.local_addr()?;
-        Ok(Gateway { listen, peer_addresses, clock_shift_ms, number, process: None, starts: 0 })
+    /// A gateway of this program that is not started yet, with its files in this folder.
+    pub fn new(plan: GatewayPlan, program: PathBuf, folder: &Path) -> Gateway {
+        let file = |name: &str| folder.join(format!("{name}{}", plan.number));
+        let files =
+            GatewayFiles { config: file("config"), operator: Some(file("operator")), log: file("log") };
+        let ip = Ipv4Addr::new(127, 0, 1, plan.number as u8 + 1);
+        let process = GatewayProcess::new(program, ip, files.clone());
+        Gateway { listen: process.listen, plan, files, process, starts: 0 }
     }
 
     /// Writes the gateway's files and starts its process.
@@ -80,33 +79,22 @@
     /// Fails if a file cannot be written or the program cannot be started.
     pub fn start(&mut self, setup: &GatewaySetup, seed: u64) -> std::io::Result<()> {
         self.starts += 1;
-        let file = |name: &str| setup.folder.join(format!("{name}{}", self.number));
-        let operator_file = format!("clock_shift: {}ms\n{}", self.clock_shift_ms, setup.operator_file);
-        std::fs::write(file("config"), self.config_json(setup, seed))?;
-        std::fs::write(file("operator"), operator_file)?;
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(file("log"))?;
-        let process = ChildProcess::spawn(
-            Command::new(&setup.program)
-                .env("GW_CONFIG", file("config"))
-                .env("PETRELGAUGE_FILE", file("operator"))
-                .env_remove("GW_LISTEN")
-                .env_remove("GW_DISCOVERY")
-                .env_remove("GW_NAME")
-                .stdin(Stdio::null())
-                .stdout(Stdio::null())
-                .stderr(log),
-        )?;
-        self.process = Some(process);
-        Ok(())
+        let operator_file = format!("clock_shift: {}ms\n{}", self.plan.clock_shift_ms, setup.operator_file);
+        std::fs::write(&self.files.config, self.config_json(setup, seed))?;
+        if let Some(path) = &self.files.operator {
+            std::fs::write(path, operator_file)?;
+        }
+        self.process.start(&[])
     }
 
     fn config_json(&self, setup: &GatewaySetup, seed: u64) -> String {
-        let Gateway { listen, number, starts, .. } = self;
+        let Gateway { listen, starts, plan, .. } = self;
+        let GatewayPlan { number, peer_addresses, .. } = plan;
         let (discovery, initial_list) = (setup.list_service, &setup.initial_list);
         let seed = seed.wrapping_mul(31).wrapping_add(starts * 101 + *number as u64);
-        let peer_listen = self.peer_addresses.listen;
+        let peer_listen = peer_addresses.listen;
         let peers: Vec<String> =
-            self.peer_addresses.peers.iter().map(|address| format!("\"{address}\"")).collect();
+            peer_addresses.peers.iter().map(|address| format!("\"{address}\"")).collect();
         let peers = peers.join(",");
         let settings = gateway_settings_json(setup.primary_reads, GATEWAYS_IN_SETTINGS, ZONE);
         format!(
@@ -114,32 +102,24 @@
         )
     }
 
-    /// Waits until it accepts clients; false if it does not within five seconds.
+    /// Waits until it answers clients; false if it does not within five seconds.
     pub async fn is_ready(&self) -> bool {
-        for _ in 0..READY_POLLS {
-            if TcpStream::connect(self.listen).await.is_ok() {
-                return true;
-            }
-            tokio::time::sleep(READY_POLL_INTERVAL).await;
-        }
-        false
+        self.process.is_ready(READY_LIMIT).await
     }
 
     /// The id of its process, if it runs.
     pub fn process_id(&self) -> Option<u32> {
-        self.process.as_ref().map(ChildProcess::id)
+        self.process.process_id()
     }
 
     /// Kills it, as a crash would.
     pub fn kill(&mut self) {
-        self.process = None;
+        self.process.kill();
     }
 
     /// Sends it a signal: STOP stalls it until CONT.
     pub fn signal(&self, name: &str) {
-        if let Some(process) = &self.process {
-            let _ = process.signal(name);
-        }
+        self.process.signal(name);
     }
 
     /// Asks it to shut down gracefully; it logs its counters then.
@@ -167,16 +147,38 @@
 
 /// The settings of a deployment of so many gateways, for a gateway in this zone.
 pub fn gateway_settings_json(primary_reads: bool, gateways: usize, zone: char) -> String {
+    let [view, history, pay] = CLASSES;
     let [view_level, history_level] =
         if primary_reads { ["strong", "strong"] } else { ["lag_bound", "eventual"] };
-    format!(
-        r#"{{"balancers":{gateways},"zone":"{zone}","granularity_us":5000,"membership_mode":"pushed",
-"bounds":{{"attempts_cap":8,"cancel":true,"conn_idle_us":30000000,"connect_timeout_us":250000,"max_retry_after_us":500000,"retry_after":true,"probes":false,"second_copies":false}},
-"classes":[{{"aim_us":500000,"deadline_us":1200000,"idempotency":"safe","name":"view","points":2.0,"late_share":0.2}},
-{{"aim_us":600000,"deadline_us":1500000,"idempotency":"safe","name":"history","points":2.0,"late_share":0.0}},
-{{"aim_us":500000,"deadline_us":5000000,"idempotency":"keyed","group":"cell","window_us":5000000,"name":"pay","points":4.0,"late_share":0.5}}],
-"family_info":{{"read_level":["{view_level}","{history_level}","mutate"],"staleness_bound_us":[300000,0,0],"when_behind":"bounce","shows_role":"trailing","session_marks":"kept","stamps":true}},
-"obligations":{{"answer_slack_us":20000,"cold_from":0.24,"cold_us":16000000,"drain_grace_us":2000000,"fall_us":1000000,"overload_factor":4.0}}}}"#
-    )
-    .replace('\n', "")
+    let history = ClassSettings {
+        name: history,
+        read_level: history_level,
+        staleness_bound: Duration::ZERO,
+        latency_target: Duration::from_millis(600),
+        deadline: Duration::from_millis(1_500),
+        key_window: None,
+        points: 2.0,
+        late_share: 0.0,
+    };
+    let view = ClassSettings {
+        name: view,
+        read_level: view_level,
+        staleness_bound: Duration::from_millis(300),
+        latency_target: Duration::from_millis(500),
+        deadline: Duration::from_millis(1_200),
+        late_share: 0.2,
+        ..history
+    };
+    let pay = ClassSettings {
+        name: pay,
+        read_level: "mutate",
+        latency_target: Duration::from_millis(500),
+        deadline: Duration::from_secs(5),
+        key_window: Some(Duration::from_secs(5)),
+        points: 4.0,
+        late_share: 0.5,
+        ..history
+    };
+    let classes = vec![view, history, pay];
+    DeploymentSettings { gateways, zone, classes, slow_start: SlowStart::USUAL }.json()
 }
--- a/crates/lab/src/test_cluster.rs
+++ b/crates/lab/src/test_cluster.rs
@@ -3,7 +3,7 @@
 use crate::datagram_relay::{DatagramRelay, Link};
 use crate::emulated_hosts::EmulatedHosts;
 use crate::error::LabError;
-use crate::gateways::{logged_counter, read_log, Gateway, GatewaySetup, PeerAddresses};
+use crate::gateways::{logged_counter, read_log, Gateway, GatewayPlan, GatewaySetup, PeerAddresses};
 use crate::list_service::start_list_service;
 use petrelgauge::Time;
 use petrelgauge_test_support::TemporaryFolder;
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
@@ -103,9 +103,8 @@
         let name = format!("petrelgauge-lab-{}-{}", std::process::id(), address.port());
         let folder = TemporaryFolder::create(&name)?;
         let witness = if plan.witness { Some(UdpSocket::bind("127.0.0.1:0").await?) } else { None };
-        let mut gateways = prepare_gateways(&plan, &relay, witness.as_ref()).await?;
+        let mut gateways = prepare_gateways(&plan, folder.path(), &relay, witness.as_ref()).await?;
         let setup = GatewaySetup {
-            program: plan.program.clone(),
             folder: folder.path().to_path_buf(),
             list_service: address,
             initial_list: list_service.complete_list(),
@@ -168,6 +167,7 @@
 /// Chooses all addresses of the gateways and opens the datagram paths between them, and to the witness.
 async fn prepare_gateways(
     plan: &ClusterPlan,
+    folder: &Path,
     relay: &Rc<DatagramRelay>,
     witness: Option<&UdpSocket>,
 ) -> std::io::Result<Vec<Gateway>> {
@@ -188,7 +188,8 @@
         }
         let peer_addresses = PeerAddresses { listen: receivers[number], peers };
         let clock_shift_ms = plan.max_clock_shift_ms * number as u64 / (plan.gateways.max(2) as u64 - 1);
-        gateways.push(Gateway::new(number, peer_addresses, clock_shift_ms).await?);
+        let gateway = GatewayPlan { number, peer_addresses, clock_shift_ms };
+        gateways.push(Gateway::new(gateway, plan.program.clone(), folder));
     }
     Ok(gateways)
 }
--- a/crates/test-support/src/child_process.rs
+++ b/crates/test-support/src/child_process.rs
@@ -1,6 +1,6 @@
 //! A child process that is killed together with its value.
 
-use std::process::{Child, Command};
+use std::process::{Child, ChildStderr, Command};
 
 /// A running child process. Dropping it kills the process and waits for its end.
 pub struct ChildProcess(Child);
@@ -20,6 +20,25 @@
         self.0.id()
     }
 
+    /// Whether it runs.
+    pub fn is_running(&mut self) -> bool {
+        matches!(self.0.try_wait(), Ok(None))
+    }
+
+    /// Waits for its end. Returns its exit code, or none if a signal ended it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system does not report its end.
+    pub fn wait(&mut self) -> std::io::Result<Option<i32>> {
+        Ok(self.0.wait()?.code())
+    }
+
+    /// Takes the other end of its standard error, which has to be piped.
+    pub fn take_stderr(&mut self) -> Option<ChildStderr> {
+        self.0.stderr.take()
+    }
+
     /// Sends a signal, named without its `SIG` prefix. Returns whether the process still existed.
     ///
     /// # Errors
--- a/crates/test-support/src/harness.rs
+++ b/crates/test-support/src/harness.rs
@@ -1,34 +1,35 @@
-//! A test harness for one gateway: the program itself, and the scripted peers it talks to.
+//! A harness for one gateway: its configuration, its hosts and discovery, and how its program is started.
 
-use crate::discovery::{source, watch};
-use crate::endpoint_list::list_line;
+use crate::child_process::ChildProcess;
+use crate::endpoint_list::{line_chunk, list_line};
 use crate::gateway::Gateway;
 use crate::host::Host;
 use crate::network::{LoopbackNetwork, ReservedPort};
 use crate::program::GatewayProgram;
 use crate::reply::Reply;
-use crate::scripted_discovery::{ScriptedDiscovery, Step};
-use crate::settings::SETTINGS;
-use std::cell::{Cell, RefCell};
+use crate::scripted_discovery::{watch_script, Connections, ScriptedDiscovery, Step};
+use crate::settings::DeploymentSettings;
+use std::cell::RefCell;
 use std::io::BufReader;
 use std::net::TcpListener;
 use std::process::{Command, Stdio};
 use std::rc::Rc;
-use std::sync::mpsc::{channel, Receiver};
-use std::thread;
 
 /// Last byte of the address of database hosts, discovery and operators.
 const PEERS_HOST: u8 = 1;
 /// Last byte of the address of the gateway.
 const GATEWAY_HOST: u8 = 2;
 
+/// Revision of the list that a gateway starts with.
+const FIRST_REVISION: u64 = 41;
+
 /// What a test sets up before the gateway starts.
 pub struct Harness {
     program: GatewayProgram,
     network: LoopbackNetwork,
-    /// Where the gateway is to listen.
+    /// Where clients will reach the gateway.
     pub listen: String,
-    /// The ports of its gateways, for as long as the harness or one of them is there.
+    /// The ports of its gateways, reserved as long as the harness or one of them exists.
     ports: Vec<Rc<ReservedPort>>,
     discovery: TcpListener,
     known: String,
@@ -68,23 +69,22 @@
         self.network
     }
 
+    /// Starts a host that answers queries from this script.
     pub fn host(&self, script: Vec<Reply>) -> Host {
         Host::start(self.network.address(PEERS_HOST), script)
     }
 
-    /// A host that welcomes no connection, from this one on, before the test says so.
-    pub fn slow_host(&self, from: usize, script: Vec<Reply>) -> Host {
-        Host::slow_from(self.network.address(PEERS_HOST), script, from)
+    /// The same, but from connection `first_slow` on, counted from 0, startups are answered only after [`Host::go`].
+    pub fn slow_host(&self, first_slow: usize, script: Vec<Reply>) -> Host {
+        Host::slow_from(self.network.address(PEERS_HOST), script, first_slow)
     }
 
     /// A host at whose address nobody listens.
     pub fn closed_host(&self) -> Host {
-        let port = ReservedPort::at(self.network.address(PEERS_HOST));
-        let address = port.address();
-        let (seen, ended, came) = (channel().1, channel().1, channel().1);
-        Host { address, seen, ended, came, go: channel().0, count: Cell::new(0), _closed_port: Some(port) }
+        Host::closed(ReservedPort::at(self.network.address(PEERS_HOST)))
     }
 
+    /// List entries of hosts, each with its phase and its role, as JSON separated by commas.
     pub fn entries(&self, hosts: &[(&Host, &str, &str)]) -> String {
         let entry = |(place, (host, phase, role)): (usize, &(&Host, &str, &str))| {
             let address = &host.address;
@@ -95,31 +95,31 @@
         hosts.iter().enumerate().map(entry).collect::<Vec<_>>().join(",")
     }
 
-    /// What the gateway knows at its start.
+    /// Sets the list that the gateway starts with.
     pub fn list(mut self, hosts: &[(&Host, &str, &str)]) -> Harness {
         self.known = self.entries(hosts);
         self
     }
 
-    /// The lines that the first watch brings when the test says so.
+    /// Sets the lines that the first watch brings after [`Gateway::send_later_updates`].
     pub fn later_updates(mut self, lines: &[&str]) -> Harness {
         self.later_updates = lines.iter().map(|line| line.to_string()).collect();
         self
     }
 
-    /// The lines that the first watch brings.
+    /// Sets the lines that the first watch brings at once.
     pub fn updates(mut self, lines: &[&str]) -> Harness {
         self.updates = lines.iter().map(|line| line.to_string()).collect();
         self
     }
 
-    /// The operator's file.
+    /// Sets the operator's file.
     pub fn operator(mut self, text: &str) -> Harness {
         self.operator = Some(text.to_string());
         self
     }
 
-    /// The clients' socket is held by the platform, and the gateway's processes share a folder.
+    /// Several processes of the gateway inherit one listening socket and share a folder for their handover records.
     pub fn shared(mut self) -> Harness {
         let folder = format!("{}/{}", self.program.folder, self.listen);
         let _ = std::fs::remove_dir_all(&folder);
@@ -128,18 +128,18 @@
         self
     }
 
-    /// Its processes share the folder of another gateway.
+    /// Replaces the folder by that of another gateway.
     pub fn share(mut self, folder: &str) -> Harness {
         self.shared.as_mut().expect("it is shared").1 = folder.to_string();
         self
     }
 
-    /// The folder that its processes share.
+    /// The folder for handover records.
     pub fn folder(&self) -> &str {
         &self.shared.as_ref().expect("it is shared").1
     }
 
-    /// Starts a process of the program beside another, with a second address of its own, and waits until it runs.
+    /// Starts one more process of the gateway, with an operations address of its own, and waits until it serves.
     pub fn beside(&mut self) -> Gateway {
         self.ops = Some(self.reserve_port());
         let gateway = self.start_with(&self.config());
@@ -147,28 +147,20 @@
         gateway
     }
 
-    /// Serves discovery with the updates of this harness; each watch gets them.
+    /// Serves discovery: each watch gets the updates of this harness.
     pub fn discover(&self) {
-        let (listener, updates) =
-            (self.discovery.try_clone().expect("a second handle"), self.updates.clone());
-        thread::spawn(move || {
-            for stream in listener.incoming() {
-                let updates = updates.clone();
-                thread::spawn(move || {
-                    let ((saw, _watches), (_end, ends)) = (channel(), channel());
-                    watch(stream.expect("a watch"), [updates, Vec::new()], &saw, &ends);
-                });
-            }
-        });
+        let listener = self.discovery.try_clone().expect("a second handle");
+        let script = watch_script(&self.updates, vec![Step::Heartbeat]);
+        ScriptedDiscovery::serve(listener, Connections::SideBySide, std::iter::repeat(script));
     }
 
-    /// The gateway has an operations address too.
+    /// Adds an operations address.
     pub fn ops(mut self) -> Harness {
         self.ops = Some(self.reserve_port());
         self
     }
 
-    /// A further port that is free for a gateway of this harness: its address.
+    /// Reserves one more port for a gateway of this harness and returns its address.
     pub fn reserve_port(&mut self) -> String {
         let port = ReservedPort::at(self.network.address(PEERS_HOST));
         let address = port.address();
@@ -176,30 +168,35 @@
         address
     }
 
+    /// Sets the limit on descriptors.
     pub fn sockets(mut self, sockets: usize) -> Harness {
         self.sockets = sockets;
         self
     }
 
+    /// Where discovery listens.
     pub fn discovery_address(&self) -> String {
         self.discovery.local_addr().expect("an address").to_string()
     }
 
+    /// The gateway's configuration, as JSON.
     pub fn config(&self) -> String {
-        let (listen, sockets, known) = (&self.listen, self.sockets, list_line(41, true, &self.known));
+        let (listen, sockets, known) =
+            (&self.listen, self.sockets, list_line(FIRST_REVISION, true, &self.known));
         let discovery = self.discovery_address();
+        let settings = DeploymentSettings::of_one_gateway().json();
         let ops = self.ops.as_ref().map(|ops| format!(r#""ops":"{ops}","#)).unwrap_or_default();
         format!(
-            r#"{{{ops}"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f","limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{SETTINGS}}}"#
+            r#"{{{ops}"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f","limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
         )
     }
 
-    /// Starts the program with this configuration; it need not come up.
+    /// Starts the program with this configuration, without waiting for it.
     pub fn start_with(&self, config: &str) -> Gateway {
         self.start_env(config, &[])
     }
 
-    /// The same with more in its environment.
+    /// The same, with more variables in its environment.
     pub fn start_env(&self, config: &str, more: &[(&str, &str)]) -> Gateway {
         let path = format!("{}/{}.json", self.program.folder, self.listen);
         std::fs::write(&path, config).expect("a place to write");
@@ -207,7 +204,7 @@
         let mut command = match &self.shared {
             None => Command::new(program),
             Some((listener, folder)) => {
-                // The shell hands the socket on as descriptor 3, and becomes the program.
+                // The shell moves the socket to descriptor 3 and becomes the program.
                 let mut command = Command::new("sh");
                 command.args(["-c", "exec 3<&0 0</dev/null; exec \"$0\"", program]);
                 command.stdin(std::os::fd::OwnedFd::from(listener.try_clone().expect("a second handle")));
@@ -221,19 +218,17 @@
             std::fs::write(&file, text).expect("a place to write");
             command.env("PETRELGAUGE_FILE", file);
         }
-        let mut child = command
+        command
             .env("GW_CONFIG", &path)
             .env("GW_DISCOVERY", self.discovery_address())
             .env_remove("RUST_LOG")
             .envs(more.iter().copied())
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("the gateway starts");
-        let log = BufReader::new(child.stderr.take().expect("its log"));
-        let (watches, end_watch) = (channel().1, channel().0);
+            .stderr(Stdio::piped());
+        let mut child = ChildProcess::spawn(&mut command).expect("the gateway starts");
+        let log = BufReader::new(child.take_stderr().expect("its log"));
         let (address, ops) = (self.listen.clone(), self.ops.clone());
         let _ports = self.ports.clone();
-        Gateway { child, log: RefCell::new(log), address, config_path: path, ops, watches, end_watch, _ports }
+        Gateway { child, log: RefCell::new(log), address, config_path: path, ops, discovery: None, _ports }
     }
 
     /// Starts the program and waits until it serves.
@@ -242,40 +237,47 @@
         self.start_as(&config)
     }
 
-    /// The same with this change to its configuration.
+    /// The same, with a changed configuration.
     pub fn start_changed(self, change: impl FnOnce(&str) -> String) -> Gateway {
         let config = change(&self.config());
         self.start_as(&config)
     }
 
-    /// The same with a configuration that the test has changed.
+    /// The same, with this configuration.
     pub fn start_as(self, config: &str) -> Gateway {
         let mut gateway = self.start_with(config);
         gateway.line_with("gateway serving");
-        (gateway.watches, gateway.end_watch) = source(self.discovery, self.updates, self.later_updates);
+        gateway.discovery = Some(serve_updates(self.discovery, &self.updates, &self.later_updates));
         gateway
     }
 
-    /// Starts the program as it is configured so, before a discovery whose connections follow these scripts.
+    /// The same, with a discovery service that follows these scripts.
     pub fn start_scripted(self, config: &str, scripts: Vec<Vec<Step>>) -> (Gateway, ScriptedDiscovery) {
         let gateway = self.start_with(config);
         gateway.line_with("gateway serving");
         (gateway, ScriptedDiscovery::play(self.discovery, scripts))
     }
 
-    /// A further source of discovery that brings these lines: its address, and the heads of its watches.
-    pub fn other_source(&self, updates: &[&str]) -> (String, Receiver<String>) {
-        let listener = self.network.tcp_listener(PEERS_HOST);
-        let address = listener.local_addr().expect("an address").to_string();
-        let updates = updates.iter().map(|line| line.to_string()).collect();
-        let (watches, end) = source(listener, updates, Vec::new());
-        // Its watch lasts as long as the test.
-        std::mem::forget(end);
-        (address, watches)
+    /// Starts another discovery service, whose first watch brings these lines.
+    pub fn other_source(&self, updates: &[&str]) -> ScriptedDiscovery {
+        let updates: Vec<String> = updates.iter().map(|line| line.to_string()).collect();
+        serve_updates(self.network.tcp_listener(PEERS_HOST), &updates, &[])
+    }
+}
+
+/// A discovery service whose first watch brings these updates, the later ones after a go; each further go ends a watch.
+fn serve_updates(listener: TcpListener, updates: &[String], later_updates: &[String]) -> ScriptedDiscovery {
+    let mut first = watch_script(updates, vec![Step::HeartbeatUntilGo]);
+    if !later_updates.is_empty() {
+        first.extend(later_updates.iter().map(|line| Step::Write(line_chunk(line))));
+        first.push(Step::HeartbeatUntilGo);
     }
+    let other = watch_script(&[], vec![Step::HeartbeatUntilGo]);
+    let scripts = std::iter::once(first).chain(std::iter::repeat(other));
+    ScriptedDiscovery::serve(listener, Connections::InTurn, scripts)
 }
 
-/// A gateway that serves before one host, the primary, which follows this script.
+/// A gateway and its only host, a primary that answers queries from this script.
 pub fn gateway_with_primary(program: GatewayProgram, script: Vec<Reply>) -> (Host, Gateway) {
     let harness = Harness::new(program);
     let host = harness.host(script);
--- a/crates/test-support/src/host.rs
+++ b/crates/test-support/src/host.rs
@@ -1,4 +1,5 @@
-//! A database host that takes one query after the other from its script.
+//! A database host that answers one query after the other from its script. The emulated hosts of the laboratory and of the
+//! fault soak answer from their state instead.
 
 use crate::messages::{message, read_message, ready_for_query, row};
 use crate::network::ReservedPort;
@@ -12,24 +13,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A database host that takes one query after the other from its script.
+/// A running host.
 pub struct Host {
     pub(crate) address: String,
-    pub(crate) seen: Receiver<String>,
-    pub(crate) ended: Receiver<()>,
-    pub(crate) came: Receiver<()>,
-    pub(crate) go: Sender<()>,
-    pub(crate) count: Cell<usize>,
-    /// Of a host that does not listen: its port.
-    pub(crate) _closed_port: Option<ReservedPort>,
+    seen: Receiver<String>,
+    ended: Receiver<()>,
+    came: Receiver<()>,
+    go: Sender<()>,
+    count: Cell<usize>,
+    /// The port of a host that does not listen.
+    _closed_port: Option<ReservedPort>,
 }
 
 impl Host {
+    /// Starts a host at a free port of this address.
     pub(crate) fn start(ip: Ipv4Addr, script: Vec<Reply>) -> Host {
         Host::slow_from(ip, script, usize::MAX)
     }
 
-    /// From this connection on, counted from 0, it welcomes none before the test says so.
+    /// The same, but from this connection on, counted from 0, startups are answered only after [`Host::go`].
     pub(crate) fn slow_from(ip: Ipv4Addr, script: Vec<Reply>, slow_from: usize) -> Host {
         let listener = TcpListener::bind((ip, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
@@ -50,32 +52,40 @@
         Host { address, seen, ended, came, go, count: Cell::new(0), _closed_port: None }
     }
 
-    /// The next query that it got.
+    /// A host that does not listen at its port.
+    pub(crate) fn closed(port: ReservedPort) -> Host {
+        let address = port.address();
+        let (seen, ended, came) = (channel().1, channel().1, channel().1);
+        Host { address, seen, ended, came, go: channel().0, count: Cell::new(0), _closed_port: Some(port) }
+    }
+
+    /// Waits for the next query and returns it.
     pub fn next_query(&self) -> String {
         self.count.set(self.count.get() + 1);
         self.seen.recv_timeout(NEVER).expect("a query arrives")
     }
 
-    /// How many it got in all.
+    /// How many queries it has received in all.
     pub fn queries(&self) -> usize {
         self.count.get() + self.seen.try_iter().count()
     }
 
-    /// The queries that it got and nobody has taken.
+    /// The queries that it has received since the last call.
     pub fn queries_by_now(&self) -> Vec<String> {
         self.seen.try_iter().collect()
     }
 
-    /// A connection waits to be welcomed.
+    /// Waits for a connection whose startup has to be let go on.
     pub fn next_connection(&self) {
         self.came.recv_timeout(NEVER).expect("a connection comes");
     }
 
-    /// A connection to it has ended.
+    /// Waits until a connection to it has ended.
     pub fn wait_for_disconnect(&self) {
         self.ended.recv_timeout(NEVER).expect("the gateway closes");
     }
 
+    /// Lets what waits for the test go on: a startup of a slow connection, or a reply.
     pub fn go(&self) {
         self.go.send(()).expect("it waits");
     }
@@ -92,12 +102,12 @@
         return;
     }
     if let Some(come) = come {
-        // One at a time waits to be let go on, in the order in which the test hears of them.
+        // One at a time waits, in the order in which the test is notified of them.
         let turn = go.lock().expect("a signal");
         let _ = come.send(());
         turn.recv_timeout(NEVER).expect("it may go on");
     }
-    // The gateway may have left meanwhile.
+    // The gateway may have closed the connection meanwhile.
     let _ = stream.write_all(&[message(b'R', &[0; 4]), ready_for_query()].concat());
     while let Some((kind, body)) = read_message(&mut stream) {
         assert_eq!(kind, b'Q', "only simple queries");
@@ -112,7 +122,7 @@
     }
 }
 
-/// Reads the startup message; whether there is one.
+/// Reads the startup message; false if the connection ends without one.
 fn read_startup(stream: &mut TcpStream) -> bool {
     let mut length = [0; 4];
     if stream.read_exact(&mut length).is_err() {
@@ -176,8 +186,8 @@
     Next::Query
 }
 
-/// Resets a connection, and waits until the reset has reached the gateway's socket. It is sent only when the last copy
-/// of the descriptor is closed, and a child process that another thread of the tests starts has one until its `exec`.
+/// Resets a connection and waits until the reset has arrived. The kernel sends it only when the last copy of the descriptor
+/// is closed, and a child process that another thread starts holds one until its `exec`.
 fn reset(stream: TcpStream) {
     let (host, gateway) = (stream.local_addr().expect("an address"), stream.peer_addr().expect("an address"));
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
@@ -189,13 +199,13 @@
     }
 }
 
-/// Whether the kernel's table of TCP sockets has one from here to there. One that was reset is taken out of it.
+/// Whether the kernel's table of TCP sockets has this connection; a reset removes it.
 fn is_connected(from: SocketAddr, to: SocketAddr) -> bool {
     let pair = [table_form(from), table_form(to)].join(" ");
     std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&pair)
 }
 
-/// An IPv4 address as the kernel's table has it: its four bytes as a number of the machine's byte order.
+/// An IPv4 address as the kernel's table has it: its four bytes as one number in the machine's byte order.
 fn table_form(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else { panic!("hosts have IPv4 addresses") };
     format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
--- a/crates/test-support/src/messages.rs
+++ b/crates/test-support/src/messages.rs
@@ -2,40 +2,45 @@
 
 use std::io::Read;
 
+/// A message of this type.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
+/// A simple query.
 pub fn query(text: &str) -> Vec<u8> {
     message(b'Q', &[text.as_bytes(), &[0]].concat())
 }
 
+/// The startup message of a client.
 pub fn startup() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0backend\0database\0store\0\0";
     [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-/// The clients of a test take turns, or name their requests themselves.
+/// A read of this class. Its id is always the same: clients of a test take turns, or replace it.
 pub fn select(name: &str, class: &str, wait_ms: u64) -> String {
     format!("SELECT content FROM kv WHERE name = '{name}' /* id=9b1f,c={class},d={wait_ms},cluster=2 */")
 }
 
+/// A keyed write, with the same id and the same key each time.
 pub fn insert(name: &str, wait_ms: u64) -> String {
     let comment = format!("/* id=9b1f,c=post,d={wait_ms},k=5c0f,cluster=2 */");
     format!("INSERT INTO kv (name, content) VALUES ('{name}', '\\x9f03') RETURNING content {comment}")
 }
 
-/// The types of these messages, as one word.
+/// The types of these messages as one word.
 pub fn kinds(messages: &[(u8, Vec<u8>)]) -> String {
     messages.iter().map(|(kind, _)| *kind as char).collect()
 }
 
-/// A field of an ErrorResponse.
+/// A field of an ErrorResponse; empty if it is not there.
 pub fn field(body: &[u8], wanted: u8) -> String {
     let mut fields = body.split(|byte| *byte == 0).filter(|field| field.first() == Some(&wanted));
     String::from_utf8(fields.next().map_or(vec![], |field| field[1..].to_vec())).expect("text")
 }
 
+/// Reads a message; none if the connection ends before it does.
 pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
@@ -45,21 +50,24 @@
     Some((head[0], body))
 }
 
+/// An answer of one row with one value, without the end of the answer.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let description = message(b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let data = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
     [description, message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
-/// An ErrorResponse.
+/// An ErrorResponse with this SQLSTATE.
 pub fn error(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
+/// A ParameterStatus message.
 pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
+/// The message that ends an answer.
 pub fn ready_for_query() -> Vec<u8> {
     message(b'Z', b"I")
 }
--- a/crates/test-support/src/network.rs
+++ b/crates/test-support/src/network.rs
@@ -58,11 +58,11 @@
     }
 }
 
-/// A port that the kernel gives to nobody else for as long as this value lives.
+/// A port that the kernel assigns to nobody else while this value exists.
 ///
-/// A listener that is closed to free its port does not do: a child process that another thread starts has a copy of
-/// it until its `exec`, and the port stays in use for so long. This socket is bound with `SO_REUSEADDR` and never
-/// listens, so that a process that sets the same option can listen at the port, also while such a copy is there.
+/// Closing a listener to free its port is not enough: a child process that another thread starts holds a copy of it until
+/// its `exec`. This socket is bound with `SO_REUSEADDR` and never listens, so that a process that sets the same option can
+/// listen at the port.
 pub struct ReservedPort {
     address: SocketAddr,
     _socket: Socket,
--- a/crates/test-support/src/reply.rs
+++ b/crates/test-support/src/reply.rs
@@ -3,47 +3,52 @@
 use crate::messages::{error, parameter_status, ready_for_query, row};
 use crate::time::unix_ms;
 
-/// What a scripted host does with a query.
+/// What a scripted host does with a query. "On go" is after [`Host::go`](crate::Host::go).
 pub enum Reply {
+    /// Answers with a row.
     Row(&'static [u8]),
-    /// A row at this position, in Unix milliseconds.
+    /// The same, at this position (Unix milliseconds).
     RowAt(&'static [u8], u64),
-    /// The same from a replica.
+    /// The same, from a replica.
     ReplicaAt(&'static [u8], u64),
-    /// A row of a host whose clock shows `ahead` milliseconds more than the machine's, at the position of this moment.
+    /// Answers with a row at the present position, by a clock that is so many milliseconds ahead of the machine's.
     RowByClock(&'static [u8], i64),
-    /// The same from a replica that is so many milliseconds behind, in the second place.
+    /// The same from a replica that is behind by the second number of milliseconds.
     ReplicaByClock(&'static [u8], i64, i64),
-    /// A complete answer, so many milliseconds later.
-    Delayed(u64, Box<Reply>),
-    /// A row, and these bytes right behind it.
+    /// Answers with a row, and sends these bytes after it.
     Surplus(&'static [u8], &'static [u8]),
-    /// These bytes and no more.
+    /// Sends these bytes.
     Bytes(&'static [u8]),
-    /// These bytes, and the connection's end.
+    /// Sends these bytes and closes the connection.
     Cut(&'static [u8]),
-    /// A row, in so many bytes at a time and so many milliseconds apart.
+    /// Answers with a row, so many bytes at a time and so many milliseconds apart.
     Pieces(&'static [u8], usize, u64),
-    /// A row, and the connection reset when the test says so.
+    /// Answers with a row, and resets the connection on go.
     ResetOnGo(&'static [u8]),
+    /// Answers with a row on go.
     WaitForGo(&'static [u8]),
     /// The same, at this position.
     RowAtOnGo(&'static [u8], u64),
-    /// No answer, and the connection closed when the test says so.
+    /// Closes the connection on go, without an answer.
     CloseOnGo,
+    /// Answers with an error of this SQLSTATE.
     Error(&'static str),
-    /// The same from a replica at this position.
+    /// The same, from a replica at this position.
     ErrorAt(&'static str, u64),
+    /// Closes the connection.
     Close,
+    /// Does nothing.
     Nothing,
-    /// No answer to a query that holds this text, and a row to another.
+    /// Does nothing with a query that contains this text; answers another with a row.
     NothingTo(&'static str, &'static [u8]),
-    /// A row with the query's own text, from a host in this role.
+    /// Gives this reply so many milliseconds later.
+    Delayed(u64, Box<Reply>),
+    /// Answers with the query's own text, in this role.
     Echo(&'static str),
 }
 
 impl Reply {
-    /// The messages of a complete answer to a query: a row or an error, what the host states of itself, and its end.
+    /// The messages of a complete answer: a row or an error, the host's role and position, and the end.
     pub(crate) fn messages(&self, query: &str) -> Vec<u8> {
         let answer = match self {
             Reply::Row(value) | Reply::WaitForGo(value) | Reply::NothingTo(_, value) => row(value),
@@ -58,7 +63,7 @@
             Reply::Error(code) => error(code),
             Reply::Echo(_) => row(query.as_bytes()),
             Reply::ErrorAt(code, at) => [error(code), log_position(*at)].concat(),
-            _ => unreachable!("it is no complete answer"),
+            _ => unreachable!("not a complete answer"),
         };
         [answer, parameter_status("replication_role", self.role()), ready_for_query()].concat()
     }
@@ -76,7 +81,7 @@
     parameter_status("log_position", &unix_ms.to_string())
 }
 
-/// The position of this moment by a clock that is ahead of the machine's by so many milliseconds.
+/// The present position by a clock that is so many milliseconds ahead of the machine's.
 fn log_position_by_clock(ahead_ms: i64) -> Vec<u8> {
     log_position(unix_ms().checked_add_signed(ahead_ms).expect("after 1970"))
 }
--- a/crates/test-support/src/scripted_discovery.rs
+++ b/crates/test-support/src/scripted_discovery.rs
@@ -1,32 +1,55 @@
-//! A discovery whose connections follow a script, byte by byte: what it does wrong is up to the test.
+//! A discovery service whose connections follow scripts, byte by byte. [`ListService`](crate::ListService) is the one that
+//! keeps a list.
 
-use crate::endpoint_list::chunk;
+use crate::endpoint_list::{line_chunk, RESPONSE_HEAD};
 use crate::time::NEVER;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
 
-/// What a connection does next, once it was asked.
+/// Between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Between two writes of [`Step::Trickle`].
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Between two bytes of [`Step::WriteBytesApart`].
+const BYTE_INTERVAL: Duration = Duration::from_millis(1);
+
+/// One step of a connection after its request.
 #[derive(Clone)]
 pub enum Step {
     /// Writes these bytes.
     Write(Vec<u8>),
     /// Writes these bytes in segments of one byte each.
     WriteBytesApart(Vec<u8>),
-    /// Waits until the test says so.
+    /// Waits for [`ScriptedDiscovery::go`].
     WaitForGo,
-    /// Writes these bytes again and again, up to the connection's end.
+    /// Writes these bytes every 200 ms until the connection ends.
     Trickle(Vec<u8>),
-    /// Writes the empty line each second, up to the connection's end.
+    /// Writes a heartbeat every second until the connection ends.
     Heartbeat,
-    /// Says nothing more, for good.
+    /// Writes a heartbeat every second until the connection ends or the test calls [`ScriptedDiscovery::go`].
+    HeartbeatUntilGo,
+    /// Waits until the gateway closes the connection.
     Silence,
 }
 
-/// The discovery. A connection that has no script gets no answer.
+/// Whether a new connection is served while an earlier one is open.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Connections {
+    SideBySide,
+    InTurn,
+}
+
+/// A script that sends these lines and then what follows them.
+pub(crate) fn watch_script(lines: &[String], then: Vec<Step>) -> Vec<Step> {
+    let lines = lines.iter().map(|line| Step::Write(line_chunk(line)));
+    std::iter::once(Step::Write(RESPONSE_HEAD.to_vec())).chain(lines).chain(then).collect()
+}
+
+/// A running discovery service.
 pub struct ScriptedDiscovery {
     address: SocketAddr,
     requests: Receiver<String>,
@@ -34,52 +57,66 @@
 }
 
 impl ScriptedDiscovery {
-    /// Serves connections side by side, each by the next script. At its end a connection is closed.
+    /// Serves each connection by the next script, side by side, and closes it at the script's end. Connections beyond the
+    /// scripts get no answer.
     pub fn play(listener: TcpListener, scripts: Vec<Vec<Step>>) -> ScriptedDiscovery {
+        let silence = std::iter::repeat_with(|| vec![Step::Silence]);
+        ScriptedDiscovery::serve(listener, Connections::SideBySide, scripts.into_iter().chain(silence))
+    }
+
+    /// Serves each connection by the next script.
+    pub(crate) fn serve(
+        listener: TcpListener,
+        connections: Connections,
+        scripts: impl Iterator<Item = Vec<Step>> + Send + 'static,
+    ) -> ScriptedDiscovery {
         let address = listener.local_addr().expect("an address");
         let ((seen, requests), (go, gone)) = (channel(), channel());
         let gone = Arc::new(Mutex::new(gone));
         thread::spawn(move || {
-            let mut scripts = scripts.into_iter();
-            for stream in listener.incoming() {
-                let script = scripts.next().unwrap_or_else(|| vec![Step::Silence]);
-                let (seen, gone) = (seen.clone(), gone.clone());
-                thread::spawn(move || serve(stream.expect("a connection"), script, &seen, &gone));
+            for (stream, script) in listener.incoming().zip(scripts) {
+                let (stream, seen, gone) = (stream.expect("a connection"), seen.clone(), gone.clone());
+                match connections {
+                    Connections::InTurn => follow(stream, script, &seen, &gone),
+                    Connections::SideBySide => {
+                        thread::spawn(move || follow(stream, script, &seen, &gone));
+                    }
+                }
             }
         });
         ScriptedDiscovery { address, requests, go }
     }
 
-    /// Where it answers.
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The first line of the next question.
+    /// The first line of the next request.
     pub fn next(&self) -> String {
-        self.requests.recv_timeout(NEVER).expect("it asks")
+        self.requests.recv_timeout(NEVER).expect("a request arrives")
     }
 
-    /// Lets the connection that waits go on.
+    /// Lets the connection that waits continue its script.
     pub fn go(&self) {
         self.go.send(()).expect("it waits");
     }
 }
 
-fn serve(mut stream: TcpStream, script: Vec<Step>, seen: &Sender<String>, go: &Mutex<Receiver<()>>) {
+fn follow(mut stream: TcpStream, script: Vec<Step>, seen: &Sender<String>, go: &Mutex<Receiver<()>>) {
     let mut lines = BufReader::new(stream.try_clone().expect("a second handle"));
-    let (mut first, mut head) = (String::new(), String::new());
+    let (mut request_line, mut head) = (String::new(), String::new());
     while !head.ends_with("\r\n\r\n") {
         if lines.read_line(&mut head).unwrap_or(0) == 0 {
             return;
         }
-        if first.is_empty() {
-            first = head.trim_end().to_string();
+        if request_line.is_empty() {
+            request_line = head.strip_suffix("\r\n").unwrap_or(&head).to_string();
         }
     }
-    let _ = seen.send(first);
-    for act in script {
-        match act {
+    let _ = seen.send(request_line);
+    for step in script {
+        match step {
             Step::Write(bytes) => {
                 let _ = stream.write_all(&bytes);
             }
@@ -87,19 +124,28 @@
                 stream.set_nodelay(true).expect("an option");
                 for byte in bytes {
                     let _ = stream.write_all(&[byte]);
-                    thread::sleep(Duration::from_millis(1));
+                    thread::sleep(BYTE_INTERVAL);
                 }
             }
             Step::WaitForGo => go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on"),
-            Step::Trickle(bytes) => while pause(1) && stream.write_all(&bytes).is_ok() {},
-            Step::Heartbeat => while stream.write_all(&chunk("\n")).is_ok() && pause(5) {},
-            // Up to the end of the connection: the gateway says nothing more.
+            Step::Trickle(bytes) => {
+                thread::sleep(TRICKLE_INTERVAL);
+                while stream.write_all(&bytes).is_ok() {
+                    thread::sleep(TRICKLE_INTERVAL);
+                }
+            }
+            Step::Heartbeat => {
+                while stream.write_all(&line_chunk("")).is_ok() {
+                    thread::sleep(HEARTBEAT_INTERVAL);
+                }
+            }
+            Step::HeartbeatUntilGo => {
+                let go = go.lock().expect("a signal");
+                while stream.write_all(&line_chunk("")).is_ok()
+                    && go.recv_timeout(HEARTBEAT_INTERVAL) == Err(RecvTimeoutError::Timeout)
+                {}
+            }
             Step::Silence => while lines.read_line(&mut head).unwrap_or(0) > 0 {},
         }
     }
 }
-
-fn pause(fifths: u32) -> bool {
-    thread::sleep(Duration::from_millis(200) * fifths);
-    true
-}
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -49,10 +49,10 @@
     let gateway =
         harness.list(&[(&host, "up", "primary")]).updates(&[&list_line(7, false, &entries)]).start();
     let first = gateway.next_watch();
-    assert!(first.starts_with("GET /discovery/hosts?watch=1&after=41 HTTP/1.1\r\n"), "{first}");
+    assert_eq!(first, "GET /discovery/hosts?watch=1&after=41 HTTP/1.1");
     gateway.end_watch();
     let second = gateway.next_watch();
-    assert!(second.starts_with("GET /discovery/hosts?watch=1&after=7 HTTP/1.1\r\n"), "{second}");
+    assert_eq!(second, "GET /discovery/hosts?watch=1&after=7 HTTP/1.1");
 }
 
 // Without a handler, SIGHUP kills the process. The environment still names the old discovery address after the reload.
@@ -61,7 +61,7 @@
     let harness = Harness::new(gateway_program!());
     let (old, new) = (harness.host(vec![Reply::Row(b"old")]), harness.host(vec![Reply::Row(b"new")]));
     let entries = harness.entries(&[(&old, "removed", "standby"), (&new, "up", "primary")]);
-    let (address, watches) = harness.other_source(&[&list_line(3, true, &entries)]);
+    let other_source = harness.other_source(&[&list_line(3, true, &entries)]);
     let harness = harness.list(&[(&old, "up", "primary")]);
     let config = harness.config();
     let named = format!("\"discovery\":\"{}\"", harness.discovery_address());
@@ -76,9 +76,8 @@
     // Signals that come close together may arrive as one.
     gateway.wait_for("bad_configs=", |count| count >= 1);
     assert_eq!(client.ask(&select("a", "view", 5000))[1].1[6..], *b"old");
-    gateway.configure(&config.replace(&named, &format!("\"discovery\":\"{address}\"")));
-    let head = watches.recv_timeout(std::time::Duration::from_secs(60)).expect("it asks the new source");
-    assert!(head.starts_with("GET /discovery/hosts?watch=1 HTTP/1.1\r\n"), "{head}");
+    gateway.configure(&config.replace(&named, &format!("\"discovery\":\"{}\"", other_source.address())));
+    assert_eq!(other_source.next(), "GET /discovery/hosts?watch=1 HTTP/1.1");
     gateway.wait_for("lists=", |count| count >= 2);
     assert_eq!(client.ask(&select("a", "view", 5000))[1].1[6..], *b"new");
 }
--- a/tests/faulty_fleet/classes.rs
+++ b/tests/faulty_fleet/classes.rs
@@ -1,6 +1,7 @@
 //! The classes of the clients' requests: their mix, work and settings.
 
 use super::{uniform, Plan};
+use petrelgauge_test_support::{ClassSettings, DeploymentSettings};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
@@ -12,6 +13,8 @@
     pub latency_target: Duration,
     pub deadline: Duration,
     pub is_write: bool,
+    read_level: &'static str,
+    staleness_bound: Duration,
 }
 
 const fn ms(count: u64) -> Duration {
@@ -23,16 +26,46 @@
 /// Span after a write's first attempt in which its key is remembered.
 pub const KEY_WINDOW: Duration = ms(3_000);
 pub const LONGEST_DEADLINE: Duration = ms(3_000);
-/// Attempts that a request may have.
-pub const ATTEMPTS: usize = 8;
 /// What is not a long statement: bounded reads, reads of any age, writes (shares).
 const MIX: [(usize, f64); 3] = [(0, 0.46), (1, 0.24), (WRITE, 0.30)];
 
 pub const CLASSES: [Class; 4] = [
-    Class { name: "view", work: ms(60), latency_target: ms(300), deadline: ms(1_200), is_write: false },
-    Class { name: "browse", work: ms(60), latency_target: ms(400), deadline: ms(1_500), is_write: false },
-    Class { name: "report", work: ms(600), latency_target: ms(2_400), deadline: ms(3_000), is_write: false },
-    Class { name: "post", work: ms(35), latency_target: ms(300), deadline: ms(3_000), is_write: true },
+    Class {
+        name: "view",
+        work: ms(60),
+        latency_target: ms(300),
+        deadline: ms(1_200),
+        is_write: false,
+        read_level: "lag_bound",
+        staleness_bound: ms(300),
+    },
+    Class {
+        name: "browse",
+        work: ms(60),
+        latency_target: ms(400),
+        deadline: ms(1_500),
+        is_write: false,
+        read_level: "eventual",
+        staleness_bound: ms(0),
+    },
+    Class {
+        name: "report",
+        work: ms(600),
+        latency_target: ms(2_400),
+        deadline: ms(3_000),
+        is_write: false,
+        read_level: "eventual",
+        staleness_bound: ms(0),
+    },
+    Class {
+        name: "post",
+        work: ms(35),
+        latency_target: ms(300),
+        deadline: ms(3_000),
+        is_write: true,
+        read_level: "mutate",
+        staleness_bound: ms(0),
+    },
 ];
 
 /// Draws the class of a request.
@@ -64,35 +97,16 @@
 
 /// The settings of a gateway in this fleet.
 pub fn settings(plan: &Plan) -> String {
-    let class = |class: &Class| {
-        let effect = if class.is_write {
-            format!(r#""idempotency":"keyed","group":"cell","window_us":{}"#, KEY_WINDOW.as_micros())
-        } else {
-            r#""idempotency":"safe""#.to_string()
-        };
-        format!(
-            r#"{{"name":"{}","aim_us":{},"deadline_us":{},"points":2.0,"late_share":0.2,{effect}}}"#,
-            class.name,
-            class.latency_target.as_micros(),
-            class.deadline.as_micros(),
-        )
-    };
-    let classes: Vec<String> = CLASSES.iter().map(class).collect();
-    let slow_start = plan.slow_start;
-    format!(
-        r#"{{"balancers":{gateways},"zone":"a","granularity_us":5000,"membership_mode":"pushed",
-"bounds":{{"attempts_cap":{ATTEMPTS},"cancel":true,"conn_idle_us":30000000,"connect_timeout_us":250000,
-"max_retry_after_us":500000,"retry_after":true,"probes":false,"second_copies":false}},
-"classes":[{classes}],
-"family_info":{{"read_level":["lag_bound","eventual","eventual","mutate"],"staleness_bound_us":[300000,0,0,0],
-"when_behind":"bounce","shows_role":"trailing","session_marks":"kept","stamps":true}},
-"obligations":{{"answer_slack_us":20000,"cold_from":{from},"cold_us":{span},"drain_grace_us":2000000,
-"fall_us":{window},"overload_factor":{factor}}}}}"#,
-        gateways = plan.gateways,
-        classes = classes.join(","),
-        from = slow_start.initial_share,
-        span = slow_start.span.as_micros(),
-        window = slow_start.overload_span.as_micros(),
-        factor = slow_start.overload_factor,
-    )
+    let classes = CLASSES.iter().map(|class| ClassSettings {
+        name: class.name,
+        read_level: class.read_level,
+        staleness_bound: class.staleness_bound,
+        latency_target: class.latency_target,
+        deadline: class.deadline,
+        key_window: class.is_write.then_some(KEY_WINDOW),
+        points: 2.0,
+        late_share: 0.2,
+    });
+    let Plan { gateways, slow_start, .. } = *plan;
+    DeploymentSettings { gateways, zone: 'a', classes: classes.collect(), slow_start }.json()
 }
--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -2,7 +2,7 @@
 //! a ledger of what became of each request.
 
 use super::classes::{self, CLASSES};
-use super::gateways::GatewayProcess;
+use super::gateways::FleetGateway;
 use super::hosts::Host;
 use super::{uniform, Clock, Plan, Time};
 use petrelgauge_test_support::{field, Connection, ConnectionEnd, Message};
@@ -71,7 +71,7 @@
 pub struct Clients {
     plan: Plan,
     clock: Clock,
-    gateway: Rc<GatewayProcess>,
+    gateway: Rc<FleetGateway>,
     ledger: Rc<Ledger>,
     load: Rc<Cell<f64>>,
     /// Connections at rest.
@@ -89,7 +89,7 @@
     pub fn new(
         plan: Plan,
         clock: Clock,
-        gateway: Rc<GatewayProcess>,
+        gateway: Rc<FleetGateway>,
         ledger: Rc<Ledger>,
         load: Rc<Cell<f64>>,
     ) -> Clients {
@@ -158,7 +158,7 @@
         if let Some(connection) = self.idle.borrow_mut().pop().filter(|_| !is_new) {
             return Some(connection);
         }
-        let open = Connection::open(self.gateway.address);
+        let open = Connection::open(self.gateway.process.listen);
         let mut connection = timeout(CONNECT_WITHIN, open).await.ok()?.ok()?;
         timeout(LATEST_ANSWER, connection.until_ready()).await.ok()?.ok()?;
         Some(connection)
--- a/tests/faulty_fleet/gateways.rs
+++ b/tests/faulty_fleet/gateways.rs
@@ -1,17 +1,13 @@
-//! Gateway processes: their configuration, start, signals and end. Each writes its log to a file of its own.
+//! The gateways of a fleet: their configuration, and the record of what was done to their processes.
 
 use super::classes;
 use super::list::EndpointList;
 use super::{Clock, Plan, Time};
-use petrelgauge_test_support::{startup, LoopbackNetwork, ReservedPort};
+use petrelgauge_test_support::{gateway_program, GatewayFiles, GatewayProcess, LoopbackNetwork};
 use std::cell::{Cell, RefCell};
-use std::fs::File;
-use std::net::SocketAddr;
-use std::process::{Child, Command, Stdio};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 
 /// Last byte of the address of the first gateway; the others follow.
 const FIRST_GATEWAY: u8 = 100;
@@ -31,110 +27,75 @@
     Kill,
 }
 
-pub struct GatewayProcess {
+/// A gateway of a fleet.
+pub struct FleetGateway {
     clock: Clock,
     pub number: usize,
-    pub address: SocketAddr,
-    config_path: String,
-    log_path: String,
-    discovery: SocketAddr,
-    child: RefCell<Option<Child>>,
+    pub process: GatewayProcess,
+    files: GatewayFiles,
     /// Its signals.
     pub signals: RefCell<Vec<(Time, Signal)>>,
     /// Processes that ended though nothing ended them.
     pub crashes: Cell<usize>,
+    /// Its process is to run: it was started, and neither stopped nor killed since.
+    is_wanted: Cell<bool>,
     /// It is being stopped or killed, and started again: no other fault does so meanwhile.
     replaced: Cell<bool>,
-    /// Nobody else is given its port.
-    _port: ReservedPort,
 }
 
-impl GatewayProcess {
+impl FleetGateway {
     pub fn new(
         plan: Plan,
         number: usize,
         network: LoopbackNetwork,
         list: &EndpointList,
         clock: Clock,
-    ) -> Rc<GatewayProcess> {
-        let port = ReservedPort::at(network.address(FIRST_GATEWAY + number as u8));
-        let address = port.address();
-        let place = format!("{}/faulty-fleet-{address}", env!("CARGO_TARGET_TMPDIR"));
+    ) -> Rc<FleetGateway> {
+        let (program, ip) = (gateway_program!(), network.address(FIRST_GATEWAY + number as u8));
+        let file = |ending: &str| {
+            PathBuf::from(format!("{}/faulty-fleet-{}-{ip}.{ending}", program.folder, std::process::id()))
+        };
+        let files = GatewayFiles { config: file("json"), operator: None, log: file("log") };
+        let process = GatewayProcess::new(program.path.into(), ip, files.clone());
         let config = format!(
-            r#"{{"name":"n{number}","listen":"{address}","discovery":"{}","seed":"{:x}","limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},"known":{},"settings":{}}}"#,
+            r#"{{"name":"n{number}","listen":"{}","discovery":"{}","seed":"{:x}","limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},"known":{},"settings":{}}}"#,
+            process.listen,
             list.service.address,
             plan.seed << 16 | number as u64,
             list.service.complete_list(),
             classes::settings(&plan),
         );
-        let config_path = format!("{place}.json");
-        std::fs::write(&config_path, config).expect("a place to write");
-        Rc::new(GatewayProcess {
+        std::fs::write(&files.config, config).expect("a place to write");
+        Rc::new(FleetGateway {
             clock,
             number,
-            address: address.parse().expect("an address"),
-            config_path,
-            log_path: format!("{place}.log"),
-            discovery: list.service.address,
-            child: RefCell::default(),
+            process,
+            files,
             signals: RefCell::default(),
             crashes: Cell::new(0),
+            is_wanted: Cell::new(false),
             replaced: Cell::new(false),
-            _port: port,
         })
     }
 
     pub fn start(&self) {
-        let log = File::options().create(true).append(true).open(&self.log_path).expect("a place to write");
-        let child = Command::new(env!("CARGO_BIN_EXE_petrelgauge"))
-            .env("GW_CONFIG", &self.config_path)
-            .env("GW_DISCOVERY", self.discovery.to_string())
-            .env("RUST_LOG", std::env::var("FLEET_LOG").unwrap_or_else(|_| "info".to_string()))
-            .env_remove("PETRELGAUGE_FILE")
-            .stdin(Stdio::null())
-            .stderr(log)
-            .spawn()
-            .expect("the gateway starts");
-        *self.child.borrow_mut() = Some(child);
+        let log_level = std::env::var("FLEET_LOG").unwrap_or_else(|_| "info".to_string());
+        self.process.start(&[("RUST_LOG", &log_level)]).expect("the gateway starts");
+        self.is_wanted.set(true);
         self.signals.borrow_mut().push((self.clock.now(), Signal::Start));
     }
 
-    /// Waits until an empty query is answered.
-    pub async fn is_ready(&self) {
-        let until = self.clock.now() + READY_WITHIN.as_micros() as Time;
-        while self.clock.now() < until {
-            if let Some(()) = self.ask_nothing().await {
-                return;
-            }
-            self.clock.sleep(Duration::from_millis(20)).await;
-        }
-        panic!("gateway {} is not ready; its log: {}", self.number, self.log());
-    }
-
-    async fn ask_nothing(&self) -> Option<()> {
-        let mut stream = TcpStream::connect(self.address).await.ok()?;
-        stream.write_all(&startup()).await.ok()?;
-        let mut first = [0];
-        stream.read_exact(&mut first).await.ok()?;
-        Some(())
-    }
-
-    pub fn signal(&self, name: &str) {
-        let Some(id) = self.child.borrow().as_ref().map(Child::id) else { return };
-        let _ = Command::new("kill").args([&format!("-{name}"), &id.to_string()]).status();
-    }
-
-    /// Whether its process runs.
-    pub fn runs(&self) -> bool {
-        let mut child = self.child.borrow_mut();
-        child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+    /// Waits until it serves.
+    pub async fn until_ready(&self) {
+        let is_ready = self.process.is_ready(READY_WITHIN).await;
+        assert!(is_ready, "gateway {} is not ready; its log: {}", self.number, self.process.log());
     }
 
     /// Counts a process that has ended by itself.
     pub fn check_crash(&self) {
-        if self.child.borrow().is_some() && !self.runs() {
+        if self.is_wanted.get() && !self.process.is_running() {
             self.crashes.set(self.crashes.get() + 1);
-            self.child.borrow_mut().take();
+            self.is_wanted.set(false);
         }
     }
 
@@ -152,29 +113,26 @@
     /// SIGKILL, at once.
     pub fn kill(&self) {
         self.check_crash();
-        if let Some(mut child) = self.child.borrow_mut().take() {
+        if self.is_wanted.replace(false) {
             self.signals.borrow_mut().push((self.clock.now(), Signal::Kill));
-            let _ = child.kill();
-            let _ = child.wait();
+            self.process.kill();
         }
     }
 
     /// SIGTERM, and SIGKILL at the earliest time at which it may come.
     pub async fn stop(&self) {
         self.check_crash();
+        self.is_wanted.set(false);
         self.signals.borrow_mut().push((self.clock.now(), Signal::Term));
-        self.signal("TERM");
+        self.process.signal("TERM");
         let until = self.clock.now() + (classes::LONGEST_DEADLINE + KILL_MARGIN).as_micros() as Time;
-        while self.runs() && self.clock.now() < until {
+        while self.process.is_running() && self.clock.now() < until {
             self.clock.sleep(Duration::from_millis(10)).await;
         }
-        if self.runs() {
+        if self.process.is_running() {
             self.signals.borrow_mut().push((self.clock.now(), Signal::Kill));
         }
-        if let Some(mut child) = self.child.borrow_mut().take() {
-            let _ = child.kill();
-            let _ = child.wait();
-        }
+        self.process.kill();
     }
 
     /// When the process that got a request at `sent` was told to stop, and when it was killed, if it was.
@@ -188,20 +146,12 @@
         };
         (when(Signal::Term), when(Signal::Kill))
     }
-
-    /// Its log so far.
-    pub fn log(&self) -> String {
-        std::fs::read_to_string(&self.log_path).unwrap_or_default()
-    }
 }
 
-impl Drop for GatewayProcess {
+impl Drop for FleetGateway {
     fn drop(&mut self) {
-        if let Some(mut child) = self.child.borrow_mut().take() {
-            let _ = child.kill();
-            let _ = child.wait();
-        }
-        let _ = std::fs::remove_file(&self.config_path);
-        let _ = std::fs::remove_file(&self.log_path);
+        self.process.kill();
+        let _ = std::fs::remove_file(&self.files.config);
+        let _ = std::fs::remove_file(&self.files.log);
     }
 }
--- a/tests/faulty_fleet/mod.rs
+++ b/tests/faulty_fleet/mod.rs
@@ -13,10 +13,10 @@
 pub mod schedule;
 
 use clients::{Clients, Ledger};
-use gateways::GatewayProcess;
+use gateways::FleetGateway;
 use hosts::Host;
 use list::EndpointList;
-use petrelgauge_test_support::LoopbackNetwork;
+use petrelgauge_test_support::{LoopbackNetwork, SlowStart};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -68,27 +68,6 @@
     (rng.next_u64() % count.max(1) as u64) as usize
 }
 
-/// How hosts start, as the settings tell the gateways.
-#[derive(Clone, Copy, Debug)]
-pub struct SlowStart {
-    /// Share of its capacity that a host has right after its start.
-    pub initial_share: f64,
-    /// Until it has all of it.
-    pub span: Duration,
-    /// Times its capacity that a host may be sent.
-    pub overload_factor: f64,
-    /// The window in which that is counted.
-    pub overload_span: Duration,
-}
-
-impl SlowStart {
-    /// The share of its capacity that a host of this age has.
-    pub fn share(&self, age: Duration) -> f64 {
-        let grown = age.as_secs_f64() / self.span.as_secs_f64();
-        (self.initial_share + (1.0 - self.initial_share) * grown).min(1.0)
-    }
-}
-
 /// What a fleet consists of.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
@@ -110,7 +89,7 @@
     pub clock: Clock,
     pub hosts: Vec<Rc<Host>>,
     pub list: Rc<EndpointList>,
-    pub gateways: Vec<Rc<GatewayProcess>>,
+    pub gateways: Vec<Rc<FleetGateway>>,
     pub ledger: Rc<Ledger>,
     /// Share of the hosts' capacity that clients ask for now.
     pub load: Rc<Cell<f64>>,
@@ -128,12 +107,11 @@
             hosts.push(Host::start(plan, number, network.address(FIRST_HOST + number as u8), clock));
         }
         let list = EndpointList::start(network, clock, hosts.clone()).await;
-        let gateways: Vec<Rc<GatewayProcess>> = (0..plan.gateways)
-            .map(|number| GatewayProcess::new(plan, number, network, &list, clock))
-            .collect();
+        let gateways: Vec<Rc<FleetGateway>> =
+            (0..plan.gateways).map(|number| FleetGateway::new(plan, number, network, &list, clock)).collect();
         gateways.iter().for_each(|gateway| gateway.start());
         for gateway in &gateways {
-            gateway.is_ready().await;
+            gateway.until_ready().await;
         }
         let load = Rc::new(Cell::new(plan.load));
         let ledger = Rc::new(Ledger::default());
--- a/tests/faulty_fleet/rules.rs
+++ b/tests/faulty_fleet/rules.rs
@@ -5,6 +5,7 @@
 use super::hosts::{Arrival, Host};
 use super::list::PUSH_SLACK;
 use super::{Fleet, Time};
+use petrelgauge_test_support::MAX_ATTEMPTS;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -83,8 +84,8 @@
     check_attempts(fleet, &mut broken);
     for gateway in &fleet.gateways {
         gateway.check_crash();
-        if gateway.crashes.get() > 0 || gateway.log().contains("panicked") {
-            broken.push(format!("crash: gateway {}: {}", gateway.number, gateway.log()));
+        if gateway.crashes.get() > 0 || gateway.process.log().contains("panicked") {
+            broken.push(format!("crash: gateway {}: {}", gateway.number, gateway.process.log()));
         }
     }
     broken
@@ -147,7 +148,7 @@
             }
         }
         // A client sends a request that crossed the end of a connection once more.
-        if *count > 2 * classes::ATTEMPTS {
+        if *count > 2 * MAX_ATTEMPTS {
             broken.push(format!("attempts: {arrival:?}"));
         }
     }
--- a/tests/faulty_fleet/schedule.rs
+++ b/tests/faulty_fleet/schedule.rs
@@ -2,8 +2,8 @@
 //! played again.
 
 use super::hosts::Mode;
-use super::{below, uniform, Fleet, Plan, SlowStart};
-use petrelgauge_test_support::ServiceState;
+use super::{below, uniform, Fleet, Plan};
+use petrelgauge_test_support::{ServiceState, SlowStart};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
@@ -197,13 +197,13 @@
         Fault::StopGateways { gateways } => stop_gateways(&fleet, &gateways).await,
         Fault::KillGateways { gateways } => kill_gateways(&fleet, &gateways).await,
         Fault::HoldUpGateways { gateways } => {
-            gateways.iter().for_each(|gateway| fleet.gateways[*gateway].signal("STOP"));
+            gateways.iter().for_each(|gateway| fleet.gateways[*gateway].process.signal("STOP"));
             fleet.wait(HELD_UP).await;
-            gateways.iter().for_each(|gateway| fleet.gateways[*gateway].signal("CONT"));
+            gateways.iter().for_each(|gateway| fleet.gateways[*gateway].process.signal("CONT"));
         }
         Fault::ReloadGateways { gateways, times } => {
             for _ in 0..times {
-                gateways.iter().for_each(|gateway| fleet.gateways[*gateway].signal("HUP"));
+                gateways.iter().for_each(|gateway| fleet.gateways[*gateway].process.signal("HUP"));
                 fleet.wait(BETWEEN_SIGNALS).await;
             }
         }
@@ -221,7 +221,7 @@
             let mut idle = Vec::new();
             for _ in 0..CROWD {
                 // A gateway that accepts no more leaves connections unanswered.
-                let connect = TcpStream::connect(fleet.gateways[gateway].address);
+                let connect = TcpStream::connect(fleet.gateways[gateway].process.listen);
                 idle.extend(timeout(CONNECT_WITHIN, connect).await.into_iter().flatten());
             }
             fleet.wait(span).await;
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -8,7 +8,8 @@
 
 mod faulty_fleet;
 
-use faulty_fleet::{play, rules, Plan, SlowStart};
+use faulty_fleet::{play, rules, Plan};
+use petrelgauge_test_support::SlowStart;
 use std::time::Duration;
 
 /// A colder start than most deployments have, so that a few requests too many show.
