--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways over calls that fail in each way that Linux documents: none ends the exchange, takes up the
-//! processor or is taken for another.
+//! Datagrams between gateways over system calls that fail in every way that Linux documents: no failure ends the exchange,
+//! takes up the processor or is misclassified.
 
 #[path = "../crates/policy/tests/common/mod.rs"]
 mod common;
@@ -18,12 +18,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Nothing that works takes so long; what does not work fails then and does not hang.
+/// Longer than anything that works; a test that hangs fails after this time.
 const NEVER: Duration = Duration::from_secs(60);
 /// How long each receive fails.
 const FAILING: Duration = Duration::from_millis(60);
 
-/// What calls on datagram sockets may fail with, and whether that tells of a peer or of this machine, for send and receive.
+/// Errors of datagram calls, and whether each is a fault of the peer (or else of this machine), for send and receive.
 const ERRORS: [(i32, [bool; 2]); 15] = [
     (libc::ECONNREFUSED, [true; 2]),
     (libc::ECONNRESET, [true; 2]),
@@ -51,13 +51,13 @@
     runtime.block_on(async { tokio::time::timeout(NEVER, future).await.expect("it goes on") })
 }
 
-/// A socket whose calls fail so, as long as it is said to.
+/// A socket whose calls fail with one error a limited number of times.
 struct FaultySocket {
     number: i32,
-    /// Sends that fail from now on.
+    /// Sends that still fail.
     failing_sends: Cell<u32>,
     sent: RefCell<Vec<Vec<u8>>>,
-    /// Receives fail up to then, and so many times at most; one datagram comes behind them.
+    /// Receives fail until then, at most so many times; then one datagram arrives.
     failing_until: Instant,
     failing_receives: Cell<u32>,
     received: Cell<bool>,
@@ -109,20 +109,20 @@
 
 #[test]
 fn each_datagram_error_is_classified_as_a_fault_of_the_peer_or_of_this_machine() {
-    for (number, tells_of_peer) in ERRORS {
-        for (call, tells_of_peer) in
-            [Call::SendDatagram, Call::ReceiveDatagram].into_iter().zip(tells_of_peer)
+    for (number, is_peer_fault) in ERRORS {
+        for (call, is_peer_fault) in
+            [Call::SendDatagram, Call::ReceiveDatagram].into_iter().zip(is_peer_fault)
         {
             match classify(call, error(number)) {
-                SocketError::Unreachable(_) => assert!(tells_of_peer, "{call:?}: {}", error(number)),
-                SocketError::OwnShortage(_) => assert!(!tells_of_peer, "{call:?}: {}", error(number)),
+                SocketError::Unreachable(_) => assert!(is_peer_fault, "{call:?}: {}", error(number)),
+                SocketError::OwnShortage(_) => assert!(!is_peer_fault, "{call:?}: {}", error(number)),
                 other => panic!("{call:?}: {} is {other:?}", error(number)),
             }
         }
     }
 }
 
-// An interrupted send lost its datagram, and so did one that met what was reported of an earlier datagram.
+// Regression: a datagram was lost when its send was interrupted or reported the error of an earlier datagram.
 #[test]
 fn a_send_that_is_interrupted_or_reports_an_earlier_error_is_retried() {
     let sends = |number, failing| {
@@ -135,9 +135,9 @@
     };
     assert!(sends(libc::EINTR, 5).is_ok());
     assert!(matches!(sends(libc::EAGAIN, 1), Err(SocketError::WouldBlock)));
-    for (number, [tells_of_peer, _]) in ERRORS {
-        assert_eq!(sends(number, 1).is_ok(), tells_of_peer, "{}", error(number));
-        if tells_of_peer {
+    for (number, [is_peer_fault, _]) in ERRORS {
+        assert_eq!(sends(number, 1).is_ok(), is_peer_fault, "{}", error(number));
+        if is_peer_fault {
             assert!(sends(number, 2).is_err(), "it is lost: {}", error(number));
         }
     }
@@ -174,13 +174,13 @@
     assert_eq!(counters.datagrams_received.get(), 1, "{}", error(socket.number));
 }
 
-// A receive that failed each time was made again without a pause.
+// Regression: a receive that kept failing was retried without a pause.
 #[test]
 fn failing_receives_neither_end_the_exchange_nor_take_up_the_processor() {
     for (number, _) in ERRORS {
         let socket: &FaultySocket = Box::leak(Box::new(FaultySocket::new(number, 0, u32::MAX)));
         run_exchange(socket);
-        // One call each 2 ms, and some for the turns of sends between them.
+        // One call every 2 ms, and some more after each send.
         assert!(socket.receive_calls.get() < 100, "{} calls: {}", socket.receive_calls.get(), error(number));
     }
 }
@@ -194,17 +194,17 @@
     }
 }
 
-// The reactor took a socket for not ready to send before it had looked at it.
+// Regression: the reactor reported a new socket as not ready before it had polled it.
 #[test]
 fn the_first_datagram_of_a_new_socket_is_sent() {
-    let heard = std::net::UdpSocket::bind("127.77.250.2:0").expect("a free port");
-    heard.set_read_timeout(Some(NEVER)).expect("a limit");
-    let to = heard.local_addr().expect("an address");
+    let receiver = std::net::UdpSocket::bind("127.77.250.2:0").expect("a free port");
+    receiver.set_read_timeout(Some(NEVER)).expect("a limit");
+    let to = receiver.local_addr().expect("an address");
     block_on(async {
         let socket =
             datagram::bind("127.77.250.3:0".parse().expect("an address")).await.expect("a free port");
         datagram::send(&socket, b"first", to).expect("it is sent");
     });
     let mut bytes = [0; 8];
-    assert_eq!(heard.recv(&mut bytes).expect("it arrives"), 5);
+    assert_eq!(receiver.recv(&mut bytes).expect("it arrives"), 5);
 }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,5 +1,5 @@
-//! Leadership roles of a fleet: five processes of the program, three of them acceptors, that are stalled, resumed, killed
-//! and restarted. Their effects are read outside of them, by a sixth address among their peers.
+//! Leadership roles of a fleet: five gateway processes, three of them acceptors, which are stalled, resumed, killed and
+//! restarted. An observer at a sixth address among their peers reads what they send.
 
 mod gateway_fleet;
 mod lease_ledger;
@@ -23,9 +23,9 @@
         let next = ledger.holder_after(holder.term);
         assert!(next.term > holder.term);
         let limit = Duration::from_micros(ledger.settings.takeover_bound() as u64);
-        // A machine that is busy with other tests is given twice the span.
+        // Twice the bound, because other tests may keep the machine busy.
         assert!(killed_at.elapsed() < 2 * limit, "{:?} of {limit:?}", killed_at.elapsed());
-        // Restarted, it has forgotten everything.
+        // A restarted acceptor has forgotten its promises.
         fleet.start(holder.gateway);
         holder = next;
     }
@@ -200,9 +200,9 @@
     }
 }
 
-// Five idle gateways lend half of their quota at most: 2500 thousandths in all. No lease holder grants more, and after one
-// that was killed or stalled another grants again. That nothing is lent to two lease holders at once does not show here,
-// for loans expire while a new one is elected: the model and the fleets in simulated time are for that.
+// Five idle gateways lend at most half of their quota, 2500 thousandths in all. No lease holder grants more, and after one
+// is killed or stalled the next one grants again. Loans expire during an election, so this test cannot show that nothing is
+// lent to two lease holders at once; the model and the fleets in simulated time do.
 #[test]
 fn no_lease_holder_grants_more_than_idle_gateways_lend_and_the_next_one_grants_again() {
     let file = FILE.replacen("  electors", "  duties: [\"scout\", \"shares\"]\n  electors", 1);
@@ -249,8 +249,8 @@
     assert_eq!(kinds(&fleet.gateway(1).client().ask(&select("a", "view", 20000))), "TDCZ");
 }
 
-// On the platform each gateway reaches the others by paths of their own, so that none of `peers` is the address at which it
-// listens: its number says which of them it is.
+// On the platform each gateway reaches the others through proxies, so that none of `peers` is the address at which it
+// listens. Its number in the settings is its index among them.
 #[test]
 fn a_gateway_listed_under_another_address_is_known_by_its_number() {
     let harness = Harness::new(gateway_program!()).operator(FILE);
--- a/tests/sharded_duties.rs
+++ b/tests/sharded_roles.rs
@@ -1,5 +1,5 @@
-//! Duties in shards: five processes of the program, three of them electors, with a path of its own between each two of
-//! them, over which datagrams get lost, one way or both. Owners are killed, stand still, and are cut off with their region.
+//! Sharded leadership roles: five gateway processes, three of them acceptors, with a link between each pair that can
+//! lose datagrams in one direction or both. Leaders are killed, stalled and partitioned.
 
 mod gateway_fleet;
 
@@ -10,11 +10,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Places of the electors among five peers.
-const ELECTORS: [u16; 3] = [0, 1, 3];
-/// Two kinds of duties in six shards each.
-const DUTIES: u64 = 12;
-/// Each elector's fair part.
+/// Numbers of the acceptors among the five gateways.
+const ACCEPTORS: [u16; 3] = [0, 1, 3];
+/// Two kinds of roles with six shards each.
+const ROLES: u64 = 12;
+/// Roles that each acceptor leads while all are present.
 const EACH: u64 = 4;
 const FILE: &str = "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n  duties: [\"scout\", \"shares\"]\n  shards: 6\n}\n";
 const LEASE: Duration = Duration::from_millis(800);
@@ -22,28 +22,29 @@
 /// Last byte of the address of all links.
 const LINKS_HOST: u8 = 2;
 
-/// The paths between gateways.
+/// The links between gateways.
 #[derive(Clone, Default)]
 struct Links {
-    /// From whom to whom nothing passes.
+    /// Pairs of sender and receiver between which nothing passes.
     cut: Arc<Mutex<BTreeSet<(u16, u16)>>>,
-    /// How many of a thousand datagrams are lost.
+    /// Datagrams that are lost (of a thousand).
     lost: Arc<AtomicU64>,
 }
 
 impl Links {
-    /// Opens the path from one gateway to another: where the first has to send.
+    /// Opens a link from one gateway to another, and returns the address to which the first has to send.
     fn open(&self, network: LoopbackNetwork, link: (u16, u16), to: String) -> String {
         let socket = network.udp_socket(LINKS_HOST);
         let address = socket.local_addr().expect("an address").to_string();
         let links = self.clone();
         std::thread::spawn(move || {
-            let (mut bytes, mut drawn) = ([0; 300], u64::from(link.0) * 31 + u64::from(link.1));
+            let (mut bytes, mut random) = ([0; 300], u64::from(link.0) * 31 + u64::from(link.1));
             loop {
-                // A gateway that is down answers for itself; that is no reason to end.
+                // An error only means that the receiving gateway is down.
                 let Ok((count, _)) = socket.recv_from(&mut bytes) else { continue };
-                drawn = drawn.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-                let lost = (drawn >> 33) % 1_000 < links.lost.load(Ordering::Relaxed);
+                random =
+                    random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+                let lost = (random >> 33) % 1_000 < links.lost.load(Ordering::Relaxed);
                 if !lost && !links.cut.lock().expect("no one panicked").contains(&link) {
                     let _ = socket.send_to(&bytes[..count], &to);
                 }
@@ -52,18 +53,18 @@
         address
     }
 
-    /// Nothing passes from any of these to any of those.
+    /// Cuts the links from each gateway of `from` to each of `to`.
     fn cut(&self, from: &[u16], to: &[u16]) {
         let links = from.iter().flat_map(|from| to.iter().map(|to| (*from, *to)));
         self.cut.lock().expect("no one panicked").extend(links);
     }
 
-    fn join(&self) {
+    fn heal(&self) {
         self.cut.lock().expect("no one panicked").clear();
     }
 }
 
-/// Five gateways with a link between each two.
+/// Five gateways with a link between each pair.
 fn fleet() -> (Fleet, Links) {
     let links = Links::default();
     let network = LoopbackNetwork::claim();
@@ -79,14 +80,14 @@
 }
 
 impl Fleet {
-    /// Waits until each of these owns so many duties.
-    fn wait_until_owned(&self, owned: &[(u16, u64)]) {
-        for (place, owned) in owned {
-            self.gateway(*place).wait_for("leases_held=", |count| count == *owned);
+    /// Waits until each gateway holds as many leases as stated beside it.
+    fn wait_until_held(&self, held: &[(u16, u64)]) {
+        for (gateway, leases) in held {
+            self.gateway(*gateway).wait_for("leases_held=", |count| count == *leases);
         }
     }
 
-    /// Waits until each of these knows the owner of so many duties.
+    /// Waits until each of these gateways knows the leaders of so many roles.
     fn wait_until_known(&self, places: &[u16], known: u64) {
         places.iter().for_each(|place| {
             self.gateway(*place).wait_for("leaders_known=", |count| count == known);
@@ -94,8 +95,8 @@
     }
 
     fn wait_until_even(&self) {
-        self.wait_until_owned(&ELECTORS.map(|place| (place, EACH)));
-        self.wait_until_known(&[0, 1, 2, 3, 4], DUTIES);
+        self.wait_until_held(&ACCEPTORS.map(|place| (place, EACH)));
+        self.wait_until_known(&[0, 1, 2, 3, 4], ROLES);
     }
 }
 
@@ -104,9 +105,9 @@
     let (mut fleet, _links) = fleet();
     fleet.wait_until_even();
     fleet.kill(1);
-    // The next in order has the shards of the one that is gone beside its own.
-    fleet.wait_until_owned(&[(0, EACH), (3, 2 * EACH)]);
-    fleet.wait_until_known(&[0, 2, 3, 4], DUTIES);
+    // The next acceptor in order leads the shards of the killed one beside its own.
+    fleet.wait_until_held(&[(0, EACH), (3, 2 * EACH)]);
+    fleet.wait_until_known(&[0, 2, 3, 4], ROLES);
     fleet.start(1);
     fleet.wait_until_even();
 }
@@ -116,7 +117,7 @@
     let (fleet, _links) = fleet();
     fleet.wait_until_even();
     fleet.gateway(3).signal("STOP");
-    fleet.wait_until_owned(&[(0, 2 * EACH), (1, EACH)]);
+    fleet.wait_until_held(&[(0, 2 * EACH), (1, EACH)]);
     fleet.gateway(3).signal("CONT");
     fleet.gateway(3).wait_for("leases_lost=", |lost| lost >= EACH);
     fleet.wait_until_even();
@@ -129,13 +130,13 @@
     let (most, rest) = ([0, 1, 2], [3, 4]);
     links.cut(&most, &rest);
     links.cut(&rest, &most);
-    fleet.wait_until_owned(&[(0, 2 * EACH), (1, EACH), (3, 0)]);
-    fleet.wait_until_known(&most, DUTIES);
+    fleet.wait_until_held(&[(0, 2 * EACH), (1, EACH), (3, 0)]);
+    fleet.wait_until_known(&most, ROLES);
     fleet.wait_until_known(&rest, 0);
-    // Nothing is lent where nobody owns the share-out, and clients are served.
+    // Without a leader of quota lending nothing is lent, and clients are served all the same.
     fleet.gateway(4).wait_for("quota_lent=", |lent| lent == 0);
     assert_eq!(kinds(&fleet.gateway(4).client().ask(&select("a", "view", 20000))), "TDCZ");
-    links.join();
+    links.heal();
     fleet.wait_until_even();
 }
 
@@ -144,9 +145,9 @@
     let (fleet, links) = fleet();
     fleet.wait_until_even();
     links.cut(&[1], &[0, 2, 3, 4]);
-    fleet.wait_until_owned(&[(0, EACH), (1, 0), (3, 2 * EACH)]);
-    fleet.wait_until_known(&[0, 2, 3, 4], DUTIES);
-    links.join();
+    fleet.wait_until_held(&[(0, EACH), (1, 0), (3, 2 * EACH)]);
+    fleet.wait_until_known(&[0, 2, 3, 4], ROLES);
+    links.heal();
     fleet.wait_until_even();
 }
 
--- a/tests/startup_errors.rs
+++ b/tests/startup_errors.rs
@@ -1,10 +1,10 @@
-//! What an operator reads when a start fails: one sentence with file, place and reason, and exit code 2. Word for word,
-//! so that a change of how errors are built cannot change what is read.
+//! What an operator reads when a start fails: one sentence with file, place and reason, and exit code 2. The sentences are
+//! compared word for word, so that a change of the error types cannot change them.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A configuration that the program can use, but for the port that it listens at.
+/// A usable configuration.
 const SOUND: &str = r#"{"name":"n1","listen":"127.79.1.1:0","discovery":"127.79.1.2:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.79.1.1:7946","peers":["127.79.1.1:7946"],
 "settings":{"balancers":1,"zone":"a","granularity_us":5000,"membership_mode":"pushed",
@@ -15,7 +15,7 @@
 "obligations":{"answer_slack_us":20000,"cold_from":0.24,"cold_us":16000000,"drain_grace_us":2000000,
 "fall_us":1000000,"overload_factor":4.0}}}"#;
 
-/// A folder of this test's own, with the files that the program is to read.
+/// A folder of one test, with the files that the program reads.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -29,7 +29,7 @@
         std::fs::write(self.0.join(name), text).expect("a file");
     }
 
-    /// Starts the program in the folder: the paths that it names in its sentences are then the same on every machine.
+    /// Starts the program in the folder, so that the paths in its sentences are the same on every machine.
     fn start(&self, variables: &[(&str, &str)]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_petrelgauge"));
         command.current_dir(&self.0).env("RUST_LOG", "error");
@@ -60,8 +60,8 @@
     String::from_utf8(output.stderr.clone()).expect("text").trim_end().to_string()
 }
 
-/// Starts with a configuration in which `old` stands as `new`.
-fn refused(name: &str, old: &str, new: &str) -> String {
+/// Starts with a configuration in which `old` is replaced by `new`, and returns the sentence.
+fn rejection(name: &str, old: &str, new: &str) -> String {
     assert!(SOUND.contains(old), "{old}");
     let folder = Folder::new(name);
     folder.write("config.json", &SOUND.replacen(old, new, 1));
@@ -117,7 +117,7 @@
         ("\"classes\":[{\"aim_us\":400000,\"deadline_us\":3000000,\"idempotency\":\"safe\",\"name\":\"view\",\"points\":2.0},\n{\"aim_us\":400000,\"deadline_us\":3000000,\"idempotency\":\"keyed\",\"group\":\"cell\",\"window_us\":5000000,\"name\":\"post\",\"points\":4.0}]", r#""classes":[]"#, "settings: the settings name no class"),
     ];
     for (place, (old, new, expected)) in cases.into_iter().enumerate() {
-        assert_eq!(refused(&format!("config-{place}"), old, new), format!("petrelgauge: {expected}"));
+        assert_eq!(rejection(&format!("config-{place}"), old, new), format!("petrelgauge: {expected}"));
     }
 }
 
