--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -59,8 +59,11 @@
                     self.has_result = true;
                 }
                 b'S' => {
-                    if let Some((SESSION_TOKEN_PARAMETER, value)) = postgres::parameter(body) {
-                        self.token = Some(value.to_string());
+                    let parameter = postgres::parameter(body);
+                    if let Some(token) =
+                        parameter.filter(|parameter| parameter.name == SESSION_TOKEN_PARAMETER)
+                    {
+                        self.token = Some(token.value);
                     }
                 }
                 _ => {}
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -130,7 +130,7 @@
         let ended_at = self.clock.now();
         let AttemptRun { mut exchange, io, started_at, written_at, is_connection_reused } = run;
         let AttemptIo { connection, reply, memory, assembler, .. } = io;
-        if reply.as_ref().is_some_and(|reply| reply.ready) {
+        if reply.as_ref().is_some_and(|reply| reply.is_ready) {
             exchange.record_host_ready();
         }
         let has_unread = connection.as_ref().is_some_and(|connection| !connection.framer.is_empty());
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -118,7 +118,7 @@
     fn complete_answer(&mut self, reply: Reply) -> Event {
         let Some(connection) = &mut self.connection else { return Event::ConnectionLost };
         let is_row = matches!(reply.answer, Answer::Row(_));
-        let reports_position = reply.parameters.iter().any(|(name, _)| name == LOG_POSITION);
+        let reports_position = reply.parameters.iter().any(|parameter| parameter.name == LOG_POSITION);
         let hash = is_distinguishable(is_row, reports_position).then(|| self.answer_hash.finish());
         let last_hash = std::mem::replace(&mut connection.last_answer_hash, hash);
         let is_duplicate = is_copy(connection.is_last_answer_recent, last_hash, hash);
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -1,18 +1,19 @@
 //! What a host reports about itself with an answer: its role, its log position and its load.
 
 use crate::facade::Outcome;
+use crate::postgres::Parameter;
 use crate::resources::counters::Counters;
 use crate::settings::deployment;
 use crate::{Report, Role};
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::verdict;
 
-/// The outcome of an attempt with an answer. `parameters` are the names and values of the ParameterStatus messages that came
-/// with it. An implausible load report is dropped and counted.
-pub(super) fn parse_outcome(end: End, parameters: &[(String, String)], counters: &Counters) -> Outcome {
+/// The outcome of an attempt with an answer, from the parameters that the host reported with it. An implausible load report is
+/// dropped and counted.
+pub(super) fn parse_outcome(end: End, parameters: &[Parameter], counters: &Counters) -> Outcome {
     let mut outcome = Outcome::silent(end.as_ending());
     outcome.is_unusable = end == End::Unusable;
-    for (name, value) in parameters {
+    for Parameter { name, value } in parameters {
         match name.as_str() {
             "replication_role" => {
                 outcome.role = match value.as_str() {
--- a/src/host/streamed_row.rs
+++ b/src/host/streamed_row.rs
@@ -7,7 +7,7 @@
 use crate::host::pool::HostPool;
 use crate::os::socket;
 use crate::postgres::read_buffer;
-use crate::postgres::{Answer, AnswerAssembler, Reply};
+use crate::postgres::{Answer, AnswerAssembler, Parameter, Reply};
 use crate::{MemberId, Time};
 use bytes::{Buf, Bytes};
 use petrelgauge_lifecycle::ending::End;
@@ -50,7 +50,7 @@
     }
 
     /// The parameters that the host reported before the row.
-    pub(super) fn parameters(&self) -> &[(String, String)] {
+    pub(super) fn parameters(&self) -> &[Parameter] {
         self.assembler.parameters()
     }
 
@@ -89,7 +89,7 @@
         let Answer::Row(mut messages) = reply.answer else { return Err(End::HostMalformed) };
         let outcome = parse_outcome(End::Served, &reply.parameters, &self.pool.counters);
         let StreamedRow { pool, host, connection, .. } = self;
-        if reply.ready && connection.framer.is_empty() {
+        if reply.is_ready && connection.framer.is_empty() {
             pool.put_back(host, connection);
         } else {
             pool.counters.ended(End::HostSurplus);
--- a/src/postgres/answer_assembler.rs
+++ b/src/postgres/answer_assembler.rs
@@ -1,19 +1,19 @@
-//! Puts the messages of a database host together to its answer to a query.
+//! Assembles the messages of a database host to its answer to a query.
 
-use crate::postgres::message::{error_field, parameter, Malformed, Message};
+use crate::postgres::message::{error_field, parameter, Malformed, Message, Parameter};
 use crate::postgres::message_type;
 use bytes::Bytes;
 
-/// Most ParameterStatus messages kept of one answer.
+/// Most ParameterStatus messages that are kept of one answer (count).
 const MAX_PARAMETERS: usize = 16;
-/// Messages of a row: RowDescription, DataRow and CommandComplete.
+/// Number of messages of a row: RowDescription, DataRow and CommandComplete.
 const ROW_MESSAGES: usize = 3;
-/// Bytes of a RowDescription's column behind its name: where it comes from and what it is.
+/// Bytes of a column in a RowDescription after its name: table, column number, type, size, modifier and format.
 const COLUMN_BYTES: usize = 18;
-/// The field of an ErrorResponse that holds its SQLSTATE.
+/// The field of an ErrorResponse with its SQLSTATE.
 const CODE_FIELD: u8 = b'C';
 
-/// What a database host answered to a query.
+/// The answer of a database host to a query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// One row: RowDescription, DataRow and CommandComplete as they were on the wire.
@@ -22,34 +22,34 @@
     Error(String),
 }
 
-/// A host's answer with what it reports of itself.
+/// A host's answer, and what it reported about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
     /// The answer.
     pub answer: Answer,
-    /// Names and values of the ParameterStatus messages that came with it.
-    pub parameters: Vec<(String, String)>,
-    /// The connection may carry another query.
-    pub ready: bool,
+    /// The parameters that were reported with the answer.
+    pub parameters: Vec<Parameter>,
+    /// The host is ready for another query.
+    pub is_ready: bool,
 }
 
-/// Puts the messages of a host together to an answer, one row of one column or an error. What it holds is bounded by
-/// three messages of a row and 16 parameters.
+/// Assembles the messages of a host to an answer: one row of one column, or an error. It holds at most the three messages of a
+/// row and 16 parameters.
 #[derive(Debug, Default)]
 pub struct AnswerAssembler {
-    /// The messages of a row that have come.
+    /// The messages of a row so far.
     row: Vec<Bytes>,
-    /// The SQLSTATE of an error that has come.
+    /// The SQLSTATE of an error.
     error: Option<String>,
-    parameters: Vec<(String, String)>,
+    parameters: Vec<Parameter>,
 }
 
 impl AnswerAssembler {
-    /// Takes a message; the reply is complete at ReadyForQuery.
+    /// Adds a message. Returns the reply with ReadyForQuery.
     ///
     /// # Errors
     ///
-    /// Fails if the message is out of place or does not fit its type.
+    /// Fails if the message is malformed or not allowed at this point.
     pub fn push(&mut self, message: Message) -> Result<Option<Reply>, Malformed> {
         let body = message.body();
         match (message.kind(), self.row.len()) {
@@ -80,60 +80,58 @@
         if self.parameters.len() >= MAX_PARAMETERS {
             return;
         }
-        if let Some((name, value)) = parameter(body) {
-            self.parameters.push((name.to_string(), value.to_string()));
-        }
+        self.parameters.extend(parameter(body));
     }
 
-    /// A long row follows, which is not kept. Gives its RowDescription, for the client.
+    /// Begins a row that is streamed and so not added. Returns its RowDescription for the client.
     pub fn begin_streamed_row(&mut self) -> Bytes {
         let description = self.row.first().cloned().unwrap_or_default();
         self.row.push(Bytes::new());
         description
     }
 
-    /// Whether a row may come next.
+    /// Whether a DataRow may come next.
     pub fn awaits_row(&self) -> bool {
         self.row.len() == 1 && self.error.is_none()
     }
 
-    /// Names and values of the ParameterStatus messages so far.
-    pub fn parameters(&self) -> &[(String, String)] {
+    /// The parameters that were reported so far.
+    pub fn parameters(&self) -> &[Parameter] {
         &self.parameters
     }
 
-    /// The connection has ended. A host may close after an error without being ready for another query.
+    /// Ends the answer with the connection. A host may close the connection after an error; then that is the reply.
     pub fn finish(&mut self) -> Option<Reply> {
         self.error.as_ref()?;
         self.take_reply(false)
     }
 
-    fn take_reply(&mut self, ready: bool) -> Option<Reply> {
+    fn take_reply(&mut self, is_ready: bool) -> Option<Reply> {
         let answer = match self.error.take() {
             Some(code) => Answer::Error(code),
             None if self.row.len() == ROW_MESSAGES => Answer::Row(std::mem::take(&mut self.row)),
             None => return None,
         };
-        Some(Reply { answer, parameters: std::mem::take(&mut self.parameters), ready })
+        Some(Reply { answer, parameters: std::mem::take(&mut self.parameters), is_ready })
     }
 }
 
-/// A RowDescription of one column: its name, and what describes it.
+/// Whether this is the body of a RowDescription with one column.
 fn describes_one_column(body: &[u8]) -> bool {
     let name = body.strip_prefix(&[0, 1]).unwrap_or_default();
     name.iter().position(|byte| *byte == 0).is_some_and(|end| name.len() == end + 1 + COLUMN_BYTES)
 }
 
-/// A DataRow of one column that is not null.
+/// Whether this is the body of a DataRow with one column that is not null.
 fn holds_one_value(body: &[u8]) -> bool {
     let Some(column) = body.strip_prefix(&[0, 1]) else { return false };
     let Some((length, value)) = column.split_first_chunk() else { return false };
     u32::from_be_bytes(*length) as usize == value.len()
 }
 
-/// A CommandComplete: one text, the tag of a statement that gave a row.
+/// Whether this is the body of a CommandComplete for a statement that returns a row.
 fn completes_row(body: &[u8]) -> bool {
     let tag = body.strip_suffix(&[0]).unwrap_or_default();
-    let gives_row = tag.starts_with(b"SELECT ") || tag.starts_with(b"INSERT ");
-    gives_row && tag.iter().all(|byte| byte.is_ascii_graphic() || *byte == b' ')
+    let returns_row = tag.starts_with(b"SELECT ") || tag.starts_with(b"INSERT ");
+    returns_row && tag.iter().all(|byte| byte.is_ascii_graphic() || *byte == b' ')
 }
--- a/src/postgres/framer.rs
+++ b/src/postgres/framer.rs
@@ -1,89 +1,89 @@
-//! Cuts the bytes of a connection into messages.
+//! Splits the bytes of a connection into messages.
 
 use crate::postgres::cancel::CancelKey;
 use crate::postgres::message::{Malformed, Message};
 use crate::postgres::message_type;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest message taken from either side, without its type (bytes). A value has 64 KiB at most and twice that as
-/// hexadecimal digits.
+/// Longest message that is accepted, without its type (bytes). A value has 64 KiB at most, and twice that as hexadecimal
+/// digits.
 pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Length of a row's message beyond which it is passed on as it comes (bytes): a value of 64 KiB and what stands before
-/// it.
+/// Longest DataRow that is buffered (bytes): a value of 64 KiB and its header. A longer one is streamed.
 pub const MAX_BUFFERED_ROW_BYTES: usize = 64 * 1024 + ROW_HEADER_BYTES;
-/// The longest row (bytes): a value of 4 MiB and what stands before it.
+/// Longest DataRow (bytes): a value of 4 MiB and its header.
 pub const MAX_ROW_BYTES: usize = 4 * 1024 * 1024 + ROW_HEADER_BYTES;
-/// Of a row of one value: length, count of columns and length of the value, before the value itself (bytes).
+/// Bytes of a DataRow with one column before its value: its length, the column count and the value's length.
 const ROW_HEADER_BYTES: usize = 4 + 2 + 4;
-/// Shortest opening message (bytes): its length and its code.
+/// Shortest opening message (bytes): its length and its version.
 const MIN_STARTUP_BYTES: usize = 8;
-/// Longest opening message (bytes), as PostgreSQL has it.
+/// Longest opening message (bytes), as in PostgreSQL.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Bytes of a length field, which counts itself.
+/// Bytes of a length field, which includes itself.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a message's type.
+/// Bytes of a message type.
 const TYPE_BYTES: usize = 1;
 
-/// Major "version" of an opening message that is no startup message.
+/// Major version of an opening message that is no startup message.
 const REQUEST_CODE: u16 = 1234;
-/// With [`REQUEST_CODE`]: a cancel request.
+/// Minor version of a cancel request, with [`REQUEST_CODE`].
 const CANCEL_REQUEST: u16 = 5678;
-/// With [`REQUEST_CODE`]: a wish for SSL.
+/// Minor version of a request for SSL, with [`REQUEST_CODE`].
 const SSL_REQUEST: u16 = 5679;
-/// With [`REQUEST_CODE`]: a wish for GSS encryption.
+/// Minor version of a request for GSS encryption, with [`REQUEST_CODE`].
 const GSS_REQUEST: u16 = 5680;
-/// Bytes of a cancel request's key.
+/// Bytes of the key in a cancel request.
 const CANCEL_KEY_BYTES: usize = 8;
 /// The protocol's major version.
 const PROTOCOL_MAJOR: u16 = 3;
 
-/// What a client may open with.
+/// The first message of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Opening {
-    /// A wish for encryption, SSL's or GSS's.
+    /// A request for SSL or GSS encryption.
     Encryption,
-    /// A cancel request, with the key that it brings.
+    /// A cancel request with the key of the client whose query it cancels.
     Cancel(CancelKey),
-    /// The startup message, with the protocol's minor version.
+    /// The startup message.
     Startup {
-        /// Minor version asked for.
+        /// The minor version of the protocol that the client asks for.
         minor: u16,
     },
 }
 
-/// Cuts the bytes of a connection into messages. It holds what was fed and not taken: whoever feeds it sets the bound.
+/// Splits the bytes of a connection into messages. It holds all bytes that were fed and not taken, and has no bound of its
+/// own: the caller decides how much to feed.
 #[derive(Debug, Default)]
 pub struct Framer {
     buffer: BytesMut,
 }
 
 impl Framer {
-    /// Takes bytes as they come.
+    /// Appends bytes that were read from the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes of messages that are incomplete or have not been taken.
+    /// Number of bytes that have not been taken.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Nothing is left over.
+    /// Whether all bytes have been taken.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Forgets what is there.
+    /// Drops all bytes that have not been taken.
     pub fn clear(&mut self) {
         self.buffer = BytesMut::new();
     }
 
-    /// The type of the next message, as soon as its first byte is there.
+    /// The type of the next message, once its first byte has been fed.
     pub fn kind(&self) -> Option<u8> {
         self.buffer.first().copied()
     }
 
-    /// The opening message is complete.
+    /// Whether the opening message is complete.
     pub fn has_opening(&self) -> bool {
         self.length_at(0).is_some_and(|length| self.buffer.len() >= length)
     }
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is no opening message with these bytes.
+    /// Fails if the bytes are no opening message.
     pub fn opening(&mut self) -> Result<Option<Opening>, Malformed> {
         let Some(length) = self.length_at(0) else { return Ok(None) };
         if !(MIN_STARTUP_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as soon as its length is there, if that is none that a message has.
+    /// Fails as soon as the length has been fed, if it is out of range.
     pub fn message(&mut self) -> Result<Option<Message>, Malformed> {
         let Some(length) = self.length_at(TYPE_BYTES) else { return Ok(None) };
         if !(LENGTH_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
@@ -136,7 +136,7 @@
         Ok(Some(Message { raw }))
     }
 
-    /// The next message begins a long row of one value: the bytes of all of it.
+    /// The size of the next message (bytes), if it is a DataRow with one column that is too long to be buffered.
     pub fn long_row(&self) -> Option<usize> {
         let lengths = MAX_BUFFERED_ROW_BYTES + 1..=MAX_ROW_BYTES;
         let length = self.length_at(TYPE_BYTES).filter(|length| lengths.contains(length))?;
@@ -147,22 +147,22 @@
         (is_row && has_one_column && fits).then_some(TYPE_BYTES + length)
     }
 
-    /// Takes what is there, `max_bytes` at most, whatever it means.
+    /// Takes bytes, `max_bytes` at most, without splitting them into messages.
     pub fn take_raw(&mut self, max_bytes: usize) -> Bytes {
         let taken = self.buffer.split_to(max_bytes.min(self.buffer.len())).freeze();
         self.free_empty_buffer();
         taken
     }
 
-    /// Its memory would stay with an idle connection, as large as the largest message was.
+    /// Frees the buffer once it is empty. Otherwise an idle connection would keep the memory of its longest message.
     fn free_empty_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
     }
 
-    fn length_at(&self, place: usize) -> Option<usize> {
-        let bytes = self.buffer.get(place..place + LENGTH_BYTES)?;
+    fn length_at(&self, offset: usize) -> Option<usize> {
+        let bytes = self.buffer.get(offset..offset + LENGTH_BYTES)?;
         Some(u32::from_be_bytes(bytes.try_into().ok()?) as usize)
     }
 }
--- a/src/postgres/message.rs
+++ b/src/postgres/message.rs
@@ -1,4 +1,4 @@
-//! One message of the protocol, and what its body says.
+//! One message of the protocol and its body.
 
 use bytes::Bytes;
 use thiserror::Error;
@@ -6,34 +6,34 @@
 /// Bytes of a message before its body: its type and its length.
 pub(super) const HEADER_BYTES: usize = 5;
 
-/// The bytes of a peer make no sense; says why.
+/// A peer violated the protocol; the text says how.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct Malformed(pub &'static str);
 
-/// One message: its type and all its bytes.
+/// One message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// As it was on the wire, with its type and length.
+    /// All its bytes as on the wire, with its type and length.
     pub raw: Bytes,
 }
 
 impl Message {
-    /// Its type, one of [`message_type`](crate::postgres::message_type) or an unknown one.
+    /// Its type byte, one of [`message_type`](crate::postgres::message_type) or an unknown one.
     pub fn kind(&self) -> u8 {
         self.raw[0]
     }
 
-    /// What follows type and length.
+    /// The bytes after type and length.
     pub fn body(&self) -> &[u8] {
         &self.raw[HEADER_BYTES..]
     }
 
-    /// The one text that is its body, without the byte that ends it.
+    /// The body of a message that consists of one string, without the terminating zero byte.
     ///
     /// # Errors
     ///
-    /// Fails if the body is anything else.
+    /// Fails if the body is not one string.
     pub fn text(&self) -> Result<Bytes, Malformed> {
         match self.body().split_last() {
             Some((0, text)) if !text.contains(&0) => Ok(self.raw.slice(HEADER_BYTES..self.raw.len() - 1)),
@@ -42,7 +42,7 @@
     }
 }
 
-/// The text of a field of an ErrorResponse's body.
+/// The field with this type in the body of an ErrorResponse.
 pub fn error_field(body: &[u8], wanted: u8) -> Option<&str> {
     let mut fields = body.split(|byte| *byte == 0);
     fields
@@ -50,8 +50,18 @@
         .and_then(|field| std::str::from_utf8(&field[1..]).ok())
 }
 
-/// Name and value of a ParameterStatus' body.
-pub fn parameter(body: &[u8]) -> Option<(&str, &str)> {
+/// A run-time parameter, as reported by a ParameterStatus message.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Parameter {
+    /// Its name.
+    pub name: String,
+    /// Its value.
+    pub value: String,
+}
+
+/// Parses the body of a ParameterStatus message.
+pub fn parameter(body: &[u8]) -> Option<Parameter> {
     let text = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?;
-    text.split_once('\0').filter(|(_, value)| !value.contains('\0'))
+    let (name, value) = text.split_once('\0').filter(|(_, value)| !value.contains('\0'))?;
+    Some(Parameter { name: name.to_string(), value: value.to_string() })
 }
--- a/src/postgres/message_type.rs
+++ b/src/postgres/message_type.rs
@@ -1,4 +1,4 @@
-//! The types of the protocol's messages, by PostgreSQL's names for them: the byte that a message begins with.
+//! Type bytes of messages, by PostgreSQL's names of the messages.
 
 /// Authentication, from a server.
 pub const AUTHENTICATION: u8 = b'R';
@@ -25,7 +25,7 @@
 /// RowDescription, from a server.
 pub const ROW_DESCRIPTION: u8 = b'T';
 
-/// The types of messages that a database host may send: what begins otherwise is malformed, whatever its length.
+/// The types of messages that a database host may send.
 pub const SENT_BY_HOSTS: &[u8] = &[
     AUTHENTICATION,
     PARAMETER_STATUS,
--- a/src/postgres/message_writer.rs
+++ b/src/postgres/message_writer.rs
@@ -1,24 +1,24 @@
-//! The messages that the gateway writes.
+//! Appends the messages that the gateway writes to a buffer.
 
 use crate::postgres::cancel::CancelKey;
 use crate::postgres::message_type;
 use bytes::{Buf, Bytes};
 
-/// Version 3.0 of the protocol, as a startup message has it.
+/// Version 3.0 of the protocol, as in a startup message.
 const PROTOCOL_VERSION: u32 = 3 << 16;
-/// Fields of an ErrorResponse.
+/// Types of fields in an ErrorResponse.
 const SEVERITY_FIELD: u8 = b'S';
 const UNLOCALIZED_SEVERITY_FIELD: u8 = b'V';
 const CODE_FIELD: u8 = b'C';
 const MESSAGE_FIELD: u8 = b'M';
 const DETAIL_FIELD: u8 = b'D';
-/// State of a ReadyForQuery: outside of a transaction.
+/// Transaction status of a ReadyForQuery outside of a transaction.
 const IDLE: u8 = b'I';
-/// Parameters that a client is sent at its start: what drivers ask for before they go on.
+/// Parameters that drivers need to have reported with the answer to their startup message.
 const STARTUP_PARAMETERS: [(&str, &str); 3] =
     [("server_version", "15.0"), ("client_encoding", "UTF8"), ("standard_conforming_strings", "on")];
 
-/// How bad an error is.
+/// The severity of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
     /// The command failed.
@@ -27,7 +27,7 @@
     Fatal,
 }
 
-/// Appends one message: its type, its length, and the body that `write` appends.
+/// Appends a message with this type and the body that `write` appends.
 pub fn put(out: &mut Vec<u8>, kind: u8, write: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     put_sized(out, write);
@@ -46,7 +46,7 @@
     out.push(0);
 }
 
-/// The startup message of a client.
+/// Appends the startup message that the gateway sends to hosts.
 pub fn put_startup(out: &mut Vec<u8>) {
     put_sized(out, |body| {
         body.extend_from_slice(&PROTOCOL_VERSION.to_be_bytes());
@@ -56,7 +56,7 @@
     });
 }
 
-/// The answer to a startup message that asks for this minor version: authenticated, ready for queries.
+/// Appends the answer to a startup message that asks for this minor version: authenticated and ready for queries.
 pub fn put_startup_answer(out: &mut Vec<u8>, minor: u16, key: CancelKey) {
     if minor > 0 {
         put(out, message_type::NEGOTIATE_PROTOCOL_VERSION, |body| body.extend_from_slice(&[0; 8]));
@@ -72,7 +72,7 @@
     put_ready(out);
 }
 
-/// ParameterStatus.
+/// Appends a ParameterStatus.
 pub fn put_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
     put(out, message_type::PARAMETER_STATUS, |body| {
         put_text(body, name);
@@ -80,22 +80,22 @@
     });
 }
 
-/// ReadyForQuery, outside of a transaction.
+/// Appends a ReadyForQuery outside of a transaction.
 pub fn put_ready(out: &mut Vec<u8>) {
     put(out, message_type::READY_FOR_QUERY, |body| body.push(IDLE));
 }
 
-/// EmptyQueryResponse.
+/// Appends an EmptyQueryResponse.
 pub fn put_empty(out: &mut Vec<u8>) {
     put(out, message_type::EMPTY_QUERY_RESPONSE, |_| {});
 }
 
-/// CommandComplete.
+/// Appends a CommandComplete.
 pub fn put_complete(out: &mut Vec<u8>, tag: &str) {
     put(out, message_type::COMMAND_COMPLETE, |body| put_text(body, tag));
 }
 
-/// ErrorResponse.
+/// Appends an ErrorResponse.
 pub fn put_error(out: &mut Vec<u8>, severity: Severity, code: &str, text: &str, detail: Option<&str>) {
     let severity = if severity == Severity::Fatal { "FATAL" } else { "ERROR" };
     let fields = [
@@ -113,7 +113,7 @@
     });
 }
 
-/// A simple query of a statement that comes in parts, which are not copied.
+/// A Query message with a statement in three parts, which are not copied.
 pub fn query(parts: [Bytes; 3]) -> impl Buf {
     let [first, second, third] = parts;
     let length = (first.len() + second.len() + third.len() + 5) as u32;
--- a/src/postgres/read_buffer.rs
+++ b/src/postgres/read_buffer.rs
@@ -1,5 +1,5 @@
-//! The buffer that all connections read into. One thread reads from one of them at a time, so that one buffer is enough,
-//! and a connection that waits holds none.
+//! The buffer that all connections read into. The gateway has one thread, which reads from one connection at a time: a
+//! connection that waits needs no buffer.
 
 use crate::os::socket::{uninterrupted, Call, SocketError};
 use crate::postgres::Framer;
@@ -7,35 +7,35 @@
 use std::io;
 use std::rc::Rc;
 
-/// Bytes that are read at once, at most: a usual row, or many small messages, in one call.
+/// Most bytes that are read at once: a usual row, or many small messages.
 pub const SIZE: usize = 64 * 1024;
 
 /// A buffer of [`SIZE`] bytes, shared by all connections.
 pub struct ReadBuffer(RefCell<Box<[u8]>>);
 
 impl ReadBuffer {
-    /// A buffer, to be shared.
+    /// A buffer for all connections.
     pub fn new() -> Rc<ReadBuffer> {
         Rc::new(ReadBuffer(RefCell::new(vec![0; SIZE].into())))
     }
 
-    /// Reads once, without waiting, and feeds the framer if there is one. Gives how many bytes came, 0 at the end of the
-    /// stream, and None if the connection was not ready after all. A call that a signal interrupts is repeated.
+    /// Reads once without waiting, and feeds the framer if there is one. Returns the number of bytes read, 0 at the end of the
+    /// stream, and None if the connection was not ready. A call that a signal interrupts is repeated.
     ///
     /// # Errors
     ///
-    /// Whatever else the call fails with.
+    /// Fails with any other error of the call.
     pub fn read(
         &self,
         mut read: impl FnMut(&mut [u8]) -> io::Result<usize>,
         framer: Option<&mut Framer>,
     ) -> Result<Option<usize>, SocketError> {
         let mut bytes = self.0.borrow_mut();
-        let once = |most: usize| {
-            let room = most.min(bytes.len());
-            read(&mut bytes[..room])
+        let read_once = |max_bytes: usize| {
+            let capacity = max_bytes.min(bytes.len());
+            read(&mut bytes[..capacity])
         };
-        match uninterrupted(Call::Read, once) {
+        match uninterrupted(Call::Read, read_once) {
             Ok(count) => {
                 if let Some(framer) = framer {
                     framer.feed(&bytes[..count]);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use bytes::Buf;
 use petrelgauge::discovery::http_response::ResponseReader;
-use petrelgauge::postgres::{self, AnswerAssembler, Framer, Severity, MAX_MESSAGE_BYTES};
+use petrelgauge::postgres::{self, AnswerAssembler, Framer, Parameter, Severity, MAX_MESSAGE_BYTES};
 use petrelgauge::sql::statement::Statement;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -85,7 +85,10 @@
     sturdy(&answers(), parse);
     let replies: Vec<_> = parse(&[&answers()]).into_iter().flatten().flatten().collect();
     assert_eq!(replies.len(), 2);
-    assert_eq!(replies[0].parameters, [("log_position".to_string(), "1767225600123".to_string())]);
+    assert_eq!(
+        replies[0].parameters,
+        [Parameter { name: "log_position".to_string(), value: "1767225600123".to_string() }]
+    );
     assert_eq!(replies[1].answer, postgres::Answer::Error("72000".into()));
 }
 
