--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -3,6 +3,7 @@
 use clap::{Parser, Subcommand};
 use petrelgauge_lab::demo::{AddressFormat, UpOptions};
 use petrelgauge_lab::error::LabError;
+use petrelgauge_lab::scale::capacity::PageAction;
 use petrelgauge_lab::{demo, scale, Experiment, Options, EXPERIMENTS};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -122,7 +123,8 @@
         }
         Command::Demo => demo::run(),
         Command::Capacity { write, page, figures } => {
-            scale::capacity::page(&page, &figures, write)?;
+            let action = if write { PageAction::Rewrite } else { PageAction::Check };
+            scale::capacity::page(&page, &figures, action)?;
             Ok(true)
         }
         Command::Hollow { plan } => scale::hollow::run(&plan).map(|()| true),
--- a/crates/lab/src/scale/addresses.rs
+++ b/crates/lab/src/scale/addresses.rs
@@ -1,23 +1,24 @@
-//! Where the gateways of a scale run listen for datagrams, and in which zone and region each of them stands.
+//! Addresses, zones and regions of the gateways of a scale run.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Zones of the fleet, over both regions.
+/// Number of zones, in both regions together.
 pub const ZONES: usize = 7;
-/// Zones of the first region; the second region has the others.
+/// Number of zones in the first region. The others are in the second.
 pub const ZONES_OF_FIRST_REGION: usize = 4;
-/// Gateways for each value of an address's third byte.
+/// Number of gateways for each third byte of an address.
 const GATEWAYS_PER_NET: usize = 250;
-/// The lowest port, and how many ports runs are spread over.
+/// The lowest datagram port.
 const FIRST_PORT: u16 = 20_000;
+/// Number of ports that runs are spread over.
 const PORTS: u32 = 20_000;
 
-/// The port at which all gateways listen for datagrams: each has an address of its own, and each run a port of its own.
+/// The datagram port of all gateways of this run. Gateways differ by address, runs by port.
 pub fn datagram_port() -> u16 {
     FIRST_PORT + (std::process::id() % PORTS) as u16
 }
 
-/// Where the gateway of this number listens.
+/// The datagram address of the gateway with this number.
 pub fn gateway_address(number: usize, port: u16) -> SocketAddr {
     let third = (number / GATEWAYS_PER_NET) as u8;
     let fourth = (number % GATEWAYS_PER_NET) as u8 + 1;
@@ -35,7 +36,7 @@
     }
 }
 
-/// The zone of the gateway, or of the host, of this number.
+/// The zone of the gateway or host with this number.
 pub fn zone(number: usize) -> usize {
     number % ZONES
 }
@@ -45,7 +46,7 @@
     char::from(b'a' + (zone % ZONES) as u8)
 }
 
-/// Whether a gateway stands in the second of the two regions.
+/// Whether a gateway is in the second region.
 pub fn in_second_region(number: usize) -> bool {
     zone(number) >= ZONES_OF_FIRST_REGION
 }
--- a/crates/lab/src/scale/assessment.rs
+++ b/crates/lab/src/scale/assessment.rs
@@ -1,9 +1,8 @@
-//! What a scale run showed: its checks and its figures.
+//! The result of a scale run: its checks and its figures.
 
-use super::fleet_size::FleetSize;
 use super::metrics::{Metric, LEADERSHIP_METRICS, SESSION_METRICS};
 use super::projection::{furthest_over_budget, Prediction, Projection};
-use super::role_costs::{Cost, Costs};
+use super::role_costs::{Cost, MeasuredFleet};
 use super::run_parameters::Mode;
 use super::FIGURES_VERSION;
 use crate::error::LabError;
@@ -13,17 +12,17 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Processes of one fleet at most.
+/// Maximum number of processes of one fleet.
 const MAX_PROCESSES: usize = 200;
-/// How long a full run may take.
+/// Maximum duration of a full run.
 const FULL_RUN_LIMIT: Duration = Duration::from_secs(180);
-/// How long a short run may take.
+/// Maximum duration of a short run.
 const SHORT_RUN_LIMIT: Duration = Duration::from_secs(60);
-/// By how much the cost of hollow and real gateways may differ, as a share of the larger one.
+/// Maximum difference between the costs of hollow and real gateways, relative to the larger one.
 const MAX_DIFFERENCE: f64 = 0.2;
-/// Share of its entries by which a gateway's state may grow while a fleet is observed.
+/// Maximum growth of a gateway's state while a fleet is observed, relative to its entries.
 const MAX_GROWTH: f64 = 0.05;
-/// Entries by which it may grow in any case.
+/// Growth that is always allowed (entries).
 const MAX_GROWTH_ENTRIES: f64 = 10.0;
 
 /// The entries of a gateway's state at two times.
@@ -62,28 +61,28 @@
     }
 }
 
-/// All that a run measured.
+/// Everything that a run measured.
 pub(super) struct Measurements {
     /// Fleets with leadership roles.
-    pub(super) leadership: Vec<(FleetSize, Costs)>,
+    pub(super) leadership: Vec<MeasuredFleet>,
     /// Fleets that exchange watermarks of sessions.
-    pub(super) sessions: Vec<(FleetSize, Costs)>,
+    pub(super) sessions: Vec<MeasuredFleet>,
     pub(super) predictions: Vec<Prediction>,
     pub(super) projections: Vec<Projection>,
-    /// What the faults of a fleet showed.
+    /// Figures of the fleet's faults.
     pub(super) faults: Value,
     pub(super) cost_pairs: Vec<CostPair>,
     pub(super) growth: Vec<StateGrowth>,
-    /// The most processes of one fleet.
+    /// Maximum number of processes of one fleet.
     pub(super) processes: usize,
-    /// The least memory that was available while a fleet ran (kB).
+    /// Minimum of the available memory while a fleet ran (kB).
     pub(super) least_available_kb: u64,
     pub(super) lease_ms: u64,
     pub(super) duration: Duration,
 }
 
 impl Measurements {
-    /// Checks what a run promises beside the faults.
+    /// Checks everything but the faults.
     pub(super) fn judge(&self, verdict: &mut Verdict, options: &Options) -> Result<(), LabError> {
         self.check_predictions(verdict);
         for comparison in self.comparisons() {
@@ -134,7 +133,7 @@
         ]
     }
 
-    /// All figures.
+    /// All figures as JSON.
     pub(super) fn json(&self, mode: &Mode, options: &Options) -> Result<Value, LabError> {
         let compared: Vec<Value> = self.comparisons().iter().map(Comparison::json).collect();
         let furthest = furthest_over_budget(&self.projections);
@@ -153,25 +152,25 @@
             "reckoned": self.projections,
             "compared": compared,
             "troubles": self.faults,
-            "missing_first": furthest.map(|one| format!("{}: {}", one.role, one.name)),
+            "missing_first": furthest.map(|projection| format!("{}: {}", projection.role, projection.name)),
         }))
     }
 }
 
-fn measured_json(measured: &[(FleetSize, Costs)], metrics: &[Metric]) -> Vec<Value> {
-    let of_fleet = |(size, costs): &(FleetSize, Costs)| {
+fn measured_json(measured: &[MeasuredFleet], metrics: &[Metric]) -> Vec<Value> {
+    let fleet_json = |MeasuredFleet { size, costs }: &MeasuredFleet| {
         let values = metrics.iter().map(|metric| json!([metric.full_name(), rounded((metric.value)(costs))]));
         json!({ "size": size, "measured": values.collect::<Vec<Value>>() })
     };
-    measured.iter().map(of_fleet).collect()
+    measured.iter().map(fleet_json).collect()
 }
 
-/// A figure with two digits after the point.
+/// A figure with two decimals.
 fn rounded(value: f64) -> f64 {
     (value * 100.0).round() / 100.0
 }
 
-/// The commit that is checked out, if there is one.
+/// The checked out commit, if any.
 fn checked_out_commit() -> Option<String> {
     let output = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output().ok()?;
     String::from_utf8(output.stdout).ok().map(|text| text.trim().to_string())
--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -1,4 +1,4 @@
-//! The tables of `docs/CAPACITY.md`, made from the committed JSON of scale runs.
+//! The tables of `docs/CAPACITY.md`, generated from the committed JSON of scale runs.
 
 use super::projection::{Prediction, Projection};
 use super::FIGURES_VERSION;
@@ -14,26 +14,26 @@
     File {
         /// The file.
         file: String,
-        /// What the system says.
+        /// The error of the system.
         cause: std::io::Error,
     },
-    /// A file is no report of a scale run.
+    /// A file is not a report of a scale run.
     #[error("{file}: it is no report of a scale run: {cause}")]
     Shape {
         /// The file.
         file: String,
-        /// What does not fit.
+        /// The mismatch.
         cause: String,
     },
-    /// Its version is another.
+    /// A report has another version.
     #[error("{file}: its version is {found}, and {FIGURES_VERSION} is read here")]
     Version {
         /// The file.
         file: String,
-        /// The version that it has.
+        /// Its version.
         found: String,
     },
-    /// The page has no place for a table.
+    /// The page lacks the marks of a table.
     #[error("{page}: it lacks the marks of the table {table:?}")]
     Marks {
         /// The page.
@@ -41,7 +41,7 @@
         /// The table.
         table: String,
     },
-    /// Page and JSON differ.
+    /// A table differs from the JSON.
     #[error("{page}: the table {table:?} differs from the committed JSON; petrelgauge-lab capacity --write makes it anew")]
     Differs {
         /// The page.
@@ -51,15 +51,24 @@
     },
 }
 
-/// The reports that the page shows: names of files without their ending.
+/// The reports shown on the page, by file name without extension.
 const REPORTS: [&str; 2] = ["single-owner", "sharded"];
 
-/// Checks every table of the page against the JSON of this folder, or rewrites them.
+/// What to do with the tables of the page.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PageAction {
+    /// Compare them with the JSON.
+    Check,
+    /// Generate them anew.
+    Rewrite,
+}
+
+/// Checks or rewrites all tables of the page, by the JSON in this folder.
 ///
 /// # Errors
 ///
-/// Fails if a file cannot be used, or if a table that is only checked differs. Then the page stays as it was.
-pub fn page(page: &Path, folder: &Path, write: bool) -> Result<(), CapacityError> {
+/// Fails if a file cannot be read or written, or if a checked table differs. The page is unchanged then.
+pub fn page(page: &Path, folder: &Path, action: PageAction) -> Result<(), CapacityError> {
     let name = page.display().to_string();
     let read = |path: &Path| {
         let file = path.display().to_string();
@@ -72,10 +81,10 @@
         let figures = figures(&file.display().to_string(), &read(&file)?)?;
         for Table { name: table, lines } in tables(&file.display().to_string(), &figures)? {
             let table = format!("{report} {table}");
-            text = with_table(&name, &text, &table, &lines, write)?;
+            text = with_table(&name, &text, &table, &lines, action)?;
         }
     }
-    if write && text != before {
+    if action == PageAction::Rewrite && text != before {
         std::fs::write(page, text).map_err(|cause| CapacityError::File { file: name, cause })?;
     }
     Ok(())
@@ -92,19 +101,19 @@
     }
 }
 
-/// The page with this table between its marks. Where it is only to be checked, the table must be there already.
+/// The text of the page with this table between its marks. A table that is checked must be there already.
 fn with_table(
     page: &str,
     text: &str,
     table: &str,
     lines: &str,
-    write: bool,
+    action: PageAction,
 ) -> Result<String, CapacityError> {
     let (begin, end) = (format!("<!-- begin {table} -->\n"), format!("<!-- end {table} -->"));
     let marks = || CapacityError::Marks { page: page.into(), table: table.into() };
     let from = text.find(&begin).ok_or_else(marks)? + begin.len();
     let to = from + text[from..].find(&end).ok_or_else(marks)?;
-    if !write && text[from..to] != *lines {
+    if action == PageAction::Check && text[from..to] != *lines {
         return Err(CapacityError::Differs { page: page.into(), table: table.into() });
     }
     Ok(format!("{}{lines}{}", &text[..from], &text[to..]))
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -1,5 +1,6 @@
-//! Faults of a whole fleet: a tenth restarted at once, a zone stopped and started, the regions cut and joined, a new list
-//! and new settings; what the worst second costs beside the mean, and how long it takes until all hold the newest.
+//! Faults of a whole fleet: a tenth of it restarts at once, a zone stops and starts, the regions are cut and
+//! joined, list and settings change. Measures the worst and the mean costs, and the time until all gateways
+//! have the newest state.
 
 use super::addresses::{zone, ZONES};
 use super::fleet::{Fleet, Snapshot};
@@ -10,20 +11,20 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// How long a list, or settings, may take to be in force everywhere (the operators' terms).
+/// Maximum time until a list or settings are in force everywhere.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
-/// How long the experiment waits for a state before it gives up.
+/// Maximum time that the experiment waits for a state.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
-/// One gateway in so many is restarted at once.
+/// One in this many gateways is restarted.
 const RESTARTED_EVERY: usize = 10;
-/// Time between two snapshots while a fault lasts.
+/// Interval of snapshots during a fault.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the fleet is observed without a fault, and after a restart.
+/// Duration of observations without a fault and after a restart.
 const OBSERVATION: Duration = Duration::from_secs(1);
-/// How many leases the regions stay cut.
+/// Duration of the region cut, in leases.
 const CUT_LEASES: u32 = 3;
 
-/// What a gateway that is no acceptor spends in a second.
+/// The costs of a gateway that is no acceptor, per second.
 #[derive(Clone, Copy, Default)]
 struct Rate {
     bytes: f64,
@@ -37,7 +38,7 @@
     }
 }
 
-/// The rates while one fault lasted.
+/// The rates during one fault.
 #[derive(Clone, Copy, Default)]
 struct ObservedRates {
     worst: Rate,
@@ -63,12 +64,12 @@
     }
 }
 
-/// The leases of a fleet, as its gateways report them.
+/// The leases of a fleet, by the reports of its gateways.
 #[derive(Clone, Copy)]
 struct Leases {
-    /// Sum of the leases that gateways hold.
+    /// Number of leases held, over all gateways.
     held: u64,
-    /// Leases whose holder is known, at the gateway that knows most.
+    /// Maximum number of lease holders that any gateway knows.
     known: u64,
 }
 
@@ -82,7 +83,7 @@
     }
 }
 
-/// Plays all faults, checks the fleet, and returns the figures.
+/// Injects all faults, checks the fleet, and returns the figures.
 ///
 /// # Errors
 ///
@@ -103,7 +104,7 @@
     }))
 }
 
-/// Takes snapshots for this long.
+/// Measures rates for this long.
 async fn observe(fleet: &mut Fleet, duration: Duration) -> Result<ObservedRates, LabError> {
     let mut rates = ObservedRates::default();
     let mut before = fleet.snapshot().await?;
@@ -154,22 +155,22 @@
     Ok(json!({ "gateways": count, "list_held_ms": duration.as_millis() as u64, "seconds": rates.json() }))
 }
 
-/// The regions are cut off from each other for several leases.
+/// Cuts the regions off from each other for several leases.
 async fn play_region_cut(
     fleet: &mut Fleet,
     lease: Duration,
     verdict: &mut Verdict,
 ) -> Result<Value, LabError> {
     let leases = Leases::of(&fleet.request_all(&Command::Stats).await?).known;
-    fleet.request_all(&Command::Cut(true)).await?;
-    let (most_held, rates) = observe_leases(fleet, CUT_LEASES * lease).await?;
+    fleet.request_all(&Command::CutRegions).await?;
+    let ObservedLeases { most_held, rates } = observe_leases(fleet, CUT_LEASES * lease).await?;
     let list = publish_change(fleet).await?;
-    fleet.request_all(&Command::Cut(false)).await?;
+    fleet.request_all(&Command::JoinRegions).await?;
     let all_known = |gateway: &GatewayStats| gateway.known_lease_holders >= leases;
-    let joined = fleet.wait_until(WAIT_LIMIT, "all owners", all_known).await?;
+    let joined = fleet.wait_until(WAIT_LIMIT, "all lease holders", all_known).await?;
     let limit = IN_FORCE_LIMIT;
-    verdict.check("somebody owned each duty before the cut", leases > 0);
-    let text = format!("no duty has two owners while regions are cut: {most_held} of {leases}");
+    verdict.check("every lease was held before the cut", leases > 0);
+    let text = format!("no lease has two holders while regions are cut: {most_held} of {leases}");
     verdict.check(text, most_held <= leases);
     let text = format!("lists reach all while regions are cut, within {limit:?}: {list:?}");
     verdict.check(text, list <= limit);
@@ -179,8 +180,15 @@
     }))
 }
 
-/// Takes snapshots for this long; also returns the most leases that were held at one time.
-async fn observe_leases(fleet: &mut Fleet, duration: Duration) -> Result<(u64, ObservedRates), LabError> {
+/// Leases and rates during a fault.
+struct ObservedLeases {
+    /// Maximum number of leases held at one time.
+    most_held: u64,
+    rates: ObservedRates,
+}
+
+/// Measures leases and rates for this long.
+async fn observe_leases(fleet: &mut Fleet, duration: Duration) -> Result<ObservedLeases, LabError> {
     let (mut most_held, mut rates) = (0, ObservedRates::default());
     let end = Instant::now() + duration;
     let mut before = fleet.snapshot().await?;
@@ -191,7 +199,7 @@
         rates.add(Rate::between(fleet, &before, &after));
         before = after;
     }
-    Ok((most_held, rates))
+    Ok(ObservedLeases { most_held, rates })
 }
 
 async fn wait_for_newest_list(fleet: &mut Fleet) -> Result<Duration, LabError> {
@@ -199,13 +207,13 @@
     fleet.wait_until(WAIT_LIMIT, "the newest list", |gateway| gateway.list_revision >= revision).await
 }
 
-/// Changes the list; returns how long it takes until all hold the change.
+/// Changes the list. Returns the time until all gateways have the change.
 async fn publish_change(fleet: &mut Fleet) -> Result<Duration, LabError> {
     fleet.list.change(0, 0);
     wait_for_newest_list(fleet).await
 }
 
-/// Changes the settings; returns how long it takes until all hold them.
+/// Changes the settings. Returns the time until all gateways have them.
 async fn publish_settings(fleet: &mut Fleet) -> Result<Duration, LabError> {
     let began_at = Instant::now();
     fleet.change_settings()?;
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! One fleet of hollow and real gateways before a list service, and what each of its roles costs.
+//! One running fleet of hollow and real gateways with a list service, and the costs of each role.
 
 use super::configuration_files::{change_settings, client_address, config_path, operator_path, write_all};
 use super::fleet_plan::{FleetPlan, EMULATED_GROUPS, EMULATED_MEMBERS};
@@ -21,22 +21,22 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Hollow gateways of one process at most, but for acceptors, which have processes of their own.
+/// Maximum number of hollow gateways in one process. Acceptors have processes of their own.
 const GATEWAYS_PER_PROCESS: usize = 50;
-/// How long a hollow process may take until it connects.
+/// Maximum time until a hollow process connects.
 const CONNECT_LIMIT: Duration = Duration::from_secs(20);
-/// How long all gateways may take until they hold a list.
+/// Maximum time until all gateways have a list.
 const LIST_LIMIT: Duration = Duration::from_secs(20);
-/// How often a starting real gateway is tried.
+/// Interval of connection attempts to a starting real gateway.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How many times it is tried: ten seconds in all.
+/// Maximum number of these attempts: ten seconds altogether.
 const READY_POLLS: usize = 1_000;
-/// How often hollow gateways are asked whether they have reached a state.
+/// Interval at which hollow gateways are polled for a state.
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running fleet. Dropping it ends all of its processes.
 pub struct Fleet {
-    /// What it was made from.
+    /// Its plan.
     pub plan: FleetPlan,
     /// The endpoint list and its service.
     pub list: Rc<ChangingList>,
@@ -57,7 +57,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until every gateway holds a list.
+    /// Starts all processes and waits until every gateway has a list.
     ///
     /// # Errors
     ///
@@ -100,7 +100,7 @@
     fn gateways_of_processes(&self) -> Vec<Vec<usize>> {
         let mut processes: Vec<Vec<usize>> =
             self.plan.acceptors.iter().map(|acceptor| vec![*acceptor]).collect();
-        // Idle gateways have a process each, as the real gateways that they are compared with.
+        // Idle gateways have a process each, like the real gateways that they are compared with.
         processes.extend(self.plan.idle().into_iter().map(|number| vec![number]));
         processes.extend(self.plan.busy().chunks(GATEWAYS_PER_PROCESS).map(<[usize]>::to_vec));
         processes.retain(|gateways| !gateways.is_empty());
@@ -118,7 +118,7 @@
             let accepted = tokio::time::timeout(CONNECT_LIMIT, listener.accept()).await;
             let (stream, _) = accepted.map_err(|_| LabError::HollowProcessNotStarted)??;
             stream.set_nodelay(true)?;
-            // Its first line is the number of its first gateway.
+            // The first line identifies the process by the number of its first gateway.
             let (mut stream, mut line) = (BufReader::new(stream), String::new());
             stream.read_line(&mut line).await?;
             let first: Option<usize> = line.trim().parse().ok();
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    /// Waits until every running hollow gateway has reached a state; returns how long that took.
+    /// Waits until all running hollow gateways have reached a state. Returns how long that took.
     ///
     /// # Errors
     ///
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Sends a command to every hollow process, one after the other: each answers at once.
+    /// Sends a command to all hollow processes, one after the other, and returns their answers.
     ///
     /// # Errors
     ///
@@ -225,13 +225,13 @@
         Ok(Snapshot { taken_at: Instant::now(), hollow, real, service_bytes, changes })
     }
 
-    /// What was spent in a second between two snapshots.
+    /// The costs between two snapshots.
     pub fn costs(&self, before: &Snapshot, after: &Snapshot) -> Costs {
         let seconds = (after.taken_at - before.taken_at).as_secs_f64();
         let acceptors: BTreeSet<usize> = self.plan.acceptors.iter().copied().collect();
         let idle = self.plan.idle();
         let (mut of_gateways, mut of_acceptors, mut of_idle) = (Vec::new(), Vec::new(), Vec::new());
-        for (number, cost) in costs_of_gateways(&before.hollow, &after.hollow, seconds) {
+        for GatewayCost { number, cost } in costs_of_gateways(&before.hollow, &after.hollow, seconds) {
             if acceptors.contains(&number) {
                 of_acceptors.push(cost);
             } else if idle.contains(&number) {
@@ -241,7 +241,7 @@
             }
         }
         let real = costs_of_gateways(&before.real, &after.real, seconds);
-        let of_real: Vec<Cost> = real.into_iter().map(|(_, cost)| cost).collect();
+        let of_real: Vec<Cost> = real.into_iter().map(|gateway| gateway.cost).collect();
         let acceptors_per_holder = of_acceptors.len() as f64 / self.plan.lease_holders.max(1) as f64;
         Costs {
             gateway: Cost::mean(&of_gateways),
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Writes the configurations of all gateways again, with other settings.
+    /// Rewrites the configurations of all gateways with other settings.
     ///
     /// # Errors
     ///
@@ -265,9 +265,14 @@
     }
 }
 
-/// The number of each gateway and what it cost in a second; a process's processor time and memory are its gateways' in
-/// equal parts.
-fn costs_of_gateways(before: &[Stats], after: &[Stats], seconds: f64) -> Vec<(usize, Cost)> {
+/// The cost of one gateway.
+struct GatewayCost {
+    number: usize,
+    cost: Cost,
+}
+
+/// The costs of all gateways. Processor time and memory of a process are divided evenly among its gateways.
+fn costs_of_gateways(before: &[Stats], after: &[Stats], seconds: f64) -> Vec<GatewayCost> {
     let mut costs = Vec::new();
     for (before, after) in before.iter().zip(after) {
         let gateways = after.gateways.len().max(1) as f64;
@@ -279,7 +284,7 @@
         for gateway in &after.gateways {
             let earlier = before.gateways.iter().find(|earlier| earlier.number == gateway.number);
             let earlier = earlier.copied().unwrap_or_default();
-            costs.push((gateway.number, cost(&earlier, gateway, &process)));
+            costs.push(GatewayCost { number: gateway.number, cost: cost(&earlier, gateway, &process) });
         }
     }
     costs
--- a/crates/lab/src/scale/fleet_plan.rs
+++ b/crates/lab/src/scale/fleet_plan.rs
@@ -1,15 +1,16 @@
-//! The plan of a fleet: its size, who grants leases, which gateways are real and which report no demand.
+//! The plan of a fleet: its size, its acceptors, and which gateways are real, idle or busy.
 
 use super::list_service::MEMBERS_OF_GROUP;
 use super::protocol::InjectedFault;
 use super::run_parameters::PlannedSize;
 use std::collections::BTreeSet;
 
-/// Real gateways beside the hollow ones: the first numbers that are no acceptor.
+/// Number of real gateways: the first ones that are no acceptors.
 pub const REAL_GATEWAYS: usize = 4;
-/// Hollow gateways without demand, compared with the real ones while these serve nobody: the next numbers.
+/// Number of hollow gateways without demand, the next ones. They are compared with the real ones, which have
+/// no clients.
 pub const IDLE_GATEWAYS: usize = 4;
-/// Groups of emulated hosts that real gateways serve from.
+/// Number of groups with emulated hosts.
 pub(super) const EMULATED_GROUPS: usize = 4;
 /// Members of each of these groups.
 pub(super) const EMULATED_MEMBERS: usize = 5;
@@ -23,10 +24,10 @@
     Sessions,
 }
 
-/// A fleet to be played.
+/// The plan of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Its size. Real gateways and emulated hosts are included.
+    /// Its size, including real gateways and emulated hosts.
     pub size: PlannedSize,
     /// What gateways exchange.
     pub traffic: FleetTraffic,
@@ -38,17 +39,17 @@
     pub lease_holders: usize,
     /// Seed of all random generators.
     pub seed: u64,
-    /// A fault that is injected.
+    /// The injected fault, if any.
     pub injected_fault: Option<InjectedFault>,
 }
 
 impl FleetPlan {
-    /// Groups of the list, those of the emulated hosts included.
+    /// Number of groups on the list, including those of emulated hosts.
     pub fn groups(&self) -> usize {
         self.listed_only_hosts().div_ceil(MEMBERS_OF_GROUP) + EMULATED_GROUPS
     }
 
-    /// Entries of the list that stand for no emulated host.
+    /// Number of entries on the list without an emulated host.
     pub(super) fn listed_only_hosts(&self) -> usize {
         self.size.hosts.saturating_sub(EMULATED_GROUPS * EMULATED_MEMBERS)
     }
@@ -75,6 +76,6 @@
 
     /// The numbers of acceptors spread evenly over a fleet, as the gateways choose them.
     pub fn spread(acceptors: usize, gateways: usize) -> Vec<usize> {
-        (0..acceptors).map(|place| place * gateways / acceptors).collect()
+        (0..acceptors).map(|index| index * gateways / acceptors).collect()
     }
 }
--- a/crates/lab/src/scale/fleet_size.rs
+++ b/crates/lab/src/scale/fleet_size.rs
@@ -1,26 +1,26 @@
-//! How large a fleet is, and the columns of a regression over that size.
+//! The size of a fleet, and the columns of a regression over it.
 
 use serde::{Deserialize, Serialize};
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetSize {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: f64,
     /// Entries of the endpoint list.
     pub hosts: f64,
     /// Groups of the endpoint list.
     pub groups: f64,
-    /// Changes of the endpoint list in a second.
+    /// Changes of the endpoint list per second.
     pub changes: f64,
 }
 
-/// The operators' size: 1,500 gateways before 2,900 databases, groups of six; changes as they state them for a day (380
-/// restarts and 6 failures, each published in three changes of the list, and 2 changes of primary).
+/// The operators' size: 1,500 gateways, 2,900 databases in groups of six. Changes are those of a day: 380
+/// restarts and 6 failures, each published as three changes of the list, and 2 changes of primaries.
 pub const OPERATORS_SIZE: FleetSize =
     FleetSize { gateways: 1_500.0, hosts: 2_900.0, groups: 484.0, changes: (386.0 * 3.0 + 2.0) / 86_400.0 };
 
-/// Something that a metric can depend on.
+/// A quantity that a metric can depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Column {
     /// Nothing: a constant.
@@ -31,7 +31,7 @@
     Groups,
     /// Entries of the list.
     Hosts,
-    /// Changes of the list in a second.
+    /// Changes of the list per second.
     Changes,
     /// Gateways times groups.
     GatewaysGroups,
@@ -44,7 +44,7 @@
 }
 
 impl Column {
-    /// Its value at a size, where `quota_groups` groups at most have shared quotas.
+    /// Its value at a size, with at most `quota_groups` groups that have shared quotas.
     pub fn at(self, size: &FleetSize, quota_groups: f64) -> f64 {
         let groups = size.groups.min(quota_groups);
         match self {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,4 +1,4 @@
-//! A process of hollow gateways: it runs many of them and follows the experiment's commands.
+//! A process that runs many hollow gateways and carries out the experiment's commands.
 
 use super::addresses::datagram_port;
 use super::hollow_gateway::{read_config, HollowGateway, SharedState};
@@ -14,7 +14,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// How long the tasks of a gateway that was stopped may take until they have closed its sockets.
+/// Time for the tasks of a stopped gateway to close its sockets.
 const CLOSING_TIME: Duration = Duration::from_millis(30);
 
 /// Runs the process of this plan until the experiment closes its connection.
@@ -39,7 +39,7 @@
         if experiment.read_line(&mut line).await? == 0 {
             return Ok(());
         }
-        let stats = process.follow(serde_json::from_str(&line)?).await?;
+        let stats = process.carry_out(serde_json::from_str(&line)?).await?;
         let answer = serde_json::to_string(&stats)? + "\n";
         experiment.get_mut().write_all(answer.as_bytes()).await?;
     }
@@ -66,11 +66,12 @@
         Ok(process)
     }
 
-    /// Follows a command; only [`Command::Stats`] is answered with statistics.
-    async fn follow(&mut self, command: Command) -> Result<Stats, LabError> {
+    /// Carries out a command. Only the answer to [`Command::Stats`] has statistics.
+    async fn carry_out(&mut self, command: Command) -> Result<Stats, LabError> {
         match command {
             Command::Stats => return self.stats(),
-            Command::Cut(is_cut) => self.shared.regions_cut.set(is_cut),
+            Command::CutRegions => self.shared.regions_cut.set(true),
+            Command::JoinRegions => self.shared.regions_cut.set(false),
             Command::Stop(stopped) => self.gateways.retain(|number, _| !stopped.contains(number)),
             Command::Start(started) => self.restart_gateways(&started).await?,
             Command::Reload => {
@@ -81,7 +82,7 @@
         Ok(Stats::default())
     }
 
-    /// Starts those of these gateways that belong to the process.
+    /// Restarts those of these gateways that belong to this process.
     async fn restart_gateways(&mut self, started: &BTreeSet<usize>) -> Result<(), LabError> {
         self.gateways.retain(|number, _| !started.contains(number));
         tokio::time::sleep(CLOSING_TIME).await;
@@ -107,7 +108,8 @@
     }
 }
 
-/// The port of the experiment's fleet, as its files state it: it comes from the experiment's own process id.
+/// The datagram port of the fleet, from a configuration file: it derives from the process id of the
+/// experiment.
 fn port_of_fleet(plan: &HollowPlan) -> Result<u16, LabError> {
     let Some(number) = plan.gateways.first() else { return Ok(datagram_port()) };
     let config = read_config(&plan.folder, *number)?;
--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -1,5 +1,5 @@
-//! A hollow gateway: the control part of a gateway, with an address of its own and no clients. It reports demand drawn
-//! from the seed, and learns of primaries as a gateway does that serves.
+//! A hollow gateway: the control plane of a gateway, with an address of its own and no clients. It reports
+//! demand derived from the seed, and learns of primaries like a gateway that serves requests.
 
 use super::addresses::{gateway_address, gateway_number, in_second_region};
 use super::configuration_files::{config_path, operator_path};
@@ -25,17 +25,18 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Requests a second that a usual gateway gets for each group: 4.7 million a second over 1,500 gateways and 480 groups.
+/// Requests per second and group at an ordinary gateway: 4.7 million per second over 1,500 gateways and 480
+/// groups.
 const REQUESTS_PER_GROUP: f64 = 6.5;
-/// One gateway in so many is busier than the others.
+/// One in this many gateways is busy.
 const BUSY_EVERY: usize = 10;
-/// The remainder of the numbers of busy gateways.
+/// Remainder of the numbers of busy gateways.
 const BUSY_REMAINDER: usize = 3;
-/// How many times the others' requests a busy gateway gets.
+/// Requests at a busy gateway, relative to the others.
 const BUSY_FACTOR: f64 = 5.0;
-/// How often a gateway learns of each group's primary (microseconds).
+/// Interval at which a gateway learns of each group's primary (microseconds).
 const PRIMARY_INTERVAL: Time = 1_000_000;
-/// It learns of one of so many parts of them at a time.
+/// Number of parts in which the groups are spread over this interval.
 const PRIMARY_PARTS: u64 = 4;
 
 /// What all gateways of a hollow process share.
@@ -43,13 +44,13 @@
     pub(super) plan: HollowPlan,
     /// The port at which all gateways of the fleet listen for datagrams.
     pub(super) port: u16,
-    /// The regions are cut off from each other.
+    /// Whether the regions are cut off from each other.
     pub(super) regions_cut: Cell<bool>,
     /// Datagrams that the injected fault keeps.
     pub(super) hoard: RefCell<Vec<Vec<u8>>>,
 }
 
-/// The socket of a hollow gateway: datagrams between the regions can be cut.
+/// The socket of a hollow gateway, which can be cut off from the other region.
 struct RegionSocket {
     socket: UdpSocket,
     number: usize,
@@ -62,7 +63,7 @@
         self.shared.regions_cut.get() && is_other_region
     }
 
-    /// The injected fault: a datagram goes to every gateway of the fleet.
+    /// The injected fault `flood`: sends a datagram to every gateway of the fleet.
     fn send_to_all(&self, bytes: &[u8]) {
         for number in 0..self.shared.plan.fleet {
             let _ = DatagramSocket::try_send(&self.socket, bytes, gateway_address(number, self.shared.port));
@@ -107,7 +108,7 @@
     _discovery: watch::Sender<SocketAddr>,
 }
 
-/// The variables that name a gateway's files.
+/// The environment variables of a gateway.
 fn variable(folder: &Path, number: usize, name: &str) -> Option<String> {
     let path = match name {
         "GW_CONFIG" => config_path(folder, number),
@@ -122,7 +123,7 @@
     Config::read(|name| variable(folder, number, name))
 }
 
-/// Requests a second of a gateway for a group: the same for one seed.
+/// Requests per second at a gateway for a group, derived from the seed.
 fn request_rate(plan: &HollowPlan, number: usize, group: GroupId) -> f64 {
     if plan.idle.contains(&number) {
         return 0.0;
@@ -134,14 +135,14 @@
     REQUESTS_PER_GROUP * busy * spread
 }
 
-/// Requests that a gateway has got for each group since it began.
+/// Requests at a gateway for each group since its start.
 fn demand(facade: &Facade, plan: &HollowPlan, number: usize, seconds: f64) -> BTreeMap<GroupId, u64> {
     let requests = |group| (request_rate(plan, number, group) * seconds) as u64;
     facade.read(|table| table.requests_by_group()).into_keys().map(|group| (group, requests(group))).collect()
 }
 
 impl HollowGateway {
-    /// Builds the control part of a gateway and starts its tasks.
+    /// Builds the control plane of a gateway and starts its tasks.
     pub(super) async fn start(shared: &Rc<SharedState>, number: usize) -> Result<HollowGateway, LabError> {
         let mut config = read_config(&shared.plan.folder, number)?;
         let clock = Clock::start();
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Reads the configuration again and follows it.
+    /// Rereads and applies the configuration.
     pub(super) fn reload(&mut self, folder: &Path) -> Result<(), LabError> {
         let new = self.config.reread(|name| variable(folder, self.number, name))?;
         self.config = self.control.reload(self.clock.now(), &self.config, new)?.config;
@@ -202,7 +203,7 @@
     }
 }
 
-/// Lets members answer as primaries now and then, as they do where requests are served.
+/// Reports answers of primaries from time to time, as a gateway that serves requests does.
 async fn learn_primaries(facade: Facade, names: Rc<HostNames>, clock: Clock, number: u64) {
     let mut turn = number;
     loop {
--- a/crates/lab/src/scale/metrics.rs
+++ b/crates/lab/src/scale/metrics.rs
@@ -1,31 +1,31 @@
-//! The metrics of each role: what each depends on, and its budget at the operators' size.
+//! The metrics of each role, what they depend on, and their budgets at the operators' size.
 
 use super::fit::Fit;
 use super::fleet_size::{Column, FleetSize};
-use super::role_costs::Costs;
+use super::role_costs::{Costs, MeasuredFleet};
 use Column::{
     Changes, ChangesHosts, Gateways, GatewaysChanges, GatewaysGroups, GatewaysSquaredGroups, Groups, Hosts,
     One,
 };
 
-/// Budget of bytes a second for control (the operators' terms: 20 KB).
+/// Budget of control traffic (bytes per second).
 const BYTES_BUDGET: f64 = 20_000.0;
-/// Budget of processor time (microseconds a second): 1.2% of a core.
+/// Budget of processor time (microseconds per second).
 const CPU_BUDGET: f64 = 12_000.0;
-/// Budget of memory (kB): 32 MB.
+/// Budget of memory (kB).
 const MEMORY_BUDGET: f64 = 32_000.0;
-/// Seconds that a start may take.
+/// Maximum duration of a start (seconds).
 const START_SECONDS: f64 = 10.0;
-/// A complete list at the budget of bytes a second, within the time of a start.
+/// Budget of a complete list (bytes): what the traffic budget allows during a start.
 const COMPLETE_LIST_BUDGET: f64 = BYTES_BUDGET * START_SECONDS;
 
-/// Roles, as reports name them.
+/// Names of roles in reports.
 const GATEWAY: &str = "gateway";
 const LEASE_HOLDER: &str = "owner of duties";
 const LIST_SERVICE: &str = "list service";
 const SESSION_GATEWAY: &str = "gateway, marks exchanged";
 
-/// Names of metrics that several roles have, as reports state them.
+/// Names in reports of metrics that several roles have.
 const BYTES: &str = "bytes, in and out";
 const DATAGRAMS_IN: &str = "datagrams in";
 const DATAGRAMS_OUT: &str = "datagrams out";
@@ -42,17 +42,17 @@
 pub struct Metric {
     /// The role.
     pub role: &'static str,
-    /// What is measured.
+    /// The measured quantity.
     pub name: &'static str,
     /// Its unit.
     pub unit: &'static str,
     /// What it depends on.
     pub columns: &'static [Column],
-    /// Its value among what was measured.
+    /// Its value in the costs of a fleet.
     pub value: fn(&Costs) -> f64,
-    /// What the operators allow, where they state it.
+    /// The operators' budget, if any.
     pub budget: Option<f64>,
-    /// Differences under this are the machine's, not the fleet's.
+    /// Smaller differences are due to the machine and not to the fleet.
     pub noise_floor: f64,
 }
 
@@ -109,7 +109,7 @@
 ];
 
 impl Metric {
-    /// A metric that is not measured yet and has no budget.
+    /// A metric without a value and a budget.
     const fn new(
         role: &'static str,
         name: &'static str,
@@ -127,19 +127,19 @@
         Metric { budget: Some(budget), ..self }
     }
 
-    /// Its full name: the role and what is measured.
+    /// Its full name: the role and the measured quantity.
     pub fn full_name(&self) -> String {
         format!("{}: {}", self.role, self.name)
     }
 
-    /// Its slopes over what was measured; none where that is too little.
-    pub fn fit(&self, measured: &[(FleetSize, Costs)], quota_groups: f64) -> Option<Fit> {
-        let rows: Vec<Vec<f64>> = measured.iter().map(|(size, _)| self.row(size, quota_groups)).collect();
-        let values: Vec<f64> = measured.iter().map(|(_, costs)| (self.value)(costs)).collect();
+    /// Fits the metric to measurements; `None` if there are too few.
+    pub fn fit(&self, measured: &[MeasuredFleet], quota_groups: f64) -> Option<Fit> {
+        let rows: Vec<Vec<f64>> = measured.iter().map(|fleet| self.row(&fleet.size, quota_groups)).collect();
+        let values: Vec<f64> = measured.iter().map(|fleet| (self.value)(&fleet.costs)).collect();
         Fit::of(&rows, &values)
     }
 
-    /// What these slopes give at a size.
+    /// The fitted value at a size.
     pub fn at(&self, fit: &Fit, size: &FleetSize, quota_groups: f64) -> f64 {
         fit.at(&self.row(size, quota_groups))
     }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,17 +1,17 @@
-//! Experiment `scale`: fleets of hollow gateways, with real ones beside them, at sizes that grow; what each role costs,
-//! what that comes to at the operators' size, and what faults cost the whole fleet.
+//! Experiment `scale`: fleets of hollow and a few real gateways of growing size. Measures the costs of each
+//! role, projects them to the operators' size, and measures the costs of faults of the whole fleet.
 //!
-//! | file | what it holds |
+//! | file | contents |
 //! | --- | --- |
-//! | `addresses.rs` | where gateways listen for datagrams, zones and regions |
+//! | `addresses.rs` | addresses, zones and regions of gateways |
 //! | `list_service.rs` | the emulated list service of a fleet |
 //! | `protocol.rs` | the protocol between the experiment and its hollow processes |
-//! | `hollow.rs`, `hollow_gateway.rs` | a process of hollow gateways, and one of these |
+//! | `hollow.rs`, `hollow_gateway.rs` | a process of hollow gateways, and a hollow gateway |
 //! | `run_parameters.rs`, `fleet_plan.rs` | the sizes and durations of a run, and the plan of a fleet |
 //! | `fleet.rs`, `processes.rs`, `configuration_files.rs` | a running fleet, its processes, and their files |
-//! | `scale_run.rs`, `faults.rs` | the course of a run, and the faults of a whole fleet |
-//! | `role_costs.rs` | what gateways of each role cost |
-//! | `fleet_size.rs`, `metrics.rs`, `fit.rs` | what metrics depend on, their budgets and their slopes |
+//! | `scale_run.rs`, `faults.rs` | a run, and the faults of a whole fleet |
+//! | `role_costs.rs` | costs by role |
+//! | `fleet_size.rs`, `metrics.rs`, `fit.rs` | what metrics depend on, their budgets and their fits |
 //! | `projection.rs`, `assessment.rs` | projections and predictions, checks and figures |
 //! | `capacity.rs` | the tables of `docs/CAPACITY.md` from the committed JSON |
 
@@ -42,8 +42,8 @@
 use run_parameters::{Mode, SHARDED, SINGLE_OWNER};
 use scale_run::ScaleRun;
 
-/// Faults that can be injected and must make the experiment fail: a datagram for one gateway that goes to all; a table
-/// that keeps what it should forget.
+/// Faults that can be injected and must make the experiment fail: a datagram for one gateway is sent to all;
+/// a table that keeps what it should forget.
 pub const INJECTED_FAULTS: [&str; 2] = ["flood", "hoard"];
 /// Version of the figures' JSON.
 pub const FIGURES_VERSION: u64 = 1;
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet, as the experiment controls them.
+//! The experiment's handles of a fleet's processes.
 
 use super::protocol::{Command, GatewayStats, Stats};
 use crate::error::LabError;
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// How often a real gateway's log is read until it holds new counters.
+/// Interval at which a real gateway's log is read until it has new counters.
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How many times it is read: one second in all.
+/// Maximum number of reads: one second altogether.
 const LOG_POLLS: usize = 200;
 
 /// A process of hollow gateways.
@@ -58,7 +58,7 @@
 }
 
 impl RealGateway {
-    /// Its statistics, requested by a signal and read from its log.
+    /// Requests its counters by a signal and reads them from its log.
     pub(super) async fn stats(&self) -> Result<Stats, LabError> {
         let lines_before = counter_lines(&std::fs::read_to_string(&self.log)?);
         if !self.process.signal("USR1")? {
--- a/crates/lab/src/scale/projection.rs
+++ b/crates/lab/src/scale/projection.rs
@@ -1,12 +1,13 @@
-//! What fitted metrics come to at the operators' size, and how predictions compare with what was measured later.
+//! Projections of fitted metrics to the operators' size, and predictions that are compared with later
+//! measurements.
 
 use super::fit::Fit;
 use super::fleet_size::{FleetSize, OPERATORS_SIZE};
 use super::metrics::{Metric, SESSION_METRICS};
-use super::role_costs::Costs;
+use super::role_costs::{Costs, MeasuredFleet};
 use serde::{Deserialize, Serialize};
 
-/// How far a prediction may be off.
+/// Maximum relative error of a prediction.
 const TOLERANCE: f64 = 0.25;
 
 /// A metric at the operators' size, computed from its slopes.
@@ -14,19 +15,19 @@
 pub struct Projection {
     /// The role.
     pub role: String,
-    /// What is measured.
+    /// The measured quantity.
     pub name: String,
     /// Its unit.
     pub unit: String,
-    /// What it depends on, as reports name it.
+    /// What it depends on, by the names in reports.
     pub columns: Vec<String>,
     /// Slopes and their standard errors.
     pub fit: Fit,
-    /// It grows with the square of the fleet.
+    /// Whether it grows with the square of the fleet.
     pub square: bool,
     /// Its value at the operators' size.
     pub value: f64,
-    /// What the operators allow.
+    /// The operators' budget, if any.
     pub budget: Option<f64>,
 }
 
@@ -48,14 +49,14 @@
         }
     }
 
-    /// How many times its budget it is.
+    /// The ratio to its budget.
     pub fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.value / budget)
     }
 }
 
-/// Projects all metrics for which enough was measured.
-pub fn project(metrics: &[Metric], measured: &[(FleetSize, Costs)], quota_groups: f64) -> Vec<Projection> {
+/// Projects all metrics for which there are enough measurements.
+pub fn project(metrics: &[Metric], measured: &[MeasuredFleet], quota_groups: f64) -> Vec<Projection> {
     let project_one = |metric: &Metric| {
         let fit = metric.fit(measured, quota_groups)?;
         Some(Projection::new(metric, fit, quota_groups))
@@ -63,30 +64,31 @@
     metrics.iter().filter_map(project_one).collect()
 }
 
-/// The metric that is furthest over its budget, of what a fleet of the operators' size can switch on.
+/// The metric that exceeds its budget most, among the features that a fleet of the operators' size can
+/// enable.
 pub fn furthest_over_budget(projections: &[Projection]) -> Option<&Projection> {
-    let switched_on = projections.iter().filter(|one| one.role != SESSION_METRICS[0].role);
-    let over = switched_on.filter(|one| one.ratio().is_some_and(|ratio| ratio > 1.0));
-    over.max_by(|a, b| f64::total_cmp(&a.ratio().unwrap_or(0.0), &b.ratio().unwrap_or(0.0)))
+    let enabled = projections.iter().filter(|projection| projection.role != SESSION_METRICS[0].role);
+    let over_budget = enabled.filter(|projection| projection.ratio().is_some_and(|ratio| ratio > 1.0));
+    over_budget.max_by(|a, b| f64::total_cmp(&a.ratio().unwrap_or(0.0), &b.ratio().unwrap_or(0.0)))
 }
 
-/// A size that was predicted before it was measured.
+/// The prediction of a metric at a size, and the later measurement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Prediction {
-    /// The role and what is measured.
+    /// The role and the measured quantity.
     pub figure: String,
     /// The size.
     pub size: FleetSize,
-    /// The value computed from the smaller sizes.
+    /// The value predicted from smaller sizes.
     pub predicted: f64,
-    /// The value measured after that.
+    /// The measured value.
     pub measured: f64,
-    /// Within a quarter, or the difference is under the metric's noise floor.
+    /// Whether the difference is within the tolerance or below the metric's noise floor.
     pub holds: bool,
 }
 
 impl Prediction {
-    /// Compares what was predicted of a size with what was measured there.
+    /// Compares a predicted value with the costs measured at that size.
     pub fn compare(metric: &Metric, predicted: f64, size: FleetSize, costs: &Costs) -> Prediction {
         let measured = (metric.value)(costs);
         let difference = (predicted - measured).abs();
--- a/crates/lab/src/scale/protocol.rs
+++ b/crates/lab/src/scale/protocol.rs
@@ -1,4 +1,5 @@
-//! The protocol between the experiment and its hollow processes: one JSON object a line, over TCP on loopback.
+//! The protocol between the experiment and its hollow processes: one JSON object per line, over TCP on
+//! loopback.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -38,11 +39,13 @@
 pub enum Command {
     /// Report all statistics.
     Stats,
-    /// Cut the regions off from each other, or join them again.
-    Cut(bool),
+    /// Cut the regions off from each other.
+    CutRegions,
+    /// Join the regions again.
+    JoinRegions,
     /// Stop these gateways.
     Stop(BTreeSet<usize>),
-    /// Start these gateways anew.
+    /// Start or restart these gateways.
     Start(BTreeSet<usize>),
     /// Let all gateways read their configuration again.
     Reload,
--- a/crates/lab/src/scale/role_costs.rs
+++ b/crates/lab/src/scale/role_costs.rs
@@ -1,10 +1,11 @@
-//! What gateways of each role cost.
+//! The costs of a fleet, by the roles of its gateways.
 
+use super::fleet_size::FleetSize;
 use super::protocol::GatewayStats;
 use std::iter::Sum;
 use std::ops::{Add, Mul};
 
-/// What one gateway costs in a second.
+/// The cost of one gateway: rates per second, memory and entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     /// Datagrams received.
@@ -26,12 +27,12 @@
 }
 
 impl Cost {
-    /// All bytes for control, in and out.
+    /// All bytes of control traffic, in and out.
     pub fn control_bytes(&self) -> f64 {
         self.bytes_in + self.bytes_out + self.list_bytes
     }
 
-    /// The mean of several costs; zero for none.
+    /// The mean of several costs; zero if there are none.
     pub(super) fn mean(costs: &[Cost]) -> Cost {
         costs.iter().copied().sum::<Cost>() * (1.0 / costs.len().max(1) as f64)
     }
@@ -63,7 +64,7 @@
 impl Mul<f64> for Cost {
     type Output = Cost;
 
-    /// So many times this cost; entries and memory, which are there once, included.
+    /// Multiplies all values, including memory and entries.
     fn mul(self, factor: f64) -> Cost {
         Cost {
             datagrams_in: self.datagrams_in * factor,
@@ -78,27 +79,36 @@
     }
 }
 
-/// What a fleet cost between two snapshots.
+/// A fleet and its costs.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MeasuredFleet {
+    /// The size of the fleet.
+    pub size: FleetSize,
+    /// Its costs.
+    pub costs: Costs,
+}
+
+/// The costs of a fleet between two snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
-    /// A gateway that is no acceptor: the mean.
+    /// Mean of the gateways that are no acceptors.
     pub gateway: Cost,
-    /// A lease holder: all that acceptors cost, over those that share the work.
+    /// The cost of all acceptors, divided by the number of lease holders among them.
     pub lease_holder: Cost,
-    /// A real gateway: the mean.
+    /// Mean of the real gateways.
     pub real: Cost,
-    /// A hollow gateway without demand: the mean.
+    /// Mean of the hollow gateways without demand.
     pub idle: Cost,
-    /// Bytes that the list service sent in a second.
+    /// Bytes per second sent by the list service.
     pub service_bytes: f64,
-    /// Bytes of a complete list.
+    /// Length of a complete list (bytes).
     pub complete_list_bytes: f64,
-    /// Changes of the list in a second.
+    /// Changes of the list per second.
     pub changes: f64,
 }
 
 impl Costs {
-    /// The same with the lesser processor time of the two, role by role.
+    /// The same costs, with the lower processor time of both for each role.
     pub fn with_least_cpu(self, other: Costs) -> Costs {
         let least = |one: Cost, other: Cost| Cost { cpu_us: one.cpu_us.min(other.cpu_us), ..one };
         Costs {
@@ -111,17 +121,17 @@
     }
 }
 
-/// What the process of some gateways used between two snapshots, for each of its gateways.
+/// The resources that a process used between two snapshots, for each of its gateways.
 pub(super) struct ProcessUse {
-    /// Time between the snapshots.
+    /// Time between the snapshots (seconds).
     pub(super) seconds: f64,
-    /// Processor time in a second (microseconds).
+    /// Processor time (microseconds per second).
     pub(super) cpu_us: f64,
     /// Resident memory (kB).
     pub(super) rss_kb: f64,
 }
 
-/// What one gateway cost in a second between two snapshots. One that was started anew counts from 0 again.
+/// The cost of one gateway between two snapshots. The counters of a restarted gateway start from 0 again.
 pub(super) fn cost(before: &GatewayStats, after: &GatewayStats, process: &ProcessUse) -> Cost {
     let rate = |after: u64, before: u64| after.saturating_sub(before) as f64 / process.seconds;
     Cost {
--- a/crates/lab/src/scale/run_parameters.rs
+++ b/crates/lab/src/scale/run_parameters.rs
@@ -1,4 +1,4 @@
-//! The parameters of a scale run: how leadership roles are spread, its durations, and the sizes that it plays.
+//! The parameters of a scale run: the spread of leadership roles, its durations, and the sizes of its fleets.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 pub struct Mode {
     /// The experiment's name.
     pub name: &'static str,
-    /// How many acceptors there are.
+    /// Number of acceptors.
     pub acceptors: usize,
-    /// More of the record `ownership` of the operator's file.
+    /// Further settings in the record `ownership` of the operator's file.
     pub record: &'static str,
-    /// How many of the acceptors share the lease holders' work.
+    /// Number of acceptors that share the lease holders' work.
     pub lease_holders: usize,
-    /// How many leases there are.
+    /// Number of leases.
     pub leases: u64,
-    /// How many groups have shared quotas at most.
+    /// Maximum number of groups with shared quotas.
     pub quota_groups: f64,
 }
 
@@ -28,7 +28,7 @@
     quota_groups: 256.0,
 };
 
-/// Each role in nine shards over nine acceptors, as many as the operators set machines aside.
+/// Each role in nine shards over nine acceptors.
 pub const SHARDED: Mode = Mode {
     name: "scale",
     acceptors: 9,
@@ -45,7 +45,8 @@
     pub(super) lease_ms: u64,
     /// From the first lease holders to the first snapshot.
     pub(super) warm_up: Duration,
-    /// From the first to the last snapshot: some times the 1.05 s after which a lease holder repeats its notifications.
+    /// From the first to the last snapshot: several times the interval at which a lease holder repeats its
+    /// notifications.
     pub(super) window: Duration,
 }
 
@@ -64,18 +65,18 @@
     }
 }
 
-/// A fleet's size as it is planned.
+/// The planned size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedSize {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
     /// Entries of the endpoint list.
     pub hosts: usize,
-    /// Changes of the endpoint list.
+    /// Changes of the endpoint list per minute.
     pub changes_per_minute: f64,
 }
 
-/// The sizes of a run. The last of each axis is the largest.
+/// The sizes of a run, in ascending order on each axis.
 pub(super) struct Axes {
     pub(super) base: PlannedSize,
     gateways: [usize; 4],
@@ -87,7 +88,7 @@
     session_hosts: usize,
 }
 
-/// Changes of the list in the fleets that exchange watermarks, a minute.
+/// Changes of the list per minute in the fleets that exchange watermarks.
 const SESSION_CHANGES_PER_MINUTE: f64 = 60.0;
 
 const FULL_AXES: Axes = Axes {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The sizes from which the largest ones are predicted, each once.
+    /// The distinct sizes from which the largest ones are predicted.
     pub(super) fn small_sizes(&self) -> Vec<PlannedSize> {
         let base = self.base;
         let gateways = self.gateways[..3].iter().map(|gateways| PlannedSize { gateways: *gateways, ..base });
--- a/crates/lab/src/scale/scale_run.rs
+++ b/crates/lab/src/scale/scale_run.rs
@@ -1,4 +1,5 @@
-//! The run of a scale experiment: it plays fleets of growing size, predicts the largest ones, and injects faults.
+//! A run of a scale experiment: measures fleets of growing size, predicts the costs of the largest ones, and
+//! injects faults.
 
 use super::assessment::{CostPair, Measurements, StateGrowth};
 use super::faults;
@@ -8,7 +9,7 @@
 use super::metrics::{Metric, LEADERSHIP_METRICS, SESSION_METRICS};
 use super::projection::{project, Prediction};
 use super::protocol::InjectedFault;
-use super::role_costs::Costs;
+use super::role_costs::{Costs, MeasuredFleet};
 use super::run_parameters::{Axes, Mode, PlannedSize, RunDurations};
 use crate::error::LabError;
 use crate::measure::available_kb;
@@ -17,17 +18,21 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// Parts of a window, each measured by itself for its processor time.
+/// Parts of a measuring window, whose processor times are compared.
 const WINDOW_PARTS: u32 = 4;
-/// How long it may take until every leadership role has a lease holder that all know.
+/// Maximum time until all gateways know a lease holder of every leadership role.
 const LEASES_LIMIT: Duration = Duration::from_secs(20);
-/// Fleets that exchange watermarks are observed for this part of the window: watermarks go out at a steady pace.
-const SESSION_WINDOW_PART: u32 = 2;
-
-/// A size and what it cost.
-type Measured = (FleetSize, Costs);
+/// Fleets that exchange watermarks are observed for 1 / `SESSION_WINDOW_DIVISOR` of the window: watermarks
+/// are sent at a steady rate.
+const SESSION_WINDOW_DIVISOR: u32 = 2;
+
+/// A metric with its predicted value.
+struct PredictedMetric {
+    metric: &'static Metric,
+    value: f64,
+}
 
-/// A run under way.
+/// A run of the experiment.
 pub(super) struct ScaleRun<'a> {
     mode: &'a Mode,
     options: &'a Options,
@@ -58,7 +63,7 @@
         }
     }
 
-    /// Plays everything and checks it.
+    /// Runs and checks everything.
     pub(super) async fn play(mut self) -> Result<Verdict, LabError> {
         let began_at = Instant::now();
         let mut verdict = Verdict::new(self.mode.name, self.options.seed);
@@ -87,40 +92,40 @@
         Ok(verdict)
     }
 
-    /// Plays the fleets with leadership roles; the largest ones are predicted from those before.
+    /// Measures the fleets with leadership roles. The largest ones are first predicted from the others.
     async fn play_leadership(
         &mut self,
         axes: &Axes,
         predictions: &mut Vec<Prediction>,
-    ) -> Result<Vec<Measured>, LabError> {
+    ) -> Result<Vec<MeasuredFleet>, LabError> {
         let mut measured = Vec::new();
         for size in axes.small_sizes() {
             measured.push(self.play_fleet(size, FleetTraffic::Leadership).await?);
         }
         for size in axes.largest_sizes() {
             let predicted = self.predict(&LEADERSHIP_METRICS, &measured, size);
-            let (size, costs) = self.play_fleet(size, FleetTraffic::Leadership).await?;
-            predictions.extend(compare(predicted, size, &costs));
-            measured.push((size, costs));
+            let fleet = self.play_fleet(size, FleetTraffic::Leadership).await?;
+            predictions.extend(compare(&predicted, &fleet));
+            measured.push(fleet);
         }
         Ok(measured)
     }
 
-    /// Plays the fleets that exchange watermarks; the last one is predicted from those before.
+    /// Measures the fleets that exchange watermarks. The last one is first predicted from the others.
     async fn play_sessions(
         &mut self,
         axes: &Axes,
         predictions: &mut Vec<Prediction>,
-    ) -> Result<Vec<Measured>, LabError> {
+    ) -> Result<Vec<MeasuredFleet>, LabError> {
         let mut measured = Vec::new();
         let sizes = axes.session_sizes();
         for (index, size) in sizes.into_iter().enumerate() {
             let predicted = self.predict(&SESSION_METRICS, &measured, size);
-            let (size, costs) = self.play_fleet(size, FleetTraffic::Sessions).await?;
+            let fleet = self.play_fleet(size, FleetTraffic::Sessions).await?;
             if index + 1 == sizes.len() {
-                predictions.extend(compare(predicted, size, &costs));
+                predictions.extend(compare(&predicted, &fleet));
             }
-            measured.push((size, costs));
+            measured.push(fleet);
         }
         Ok(measured)
     }
@@ -143,7 +148,7 @@
             ownership: format!("electors: {acceptors}\nlease: {lease_ms}ms\ndelay: 40ms\n{record}"),
             acceptors: match traffic {
                 FleetTraffic::Leadership => FleetPlan::spread(*acceptors, size.gateways),
-                // Nobody grants leases where only watermarks are exchanged.
+                // No leases are granted where only watermarks are exchanged.
                 FleetTraffic::Sessions => Vec::new(),
             },
             lease_holders: *lease_holders,
@@ -157,7 +162,9 @@
         let mut fleet = Fleet::start(self.plan(size, traffic)).await?;
         self.processes = self.processes.max(fleet.hollow.len() + REAL_GATEWAYS);
         let leases = if traffic == FleetTraffic::Leadership { self.mode.leases } else { 0 };
-        fleet.wait_until(LEASES_LIMIT, "all owners", |gateway| gateway.known_lease_holders >= leases).await?;
+        fleet
+            .wait_until(LEASES_LIMIT, "all lease holders", |gateway| gateway.known_lease_holders >= leases)
+            .await?;
         if size.changes_per_minute > 0.0 {
             let changes = fleet.list.clone().keep_changing(size.changes_per_minute, self.options.seed);
             tokio::task::spawn_local(changes);
@@ -165,18 +172,23 @@
         Ok(fleet)
     }
 
-    /// Plays one fleet: what each role costs there.
-    async fn play_fleet(&mut self, size: PlannedSize, traffic: FleetTraffic) -> Result<Measured, LabError> {
+    /// Measures the costs of each role in one fleet.
+    async fn play_fleet(
+        &mut self,
+        size: PlannedSize,
+        traffic: FleetTraffic,
+    ) -> Result<MeasuredFleet, LabError> {
         let mut fleet = self.start_fleet(size, traffic).await?;
         tokio::time::sleep(self.durations.warm_up).await;
-        let window_part = if traffic == FleetTraffic::Sessions { SESSION_WINDOW_PART } else { 1 };
+        let divisor = if traffic == FleetTraffic::Sessions { SESSION_WINDOW_DIVISOR } else { 1 };
         let mut snapshots = vec![fleet.snapshot().await?];
         for _ in 0..WINDOW_PARTS {
-            tokio::time::sleep(self.durations.window / window_part / WINDOW_PARTS).await;
+            tokio::time::sleep(self.durations.window / divisor / WINDOW_PARTS).await;
             snapshots.push(fleet.snapshot().await?);
         }
         let (first, last) = (&snapshots[0], &snapshots[WINDOW_PARTS as usize]);
-        // Whatever else the machine does only adds to processor time: the least of some parts is the fleet's own.
+        // Other work of the machine only adds processor time, so the lowest of the parts is closest to the
+        // fleet's own.
         let parts = snapshots.windows(2).map(|pair| fleet.costs(&pair[0], &pair[1]));
         let costs = parts.fold(fleet.costs(first, last), Costs::with_least_cpu);
         let first_entries = fleet.costs(first, first).gateway.entries;
@@ -188,7 +200,7 @@
             "{traffic:?} {size:?}: lease holder {:.0} B/s, gateway {:.0} us/s",
             costs.lease_holder.bytes_out, costs.gateway.cpu_us
         );
-        Ok((size, costs))
+        Ok(MeasuredFleet { size, costs })
     }
 
     fn record_available_memory(&mut self) -> Result<(), LabError> {
@@ -196,18 +208,18 @@
         Ok(())
     }
 
-    /// What metrics will be at a size, by what was measured before.
-    fn predict<'m>(
+    /// Predicts metrics at a size from the measurements so far.
+    fn predict(
         &self,
-        metrics: &'m [Metric],
-        measured: &[Measured],
+        metrics: &'static [Metric],
+        measured: &[MeasuredFleet],
         size: PlannedSize,
-    ) -> Vec<(&'m Metric, f64)> {
+    ) -> Vec<PredictedMetric> {
         let size = fleet_size(&self.plan(size, FleetTraffic::Leadership));
         let quota_groups = self.mode.quota_groups;
-        let predict_one = |metric: &'m Metric| {
+        let predict_one = |metric: &'static Metric| {
             let fit = metric.fit(measured, quota_groups)?;
-            Some((metric, metric.at(&fit, &size, quota_groups)))
+            Some(PredictedMetric { metric, value: metric.at(&fit, &size, quota_groups) })
         };
         metrics.iter().filter_map(predict_one).collect()
     }
@@ -222,8 +234,10 @@
     }
 }
 
-/// Compares what was predicted of each metric with what was measured.
-fn compare(predicted: Vec<(&Metric, f64)>, size: FleetSize, costs: &Costs) -> Vec<Prediction> {
-    let compare_one = |(metric, value): (&Metric, f64)| Prediction::compare(metric, value, size, costs);
-    predicted.into_iter().map(compare_one).collect()
+/// Compares the predicted metrics with the measured fleet.
+fn compare(predicted: &[PredictedMetric], fleet: &MeasuredFleet) -> Vec<Prediction> {
+    let compare_one = |PredictedMetric { metric, value }: &PredictedMetric| {
+        Prediction::compare(metric, *value, fleet.size, &fleet.costs)
+    };
+    predicted.iter().map(compare_one).collect()
 }
