--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -100,7 +100,7 @@
                 Ok(allowance) => allowance,
                 Err(end) => return end,
             };
-            // Checked before the bytes in context of the close are read: reading yields, and another task could send the query
+            // Checked before the bytes in front of the close are read: reading yields, and another task could send the query
             // to a host meanwhile.
             if is_closed_by_client(&self.stream).await {
                 return End::ClientLeft;
