--- a/tests/changes_during_connect.rs
+++ b/tests/changes_during_connect.rs
@@ -8,7 +8,7 @@
 
 // The attempt was written as soon as its connection was up, however long the host had been known to drain.
 #[test]
-fn a_host_whose_drain_is_announced_while_a_connection_comes_up_gets_nothing_on_it() {
+fn no_query_is_sent_to_a_host_whose_drain_is_announced_during_connect() {
     for change in ["draining", "removed", "another address", "another run"] {
         let harness = Harness::new(gateway_program!());
         let (slow, next) = (harness.slow_host(0, vec![]), harness.host(vec![Reply::Row(b"next")]));
@@ -42,7 +42,7 @@
 
 // Its window was looked at when the repeat was decided on, and not when it was written.
 #[test]
-fn a_payment_is_not_repeated_behind_the_window_of_its_key_by_a_connection_that_came_up_late() {
+fn a_keyed_write_is_not_retried_after_its_key_window_over_a_late_connection() {
     let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(1, vec![Reply::Close]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(|config| {
@@ -63,7 +63,7 @@
 
 // Within the window it is.
 #[test]
-fn a_payment_is_repeated_within_the_window_of_its_key() {
+fn a_keyed_write_is_retried_within_its_key_window() {
     let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(1, vec![Reply::Close, Reply::Row(b"v")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -52,7 +52,7 @@
 // Where the settings forbid to call work off, the attempt went on when its client had left, and was written as soon as its
 // connection was up.
 #[test]
-fn a_request_whose_client_leaves_while_its_connection_comes_up_is_not_sent() {
+fn a_request_whose_client_disconnects_during_connect_is_not_sent() {
     std::thread::scope(|scope| {
         for how in WAYS {
             for cancel in [false, true] {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_query_behind_another_is_not_sent_when_their_client_leaves() {
+fn a_pipelined_query_is_not_sent_after_its_client_has_disconnected() {
     for how in WAYS {
         let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"third")]);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_a_host_is_forgotten_with_its_client() {
+fn a_request_waiting_for_a_host_is_dropped_when_its_client_disconnects() {
     for how in WAYS {
         let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::Row(b"second")]);
@@ -143,7 +143,7 @@
 
 // A client that has sent more than is held is cut off, and is read no further but for its leaving.
 #[test]
-fn a_client_that_sends_much_at_once_and_goes_leaves_nothing_behind() {
+fn a_client_that_disconnects_after_a_large_batch_leaves_no_request_behind() {
     for how in [Leave::Fin, Leave::Reset] {
         let harness = Harness::new(gateway_program!());
         let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_request_that_its_client_cancels_is_not_sent_and_no_other_key_cancels_it() {
+fn a_cancelled_request_is_not_sent_and_only_its_own_key_cancels_it() {
     let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
@@ -226,7 +226,7 @@
 
 // The wait for the cancel began anew behind each other event, and a cancel in the turn of one was lost.
 #[test]
-fn a_cancel_in_the_turn_in_which_an_attempt_breaks_leaves_no_retry() {
+fn a_cancel_in_the_same_turn_as_a_failed_attempt_leaves_no_retry() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -248,7 +248,7 @@
 
 // The end of a client's bytes was seen only behind all bytes before it, and a query of theirs went out meanwhile.
 #[test]
-fn a_query_with_much_unread_behind_it_is_not_sent_when_its_client_has_left() {
+fn a_query_before_much_unread_input_is_not_sent_after_its_client_has_disconnected() {
     for how in [Leave::Fin, Leave::Reset] {
         let harness = Harness::new(gateway_program!());
         let script = std::iter::repeat_with(|| Reply::Row(b"any")).take(WARM_QUERIES + 2);
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_retry_that_is_due_with_a_reload_is_not_made_when_its_client_has_left() {
+fn a_retry_due_with_a_reload_is_not_sent_after_its_client_has_disconnected() {
     for how in WAYS {
         let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -71,7 +71,7 @@
 
 // What its clients wait was held against the new deadline as soon as that was there.
 #[test]
-fn clients_that_do_not_know_of_a_shorter_deadline_yet_are_served() {
+fn clients_with_the_previous_longer_deadline_are_still_served() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -53,7 +53,7 @@
 // The gateway closed as soon as it had written. A query that then came reset the connection, and the part of the answer
 // that the client had not yet taken was lost with it.
 #[test]
-fn an_answer_that_is_taken_slowly_outlives_the_stop_and_a_query_behind_it() {
+fn an_answer_that_is_read_slowly_is_completed_through_a_shutdown_and_a_query_behind_it() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::WaitForGo(&VALUE)]);
@@ -78,7 +78,7 @@
 
 // It was closed at once, and what the client had not yet taken of its answer was lost when it wrote once more.
 #[test]
-fn an_answer_that_is_taken_slowly_outlives_the_closing_for_age_and_a_query_behind_it() {
+fn an_answer_that_is_read_slowly_is_completed_when_its_connection_is_closed_for_age() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(&VALUE)]);
--- a/tests/deadline_propagation.rs
+++ b/tests/deadline_propagation.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_connection_that_came_up_late_has_its_time_taken_off() {
+fn the_stated_time_excludes_a_slow_connect() {
     let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(0, vec![Reply::Row(b"a")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_retry_has_the_time_of_the_attempt_before_it_taken_off() {
+fn the_stated_time_of_a_retry_excludes_the_attempt_before_it() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::CloseOnGo, Reply::Row(b"a")]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_query_behind_another_has_the_time_of_the_other_taken_off() {
+fn the_stated_time_of_a_pipelined_query_excludes_the_one_before_it() {
     let (host, gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"a"), Reply::Row(b"b")]);
     let mut client = gateway.client();
@@ -72,7 +72,7 @@
 
 // Nothing was read while an answer was being written, so that a query which came meanwhile was taken for a new one.
 #[test]
-fn a_query_that_comes_while_an_answer_is_written_has_the_time_up_to_its_end_taken_off() {
+fn the_stated_time_excludes_the_rest_of_an_answer_that_is_being_written() {
     let harness = Harness::new(gateway_program!());
     let value: &'static [u8] = vec![7; 4 << 20].leak();
     let host = harness.host(vec![Reply::Row(value), Reply::Row(b"b")]);
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_request_that_finds_no_descriptor_for_its_connection_is_sent_when_one_is_free() {
+fn a_request_without_a_descriptor_for_its_connection_is_sent_when_one_is_free() {
     let harness = Harness::new(gateway_program!()).sockets(THREE);
     let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn more_idle_clients_than_descriptors_make_room_for_the_one_that_asks() {
+fn idle_clients_beyond_the_descriptors_are_closed_for_one_that_sends_a_request() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let gateway = harness.sockets(50).list(&[(&host, "up", "primary")]).start();
--- a/tests/discovery_outage.rs
+++ b/tests/discovery_outage.rs
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn a_drain_while_discovery_refuses_is_heeded_once_it_is_back() {
+fn a_drain_announced_during_a_discovery_outage_is_applied_afterwards() {
     let refused = Refused::new(1024);
     std::thread::sleep(AWAY);
     refused.back();
 }
 
 #[test]
-fn idle_clients_that_hold_all_descriptors_do_not_keep_discovery_out() {
+fn idle_clients_that_hold_all_descriptors_do_not_block_discovery() {
     let refused = Refused::new(60);
     let idle: Vec<Client> = (0..80).map(|_| refused.gateway.raw_client()).collect();
     let until = Instant::now() + AWAY;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_gateway_with_a_complete_list_is_ready_in_time_while_discovery_is_slow_or_refuses() {
+fn a_gateway_with_an_initial_list_is_ready_in_time_while_discovery_is_slow_or_refuses() {
     const HOSTS: usize = 120;
     for refuses in [false, true] {
         let harness = Harness::new(gateway_program!());
--- a/tests/faults_in_operation.rs
+++ b/tests/faults_in_operation.rs
@@ -40,7 +40,7 @@
 
 // Any client that had been served once was left 6 s.
 #[test]
-fn a_served_client_that_stops_in_the_middle_of_a_query_gets_its_error_in_time() {
+fn a_client_that_stalls_within_a_query_gets_its_error_in_time() {
     let (_host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"v")]);
     let mut client = gateway.client();
     let text = identified(&select("a", "view", 5_000), "1");
@@ -56,7 +56,7 @@
 // A machine between the gateway and the host has forgotten the connection: nothing comes back, no reset either. A request
 // alone on it shows that only by its time; it must not be left without an answer, nor the next one go the same way.
 #[test]
-fn an_idle_connection_that_was_forgotten_silently_leaves_no_request_without_an_answer() {
+fn a_silently_dropped_idle_connection_leaves_no_request_unanswered() {
     std::thread::scope(|scope| {
         for (text, code) in [(select("a", "view", 1_000), "53300"), (insert("a", 1_000), "40003")] {
             scope.spawn(move || {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_request_behind_the_reset_of_an_idle_connection_goes_out_on_a_new_one() {
+fn a_request_after_the_reset_of_an_idle_connection_uses_a_new_one() {
     for text in [select("a", "view", 20_000), insert("a", 20_000)] {
         let harness = Harness::new(gateway_program!());
         let host = harness.host(vec![Reply::ResetOnGo(b"one"), Reply::Row(b"two")]);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn requests_with_little_time_that_their_host_drops_are_answered_at_once() {
+fn requests_near_their_deadline_are_answered_at_once_when_their_host_drops_them() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host((0..9).map(|_| Reply::Nothing).collect());
     let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_request_behind_one_with_little_time_that_its_host_dropped_is_served() {
+fn a_request_is_served_after_its_host_dropped_one_near_its_deadline() {
     // However busy the machine is, the second of these times is enough to reach the host.
     for (wait_ms, arrives) in [(60, false), (2_000, true)] {
         let harness = Harness::new(gateway_program!());
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn every_request_has_its_answer_before_the_kill_though_hosts_hang_through_the_whole_shutdown() {
+fn every_request_is_answered_before_the_kill_while_hosts_hang() {
     let harness = Harness::new(gateway_program!());
     let (silent, mute) =
         (harness.host((0..9).map(|_| Reply::Nothing).collect()), harness.slow_host(0, vec![]));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn reloads_in_quick_succession_lose_no_request_and_the_last_one_holds() {
+fn reloads_in_quick_succession_lose_no_request_and_the_last_one_is_in_force() {
     const RELOADS: usize = 25;
     let harness = Harness::new(gateway_program!());
     let host = harness.host((0..=RELOADS).map(|_| Reply::Row(b"v")).collect());
@@ -191,7 +191,7 @@
 
 // The new process starts from an old list that names the host as up; discovery has the drain.
 #[test]
-fn a_restart_during_a_drain_sends_nothing_new_to_the_host_that_drains_and_answers_what_is_out() {
+fn a_restart_during_a_drain_sends_nothing_new_to_the_draining_host_and_answers_requests_in_flight() {
     let mut harness = Harness::new(gateway_program!()).shared();
     let hosts = [
         harness.host(vec![Reply::WaitForGo(b"late")]),
--- a/tests/invalid_settings.rs
+++ b/tests/invalid_settings.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_load_report_that_makes_no_sense_is_dropped_and_counted_and_its_answer_is_given() {
+fn an_implausible_load_report_is_dropped_and_counted_and_its_answer_is_delivered() {
     let ahead = format!("x0={:.3},x1=1", unix_s() + 60.0);
     let sound = format!("x0={:.3},x1=1", unix_s() - 1.0);
     let reports = ["x0=-5,x1=1", "x0=NaN", "x0=inf", "x0", "q=-1", &ahead, &sound, "inflight=7,util=0.61"];
--- a/tests/operator_commands.rs
+++ b/tests/operator_commands.rs
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_row_of_four_mib_passes_through_a_slow_client_and_the_connection_is_used_again() {
+fn a_row_of_four_mib_reaches_a_slow_client_and_its_host_connection_is_reused() {
     let harness = Harness::new(gateway_program!());
     let complete: &'static [u8] = long_row(4 << 20).leak();
     let after: &'static [u8] =
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_host_that_stops_in_the_middle_of_a_long_row_ends_the_client_and_nothing_is_retried() {
+fn a_host_that_disconnects_within_a_streamed_row_ends_the_client_connection_without_a_retry() {
     let harness = Harness::new(gateway_program!());
     let begun: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
     let host = harness.host(vec![Reply::Cut(begun), Reply::Row(b"other")]);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_row_longer_than_any_value_makes_no_sense() {
+fn a_row_longer_than_any_value_is_malformed() {
     let harness = Harness::new(gateway_program!());
     let begun: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
     let host = harness.host(vec![Reply::Bytes(begun), Reply::Row(b"other")]);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_short_answer_in_pieces_is_put_together() {
+fn an_answer_received_in_pieces_is_assembled() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Pieces(b"in pieces", 20, 40)]);
     assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
     assert_eq!(host.queries(), 1);
