--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -76,26 +76,26 @@
     },
     Experiment {
         name: "ownership",
-        summary: "seven gateways, one leader: killed, stalled, cut off; one lease holder, rising terms, a successor in time",
+        summary:
+            "seven gateways, a leader killed, stalled, cut off; one holder, rising terms, takeover in time",
         injected_faults: &ownership::INJECTED_FAULTS,
         run: ownership::run,
     },
     Experiment {
         name: "scale",
-        summary: "fleets of hollow gateways, roles in shards over nine acceptors: what each role costs at the operators' size",
+        summary: "fleets of hollow gateways, roles in shards: what each role costs at the operators' size",
         injected_faults: &scale::INJECTED_FAULTS,
         run: scale::run_sharded,
     },
     Experiment {
         name: "scale-single-owner",
-        summary: "fleets of hollow gateways, one holder of all leases: what each role costs at the operators' size",
+        summary: "fleets of hollow gateways, one lease holder: what each role costs at the operators' size",
         injected_faults: &scale::INJECTED_FAULTS,
         run: scale::run_single_owner,
     },
     Experiment {
         name: "sessions",
-        summary:
-            "no stale read across gateways, lag, restarts and a failover; its cost against baselines",
+        summary: "no stale read across gateways, lag, restarts and a failover; its cost against baselines",
         injected_faults: &sessions::INJECTED_FAULTS,
         run: sessions::run,
     },
--- a/crates/lab/src/sessions/comparison.rs
+++ b/crates/lab/src/sessions/comparison.rs
@@ -1,4 +1,4 @@
-//! What the variants showed: the checks of the experiment and its figures.
+//! The results of all variants: the checks of the experiment and its figures.
 
 use super::run_state::InvalidTokenCounts;
 use super::schedule::Phase;
@@ -8,26 +8,33 @@
 use crate::report::Verdict;
 use serde_json::{json, Map, Value};
 
-/// Share of an oracle's reads at replicas that a variant must reach in the calm phase.
-const LEAST_REPLICA_SHARES: [(&str, f64); 2] = [("tokens", 0.8), ("peers", 0.6)];
-/// How much smaller than with all reads at the primary the served share may be in the wave of restarts.
+/// A variant's minimum ratio of reads at replicas to those that an oracle would send there, in the calm
+/// phase.
+struct MinReplicaRatio {
+    variant: &'static str,
+    ratio: f64,
+}
+
+const MIN_REPLICA_RATIOS: [MinReplicaRatio; 2] =
+    [MinReplicaRatio { variant: "tokens", ratio: 0.8 }, MinReplicaRatio { variant: "peers", ratio: 0.6 }];
+/// Maximum difference to the served share with all reads at the primary, in the wave of restarts.
 const SERVED_SHARE_TOLERANCE: f64 = 0.02;
 
-/// The sum of a counter over all gateways.
+/// A counter, summed over all gateways.
 pub(super) struct SessionCounter {
     /// Its key in the report.
     pub(super) key: &'static str,
     pub(super) value: u64,
 }
 
-/// What one variant showed.
+/// The result of one variant.
 pub(super) struct VariantResult {
     pub(super) variant: &'static Variant,
     pub(super) findings: Findings,
     pub(super) phases: Vec<PhaseStatistics>,
     pub(super) invalid_tokens: InvalidTokenCounts,
     pub(super) counters: Vec<SessionCounter>,
-    /// Datagrams between gateways.
+    /// Number of datagrams between gateways.
     pub(super) datagrams: u64,
     /// Bytes of these datagrams.
     pub(super) datagram_bytes: u64,
@@ -56,7 +63,7 @@
     }
 }
 
-/// Checks what all variants showed.
+/// Checks the results of all variants.
 pub(super) fn judge(seed: u64, results: &[VariantResult]) -> Verdict {
     let mut verdict = Verdict::new("sessions", seed);
     for result in results {
@@ -64,9 +71,9 @@
     }
     let named = |name: &str| results.iter().find(|result| result.variant.name == name);
     if let Some(primary) = named("primary") {
-        for (name, least_share) in LEAST_REPLICA_SHARES {
-            if let Some(result) = named(name) {
-                check_service(&mut verdict, result, primary, least_share);
+        for MinReplicaRatio { variant, ratio } in &MIN_REPLICA_RATIOS {
+            if let Some(result) = named(variant) {
+                check_service(&mut verdict, result, primary, *ratio);
             }
         }
     }
@@ -78,26 +85,27 @@
     verdict
 }
 
-/// Guarded variants show nothing stale; the baselines are seen to be wrong, or the experiment could not tell.
+/// Guarded variants must show nothing stale, and unguarded ones something: otherwise the experiment proves
+/// nothing.
 fn check_consistency(verdict: &mut Verdict, result: &VariantResult) {
     let (variant, violations) = (result.variant, result.findings.violations());
     let name = variant.name;
     if variant.is_guarded {
         verdict.check(format!("{name}: nothing stale and nothing backwards"), violations == 0);
         let InvalidTokenCounts { answered, rejected } = result.invalid_tokens;
-        verdict.check(format!("{name}: unusable tokens are told so"), answered == rejected);
+        verdict.check(format!("{name}: invalid tokens are rejected"), answered == rejected);
     } else if !variant.primary_reads {
-        verdict.check(format!("{name}: the baseline is seen to be wrong"), violations > 0);
+        verdict.check(format!("{name}: the baseline shows stale reads"), violations > 0);
     }
 }
 
-/// A guarded variant uses replicas, and serves as much as one that sends all reads to the primary.
-fn check_service(verdict: &mut Verdict, result: &VariantResult, primary: &VariantResult, least_share: f64) {
+/// A guarded variant must use replicas, and serve as much as the variant that sends all reads to the primary.
+fn check_service(verdict: &mut Verdict, result: &VariantResult, primary: &VariantResult, min_ratio: f64) {
     let name = result.variant.name;
     let calm = result.phase(Phase::Calm);
-    let share = calm.replica_share() / calm.oracle_share().max(1e-9);
-    let text = format!("{name}: in calm {least_share} of the oracle's replica share");
-    verdict.check(text, share >= least_share);
+    let ratio = calm.replica_share() / calm.oracle_share().max(1e-9);
+    let text = format!("{name}: in calm {min_ratio} of the oracle's replica share");
+    verdict.check(text, ratio >= min_ratio);
     let served = result.phase(Phase::RestartWave).served_share();
     let served_by_primary = primary.phase(Phase::RestartWave).served_share();
     let text = format!("{name}: in the restart wave no worse than all to the primary");
--- a/crates/lab/src/sessions/gateway_connections.rs
+++ b/crates/lab/src/sessions/gateway_connections.rs
@@ -1,4 +1,4 @@
-//! A client's connections to the gateways of a cluster, kept open between requests.
+//! A client's idle connections to the gateways of a cluster.
 
 use crate::client::{ask, Answer};
 use petrelgauge_test_support::Connection;
@@ -13,26 +13,26 @@
 }
 
 impl GatewayConnections {
-    /// Sends a query over an idle connection to this gateway, or over a new one. While the gateway is down, the next
-    /// gateway that accepts connections gets the query.
+    /// Sends a query over an idle connection to this gateway, or over a new one. If the gateway is down, the
+    /// query goes to the next gateway that accepts connections.
     pub(super) async fn query(
         &mut self,
         addresses: &[SocketAddr],
         gateway: usize,
         text: &str,
-        time_limit: Duration,
+        timeout: Duration,
     ) -> Answer {
         if let Some(mut connection) = self.idle.remove(&gateway) {
-            let answer = ask(&mut connection, text, time_limit).await;
+            let answer = ask(&mut connection, text, timeout).await;
             if answer != Answer::NoAnswer {
                 self.idle.insert(gateway, connection);
                 return answer;
             }
-            // The connection was closed before the request was read: one more attempt over a new one.
+            // The connection was closed before the request was read; a new one gets another attempt.
         }
         for candidate in (gateway..addresses.len()).chain(0..gateway) {
             let Ok(mut connection) = Connection::open(addresses[candidate]).await else { continue };
-            let answer = ask(&mut connection, text, time_limit).await;
+            let answer = ask(&mut connection, text, timeout).await;
             if answer != Answer::NoAnswer {
                 self.idle.insert(candidate, connection);
             }
--- a/crates/lab/src/sessions/invalid_token_client.rs
+++ b/crates/lab/src/sessions/invalid_token_client.rs
@@ -1,8 +1,8 @@
-//! A client that sends unusable tokens, which must be rejected, and old tokens of its own, which must not make it see
-//! less.
+//! A client that sends invalid tokens, which must be rejected, and expired tokens of its own, which must not
+//! lead to stale reads.
 
 use super::run_state::{InvalidTokenCounts, RunState, GATEWAYS, ROWS};
-use super::session_client::{SessionClient, READ_TIME_LIMIT};
+use super::session_client::{SessionClient, READ_TIMEOUT};
 use super::variants::TOKEN_SECRET;
 use crate::client::{Answer, SQLSTATE_INVALID_TOKEN};
 use crate::statements::{group_of_row, select_row};
@@ -10,9 +10,9 @@
 use petrelgauge_sessions::{SessionKey, Token};
 use std::rc::Rc;
 
-/// Writes during which a token grows too old.
-const WRITES_UNTIL_TOO_OLD: usize = 11;
-/// Pause before each of these writes (microseconds): with eleven of them longer than the two seconds of a token's life.
+/// Number of writes during which a token expires.
+const WRITES_UNTIL_EXPIRED: usize = 11;
+/// Pause before each of these writes (microseconds): all together longer than a token's age of two seconds.
 const PAUSE_BETWEEN_WRITES: Time = 200_000;
 /// A group that does not exist.
 const UNKNOWN_GROUP: u64 = 5;
@@ -29,8 +29,8 @@
         for invalid in invalid_tokens(&token) {
             send_invalid_token(&state, &mut client, (turn + 1) % GATEWAYS, row, &invalid).await;
         }
-        // Only other answers tell of these writes.
-        for _ in 0..WRITES_UNTIL_TOO_OLD {
+        // The old token does not cover these writes.
+        for _ in 0..WRITES_UNTIL_EXPIRED {
             state.sleep(PAUSE_BETWEEN_WRITES).await;
             client.tokens.clear();
             client.write((turn + 2) % GATEWAYS, row).await;
@@ -41,7 +41,7 @@
     }
 }
 
-/// An altered token, one of another session and one of another group.
+/// A corrupted token, one of another session and one of another group.
 fn invalid_tokens(token: &str) -> [String; 3] {
     let valid = Token::decode(token, TOKEN_SECRET);
     let valid = valid.unwrap_or_else(|cause| unreachable!("a token of its own: {cause}"));
@@ -65,7 +65,7 @@
     let comment =
         format!("id={number}y{request},c=history,d=1200,cluster={group},session=s{number},mark={token}");
     let text = select_row(row, &comment);
-    let answer = client.connections.query(&state.cluster.addresses, gateway, &text, READ_TIME_LIMIT).await;
+    let answer = client.connections.query(&state.cluster.addresses, gateway, &text, READ_TIMEOUT).await;
     let is_rejected = matches!(&answer, Answer::Error { code, .. } if code == SQLSTATE_INVALID_TOKEN);
     let InvalidTokenCounts { answered, rejected } = state.invalid_tokens.get();
     state.invalid_tokens.set(InvalidTokenCounts {
--- a/crates/lab/src/sessions/mod.rs
+++ b/crates/lab/src/sessions/mod.rs
@@ -1,12 +1,13 @@
-//! Experiment `sessions`: real gateways, replicas that lag on command, and a ledger that counts every stale read.
+//! Experiment `sessions`: real gateways, replicas with a controlled lag, and a ledger that counts stale
+//! reads.
 //!
-//! | file | what it holds |
+//! | file | contents |
 //! | --- | --- |
-//! | `variants.rs` | the ways to keep sessions that are compared |
-//! | `schedule.rs` | the phases and their faults |
-//! | `run_state.rs` | what the clients of a run share |
-//! | `session_client.rs`, `gateway_connections.rs` | a session's requests, and its connections |
-//! | `invalid_token_client.rs` | requests with unusable and old tokens |
+//! | `variants.rs` | the configurations that are compared |
+//! | `schedule.rs` | phases and their faults |
+//! | `run_state.rs` | the state that clients of a run share |
+//! | `session_client.rs`, `gateway_connections.rs` | requests and connections of a session |
+//! | `invalid_token_client.rs` | requests with invalid and expired tokens |
 //! | `comparison.rs` | checks and figures |
 
 mod comparison;
@@ -32,30 +33,31 @@
 use std::rc::Rc;
 use variants::{Variant, EARLIER_BUILD, VARIANTS};
 
-/// Faults that can be injected and must make the experiment fail: replicas that report a position ahead of their data;
-/// tokens whose watermarks were erased; gateways' clocks that differ by more than the operator's file says.
+/// Faults that can be injected and must make the experiment fail: replicas that report a position ahead of
+/// their data; tokens whose watermarks were erased; gateways' clocks that differ by more than the operator's
+/// file says.
 pub const INJECTED_FAULTS: [&str; 3] = ["boast", "unverified", "skew"];
 
-/// Sessions at a time.
+/// Number of concurrent sessions.
 const SESSIONS: u32 = 100;
-/// Number of the session that sends unusable tokens.
+/// Number of the session that sends invalid tokens.
 const INVALID_TOKEN_SESSION: u32 = SESSIONS + 7;
-/// Members of each replicated group.
+/// Number of members of each group.
 const MEMBERS: usize = 5;
-/// Share of datagrams between gateways that is lost.
+/// Share of datagrams between gateways that are lost.
 const DATAGRAM_LOSS: f64 = 0.3;
 /// Share of writes whose answer is lost after they were executed.
 const LOST_ANSWER_SHARE: f64 = 0.02;
-/// By how much clocks differ where they do (milliseconds).
+/// Maximum difference of clocks, in runs where they differ (milliseconds).
 const CLOCK_DIFFERENCE_MS: u64 = 50;
-/// How far gateways are behind the hosts with the fault `skew` (milliseconds).
+/// How far gateways' clocks lag the hosts' with the fault `skew` (milliseconds).
 const SKEW_MS: u64 = 500;
 /// How far ahead of their data replicas report with the fault `boast` (microseconds).
 const POSITION_OVERSTATEMENT: Time = 400_000;
 
 /// A counter that gateways log.
 struct CounterName {
-    /// Its key in the report; earlier builds, as a baseline may be, log it under this name.
+    /// Its key in the report, and its name in the log of earlier builds, which a baseline may be.
     key: &'static str,
     /// Its name in the log.
     logged: &'static str,
@@ -93,7 +95,7 @@
     Ok(judge(options.seed, &results))
 }
 
-/// Plays all phases with one variant.
+/// Runs all phases with one variant.
 async fn play(
     variant: &'static Variant,
     options: &Options,
@@ -134,9 +136,9 @@
 }
 
 fn cluster_plan(variant: &Variant, options: &Options, program: PathBuf) -> ClusterPlan {
-    // Every other seed is played with clocks that differ, the hosts' in the middle.
+    // For even seeds clocks differ, with the hosts' clock in the middle.
     let difference_ms = if options.seed.is_multiple_of(2) { CLOCK_DIFFERENCE_MS } else { 0 };
-    // The fault: gateways are behind the hosts, and the operator's file does not say so.
+    // The injected fault: gateways' clocks lag the hosts', and the operator's file does not state it.
     let has_skew = options.injected_fault.as_deref() == Some("skew");
     let (stated_error_ms, hosts_ahead_ms) =
         if has_skew { (0, SKEW_MS) } else { (difference_ms, difference_ms / 2) };
--- a/crates/lab/src/sessions/run_state.rs
+++ b/crates/lab/src/sessions/run_state.rs
@@ -1,4 +1,4 @@
-//! What the clients of one variant's run share.
+//! The state that all clients of one variant's run share.
 
 use crate::ledger::Ledger;
 use crate::phase_statistics::PhaseStatistics;
@@ -8,17 +8,17 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Gateways of the cluster.
+/// Number of gateways.
 pub(super) const GATEWAYS: usize = 5;
-/// Rows that clients read and write.
+/// Number of rows.
 pub(super) const ROWS: u64 = 60;
 
-/// How gateways answered requests with unusable tokens.
+/// How gateways answered requests with invalid tokens.
 #[derive(Default, Clone, Copy)]
 pub(super) struct InvalidTokenCounts {
     /// Answered at all.
     pub(super) answered: u64,
-    /// Answered with the error for an unusable token.
+    /// Answered with the error for an invalid token.
     pub(super) rejected: u64,
 }
 
@@ -27,11 +27,11 @@
     pub(super) cluster: Rc<TestCluster>,
     pub(super) ledger: RefCell<Ledger>,
     pub(super) phases: RefCell<Vec<PhaseStatistics>>,
-    /// Index of the phase that is under way.
+    /// Index of the current phase.
     pub(super) current_phase: Cell<usize>,
     pub(super) requests: Cell<u64>,
     pub(super) uses_tokens: bool,
-    /// Clients erase the watermarks of their tokens: an injected fault.
+    /// Whether clients erase the watermarks of their tokens: an injected fault.
     pub(super) erases_watermarks: bool,
     /// When clients stop (microseconds).
     pub(super) end: Time,
@@ -56,7 +56,7 @@
         self.requests.set(self.requests.get() + 1);
     }
 
-    /// Lets a function change the statistics of the phase that is under way.
+    /// Updates the statistics of the current phase.
     pub(super) fn with_phase(&self, change: impl FnOnce(&mut PhaseStatistics)) {
         change(&mut self.phases.borrow_mut()[self.current_phase.get()]);
     }
--- a/crates/lab/src/sessions/schedule.rs
+++ b/crates/lab/src/sessions/schedule.rs
@@ -7,29 +7,29 @@
 
 /// Names of the phases in the report.
 const PHASE_NAMES: [&str; 4] = ["calm", "lag", "wave", "takeover"];
-/// How many times more slowly replicas apply the log in the phase of lag.
+/// Factor by which replicas apply the log more slowly in the phase of lag.
 const LAG_SLOWDOWN: f64 = 18.0;
 /// Age of the copy that a replaced replica starts from (microseconds).
 const REPLACEMENT_COPY_AGE: Time = 5_000_000;
-/// The member that is replaced, and the group that it belongs to.
+/// The member that is replaced.
 const REPLACED_MEMBER: usize = 3;
 /// The group whose member is replaced, and whose primary hangs.
 const FAULTY_GROUP: usize = 0;
-/// A restarted gateway is down for this part of the phase.
-const DOWNTIME_PART: Time = 16;
-/// How long a deposed primary answers as a primary after it has woken (microseconds).
+/// A restarted gateway is down for 1 / `DOWNTIME_DIVISOR` of the phase.
+const DOWNTIME_DIVISOR: Time = 16;
+/// How long a deposed primary still answers as a primary after it has resumed (microseconds).
 const DEPOSED_TIME: Time = 400_000;
 
 /// A phase of the run, as an index of its statistics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No fault but a replaced replica.
+    /// The only fault is a replaced replica.
     Calm,
     /// All replicas apply the log slowly.
     Lag,
     /// Gateways restart one after the other while replicas catch up.
     RestartWave,
-    /// A primary hangs, is replaced, and wakes still taking itself for the primary.
+    /// A primary hangs, is replaced, and resumes without knowing that it was deposed.
     Failover,
 }
 
@@ -42,7 +42,6 @@
     failover: Time,
 }
 
-/// As in the users' record: 22 s of slow replay, and a wave of restarts within 8.9 s.
 const FULL_DURATIONS: PhaseDurations =
     PhaseDurations { calm: 4_000_000, lag: 22_000_000, restart_wave: 8_900_000, failover: 8_000_000 };
 const SHORT_DURATIONS: PhaseDurations =
@@ -78,7 +77,7 @@
         PhaseTracker { state, primary_reads: state.cluster.emulated_hosts.primary_reads.get() }
     }
 
-    /// Closes the statistics of the phase that is under way.
+    /// Completes the statistics of the current phase.
     fn finish(&mut self) {
         let primary_reads = self.state.cluster.emulated_hosts.primary_reads.get();
         let executed = primary_reads - std::mem::replace(&mut self.primary_reads, primary_reads);
@@ -133,7 +132,7 @@
 async fn play_restart_wave(state: &RunState, start: Time, duration: Time) -> Result<(), LabError> {
     let clock = state.clock();
     for number in 0..GATEWAYS - 1 {
-        state.cluster.restart(number, duration / DOWNTIME_PART).await?;
+        state.cluster.restart(number, duration / DOWNTIME_DIVISOR).await?;
         clock.sleep_until(start + (number as Time + 1) * duration / GATEWAYS as Time).await;
     }
     clock.sleep_until(start + duration).await;
--- a/crates/lab/src/sessions/session_client.rs
+++ b/crates/lab/src/sessions/session_client.rs
@@ -1,4 +1,4 @@
-//! One session of a client: it writes and reads through any gateway, sometimes with two reads at a time.
+//! One session of a client: writes and reads through all gateways, sometimes two reads at a time.
 
 use super::gateway_connections::GatewayConnections;
 use super::run_state::{RunState, GATEWAYS, ROWS};
@@ -19,30 +19,30 @@
 
 /// Mean pause between two requests (seconds).
 const MEAN_PAUSE_SECONDS: f64 = 0.04;
-/// Longest pause between two requests (seconds).
+/// Maximum pause between two requests (seconds).
 const MAX_PAUSE_SECONDS: f64 = 1.0;
-/// Rows of one session; neighbouring sessions share some of them.
+/// Number of rows of one session. Neighbouring sessions share some of them.
 const ROWS_OF_SESSION: u64 = 3;
 /// Share of the writes after which the session reads the row at another gateway.
 const READ_AFTER_WRITE_SHARE: f64 = 0.6;
 /// Pause between a write and that read (microseconds).
 const READ_AFTER_WRITE_PAUSE: Time = 2_000;
-/// Tokens that a request carries at most.
+/// Maximum number of tokens in a request.
 const MAX_TOKENS: usize = 5;
 /// Index of the class whose reads have a staleness bound.
 const BOUNDED_CLASS: usize = 0;
-/// Classes of reads, before the class of writes.
+/// Number of read classes, which precede the class of writes.
 const READ_CLASSES: usize = 2;
-/// The class of writes.
+/// Index of the class of writes.
 const WRITE_CLASS: usize = 2;
-/// Deadline that a read states (milliseconds).
+/// Deadline of a read (milliseconds).
 const READ_DEADLINE_MS: u64 = 1_200;
 /// How long the client waits for a read's answer.
-pub(super) const READ_TIME_LIMIT: Duration = Duration::from_millis(1_400);
-/// Deadline that a write states (milliseconds).
+pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(1_400);
+/// Deadline of a write (milliseconds).
 const WRITE_DEADLINE_MS: u64 = 3_000;
 /// How long the client waits for a write's answer.
-const WRITE_TIME_LIMIT: Duration = Duration::from_millis(3_200);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(3_200);
 
 /// One session.
 pub(super) struct SessionClient {
@@ -52,21 +52,21 @@
     pub(super) connections: GatewayConnections,
     /// Tokens of the newest answers.
     pub(super) tokens: Vec<String>,
-    /// Groups whose answers gave it a token.
+    /// Groups from which the session has received a token.
     groups_with_token: BTreeSet<u64>,
     requests: u64,
 }
 
-/// A read under way.
+/// A read in flight.
 struct PendingRead {
     row: u64,
     class: usize,
     began_at: Time,
-    /// Tokens that the request carries.
+    /// Tokens in the request.
     tokens: Vec<String>,
-    /// What the answer must show.
+    /// The versions that the answer must reach.
     expected: ExpectedVersions,
-    /// Whether some replica could serve it.
+    /// Whether any replica could serve it.
     replica_suffices: bool,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Three of ten times a write, once two reads at a time, and otherwise one read.
+    /// Sends a write (30%), two concurrent reads (10%) or one read.
     async fn send_next(&mut self) {
         let row = (u64::from(self.number) + self.rng.random_range(0..ROWS_OF_SESSION)) % ROWS;
         let gateway = self.rng.random_range(0..GATEWAYS);
@@ -133,17 +133,17 @@
         comment
     }
 
-    /// The tokens that a request for this row carries.
+    /// The tokens for a request about this row.
     fn tokens_for(&self, row: u64) -> Vec<String> {
         let group = group_of_row(row);
-        let of_group = self.tokens.iter().filter(|token| group_of_token(token) == Some(group));
-        of_group.take(MAX_TOKENS).cloned().collect()
+        let group_tokens = self.tokens.iter().filter(|token| group_of_token(token) == Some(group));
+        group_tokens.take(MAX_TOKENS).cloned().collect()
     }
 
-    /// The token of an answer replaces those that its request carried.
-    fn replace_tokens(&mut self, carried: &[String], token: Option<String>) {
+    /// Replaces the tokens sent with a request by the token of its answer.
+    fn replace_tokens(&mut self, sent: &[String], token: Option<String>) {
         if let Some(token) = token.filter(|_| self.state.uses_tokens) {
-            self.tokens.retain(|known| !carried.contains(known));
+            self.tokens.retain(|known| !sent.contains(known));
             self.groups_with_token.extend(group_of_token(&token));
             self.tokens.push(if self.state.erases_watermarks { without_watermark(&token) } else { token });
         }
@@ -151,17 +151,17 @@
 
     /// Writes a row through a gateway.
     pub(super) async fn write(&mut self, gateway: usize, row: u64) {
-        let carried = self.tokens_for(row);
-        let comment = self.comment(WRITE_CLASS, row, WRITE_DEADLINE_MS, &carried);
+        let sent_tokens = self.tokens_for(row);
+        let comment = self.comment(WRITE_CLASS, row, WRITE_DEADLINE_MS, &sent_tokens);
         let (number, request) = (self.number, self.requests);
         let text = insert_row(row, &format!("{comment},k={number}k{request}"));
         let addresses = &self.state.cluster.addresses;
-        match self.connections.query(addresses, gateway, &text, WRITE_TIME_LIMIT).await {
+        match self.connections.query(addresses, gateway, &text, WRITE_TIMEOUT).await {
             Answer::Row { version, token } => {
                 self.state.ledger.borrow_mut().record_write(self.number, row, version);
-                self.replace_tokens(&carried, token);
+                self.replace_tokens(&sent_tokens, token);
             }
-            Answer::Error { token, .. } => self.replace_tokens(&carried, token),
+            Answer::Error { token, .. } => self.replace_tokens(&sent_tokens, token),
             Answer::NoAnswer => {}
         }
     }
@@ -171,7 +171,7 @@
         let read = self.begin_read(row);
         let text = self.read_text(&read);
         let addresses = &self.state.cluster.addresses;
-        let answer = self.connections.query(addresses, gateway, &text, READ_TIME_LIMIT).await;
+        let answer = self.connections.query(addresses, gateway, &text, READ_TIMEOUT).await;
         let latency = self.state.clock().now() - read.began_at;
         self.finish_read(&read, answer, latency);
     }
@@ -182,8 +182,8 @@
         let texts = [self.read_text(&read), self.read_text(&read)];
         let addresses = &self.state.cluster.addresses;
         let mut other_connections = GatewayConnections::default();
-        let first = self.connections.query(addresses, gateways[0], &texts[0], READ_TIME_LIMIT);
-        let second = other_connections.query(addresses, gateways[1], &texts[1], READ_TIME_LIMIT);
+        let first = self.connections.query(addresses, gateways[0], &texts[0], READ_TIMEOUT);
+        let second = other_connections.query(addresses, gateways[1], &texts[1], READ_TIMEOUT);
         let (first, second) = tokio::join!(first, second);
         let latency = self.state.clock().now() - read.began_at;
         self.finish_read(&read, first, latency);
@@ -199,7 +199,7 @@
         PendingRead { row, class, began_at, tokens, expected, replica_suffices }
     }
 
-    /// Whether some replica holds what a read must show.
+    /// Whether any replica has the versions that a read must return.
     fn replica_suffices(&self, row: u64, class: usize, expected: ExpectedVersions, now: Time) -> bool {
         let index = (group_of_row(row) - FIRST_GROUP) as usize;
         let mut group = self.state.cluster.emulated_hosts.groups[index].borrow_mut();
@@ -249,7 +249,7 @@
     Token::decode(token, TOKEN_SECRET).ok().map(|token| token.key.group)
 }
 
-/// The injected fault `unverified`: a token whose watermark was erased and which is valid nevertheless.
+/// The injected fault `unverified`: erases a token's watermark and renews its checksum.
 fn without_watermark(token: &str) -> String {
     let erased = |token| Token { watermark: Watermark::NONE, ..token }.encode(TOKEN_SECRET);
     Token::decode(token, TOKEN_SECRET).map_or(String::new(), erased)
--- a/crates/lab/src/sessions/variants.rs
+++ b/crates/lab/src/sessions/variants.rs
@@ -1,20 +1,21 @@
-//! The ways to keep sessions consistent that the experiment compares.
+//! The configurations of session consistency that the experiment compares.
 
 /// Secret of the session tokens.
 pub(super) const TOKEN_SECRET: u64 = 0x5e55;
-/// How long a gateway may hold back a read until a replica is far enough, beside the clocks' error (milliseconds).
+/// Maximum time that a gateway waits for a replica to reach a read's minimum position, without the clock
+/// error (milliseconds).
 const BASE_HOLD_MS: u64 = 30;
 
-/// One way to keep sessions, played against the same faults as the others.
+/// A configuration, exposed to the same faults as all others.
 pub(super) struct Variant {
     pub(super) name: &'static str,
-    /// What its operator's file says of sessions, beside what all say; empty for no such record.
+    /// Its own settings in the record `sessions` of the operator's file; empty for no such record.
     session_settings: &'static str,
-    /// All reads go to the primary.
+    /// Whether all reads go to the primary.
     pub(super) primary_reads: bool,
-    /// Clients carry tokens.
+    /// Whether clients carry tokens.
     pub(super) uses_tokens: bool,
-    /// It promises that no read is stale.
+    /// Whether it guarantees that no read is stale.
     pub(super) is_guarded: bool,
 }
 
@@ -56,7 +57,7 @@
     },
 ];
 
-/// An earlier build of the gateway, which may not know of sessions.
+/// An earlier build of the gateway, which may not support sessions.
 pub(super) const EARLIER_BUILD: Variant = Variant {
     name: "earlier build",
     session_settings: "",
@@ -66,12 +67,12 @@
 };
 
 impl Variant {
-    /// The operator's file, which states that clocks differ by this much at most.
+    /// The operator's file, with this clock error.
     pub(super) fn operator_file(&self, clock_error_ms: u64) -> String {
         if self.session_settings.is_empty() {
             return String::new();
         }
-        // A minimum position lies ahead by what clocks may differ; a replica passes it that much later.
+        // Minimum positions include the clock error, and a replica reaches them that much later.
         let hold_ms = BASE_HOLD_MS + 2 * clock_error_ms;
         let settings = self.session_settings;
         format!(
