--- a/tests/faulty_fleet/classes.rs
+++ b/tests/faulty_fleet/classes.rs
@@ -7,11 +7,15 @@
 
 /// A class of requests.
 pub struct Class {
+    /// Its name.
     pub name: &'static str,
-    /// Mean time that a warm host works on one.
+    /// Mean execution time at a warm host.
     pub work: Duration,
+    /// The latency objective.
     pub latency_target: Duration,
+    /// How long clients wait at most.
     pub deadline: Duration,
+    /// It is a write with an idempotency key.
     pub is_write: bool,
     read_level: &'static str,
     staleness_bound: Duration,
@@ -21,14 +25,18 @@
     Duration::from_millis(count)
 }
 
+/// Index of the long statements.
 pub const LONG: usize = 2;
+/// Index of the writes.
 pub const WRITE: usize = 3;
-/// Span after a write's first attempt in which its key is remembered.
+/// How long hosts remember the idempotency key of a write.
 pub const KEY_WINDOW: Duration = ms(3_000);
+/// The longest deadline of all classes.
 pub const LONGEST_DEADLINE: Duration = ms(3_000);
-/// What is not a long statement: bounded reads, reads of any age, writes (shares).
+/// The classes that are no long statements, and their shares.
 const MIX: [(usize, f64); 3] = [(0, 0.46), (1, 0.24), (WRITE, 0.30)];
 
+/// Bounded reads, reads of any age, long statements, writes.
 pub const CLASSES: [Class; 4] = [
     Class {
         name: "view",
@@ -68,8 +76,8 @@
     },
 ];
 
-/// Draws the class of a request.
-pub fn draw(plan: &Plan, rng: &mut Pcg64Mcg) -> usize {
+/// Samples the class of a request.
+pub fn sample_class(plan: &Plan, rng: &mut Pcg64Mcg) -> usize {
     let mut sample = uniform(rng);
     if sample < plan.long_share {
         return LONG;
@@ -84,18 +92,18 @@
     WRITE
 }
 
-/// Mean work of a request.
+/// Mean execution time of a request at a warm host.
 pub fn mean_work(plan: &Plan) -> Duration {
     let short = MIX.iter().map(|(class, share)| CLASSES[*class].work.mul_f64(*share)).sum::<Duration>();
     short.mul_f64(1.0 - plan.long_share) + CLASSES[LONG].work.mul_f64(plan.long_share)
 }
 
-/// The class of this name.
-pub fn by_name(name: &str) -> Option<usize> {
+/// The index of the class of this name.
+pub fn class_index(name: &str) -> Option<usize> {
     CLASSES.iter().position(|class| class.name == name)
 }
 
-/// The settings of a gateway in this fleet.
+/// The deployment's settings, as JSON.
 pub fn settings(plan: &Plan) -> String {
     let classes = CLASSES.iter().map(|class| ClassSettings {
         name: class.name,
--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -1,5 +1,5 @@
-//! The clients of one gateway: requests at random times over connections that they keep for as long as these are open, and
-//! a ledger of what became of each request.
+//! The clients of one gateway: requests at random times over connections that are kept while they are open, and a ledger of
+//! how each request ended.
 
 use super::classes::{self, CLASSES};
 use super::gateways::FleetGateway;
@@ -13,57 +13,68 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A final answer that comes later than this past the request's time is lost.
+/// A final answer that is later than the deadline by more than this counts as lost.
 pub const LATEST_ANSWER: Duration = Duration::from_millis(500);
-/// A reset follows the end of a connection by this at the most: a gateway that closes its side first keeps the socket for a
+/// A reset follows the end of a connection within this time: a gateway that closes its side first keeps the socket for a
 /// second.
 const RESET_WITHIN: Duration = Duration::from_millis(1_500);
-/// A connection that is not up by then was not taken.
+/// A connection that is not established within this time was not accepted.
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
-/// Share of the clients that leave before they have their answer.
-const LEAVING_SHARE: f64 = 0.01;
+/// Share of requests whose client disconnects before the answer.
+const DISCONNECTING_SHARE: f64 = 0.01;
 /// Longest pause between two requests of a gateway's clients.
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fate {
+    /// With its row.
     Served,
-    /// With this code.
-    Refused(String),
+    /// Rejected with this SQLSTATE: it has not run.
+    Rejected(String),
+    /// Failed with another SQLSTATE.
     Failed(String),
-    /// No connection took it.
-    NotTaken,
-    /// Its client left.
-    Left,
-    /// It was taken and has no final answer.
+    /// No connection read it.
+    NotAccepted,
+    /// Its client disconnected.
+    Disconnected,
+    /// It was read and has no valid final answer.
     Lost(&'static str),
 }
 
+/// A request and its end.
 #[derive(Clone, Debug)]
 pub struct Record {
+    /// Its id.
     pub id: String,
+    /// The gateway that it was sent to.
     pub gateway: usize,
+    /// Its class.
     pub class: usize,
-    /// When its last byte was written.
+    /// When its query was written.
     pub sent: Time,
-    /// When its fate was sealed.
+    /// When it ended.
     pub ended: Time,
+    /// How long its client waited at most.
     pub deadline: Duration,
+    /// Its idempotency key.
     pub key: Option<String>,
+    /// How it ended.
     pub fate: Fate,
 }
 
+/// The requests of all clients.
 #[derive(Default)]
 pub struct Ledger {
+    /// Those that have ended.
     pub records: RefCell<Vec<Record>>,
-    next: Cell<u64>,
+    last_number: Cell<u64>,
 }
 
 impl Ledger {
-    fn next(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+    fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 }
 
@@ -74,15 +85,15 @@
     gateway: Rc<FleetGateway>,
     ledger: Rc<Ledger>,
     load: Rc<Cell<f64>>,
-    /// Connections at rest.
+    /// Idle connections.
     idle: Rc<RefCell<Vec<Connection>>>,
 }
 
-/// What the sending of a request led to.
+/// The result of sending a request.
 enum Reply {
     Fate(Fate),
-    /// The connection ended before it took the request: it may be sent once more.
-    Untaken,
+    /// The connection ended before the request was read: it may be sent once more.
+    Unread,
 }
 
 impl Clients {
@@ -96,7 +107,7 @@
         Clients { plan, clock, gateway, ledger, load, idle: Rc::default() }
     }
 
-    /// Asks for as long as there is load.
+    /// Sends requests for as long as there is load.
     pub async fn run(self) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed << 20 | self.gateway.number as u64);
         let clients = Rc::new(self);
@@ -104,23 +115,23 @@
         loop {
             let rate = clients.load.get() * capacity / clients.plan.gateways as f64;
             let pause = -uniform(&mut rng).max(1e-9).ln() / rate.max(1e-3);
-            // The load may change during a long pause; without memory, the rest of it can be drawn anew.
+            // The load may change during a long pause. Exponential pauses have no memory: the rest of one can be sampled anew.
             if pause > LONGEST_PAUSE.as_secs_f64() {
                 clients.clock.sleep(LONGEST_PAUSE).await;
                 continue;
             }
             clients.clock.sleep(Duration::from_secs_f64(pause)).await;
             if rate > 0.0 {
-                let class = classes::draw(&clients.plan, &mut rng);
-                let leaves = uniform(&mut rng) < LEAVING_SHARE;
-                let patience = CLASSES[class].deadline.mul_f64(0.4 + 0.6 * uniform(&mut rng));
-                tokio::task::spawn_local(clients.clone().ask(class, patience, leaves));
+                let class = classes::sample_class(&clients.plan, &mut rng);
+                let disconnects = uniform(&mut rng) < DISCONNECTING_SHARE;
+                let deadline = CLASSES[class].deadline.mul_f64(0.4 + 0.6 * uniform(&mut rng));
+                tokio::task::spawn_local(clients.clone().ask(class, deadline, disconnects));
             }
         }
     }
 
-    async fn ask(self: Rc<Self>, class: usize, deadline: Duration, leaves: bool) {
-        let number = self.ledger.next();
+    async fn ask(self: Rc<Self>, class: usize, deadline: Duration, disconnects: bool) {
+        let number = self.ledger.next_number();
         let id = format!("{number:016x}");
         let (kind, wait) = (&CLASSES[class], deadline.as_millis());
         let key = kind.is_write.then(|| format!("{number:08x}"));
@@ -135,17 +146,17 @@
             ),
         };
         let mut sent = self.clock.now();
-        let mut fate = Fate::NotTaken;
-        // A request that crosses the end of a connection at rest is sent once more, on a new one.
+        let mut fate = Fate::NotAccepted;
+        // A request that crosses the end of an idle connection is sent once more over a new one.
         for is_new in [false, true] {
             let Some(connection) = self.connection(is_new).await else { break };
             sent = self.clock.now();
-            match self.send(connection, &text, &id, deadline, leaves).await {
-                Reply::Fate(sealed) => {
-                    fate = sealed;
+            match self.send(connection, &text, &id, deadline, disconnects).await {
+                Reply::Fate(ended) => {
+                    fate = ended;
                     break;
                 }
-                Reply::Untaken => {}
+                Reply::Unread => {}
             }
         }
         let (gateway, ended) = (self.gateway.number, self.clock.now());
@@ -153,7 +164,7 @@
         self.ledger.records.borrow_mut().push(record);
     }
 
-    /// A connection at rest, or a new one.
+    /// An idle connection if there is one and no new one is wanted; otherwise a new one.
     async fn connection(&self, is_new: bool) -> Option<Connection> {
         if let Some(connection) = self.idle.borrow_mut().pop().filter(|_| !is_new) {
             return Some(connection);
@@ -170,25 +181,25 @@
         text: &str,
         id: &str,
         deadline: Duration,
-        leaves: bool,
+        disconnects: bool,
     ) -> Reply {
         if connection.send(text).await.is_err() {
-            return Reply::Untaken;
+            return Reply::Unread;
         }
-        if leaves {
+        if disconnects {
             self.clock.sleep(deadline / 8).await;
-            return Reply::Fate(Fate::Left);
+            return Reply::Fate(Fate::Disconnected);
         }
         let fate = match timeout(deadline + LATEST_ANSWER, connection.until_ready()).await {
             Err(_) => return Reply::Fate(Fate::Lost("no final answer in time")),
             Ok(Ok(messages)) => fate(&messages, id),
-            // A reset tells that the query was not read, or that the process is gone; see the rules.
-            Ok(Err(ConnectionEnd::Reset)) => return Reply::Untaken,
+            // A reset means that the query was not read, or that the process was killed; see the rules.
+            Ok(Err(ConnectionEnd::Reset)) => return Reply::Unread,
             Ok(Err(ConnectionEnd::Closed)) if is_reset_behind(&connection, self.clock).await => {
-                return Reply::Untaken
+                return Reply::Unread
             }
             Ok(Err(ConnectionEnd::Malformed)) => {
-                return Reply::Fate(Fate::Lost("answered with what is no message"))
+                return Reply::Fate(Fate::Lost("answered with malformed bytes"))
             }
             Ok(Err(ConnectionEnd::Closed)) => return Reply::Fate(Fate::Lost("closed after it was read")),
         };
@@ -211,11 +222,11 @@
 fn fate(messages: &[Message], id: &str) -> Fate {
     if let Some((_, body)) = messages.iter().find(|(kind, _)| *kind == b'E') {
         let code = field(body, b'C');
-        return if code == "53300" || code == "57P03" { Fate::Refused(code) } else { Fate::Failed(code) };
+        return if code == "53300" || code == "57P03" { Fate::Rejected(code) } else { Fate::Failed(code) };
     }
     let row = messages.iter().find(|(kind, _)| *kind == b'D');
     match row.and_then(|(_, body)| body.get(6..)) {
         Some(value) if value == id.as_bytes() => Fate::Served,
-        _ => Fate::Lost("answered with what no host made for it"),
+        _ => Fate::Lost("answered with a row of no host"),
     }
 }
--- a/tests/faulty_fleet/gateways.rs
+++ b/tests/faulty_fleet/gateways.rs
@@ -11,39 +11,51 @@
 
 /// Last byte of the address of the first gateway; the others follow.
 const FIRST_GATEWAY: u8 = 100;
-/// A gateway that was started serves by then.
+/// How long a gateway may take until it serves.
 const READY_WITHIN: Duration = Duration::from_secs(30);
-/// SIGKILL follows SIGTERM by the longest deadline, 3 s at least, and this.
+/// SIGKILL follows SIGTERM after the longest deadline, which is 3 s, and this.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// New clients come for so long after SIGTERM.
-pub const ACCEPTS_AFTER_TERM: Time = 200_000;
 
-/// Something that was done to a gateway's process.
+/// What was done to a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Signal {
-    /// A new process.
+    /// A new process was started.
     Start,
+    /// SIGTERM was sent.
     Term,
+    /// SIGKILL was sent.
     Kill,
 }
 
+/// When a process got SIGTERM and SIGKILL, as far as it did.
+#[derive(Clone, Copy, Debug)]
+pub struct ProcessEnd {
+    /// SIGTERM.
+    pub terminated_at: Option<Time>,
+    /// SIGKILL.
+    pub killed_at: Option<Time>,
+}
+
 /// A gateway of a fleet.
 pub struct FleetGateway {
     clock: Clock,
+    /// Its number in the fleet.
     pub number: usize,
+    /// Its process.
     pub process: GatewayProcess,
     files: GatewayFiles,
-    /// Its signals.
+    /// What was done to its process, and when.
     pub signals: RefCell<Vec<(Time, Signal)>>,
-    /// Processes that ended though nothing ended them.
+    /// Processes that ended by themselves.
     pub crashes: Cell<usize>,
-    /// Its process is to run: it was started, and neither stopped nor killed since.
-    is_wanted: Cell<bool>,
-    /// It is being stopped or killed, and started again: no other fault does so meanwhile.
-    replaced: Cell<bool>,
+    /// Its process has been started, and neither stopped nor killed since.
+    is_expected_to_run: Cell<bool>,
+    /// A fault is replacing its process: no other may do so meanwhile.
+    is_being_replaced: Cell<bool>,
 }
 
 impl FleetGateway {
+    /// Writes the configuration of a gateway that is not started yet.
     pub fn new(
         plan: Plan,
         number: usize,
@@ -73,56 +85,57 @@
             files,
             signals: RefCell::default(),
             crashes: Cell::new(0),
-            is_wanted: Cell::new(false),
-            replaced: Cell::new(false),
+            is_expected_to_run: Cell::new(false),
+            is_being_replaced: Cell::new(false),
         })
     }
 
+    /// Starts a process.
     pub fn start(&self) {
         let log_level = std::env::var("FLEET_LOG").unwrap_or_else(|_| "info".to_string());
         self.process.start(&[("RUST_LOG", &log_level)]).expect("the gateway starts");
-        self.is_wanted.set(true);
+        self.is_expected_to_run.set(true);
         self.signals.borrow_mut().push((self.clock.now(), Signal::Start));
     }
 
-    /// Waits until it serves.
+    /// Waits until it serves; panics with its log if it does not.
     pub async fn until_ready(&self) {
         let is_ready = self.process.is_ready(READY_WITHIN).await;
         assert!(is_ready, "gateway {} is not ready; its log: {}", self.number, self.process.log());
     }
 
-    /// Counts a process that has ended by itself.
+    /// Counts a crash if its process has ended by itself.
     pub fn check_crash(&self) {
-        if self.is_wanted.get() && !self.process.is_running() {
+        if self.is_expected_to_run.get() && !self.process.is_running() {
             self.crashes.set(self.crashes.get() + 1);
-            self.is_wanted.set(false);
+            self.is_expected_to_run.set(false);
         }
     }
 
-    /// Begins a replacement of its process, unless one is under way.
+    /// Begins a replacement of its process; false if one is under way.
     pub fn begin_replacement(&self) -> bool {
-        !self.replaced.replace(true)
+        !self.is_being_replaced.replace(true)
     }
 
-    /// Ends a replacement with a new process.
+    /// Ends a replacement by starting a process.
     pub fn end_replacement(&self) {
         self.start();
-        self.replaced.set(false);
+        self.is_being_replaced.set(false);
     }
 
-    /// SIGKILL, at once.
+    /// Kills its process.
     pub fn kill(&self) {
         self.check_crash();
-        if self.is_wanted.replace(false) {
+        if self.is_expected_to_run.replace(false) {
             self.signals.borrow_mut().push((self.clock.now(), Signal::Kill));
             self.process.kill();
         }
     }
 
-    /// SIGTERM, and SIGKILL at the earliest time at which it may come.
+    /// Sends SIGTERM, and SIGKILL as early as the platform may.
     pub async fn stop(&self) {
         self.check_crash();
-        self.is_wanted.set(false);
+        self.is_expected_to_run.set(false);
         self.signals.borrow_mut().push((self.clock.now(), Signal::Term));
         self.process.signal("TERM");
         let until = self.clock.now() + (classes::LONGEST_DEADLINE + KILL_MARGIN).as_micros() as Time;
@@ -135,8 +148,8 @@
         self.process.kill();
     }
 
-    /// When the process that got a request at `sent` was told to stop, and when it was killed, if it was.
-    pub fn stopped(&self, sent: Time) -> (Option<Time>, Option<Time>) {
+    /// How the process ended that a request was sent to at this time.
+    pub fn process_end(&self, sent: Time) -> ProcessEnd {
         let signals = self.signals.borrow();
         let next = signals.iter().position(|(at, signal)| *signal == Signal::Start && *at > sent);
         let until = next.unwrap_or(signals.len());
@@ -144,7 +157,7 @@
         let when = |wanted: Signal| {
             signals[from..until].iter().find(|(_, signal)| *signal == wanted).map(|(at, _)| *at)
         };
-        (when(Signal::Term), when(Signal::Kill))
+        ProcessEnd { terminated_at: when(Signal::Term), killed_at: when(Signal::Kill) }
     }
 }
 
--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -1,6 +1,7 @@
-//! Emulated database hosts. A host works on so many requests at a time, slower while it is cold, and records what reaches it.
+//! Emulated database hosts. A host executes a bounded number of requests at a time, slower during its slow start, and
+//! records every request that reaches it.
 
-use super::classes::{by_name, CLASSES};
+use super::classes::{class_index, mean_work, CLASSES};
 use super::{uniform, Clock, Plan, Time};
 use petrelgauge_test_support::{error, message, parameter_status, ready_for_query, row, HostConnection};
 use rand_core::SeedableRng;
@@ -13,16 +14,17 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
-/// Requests that a host works on at a time.
+/// Requests that a host executes at a time.
 pub const SLOTS: usize = 4;
-/// Requests that may wait at a host for a slot; it rejects more.
+/// Requests that may wait for a slot; a host rejects more.
 const QUEUE: usize = 200;
 
-/// Whether a host takes part.
+/// Whether a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
+    /// It answers.
     Up,
-    /// It takes connections and requests, and answers nothing.
+    /// It accepts connections and requests, and answers none.
     Silent,
     /// It refuses connections.
     Down,
@@ -31,41 +33,52 @@
 #[derive(Clone, Copy, PartialEq)]
 struct State {
     mode: Mode,
-    /// Counts its starts: what it had before is reset.
+    /// How many times it has started; connections of an earlier start are reset.
     start: u64,
 }
 
 /// A request that reached a host.
 #[derive(Clone, Debug)]
 pub struct Arrival {
+    /// When it was read.
     pub at: Time,
+    /// The id that its client gave it.
     pub id: String,
+    /// Its class.
     pub class: usize,
-    /// The time that the gateway said it would wait (milliseconds).
+    /// The time that the gateway stated for it (milliseconds).
     pub wait_ms: u64,
+    /// Its idempotency key.
     pub key: Option<String>,
 }
 
 /// A start of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
+    /// When it started.
     pub at: Time,
     /// When all gateways counted as notified of it.
     pub notified_at: Option<Time>,
 }
 
+/// An emulated host.
 pub struct Host {
     plan: Plan,
     clock: Clock,
+    /// Its number in the fleet.
     pub number: usize,
+    /// Where it listens.
     pub address: SocketAddr,
     state: watch::Sender<State>,
     slots: Semaphore,
     waiting: Cell<usize>,
+    /// It is the primary.
     pub is_primary: Cell<bool>,
+    /// Every request that reached it.
     pub arrivals: RefCell<Vec<Arrival>>,
+    /// Every start after the fleet's.
     pub starts: RefCell<Vec<Start>>,
-    /// Unix time of its last start (milliseconds), 0 for long ago.
+    /// Its last start by the hosts' clock (Unix milliseconds); 0 for long ago.
     pub started_ms: Cell<u64>,
     rng: RefCell<Pcg64Mcg>,
 }
@@ -76,7 +89,7 @@
 }
 
 impl Host {
-    /// Starts host `number`, warm. The first one is the primary.
+    /// Starts a warm host at a free port of this address. Host 0 is the primary.
     pub fn start(plan: Plan, number: usize, ip: Ipv4Addr, clock: Clock) -> Rc<Host> {
         let listener = bind(SocketAddr::from((ip, 0)));
         let address = listener.local_addr().expect("an address");
@@ -98,26 +111,29 @@
         host
     }
 
+    /// Whether it answers.
     pub fn mode(&self) -> Mode {
         self.state.borrow().mode
     }
 
+    /// Lets it answer, fall silent or go down.
     pub fn set_mode(&self, mode: Mode) {
         self.state.send_modify(|state| state.mode = mode);
     }
 
-    /// Starts anew: connections are reset, what it had is lost, it is cold.
+    /// Restarts it: connections are reset, requests are lost, and a slow start begins.
     pub fn restart(&self) {
         self.starts.borrow_mut().push(Start { at: self.clock.now(), notified_at: None });
         self.started_ms.set(self.clock.unix_ms());
         self.state.send_modify(|state| *state = State { mode: Mode::Up, start: state.start + 1 });
     }
 
-    /// What it does at a time when warm, in requests of mean work a second.
+    /// Capacity of a warm host, in requests of mean execution time a second.
     pub fn capacity(plan: &Plan) -> f64 {
-        SLOTS as f64 / super::classes::mean_work(plan).as_secs_f64()
+        SLOTS as f64 / mean_work(plan).as_secs_f64()
     }
 
+    /// The share of its capacity that it has now.
     fn share(&self) -> f64 {
         let Some(start) = self.starts.borrow().last().copied() else { return 1.0 };
         self.plan.slow_start.share(Duration::from_micros((self.clock.now() - start.at) as u64))
@@ -141,7 +157,7 @@
         }
     }
 
-    /// Serves a connection until it ends, or until the host is down or starts anew, which resets it.
+    /// Serves a connection until it ends, or until the host goes down or restarts, which resets it.
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
         let start = self.state.borrow().start;
         let mut state = self.state.subscribe();
@@ -159,17 +175,17 @@
     async fn answer_all(&self, stream: &mut TcpStream) -> Option<()> {
         let mut connection = HostConnection::new(stream);
         connection.startup().await?;
-        self.until_it_answers().await;
+        self.until_answering().await;
         connection.write(&[message(b'R', &[0; 4]), ready_for_query()].concat()).await?;
         loop {
             let statement = self.record(&connection.next_query().await?)?;
             let answer = self.work(&statement).await;
-            self.until_it_answers().await;
+            self.until_answering().await;
             connection.write(&answer).await?;
         }
     }
 
-    async fn until_it_answers(&self) {
+    async fn until_answering(&self) {
         let _ = self.state.subscribe().wait_for(|state| state.mode != Mode::Silent).await;
     }
 
@@ -180,7 +196,7 @@
         let arrival = Arrival {
             at: self.clock.now(),
             id: fields.get("id")?.to_string(),
-            class: by_name(fields.get("c")?)?,
+            class: class_index(fields.get("c")?)?,
             wait_ms: fields.get("d")?.parse().ok()?,
             key: fields.get("k").map(|key| key.to_string()),
         };
@@ -196,9 +212,9 @@
             return self.answer(error("53300"));
         }
         self.waiting.set(self.waiting.get() + 1);
-        let _waiting = Leave(&self.waiting);
+        let _waiting = WaitingRequest(&self.waiting);
         let _slot = self.slots.acquire().await;
-        // No two pieces of work are alike: half to one and a half of the mean.
+        // Execution times differ: from half to one and a half of the mean.
         let factor = 0.5 + uniform(&mut self.rng.borrow_mut());
         let work = CLASSES[statement.arrival.class].work.mul_f64(factor / self.share());
         self.clock.sleep(work).await;
@@ -214,10 +230,10 @@
     }
 }
 
-/// Takes a request out of the count when its work ends, in whatever way.
-struct Leave<'a>(&'a Cell<usize>);
+/// Counts a request as waiting until it is executed or dropped.
+struct WaitingRequest<'a>(&'a Cell<usize>);
 
-impl Drop for Leave<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/tests/faulty_fleet/list.rs
+++ b/tests/faulty_fleet/list.rs
@@ -1,5 +1,4 @@
-//! The endpoint list of a fleet: what it says of each host, when gateways count as notified of it, and the primary that it
-//! names.
+//! The endpoint list of a fleet: its entries, the election of primaries, and when gateways count as notified of a change.
 
 use super::hosts::{Host, Mode};
 use super::{Clock, Time};
@@ -8,34 +7,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Last byte of the address of discovery.
+/// Last byte of the list service's address.
 const LIST_HOST: u8 = 200;
-/// A change that a silent or refusing discovery could not bring counts as notified so long after it could.
+/// Gateways count as notified of a change in an outage of the list service this long after the outage (microseconds).
 pub const NOTIFIED_AFTER_OUTAGE: Time = 6_000_000;
-/// How late gateways that watch may read what was written to them.
+/// How late gateways may read what the service has written to their watches (microseconds).
 pub const PUSH_SLACK: Time = 100_000;
 
-/// A host that the list says drains.
+/// How often the primary is checked.
+const ELECTION_INTERVAL: Duration = Duration::from_millis(200);
+/// Checks in a row that a primary has to fail to be replaced.
+const LOST_CHECKS: u32 = 8;
+
+/// A drain of a host.
 pub struct Drain {
+    /// The host.
     pub host: usize,
-    /// When it counted as notified.
+    /// When all gateways count as notified of it.
     pub notified_at: Time,
-    /// When the list said that the host is up again.
+    /// When the list named the host as up again.
     pub ended_at: Time,
 }
 
 /// The list and its service.
 pub struct EndpointList {
     clock: Clock,
+    /// The service that publishes it.
     pub service: Rc<ListService>,
     hosts: Vec<Rc<Host>>,
     endpoints: RefCell<Vec<Endpoint>>,
+    /// Every drain.
     pub drains: RefCell<Vec<Drain>>,
-    /// Until when a change published before counts as not notified.
+    /// When gateways count as notified of the changes of the last outage.
     outage_until: RefCell<Option<Time>>,
 }
 
 impl EndpointList {
+    /// Starts the service with all hosts up.
     pub async fn start(network: LoopbackNetwork, clock: Clock, hosts: Vec<Rc<Host>>) -> Rc<EndpointList> {
         let endpoints: Vec<Endpoint> = hosts.iter().map(|host| endpoint(host)).collect();
         let entries = endpoints.iter().map(Endpoint::json).collect();
@@ -52,7 +60,7 @@
         list
     }
 
-    /// What discovery does from now on. What it could not bring counts as notified a while after its return.
+    /// Lets the service fail or return.
     pub fn set_state(&self, state: ServiceState) {
         let until =
             if state == ServiceState::Up { self.clock.now() + NOTIFIED_AFTER_OUTAGE } else { Time::MAX };
@@ -70,12 +78,13 @@
         self.service.set_state(state);
     }
 
-    /// When a change that is published now counts as notified to all gateways.
+    /// When all gateways count as notified of a change that is published now.
     fn notified_at(&self) -> Time {
         let by_push = self.clock.now() + PUSH_SLACK;
         self.outage_until.borrow().map_or(by_push, |until| until.max(by_push))
     }
 
+    /// Names a restarted host as up, with its new start.
     pub fn publish_start(&self, host: usize) {
         let notified_at = self.notified_at();
         if let Some(start) = self.hosts[host].starts.borrow_mut().last_mut() {
@@ -88,12 +97,14 @@
         self.change(host, |endpoint| (endpoint.draining, endpoint.started_ms) = (false, started_ms as i64));
     }
 
+    /// Names a host as draining.
     pub fn publish_drain(&self, host: usize) {
         let drain = Drain { host, notified_at: self.notified_at(), ended_at: Time::MAX };
         self.drains.borrow_mut().push(drain);
         self.change(host, |endpoint| endpoint.draining = true);
     }
 
+    /// Whether the list names the host as up.
     pub fn is_up(&self, host: usize) -> bool {
         !self.endpoints.borrow()[host].draining
     }
@@ -104,18 +115,16 @@
         self.service.replace_entry(host, endpoints[host].json());
     }
 
-    /// A primary that cannot serve is replaced after a while, and the list shows it later.
+    /// Replaces a primary that has not been able to serve for a while.
     async fn elect_primaries(self: Rc<Self>) {
-        const LOST_AFTER: u32 = 8;
-        const STEP: Duration = Duration::from_millis(200);
         let mut lost = 0;
         loop {
-            self.clock.sleep(STEP).await;
+            self.clock.sleep(ELECTION_INTERVAL).await;
             let Some(primary) = self.hosts.iter().position(|host| host.is_primary.get()) else { continue };
             let can_serve = |host: usize| self.hosts[host].mode() == Mode::Up && self.is_up(host);
             lost = if can_serve(primary) { 0 } else { lost + 1 };
             let next = (0..self.hosts.len()).find(|host| *host != primary && can_serve(*host));
-            if let Some(next) = next.filter(|_| lost >= LOST_AFTER) {
+            if let Some(next) = next.filter(|_| lost >= LOST_CHECKS) {
                 self.hosts[primary].is_primary.set(false);
                 self.hosts[next].is_primary.set(true);
                 self.change(primary, |endpoint| endpoint.primary = false);
--- a/tests/faulty_fleet/mod.rs
+++ b/tests/faulty_fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of real gateway processes on loopback, before emulated hosts and an emulated discovery, with clients that keep
-//! their connections. Faults are injected at the hosts, at discovery and at the processes; what happened is read from
-//! what hosts and clients recorded, never from a gateway's word.
+//! A fleet of gateway processes between emulated hosts, a list service and clients that keep their connections. Faults are
+//! injected into hosts, list service and processes. What happened is read from the records of hosts and clients, never from
+//! what a gateway says.
 
 #![allow(dead_code)]
 
@@ -30,7 +30,7 @@
 /// Microseconds since the fleet's start.
 pub type Time = i64;
 
-/// The time of a fleet, which all its parts share.
+/// The clock of a fleet, shared by all its parts.
 #[derive(Clone, Copy)]
 pub struct Clock {
     begun: Instant,
@@ -44,38 +44,40 @@
         Clock { begun: Instant::now(), unix }
     }
 
+    /// The time since the fleet's start.
     pub fn now(&self) -> Time {
         self.begun.elapsed().as_micros() as Time
     }
 
-    /// Unix time in milliseconds, as hosts report it.
+    /// The hosts' clock (Unix milliseconds).
     pub fn unix_ms(&self) -> u64 {
         (self.unix + self.begun.elapsed()).as_millis() as u64
     }
 
+    /// Waits for this span.
     pub async fn sleep(&self, span: Duration) {
         tokio::time::sleep(span).await;
     }
 }
 
-/// A uniform sample of 0 to 1.
+/// A uniform sample between 0 and 1.
 pub fn uniform(rng: &mut Pcg64Mcg) -> f64 {
     rng.next_u64() as f64 / u64::MAX as f64
 }
 
-/// One of so many.
-pub fn below(rng: &mut Pcg64Mcg, count: usize) -> usize {
+/// A uniform sample of the indices below a count; 0 if the count is 0.
+pub fn index_below(rng: &mut Pcg64Mcg, count: usize) -> usize {
     (rng.next_u64() % count.max(1) as u64) as usize
 }
 
-/// What a fleet consists of.
+/// The size, load and settings of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub gateways: usize,
     pub hosts: usize,
-    /// Share of the hosts' capacity that clients ask for.
+    /// Offered load, as a share of the capacity of all warm hosts.
     pub load: f64,
-    /// Share of the requests that are long statements.
+    /// Share of requests that are long statements.
     pub long_share: f64,
     pub slow_start: SlowStart,
     /// How far the hosts' wall clock is ahead of the gateways' (milliseconds).
@@ -83,7 +85,7 @@
     pub seed: u64,
 }
 
-/// A fleet that runs.
+/// A running fleet.
 pub struct Fleet {
     pub plan: Plan,
     pub clock: Clock,
@@ -91,9 +93,9 @@
     pub list: Rc<EndpointList>,
     pub gateways: Vec<Rc<FleetGateway>>,
     pub ledger: Rc<Ledger>,
-    /// Share of the hosts' capacity that clients ask for now.
+    /// Offered load now, as a share of the capacity of all warm hosts.
     pub load: Rc<Cell<f64>>,
-    /// Where in the schedule the fleet is, for the report of a failure.
+    /// What was done to the fleet and when, for the report of a failure.
     pub history: RefCell<Vec<String>>,
 }
 
@@ -122,32 +124,33 @@
         Rc::new(Fleet { plan, clock, hosts, list, gateways, ledger, load, history: RefCell::default() })
     }
 
-    /// Notes what is done to the fleet.
+    /// Adds an entry to the history.
     pub fn note(&self, what: &str) {
         let at = self.clock.now() as f64 / 1e6;
         self.history.borrow_mut().push(format!("{at:.3} {what}"));
     }
 
+    /// Waits for this span.
     pub async fn wait(&self, milliseconds: u64) {
         self.clock.sleep(Duration::from_millis(milliseconds)).await;
     }
 
-    /// A host starts anew, and all gateways are notified `later` milliseconds after.
-    pub async fn restart_host(&self, host: usize, later: u64) {
+    /// Restarts a host; the list names the start `listed_after` milliseconds later.
+    pub async fn restart_host(&self, host: usize, listed_after: u64) {
         self.note(&format!("host {host} starts"));
         self.hosts[host].restart();
-        self.wait(later).await;
+        self.wait(listed_after).await;
         self.list.publish_start(host);
     }
 
-    /// Hosts begin to drain, and all gateways are notified.
+    /// Lets the list say that hosts drain.
     pub fn drain_hosts(&self, hosts: &[usize]) {
         self.note(&format!("hosts {hosts:?} drain"));
         hosts.iter().for_each(|host| self.list.publish_drain(*host));
     }
 }
 
-/// Starts a fleet, plays it, lets its last requests end, and gives it back for the rules to be checked.
+/// Starts a fleet, plays a schedule on it, waits until its last requests have ended, and returns it for the rules.
 pub fn play<F: Future<Output = ()>>(plan: Plan, schedule: impl FnOnce(Rc<Fleet>) -> F) -> Rc<Fleet> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/tests/faulty_fleet/rules.rs
+++ b/tests/faulty_fleet/rules.rs
@@ -1,7 +1,8 @@
-//! The rules that a fleet keeps, checked on the records of hosts and clients.
+//! The rules that a fleet has to keep, checked against the records of hosts and clients.
 
 use super::classes::{self, CLASSES, KEY_WINDOW};
 use super::clients::{Fate, Record};
+use super::gateways::ProcessEnd;
 use super::hosts::{Arrival, Host};
 use super::list::PUSH_SLACK;
 use super::{Fleet, Time};
@@ -9,32 +10,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// After this a host that drains gets nothing new, 50 ms of slack included.
+/// A draining host gets nothing new after this, 50 ms of slack included (microseconds).
 const DRAIN_GRACE: Time = 2_050_000;
-/// What a gateway tells a host may exceed what is left to the client by this.
-const TOLD_WAIT_SLACK: Time = 150_000;
-/// An attempt for a client that has gone begins at most this much later.
-const GONE_SLACK: Time = 100_000;
-/// How late this machine may hand over what was written, and clients and hosts may note it.
+/// The time stated to a host may exceed the time that is left to the client by this (microseconds).
+const STATED_WAIT_SLACK: Time = 150_000;
+/// An attempt for a client that has disconnected arrives at most this much later (microseconds).
+const DISCONNECT_SLACK: Time = 100_000;
+/// How late the machine may deliver what was written, and clients and hosts may record it (microseconds).
 const MACHINE_SLACK: Time = 50_000;
-/// A request that came so long after SIGTERM must not be found unanswered by SIGKILL.
-const TAKEN_BEFORE_TERM: Time = 700_000;
+/// A request that was sent later than this after SIGTERM has to be answered before SIGKILL (microseconds).
+const ANSWERED_BEFORE_KILL: Time = 700_000;
+
+/// A budget below this many requests counts as small.
+const SMALL_BUDGET: f64 = 30.0;
 
 /// The busiest window of a host's slow start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Busiest {
+    /// The host.
     pub host: usize,
-    /// What the host was sent, in parts of what it may be sent with the spread of chance.
-    pub part: f64,
-    /// The same in requests of mean work.
+    /// What the host was sent, as a share of its budget and the spread of chance.
+    pub load: f64,
+    /// What it was sent, in requests of mean execution time.
     pub sent: f64,
-    /// What it may be sent without that spread.
+    /// Its budget, in the same unit.
     pub budget: f64,
-    /// How long after the start.
+    /// The time from the start to the window (microseconds).
     pub age: Time,
 }
 
-/// The busiest window, of those that begin when all gateways count as notified, of each start.
+/// For each start, its busiest window among those that begin when all gateways count as notified.
 pub fn busiest_windows(fleet: &Fleet) -> Vec<Busiest> {
     let mut windows = Vec::new();
     for host in &fleet.hosts {
@@ -64,19 +69,20 @@
             within.map(|arrival| CLASSES[arrival.class].work.as_secs_f64()).sum::<f64>() / mean_work;
         let share = slow_start.share(Duration::from_micros(age as u64));
         let budget = slow_start.overload_factor * share * Host::capacity(&fleet.plan) * window.as_secs_f64();
-        let (spread, more) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-        let part = sent / (budget + spread * budget.sqrt() + more);
-        if part > busiest.part {
-            busiest = Busiest { host: host.number, part, sent, budget, age };
+        // The spread of a Poisson count: more standard deviations where the count is small.
+        let spread = if budget < SMALL_BUDGET { 3.0 } else { 2.0 };
+        let load = sent / (budget + spread * budget.sqrt() + spread);
+        if load > busiest.load {
+            busiest = Busiest { host: host.number, load, sent, budget, age };
         }
     }
     busiest
 }
 
-/// Each rule that was broken, in a sentence.
+/// The rules that were broken: each with what broke it.
 pub fn broken(fleet: &Fleet) -> Vec<String> {
     let mut broken = Vec::new();
-    for window in busiest_windows(fleet).iter().filter(|window| window.part > 1.0) {
+    for window in busiest_windows(fleet).iter().filter(|window| window.load > 1.0) {
         broken.push(format!("slow start: {window:?}"));
     }
     check_drains(fleet, &mut broken);
@@ -111,11 +117,11 @@
     }
 }
 
-/// Whether a process that was killed owes this answer no more.
+/// Whether the answer was lost with a process that was killed before it owed the answer.
 fn is_excused(fleet: &Fleet, record: &Record) -> bool {
-    let (told_to_stop, killed) = fleet.gateways[record.gateway].stopped(record.sent);
-    let is_late_in_stop = told_to_stop.is_some_and(|at| record.sent > at + TAKEN_BEFORE_TERM);
-    killed.is_some_and(|at| at >= record.sent && at <= record.ended) && !is_late_in_stop
+    let ProcessEnd { terminated_at, killed_at } = fleet.gateways[record.gateway].process_end(record.sent);
+    let is_late_in_shutdown = terminated_at.is_some_and(|at| record.sent > at + ANSWERED_BEFORE_KILL);
+    killed_at.is_some_and(|at| at >= record.sent && at <= record.ended) && !is_late_in_shutdown
 }
 
 fn check_attempts(fleet: &Fleet, broken: &mut Vec<String>) {
@@ -134,12 +140,12 @@
         let count = attempts.entry(arrival.id.clone()).or_default();
         *count += 1;
         let ends = record.sent + record.deadline.as_micros() as Time;
-        if arrival.at + arrival.wait_ms as Time * 1_000 > ends + TOLD_WAIT_SLACK + MACHINE_SLACK {
-            broken.push(format!("time told: {arrival:?} of {record:?}"));
+        if arrival.at + arrival.wait_ms as Time * 1_000 > ends + STATED_WAIT_SLACK + MACHINE_SLACK {
+            broken.push(format!("stated time: {arrival:?} of {record:?}"));
         }
-        let is_gone = record.fate == Fate::Left;
-        if is_gone && arrival.at > record.ended + GONE_SLACK + MACHINE_SLACK {
-            broken.push(format!("client gone: {arrival:?} of {record:?}"));
+        let is_disconnected = record.fate == Fate::Disconnected;
+        if is_disconnected && arrival.at > record.ended + DISCONNECT_SLACK + MACHINE_SLACK {
+            broken.push(format!("client disconnected: {arrival:?} of {record:?}"));
         }
         if let Some(key) = &arrival.key {
             let first = *first_of_key.entry(key.clone()).or_insert(arrival.at);
@@ -147,26 +153,26 @@
                 broken.push(format!("key window: {arrival:?}, first at {first}"));
             }
         }
-        // A client sends a request that crossed the end of a connection once more.
+        // A client repeats a request that crossed the end of its connection.
         if *count > 2 * MAX_ATTEMPTS {
             broken.push(format!("attempts: {arrival:?}"));
         }
     }
 }
 
-/// What was asked and served, for the reader of a play.
+/// How the requests of a play ended.
 pub fn summary(fleet: &Fleet) -> String {
     let records = fleet.ledger.records.borrow();
     let count = |is: fn(&Fate) -> bool| records.iter().filter(|record| is(&record.fate)).count();
-    let worst = busiest_windows(fleet).into_iter().max_by(|a, b| a.part.total_cmp(&b.part));
+    let worst = busiest_windows(fleet).into_iter().max_by(|a, b| a.load.total_cmp(&b.load));
     format!(
-        "asked {}, served {}, refused {}, failed {}, not taken {}, left {}, lost {}, busiest slow start {worst:.2?}",
+        "requests {}, served {}, rejected {}, failed {}, not accepted {}, disconnected {}, lost {}, busiest slow start {worst:.2?}",
         records.len(),
         count(|fate| *fate == Fate::Served),
-        count(|fate| matches!(fate, Fate::Refused(_))),
+        count(|fate| matches!(fate, Fate::Rejected(_))),
         count(|fate| matches!(fate, Fate::Failed(_))),
-        count(|fate| *fate == Fate::NotTaken),
-        count(|fate| *fate == Fate::Left),
+        count(|fate| *fate == Fate::NotAccepted),
+        count(|fate| *fate == Fate::Disconnected),
         count(|fate| matches!(fate, Fate::Lost(_))),
     )
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! Fault soak: fleets of real gateways under schedules of faults that are drawn from seeds. Each play holds the rules, or
-//! prints its seed, its fleet and its schedule.
+//! Fault soak: fleets of gateways under schedules of faults that are sampled from seeds. A play that breaks a rule prints its
+//! seed, its fleet and its schedule.
 //!
 //! Two seeds are played here. `SOAK_SEEDS=3..53 cargo test --release --test soak` plays others, `SOAK_SEEDS=7..8` one of
 //! them again; `SOAK_BESIDE` says how many at a time (2), `FLEET_LOG=debug` what gateways log.
@@ -12,14 +12,20 @@
 use std::ops::Range;
 use std::sync::Mutex;
 
-/// Played where no others are asked for.
+/// Seeds that are played unless `SOAK_SEEDS` names others.
 const SEEDS: Range<u64> = 1..3;
-/// Plays at a time.
-const BESIDE: usize = 2;
+/// Plays at a time, unless `SOAK_BESIDE` says otherwise.
+const CONCURRENT_PLAYS: usize = 2;
 
-/// Plays a seed: what was served, and each rule that was broken.
-fn play_seed(seed: u64) -> (String, Vec<String>) {
-    let schedule = Schedule::draw(seed);
+/// The result of a play.
+struct Play {
+    /// How its requests ended, and if a rule was broken, how that can be played again.
+    report: String,
+    is_broken: bool,
+}
+
+fn play_seed(seed: u64) -> Play {
+    let schedule = Schedule::sample(seed);
     let text = format!("{schedule:?}");
     let fleet = play(schedule.plan, |fleet| schedule.play(fleet));
     let broken = rules::broken(&fleet);
@@ -28,7 +34,7 @@
         let history = fleet.history.borrow().join("\n  ");
         report = format!("{report}\n  {text}\n  {history}\n  broken: {}", broken.join("\n  broken: "));
     }
-    (report, broken)
+    Play { report, is_broken: !broken.is_empty() }
 }
 
 fn seeds() -> Range<u64> {
@@ -39,7 +45,8 @@
 
 #[test]
 fn fleets_keep_the_rules_under_seeded_faults() {
-    let beside = std::env::var("SOAK_BESIDE").map_or(BESIDE, |text| text.parse().expect("a number"));
+    let beside =
+        std::env::var("SOAK_BESIDE").map_or(CONCURRENT_PLAYS, |text| text.parse().expect("a number"));
     let waiting: Mutex<VecDeque<u64>> = Mutex::new(seeds().collect());
     let failed: Mutex<Vec<u64>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -48,9 +55,9 @@
             scope.spawn(move || loop {
                 let next = waiting.lock().expect("no play has panicked").pop_front();
                 let Some(seed) = next else { return };
-                let (report, broken) = play_seed(seed);
+                let Play { report, is_broken } = play_seed(seed);
                 println!("{report}");
-                if !broken.is_empty() {
+                if is_broken {
                     failed.lock().expect("no play has panicked").push(seed);
                 }
             });
