--- a/tests/faulty_fleet/classes.rs
+++ b/tests/faulty_fleet/classes.rs
@@ -7,18 +7,17 @@
 
 /// A class of requests.
 pub struct Class {
-    /// Its name.
-    pub name: &'static str,
     /// Mean execution time at a warm host.
     pub work: Duration,
-    /// The latency objective.
-    pub latency_target: Duration,
-    /// How long clients wait at most.
-    pub deadline: Duration,
-    /// It is a write with an idempotency key.
-    pub is_write: bool,
-    read_level: &'static str,
-    staleness_bound: Duration,
+    /// What the deployment's settings say of it.
+    pub settings: ClassSettings,
+}
+
+impl Class {
+    /// Whether it is a write with an idempotency key.
+    pub fn is_write(&self) -> bool {
+        self.settings.key_window.is_some()
+    }
 }
 
 const fn ms(count: u64) -> Duration {
@@ -36,44 +35,42 @@
 /// The classes that are no long statements, and their shares.
 const MIX: [(usize, f64); 3] = [(0, 0.46), (1, 0.24), (WRITE, 0.30)];
 
-/// Bounded reads, reads of any age, long statements, writes.
+/// A read of any age.
+const READ: ClassSettings = ClassSettings {
+    name: "browse",
+    read_level: "eventual",
+    staleness_bound: Duration::ZERO,
+    latency_target: ms(400),
+    deadline: ms(1_500),
+    key_window: None,
+    points: 2.0,
+    late_share: 0.2,
+};
+const BOUNDED_READ: ClassSettings = ClassSettings {
+    name: "view",
+    read_level: "lag_bound",
+    staleness_bound: ms(300),
+    latency_target: ms(300),
+    deadline: ms(1_200),
+    ..READ
+};
+const LONG_STATEMENT: ClassSettings =
+    ClassSettings { name: "report", latency_target: ms(2_400), deadline: ms(3_000), ..READ };
+const KEYED_WRITE: ClassSettings = ClassSettings {
+    name: "post",
+    read_level: "mutate",
+    latency_target: ms(300),
+    deadline: ms(3_000),
+    key_window: Some(KEY_WINDOW),
+    ..READ
+};
+
+/// All classes.
 pub const CLASSES: [Class; 4] = [
-    Class {
-        name: "view",
-        work: ms(60),
-        latency_target: ms(300),
-        deadline: ms(1_200),
-        is_write: false,
-        read_level: "lag_bound",
-        staleness_bound: ms(300),
-    },
-    Class {
-        name: "browse",
-        work: ms(60),
-        latency_target: ms(400),
-        deadline: ms(1_500),
-        is_write: false,
-        read_level: "eventual",
-        staleness_bound: ms(0),
-    },
-    Class {
-        name: "report",
-        work: ms(600),
-        latency_target: ms(2_400),
-        deadline: ms(3_000),
-        is_write: false,
-        read_level: "eventual",
-        staleness_bound: ms(0),
-    },
-    Class {
-        name: "post",
-        work: ms(35),
-        latency_target: ms(300),
-        deadline: ms(3_000),
-        is_write: true,
-        read_level: "mutate",
-        staleness_bound: ms(0),
-    },
+    Class { work: ms(60), settings: BOUNDED_READ },
+    Class { work: ms(60), settings: READ },
+    Class { work: ms(600), settings: LONG_STATEMENT },
+    Class { work: ms(35), settings: KEYED_WRITE },
 ];
 
 /// Samples the class of a request.
@@ -100,21 +97,12 @@
 
 /// The index of the class of this name.
 pub fn class_index(name: &str) -> Option<usize> {
-    CLASSES.iter().position(|class| class.name == name)
+    CLASSES.iter().position(|class| class.settings.name == name)
 }
 
 /// The deployment's settings, as JSON.
 pub fn settings(plan: &Plan) -> String {
-    let classes = CLASSES.iter().map(|class| ClassSettings {
-        name: class.name,
-        read_level: class.read_level,
-        staleness_bound: class.staleness_bound,
-        latency_target: class.latency_target,
-        deadline: class.deadline,
-        key_window: class.is_write.then_some(KEY_WINDOW),
-        points: 2.0,
-        late_share: 0.2,
-    });
+    let classes = CLASSES.iter().map(|class| class.settings);
     let Plan { gateways, slow_start, .. } = *plan;
     DeploymentSettings { gateways, zone: 'a', classes: classes.collect(), slow_start }.json()
 }
--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -124,7 +124,7 @@
             if rate > 0.0 {
                 let class = classes::sample_class(&clients.plan, &mut rng);
                 let disconnects = uniform(&mut rng) < DISCONNECTING_SHARE;
-                let deadline = CLASSES[class].deadline.mul_f64(0.4 + 0.6 * uniform(&mut rng));
+                let deadline = CLASSES[class].settings.deadline.mul_f64(0.4 + 0.6 * uniform(&mut rng));
                 tokio::task::spawn_local(clients.clone().ask(class, deadline, disconnects));
             }
         }
@@ -134,15 +134,15 @@
         let number = self.ledger.next_number();
         let id = format!("{number:016x}");
         let (kind, wait) = (&CLASSES[class], deadline.as_millis());
-        let key = kind.is_write.then(|| format!("{number:08x}"));
+        let key = kind.is_write().then(|| format!("{number:08x}"));
         let text = match &key {
             None => format!(
                 "SELECT content FROM kv WHERE name = '{id}' /* id={id},c={},d={wait},cluster=2 */",
-                kind.name
+                kind.settings.name
             ),
             Some(key) => format!(
                 "INSERT INTO kv (name, content) VALUES ('{id}', '\\x9f03') RETURNING content /* id={id},c={},d={wait},k={key},cluster=2 */",
-                kind.name
+                kind.settings.name
             ),
         };
         let mut sent = self.clock.now();
