--- a/crates/lifecycle/src/class_table.rs
+++ b/crates/lifecycle/src/class_table.rs
@@ -1,15 +1,16 @@
 //! The request classes that exist while the settings change under open requests.
 //!
-//! The router knows a class by its index in a table. A request keeps the index, and with it the class, that it was
-//! admitted with, for as long as it or one of its attempts is known. New settings are entered into the table beside what
-//! is still in use: an unchanged class keeps its index, a changed or new one gets a free index or a further one. Old and
-//! new classes stand side by side, and each request has exactly one of them.
+//! The router knows a class by its index in a table. A request keeps the index, and with it the class, that
+//! it was admitted with, for as long as it or one of its attempts is known. New settings are entered into the
+//! table beside what is still in use: an unchanged class keeps its index, a changed or new one gets a free
+//! index or a further one. Old and new classes stand side by side, and each request has exactly one of them.
 //!
-//! For [`OVERLAP`] after a change a removed name is still found, and a class that now requires an idempotency key is
-//! found in its previous form by requests without one: clients learn of the change later than the gateway.
+//! For [`OVERLAP`] after a change a removed name is still found, and a class that now requires an idempotency
+//! key is found in its previous form by requests without one: clients learn of the change later than the
+//! gateway.
 //!
-//! **Bounds.** The table holds the classes in force, those before the last change, and those of open requests: at most
-//! [`MAX_CLASSES`]. A change that needs more is rejected.
+//! **Bounds.** The table holds the classes in force, those before the last change, and those of open
+//! requests: at most [`MAX_CLASSES`]. A change that needs more is rejected.
 //!
 //! ```
 //! use petrelgauge_lifecycle::class_table::{ClassTable, IdempotencyKey, OVERLAP};
@@ -91,8 +92,8 @@
         }
     }
 
-    /// The longest deadline (microseconds) of the classes with this name, the previous one included while clients may not
-    /// know of the change. 0 if there is no such class.
+    /// The longest deadline (microseconds) of the classes with this name, the previous one included while
+    /// clients may not know of the change. 0 if there is no such class.
     pub fn longest_wait(&self, now: Time, name: &str) -> Time {
         let indexes = self.in_force.iter().chain(self.previous(now));
         let named = indexes.map(|index| &self.table[*index]).filter(|class| class.name == name);
@@ -158,8 +159,8 @@
     }
 }
 
-/// Removes classes that are no longer used, or overwrites them with one in force: the router takes all classes of the
-/// table into account, so no obsolete one may remain.
+/// Removes classes that are no longer used, or overwrites them with one in force: the router takes all
+/// classes of the table into account, so no obsolete one may remain.
 fn clear_unused(table: &mut Vec<Class>, taken: &BTreeSet<usize>, classes: &[Class]) {
     table.truncate(taken.last().map_or(0, |last| last + 1));
     for index in (0..table.len()).filter(|index| !taken.contains(index)) {
--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -6,27 +6,30 @@
 //!    +--------------------------+--- ProtocolError --> CutOff  +--- Disconnected --> Ended
 //! ```
 //!
-//! Bytes from the client take precedence over every reason to close its connection: whoever steps the machine with
-//! [`Event::Shed`], [`Event::Stop`] or [`Event::Timeout`] says whether unread bytes are available, and those are read first.
-//! A connection with an open query is not closed for its age, to free its descriptor or for a stop.
+//! Bytes from the client take precedence over every reason to close its connection: whoever steps the machine
+//! with [`Event::Shed`], [`Event::Stop`] or [`Event::Timeout`] says whether unread bytes are available, and
+//! those are read first. A connection with an open query is not closed for its age, to free its descriptor or
+//! for a stop.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
 /// Time within which a client must send its startup message (microseconds).
 pub const STARTUP_TIMEOUT: Time = 2_000_000;
-/// Time without an open query after which a client is closed (microseconds), since others need its descriptor.
+/// Time without an open query after which a client is closed (microseconds), since others need its
+/// descriptor.
 pub const IDLE_TIMEOUT: Time = 2_100_000;
-/// Time within which a new client must complete a message that it has begun (microseconds): it has to get an answer or an
-/// error within 3 s.
+/// Time within which a new client must complete a message that it has begun (microseconds): it has to get an
+/// answer or an error within 3 s.
 pub const NEW_CLIENT_MESSAGE_TIMEOUT: Time = 2_500_000;
-/// Time within which a client that has been served before must complete a message that it has begun (microseconds).
+/// Time within which a client that has been served before must complete a message that it has begun
+/// (microseconds).
 pub const MESSAGE_TIMEOUT: Time = 6_000_000;
-/// Time without a further byte of an incomplete message after which a client is cut off (microseconds). A slow client may
-/// continue; one that has stopped has to get an error within 3 s.
+/// Time without a further byte of an incomplete message after which a client is cut off (microseconds). A
+/// slow client may continue; one that has stopped has to get an error within 3 s.
 pub const STALL_TIMEOUT: Time = 2_500_000;
-/// Pause after an unusable statement before the next one is read (microseconds), doubled for each further one in a row. A
-/// client that repeats it at once must not take processor time from the others.
+/// Pause after an unusable statement before the next one is read (microseconds), doubled for each further one
+/// in a row. A client that repeats it at once must not take processor time from the others.
 pub const MIN_BACKOFF: Time = 1_000;
 /// The longest such pause (microseconds).
 pub const MAX_BACKOFF: Time = 64_000;
--- a/crates/lifecycle/src/connect_timeout.rs
+++ b/crates/lifecycle/src/connect_timeout.rs
@@ -1,8 +1,9 @@
 //! The timeout for establishing a connection to a host, estimated from recent connections.
 //!
 //! The settings give a generous upper limit. Where connections are established within a millisecond, one that
-//! takes forty most likely leads to a machine that is down, and the waiting request could be answered by another
-//! host in that time. When a zone is lost, each gateway of a fleet learns it host by host, from its own requests.
+//! takes forty most likely leads to a machine that is down, and the waiting request could be answered by
+//! another host in that time. When a zone is lost, each gateway of a fleet learns it host by host, from its
+//! own requests.
 
 use petrelgauge_policy::Time;
 
@@ -44,8 +45,8 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The timeout (microseconds) for a host with this many consecutive connect failures. Each failure doubles it: the
-    /// host may be far away, or this gateway slow.
+    /// The timeout (microseconds) for a host with this many consecutive connect failures. Each failure
+    /// doubles it: the host may be far away, or this gateway slow.
     pub fn timeout(&self, failures: u32) -> Time {
         let estimate = (self.longest.saturating_mul(MARGIN)).max(MIN_TIMEOUT);
         let doubled = estimate.saturating_mul(1 << failures.min(MAX_DOUBLINGS));
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -7,18 +7,19 @@
 //!     +--------------------+-----------------+----------------+-------------------+--> Ended(end)
 //! ```
 //!
-//! With the first bytes of a long row an attempt ends as [`End::Flows`]: the request has its answer, and the connection is
-//! lent to the client's session, which streams the row.
+//! With the first bytes of a long row an attempt ends as [`End::Flows`]: the request has its answer, and the
+//! connection is lent to the client's session, which streams the row.
 //!
-//! An attempt on a reused connection begins in Writing. Whatever the state, an attempt ends once, by [`Exchange::on`], and
-//! its connection is kept or closed before the end may be reported: [`Exchange::finish`] says which. Otherwise a retry could
-//! be sent while a connection still carries the first attempt.
+//! An attempt on a reused connection begins in Writing. Whatever the state, an attempt ends once, by
+//! [`Exchange::on`], and its connection is kept or closed before the end may be reported:
+//! [`Exchange::finish`] says which. Otherwise a retry could be sent while a connection still carries the
+//! first attempt.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Time within which an answer that has begun must be complete (microseconds). Hosts write an answer at once; one that stalls
-/// in the middle would otherwise hold its request until the attempt's deadline.
+/// Time within which an answer that has begun must be complete (microseconds). Hosts write an answer at once;
+/// one that stalls in the middle would otherwise hold its request until the attempt's deadline.
 pub const ANSWER_TIMEOUT: Time = 300_000;
 
 /// The remaining wait is sent to hosts in milliseconds.
@@ -63,8 +64,8 @@
     HostReady,
     /// The host rejected the connection with an error.
     Rejected(End),
-    /// The request must not be begun any more: its client has left, the attempt was cancelled, it is too late, or its host
-    /// accepts no more requests.
+    /// The request must not be begun any more: its client has left, the attempt was cancelled, it is too
+    /// late, or its host accepts no more requests.
     Unwanted,
     /// The last byte of the request was written.
     Written,
@@ -126,7 +127,8 @@
 }
 
 impl Exchange {
-    /// An attempt on a new connection, whose host must be ready by `connect_deadline`. It is abandoned at `deadline`.
+    /// An attempt on a new connection, whose host must be ready by `connect_deadline`. It is abandoned at
+    /// `deadline`.
     pub fn connecting(connect_deadline: Time, deadline: Time) -> Exchange {
         Exchange::in_state(AttemptState::Connecting { by: connect_deadline.min(deadline) }, deadline)
     }
@@ -141,16 +143,18 @@
         Exchange { state, deadline, write_deadline: deadline, is_host_ready: false }
     }
 
-    /// The same attempt, with a request that must be written by then or not at all: after the window of its idempotency
-    /// key a retry would have a second effect, however long its connection took to be established.
+    /// The same attempt, with a request that must be written by then or not at all: after the window of its
+    /// idempotency key a retry would have a second effect, however long its connection took to be
+    /// established.
     pub fn with_write_deadline(self, at: Time) -> Exchange {
         let write_deadline =
             if mutant(Mutant::RetryWrittenLate) { self.deadline } else { self.deadline.min(at) };
         Exchange { write_deadline, ..self }
     }
 
-    /// The remaining wait that is sent with the request if its first byte is written now, in whole milliseconds. None if the
-    /// request must not be written any more: it is too late, or less than a millisecond is left.
+    /// The remaining wait that is sent with the request if its first byte is written now, in whole
+    /// milliseconds. None if the request must not be written any more: it is too late, or less than a
+    /// millisecond is left.
     pub fn remaining_wait_ms(&self, now: Time) -> Option<u64> {
         if now >= self.write_deadline {
             return None;
@@ -186,8 +190,8 @@
         }
     }
 
-    /// Steps the machine. An event that does not fit the state changes nothing: a connection that is being disposed of
-    /// may still cause some.
+    /// Steps the machine. An event that does not fit the state changes nothing: a connection that is being
+    /// disposed of may still cause some.
     pub fn on(&mut self, now: Time, event: Event) {
         self.state = self.next(now, event);
     }
@@ -288,8 +292,8 @@
 
     /// How the attempt ended and what is to be done with its connection; none while the attempt is in flight.
     ///
-    /// The connection is reused only if the host sent a complete answer and is ready for another request. `has_unread`:
-    /// bytes are available on it that belong to no answer.
+    /// The connection is reused only if the host sent a complete answer and is ready for another request.
+    /// `has_unread`: bytes are available on it that belong to no answer.
     pub fn finish(self, has_unread: bool) -> Option<FinishedAttempt> {
         let end = self.ended()?;
         Some(FinishedAttempt { end, disposition: self.disposition(end, has_unread) })
--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -9,27 +9,28 @@
 //!    +-------Stop-------+--> StopAnnounced --Timeout------> Closing --Remaining(0, 0)--> Ended
 //! ```
 //!
-//! How clients are treated is the [`ServingState`], which follows from the state alone. A drained gateway keeps its
-//! process, its endpoint list and what it has learned, and still accepts new clients; it only asks the load balancer in
-//! front of it to send none.
+//! How clients are treated is the [`ServingState`], which follows from the state alone. A drained gateway
+//! keeps its process, its endpoint list and what it has learned, and still accepts new clients; it only asks
+//! the load balancer in front of it to send none.
 //!
-//! After SIGTERM new clients are accepted for a while, since the load balancer learns of the stop with a delay. Idle clients
-//! are closed after that, the others get their answers, and the process ends when no connection and no attempt is left.
+//! After SIGTERM new clients are accepted for a while, since the load balancer learns of the stop with a
+//! delay. Idle clients are closed after that, the others get their answers, and the process ends when no
+//! connection and no attempt is left.
 
 use crate::client::Idleness;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// After SIGTERM, and after the command to drain, clients are served as before for this time (microseconds). The load
-/// balancer needs it to notice and to send no more clients.
+/// After SIGTERM, and after the command to drain, clients are served as before for this time (microseconds).
+/// The load balancer needs it to notice and to send no more clients.
 pub const LOAD_BALANCER_NOTICE: Time = 450_000;
 
-/// After SIGTERM the platform's protocol leaves a process the longest deadline of its classes, up to this limit, and
-/// [`KILL_DELAY`] more before it is killed (microseconds).
+/// After SIGTERM the platform's protocol leaves a process the longest deadline of its classes, up to this
+/// limit, and [`KILL_DELAY`] more before it is killed (microseconds).
 const MAX_COUNTED_DEADLINE: Time = 3_000_000;
 /// See [`MAX_COUNTED_DEADLINE`] (microseconds).
 const KILL_DELAY: Time = 700_000;
-/// How long before the kill the last answers are given (microseconds): a machine with little processor time takes some
-/// tenths of a second to send them.
+/// How long before the kill the last answers are given (microseconds): a machine with little processor time
+/// takes some tenths of a second to send them.
 const KILL_MARGIN: Time = 250_000;
 
 /// The state of the gateway.
@@ -135,10 +136,12 @@
 /// Clock times until which messages of clients are read during a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadDeadlines {
-    /// For clients without an answer: they are read until the last answers are given, so that none is closed without one.
+    /// For clients without an answer: they are read until the last answers are given, so that none is closed
+    /// without one.
     new: Time,
-    /// For clients that have had an answer. What is read from them has half of the remaining time to be answered. Later it
-    /// would be rejected for lack of time, while the client of an unread query can retry it at another gateway.
+    /// For clients that have had an answer. What is read from them has half of the remaining time to be
+    /// answered. Later it would be rejected for lack of time, while the client of an unread query can retry
+    /// it at another gateway.
     answered: Time,
 }
 
@@ -185,14 +188,16 @@
         self.state
     }
 
-    /// Clock time by which every request that is admitted from now on must be answered, however long its client would wait:
-    /// the process is killed soon after. `longest_deadline` is that of any class (microseconds).
+    /// Clock time by which every request that is admitted from now on must be answered, however long its
+    /// client would wait: the process is killed soon after. `longest_deadline` is that of any class
+    /// (microseconds).
     pub fn answer_deadline(&self, longest_deadline: Time) -> Time {
         let limit = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         self.stopped_at.map_or(Time::MAX, |at| at + limit)
     }
 
-    /// Clock times until which messages of clients are read. `longest_deadline` is that of any class (microseconds).
+    /// Clock times until which messages of clients are read. `longest_deadline` is that of any class
+    /// (microseconds).
     pub fn read_deadlines(&self, longest_deadline: Time) -> ReadDeadlines {
         let Some(stopped_at) = self.stopped_at else { return ReadDeadlines::default() };
         let new = self.answer_deadline(longest_deadline);
@@ -224,8 +229,8 @@
         }
     }
 
-    /// Steps the machine. An event that does not fit the state changes nothing: a second SIGTERM hurries nothing, and a
-    /// stopping gateway neither applies new settings nor drains or resumes.
+    /// Steps the machine. An event that does not fit the state changes nothing: a second SIGTERM hurries
+    /// nothing, and a stopping gateway neither applies new settings nor drains or resumes.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
         match event {
             Event::Stop => self.on_stop(now),
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,7 +1,7 @@
 //! State machines for the life of requests, attempts, connections, clients and the gateway itself.
 //!
-//! Each machine is stepped with events and the current time. The machines do no I/O and have no clock: the network code
-//! reads, writes, closes and waits as they say, and decides nothing.
+//! Each machine is stepped with events and the current time. The machines do no I/O and have no clock: the
+//! network code reads, writes, closes and waits as they say, and decides nothing.
 //!
 //! | module | what it describes | states |
 //! | --- | --- | --- |
@@ -20,13 +20,13 @@
 //! | `backoff.rs` | the pause before the watch of the endpoint list is retried | |
 //! | `ending.rs` | every way in which a connection or an attempt can end | |
 //!
-//! **Promises**, each checked by the exhaustive models of `petrelgauge-models`: an attempt is reported once, after its
-//! connection has been closed or returned to the pool; a request ends once; a rejection never replaces an answer that a
-//! host has given; a connection with unread bytes is not used again; a request that may have run is never reported as one
-//! that did not.
+//! **Promises**, each checked by the exhaustive models of `petrelgauge-models`: an attempt is reported once,
+//! after its connection has been closed or returned to the pool; a request ends once; a rejection never
+//! replaces an answer that a host has given; a connection with unread bytes is not used again; a request that
+//! may have run is never reported as one that did not.
 //!
-//! **Bounds.** The request table holds the requests that clients may have open and an entry for each attempt until its
-//! report. The other machines are of fixed size.
+//! **Bounds.** The request table holds the requests that clients may have open and an entry for each attempt
+//! until its report. The other machines are of fixed size.
 //!
 //! ```
 //! use petrelgauge_lifecycle::exchange::{ConnectionDisposition, Event, Exchange};
--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -1,7 +1,7 @@
 //! Commands of the operators' address: parsing, execution and replies.
 //!
-//! One line per connection, one line back: `YES` or `NO` and a short reason. Commands change the gateway only through
-//! [`Event`]; they are idempotent, and a repeated one gets the reply that suits the state it finds.
+//! One line per connection, one line back: `YES` or `NO` and a short reason. Commands change the gateway only
+//! through [`Event`]; they are idempotent, and a repeated one gets the reply that suits the state it finds.
 
 use crate::gateway::{Action, Event, Gateway, GatewayState};
 use petrelgauge_policy::Time;
@@ -120,7 +120,8 @@
     Execution { reply: Reply { yes, reason }, action }
 }
 
-/// Whether a serving gateway is ready, and the reason: it needs hosts, and a list that is no older than necessary.
+/// Whether a serving gateway is ready, and the reason: it needs hosts, and a list that is no older than
+/// necessary.
 fn ready(now: Time, known: KnownState) -> (bool, String) {
     let KnownState { hosts, list_received, accept_initial_list_at, version } = known;
     match (hosts, list_received) {
--- a/crates/lifecycle/src/read_ahead.rs
+++ b/crates/lifecycle/src/read_ahead.rs
@@ -1,21 +1,21 @@
 //! How far a client's messages are read ahead of the one that is being answered, and when each was received.
 //!
-//! The bounds are enforced by back pressure: at a bound nothing more is read from the connection until queued messages
-//! have been dequeued, and what the client continues to send waits in the kernel's socket buffer. Nothing is read that
-//! can't be answered, and no client is cut off for sending quickly.
+//! The bounds are enforced by back pressure: at a bound nothing more is read from the connection until queued
+//! messages have been dequeued, and what the client continues to send waits in the kernel's socket buffer.
+//! Nothing is read that can't be answered, and no client is cut off for sending quickly.
 //!
-//! A message that waited in the kernel arrived at an unknown time. [`ReadAhead::arrived_at`] gives the earliest possible
-//! one, so that a client's remaining wait is never overestimated.
+//! A message that waited in the kernel arrived at an unknown time. [`ReadAhead::arrived_at`] gives the
+//! earliest possible one, so that a client's remaining wait is never overestimated.
 //!
 //! Sizes are in bytes, times in microseconds. The state is of fixed size.
 
 use petrelgauge_policy::Time;
 
-/// Most messages that are queued while one is being answered (count). A longer queue would only move the wait from the
-/// kernel to here.
+/// Most messages that are queued while one is being answered (count). A longer queue would only move the wait
+/// from the kernel to here.
 pub const MAX_QUEUED: usize = 64;
-/// Most bytes that are queued, including those of an incomplete message: twice the longest message, so that a complete one
-/// fits beside the beginning of the next.
+/// Most bytes that are queued, including those of an incomplete message: twice the longest message, so that a
+/// complete one fits beside the beginning of the next.
 pub const MAX_BYTES: usize = 320 * 1024;
 
 /// What one connection has read and not yet answered.
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,7 +1,9 @@
-//! The state machine of a client's request. It has exactly one final answer, and the first event that ends it decides which.
+//! The state machine of a client's request. It has exactly one final answer, and the first event that ends it
+//! decides which.
 //!
-//! An answer that a host gave takes precedence over what the router decides, and both over the client's disconnecting: the
-//! caller steps [`RequestState`] with the events in that order when it learns of several at a time.
+//! An answer that a host gave takes precedence over what the router decides, and both over the client's
+//! disconnecting: the caller steps [`RequestState`] with the events in that order when it learns of several
+//! at a time.
 
 use petrelgauge_policy::Time;
 
@@ -62,7 +64,8 @@
         self.attempt_in_flight
     }
 
-    /// Steps the machine. Returns the final answer if the event ends the request; later events change nothing.
+    /// Steps the machine. Returns the final answer if the event ends the request; later events change
+    /// nothing.
     pub fn on(&mut self, event: Event) -> Option<FinalAnswer> {
         if self.ended.is_some() {
             return None;
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of requests, and what they are admitted by: the settings with their classes, and the endpoint list.
+//! Admission of requests, and what they are admitted by: the settings with their classes, and the endpoint
+//! list.
 
 use super::{
     AttemptInFlight, ClassLookup, OpenRequest, Request, RequestTable, SessionNeed, SessionRef,
@@ -39,8 +40,8 @@
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// The longest deadline of any class in force (microseconds), or of the previous classes if that is shorter and clients
-    /// may not know of the change yet.
+    /// The longest deadline of any class in force (microseconds), or of the previous classes if that is
+    /// shorter and clients may not know of the change yet.
     pub fn longest_deadline(&self, now: Time) -> Time {
         let longest =
             |indexes: &[usize]| indexes.iter().map(|index| self.classes.class(*index).deadline).max();
@@ -53,8 +54,9 @@
         self.classes.version()
     }
 
-    /// Applies new settings to requests that are admitted from now on. Open requests and their attempts keep the classes
-    /// that they were admitted with. `session_classes` are the indexes, in these settings, of classes with sessions.
+    /// Applies new settings to requests that are admitted from now on. Open requests and their attempts keep
+    /// the classes that they were admitted with. `session_classes` are the indexes, in these settings, of
+    /// classes with sessions.
     ///
     /// # Errors
     ///
@@ -93,8 +95,8 @@
         Settings { classes: self.classes.table().to_vec(), ..self.settings.clone() }
     }
 
-    /// Admits a request and returns its id. The table gives out its own ids, since those that clients choose need not be
-    /// unique.
+    /// Admits a request and returns its id. The table gives out its own ids, since those that clients choose
+    /// need not be unique.
     pub fn admit(&mut self, request: Request) -> RequestId {
         let id: RequestId = self.next_id.to_string().into();
         self.next_id += 1;
@@ -147,8 +149,8 @@
         })
     }
 
-    /// Raises the minimum position of a read that arrives while a write of its session is in flight. That write may have
-    /// been committed, and its client may know of it, before its report gets here.
+    /// Raises the minimum position of a read that arrives while a write of its session is in flight. That
+    /// write may have been committed, and its client may know of it, before its report gets here.
     fn with_pending_writes(
         &self,
         minimum: MinimumPosition,
@@ -187,7 +189,8 @@
         self.pending_events.push(Event::List { update, entries: entries.into() });
     }
 
-    /// Whether requests for this group may be served: the endpoint list names the group, or none has been received.
+    /// Whether requests for this group may be served: the endpoint list names the group, or none has been
+    /// received.
     pub fn may_serve_group(&self, group: GroupId) -> bool {
         self.groups.is_empty() || self.groups.contains(&group)
     }
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -20,8 +20,9 @@
         true
     }
 
-    /// Records the outcome of an attempt whose connection was closed or returned to the pool. Returns whether the member's
-    /// answer is the final answer of the request, to be sent to the client. A second report of an attempt is ignored.
+    /// Records the outcome of an attempt whose connection was closed or returned to the pool. Returns whether
+    /// the member's answer is the final answer of the request, to be sent to the client. A second report of
+    /// an attempt is ignored.
     pub fn report(&mut self, now: Time, attempt: &AttemptSpec, mut outcome: Outcome) -> bool {
         // A second report would decrement the attempts of the member twice.
         let Some(in_flight) = self.in_flight.remove(&attempt.id) else { return false };
@@ -54,7 +55,8 @@
         is_final_answer
     }
 
-    /// Records the write of a session, also if its client has left: the session's next read may use another connection.
+    /// Records the write of a session, also if its client has left: the session's next read may use another
+    /// connection.
     fn record_write(&mut self, now: Time, attempt: &AttemptInFlight, outcome: &Outcome) {
         let hosts_now = self.hosts_now(now);
         let (Some(tracker), Some(write)) = (&mut self.session_tracker, attempt.session_write) else { return };
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Records the position that a replica reported. A late report of a removed member must not add an entry for it.
+    /// Records the position that a replica reported. A late report of a removed member must not add an entry
+    /// for it.
     fn record_position(&mut self, host: MemberId, outcome: &Outcome) {
         let is_tracked = self.session_tracker.is_some() && self.listed.contains(&host);
         if let (Some(position), Some(Role::Replica), true) = (outcome.position, outcome.role, is_tracked) {
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Records writes that were abandoned since the last call, with the present time: what may have run was committed before
-    /// it.
+    /// Records writes that were abandoned since the last call, with the present time: what may have run was
+    /// committed before it.
     pub(super) fn record_unconfirmed_writes(&mut self, now: Time) {
         let hosts_now = self.hosts_now(now);
         let Some(tracker) = &mut self.session_tracker else { return };
@@ -99,8 +102,8 @@
         Some(())
     }
 
-    /// Whether the member's report shows that its data are older than the class allows: the router took it for the primary,
-    /// and it is a replica. Members that check this by themselves don't answer in that case.
+    /// Whether the member's report shows that its data are older than the class allows: the router took it
+    /// for the primary, and it is a replica. Members that check this by themselves don't answer in that case.
     fn shows_old_data(&self, attempt: &AttemptSpec, class: usize, outcome: &Outcome) -> bool {
         let need = self.classes.class(class).need;
         let Some(bound) = need.bound().or((need == Need::Strong).then_some(0)) else { return false };
@@ -110,8 +113,8 @@
         is_unchecked_replica && outcome.position.is_some_and(|position| position < oldest_allowed)
     }
 
-    /// Whether an answer can be the final answer of its request: the answer to a session's read must prove the minimum
-    /// position. An accepted answer is recorded as seen by the session.
+    /// Whether an answer can be the final answer of its request: the answer to a session's read must prove
+    /// the minimum position. An accepted answer is recorded as seen by the session.
     fn accept_answer(&mut self, now: Time, request: &RequestId, outcome: &Outcome) -> bool {
         let hosts_now = self.hosts_now(now);
         let Some(tracker) = &mut self.session_tracker else { return true };
--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -7,9 +7,9 @@
 const MAX_TRACKER_DRIFT: Time = 1_000_000;
 
 impl RequestTable {
-    /// Learns from the times of an answer, as of its arrival, how far the hosts' clock is ahead, and drops times that lie in
-    /// the hosts' future: those were not read from a clock. `attempt` is the attempt that is answered; none if it has been
-    /// reported already. Returns whether the load report was kept.
+    /// Learns from the times of an answer, as of its arrival, how far the hosts' clock is ahead, and drops
+    /// times that lie in the hosts' future: those were not read from a clock. `attempt` is the attempt that
+    /// is answered; none if it has been reported already. Returns whether the load report was kept.
     pub fn validate_times(
         &mut self,
         now: Time,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Restarts the session tracker if the hosts' clock differs from the estimate that the sessions' times are based on, which
-    /// makes them useless.
+    /// Restarts the session tracker if the hosts' clock differs from the estimate that the sessions' times
+    /// are based on, which makes them useless.
     fn restart_tracker(&mut self, now: Time) {
         let offset = self.hosts_now(now) - now;
         if (offset - self.tracker_offset).abs() <= MAX_TRACKER_DRIFT {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The latest time that the hosts' clock can show now. Sessions are tracked by it, since their watermarks are commit
-    /// times.
+    /// The latest time that the hosts' clock can show now. Sessions are tracked by it, since their watermarks
+    /// are commit times.
     pub(super) fn hosts_now(&self, now: Time) -> Time {
         self.router.fleet_clock().latest_hosts_time(now)
     }
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -1,13 +1,13 @@
-//! The request table: admits requests, steps the router, returns its decisions as commands, and accepts the report of each
-//! attempt.
+//! The request table: admits requests, steps the router, returns its decisions as commands, and accepts the
+//! report of each attempt.
 //!
-//! It connects the code that serves connections with the router. Events for the router are queued in order and passed on in
-//! batches, at most one per granularity of the settings.
+//! It connects the code that serves connections with the router. Events for the router are queued in order
+//! and passed on in batches, at most one per granularity of the settings.
 //!
-//! A request is **open** until it ends: served or unusable (by a report), rejected or failed (by the router), or abandoned
-//! (its client left). An attempt is **in flight** from its command until its report, also when its request has ended. The
-//! caller learns from the report whether the host's answer is the final answer for the client: only while the request is
-//! open, and never if the answer is too old for the request's session.
+//! A request is **open** until it ends: served or unusable (by a report), rejected or failed (by the router),
+//! or abandoned (its client left). An attempt is **in flight** from its command until its report, also when
+//! its request has ended. The caller learns from the report whether the host's answer is the final answer for
+//! the client: only while the request is open, and never if the answer is too old for the request's session.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -38,16 +38,16 @@
 use petrelgauge_sessions::{MinimumPosition, SessionKey, SessionTracker};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All requests and attempts of a gateway. Bounded by the requests that clients may have open; an attempt stays until its
-/// report.
+/// All requests and attempts of a gateway. Bounded by the requests that clients may have open; an attempt
+/// stays until its report.
 #[derive(Clone, Debug)]
 pub struct RequestTable {
     router: Router,
     granularity: Time,
     last_step_at: Time,
     timer: Option<RouterTimer>,
-    /// Events since the last step, in order. The `time_left` of a request is its deadline here, as a clock time; the
-    /// `took` of an outcome was computed when it was reported.
+    /// Events since the last step, in order. The `time_left` of a request is its deadline here, as a clock
+    /// time; the `took` of an outcome was computed when it was reported.
     pending_events: Vec<Event>,
     next_id: u64,
     open: BTreeMap<RequestId, OpenRequest>,
@@ -62,7 +62,8 @@
     /// Indexes of classes with sessions.
     session_classes: BTreeSet<usize>,
     session_tracker: Option<SessionTracker>,
-    /// By how much the hosts' clock was estimated to be ahead of the own one when the session tracker was last restarted.
+    /// By how much the hosts' clock was estimated to be ahead of the own one when the session tracker was
+    /// last restarted.
     tracker_offset: Time,
     /// Sessions whose write was abandoned by its client since the last event with a time.
     unconfirmed_writes: Vec<SessionKey>,
@@ -121,7 +122,8 @@
 }
 
 impl RequestTable {
-    /// An empty table. All random choices follow from the seed. Session consistency is disabled without `sessions`.
+    /// An empty table. All random choices follow from the seed. Session consistency is disabled without
+    /// `sessions`.
     ///
     /// # Errors
     ///
@@ -165,15 +167,15 @@
         self.in_flight.len()
     }
 
-    /// Whether an attempt may still be sent: its request is open, and its member is known to be fresh enough for the
-    /// request where members don't check that by themselves.
+    /// Whether an attempt may still be sent: its request is open, and its member is known to be fresh enough
+    /// for the request where members don't check that by themselves.
     pub fn may_send(&self, now: Time, attempt: &AttemptSpec) -> bool {
         let request = &attempt.id.request;
         self.open.contains_key(request) && self.router.is_fresh(now, request, attempt.host)
     }
 
-    /// Applies gossip: at time `at` of the hosts' clock this member answered another gateway as the primary of its group. A
-    /// time in the future counts as now.
+    /// Applies gossip: at time `at` of the hosts' clock this member answered another gateway as the primary
+    /// of its group. A time in the future counts as now.
     pub fn gossiped_primary(&mut self, now: Time, member: MemberId, at: Time) {
         if self.listed.contains(&member) {
             let at = self.router.fleet_clock().own_time(at).min(now);
@@ -188,7 +190,8 @@
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// Adjusts this gateway's quota of the concurrency limits of a group's members, with the next step of the router.
+    /// Adjusts this gateway's quota of the concurrency limits of a group's members, with the next step of the
+    /// router.
     pub fn adjust_quota(&mut self, group: GroupId, adjustment: QuotaAdjustment) {
         if self.groups.contains(&group) {
             self.pending_events.push(Event::QuotaAdjusted { group, adjustment });
--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -29,7 +29,8 @@
         tokens.set(text, tracker.settings().secret)
     }
 
-    /// The session that a request belongs to, with its client's tokens joined into one. None if sessions are not tracked.
+    /// The session that a request belongs to, with its client's tokens joined into one. None if sessions are
+    /// not tracked.
     ///
     /// # Errors
     ///
--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -7,8 +7,8 @@
 use petrelgauge_policy::{mutant, Action, Event, MemberId, Mutant, RequestId, Time};
 
 impl RequestTable {
-    /// Steps the router if a step is due: something has changed or the router's timer has run out, and the last step is at
-    /// least one granularity ago.
+    /// Steps the router if a step is due: something has changed or the router's timer has run out, and the
+    /// last step is at least one granularity ago.
     pub fn tick(&mut self, now: Time) -> Tick {
         let earliest_step = self.last_step_at.saturating_add(self.granularity);
         let expired_timer = self.timer.filter(|timer| timer.at <= now);
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -47,13 +47,15 @@
 pub struct Outcome {
     /// How it ended.
     pub ending: Ending,
-    /// Time of the hosts' clock up to which the member has applied all commits; for a served write its commit.
+    /// Time of the hosts' clock up to which the member has applied all commits; for a served write its
+    /// commit.
     pub position: Option<Time>,
     /// The member's role.
     pub role: Option<Role>,
     /// The member's load report.
     pub report: Report,
-    /// No member can execute the request: the member's error is the final answer, and no other member is tried.
+    /// No member can execute the request: the member's error is the final answer, and no other member is
+    /// tried.
     pub is_unusable: bool,
 }
 
@@ -66,9 +68,9 @@
 
 /// What the caller has to do after a step of the router, in sequence.
 ///
-/// These are the router's [`Action`](petrelgauge_policy::Action)s as far as they leave the table. They differ from the
-/// actions: an attempt has its number and its write deadline, what concerns an ended request or a reported attempt is left
-/// out, and timers stay inside.
+/// These are the router's [`Action`](petrelgauge_policy::Action)s as far as they leave the table. They differ
+/// from the actions: an attempt has its number and its write deadline, what concerns an ended request or a
+/// reported attempt is left out, and timers stay inside.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TableCommand {
     /// Make this attempt.
@@ -118,7 +120,8 @@
     pub host: MemberId,
     /// Clock time at which to abandon it.
     pub deadline: Time,
-    /// Clock time by which it must be written, if at all: the end of the window of its idempotency key for a retry.
+    /// Clock time by which it must be written, if at all: the end of the window of its idempotency key for a
+    /// retry.
     pub write_deadline: Time,
     /// Clock time at which it was ordered.
     pub ordered_at: Time,
--- a/crates/lifecycle/src/verdict.rs
+++ b/crates/lifecycle/src/verdict.rs
@@ -17,15 +17,16 @@
     }
 }
 
-/// Whether a load report is plausible: nothing in it is negative or not a number. An implausible one is dropped as a
-/// whole; the answer that it came with remains valid. Positions are compared with the hosts' clock elsewhere; see
-/// [`RequestTable::validate_times`](crate::request_table::RequestTable::validate_times).
+/// Whether a load report is plausible: nothing in it is negative or not a number. An implausible one is
+/// dropped as a whole; the answer that it came with remains valid. Positions are compared with the hosts'
+/// clock elsewhere; see [`RequestTable::validate_times`](crate::request_table::RequestTable::validate_times).
 pub fn is_plausible_report(report: &Report) -> bool {
     let is_plausible = |figure: Option<f64>| figure.is_none_or(|figure| figure.is_finite() && figure >= 0.0);
     report.position.is_none_or(|at| at >= 0) && is_plausible(report.waiting) && is_plausible(report.busy)
 }
 
-/// The position (microseconds, by the hosts' clock) that a host reported in Unix milliseconds. None if it is out of range.
+/// The position (microseconds, by the hosts' clock) that a host reported in Unix milliseconds. None if it is
+/// out of range.
 pub fn position_from_millis(millis: Time) -> Option<Time> {
     millis.checked_mul(MICROSECONDS_PER_MILLISECOND).filter(|at| *at > 0)
 }
--- a/crates/lifecycle/src/watch.rs
+++ b/crates/lifecycle/src/watch.rs
@@ -1,9 +1,9 @@
-//! Which revision of the discovery service's endpoint list is known, which update is requested next, and whether the
-//! complete list is needed.
+//! Which revision of the discovery service's endpoint list is known, which update is requested next, and
+//! whether the complete list is needed.
 //!
-//! An unusable line held a change that no later line repeats. From then on the complete list is needed, and requested by a
-//! separate call while the watch continues. The same holds after a revision that is lower than an earlier one of the same
-//! watch. A watch that is opened while the complete list is needed requests it.
+//! An unusable line held a change that no later line repeats. From then on the complete list is needed, and
+//! requested by a separate call while the watch continues. The same holds after a revision that is lower than
+//! an earlier one of the same watch. A watch that is opened while the complete list is needed requests it.
 //!
 //! ```
 //! use petrelgauge_lifecycle::watch::WatchState;
@@ -21,11 +21,12 @@
 
 use petrelgauge_policy::{Time, Update};
 
-/// The discovery service writes an empty line every 2 s. A watch without a line for this time (microseconds) is considered
-/// dead. An update has to be known after 6 s, so little of that may be spent on waiting. Bytes that form no line don't
-/// count.
+/// The discovery service writes an empty line every 2 s. A watch without a line for this time (microseconds)
+/// is considered dead. An update has to be known after 6 s, so little of that may be spent on waiting. Bytes
+/// that form no line don't count.
 pub const WATCH_TIMEOUT: Time = 3_000_000;
-/// Shortest time between two requests for the complete list (microseconds): what it holds must be applied within 8 s.
+/// Shortest time between two requests for the complete list (microseconds): what it holds must be applied
+/// within 8 s.
 pub const COMPLETE_LIST_INTERVAL: Time = 500_000;
 
 /// What is known of the endpoint list's revisions.
@@ -71,8 +72,8 @@
         self.needs_complete_list = true;
     }
 
-    /// The watch brought an update. Returns whether it is to be applied: changes older than earlier ones of the watch are
-    /// not.
+    /// The watch brought an update. Returns whether it is to be applied: changes older than earlier ones of
+    /// the watch are not.
     pub fn on_update(&mut self, revision: u64, update: Update) -> bool {
         if update == Update::Partial && self.newest_of_watch.is_some_and(|newest| revision < newest) {
             self.needs_complete_list = true;
@@ -82,8 +83,8 @@
         true
     }
 
-    /// A separate call brought the complete list. Returns whether it is to be applied: a list older than what the watch
-    /// brought meanwhile is requested again, and applied if it is still as old.
+    /// A separate call brought the complete list. Returns whether it is to be applied: a list older than what
+    /// the watch brought meanwhile is requested again, and applied if it is still as old.
     pub fn on_complete_list(&mut self, revision: u64) -> bool {
         let older = self.revision.is_some_and(|current| revision < current);
         if older && !std::mem::replace(&mut self.last_call_was_older, true) {
--- a/crates/lifecycle/tests/backoff.rs
+++ b/crates/lifecycle/tests/backoff.rs
@@ -1,11 +1,12 @@
-//! Pauses before a watch of the discovery service is retried: bounds, jitter and the load on an overloaded service.
+//! Pauses before a watch of the discovery service is retried: bounds, jitter and the load on an overloaded
+//! service.
 
 use petrelgauge_lifecycle::backoff::*;
 use petrelgauge_policy::Time;
 
-/// Simulates gateways that all start at 0 with a service that handles one call at a time, each in 60 ms, and rejects calls
-/// that have waited for 2 s after the same work. Returns when the last gateway succeeded (microseconds), if all did within
-/// 20 s.
+/// Simulates gateways that all start at 0 with a service that handles one call at a time, each in 60 ms, and
+/// rejects calls that have waited for 2 s after the same work. Returns when the last gateway succeeded
+/// (microseconds), if all did within 20 s.
 fn all_through(gateways: u32, pauses: impl Fn(&mut Backoff) -> Time) -> Option<Time> {
     let starts = (0..gateways).map(|n| Backoff::new(gateways, 77 + u64::from(n)));
     let mut calls: Vec<(Time, Backoff)> = starts.map(|one| (0, one)).collect();
--- a/crates/lifecycle/tests/outage.rs
+++ b/crates/lifecycle/tests/outage.rs
@@ -1,5 +1,5 @@
-//! An outage of the discovery service of over a minute, with a simulated clock: the gateway retries soon enough that the
-//! updates after the return are applied in time, and requests the changes that it missed.
+//! An outage of the discovery service of over a minute, with a simulated clock: the gateway retries soon
+//! enough that the updates after the return are applied in time, and requests the changes that it missed.
 
 use petrelgauge_lifecycle::backoff::{Backoff, Cause};
 use petrelgauge_lifecycle::watch::{WatchState, WATCH_TIMEOUT};
@@ -9,8 +9,8 @@
 /// Updates at the return of the discovery service are to be applied within this time (microseconds).
 const APPLIED_WITHIN: Time = 2 * SECOND;
 
-/// Simulates a gateway whose calls fail after `call` each from 0 on. Returns how long after the return of the discovery
-/// service the next call begins.
+/// Simulates a gateway whose calls fail after `call` each from 0 on. Returns how long after the return of the
+/// discovery service the next call begins.
 fn pause_at_return(gateways: u32, seed: u64, call: Time, returns: Time) -> (Time, Backoff) {
     let mut backoff = Backoff::new(gateways, seed);
     let mut now = 0;
--- a/src/client/accept_loop.rs
+++ b/src/client/accept_loop.rs
@@ -29,8 +29,8 @@
 }
 
 impl AcceptLoop {
-    /// Accepts clients until the gateway has stopped. Clients in the listen backlog are accepted before the loop ends,
-    /// however many calls fail, unless the listening socket is shared with a successor process.
+    /// Accepts clients until the gateway has stopped. Clients in the listen backlog are accepted before the
+    /// loop ends, however many calls fail, unless the listening socket is shared with a successor process.
     pub async fn run<A: Acceptor>(mut self, acceptor: &A, handler: &impl ClientHandler<A::Stream>) {
         let mut resource_exhausted = false;
         let mut backlog_checked = false;
@@ -46,7 +46,8 @@
                     if backlog_checked {
                         return;
                     }
-                    // The reactor may not know yet of a client that connected a moment ago. It does after this.
+                    // The reactor may not know yet of a client that connected a moment ago. It does after
+                    // this.
                     backlog_checked = true;
                     tokio::task::yield_now().await;
                     continue;
--- a/src/client/acceptor.rs
+++ b/src/client/acceptor.rs
@@ -41,7 +41,8 @@
         self.accepted_count.set(number);
         context.counters.clients.add();
         context.host_pool.ensure_descriptor();
-        // Acquired here and not in the task: of many clients that come at once, each must see those before it.
+        // Acquired here and not in the task: of many clients that come at once, each must see those before
+        // it.
         let slot = context.budget.acquire_client_slot();
         tokio::task::spawn_local(context.clone().serve(stream, number, slot));
     }
--- a/src/client/answer.rs
+++ b/src/client/answer.rs
@@ -15,8 +15,8 @@
     sqlstate: &'a str,
     message: &'a str,
     detail: Option<String>,
-    /// Whether the statement may have run. The session's token is sent with the error then: the session's next read must see
-    /// what the statement may have written.
+    /// Whether the statement may have run. The session's token is sent with the error then: the session's
+    /// next read must see what the statement may have written.
     may_have_run: bool,
 }
 
@@ -106,8 +106,8 @@
         self.write(&out[..], request.request.deadline).await
     }
 
-    /// Streams a long row from its host to the client. If the row breaks off the connection is closed, which is how the
-    /// client notices.
+    /// Streams a long row from its host to the client. If the row breaks off the connection is closed, which
+    /// is how the client notices.
     async fn stream_row(&mut self, mut row: StreamedRow, request: &ClientRequest) -> Result<(), End> {
         let context = self.context.clone();
         let host = row.host();
--- a/src/client/cancel_registry.rs
+++ b/src/client/cancel_registry.rs
@@ -1,5 +1,5 @@
-//! The cancel keys of all open clients. A cancel request comes on a connection of its own and cancels the query that the
-//! client with its key has open.
+//! The cancel keys of all open clients. A cancel request comes on a connection of its own and cancels the
+//! query that the client with its key has open.
 
 use crate::postgres::cancel::CancelKey;
 use rand_core::{RngCore, SeedableRng};
@@ -30,7 +30,8 @@
         })
     }
 
-    /// Creates the key of the client with this connection number. It is valid for as long as the returned value lives.
+    /// Creates the key of the client with this connection number. It is valid for as long as the returned
+    /// value lives.
     pub fn register(self: &Rc<Self>, process: u32) -> RegisteredKey {
         let key = CancelKey { process, secret: self.secret_rng.borrow_mut().next_u32() };
         let cancelled = Rc::new(Notify::new());
@@ -43,7 +44,8 @@
     pub fn cancel(&self, key: CancelKey) {
         let open_clients = self.open_clients.borrow();
         if let Some(client) = open_clients.get(&key.process).filter(|client| client.secret == key.secret) {
-            // Not `notify_one`: without an open query nobody waits, and the next query must not be cancelled for it.
+            // Not `notify_one`: without an open query nobody waits, and the next query must not be cancelled
+            // for it.
             client.cancelled.notify_waiters();
         }
     }
@@ -58,8 +60,8 @@
 }
 
 impl RegisteredKey {
-    /// Waits until the query that is open now is cancelled. A cancel after this call is not missed, whenever the future is
-    /// first polled.
+    /// Waits until the query that is open now is cancelled. A cancel after this call is not missed, whenever
+    /// the future is first polled.
     pub fn cancelled(&self) -> impl Future<Output = ()> + '_ {
         self.cancelled.notified()
     }
--- a/src/client/context.rs
+++ b/src/client/context.rs
@@ -1,5 +1,5 @@
-//! What all client sessions share: the routing decisions, the database hosts, the process's limits and the state of the
-//! gateway.
+//! What all client sessions share: the routing decisions, the database hosts, the process's limits and the
+//! state of the gateway.
 
 use crate::client::cancel_registry::CancelRegistry;
 use crate::facade::Facade;
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Reserves the id of a request for as long as the returned value lives. None if another open request has it.
+    /// Reserves the id of a request for as long as the returned value lives. None if another open request has
+    /// it.
     pub(super) fn reserve_request_id(self: &Rc<Self>, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
         let is_new = self.open_request_ids.borrow_mut().insert(id.clone());
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! Client connections: accepting them, reading their messages, admitting their requests and writing the answers.
+//! Client connections: accepting them, reading their messages, admitting their requests and writing the
+//! answers.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -14,9 +15,9 @@
 //! | [`cancel_registry`] | keys of cancel requests |
 //! | [`context`] | what all sessions share |
 //!
-//! Each connection is one task that owns its session. It has at most one open request, and reads ahead while that is open.
-//! Nothing here decides where a request goes: it is admitted to the [facade](crate::facade), and each attempt is made by
-//! [`crate::host`]. When a connection is read, paused or closed is decided by
+//! Each connection is one task that owns its session. It has at most one open request, and reads ahead while
+//! that is open. Nothing here decides where a request goes: it is admitted to the [facade](crate::facade),
+//! and each attempt is made by [`crate::host`]. When a connection is read, paused or closed is decided by
 //! [`petrelgauge_lifecycle::client`] and [`petrelgauge_lifecycle::read_ahead`].
 //!
 //! The folder owns the clients' sockets, what was read from them, the ids and cancel keys of open requests.
--- a/src/client/query.rs
+++ b/src/client/query.rs
@@ -52,7 +52,8 @@
         postgres::put_error(out, Severity::Error, error.sqlstate(), &error.to_string(), None);
     }
 
-    /// Applies a SET, RESET or DISCARD statement. Only session tokens have an effect; other settings are accepted and ignored.
+    /// Applies a SET, RESET or DISCARD statement. Only session tokens have an effect; other settings are
+    /// accepted and ignored.
     fn apply_setting(&mut self, setting: &Setting) -> Result<(), UnusableStatement> {
         match setting {
             Setting::SetTokens(text) if self.context.facade.read(|table| table.tracks_sessions()) => {
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -1,4 +1,5 @@
-//! Reads the messages of one client in order, a bounded number of them ahead of the query that is being answered.
+//! Reads the messages of one client in order, a bounded number of them ahead of the query that is being
+//! answered.
 
 use crate::client::client_event::{ClientEvent, Payload, ProtocolError, Query, ReadError};
 use crate::client::context::ClientContext;
@@ -22,9 +23,10 @@
 
 /// Reads from one client.
 ///
-/// Messages keep the time at which they arrived: a client counts its wait from when it sent a query, also while its earlier
-/// queries are being answered. What is buffered is bounded by [`ReadAhead`] and by the memory of all connections. At either
-/// bound reading pauses, and only the client's disconnecting is still noticed.
+/// Messages keep the time at which they arrived: a client counts its wait from when it sent a query, also
+/// while its earlier queries are being answered. What is buffered is bounded by [`ReadAhead`] and by the
+/// memory of all connections. At either bound reading pauses, and only the client's disconnecting is still
+/// noticed.
 ///
 /// Every wait is cancel safe: what was read stays in the reader.
 pub(super) struct ClientReader<'a> {
@@ -80,8 +82,9 @@
         event.unwrap_or_else(ClientEvent::from)
     }
 
-    /// Reads ahead until the client disconnects, or until the time to answer what came before a protocol error is over.
-    /// Terminate counts as disconnecting, whatever was sent before it: a client that sends it closes at once.
+    /// Reads ahead until the client disconnects, or until the time to answer what came before a protocol
+    /// error is over. Terminate counts as disconnecting, whatever was sent before it: a client that sends it
+    /// closes at once.
     pub(super) async fn disconnected(&mut self) -> End {
         loop {
             self.parse_messages();
@@ -100,8 +103,8 @@
                 Ok(allowance) => allowance,
                 Err(end) => return end,
             };
-            // Checked before the bytes in front of the close are read: reading yields, and another task could send the query
-            // to a host meanwhile.
+            // Checked before the bytes that precede the close are read: reading yields, and another task
+            // could send the query to a host meanwhile.
             if is_closed_by_client(&self.stream).await {
                 return End::ClientLeft;
             }
@@ -111,8 +114,9 @@
         }
     }
 
-    /// Reads ahead while an answer is being written, and never returns. A query that was left in the kernel until then would
-    /// seem to have just arrived, and its host would be given more time than the client waits.
+    /// Reads ahead while an answer is being written, and never returns. A query that was left in the kernel
+    /// until then would seem to have just arrived, and its host would be given more time than the client
+    /// waits.
     pub(super) async fn read_ahead(&mut self) {
         if self.has_started {
             self.disconnected().await;
@@ -150,7 +154,8 @@
         self.failure.is_some_and(|failure| self.clock.now() >= failure.answer_deadline)
     }
 
-    /// Whether [`next_event`](Self::next_event) would return without reading: there is a complete message or a protocol error.
+    /// Whether [`next_event`](Self::next_event) would return without reading: there is a complete message or
+    /// a protocol error.
     pub(super) fn has_event(&mut self, state: ClientState) -> bool {
         if state == ClientState::Opening {
             return self.failure.is_some() || self.framer.has_opening();
@@ -174,8 +179,8 @@
         !self.framer.is_empty()
     }
 
-    /// When the last bytes of an incomplete message were received, if there is one. While reading is paused for lack of
-    /// memory this is now, since the client is not to blame for the delay.
+    /// When the last bytes of an incomplete message were received, if there is one. While reading is paused
+    /// for lack of memory this is now, since the client is not to blame for the delay.
     pub(super) fn partial_at(&self) -> Option<Time> {
         let at = if self.may_read() { self.ahead.last_read_at() } else { self.clock.now() };
         self.has_partial_message().then_some(at)
@@ -265,8 +270,8 @@
 
     /// Waits until bytes may be read and returns how many.
     ///
-    /// At the connection's own bound only the client's disconnecting ends the wait: taking a message from the queue cancels
-    /// it and reads again.
+    /// At the connection's own bound only the client's disconnecting ends the wait: taking a message from the
+    /// queue cancels it and reads again.
     async fn wait_for_allowance(&mut self) -> Result<usize, End> {
         loop {
             // Created before the allowance is checked, so that no release in between is missed.
@@ -291,7 +296,8 @@
         }
     }
 
-    /// Waits until bytes may be read and are there, or the connection has ended. Returns how many bytes may be read.
+    /// Waits until bytes may be read and are there, or the connection has ended. Returns how many bytes may
+    /// be read.
     async fn wait_readable(&mut self) -> Result<usize, End> {
         let allowance = self.wait_for_allowance().await?;
         self.stream.readable().await.map_err(|_| End::ClientLeft)?;
@@ -342,8 +348,8 @@
 
 /// Waits until the client has closed its side or the connection broke, without reading.
 ///
-/// It waits for priority data, for which the socket is not registered: only the end of the connection is reported then, and
-/// not bytes that can be read.
+/// It waits for priority data, for which the socket is not registered: only the end of the connection is
+/// reported then, and not bytes that can be read.
 async fn closed_by_client(stream: &ReadHalf<'_>) {
     loop {
         match stream.ready(Interest::PRIORITY).await {
@@ -362,7 +368,8 @@
     }
 }
 
-/// Bytes that a queued message is accounted with, including its entry: many small messages cost more than their bytes.
+/// Bytes that a queued message is accounted with, including its entry: many small messages cost more than
+/// their bytes.
 fn memory_of(message: &Message) -> usize {
     message.raw.len() + std::mem::size_of::<QueuedMessage>()
 }
--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -73,7 +73,8 @@
         let mut open = OpenRequest::admit(&context, request);
         let mut state = RequestState::default();
         let mut disconnected_as = End::ClientLeft;
-        // Created once: a future made anew in each iteration would miss a cancel that comes beside another event.
+        // Created once: a future made anew in each iteration would miss a cancel that comes beside another
+        // event.
         let mut cancelled = pin!(self.cancel_key.cancelled());
         loop {
             // A host's answer precedes decisions, and both precede the client's disconnecting.
@@ -140,8 +141,8 @@
         match decision {
             Decision::Send(attempt) => {
                 let run = self.context.host_pool.clone().attempt(attempt, self.statement.clone());
-                // A task of its own, since it may outlive the request: the attempt of a write that failed for its client may
-                // still be in flight.
+                // A task of its own, since it may outlive the request: the attempt of a write that failed for
+                // its client may still be in flight.
                 self.attempt = Some(tokio::task::spawn_local(run));
                 Event::AttemptStarted
             }
@@ -168,8 +169,8 @@
     }
 }
 
-/// Waits until a stopping gateway has to give its last answers: the process may be killed after that, and a request that was
-/// admitted before the stop may have a later deadline.
+/// Waits until a stopping gateway has to give its last answers: the process may be killed after that, and a
+/// request that was admitted before the stop may have a later deadline.
 async fn final_answer_deadline(context: &ClientContext) {
     // The deadline is set well before the serving state changes.
     let mut serving_state = context.serving_state.clone();
--- a/src/client/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -1,5 +1,5 @@
-//! Parses a query as a request for the database hosts, and checks it against the classes, groups and sessions that are
-//! served.
+//! Parses a query as a request for the database hosts, and checks it against the classes, groups and sessions
+//! that are served.
 
 use crate::client::client_event::Query;
 use crate::client::context::{ClientContext, ReservedRequestId};
@@ -54,7 +54,8 @@
     }
 }
 
-/// A request that can be admitted, with the statement that is sent to a host. Its id is reserved for as long as it lives.
+/// A request that can be admitted, with the statement that is sent to a host. Its id is reserved for as long
+/// as it lives.
 pub(super) struct ClientRequest {
     pub(super) request: Request,
     pub(super) statement: Rc<Statement>,
@@ -131,7 +132,8 @@
         Ok(())
     }
 
-    /// The session of a request, if its class has sessions, with the tokens of its comment and of its connection.
+    /// The session of a request, if its class has sessions, with the tokens of its comment and of its
+    /// connection.
     fn session_of(
         &self,
         class_index: usize,
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -21,13 +21,14 @@
 
 /// Time after a request's deadline within which its client must read the answer (microseconds).
 const ANSWER_WRITE_TIMEOUT: Time = 2_000_000;
-/// Time after the write half was closed within which the client may read the rest and close its side (microseconds).
+/// Time after the write half was closed within which the client may read the rest and close its side
+/// (microseconds).
 const LINGERING_CLOSE_TIMEOUT: Time = 1_000_000;
-/// Time after its accept before which a client without a query is not closed for a drain or stop (microseconds): its first
-/// query may be on its way.
+/// Time after its accept before which a client without a query is not closed for a drain or stop
+/// (microseconds): its first query may be on its way.
 const FIRST_QUERY_GRACE_PERIOD: Time = 500_000;
-/// Time after the last use of the connection until which a client that has begun a message is not closed for a drain or stop
-/// (microseconds).
+/// Time after the last use of the connection until which a client that has begun a message is not closed for
+/// a drain or stop (microseconds).
 const PARTIAL_MESSAGE_GRACE_PERIOD: Time = 2_000_000;
 /// Interval at which a message that has begun is checked during that time (microseconds).
 const PARTIAL_MESSAGE_POLL_INTERVAL: Time = 20_000;
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Whether the connection is closed for a stop without another read: the process may be killed soon, and everything that
-    /// was read has been answered.
+    /// Whether the connection is closed for a stop without another read: the process may be killed soon, and
+    /// everything that was read has been answered.
     fn is_past_final_read(&mut self, connection: &ClientConnection) -> bool {
         let read_deadline = self.context.final_read_deadlines.get().of(connection.idle_since().kind);
         self.serving_state.borrow().closes_idle_clients()
@@ -200,10 +201,11 @@
         Event::Timeout { has_unread, partial_at: self.reader.partial_at() }.into()
     }
 
-    /// Whether the socket or the reader has bytes that were not handled yet. A query that was read but not answered is lost
-    /// when the connection closes; an unread one can be retried by the client elsewhere.
+    /// Whether the socket or the reader has bytes that were not handled yet. A query that was read but not
+    /// answered is lost when the connection closes; an unread one can be retried by the client elsewhere.
     ///
-    /// Asks the kernel, since the reactor may not know yet of bytes that have just arrived, and then lets the reactor run.
+    /// Asks the kernel, since the reactor may not know yet of bytes that have just arrived, and then lets the
+    /// reactor run.
     async fn has_unread(&mut self, state: ClientState) -> bool {
         if self.reader.has_event(state) {
             return true;
@@ -243,9 +245,9 @@
         Ok(error.end)
     }
 
-    /// Closes the write half and waits until the client has closed too, so that it gets the rest of its last answer: closing
-    /// a socket with unread bytes resets the connection. Nothing more is read, since a query that is read here gets no answer,
-    /// while an unread one can be retried elsewhere.
+    /// Closes the write half and waits until the client has closed too, so that it gets the rest of its last
+    /// answer: closing a socket with unread bytes resets the connection. Nothing more is read, since a query
+    /// that is read here gets no answer, while an unread one can be retried elsewhere.
     async fn close_lingering(&mut self) {
         let _ = self.writer.shutdown().await;
         let now = self.context.clock.now();
@@ -258,8 +260,8 @@
         }
     }
 
-    /// Writes all of `bytes`. `deadline` is that of the answered request; a client that does not read the answer soon after
-    /// it is disconnected.
+    /// Writes all of `bytes`. `deadline` is that of the answered request; a client that does not read the
+    /// answer soon after it is disconnected.
     ///
     /// # Errors
     ///
@@ -276,7 +278,8 @@
     }
 }
 
-/// Waits until idle clients are to be closed, and then until `no_close_before` or the time of the last answers.
+/// Waits until idle clients are to be closed, and then until `no_close_before` or the time of the last
+/// answers.
 async fn close_requested(
     context: &ClientContext,
     mut serving_state: watch::Receiver<ServingState>,
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -1,16 +1,17 @@
-//! An asynchronous interface to the routing decisions, for code that serves connections: admit a request, wait for
-//! decisions on it, report each attempt.
+//! An asynchronous interface to the routing decisions, for code that serves connections: admit a request,
+//! wait for decisions on it, report each attempt.
 //!
-//! A [`Facade`] owns the gateway's [`RequestTable`] and knows who waits for which decision: one entry for each open request
-//! and each attempt in flight. A client session admits a [`Request`] and gets a [`Ticket`]; [`Ticket::pick`] waits for the
-//! next [`Decision`]. A decision to send carries an [`Attempt`], which is reported exactly once, whether it was made or
-//! dropped.
+//! A [`Facade`] owns the gateway's [`RequestTable`] and knows who waits for which decision: one entry for
+//! each open request and each attempt in flight. A client session admits a [`Request`] and gets a [`Ticket`];
+//! [`Ticket::pick`] waits for the next [`Decision`]. A decision to send carries an [`Attempt`], which is
+//! reported exactly once, whether it was made or dropped.
 //!
 //! One task drives it: it calls [`Facade::tick`] at the time that the last call returned, or earlier when
-//! [`Facade::woken`] returns. Everything that is neither a request nor an attempt is read with [`Facade::read`] and changed
-//! with [`Facade::update`], which wakes that task.
+//! [`Facade::woken`] returns. Everything that is neither a request nor an attempt is read with
+//! [`Facade::read`] and changed with [`Facade::update`], which wakes that task.
 //!
-//! The facade decides nothing and knows neither protocols nor sockets. It may import no other folder of the gateway.
+//! The facade decides nothing and knows neither protocols nor sockets. It may import no other folder of the
+//! gateway.
 
 use petrelgauge_lifecycle::request_table::{AttemptId, AttemptSpec, RequestTable, TableCommand, Tick};
 pub use petrelgauge_lifecycle::request_table::{
@@ -121,8 +122,8 @@
         self.inner.table_changed.notified().await;
     }
 
-    /// Steps the router if a step is due, and delivers its decisions. Returns the clock time of the next call, if one is
-    /// needed although nothing changes.
+    /// Steps the router if a step is due, and delivers its decisions. Returns the clock time of the next
+    /// call, if one is needed although nothing changes.
     pub fn tick(&self, now: Time) -> Option<Time> {
         let Tick { commands, next_at } = self.inner.table.borrow_mut().tick(now);
         commands.into_iter().for_each(|command| self.execute(command));
@@ -197,12 +198,14 @@
     fn drop(&mut self) {
         self.facade.inner.decision_senders.borrow_mut().remove(&self.id);
         self.facade.update(|table| table.abandon(&self.id));
-        // Decisions that were not received are dropped with the channel, after this. An attempt among them reports itself.
+        // Decisions that were not received are dropped with the channel, after this. An attempt among them
+        // reports itself.
     }
 }
 
-/// An attempt to make. It is reported exactly once: by [`Attempt::report`], or as not sent when it is dropped. An attempt
-/// that was never reported would count as in flight for good, and its member would lose capacity.
+/// An attempt to make. It is reported exactly once: by [`Attempt::report`], or as not sent when it is
+/// dropped. An attempt that was never reported would count as in flight for good, and its member would lose
+/// capacity.
 pub struct Attempt {
     facade: Facade,
     spec: AttemptSpec,
@@ -242,14 +245,15 @@
         !self.is_cancelled && self.facade.read(|table| table.may_send(now, &self.spec))
     }
 
-    /// Learns the hosts' clock from the answer and drops implausible times from it; see [`RequestTable::validate_times`].
-    /// To be called before the attempt is reported. Returns whether the load report was kept.
+    /// Learns the hosts' clock from the answer and drops implausible times from it; see
+    /// [`RequestTable::validate_times`]. To be called before the attempt is reported. Returns whether the
+    /// load report was kept.
     pub fn validate_times(&self, now: Time, outcome: &mut Outcome) -> bool {
         self.facade.update(|table| table.validate_times(now, self.spec.host, Some(&self.spec), outcome))
     }
 
-    /// Reports how the attempt ended. Returns whether the member's answer is the final answer of the request: then the
-    /// caller must deliver it to the client.
+    /// Reports how the attempt ended. Returns whether the member's answer is the final answer of the request:
+    /// then the caller must deliver it to the client.
     pub fn report(mut self, now: Time, outcome: Outcome) -> bool {
         self.report_once(now, outcome)
     }
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt to have a request served by a database host: take an idle connection or make one, write the query, read the
-//! answer, return the connection to the pool or close it, report.
+//! One attempt to have a request served by a database host: take an idle connection or make one, write the
+//! query, read the answer, return the connection to the pool or close it, report.
 //!
-//! What follows from an event is decided by the attempt's state machine ([`Exchange`]). This module waits for the events, and
-//! `attempt_io` reads and writes.
+//! What follows from an event is decided by the attempt's state machine ([`Exchange`]). This module waits for
+//! the events, and `attempt_io` reads and writes.
 
 use crate::facade::{Attempt, Outcome};
 use crate::host::attempt_io::{AttemptIo, Progress};
@@ -50,8 +50,8 @@
 impl HostPool {
     /// Makes an attempt and reports it. Returns the host's answer if that is the request's final answer.
     ///
-    /// Not cancel safe: an attempt that is dropped before its end is reported as not sent, although its query may have been
-    /// written. It has to run in a task of its own.
+    /// Not cancel safe: an attempt that is dropped before its end is reported as not sent, although its query
+    /// may have been written. It has to run in a task of its own.
     pub async fn attempt(
         self: Rc<Self>,
         mut attempt: Attempt,
@@ -79,7 +79,8 @@
         AttemptRun { exchange, io, started_at: now, written_at: None, is_connection_reused }
     }
 
-    /// Runs the attempt until it has ended. Input from the host takes precedence over a cancellation, and both over a timeout.
+    /// Runs the attempt until it has ended. Input from the host takes precedence over a cancellation, and
+    /// both over a timeout.
     async fn run_to_end(&self, run: &mut AttemptRun, attempt: &mut Attempt, statement: &Statement) {
         let host = attempt.host();
         // The timer is only set anew when the timeout changes: most events leave it as it is.
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Releases the connection of an attempt that has ended, and reports the attempt after that. Returns the host's answer if
-    /// that is the request's final answer.
+    /// Releases the connection of an attempt that has ended, and reports the attempt after that. Returns the
+    /// host's answer if that is the request's final answer.
     fn conclude(
         self: &Rc<Self>,
         run: AttemptRun,
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -1,4 +1,5 @@
-//! Input and output of one attempt: connects to the database host, reads its greeting, writes the query and reads the answer.
+//! Input and output of one attempt: connects to the database host, reads its greeting, writes the query and
+//! reads the answer.
 
 use crate::facade::Attempt;
 use crate::host::connection::HostConnection;
@@ -127,7 +128,8 @@
         Event::Answered { end, is_duplicate }
     }
 
-    /// The connection ended while an answer was awaited. An error that was received before that is the answer.
+    /// The connection ended while an answer was awaited. An error that was received before that is the
+    /// answer.
     fn on_connection_lost(&mut self) -> Event {
         self.reply = self.assembler.finish();
         let end = self.reply.as_ref().map(end_of_reply);
@@ -144,8 +146,8 @@
 impl HostPool {
     /// Connects, reads or writes as the state of the attempt requires, until there is an event.
     ///
-    /// Cancel safe: what was connected, written and read is kept in `io`, and the next call continues from there. Only a
-    /// connect in progress is started again.
+    /// Cancel safe: what was connected, written and read is kept in `io`, and the next call continues from
+    /// there. Only a connect in progress is started again.
     pub(super) async fn advance(&self, state: AttemptState, host: MemberId, io: &mut AttemptIo) -> Progress {
         if io.connection.is_none() {
             return Progress::Event(self.open_connection(host, io).await);
@@ -191,11 +193,12 @@
         }
     }
 
-    /// Writes the first bytes of the query, if the attempt is still wanted: much may have happened while its connection was
-    /// established or not writable. It does not wait, so that the remaining wait that the query states is exact.
+    /// Writes the first bytes of the query, if the attempt is still wanted: much may have happened while its
+    /// connection was established or not writable. It does not wait, so that the remaining wait that the
+    /// query states is exact.
     ///
-    /// Returns none if the attempt continues to write: either the query was written in part, or the connection accepted no
-    /// byte and this is to be called again.
+    /// Returns none if the attempt continues to write: either the query was written in part, or the
+    /// connection accepted no byte and this is to be called again.
     pub(super) fn begin_query(
         &self,
         exchange: &Exchange,
--- a/src/host/connection.rs
+++ b/src/host/connection.rs
@@ -51,8 +51,8 @@
     ///
     /// # Errors
     ///
-    /// [`Event::LongRowBegan`] for the beginning of a row that is to be streamed, [`Event::Malformed`] for anything that is no
-    /// message of a host.
+    /// [`Event::LongRowBegan`] for the beginning of a row that is to be streamed, [`Event::Malformed`] for
+    /// anything that is no message of a host.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, Event> {
         match self.framer.kind() {
             Some(kind) if !message_type::SENT_BY_HOSTS.contains(&kind) => Err(Event::Malformed),
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Reads once, `max_bytes` at most, into the framer, which bounds what is buffered: no message is longer than
-    /// [`MAX_MESSAGE_BYTES`](crate::postgres::MAX_MESSAGE_BYTES). Cancel safe.
+    /// Reads once, `max_bytes` at most, into the framer, which bounds what is buffered: no message is longer
+    /// than [`MAX_MESSAGE_BYTES`](crate::postgres::MAX_MESSAGE_BYTES). Cancel safe.
     ///
     /// # Errors
     ///
--- a/src/host/descriptors.rs
+++ b/src/host/descriptors.rs
@@ -4,18 +4,20 @@
 use crate::resources::budget::Idleness;
 use crate::Time;
 
-/// While clients hold more than their share of the descriptors: how long a client must have been idle to be closed
-/// (microseconds). Its next query may be on its way.
+/// While clients hold more than their share of the descriptors: how long a client must have been idle to be
+/// closed (microseconds). Its next query may be on its way.
 const MIN_IDLE_OF_EXCESS_CLIENT: Time = 100_000;
-/// When no descriptor is left: how long a client without a query must have been idle to be closed (microseconds).
+/// When no descriptor is left: how long a client without a query must have been idle to be closed
+/// (microseconds).
 const MIN_IDLE_OF_NEW_CLIENT: Time = 20_000;
-/// When no descriptor is left: how long a client that has been answered must have been idle to be closed (microseconds). It is
-/// likely to send another query, so connections to hosts are closed before one that was answered more recently.
+/// When no descriptor is left: how long a client that has been answered must have been idle to be closed
+/// (microseconds). It is likely to send another query, so connections to hosts are closed before one that was
+/// answered more recently.
 const MIN_IDLE_OF_ANSWERED_CLIENT: Time = 1_000_000;
 
 impl HostPool {
-    /// Closes idle clients while clients hold more than their share of the descriptors. Clients keep their connections, also
-    /// those that never send another query; without this, new clients would get none.
+    /// Closes idle clients while clients hold more than their share of the descriptors. Clients keep their
+    /// connections, also those that never send another query; without this, new clients would get none.
     pub fn shed_excess_clients(&self) {
         let idle_since = self.clock.now() - MIN_IDLE_OF_EXCESS_CLIENT;
         for _ in 0..self.budget.excess_clients() {
@@ -29,8 +31,8 @@
         }
     }
 
-    /// Ensures that a descriptor is left for a new connection, and closes an idle client or connection if it has to. Returns
-    /// whether there is one.
+    /// Ensures that a descriptor is left for a new connection, and closes an idle client or connection if it
+    /// has to. Returns whether there is one.
     pub fn ensure_descriptor(&self) -> bool {
         if !self.budget.is_exhausted() {
             return true;
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -8,8 +8,8 @@
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::verdict;
 
-/// The outcome of an attempt with an answer, from the parameters that the host reported with it. An implausible load report is
-/// dropped and counted.
+/// The outcome of an attempt with an answer, from the parameters that the host reported with it. An
+/// implausible load report is dropped and counted.
 pub(super) fn parse_outcome(end: End, parameters: &[Parameter], counters: &Counters) -> Outcome {
     let mut outcome = Outcome::silent(end.as_ending());
     outcome.is_unusable = end == End::Unusable;
@@ -35,7 +35,8 @@
     outcome
 }
 
-/// Parses a load report: names and values, positions as Unix times in seconds. None if it is malformed or implausible.
+/// Parses a load report: names and values, positions as Unix times in seconds. None if it is malformed or
+/// implausible.
 fn parse_load_report(text: &str) -> Option<Report> {
     let parse_pair = |pair: &str| -> Option<(String, f64)> {
         let (name, value) = pair.split_once('=')?;
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -10,12 +10,13 @@
 //! | [`streamed_row`] | a long row, passed on to its client piece by piece |
 //! | `load_report` | what a host reports about itself with an answer |
 //!
-//! An attempt is a task of its own: it takes an idle connection or makes one, writes the query, reads the answer, returns the
-//! connection to the pool or closes it, and then reports to the [facade](crate::facade). What follows from an event is decided
-//! by [`petrelgauge_lifecycle::exchange`], which connection is reused by [`petrelgauge_lifecycle::idle_connection`].
+//! An attempt is a task of its own: it takes an idle connection or makes one, writes the query, reads the
+//! answer, returns the connection to the pool or closes it, and then reports to the [facade](crate::facade).
+//! What follows from an event is decided by [`petrelgauge_lifecycle::exchange`], which connection is reused
+//! by [`petrelgauge_lifecycle::idle_connection`].
 //!
-//! The folder owns every socket to a host. The pool has no bound of its own: connections are bounded by the descriptors
-//! ([`crate::resources::budget`]).
+//! The folder owns every socket to a host. The pool has no bound of its own: connections are bounded by the
+//! descriptors ([`crate::resources::budget`]).
 //!
 //! May import: `facade`, `sql`, `postgres`, `resources`, `settings`, `os`.
 
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -17,8 +17,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Connects that are attempted while they fail for lack of local resources (count). The pauses between them are far shorter
-/// than a connect timeout.
+/// Connects that are attempted while they fail for lack of local resources (count). The pauses between them
+/// are far shorter than a connect timeout.
 const CONNECT_ATTEMPTS: u32 = 3;
 
 /// An idle connection.
@@ -150,7 +150,8 @@
         true
     }
 
-    /// Takes an idle connection that may carry a request, if there is one. Unusable ones that it meets are closed.
+    /// Takes an idle connection that may carry a request, if there is one. Unusable ones that it meets are
+    /// closed.
     pub(super) fn take_idle(&self, id: MemberId) -> Option<HostConnection> {
         let now = self.clock.now();
         let mut hosts = self.hosts.borrow_mut();
@@ -174,7 +175,8 @@
         endpoint.is_up && self.hosts.borrow().get(&id).is_some_and(|host| host.endpoint == endpoint)
     }
 
-    /// Returns a connection to the pool. It is closed if its host moved, restarted, is draining or is no longer listed.
+    /// Returns a connection to the pool. It is closed if its host moved, restarted, is draining or is no
+    /// longer listed.
     pub(super) fn put_back(&self, id: MemberId, connection: HostConnection) {
         let mut hosts = self.hosts.borrow_mut();
         let host =
@@ -193,7 +195,8 @@
         self.connect_timeout.get().timeout(failures)
     }
 
-    /// Records that a new connection to this host was established, greeting included, after `took` microseconds.
+    /// Records that a new connection to this host was established, greeting included, after `took`
+    /// microseconds.
     pub(super) fn record_connected(&self, id: MemberId, took: Time) {
         let mut timeout = self.connect_timeout.get();
         timeout.record_connected(took);
--- a/src/host/streamed_row.rs
+++ b/src/host/streamed_row.rs
@@ -1,5 +1,6 @@
-//! A long row that is passed on from a database host to a client piece by piece. After its first byte there is no retry:
-//! either the client gets the complete row, or its connection is closed in the middle, which the client notices.
+//! A long row that is passed on from a database host to a client piece by piece. After its first byte there
+//! is no retry: either the client gets the complete row, or its connection is closed in the middle, which the
+//! client notices.
 
 use crate::facade::Outcome;
 use crate::host::connection::HostConnection;
@@ -16,8 +17,8 @@
 
 /// Most bytes that are read at once. This bounds the memory of a row whose client reads slowly.
 const PIECE_BYTES: usize = 16 * 1024;
-/// Time within which the host must send something and the client must read something (microseconds). Either may be slow by
-/// seconds; one that has vanished must not hold the other's connection for good.
+/// Time within which the host must send something and the client must read something (microseconds). Either
+/// may be slow by seconds; one that has vanished must not hold the other's connection for good.
 const PROGRESS_TIMEOUT: Time = 10_000_000;
 
 /// A row that has begun, and the host connection that it comes on.
@@ -63,8 +64,8 @@
     ///
     /// # Errors
     ///
-    /// Whose connection broke or stalled: the host's ([`End::BrokenSent`], [`End::HostStalled`]) or the client's ([`End::ClientLeft`],
-    /// [`End::ClientStuck`]).
+    /// Whose connection broke or stalled: the host's ([`End::BrokenSent`], [`End::HostStalled`]) or the
+    /// client's ([`End::ClientLeft`], [`End::ClientStuck`]).
     pub async fn pass_on(&mut self, writer: &mut WriteHalf<'_>) -> Result<(), End> {
         let description = self.assembler.begin_streamed_row();
         self.write(writer, description).await?;
--- a/src/os/clock.rs
+++ b/src/os/clock.rs
@@ -1,41 +1,45 @@
-//! The gateway's clock: Unix time in microseconds, read from the system once and carried on by the
-//! monotonic clock, so that it never jumps, whatever becomes of the system's time.
+//! The gateway's clock: Unix time in microseconds, read from the system once and advanced by the monotonic
+//! clock, so that it never jumps when the system's time does.
 //!
-//! Its spans are real ones. Its points are as wrong as the system's time was at the start: they may be compared with each
-//! other, and with what other machines tell only through `petrelgauge_policy::FleetClock`.
+//! Differences between its times are exact. The times themselves are as wrong as the system's time was at the
+//! start, and are compared with times of other machines only through `petrelgauge_policy::FleetClock`.
 
 use crate::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A clock; copies tell the same time.
+/// The longest sleep (microseconds): a day, which no request outlives. Deadlines may be [`Time::MAX`].
+const MAX_SLEEP: Time = 86_400_000_000;
+
+/// A clock. Copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    anchor: Instant,
-    unix: Time,
+    started: Instant,
+    /// Unix time at `started` (microseconds).
+    started_unix: Time,
 }
 
 impl Clock {
-    /// Starts a clock at the system's time.
+    /// Starts a clock with the system's time.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { anchor: Instant::now(), unix: unix.as_micros() as Time }
+        Clock { started: Instant::now(), started_unix: unix.as_micros() as Time }
     }
 
-    /// The same clock, ahead by this span.
+    /// The same clock, ahead by `span` microseconds.
     #[must_use]
     pub fn ahead(self, span: Time) -> Clock {
-        Clock { unix: self.unix + span, ..self }
+        Clock { started_unix: self.started_unix + span, ..self }
     }
 
-    /// The time.
+    /// The current time (Unix time, microseconds).
     pub fn now(&self) -> Time {
-        self.unix + self.anchor.elapsed().as_micros() as Time
+        self.started_unix + self.started.elapsed().as_micros() as Time
     }
 
-    /// Waits until a point of time. A far one is cut to a day from now, which no request outlives.
+    /// Waits until a clock time, or for a day if that is sooner.
     pub async fn sleep_until(&self, at: Time) {
-        let left = (at - self.now()).clamp(0, 86_400_000_000);
-        tokio::time::sleep_until(Instant::now() + Duration::from_micros(left as u64)).await
+        let remaining = (at - self.now()).clamp(0, MAX_SLEEP);
+        tokio::time::sleep_until(Instant::now() + Duration::from_micros(remaining as u64)).await
     }
 }
--- a/src/os/inherited.rs
+++ b/src/os/inherited.rs
@@ -1,7 +1,7 @@
-//! The clients' listening socket, where the platform holds it and every process of the gateway inherits it.
+//! The listening socket for clients, if the platform holds it and each process of the gateway inherits it.
 //!
-//! `$GW_ACCEPT_FD` names its descriptor. Adopting one takes code that is not safe, which stays in a library: it reads
-//! the names of systemd's protocol, which are set here before anything else runs.
+//! `$GW_ACCEPT_FD` names its descriptor. Adopting a descriptor is unsafe code, which is left to the library
+//! `listenfd`: it reads the variables of systemd's protocol, which are set here.
 
 use std::io;
 use std::net::TcpListener;
@@ -10,7 +10,7 @@
 /// The first descriptor after the standard streams.
 const FIRST_DESCRIPTOR: i32 = 3;
 
-/// Why the inherited socket cannot be used.
+/// Why the inherited socket is unusable.
 #[derive(Debug, Error)]
 pub enum InheritedSocketError {
     /// The variable holds no number, or that of a standard stream.
@@ -19,12 +19,12 @@
     /// No descriptor of this number is open.
     #[error("GW_ACCEPT_FD: descriptor {0} is not there")]
     Missing(String),
-    /// The descriptor is not a listening socket, or the system refuses its use.
+    /// The descriptor is not a listening socket, or a call on it failed.
     #[error("GW_ACCEPT_FD: {0}")]
     Unusable(#[from] io::Error),
 }
 
-/// Adopts the socket that the environment names, if it names one. To be called once, before there are threads.
+/// Adopts the socket that the environment names, if any. To be called once, before other threads are started.
 ///
 /// # Errors
 ///
--- a/src/os/signals.rs
+++ b/src/os/signals.rs
@@ -1,16 +1,17 @@
-//! The signals of the platform. Their handlers are registered before anything else is done: a signal without one ends the
-//! process, and a reload that is asked for while the configuration is being read must be done too.
+//! The signals that the gateway acts on. Their handlers are registered before anything else: a signal without
+//! a handler ends the process, and a reload that is requested while the configuration is read must not be
+//! lost.
 
 use std::io;
 use thiserror::Error;
 use tokio::signal::unix::{self, signal, SignalKind};
 
-/// The handler of a signal cannot be registered.
+/// The handler of a signal could not be registered.
 #[derive(Debug, Error)]
 #[error("cannot listen to signals: {0}")]
 pub struct SignalError(#[from] io::Error);
 
-/// The signals that mean something here.
+/// The registered handlers.
 pub struct Signals {
     terminate: unix::Signal,
     interrupt: unix::Signal,
@@ -44,11 +45,11 @@
         })
     }
 
-    /// Waits for the next one. May be cancelled without loss.
+    /// Waits for the next signal. Cancel safe.
     pub async fn next(&mut self) -> Signal {
         tokio::select! {
             biased;
-            // A reload that was asked for before the stop is done before it.
+            // First, so that a reload that was requested before a stop is done.
             _ = self.hangup.recv() => Signal::Reload,
             _ = self.terminate.recv() => Signal::Stop,
             _ = self.interrupt.recv() => Signal::Stop,
--- a/src/os/socket.rs
+++ b/src/os/socket.rs
@@ -1,10 +1,8 @@
-//! Calls on sockets, with the failures that Linux documents for them sorted by what the caller has to do.
+//! Calls on stream sockets: every accept, connect, read, write and peek of the gateway.
 //!
-//! Every accept, connect, read, write and peek of the gateway goes through this module; calls on datagram sockets stand in
-//! [`datagram`](crate::os::datagram), and failures are sorted in [`socket_error`](crate::os::socket_error). A call that a
-//! signal interrupted is repeated here; short reads and writes are left to the caller's loop or, for [`write_all`], handled here. The traits
-//! [`Acceptor`] and [`ByteStream`] let tests put a schedule of failures in place of the kernel; in the program they are
-//! implemented by tokio's types and cost nothing.
+//! Failures are classified by what the caller has to do ([`SocketError`]). A call that a signal interrupted
+//! is repeated here. Short reads and writes are left to the caller, except by [`write_all`]. Tests implement
+//! the traits [`Acceptor`] and [`ByteStream`] to inject failures; the program uses tokio's types.
 
 pub use crate::os::socket_error::{classify, SocketError};
 pub use crate::os::system_call::Call;
@@ -16,15 +14,15 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Pause before a call is repeated that failed for a shortage of this machine.
+/// Pause before a call that failed for lack of local resources is repeated.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
-/// Connections that the kernel holds ready for a listener.
+/// Length of a listen backlog (connections).
 const BACKLOG: u32 = 1024;
-/// Buffers that one write takes at most.
+/// Most buffers that one call writes (count).
 const MAX_WRITE_SLICES: usize = 64;
 
-/// To be called before each call to the kernel: the most bytes that it may move, or the failure that a test puts in its
-/// place.
+/// Called before each system call. Returns the most bytes that the call may move, or the failure that a test
+/// injects.
 pub(super) fn begin(call: Call) -> io::Result<usize> {
     match next_fault(call) {
         None => Ok(usize::MAX),
@@ -33,11 +31,12 @@
     }
 }
 
-/// Makes a call that does not wait, again while signals interrupt it. The operation gets the number of bytes that it may move.
+/// Makes a call that does not wait, and repeats it while signals interrupt it. `operation` gets the most
+/// bytes that it may move.
 ///
 /// # Errors
 ///
-/// Fails as the last call did, with any error but an interruption.
+/// Fails with any error of the call except an interruption.
 pub fn uninterrupted<T>(
     call: Call,
     mut operation: impl FnMut(usize) -> io::Result<T>,
@@ -50,11 +49,12 @@
     }
 }
 
-/// Makes a call again while a shortage of this machine lasts, so many times at most: some pass in a moment.
+/// Makes a call, at most `attempts` times while it fails for lack of local resources, which may pass in a
+/// moment.
 ///
 /// # Errors
 ///
-/// Fails as the last call did: with a shortage that outlasts all attempts, or with any other error at once.
+/// Fails as the last attempt did, and with any other error at once.
 pub async fn through_shortages<T, F>(attempts: u32, mut call: impl FnMut() -> F) -> Result<T, SocketError>
 where
     F: Future<Output = Result<T, SocketError>>,
@@ -68,27 +68,27 @@
     call().await
 }
 
-/// Listens at an address.
+/// Listens on an address.
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be listened at, or with a shortage that may pass.
+/// Fails if the address is not available, or for lack of local resources.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
     uninterrupted(Call::Listen, |_| {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        // A gateway that starts again finds connections of its last run still winding up.
+        // After a restart, connections of the previous process may still be in TIME_WAIT.
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(BACKLOG)
     })
 }
 
-/// Where connections are accepted.
+/// A listening socket.
 pub trait Acceptor {
     /// An accepted connection.
     type Stream;
 
-    /// Makes one call. May be cancelled without loss.
+    /// Makes one call. Cancel safe.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
@@ -101,11 +101,11 @@
     }
 }
 
-/// Accepts a connection. May be cancelled without loss.
+/// Accepts a connection. Cancel safe.
 ///
 /// # Errors
 ///
-/// Fails with a shortage that may pass, or because the client has left. The listener still works.
+/// Fails for lack of local resources, or because the client has disconnected. The listener still works.
 pub async fn accept<A: Acceptor>(acceptor: &A) -> Result<A::Stream, SocketError> {
     loop {
         match acceptor.accept().await.map_err(|cause| classify(Call::Accept, cause)) {
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 ///
-/// Fails with a shortage that may pass, or because the peer cannot be reached.
+/// Fails for lack of local resources, or because the peer is unreachable.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, SocketError> {
     let call = || async {
         begin(Call::Connect)?;
@@ -128,44 +128,44 @@
     connect_with(call).await
 }
 
-/// Connects by this call, which makes a new socket each time.
+/// Connects by `call`, which creates a new socket each time.
 ///
 /// # Errors
 ///
-/// Fails as the call did, with any error but an interruption.
+/// Fails with any error of the call except an interruption.
 pub async fn connect_with<S, F>(mut call: impl FnMut() -> F) -> Result<S, SocketError>
 where
     F: Future<Output = io::Result<S>>,
 {
     loop {
         match call().await.map_err(|cause| classify(Call::Connect, cause)) {
-            // A connect that fails at once never waits: the caller's timers need their turn.
+            // A connect that fails at once does not yield by itself, and the caller's timers have to run.
             Err(SocketError::Interrupted) => tokio::task::yield_now().await,
             connected => return connected,
         }
     }
 }
 
-/// A connection's two directions. A call that would block shows as [`io::ErrorKind::WouldBlock`].
+/// A connected stream socket. A call that would block fails with [`io::ErrorKind::WouldBlock`].
 pub trait ByteStream {
-    /// Waits until a read may bring something.
+    /// Waits until the stream is readable.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
 
-    /// Waits until a write may take something.
+    /// Waits until the stream is writable.
     fn writable(&self) -> impl Future<Output = io::Result<()>>;
 
     /// Reads once.
     ///
     /// # Errors
     ///
-    /// Fails as the call did; it may also have been interrupted, or be about to wait.
+    /// Fails as the call did, also if it was interrupted or would block.
     fn try_read(&self, bytes: &mut [u8]) -> io::Result<usize>;
 
     /// Writes once.
     ///
     /// # Errors
     ///
-    /// Fails as the call did; it may also have been interrupted, or be about to wait.
+    /// Fails as the call did, also if it was interrupted or would block.
     fn try_write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize>;
 }
 
@@ -187,22 +187,22 @@
     }
 }
 
-/// Reads once, as soon as something is there; 0 at the end of the stream. A short read does not count as a sign that
-/// nothing more is there. May be cancelled without loss.
+/// Reads once, as soon as bytes are available. Returns 0 at the end of the stream. A short read does not mean
+/// that no more bytes are available. Cancel safe.
 ///
 /// # Errors
 ///
-/// Fails if the connection is over.
+/// Fails if the connection has ended.
 pub async fn read(stream: &impl ByteStream, bytes: &mut [u8]) -> Result<usize, SocketError> {
     loop {
         stream.readable().await.map_err(SocketError::Broken)?;
-        // A peer that always has more must not keep other tasks from their turn.
+        // A peer that always has more must not keep other tasks from running.
         tokio::task::coop::consume_budget().await;
-        let once = |most: usize| {
-            let room = most.min(bytes.len());
-            stream.try_read(&mut bytes[..room])
+        let read_once = |max_bytes: usize| {
+            let capacity = max_bytes.min(bytes.len());
+            stream.try_read(&mut bytes[..capacity])
         };
-        match uninterrupted(Call::Read, once) {
+        match uninterrupted(Call::Read, read_once) {
             Err(SocketError::WouldBlock) => {}
             Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
             done => return done,
@@ -210,24 +210,24 @@
     }
 }
 
-/// Waits until a write may take something. May be cancelled without loss.
+/// Waits until the stream is writable. Cancel safe.
 ///
 /// # Errors
 ///
-/// Fails if the connection is over.
+/// Fails if the connection has ended.
 pub async fn writable(stream: &impl ByteStream) -> Result<(), SocketError> {
     stream.writable().await.map_err(SocketError::Broken)?;
     tokio::task::coop::consume_budget().await;
     Ok(())
 }
 
-/// Writes something of it without waiting, and moves it on by what was taken. Nothing was written if it fails.
+/// Writes a part of `bytes` without waiting, and advances `bytes` by it. Nothing was written if it fails.
 ///
 /// # Errors
 ///
-/// Fails if the connection is over, would have to wait, or for a shortage that may pass.
+/// Fails if the connection has ended, if the call would block, or for lack of local resources.
 pub fn write_now(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
-    match uninterrupted(Call::Write, |most| try_write(stream, bytes, most))? {
+    match uninterrupted(Call::Write, |max_bytes| try_write(stream, bytes, max_bytes))? {
         0 => Err(SocketError::Broken(io::ErrorKind::WriteZero.into())),
         count => {
             bytes.advance(count);
@@ -236,11 +236,11 @@
     }
 }
 
-/// Writes something of it, and moves it on by what was taken. May be cancelled without loss.
+/// Writes a part of `bytes`, and advances `bytes` by it. Cancel safe.
 ///
 /// # Errors
 ///
-/// Fails if the connection is over.
+/// Fails if the connection has ended.
 pub async fn write(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
     loop {
         writable(stream).await?;
@@ -252,11 +252,11 @@
     }
 }
 
-/// Writes all of it. If it is cancelled, what is left tells where to go on.
+/// Writes all of `bytes`. If it is cancelled, `bytes` holds what is left to be written.
 ///
 /// # Errors
 ///
-/// Fails if the connection is over.
+/// Fails if the connection has ended.
 pub async fn write_all(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
     while bytes.has_remaining() {
         write(stream, bytes).await?;
@@ -264,21 +264,21 @@
     Ok(())
 }
 
-fn try_write(stream: &impl ByteStream, bytes: &impl Buf, most: usize) -> io::Result<usize> {
-    if most < bytes.chunk().len() {
-        return stream.try_write(&[IoSlice::new(&bytes.chunk()[..most])]);
+fn try_write(stream: &impl ByteStream, bytes: &impl Buf, max_bytes: usize) -> io::Result<usize> {
+    if max_bytes < bytes.chunk().len() {
+        return stream.try_write(&[IoSlice::new(&bytes.chunk()[..max_bytes])]);
     }
     let mut slices = [IoSlice::new(&[]); MAX_WRITE_SLICES];
     let count = bytes.chunks_vectored(&mut slices);
     stream.try_write(&slices[..count])
 }
 
-/// Waits before a call is repeated that failed for a shortage of this machine.
+/// Waits before a call that failed for lack of local resources is repeated.
 pub async fn pause_after_shortage() {
     tokio::time::sleep(SHORTAGE_PAUSE).await;
 }
 
-/// What lies unread in the kernel.
+/// What a socket has to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     /// Nothing.
@@ -289,7 +289,7 @@
     End,
 }
 
-/// What this call, which peeks without waiting, finds unread.
+/// What a call that peeks without waiting finds unread.
 pub fn unread(mut peek: impl FnMut() -> io::Result<usize>) -> Unread {
     match uninterrupted(Call::Peek, |_| peek()) {
         Ok(1..) => Unread::Bytes,
@@ -298,8 +298,8 @@
     }
 }
 
-/// What lies unread on this connection. The kernel itself is asked: the reactor may not have heard yet of what came a
-/// moment ago.
+/// What this connection has to be read. Asks the kernel, since the reactor may not know yet of bytes that
+/// have just arrived.
 pub fn unread_on(stream: &TcpStream) -> Unread {
     let socket = socket2::SockRef::from(stream);
     unread(|| socket.peek(&mut [std::mem::MaybeUninit::uninit()]))
--- a/src/os/socket_error.rs
+++ b/src/os/socket_error.rs
@@ -1,53 +1,55 @@
-//! The failures that Linux documents for calls on sockets, sorted by what the caller has to do.
+//! The failures that Linux documents for calls on sockets, classified by what the caller has to do.
 
 use crate::os::system_call::Call;
 use std::io;
 
-/// Why a call failed, by what follows from it.
+/// Why a call failed, by what the caller has to do.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketError {
-    /// A signal came before the call did anything: it is to be repeated at once.
+    /// A signal interrupted the call before it did anything: repeat it at once.
     #[error("interrupted by a signal")]
     Interrupted,
-    /// Nothing can be done before the socket is ready.
+    /// The socket is not ready: wait for it.
     #[error("not ready")]
     WouldBlock,
-    /// This process or its machine lacks descriptors, memory, ports or a network. It says nothing of the peer.
+    /// This process or its machine lacks descriptors, memory, ports or a network. It says nothing about the
+    /// peer.
     #[error("{0}")]
     OwnShortage(#[source] io::Error),
-    /// The peer did not take the connection: it refused, or its machine does not answer. On a datagram socket: the network
-    /// says so of some datagram sent before.
+    /// The peer refused the connection, or its machine does not answer. On a datagram socket: this happened
+    /// to an earlier datagram.
     #[error("{0}")]
     Unreachable(#[source] io::Error),
-    /// This one connection is over, or its address cannot be listened at. A listener that reports it still works.
+    /// The connection has ended, or the address is not available for listening. A listener that reports it
+    /// still works.
     #[error("{0}")]
     Broken(#[source] io::Error),
 }
 
-/// Sorts a failure of this call.
+/// Classifies a failure of this call.
 pub fn classify(call: Call, cause: io::Error) -> SocketError {
     let Some(number) = cause.raw_os_error() else { return classify_kind(call, cause) };
     match (call, number) {
         (_, libc::EINTR) => SocketError::Interrupted,
-        // On connect: the kernel has no port or no entry in its tables left.
+        // On connect, EAGAIN means that no local port or routing cache entry is left.
         (Call::Connect, libc::EAGAIN) => SocketError::OwnShortage(cause),
         (_, libc::EAGAIN) => SocketError::WouldBlock,
         (_, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => SocketError::OwnShortage(cause),
         (Call::Connect | Call::SendDatagram, number) if is_local(number) => SocketError::OwnShortage(cause),
         (Call::Connect, _) => SocketError::Unreachable(cause),
-        (Call::SendDatagram | Call::ReceiveDatagram, number) if tells_of_peer(number) => {
+        (Call::SendDatagram | Call::ReceiveDatagram, number) if is_about_peer(number) => {
             SocketError::Unreachable(cause)
         }
-        // The socket serves all peers: it is never over, and what is at fault here may pass.
+        // The socket serves all peers and has no end. The fault may pass.
         (Call::SendDatagram | Call::ReceiveDatagram, _) => SocketError::OwnShortage(cause),
         (Call::Accept, number) if ends_accepted_connection(number) => SocketError::Broken(cause),
-        // The listener itself may be at fault: repeated at once, it could take up the processor.
+        // The listener itself may be at fault. Repeated at once, the call could take all processor time.
         (Call::Accept, _) => SocketError::OwnShortage(cause),
         (Call::Listen | Call::Read | Call::Write | Call::Peek, _) => SocketError::Broken(cause),
     }
 }
 
-/// The same for a failure that has no number, since a library reports it.
+/// Classifies a failure without an error number, which a library reports.
 fn classify_kind(call: Call, cause: io::Error) -> SocketError {
     match (cause.kind(), call) {
         (io::ErrorKind::Interrupted, _) => SocketError::Interrupted,
@@ -58,7 +60,8 @@
     }
 }
 
-/// A connect or a datagram that fails so has not left this machine: no port, no route, no network, or its own firewall.
+/// Whether a connect or datagram with this error has not left this machine: it has no port, route or network,
+/// or a firewall.
 fn is_local(number: i32) -> bool {
     matches!(
         number,
@@ -71,8 +74,8 @@
     )
 }
 
-/// The network's answer to a datagram: nobody listens there, or its machine cannot be reached.
-fn tells_of_peer(number: i32) -> bool {
+/// Whether this is the network's answer to a datagram: its port is closed or its machine unreachable.
+fn is_about_peer(number: i32) -> bool {
     matches!(
         number,
         libc::ECONNREFUSED
@@ -86,8 +89,8 @@
     )
 }
 
-/// An accept that fails so has taken a connection from the backlog that had already ended: Linux reports the
-/// connection's own errors here.
+/// Whether an accept with this error has removed a connection from the backlog that had already ended: Linux
+/// reports the errors of the connection itself here.
 fn ends_accepted_connection(number: i32) -> bool {
     matches!(
         number,
--- a/src/os/system_call.rs
+++ b/src/os/system_call.rs
@@ -1,8 +1,7 @@
-//! The system calls that the gateway makes on sockets, and the place where a test lets them fail.
+//! The system calls that the gateway makes on sockets, and the faults that tests inject into them.
 //!
-//! Every call asks here before the kernel. In the program no schedule is ever set, so that this is one look at a value of
-//! the thread: no variable, file or signal sets one, only code that links this library and runs the gateway in a thread of
-//! its own.
+//! Every call checks the fault schedule of its thread first. The program sets none, and no variable, file or
+//! signal does: only a test that links this library and runs the gateway in a thread of its own can.
 
 use std::cell::Cell;
 
@@ -11,7 +10,7 @@
 pub enum Call {
     /// Creates a socket and listens on it.
     Listen,
-    /// Takes the next connection from a listener's backlog.
+    /// Accepts a connection.
     Accept,
     /// Creates a socket and connects it.
     Connect,
@@ -19,7 +18,7 @@
     Read,
     /// Writes bytes.
     Write,
-    /// Reads bytes and leaves them in the kernel.
+    /// Reads bytes without removing them from the socket.
     Peek,
     /// Sends a datagram.
     SendDatagram,
@@ -27,23 +26,23 @@
     ReceiveDatagram,
 }
 
-/// What becomes of a call in place of what the kernel would do.
+/// A fault that is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error number, and does nothing.
+    /// The call fails with this error number and does nothing.
     Error(i32),
-    /// It moves one byte at most.
+    /// The call moves at most one byte.
     Short,
 }
 
-/// Draws the fault of the next call, if it has one.
+/// Returns the fault of the next call, if it has one.
 pub type FaultSchedule = fn(Call) -> Option<Fault>;
 
 thread_local! {
     static FAULT_SCHEDULE: Cell<Option<FaultSchedule>> = const { Cell::new(None) };
 }
 
-/// From now on, calls of this thread fail by this schedule. For tests.
+/// Injects faults into the calls of this thread by this schedule. For tests.
 pub fn set_fault_schedule(schedule: FaultSchedule) {
     FAULT_SCHEDULE.set(Some(schedule));
 }
--- a/src/postgres/answer_assembler.rs
+++ b/src/postgres/answer_assembler.rs
@@ -8,7 +8,8 @@
 const MAX_PARAMETERS: usize = 16;
 /// Number of messages of a row: RowDescription, DataRow and CommandComplete.
 const ROW_MESSAGES: usize = 3;
-/// Bytes of a column in a RowDescription after its name: table, column number, type, size, modifier and format.
+/// Bytes of a column in a RowDescription after its name: table, column number, type, size, modifier and
+/// format.
 const COLUMN_BYTES: usize = 18;
 /// The field of an ErrorResponse with its SQLSTATE.
 const CODE_FIELD: u8 = b'C';
@@ -33,8 +34,8 @@
     pub is_ready: bool,
 }
 
-/// Assembles the messages of a host to an answer: one row of one column, or an error. It holds at most the three messages of a
-/// row and 16 parameters.
+/// Assembles the messages of a host to an answer: one row of one column, or an error. It holds at most the
+/// three messages of a row and 16 parameters.
 #[derive(Debug, Default)]
 pub struct AnswerAssembler {
     /// The messages of a row so far.
@@ -100,7 +101,8 @@
         &self.parameters
     }
 
-    /// Ends the answer with the connection. A host may close the connection after an error; then that is the reply.
+    /// Ends the answer with the connection. A host may close the connection after an error; then that is the
+    /// reply.
     pub fn finish(&mut self) -> Option<Reply> {
         self.error.as_ref()?;
         self.take_reply(false)
--- a/src/postgres/framer.rs
+++ b/src/postgres/framer.rs
@@ -5,8 +5,8 @@
 use crate::postgres::message_type;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest message that is accepted, without its type (bytes). A value has 64 KiB at most, and twice that as hexadecimal
-/// digits.
+/// Longest message that is accepted, without its type (bytes). A value has 64 KiB at most, and twice that as
+/// hexadecimal digits.
 pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
 /// Longest DataRow that is buffered (bytes): a value of 64 KiB and its header. A longer one is streamed.
 pub const MAX_BUFFERED_ROW_BYTES: usize = 64 * 1024 + ROW_HEADER_BYTES;
@@ -50,8 +50,8 @@
     },
 }
 
-/// Splits the bytes of a connection into messages. It holds all bytes that were fed and not taken, and has no bound of its
-/// own: the caller decides how much to feed.
+/// Splits the bytes of a connection into messages. It holds all bytes that were fed and not taken, and has no
+/// bound of its own: the caller decides how much to feed.
 #[derive(Debug, Default)]
 pub struct Framer {
     buffer: BytesMut,
@@ -136,7 +136,8 @@
         Ok(Some(Message { raw }))
     }
 
-    /// The size of the next message (bytes), if it is a DataRow with one column that is too long to be buffered.
+    /// The size of the next message (bytes), if it is a DataRow with one column that is too long to be
+    /// buffered.
     pub fn long_row(&self) -> Option<usize> {
         let lengths = MAX_BUFFERED_ROW_BYTES + 1..=MAX_ROW_BYTES;
         let length = self.length_at(TYPE_BYTES).filter(|length| lengths.contains(length))?;
@@ -154,7 +155,8 @@
         taken
     }
 
-    /// Frees the buffer once it is empty. Otherwise an idle connection would keep the memory of its longest message.
+    /// Frees the buffer once it is empty. Otherwise an idle connection would keep the memory of its longest
+    /// message.
     fn free_empty_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
--- a/src/postgres/message_writer.rs
+++ b/src/postgres/message_writer.rs
@@ -56,7 +56,8 @@
     });
 }
 
-/// Appends the answer to a startup message that asks for this minor version: authenticated and ready for queries.
+/// Appends the answer to a startup message that asks for this minor version: authenticated and ready for
+/// queries.
 pub fn put_startup_answer(out: &mut Vec<u8>, minor: u16, key: CancelKey) {
     if minor > 0 {
         put(out, message_type::NEGOTIATE_PROTOCOL_VERSION, |body| body.extend_from_slice(&[0; 8]));
--- a/src/postgres/mod.rs
+++ b/src/postgres/mod.rs
@@ -11,8 +11,8 @@
 //! | [`cancel`] | the key of a cancel request |
 //! | [`sqlstate`] | codes of the errors that the gateway sends |
 //!
-//! Messages that are read are bounded by [`MAX_MESSAGE_BYTES`], except for a row that is streamed: see [`Framer::long_row`].
-//! The folder owns no connection and keeps no state but what was fed and not taken.
+//! Messages that are read are bounded by [`MAX_MESSAGE_BYTES`], except for a row that is streamed: see
+//! [`Framer::long_row`]. The folder owns no connection and keeps no state but what was fed and not taken.
 //!
 //! May import: `os`, for reading a socket into a [`Framer`].
 
--- a/src/postgres/read_buffer.rs
+++ b/src/postgres/read_buffer.rs
@@ -1,5 +1,5 @@
-//! The buffer that all connections read into. The gateway has one thread, which reads from one connection at a time: a
-//! connection that waits needs no buffer.
+//! The buffer that all connections read into. The gateway has one thread, which reads from one connection at
+//! a time: a connection that waits needs no buffer.
 
 use crate::os::socket::{uninterrupted, Call, SocketError};
 use crate::postgres::Framer;
@@ -19,8 +19,9 @@
         Rc::new(ReadBuffer(RefCell::new(vec![0; SIZE].into())))
     }
 
-    /// Reads once without waiting, and feeds the framer if there is one. Returns the number of bytes read, 0 at the end of the
-    /// stream, and None if the connection was not ready. A call that a signal interrupts is repeated.
+    /// Reads once without waiting, and feeds the framer if there is one. Returns the number of bytes read, 0
+    /// at the end of the stream, and None if the connection was not ready. A call that a signal interrupts is
+    /// repeated.
     ///
     /// # Errors
     ///
--- a/src/sql/set_statement.rs
+++ b/src/sql/set_statement.rs
@@ -1,17 +1,17 @@
-//! Statements that the gateway answers by itself: what drivers set at their start, which has no effect here, and the one
-//! setting that has: the tokens of a client's sessions.
+//! Statements that the gateway answers by itself: SET, RESET and DISCARD. Settings of drivers have no effect;
+//! the only one that has holds the session tokens of the client.
 
 use crate::sql::statement::verb;
 
-/// The setting that holds the tokens of a client's sessions, and the parameter that sends it a token.
+/// The setting that holds a client's session tokens, and the parameter that reports a token to it.
 pub const TOKEN_SETTING: &str = "petrelgauge.mark";
-/// What may stand before the name of a setting, and makes no difference here.
+/// The scopes that may precede the name of a setting. They make no difference here.
 const SCOPES: [&str; 2] = ["SESSION ", "LOCAL "];
 
 /// A statement that the gateway answers by itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Setting {
-    /// `SET petrelgauge.mark`: tokens separated by `+`.
+    /// `SET petrelgauge.mark`, with its tokens separated by `+`.
     SetTokens(String),
     /// `RESET petrelgauge.mark`.
     ResetTokens,
@@ -24,7 +24,7 @@
 }
 
 impl Setting {
-    /// The tag of its completion.
+    /// The tag of its CommandComplete.
     pub fn tag(&self) -> &'static str {
         match self {
             Setting::SetTokens(_) | Setting::Other => "SET",
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reads a statement that sets something; None if it does not.
+/// Parses a statement. None if it is no SET, RESET or DISCARD.
 pub fn parse(text: &[u8]) -> Option<Setting> {
     let verb = verb(text);
     let rest = text.trim_ascii_start().get(verb.len()..).unwrap_or_default().trim_ascii();
@@ -57,7 +57,7 @@
     Some(String::from_utf8_lossy(value).into_owned())
 }
 
-/// What follows a word, which may be in any case, and the space behind it.
+/// The text after a word in any case and whitespace.
 fn strip_word<'a>(text: &'a [u8], word: &str) -> Option<&'a [u8]> {
     let (head, rest) = text.split_at_checked(word.len())?;
     head.eq_ignore_ascii_case(word.as_bytes()).then(|| rest.trim_ascii_start())
--- a/src/sql/statement.rs
+++ b/src/sql/statement.rs
@@ -1,5 +1,5 @@
-//! The statements of the platform's protocol: one SELECT or INSERT with a quoted key, and a comment that says what the
-//! request needs. A host cannot use any other form, so nothing else is forwarded.
+//! Statements of the platform's protocol: one SELECT or INSERT with a quoted key, and a comment with the
+//! fields of the request. Hosts execute no other form, so nothing else is forwarded.
 
 use crate::postgres;
 pub use crate::sql::statement_error::StatementError;
@@ -8,24 +8,24 @@
 use petrelgauge_lifecycle::class_table::IdempotencyKey;
 use std::ops::Range;
 
-/// Longest value of a field of the comment (bytes).
+/// Longest value of a comment field (bytes).
 const MAX_FIELD_BYTES: usize = 256;
 /// The value of the field `r` that marks a retry.
 const RETRY: &str = "1";
 
-/// A statement, as its client sent it, with what its comment says.
+/// A statement and the fields of its comment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
     text: Bytes,
-    /// Where the digits of the comment's wait stand in the text.
+    /// The range of the wait's digits in the text.
     wait_digits: Range<usize>,
-    /// It writes.
+    /// Whether it is an INSERT.
     pub is_write: bool,
-    /// The quoted key, as it stands between the quotes.
+    /// The quoted key, without its quotes and with quotes in it still doubled.
     pub name: String,
-    /// The request's id, by its client.
+    /// The id that the client chose for the request.
     pub id: String,
-    /// Class, by name.
+    /// The name of its class.
     pub class: String,
     /// How long the client waits for the answer (milliseconds).
     pub wait_ms: u64,
@@ -33,22 +33,22 @@
     pub idempotency_key: IdempotencyKey,
     /// The group.
     pub group: u64,
-    /// Its session, where it is not the quoted key that names it.
+    /// The name of its session; the quoted key if there is none.
     pub session: Option<String>,
-    /// The session's tokens, separated by `+`.
+    /// Session tokens, separated by `+`.
     pub session_tokens: Option<String>,
-    /// Commit that a session read must see (Unix time, milliseconds).
+    /// The commit that a session read must see (Unix time, milliseconds).
     pub after_ms: Option<u64>,
-    /// Marked as a retry.
+    /// The client marked it as a retry.
     pub is_retry: bool,
 }
 
 impl Statement {
-    /// Reads a statement.
+    /// Parses a statement.
     ///
     /// # Errors
     ///
-    /// Why no host could use it.
+    /// Why no host could execute it.
     pub fn parse(text: &Bytes) -> Result<Statement, StatementError> {
         let mut scanner = StatementScanner::new(text);
         let is_write = match verb(text).to_ascii_uppercase().as_slice() {
@@ -62,16 +62,16 @@
         let comment_text =
             std::str::from_utf8(&text[comment.clone()]).map_err(|_| StatementError::CommentNotUtf8)?;
         let fields = CommentFields::parse(comment_text, comment.start)?;
-        let (wait_ms, wait_digits) = fields.wait.ok_or(StatementError::MissingField("d"))?;
+        let wait = fields.wait.ok_or(StatementError::MissingField("d"))?;
         let name = std::str::from_utf8(&text[name]).map_err(|_| StatementError::KeyNotUtf8)?;
         let id = fields.id.filter(|id| !id.is_empty()).ok_or(StatementError::MissingField("id"))?;
         Ok(Statement {
-            wait_digits,
+            wait_digits: wait.digits,
             is_write,
             name: name.to_string(),
             id: id.to_string(),
             class: fields.class.ok_or(StatementError::MissingField("c"))?.to_string(),
-            wait_ms,
+            wait_ms: wait.milliseconds,
             idempotency_key: match fields.idempotency_key {
                 Some(key) if !key.is_empty() => IdempotencyKey::Present,
                 _ => IdempotencyKey::Absent,
@@ -85,7 +85,7 @@
         })
     }
 
-    /// The query that is sent to a host: the client's own but for how long the answer is waited for.
+    /// The Query message for a host: the client's statement with another wait.
     pub fn query(&self, wait_ms: u64) -> impl Buf {
         let before = self.text.slice(..self.wait_digits.start);
         let after = self.text.slice(self.wait_digits.end..);
@@ -93,13 +93,19 @@
     }
 }
 
-/// The fields of a statement's comment, each there once at most.
+/// How long the client waits for the answer.
+struct WaitField {
+    milliseconds: u64,
+    /// The range of its digits in the statement.
+    digits: Range<usize>,
+}
+
+/// The fields of a comment. Each may be given once.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<&'a str>,
     class: Option<&'a str>,
-    /// The wait (milliseconds), and where its digits stand in the statement.
-    wait: Option<(u64, Range<usize>)>,
+    wait: Option<WaitField>,
     cluster: Option<u64>,
     after_ms: Option<u64>,
     idempotency_key: Option<&'a str>,
@@ -109,7 +115,7 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Reads a comment that begins at this place of its statement. Fields that are not known are left alone.
+    /// Parses a comment that starts at this offset of its statement. Unknown fields are ignored.
     fn parse(comment: &'a str, start: usize) -> Result<CommentFields<'a>, StatementError> {
         let mut fields = CommentFields::default();
         let mut position = start;
@@ -129,7 +135,10 @@
         match name {
             "id" => set_once(&mut self.id, value),
             "c" => set_once(&mut self.class, value),
-            "d" => set_once(&mut self.wait, (number(value)?, value_at..value_at + value.len())),
+            "d" => {
+                let digits = value_at..value_at + value.len();
+                set_once(&mut self.wait, WaitField { milliseconds: number(value)?, digits })
+            }
             "cluster" => set_once(&mut self.cluster, number(value)?),
             "after" => set_once(&mut self.after_ms, number(value)?),
             "k" => set_once(&mut self.idempotency_key, value),
--- a/src/sql/statement_error.rs
+++ b/src/sql/statement_error.rs
@@ -1,20 +1,20 @@
-//! Why a statement is none that a database host could use.
+//! Why a statement is unusable for any database host.
 
 use thiserror::Error;
 
-/// Why a statement cannot be read. Its text is the message that the client gets.
+/// Why a statement is unusable. The text is the message that the client gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum StatementError {
     /// Neither a SELECT nor an INSERT.
     #[error("only SELECT and INSERT are served")]
     OtherVerb,
-    /// Its words are others.
+    /// It has another syntax.
     #[error("the statement has another form than the one that is served")]
     OtherForm,
-    /// No quoted text stands where one belongs.
+    /// A quoted text is missing.
     #[error("there is no quoted key")]
     MissingQuote,
-    /// A quoted text does not end.
+    /// A quoted text has no closing quote.
     #[error("a quote is not closed")]
     UnclosedQuote,
     /// A quoted text is longer than the longest value.
@@ -23,16 +23,16 @@
     /// The quoted key is not UTF-8.
     #[error("the quoted key is not UTF-8")]
     KeyNotUtf8,
-    /// The value lacks its prefix.
+    /// The value lacks its prefix `\x`.
     #[error("the value is not written as \\x and digits")]
     ValueWithoutPrefix,
-    /// The value's digits are none, or an odd number of them.
+    /// The value has an odd number of digits, or other characters.
     #[error("the value is not a row of bytes in hexadecimal digits")]
     ValueNotHexadecimal,
-    /// No comment stands where it belongs.
+    /// The comment is missing.
     #[error("there is no comment where it belongs")]
     MissingComment,
-    /// The comment does not end.
+    /// The comment is not closed.
     #[error("the comment is not closed")]
     UnclosedComment,
     /// The comment is not UTF-8.
@@ -41,19 +41,19 @@
     /// A field of the comment has no value.
     #[error("the comment holds something without a value")]
     FieldWithoutValue,
-    /// A field's value is too long, or holds what is not printable.
+    /// A field's value is too long or has characters that are not printable.
     #[error("the comment holds a value that is none")]
     BadValue,
     /// A field's value is no number.
     #[error("the comment holds a number that is none")]
     BadNumber,
-    /// A field stands there twice.
+    /// A field is given twice.
     #[error("the comment says something twice")]
     DuplicateField,
-    /// A field that every request needs is not there.
+    /// A required field is missing.
     #[error("the comment names no {0}")]
     MissingField(&'static str),
-    /// More follows behind the comment.
+    /// Text follows the comment.
     #[error("something follows the comment")]
     TrailingText,
 }
--- a/src/sql/statement_scanner.rs
+++ b/src/sql/statement_scanner.rs
@@ -1,32 +1,32 @@
-//! The form of a statement, scanned from its beginning to its end.
+//! The syntax of a statement, scanned from its beginning to its end.
 
 use crate::sql::statement_error::StatementError;
 use std::ops::Range;
 
 /// Longest value (bytes).
 const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// Longest text between quotes (bytes): `\x` and two digits for each byte of a value.
+/// Longest quoted text (bytes): `\x` and two digits for each byte of a value.
 const MAX_QUOTED_BYTES: usize = 2 * MAX_VALUE_BYTES + 2;
 
-/// Scans a statement; each step begins where the one before has ended.
+/// Scans a statement. Each method continues where the one before has ended.
 pub(super) struct StatementScanner<'a> {
     text: &'a [u8],
     position: usize,
 }
 
 impl StatementScanner<'_> {
-    /// At the beginning of a statement.
+    /// A scanner at the beginning of a statement.
     pub(super) fn new(text: &[u8]) -> StatementScanner<'_> {
         StatementScanner { text, position: 0 }
     }
 
-    /// A SELECT up to its comment; gives where the quoted key stands.
+    /// Scans a SELECT up to its comment. Returns the range of the quoted key.
     pub(super) fn select(&mut self) -> Result<Range<usize>, StatementError> {
         self.words(&["SELECT", "content", "FROM", "kv", "WHERE", "name", "="])?;
         self.quoted()
     }
 
-    /// An INSERT up to its comment; gives where the quoted key stands.
+    /// Scans an INSERT up to its comment. Returns the range of the quoted key.
     pub(super) fn insert(&mut self) -> Result<Range<usize>, StatementError> {
         self.words(&["INSERT", "INTO", "kv", "(", "name", ",", "content", ")", "VALUES", "("])?;
         let name = self.quoted()?;
@@ -40,7 +40,7 @@
         Ok(name)
     }
 
-    /// The comment; gives where its text stands, without the space around it.
+    /// Scans the comment. Returns the range of its text without surrounding whitespace.
     pub(super) fn comment(&mut self) -> Result<Range<usize>, StatementError> {
         self.words(&["/*"]).map_err(|_| StatementError::MissingComment)?;
         let length = self.text[self.position..].windows(2).position(|pair| pair == b"*/");
@@ -51,7 +51,7 @@
         Ok(start..start + self.text[start..end].trim_ascii_end().len())
     }
 
-    /// The end of the statement: nothing follows but a semicolon.
+    /// Scans the end of the statement, which may have a semicolon.
     pub(super) fn end(&mut self) -> Result<(), StatementError> {
         let rest = self.text[self.position..].trim_ascii();
         match rest.strip_prefix(b";").unwrap_or(rest) {
@@ -65,16 +65,17 @@
         self.position += rest.len() - rest.trim_ascii_start().len();
     }
 
-    /// These words, in whatever case and with whatever space between them; two words need some.
+    /// Scans these words, in any case and with any whitespace between them. Whitespace is required between
+    /// two words.
     fn words(&mut self, words: &[&str]) -> Result<(), StatementError> {
         for word in words {
             self.skip_space();
             let rest = &self.text[self.position..];
-            let found =
+            let is_found =
                 rest.get(..word.len()).is_some_and(|found| found.eq_ignore_ascii_case(word.as_bytes()));
-            let next = rest.get(word.len()).copied().unwrap_or(b' ');
-            let continues_word = next.is_ascii_alphanumeric() || next == b'_';
-            if !found || (word.as_bytes()[0].is_ascii_alphabetic() && continues_word) {
+            let next_byte = rest.get(word.len()).copied().unwrap_or(b' ');
+            let continues_word = next_byte.is_ascii_alphanumeric() || next_byte == b'_';
+            if !is_found || (word.as_bytes()[0].is_ascii_alphabetic() && continues_word) {
                 return Err(StatementError::OtherForm);
             }
             self.position += word.len();
@@ -82,7 +83,7 @@
         Ok(())
     }
 
-    /// A quoted text; a doubled quote is part of it.
+    /// Scans a quoted text, in which a quote is doubled.
     fn quoted(&mut self) -> Result<Range<usize>, StatementError> {
         self.words(&["'"]).map_err(|_| StatementError::MissingQuote)?;
         let start = self.position;
@@ -94,7 +95,7 @@
         Ok(start..end)
     }
 
-    /// The first quote from there on that is not doubled.
+    /// The offset of the first quote from `start` on that is not doubled.
     fn closing_quote(&self, start: usize) -> Result<usize, StatementError> {
         let mut position = start;
         loop {
--- a/tests/accept_loop.rs
+++ b/tests/accept_loop.rs
@@ -1,4 +1,5 @@
-//! The loop that accepts clients, on a listener whose calls fail by a script: clients in the listen backlog are accepted.
+//! The loop that accepts clients, on a listener whose calls fail by a script: clients in the listen backlog
+//! are accepted.
 
 use petrelgauge::client::accept_loop::{AcceptLoop, ClientHandler};
 use petrelgauge::os::clock::Clock;
@@ -111,7 +112,8 @@
     assert_eq!((accepted.clients.take(), accepted.shortages.get()), (vec![1], 4));
 }
 
-// The loop once returned at the first empty backlog, before the reactor knew of a client that had just connected.
+// The loop once returned at the first empty backlog, before the reactor knew of a client that had just
+// connected.
 #[test]
 fn a_client_that_the_reactor_reports_just_after_the_stop_is_accepted() {
     let script = VecDeque::from([None, Some(Ok(1))]);
