--- a/crates/lifecycle/src/backoff.rs
+++ b/crates/lifecycle/src/backoff.rs
@@ -15,7 +15,7 @@
 /// 3 s, with the pauses after them, then fit into the 8 s within which an endpoint update has to be known (6
 /// s) and applied (2 s).
 pub const FIRST_MEAN: Time = 200_000;
-/// Most doublings of any mean (count).
+/// Most doublings of a mean (count).
 const MAX_DOUBLINGS: u32 = 2;
 /// The longest mean while calls are not answered (microseconds): an update that the agent gets when the
 /// service returns has to be applied within 2 s, and the service may return at the beginning of a pause.
@@ -26,10 +26,10 @@
 /// The longest mean after a rejected call (microseconds). No pause is longer than twice that.
 pub const MAX_MEAN: Time = 4_000_000;
 
-/// Why the last call or watch ended.
+/// Why a call or watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The service rejected it with a status that means: retry later.
+    /// The service rejected it with a status that means to retry later.
     Rejected,
     /// It broke, timed out or was never established.
     Lost,
@@ -51,7 +51,7 @@
         Backoff { mean_after_rejection, failures: 0, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// A call succeeded: the next pause is as short as the first one.
+    /// Records that a call succeeded: the next pause is as short as the first one.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/lifecycle/src/class_table.rs
+++ b/crates/lifecycle/src/class_table.rs
@@ -29,9 +29,9 @@
 use petrelgauge_policy::{mutant, Class, Effect, Mutant, Time};
 use std::collections::BTreeSet;
 
-/// Classes in the table at most (count): hundreds of changes within the longest deadline would be a mistake.
+/// Most classes in the table (count). Hundreds of changes within the longest deadline would be a mistake.
 pub const MAX_CLASSES: usize = 256;
-/// How long clients may not know of a change (microseconds): the platform has them follow after 1.2 s.
+/// How long clients may not know of a change (microseconds). The platform updates them within 1.2 s.
 pub const OVERLAP: Time = 2_000_000;
 
 /// Whether a request carries an idempotency key.
@@ -128,7 +128,7 @@
         if mutant(Mutant::ClassIndexReused) {
             taken.clear();
         }
-        let (mut table, in_force) = self.with_classes(&classes, &mut taken);
+        let NewClasses { mut table, in_force } = self.with_classes(&classes, &mut taken);
         clear_unused(&mut table, &taken, &classes);
         if table.len() > MAX_CLASSES {
             return Err(TooManyClasses);
@@ -141,7 +141,7 @@
     }
 
     /// A copy of the table with these classes entered, and their indexes, which are added to the taken ones.
-    fn with_classes(&self, classes: &[Class], taken: &mut BTreeSet<usize>) -> (Vec<Class>, Vec<usize>) {
+    fn with_classes(&self, classes: &[Class], taken: &mut BTreeSet<usize>) -> NewClasses {
         let (mut table, mut in_force) = (self.table.clone(), Vec::new());
         for class in classes {
             let same = (0..table.len()).find(|index| table[*index] == *class && !in_force.contains(index));
@@ -155,10 +155,16 @@
                 table.push(class.clone());
             }
         }
-        (table, in_force)
+        NewClasses { table, in_force }
     }
 }
 
+/// A table with new classes, and their indexes in it.
+struct NewClasses {
+    table: Vec<Class>,
+    in_force: Vec<usize>,
+}
+
 /// Removes classes that are no longer used, or overwrites them with one in force: the router takes all
 /// classes of the table into account, so no obsolete one may remain.
 fn clear_unused(table: &mut Vec<Class>, taken: &BTreeSet<usize>, classes: &[Class]) {
--- a/crates/lifecycle/src/connect_timeout.rs
+++ b/crates/lifecycle/src/connect_timeout.rs
@@ -1,4 +1,4 @@
-//! The timeout for establishing a connection to a host, estimated from recent connections.
+//! Estimates the timeout for establishing a connection to a host from recent connections.
 //!
 //! The settings give a generous upper limit. Where connections are established within a millisecond, one that
 //! takes forty most likely leads to a machine that is down, and the waiting request could be answered by
@@ -7,13 +7,13 @@
 
 use petrelgauge_policy::Time;
 
-/// The timeout is this many times the longest recent connect time.
+/// The timeout is this multiple of the longest recent connect time.
 const MARGIN: Time = 16;
 /// The shortest timeout (microseconds): longer than a process usually waits to be scheduled.
 pub const MIN_TIMEOUT: Time = 40_000;
-/// Established connections before an estimate is made.
+/// Established connections before an estimate is made (count).
 pub const MIN_SAMPLES: u32 = 8;
-/// With each established connection the longest connect time decays by one part in this many.
+/// With each established connection the longest connect time decays by this fraction (divisor).
 const DECAY: Time = 64;
 /// Most doublings of the estimate (count), so that the shift can't overflow.
 const MAX_DOUBLINGS: u32 = 16;
@@ -29,7 +29,7 @@
 }
 
 impl ConnectTimeout {
-    /// Without samples: the timeout is the limit (microseconds).
+    /// An estimate without samples: the timeout is the limit (microseconds).
     pub fn new(limit: Time) -> ConnectTimeout {
         ConnectTimeout { limit, longest: 0, samples: 0 }
     }
--- a/crates/lifecycle/src/ending.rs
+++ b/crates/lifecycle/src/ending.rs
@@ -1,37 +1,38 @@
-//! Every way in which a connection, or an attempt on one, can end.
+//! Every way in which a connection or an attempt can end.
 
 use petrelgauge_policy::Ending;
 
-/// How it ended.
+/// How a connection or an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum End {
     /// A database host served the request.
     Served,
-    /// It serves the request with a long row, which is streamed to the client.
+    /// A database host serves the request with a long row, which is streamed to the client.
     Flows,
-    /// It answered with an error; there may have been an effect.
+    /// The host answered with an error; the request may have had an effect.
     HostError,
-    /// It rejected the request without running it: not the primary, or its data are too old.
+    /// The host rejected the request without running it: it is not the primary, or its data are too old.
     Rejected,
-    /// It can't execute the statement, and neither could any other host.
+    /// No host could execute the statement.
     Unusable,
-    /// It rejected the request before reading it: queue full, draining, too many connections.
+    /// The host rejected the request before reading it: its queue is full, it is draining, or it has too many
+    /// connections.
     QueueFull,
-    /// It refused the connection.
+    /// The host refused the connection.
     ConnectRefused,
     /// The connection was not established in time.
     ConnectSilent,
     /// The connection broke before the request's last byte was written.
     BrokenUnsent,
-    /// The connection broke or ended after that.
+    /// The connection broke or ended after the request's last byte was written.
     BrokenSent,
-    /// The host broke the protocol after that.
+    /// The host violated the protocol after the request's last byte was written.
     HostMalformed,
-    /// Its answer was a copy of the previous one.
+    /// The host's answer was a duplicate of its previous one.
     HostRepeated,
-    /// Its answer began and was not continued.
+    /// The host's answer began and was not completed in time.
     HostStalled,
-    /// Idle, and the host sent bytes that belong to no answer.
+    /// The host sent bytes that belong to no answer, on an idle connection.
     HostSurplus,
     /// No answer before the attempt's deadline.
     NoAnswer,
@@ -41,31 +42,31 @@
     NoDescriptor,
     /// No address is known for the host.
     NoAddress,
-    /// Too much memory was in use to buffer its answer.
+    /// Too much memory was in use to buffer the host's answer.
     NoMemory,
-    /// Its deadline passed before it could be written.
+    /// The attempt's deadline passed before the request could be written.
     TooLate,
-    /// Its connection was ready, but by then its client had left or its host accepted no more requests.
+    /// Before the request was written its client had left or its host accepted no more requests.
     NotWanted,
-    /// Idle too long, or its host moved, restarted or was removed: closed by the gateway.
+    /// The gateway closed an idle connection: it had expired, or its host moved, restarted or was removed.
     Retired,
-    /// Idle, and closed by the host.
+    /// The host closed an idle connection.
     HostClosedIdle,
     /// The client closed its connection, or it broke.
     ClientLeft,
     /// The client sent a Terminate message.
     ClientTerminated,
-    /// The client broke the protocol.
+    /// The client violated the protocol.
     ClientMalformed,
     /// The client did not send its startup message in time.
     ClientSilent,
-    /// The client had its answers and sent no further query.
+    /// The client sent no further query in time.
     ClientIdle,
     /// The client did not read its answer in time.
     ClientStuck,
-    /// Idle, and closed to free its descriptor for another client.
+    /// The gateway closed an idle client to free its descriptor.
     ClientShed,
-    /// Idle, and closed because the gateway stops.
+    /// The gateway closed an idle client because it stops or drains.
     Stopped,
 }
 
@@ -105,12 +106,12 @@
         End::Stopped,
     ];
 
-    /// Whether the host sent this end in a complete answer to the attempt.
+    /// Whether the attempt ended with a complete answer of the host.
     pub fn is_answer(self) -> bool {
         matches!(self, End::Served | End::HostError | End::Rejected | End::QueueFull | End::Unusable)
     }
 
-    /// What is reported to the router about an attempt that ended like this.
+    /// The ending that is reported to the router for an attempt.
     pub fn as_ending(self) -> Ending {
         match self {
             End::Served | End::Flows => Ending::Served,
@@ -122,9 +123,9 @@
                 Ending::ConnectionLost
             }
             End::NoAnswer => Ending::TimedOut,
-            // It was sent, and then given up because memory ran out here: not a fault of the host.
+            // The request was sent; running out of memory here is no fault of the host.
             End::Cancelled | End::NoMemory => Ending::Cancelled,
-            // Not a fault of the host: it must not count against it.
+            // No faults of the host: they must not count against it.
             End::NoDescriptor | End::NoAddress | End::TooLate | End::NotWanted | End::Unusable => {
                 Ending::NotSent
             }
--- a/crates/lifecycle/src/idle_connection.rs
+++ b/crates/lifecycle/src/idle_connection.rs
@@ -1,4 +1,4 @@
-//! Idle connections to a host between two requests: which one is reused next, which are closed, and why.
+//! Decides which idle connection to a host is reused next, which are closed, and why.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
@@ -6,19 +6,19 @@
 /// How long a connection stays idle after an answer before it is preferred for reuse (microseconds). Surplus
 /// bytes of a host arrive within it. A connection may be reused sooner if there is no other.
 pub const SETTLE: Time = 20_000;
-/// How long after an answer the next one may be a copy of it (microseconds).
-pub const COPY_WINDOW: Time = 1_000_000;
+/// How long after an answer the next one may be a duplicate of it (microseconds).
+pub const DUPLICATE_WINDOW: Time = 1_000_000;
 
 /// An idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdleConnection {
-    /// Clock time since which it is idle.
+    /// Clock time at which it became idle.
     pub since: Time,
-    /// A copy of its last answer would be recognized.
-    pub detects_copies: bool,
+    /// A duplicate of its last answer would be recognized.
+    pub detects_duplicates: bool,
 }
 
-/// What the kernel reports of an idle connection.
+/// The state of an idle connection's socket, as the kernel reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SocketState {
     /// Open, with nothing to read.
@@ -29,7 +29,7 @@
     UnexpectedBytes,
 }
 
-/// Which idle connections are reused and when they are closed.
+/// When idle connections are reused and when they are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdlePolicy {
     /// Idle connections are closed after this time (microseconds), well before their hosts close them: a
@@ -38,25 +38,25 @@
 }
 
 impl IdlePolicy {
-    /// The policy for hosts that close connections idle for `idle_span` (microseconds).
-    pub fn for_hosts(idle_span: Time) -> IdlePolicy {
-        IdlePolicy { span: idle_span / 4 * 3 }
+    /// The policy for hosts that close connections after this idle time (microseconds).
+    pub fn for_hosts(host_idle_timeout: Time) -> IdlePolicy {
+        IdlePolicy { span: host_idle_timeout / 4 * 3 }
     }
 
     /// The index of the connection to reuse next, in the order in which they became idle: the most recent of
     /// those idle for [`SETTLE`], so that the others age and are closed. If there is none, the longest idle
-    /// one on which a copy would be recognized.
+    /// one on which a duplicate would be recognized.
     pub fn choose(
         self,
         now: Time,
         idle: impl DoubleEndedIterator<Item = IdleConnection> + ExactSizeIterator + Clone,
     ) -> Option<usize> {
         let settled = idle.clone().rposition(|connection| now - connection.since >= SETTLE);
-        settled.or_else(|| idle.clone().position(|connection| connection.detects_copies))
+        settled.or_else(|| idle.clone().position(|connection| connection.detects_duplicates))
     }
 
-    /// Whether the chosen connection may carry a request: then whether a copy of its last answer may still
-    /// arrive.
+    /// Whether the chosen connection may carry a request: then whether a duplicate of its last answer may
+    /// still arrive.
     ///
     /// # Errors
     ///
@@ -68,11 +68,11 @@
             _ if now - connection.since > self.span && !mutant(Mutant::ExpiredConnectionReused) => {
                 Err(End::Retired)
             }
-            _ => Ok(now - connection.since < COPY_WINDOW),
+            _ => Ok(now - connection.since < DUPLICATE_WINDOW),
         }
     }
 
-    /// Why an idle connection has to be closed now, if it has.
+    /// Why an idle connection has to be closed now; none if it is kept.
     pub fn expire(self, now: Time, connection: IdleConnection, socket: SocketState) -> Option<End> {
         match socket {
             _ if now - connection.since > self.span => Some(End::Retired),
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Whether a reusable connection is kept: not if its host moved, restarted, left or is draining.
+    /// Whether a reusable connection is kept: not if its host moved, restarted, was removed or is draining.
     ///
     /// # Errors
     ///
     /// Why the connection has to be closed instead.
-    pub fn may_keep(self, host_accepts: bool) -> Result<(), End> {
-        if host_accepts {
+    pub fn may_keep(self, is_host_accepting: bool) -> Result<(), End> {
+        if is_host_accepting {
             Ok(())
         } else {
             Err(End::Retired)
@@ -96,15 +96,15 @@
     }
 }
 
-/// Whether only a copy of this answer can equal it: a row with its position. A host whose log does not
+/// Whether only a duplicate of this answer can equal it: a row with its position. A host whose log does not
 /// advance (cut off, or its group without a primary) rejects one request after another with the same text and
 /// position.
-pub fn is_distinguishable(row: bool, reports_position: bool) -> bool {
-    row && reports_position
+pub fn is_distinguishable(is_row: bool, reports_position: bool) -> bool {
+    is_row && reports_position
 }
 
-/// Whether an answer is a copy of the last one on its connection, by the hashes of both; the last one's is
-/// given only if it [`is_distinguishable`].
-pub fn is_copy(recent: bool, last: Option<u64>, this: Option<u64>) -> bool {
-    recent && last.is_some() && last == this
+/// Whether an answer is a duplicate of the last one on its connection, by the hashes of both; the last one's
+/// is given only if it [`is_distinguishable`].
+pub fn is_duplicate(is_last_recent: bool, last_hash: Option<u64>, hash: Option<u64>) -> bool {
+    is_last_recent && last_hash.is_some() && last_hash == hash
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,14 +1,14 @@
-//! State machines for the life of requests, attempts, connections, clients and the gateway itself.
+//! State machines of requests, attempts, connections, clients and the gateway itself.
 //!
 //! Each machine is stepped with events and the current time. The machines do no I/O and have no clock: the
 //! network code reads, writes, closes and waits as they say, and decides nothing.
 //!
 //! | module | what it describes | states |
 //! | --- | --- | --- |
-//! | `request_table/` | requests and attempts between the servers of clients and the router | open, ended; in flight, reported |
+//! | `request_table/` | requests and attempts between client sessions and the router | open, ended; in flight, reported |
 //! | `read_ahead.rs` | what is read from a client ahead of the query that is being answered | reading, paused |
 //! | `client.rs` | a client's connection | opening, idle, awaiting an answer, pausing, cut off, ended |
-//! | `request.rs` | a client's request at the front | waiting, attempt in flight, ended |
+//! | `request.rs` | a client's request, seen from its session | waiting, attempt in flight, ended |
 //! | `exchange.rs` | an attempt on a connection | connecting, greeting, writing, waiting, answering, ended |
 //! | `class_table.rs` | the request classes, while settings change under open requests | |
 //! | `idle_connection.rs` | a connection to a host between two requests | idle, in use, ended |
--- a/crates/lifecycle/src/verdict.rs
+++ b/crates/lifecycle/src/verdict.rs
@@ -1,11 +1,11 @@
-//! What a host's answer says about an attempt.
+//! Interprets a host's answer: how the attempt ended, and whether its report is plausible.
 
 use crate::ending::End;
 use petrelgauge_policy::{Report, Time};
 
 const MICROSECONDS_PER_MILLISECOND: Time = 1_000;
 
-/// How an attempt ended that was answered with this error code (SQLSTATE).
+/// How an attempt ended that got this SQLSTATE as its answer.
 pub fn end_for_code(code: &str) -> End {
     match code {
         // Not the primary; its data are too old.
--- a/crates/lifecycle/src/watch.rs
+++ b/crates/lifecycle/src/watch.rs
@@ -29,25 +29,25 @@
 /// within 8 s.
 pub const COMPLETE_LIST_INTERVAL: Time = 500_000;
 
-/// What is known of the endpoint list's revisions.
+/// The known revisions of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchState {
-    /// The revision that is in use.
+    /// The revision in force.
     revision: Option<u64>,
-    /// The newest revision of the present watch.
+    /// The newest revision of the current watch.
     newest_of_watch: Option<u64>,
     needs_complete_list: bool,
-    /// The last complete list that was requested by a call was older than the revision in use.
-    last_call_was_older: bool,
+    /// The last complete list that was requested beside the watch was older than the revision in force.
+    was_last_response_older: bool,
 }
 
 impl WatchState {
-    /// A watch was opened.
+    /// Records that a watch was opened.
     pub fn on_watch_opened(&mut self) {
         self.newest_of_watch = None;
     }
 
-    /// Another source is used from now on. Its revisions may be numbered differently.
+    /// Records that another source is used from now on. It may number revisions differently.
     pub fn on_source_changed(&mut self) {
         *self = WatchState { needs_complete_list: self.needs_complete_list, ..WatchState::default() };
     }
@@ -67,7 +67,7 @@
         self.needs_complete_list
     }
 
-    /// A line was received that can't be used.
+    /// Records that an unusable line was received.
     pub fn on_unusable_line(&mut self) {
         self.needs_complete_list = true;
     }
@@ -86,8 +86,8 @@
     /// A separate call brought the complete list. Returns whether it is to be applied: a list older than what
     /// the watch brought meanwhile is requested again, and applied if it is still as old.
     pub fn on_complete_list(&mut self, revision: u64) -> bool {
-        let older = self.revision.is_some_and(|current| revision < current);
-        if older && !std::mem::replace(&mut self.last_call_was_older, true) {
+        let is_older = self.revision.is_some_and(|current| revision < current);
+        if is_older && !std::mem::replace(&mut self.was_last_response_older, true) {
             return false;
         }
         self.set_revision(revision, Update::Complete);
@@ -99,7 +99,7 @@
         self.newest_of_watch = Some(revision);
         if update == Update::Complete {
             self.needs_complete_list = false;
-            self.last_call_was_older = false;
+            self.was_last_response_older = false;
         }
     }
 }
--- a/crates/lifecycle/tests/idle_connection.rs
+++ b/crates/lifecycle/tests/idle_connection.rs
@@ -1,7 +1,9 @@
 //! Which idle connection to a host may carry a request.
 
 use petrelgauge_lifecycle::ending::End;
-use petrelgauge_lifecycle::idle_connection::{IdleConnection, IdlePolicy, SocketState, COPY_WINDOW, SETTLE};
+use petrelgauge_lifecycle::idle_connection::{
+    IdleConnection, IdlePolicy, SocketState, DUPLICATE_WINDOW, SETTLE,
+};
 use petrelgauge_policy::Time;
 
 const IDLE_SPAN: Time = 30_000_000;
@@ -9,9 +11,9 @@
 #[test]
 fn a_connection_closed_by_its_host_is_never_reused() {
     let policy = IdlePolicy::for_hosts(IDLE_SPAN);
-    for since in [0, SETTLE, COPY_WINDOW, policy.span, policy.span + 1] {
-        for detects_copies in [false, true] {
-            let connection = IdleConnection { since: 0, detects_copies };
+    for since in [0, SETTLE, DUPLICATE_WINDOW, policy.span, policy.span + 1] {
+        for detects_duplicates in [false, true] {
+            let connection = IdleConnection { since: 0, detects_duplicates };
             assert_eq!(
                 policy.may_use(since, connection, SocketState::Closed),
                 Err(End::HostClosedIdle),
@@ -24,9 +26,9 @@
 #[test]
 fn a_quiet_connection_is_reused_within_its_idle_timeout() {
     let policy = IdlePolicy::for_hosts(IDLE_SPAN);
-    let connection = IdleConnection { since: 0, detects_copies: false };
-    assert_eq!(policy.may_use(COPY_WINDOW - 1, connection, SocketState::Quiet), Ok(true));
-    assert_eq!(policy.may_use(COPY_WINDOW, connection, SocketState::Quiet), Ok(false));
+    let connection = IdleConnection { since: 0, detects_duplicates: false };
+    assert_eq!(policy.may_use(DUPLICATE_WINDOW - 1, connection, SocketState::Quiet), Ok(true));
+    assert_eq!(policy.may_use(DUPLICATE_WINDOW, connection, SocketState::Quiet), Ok(false));
     assert_eq!(policy.may_use(policy.span, connection, SocketState::Quiet), Ok(false));
     assert_eq!(policy.may_use(policy.span + 1, connection, SocketState::Quiet), Err(End::Retired));
 }
--- a/crates/models/src/connection/apply.rs
+++ b/crates/models/src/connection/apply.rs
@@ -4,7 +4,7 @@
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::AttemptState;
 use petrelgauge_lifecycle::exchange::Event;
-use petrelgauge_lifecycle::idle_connection::is_copy;
+use petrelgauge_lifecycle::idle_connection::is_duplicate;
 use petrelgauge_policy::Time;
 
 /// How long before the attempt's deadline a late answer begins (microseconds): less than the timeout of an
@@ -120,7 +120,7 @@
             Bytes::Answer { request, has_position } => {
                 let answer = answer_hash(request, has_position);
                 let last_answer = std::mem::replace(&mut connection.last_answer, answer);
-                let is_duplicate = is_copy(connection.copy_expected, last_answer, answer);
+                let is_duplicate = is_duplicate(connection.copy_expected, last_answer, answer);
                 (self.answered, self.answer_begun) = (Some(request), true);
                 self.on_event(Event::Answered { end: End::Served, is_duplicate });
             }
--- a/crates/models/src/connection/attempt.rs
+++ b/crates/models/src/connection/attempt.rs
@@ -29,7 +29,7 @@
     /// The idle connection, if it may be reused now. One that may not is closed.
     fn reuse(&mut self) -> Option<Connection> {
         let IdleSince { since, mut connection } = self.idle.take()?;
-        let idle = IdleConnection { since, detects_copies: connection.last_answer.is_some() };
+        let idle = IdleConnection { since, detects_duplicates: connection.last_answer.is_some() };
         if IDLE_POLICY.choose(self.now, [idle].into_iter()).is_none() {
             self.idle = Some(IdleSince { since, connection });
             return None;
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -14,7 +14,7 @@
 use bytes::Buf;
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::exchange::{AttemptState, Event, Exchange};
-use petrelgauge_lifecycle::idle_connection::{is_copy, is_distinguishable};
+use petrelgauge_lifecycle::idle_connection::{is_distinguishable, is_duplicate};
 use petrelgauge_lifecycle::verdict;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::Hasher;
@@ -122,7 +122,7 @@
         let reports_position = reply.parameters.iter().any(|parameter| parameter.name == LOG_POSITION);
         let hash = is_distinguishable(is_row, reports_position).then(|| self.answer_hash.finish());
         let last_hash = std::mem::replace(&mut connection.last_answer_hash, hash);
-        let is_duplicate = is_copy(connection.is_last_answer_recent, last_hash, hash);
+        let is_duplicate = is_duplicate(connection.is_last_answer_recent, last_hash, hash);
         let end = end_of_reply(&reply);
         self.reply = Some(reply);
         Event::Answered { end, is_duplicate }
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -30,7 +30,10 @@
 impl PooledConnection {
     /// What the idle policy has to know of it.
     fn idle(&self) -> IdleConnection {
-        IdleConnection { since: self.idle_since, detects_copies: self.connection.last_answer_hash.is_some() }
+        IdleConnection {
+            since: self.idle_since,
+            detects_duplicates: self.connection.last_answer_hash.is_some(),
+        }
     }
 }
 
