--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,12 +1,12 @@
-//! How attempts at hosts end, which of them are retried, and what the client is answered. The program on sockets, as in
-//! `client_protocol.rs`.
+//! How attempts at hosts end, which of them are retried, and what the client is answered. The program on
+//! sockets, as in `client_protocol.rs`.
 
 use petrelgauge_test_support::{
     field, gateway_program, gateway_with_primary, insert, kinds, query, select, Harness, Reply,
 };
 
 #[test]
-fn a_read_that_broke_goes_out_again_and_so_does_a_keyed_write() {
+fn a_broken_read_is_retried_and_so_is_an_idempotent_write() {
     for text in [select("a", "view", 20000), insert("a", 20000)] {
         let (host, gateway) = gateway_with_primary(
             gateway_program!(),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_read_nobody_can_take_is_refused_with_a_hint() {
+fn a_read_that_no_host_accepts_is_rejected_with_a_retry_after() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![]);
     let gateway = harness.list(&[(&host, "draining", "primary")]).start();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_write_whose_attempt_may_have_run_fails_and_is_not_refused() {
+fn a_write_whose_attempt_may_have_run_fails_and_is_not_rejected() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Nothing, Reply::Nothing]);
     let answer = gateway.client().ask(&insert("a", 2000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "40003"));
@@ -39,16 +39,16 @@
     host.wait_for_disconnect();
 }
 
-// What an ending proves decides what the client may be answered: a refusal says that trying again is harmless.
+// What is known of an attempt decides the client's answer: a rejection promises that a retry is harmless.
 #[test]
-fn a_write_that_never_ran_is_refused_and_one_that_may_have_run_fails() {
+fn a_write_that_never_ran_is_rejected_and_one_that_may_have_run_fails() {
     let endless = |say: fn() -> Reply| std::iter::repeat_with(say).take(8).collect::<Vec<_>>();
     let cases = [
         (Some(endless(|| Reply::Close)), "40003"),
         (Some(endless(|| Reply::Error("XX000"))), "40003"),
         (Some(endless(|| Reply::Error("53300"))), "53300"),
         (Some(endless(|| Reply::Error("25006"))), "53300"),
-        // Nobody listens there any more.
+        // Its port is closed.
         (None, "53300"),
     ];
     std::thread::scope(|scope| {
@@ -74,14 +74,15 @@
     host.wait_for_disconnect();
 }
 
-// Malformed answers may have run: a read goes out again, and nothing of them reaches the client.
+// A request with a malformed answer may have run: a read is retried, and nothing of the answer reaches the
+// client.
 #[test]
-fn answers_that_cannot_be_read_end_their_attempt() {
+fn malformed_answers_end_their_attempt() {
     let malformed: [&[u8]; 5] = [
         b"noise that is no message",
         b"T\xff\xff\xff\xff",
         b"D\xb2\xd0\x5e\x00\0\x01\xb2\xd0\x5e\x00",
-        // It claims to go on, and does not.
+        // It announces more bytes than it sends.
         b"T\0\0\0\x40\0\x01",
         b"D\0\0\0\x0b\0\x01\0\0\0\x01vZ\0\0\0\x05I",
     ];
@@ -100,9 +101,9 @@
     });
 }
 
-// The surplus may come when the connection is idle already. It is nobody's answer.
+// The surplus bytes may arrive when the connection is idle again. They belong to no request.
 #[test]
-fn what_comes_behind_an_answer_is_not_the_next_one() {
+fn bytes_after_an_answer_are_not_the_next_answer() {
     let harness = Harness::new(gateway_program!());
     let copy: &[u8] = b"C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I";
     let script = (0..6).flat_map(|_| [Reply::Surplus(b"one", copy), Reply::Row(b"two")]).collect();
@@ -118,9 +119,9 @@
     gateway.wait_for("HostSurplus=", |count| count >= 6);
 }
 
-// A copy that comes when the next query has gone out already looks like its answer.
+// A duplicate that arrives after the next query was written looks like the answer to it.
 #[test]
-fn a_copy_of_the_last_answer_is_not_the_next_one() {
+fn a_duplicate_of_the_last_answer_is_not_the_next_answer() {
     let script = vec![
         Reply::RowAt(b"one", 5),
         Reply::RowAt(b"one", 5),
@@ -131,15 +132,16 @@
     let mut client = gateway.client();
     client.write(&[query(&select("a", "view", 20000)), query(&select("b", "view", 20000))].concat());
     assert_eq!(client.until_ready()[1].1[6..], *b"one");
-    // The second query went out at once, on the same connection: its first answer is the copy.
+    // The second query is written at once on the same connection: the first answer to it is the duplicate.
     assert_eq!(client.until_ready()[1].1[6..], *b"two");
     gateway.wait_for_counter("HostRepeated=1");
 }
 
-// While a group has no primary, the positions of its members stand still, and a member turns one request after the other
-// away in the same words. Taken for copies, these cost their connections, and writes counted as run.
+// While a group has no primary, the positions of its members don't advance, and a member rejects one request
+// after the other with the same bytes. Taken for duplicates, these would close connections, and writes would
+// count as run.
 #[test]
-fn two_misses_that_are_alike_are_two_misses() {
+fn two_equal_rejections_are_not_duplicates() {
     let script = vec![Reply::ErrorAt("25006", 5), Reply::ErrorAt("25006", 5), Reply::RowAt(b"one", 6)];
     let (_host, gateway) = gateway_with_primary(gateway_program!(), script);
     let answer = gateway.client().ask(&insert("a", 20000));
@@ -147,9 +149,10 @@
     gateway.wait_for_counter("Served=1 Rejected=2");
 }
 
-// Whatever the gateway overlooks, a host may not: its reply is the answer, and no further host is asked.
+// A statement that the gateway accepted may still be unusable for a host: its error is the answer, and there
+// is no retry.
 #[test]
-fn a_statement_that_a_host_cannot_use_is_answered_at_once() {
+fn a_statement_that_a_host_finds_unusable_is_answered_at_once() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Error("08P01")]);
     let answer = gateway.client().ask(&insert("a", 20000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "08P01"));
--- a/tests/client_protocol.rs
+++ b/tests/client_protocol.rs
@@ -1,6 +1,6 @@
-//! What clients may send and what they are answered: the program on real sockets, between a scripted client, scripted hosts
-//! and a scripted discovery. Each test has a loopback address of its own. Answers are asserted, never speed: what waits only
-//! gives up after a span that no working gateway needs.
+//! What clients may send and what they are answered: the program on real sockets, between a scripted client,
+//! scripted hosts and a scripted discovery. Each test has a loopback address of its own. Answers are
+//! asserted, never speed: what waits only gives up after a span that no working gateway needs.
 
 use petrelgauge_test_support::{
     field, gateway_program, gateway_with_primary, insert, kinds, message, query, select, startup, Harness,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_value_comes_back_as_the_host_gave_it_and_the_statement_goes_on_unaltered() {
+fn values_and_statements_are_passed_on_unaltered() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"\x00\xffvalue")]);
     let mut client = gateway.client();
     let text = select("it''s /* no comment */", "view", 5000);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_largest_values_pass_both_ways() {
+fn the_largest_values_are_written_and_read() {
     static VALUE: [u8; 65536] = [b'v'; 65536];
     let (host, gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::Row(&VALUE), Reply::Row(&VALUE)]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_an_error_that_keeps_the_connection() {
+fn an_unusable_statement_gets_an_error_and_keeps_the_connection() {
     let (_host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"v")]);
     let mut client = gateway.client();
     let good = select("a", "view", 5000);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn malformed_bytes_end_the_connection_with_the_reason() {
+fn malformed_messages_end_the_connection_with_an_error() {
     let gateway = Harness::new(gateway_program!()).start();
     for bytes in [&b"Q\xff\xff\xff\xff"[..], b"!\0\0\0\x04", b"Q\0\0\0\x09a\0b\0\0", b"Q\0\0\0\x05a"] {
         let mut client = gateway.client();
@@ -110,9 +110,9 @@
     }
 }
 
-// Each of them would keep a descriptor for as long as it likes, or until its query's time is over.
+// Each of them would otherwise hold a descriptor for good, or until its query's deadline.
 #[test]
-fn clients_that_say_nothing_or_do_not_finish_are_cut_off() {
+fn silent_clients_and_incomplete_messages_are_cut_off() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Nothing]);
     let mut silent = gateway.raw_client();
     let mut half_a_startup = gateway.raw_client();
@@ -131,14 +131,14 @@
     let last = behind.rest();
     assert_eq!(kinds(&last), "EZE");
     assert_eq!((field(&last[0].1, b'C').as_str(), field(&last[2].1, b'C').as_str()), ("40003", "08P01"));
-    // What was asked before the flaw goes nowhere any more.
+    // Queries before the error that were not answered in time are not sent any more.
     host.next_query();
     host.wait_for_disconnect();
 }
 
-// What is sent must be read to the end, or the reset takes the reason away.
+// The gateway must read to the end, or the reset would discard the error.
 #[test]
-fn a_value_of_60_mb_is_rejected_with_the_reason() {
+fn a_value_of_60_mb_is_rejected_with_an_error() {
     let gateway = Harness::new(gateway_program!()).start();
     let mut client = gateway.client();
     let length = 60_000_000u32;
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn an_id_is_taken_once_while_its_request_is_open() {
+fn a_request_id_is_rejected_while_another_request_with_it_is_open() {
     let (host, gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
     let (mut first, text) = (gateway.client(), select("a", "view", 20000));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn counters_come_on_request() {
+fn counters_are_logged_on_a_signal() {
     let gateway = Harness::new(gateway_program!()).start();
     gateway.client();
     gateway.wait_for_counter("clients=1");
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn messages_are_found_whatever_the_cuts() {
+fn messages_are_parsed_however_they_are_fragmented() {
     sturdy(&answers(), |pieces| frames(pieces, Framer::message));
     assert_eq!(frames(&[&answers()], Framer::message).0.len(), 7);
 }
 
 #[test]
-fn replies_are_put_together_whatever_the_cuts() {
+fn replies_are_assembled_however_they_are_fragmented() {
     let parse = |pieces: &[&[u8]]| {
         let (messages, _) = frames(pieces, Framer::message);
         let mut assembler = AnswerAssembler::default();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn openings_are_found_whatever_the_cuts() {
+fn opening_messages_are_parsed_however_they_are_fragmented() {
     let mut out = [0, 0, 0, 8, 4, 210, 22, 47].to_vec();
     postgres::put_startup(&mut out);
     sturdy(&out, |pieces| frames(pieces, Framer::opening));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_length_that_no_message_has_is_a_flaw_at_once() {
+fn an_invalid_length_is_malformed_at_once() {
     for length in [0u32, 3, MAX_MESSAGE_BYTES as u32 + 1, u32::MAX] {
         let bytes = [&b"Q"[..], &length.to_be_bytes()].concat();
         assert!(frames(&[&bytes], Framer::message).1, "{length}");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn lines_of_a_chunked_response_are_found_whatever_the_cuts() {
+fn lines_of_a_chunked_response_are_parsed_however_they_are_fragmented() {
     let valid = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7;x=y\r\n{\"a\":1}\r\n1\r\n\n\r\n\
         A\r\n\n{\"b\":2}\n\n\r\n";
     let parse = |pieces: &[&[u8]]| {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_statement_goes_on_unaltered_but_for_its_wait() {
+fn a_statement_is_forwarded_unaltered_except_for_its_wait() {
     sturdy(READ.as_bytes(), |pieces| Statement::parse(&pieces.concat().into()));
     let statement = Statement::parse(&READ.into()).expect("a sound statement");
     assert_eq!((statement.class.as_str(), statement.wait_ms, statement.group), ("view", 480, 2));
@@ -145,7 +145,7 @@
 
 // A host takes nothing but the protocol's own form: what else is passed on breaks the host's connection.
 #[test]
-fn statements_of_another_form_are_named() {
+fn statements_of_another_form_are_rejected_with_the_reason() {
     let write =
         "INSERT INTO kv (name, content) VALUES ('a', '\\x9f03') RETURNING content /* id=1,c=post,d=9,\
         k=2,cluster=2 */";
@@ -192,7 +192,7 @@
 
 // An answer that does not fit its type is malformed: passed on, the client would take it for the value.
 #[test]
-fn answers_that_do_not_fit_their_types_are_flaws() {
+fn answers_that_do_not_fit_their_types_are_malformed() {
     let answer = |column: &[u8], row: &[u8], tag: &[u8], status: &[u8]| {
         let mut out = Vec::new();
         for (kind, part) in [(b'T', column), (b'D', row), (b'C', tag), (b'Z', status)] {
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -1,15 +1,15 @@
-//! Clients that send many queries at once. The gateway reads a bounded part of them ahead, leaves the others in the
-//! kernel, and answers all of them in order.
+//! Clients that send many queries at once. The gateway reads a bounded number of them ahead, leaves the
+//! others in the kernel, and answers all of them in order.
 
 use petrelgauge_test_support::{
     field, gateway_program, gateway_with_primary, insert, kinds, message, query, select, Client, Harness,
     Host, Reply,
 };
 
-/// More than may be queued, and in bytes more than one read takes: a part of it stays in the kernel.
+/// More queries than may be queued, and more bytes than one read returns: a part stays in the kernel.
 const BATCH: usize = 1_000;
 
-/// A value that takes its statement near the longest message.
+/// A value whose statement is nearly as long as the longest message.
 const LARGE: usize = 50_000;
 
 fn read(number: usize, wait_ms: u64) -> Vec<u8> {
@@ -26,12 +26,12 @@
     (0..count).flat_map(one).collect()
 }
 
-/// The value that a host gives to the query of this number.
+/// The value that a host returns for the query with this number.
 fn value(number: usize) -> &'static [u8] {
     format!("value-{number}").leak().as_bytes()
 }
 
-/// A host that answers the first query only when the test says so, and the others at once.
+/// A host that answers the first query when the test allows it, and the others at once.
 fn script(count: usize) -> Vec<Reply> {
     let others = (1..count).map(|number| Reply::Row(value(number)));
     std::iter::once(Reply::WaitForGo(value(0))).chain(others).collect()
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_batch_over_the_bound_of_messages_is_answered_completely_and_in_order() {
+fn a_batch_over_the_message_bound_is_answered_completely_and_in_order() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 60_000), BATCH));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_batch_over_the_bound_of_bytes_is_answered_completely_and_in_order() {
+fn a_batch_over_the_byte_bound_is_answered_completely_and_in_order() {
     const COUNT: usize = 40;
     let (host, gateway) = gateway_with_primary(gateway_program!(), script(COUNT));
     let mut client = gateway.client();
@@ -78,9 +78,9 @@
     written.join().expect("it ends").expect("all is read");
 }
 
-// With one megabyte, clients together may have 192 KiB waiting: less than two of these messages each.
+// With one megabyte of memory, all clients together may buffer 192 KiB: less than two of these messages each.
 #[test]
-fn batches_over_the_memory_of_all_are_answered_completely() {
+fn batches_over_the_shared_memory_bound_are_answered_completely() {
     const COUNT: usize = 8;
     const CLIENTS: usize = 3;
     let harness = Harness::new(gateway_program!());
@@ -107,7 +107,7 @@
     writers.into_iter().for_each(|written| written.join().expect("it ends").expect("all is read"));
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Leave {
     Fin,
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_nothing_is_read_from_it_is_noticed() {
+fn a_disconnect_is_noticed_while_reading_is_paused() {
     for how in [Leave::Fin, Leave::Reset, Leave::Terminate] {
         let (host, gateway) =
             gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
@@ -133,7 +133,7 @@
         host.next_query();
         gateway.wait_for("read_pauses=", |count| count >= 1);
         leave(client, how);
-        // Its first request is withdrawn while its answer is still out, and nothing behind it goes out.
+        // Its first request is abandoned while it is in flight, and none after it is sent.
         gateway.wait_for_counter("left=1 ");
         host.go();
         assert_eq!(kinds(&gateway.client().ask(&select("other", "view", 25_000))), "TDCZ", "{how:?}");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_client_that_sends_without_end_holds_bounded_memory_and_keeps_nobody_from_being_served() {
+fn a_client_that_sends_endlessly_uses_bounded_memory_and_starves_no_other() {
     const MOST: usize = 64 * 1024 * 1024;
     let (host, gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
@@ -159,25 +159,25 @@
 }
 
 #[test]
-fn requests_that_wait_unread_behind_others_end_in_their_time_and_in_order() {
+fn unread_pipelined_requests_end_by_their_deadline_and_in_order() {
     let (host, gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::Nothing, Reply::Row(b"after")]);
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 1_500), BATCH));
     gateway.wait_for("read_pauses=", |count| count >= 1);
-    // A read may be repeated, so that the first, which went out, may be refused as well.
+    // A read may be retried, so that the first, which was sent, may be rejected as well.
     for number in 0..BATCH {
         let answer = client.until_ready();
         assert_eq!(kinds(&answer), "EZ", "answer {number}");
         assert_eq!(field(&answer[0].1, b'C'), "53300", "answer {number}");
     }
-    // Not one of them went out after its time.
+    // None of them was sent after its deadline.
     assert_eq!(host.queries(), 1);
     written.join().expect("it ends").expect("all is read");
 }
 
 #[test]
-fn a_stop_answers_also_what_was_not_read_yet() {
+fn a_stop_answers_queries_that_were_not_read_yet() {
     let (host, mut gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
     let written = client.write_behind(batch(|number| read(number, 25_000), BATCH));
@@ -185,7 +185,7 @@
     gateway.signal("TERM");
     gateway.line_with("stopping");
     host.go();
-    // Rows up to the time at which the last answers of a stop are due, then refusals.
+    // Rows until the last answers of a stop are due, and rejections after that.
     let answers: Vec<_> = (0..BATCH).map(|_| client.until_ready()).collect();
     let served = answers.iter().take_while(|answer| kinds(answer) == "TDCZ").count();
     assert!(served > 0);
@@ -200,10 +200,10 @@
     written.join().expect("it ends").expect("all is read");
 }
 
-// The first request ends when nothing more is to be read from clients that had an answer; what waits behind it in the
-// kernel was taken before the stop.
+// The first request ends when clients that had an answer are no longer read; the queries after it, still in
+// the kernel, arrived before the stop.
 #[test]
-fn a_stop_answers_also_what_is_unread_in_its_second_half() {
+fn a_stop_answers_queries_that_are_unread_in_its_second_half() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"before"), Reply::Nothing]);
     let harness = harness.list(&[(&host, "up", "primary")]);
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions through the facade and on sockets: what a client library sees of tokens, and that no answer is given
-//! which its session would find too old.
+//! Session consistency through the facade and on sockets: what a client library sees of tokens, and that no
+//! answer is older than its session has seen.
 
 mod facade_simulation;
 
@@ -16,7 +16,7 @@
 use tokio_postgres::error::SqlState;
 use tokio_postgres::{NoTls, SimpleQueryMessage};
 
-/// The most steps that a read may wait for its attempt.
+/// Most steps that a read waits for its attempt.
 const MOST_STEPS: usize = 100;
 
 fn simulation(sessions: petrelgauge_sessions::Settings) -> Simulation {
@@ -36,7 +36,7 @@
     Outcome { position: Some(position), role: Some(role), ..Outcome::silent(Ending::Served) }
 }
 
-/// A write that is served with this commit; gives the session's token.
+/// Makes a write that is served with this commit, and returns the session's token.
 fn write(simulation: &mut Simulation, commit: Time) -> String {
     let mut ticket = admit(simulation, WRITE, &[]);
     let attempt = send(simulation, &mut ticket);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_answer_that_its_session_would_find_too_old_is_not_given() {
+fn an_answer_older_than_its_session_has_seen_is_withheld() {
     let mut simulation = simulation(petrelgauge_sessions::Settings::default());
     let commit = simulation.now + MS;
     let token = write(&mut simulation, commit);
@@ -58,7 +58,7 @@
     assert!(!attempt.report(simulation.now, served(commit - 1, Role::Replica)), "it lacks the write");
     let attempt = send(&mut simulation, &mut ticket);
     assert!(attempt.report(simulation.now, served(commit, Role::Replica)), "it has it");
-    // Served from data 40 ms newer than the write, no later read may go back behind that.
+    // After a read of data 40 ms newer than the write, no later read may see older data.
     let newer = simulation.now;
     let mut ticket = admit(&mut simulation, READ, &["new"]);
     let attempt = send(&mut simulation, &mut ticket);
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_binds_the_reads_after_it() {
+fn reads_after_an_unconfirmed_write_must_see_it() {
     let mut simulation = simulation(petrelgauge_sessions::Settings { roams: false, ..Default::default() });
     for lose in [true, false] {
         let mut ticket = admit(&mut simulation, WRITE, &["new"]);
         let attempt = send(&mut simulation, &mut ticket);
-        // Its client leaves, or its time runs out: the attempt may have run until then.
+        // Its client disconnects, or its deadline passes: the attempt may have run until then.
         let mut unsure = simulation.now;
         if lose {
             drop(ticket);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn broadcasts_lower_what_a_waiting_read_needs() {
+fn broadcasts_lower_the_minimum_position_of_a_waiting_read() {
     let set = petrelgauge_sessions::Settings { instances: 2, tokens: false, ..Default::default() };
     let mut simulation = simulation(set);
     let broadcast = |from: Time, until: Time| {
@@ -121,7 +121,7 @@
         !attempt.report(simulation.now, served(arrived - MS, Role::Replica)),
         "the other may have served a write"
     );
-    // The other has announced all that it made before the read came, and nothing of this session.
+    // The other gateway announces all commits before the read arrived, and none of this session.
     for _ in 0..10 {
         simulation.step();
     }
@@ -140,7 +140,7 @@
 const OPERATOR: &str = "sessions: {classes: [\"view\", \"post\"], secret: \"77\"}\n";
 
 #[test]
-fn a_client_library_receives_the_token_and_hands_it_back() {
+fn a_client_library_receives_the_token_and_sends_it_back() {
     let harness = Harness::new(gateway_program!());
     let commit = unix_ms();
     let script = vec![
@@ -184,7 +184,7 @@
         for bad in ["x", &token[1..], &other, &Token { ..known }.encode(0x78)] {
             assert_eq!(code(mark(with(bad)).await.0), Some(SqlState::INVALID_PARAMETER_VALUE), "{bad}");
         }
-        // Set once for the connection, it goes with all that follow.
+        // Set once for the connection, it applies to all further requests.
         assert!(mark(format!("SET petrelgauge.mark = '{newer}'")).await.0.is_ok());
         assert!(mark(select("a", "view", 5000)).await.0.is_ok());
         assert_eq!(
@@ -196,9 +196,9 @@
     assert_eq!(host.queries(), 3, "what cannot be used reaches no host");
 }
 
-// The one host that there is stays behind: refused in time, but never served from it.
+// The only host is behind: reads are rejected in time, but never served from it.
 #[test]
-fn rather_no_answer_than_an_old_one() {
+fn a_stale_answer_is_never_given_even_if_none_is() {
     let harness = Harness::new(gateway_program!());
     let old = unix_ms() - 60_000;
     let host = harness.host((0..100).map(|_| Reply::ReplicaAt(b"old", old)).collect());
--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_client_and_a_host_that_send_one_byte_at_a_time_understand_each_other() {
+fn a_client_and_a_host_that_send_one_byte_at_a_time_are_served() {
     let (host, gateway) = gateway_with_primary(
         gateway_program!(),
         vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)],
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_list_that_comes_one_byte_at_a_time_is_used() {
+fn a_list_that_is_sent_one_byte_at_a_time_is_applied() {
     let harness = Harness::new(gateway_program!());
     let rows = |value| (0..20).map(|_| Reply::Row(value)).collect();
     let hosts = [harness.host(rows(b"drains")), harness.host(rows(b"stays"))];
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_operations_call_that_comes_one_byte_at_a_time_is_answered() {
+fn a_command_that_is_sent_one_byte_at_a_time_is_executed() {
     let harness = Harness::new(gateway_program!()).ops();
     let host = harness.host(vec![]);
     let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
--- a/tests/socket_calls.rs
+++ b/tests/socket_calls.rs
@@ -28,7 +28,7 @@
 const ERROR_CALLS: [&str; 1] = ["raw_os_error"];
 
 #[test]
-fn connections_are_used_through_the_socket_module_alone() {
+fn sockets_are_called_in_the_socket_modules_alone() {
     let (mut files, mut direct) = (0, Vec::new());
     for path in files_below(&std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src")) {
         let text = std::fs::read_to_string(&path).expect("a file of text");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn no_program_lets_its_calls_fail() {
+fn no_program_injects_faults_into_its_calls() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let found = ["src", "crates"].map(|folder| files_with(&root.join(folder), "set_fault_schedule")).concat();
     assert_eq!(found, ["system_call.rs"]);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail or fall short in the ways that Linux documents, by a schedule drawn from a seed: on clients,
-//! hosts, discovery and the second address.
+//! System calls that fail or fall short in the ways that Linux documents, by a schedule drawn from a seed: on
+//! clients, hosts, discovery and the second address.
 
 use bytes::{Buf, Bytes};
 use petrelgauge::control::ops;
@@ -21,7 +21,7 @@
 
 /// Seeds that each schedule is played with.
 const SEEDS: u64 = 200;
-/// Nothing that works takes so long; what does not work fails then and does not hang.
+/// A test that takes this long fails instead of hanging.
 const NEVER: Duration = Duration::from_secs(60);
 
 fn error(number: i32) -> io::Error {
@@ -88,7 +88,7 @@
     }
 }
 
-// ENOBUFS, ENOMEM, EAGAIN and ENETUNREACH counted as the host's refusal: evidence against a host that did nothing.
+// ENOBUFS, ENOMEM, EAGAIN and ENETUNREACH once counted as refused by the host, which had done nothing.
 #[test]
 fn a_connect_that_fails_here_is_no_evidence_against_its_host() {
     let event = |number| after_failed_connect(&classify(Call::Connect, error(number)));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_interrupted_connect_is_made_again() {
+fn an_interrupted_connect_is_repeated() {
     for last in [None, Some(libc::ETIMEDOUT), Some(libc::ENOBUFS)] {
         let calls = Cell::new(0);
         let connected = block_on(socket::connect_with(|| {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_shortage_that_passes_in_a_moment_is_waited_for_and_no_other_failure_is() {
+fn only_a_lack_of_local_resources_is_retried() {
     let play = |shortages: u32, last: Result<u32, i32>| {
         let calls = Cell::new(0);
         let done = block_on(socket::through_shortages(3, || {
@@ -150,7 +150,7 @@
     assert!(matches!(play(1, Err(libc::ETIMEDOUT)), (Err(SocketError::Unreachable(_)), 2)));
 }
 
-/// A stream whose calls fail or fall short by a schedule, before what it brings has ended and it breaks.
+/// A stream whose calls fail or are short by a schedule, until its bytes are exhausted and it breaks.
 struct FaultyStream {
     faults: RefCell<Pcg64Mcg>,
     incoming: RefCell<Bytes>,
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn all_bytes_go_out_once_and_in_order() {
+fn all_bytes_are_written_once_and_in_order() {
     for seed in 0..SEEDS {
         let stream = FaultyStream::new(seed, b"");
         let mut bytes = (&b"the first part, "[..]).chain(&b"and the second"[..]);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_in_a_write_is_broken_whatever_it_says() {
+fn any_error_of_a_write_ends_the_connection() {
     for number in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE] {
         for seed in 0..SEEDS {
             let mut stream = FaultyStream::new(seed, b"");
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn all_bytes_come_in_once_and_in_order() {
+fn all_bytes_are_read_once_and_in_order() {
     for seed in 0..SEEDS {
         for broken in [None, Some(libc::ETIMEDOUT), Some(libc::EHOSTUNREACH)] {
             let mut stream = FaultyStream::new(seed, b"what the peer says");
@@ -263,7 +263,7 @@
     }
 }
 
-// A read that a signal interrupted was taken for a broken connection: of a client, and of a host.
+// A read that a signal interrupted was once taken for a broken connection of a client or host.
 #[test]
 fn messages_of_clients_and_hosts_survive_interrupted_and_short_reads() {
     let message = [&b"Q"[..], &9u32.to_be_bytes(), b"text\0"].concat();
@@ -285,9 +285,9 @@
     }
 }
 
-// An interrupted peek was taken for a closed connection; the connection rests and is complete.
+// An interrupted peek was once taken for a closed connection.
 #[test]
-fn a_peek_that_is_interrupted_is_made_again() {
+fn an_interrupted_peek_is_repeated() {
     let cases: [(Result<usize, i32>, Unread); 7] = [
         (Err(libc::EAGAIN), Unread::Nothing),
         (Err(libc::ENOBUFS), Unread::Nothing),
@@ -312,7 +312,7 @@
     }
 }
 
-// An interrupted read ended the caller's connection without an answer.
+// An interrupted read once ended the caller's connection without a reply.
 #[test]
 fn an_operators_command_survives_interrupted_and_short_reads() {
     for seed in 0..SEEDS {
@@ -322,7 +322,7 @@
     }
 }
 
-// An interrupted read ended the watch, and with it what it was about to announce.
+// An interrupted read once ended the watch, and lost the update that it was about to bring.
 #[test]
 fn an_endpoint_list_survives_interrupted_and_short_reads() {
     let list = r#"{"revision":7,"complete":true,"members":[]}"#;
@@ -341,7 +341,7 @@
     }
 }
 
-/// A stream that is always ready and moves one byte at a time, up to when something else had its turn.
+/// A stream that is always ready and moves one byte at a time, until another task has run.
 struct ReadyUntil<'a> {
     other_ran: &'a Cell<bool>,
     calls: Cell<u32>,
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn a_peer_that_is_always_ready_does_not_keep_others_from_their_turn() {
+fn a_peer_that_is_always_ready_does_not_starve_other_tasks() {
     for writes in [false, true] {
         let other_ran = Cell::new(false);
         let stream = ReadyUntil { other_ran: &other_ran, calls: Cell::new(0) };
