--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -273,43 +273,32 @@
     }
 
     fn action(&mut self, now: Time, event: Event) -> Action {
+        use ClientState::{AwaitingAnswer, CutOff, Ended, Idle, Opening, Pausing};
         match (self.state, event) {
-            (ClientState::Ended(end), _) => Action::Close(end),
-            (ClientState::CutOff, Event::Disconnected(end)) => Action::Close(end),
-            (ClientState::CutOff, _) => Action::Wait,
+            (Ended(end), _) => Action::Close(end),
+            (CutOff, Event::Disconnected(end)) => Action::Close(end),
+            (CutOff, _) => Action::Wait,
             (_, Event::Disconnected(end)) => Action::Close(end),
 
-            (ClientState::Opening, Event::EncryptionRequested) => Action::DeclineEncryption,
+            (Opening, Event::EncryptionRequested) => Action::DeclineEncryption,
             // A cancel request gets no answer: its connection is closed.
-            (ClientState::Opening, Event::CancelRequested) => Action::Close(End::ClientTerminated),
-            (ClientState::Opening, Event::StartupReceived) => Action::AcceptStartup,
-            (ClientState::Opening, Event::Timeout { has_unread: false, .. }) => {
-                Action::Close(End::ClientSilent)
-            }
+            (Opening, Event::CancelRequested) => Action::Close(End::ClientTerminated),
+            (Opening, Event::StartupReceived) => Action::AcceptStartup,
+            (Opening, Event::Timeout { has_unread: false, .. }) => Action::Close(End::ClientSilent),
 
-            (ClientState::Idle, Event::Message(kind)) => self.on_message(now, kind),
-            (ClientState::Idle, Event::Timeout { has_unread: false, partial_at }) => {
-                self.on_idle_timeout(now, partial_at)
-            }
+            (Idle, Event::Message(kind)) => self.on_message(now, kind),
+            (Idle, Event::Timeout { has_unread: false, partial_at }) => self.on_idle_timeout(now, partial_at),
 
-            (ClientState::AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedBeforeAnswer) => {
-                Action::Close(End::Stopped)
-            }
-            (ClientState::Idle, Event::Stop { .. }) if mutant(Mutant::ClosedUnread) => {
+            (AwaitingAnswer, Event::Stop { .. }) if mutant(Mutant::ClosedBeforeAnswer) => {
                 Action::Close(End::Stopped)
             }
-            (ClientState::AwaitingAnswer, Event::Answered(outcome)) => self.on_answered(now, outcome),
-            (ClientState::Pausing { .. }, Event::PauseEnded) => Action::Wait,
+            (Idle, Event::Stop { .. }) if mutant(Mutant::ClosedUnread) => Action::Close(End::Stopped),
+            (AwaitingAnswer, Event::Answered(outcome)) => self.on_answered(now, outcome),
+            (Pausing { .. }, Event::PauseEnded) => Action::Wait,
 
-            (ClientState::Opening | ClientState::Idle, Event::ProtocolError(_)) => {
-                Action::CutOff(CutOffReason::ProtocolError)
-            }
-            (ClientState::Opening | ClientState::Idle, Event::Shed { has_unread: false }) => {
-                Action::Close(End::ClientShed)
-            }
-            (ClientState::Opening | ClientState::Idle, Event::Stop { has_unread: false }) => {
-                Action::Close(End::Stopped)
-            }
+            (Opening | Idle, Event::ProtocolError(_)) => Action::CutOff(CutOffReason::ProtocolError),
+            (Opening | Idle, Event::Shed { has_unread: false }) => Action::Close(End::ClientShed),
+            (Opening | Idle, Event::Stop { has_unread: false }) => Action::Close(End::Stopped),
             _ => Action::Wait,
         }
     }
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -88,7 +88,7 @@
     NoMemory,
     /// The router cancelled the attempt.
     Cancelled,
-    /// The time that [`Exchange::timeout_at`] gave has come.
+    /// The time that [`Exchange::timeout_at`] returned has come.
     Timeout,
 }
 
--- a/crates/lifecycle/tests/backoff.rs
+++ b/crates/lifecycle/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! Pauses before a watch of the discovery service is retried: bounds, jitter and the load on an overloaded
 //! service.
 
-use petrelgauge_lifecycle::backoff::*;
+use petrelgauge_lifecycle::backoff::{Backoff, Cause, FIRST_MEAN, MAX_MEAN};
 use petrelgauge_policy::Time;
 
 /// Simulates gateways that all start at 0 with a service that handles one call at a time, each in 60 ms, and
--- a/crates/lifecycle/tests/connect_timeout.rs
+++ b/crates/lifecycle/tests/connect_timeout.rs
@@ -1,6 +1,6 @@
 //! The estimated timeout of a connection that is being established.
 
-use petrelgauge_lifecycle::connect_timeout::*;
+use petrelgauge_lifecycle::connect_timeout::{ConnectTimeout, MIN_SAMPLES, MIN_TIMEOUT};
 use petrelgauge_policy::Time;
 
 const LIMIT: Time = 250_000;
--- a/crates/lifecycle/tests/ops.rs
+++ b/crates/lifecycle/tests/ops.rs
@@ -3,7 +3,7 @@
 use petrelgauge_lifecycle::gateway::{
     Action, Event, Gateway, GatewayState, ServingState, LOAD_BALANCER_NOTICE,
 };
-use petrelgauge_lifecycle::ops::*;
+use petrelgauge_lifecycle::ops::{execute, parse, Command, CommandError, KnownState, MAX_LINE_BYTES};
 use petrelgauge_policy::Time;
 
 const KNOWN: KnownState = KnownState { hosts: 3, list_received: true, accept_initial_list_at: 0, version: 1 };
--- a/crates/lifecycle/tests/watch.rs
+++ b/crates/lifecycle/tests/watch.rs
@@ -1,6 +1,6 @@
 //! The revision of the endpoint list that is in use, and whether the complete list has to be requested.
 
-use petrelgauge_lifecycle::watch::*;
+use petrelgauge_lifecycle::watch::WatchState;
 use petrelgauge_policy::Update;
 
 #[test]
--- a/src/client/accept_loop.rs
+++ b/src/client/accept_loop.rs
@@ -33,27 +33,7 @@
     /// loop ends, however many calls fail, unless the listening socket is shared with a successor process.
     pub async fn run<A: Acceptor>(mut self, acceptor: &A, handler: &impl ClientHandler<A::Stream>) {
         let mut resource_exhausted = false;
-        let mut backlog_checked = false;
-        loop {
-            if self.sharing == ListenerSharing::WithSuccessor && *self.state.borrow() == ServingState::Stopped
-            {
-                return;
-            }
-            let accepted = tokio::select! {
-                biased;
-                accepted = socket::accept(acceptor) => accepted,
-                _ = self.state.wait_for(|state| *state == ServingState::Stopped) => {
-                    if backlog_checked {
-                        return;
-                    }
-                    // The reactor may not know yet of a client that connected a moment ago. It does after
-                    // this.
-                    backlog_checked = true;
-                    tokio::task::yield_now().await;
-                    continue;
-                }
-            };
-            backlog_checked = false;
+        while let Some(accepted) = self.next(acceptor).await {
             match accepted {
                 Ok(stream) => {
                     resource_exhausted = false;
@@ -74,4 +54,28 @@
             }
         }
     }
+
+    /// Waits for the next client. None once the gateway has stopped and the backlog is empty or left to a
+    /// successor.
+    async fn next<A: Acceptor>(&mut self, acceptor: &A) -> Option<Result<A::Stream, SocketError>> {
+        let mut backlog_checked = false;
+        loop {
+            let is_stopped = *self.state.borrow() == ServingState::Stopped;
+            if is_stopped && self.sharing == ListenerSharing::WithSuccessor {
+                return None;
+            }
+            tokio::select! {
+                biased;
+                accepted = socket::accept(acceptor) => return Some(accepted),
+                _ = self.state.wait_for(|state| *state == ServingState::Stopped) => {
+                    if backlog_checked {
+                        return None;
+                    }
+                    // The reactor may not know yet of a client that connected a moment ago. It does after this.
+                    backlog_checked = true;
+                    tokio::task::yield_now().await;
+                }
+            }
+        }
+    }
 }
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -47,11 +47,11 @@
 
 struct Inner {
     table: RefCell<RequestTable>,
-    /// Receivers of the decisions on each open request.
+    /// The channel for the decisions on each open request.
     decision_senders: RefCell<BTreeMap<RequestId, DecisionSender>>,
-    /// Receivers of the cancellation of each attempt in flight.
+    /// The channel for the cancellation of each attempt in flight.
     cancel_senders: RefCell<BTreeMap<AttemptId, oneshot::Sender<()>>>,
-    /// Notified when the table has changed since the last tick.
+    /// Notified when the table changes.
     table_changed: Notify,
 }
 
