--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -20,27 +20,37 @@
     /// grows: columns with a negative slope are left out one by one, the most negative first, and get a slope
     /// of 0. `None` if there are fewer values than columns, or if a slope is not finite.
     pub fn of(rows: &[Vec<f64>], values: &[f64]) -> Option<Fit> {
-        let columns = rows.first()?.len();
-        let mut kept: Vec<usize> = (0..columns).collect();
+        let column_count = rows.first()?.len();
+        let mut columns: Vec<usize> = (0..column_count).collect();
         loop {
-            let kept_rows: Vec<Vec<f64>> =
-                rows.iter().map(|row| kept.iter().map(|column| row[*column]).collect()).collect();
-            let fit = Fit::unbounded(&kept_rows, values)?;
-            let scaled_slope = |place: &usize| {
-                let largest = kept_rows.iter().map(|row| row[*place].abs()).fold(0.0, f64::max);
-                fit.slopes[*place] * largest
-            };
-            let least = (0..kept.len()).min_by(|a, b| f64::total_cmp(&scaled_slope(a), &scaled_slope(b)))?;
-            if fit.slopes[least] >= 0.0 || kept.len() == 1 {
-                let mut complete = Fit { slopes: vec![0.0; columns], errors: vec![0.0; columns] };
-                for (place, column) in kept.iter().enumerate() {
-                    (complete.slopes[*column], complete.errors[*column]) =
-                        (fit.slopes[place], fit.errors[place]);
-                }
-                return Some(complete);
+            let selected: Vec<Vec<f64>> =
+                rows.iter().map(|row| columns.iter().map(|column| row[*column]).collect()).collect();
+            let fit = Fit::unbounded(&selected, values)?;
+            let lowest = fit.lowest_slope(&selected)?;
+            if fit.slopes[lowest] >= 0.0 || columns.len() == 1 {
+                return Some(fit.expanded(&columns, column_count));
             }
-            kept.remove(least);
+            columns.remove(lowest);
+        }
+    }
+
+    /// Index of the lowest slope, each weighted by the largest entry of its column.
+    fn lowest_slope(&self, rows: &[Vec<f64>]) -> Option<usize> {
+        let weighted = |index: &usize| {
+            let largest = rows.iter().map(|row| row[*index].abs()).fold(0.0, f64::max);
+            self.slopes[*index] * largest
+        };
+        (0..self.slopes.len()).min_by(|a, b| f64::total_cmp(&weighted(a), &weighted(b)))
+    }
+
+    /// The fit of some columns as one of all columns, where the others have a slope of 0.
+    fn expanded(&self, columns: &[usize], column_count: usize) -> Fit {
+        let mut expanded = Fit { slopes: vec![0.0; column_count], errors: vec![0.0; column_count] };
+        for (index, column) in columns.iter().enumerate() {
+            expanded.slopes[*column] = self.slopes[index];
+            expanded.errors[*column] = self.errors[index];
         }
+        expanded
     }
 
     /// Fits without a bound on the slopes.
