--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -244,7 +244,7 @@
             Step::Written(index) => format!("{} is written completely", attempt(*index)),
             Step::Refused(index) => format!("{} gets no connection", attempt(*index)),
             Step::Broken(index) => format!("{} loses its connection", attempt(*index)),
-            Step::Due(index) => format!("{} comes to its time limit", attempt(*index)),
+            Step::Due(index) => format!("{} times out", attempt(*index)),
             Step::Cancelled(index) => format!("{} is cancelled", attempt(*index)),
             Step::Answered(index, HostAnswer::Row) => format!("{} is answered", attempt(*index)),
             Step::Answered(index, HostAnswer::Rejection) => format!("{} is rejected", attempt(*index)),
--- a/crates/models/src/connection/mod.rs
+++ b/crates/models/src/connection/mod.rs
@@ -235,7 +235,7 @@
             Step::Read => "the gateway reads the next unread bytes".into(),
             Step::Cancel => "the router cancels the attempt".into(),
             Step::Unwanted => "the attempt is no longer wanted".into(),
-            Step::Due => "the time limit of the attempt comes".into(),
+            Step::Due => "the attempt times out".into(),
             Step::Wait(span) => format!("{} ms pass", span / 1000),
         };
         format!("at {at:.3} s {what}")
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -50,8 +50,6 @@
 pub struct ModelEntry {
     /// Its name.
     pub name: &'static str,
-    /// What it explores.
-    pub description: &'static str,
     /// Explores all runs, or replays one if its path is given.
     pub run: fn(Size, &[String]) -> Report,
     /// The injected faults that it has to detect.
@@ -61,8 +59,8 @@
 /// All models.
 pub const MODELS: [ModelEntry; 10] = [
     ModelEntry {
+        // One payment, two members, three attempts, one drain; time-out against late answer.
         name: "attempt",
-        description: "one payment, two members, three attempts, one drain; time-out against late answer",
         run: attempts::attempt,
         detects: &[
             Mutant::DrainIgnored,
@@ -75,23 +73,22 @@
         ],
     },
     ModelEntry {
+        // A payment and a bounded read, two members, one a stale primary; one list change, one host restart.
         name: "primary",
-        description: "a payment and a bounded read, two members, one a stale primary; \
-                      one list change, one host restart",
         run: attempts::primary,
         detects: &[],
     },
     ModelEntry {
+        // A write that must not run twice and a read; outcome, rejection, abandonment, cancellation in every
+        // order.
         name: "request_table",
-        description: "a write that must not run twice and a read; \
-                      outcome, rejection, abandonment, cancellation in every order",
         run: attempts::request_table,
         detects: &[Mutant::UnsafeRetried, Mutant::SentAfterDeadline, Mutant::CancellationUnreported],
     },
     ModelEntry {
+        // One host, requests one after the other; reuse, idle close, unexpected bytes, copies, stalls, age
+        // limit.
         name: "connection",
-        description: "one host, requests one after the other; \
-                      reuse, idle close, unexpected bytes, copies, stalls, age limit",
         run: connection::run,
         detects: &[
             Mutant::ReportedBeforeClose,
@@ -104,9 +101,8 @@
         ],
     },
     ModelEntry {
+        // SIGTERM, drain, resume and reloads while clients connect, send queries, wait and leave.
         name: "stop",
-        description: "SIGTERM, drain, resume and reloads \
-                      while clients connect, send queries, wait and leave",
         run: stop::run,
         detects: &[
             Mutant::ClosedBeforeAnswer,
@@ -116,15 +112,15 @@
         ],
     },
     ModelEntry {
+        // Three changes of settings while two requests are admitted, stay open and end.
         name: "rules",
-        description: "three changes of settings while two requests are admitted, stay open and end",
         run: rules::run,
         detects: &[Mutant::ClassIndexReused],
     },
     ModelEntry {
+        // Three acceptors, two candidates; messages lost, late and duplicated, one restart, a stalled lease
+        // holder.
         name: "ownership",
-        description: "three acceptors, two candidates; \
-                      messages lost, late and duplicated, one restart, a stalled lease holder",
         run: ownership::run,
         detects: &[
             Mutant::SilentPeriodSkipped,
@@ -141,9 +137,8 @@
         ],
     },
     ModelEntry {
+        // Two lease holders, a lender to both, two borrowers; reports and grants lost or late, one restart.
         name: "shares",
-        description: "two lease holders, a lender to both, two borrowers; \
-                      reports and grants lost or late, one restart",
         run: quota::run,
         detects: &[
             Mutant::LoanForgotten,
@@ -154,9 +149,8 @@
         ],
     },
     ModelEntry {
+        // Three acceptors, three shards of a role; acceptors stop and start, heartbeats are lost.
         name: "placement",
-        description: "three acceptors, three shards of a role; \
-                      acceptors stop and start, heartbeats are lost",
         run: placement::run,
         detects: &[
             Mutant::ShardKept,
@@ -167,8 +161,8 @@
         ],
     },
     ModelEntry {
+        // Two instances, one session; messages lost, late and out of order, one restart.
         name: "marks",
-        description: "two instances, one session; messages lost, late and out of order, one restart",
         run: watermarks::run,
         detects: &[
             Mutant::MergeTakesNewer,
