--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Faults that can be injected and must make the experiment fail: `slow` multiplies the measured cost of this
-/// build by [`SLOW_FACTOR`].
+/// build by `SLOW_FACTOR`.
 pub const INJECTED_FAULTS: [&str; 1] = ["slow"];
 
 /// Number of concurrent clients.
