--- /dev/null
+++ b/tests/streamed_rows.rs
@@ -0,0 +1,67 @@
+//! Rows that are longer than the gateway buffers, and answers in pieces: rows are passed on as they arrive.
+
+use petrelgauge_test_support::{
+    gateway_program, gateway_with_primary, kinds, message, query, row, select, Harness, Reply,
+};
+
+const VIEW: &str = "view";
+
+/// A row of this length, cut into its head and a value that tells where it is out of order.
+fn long_row(length: usize) -> Vec<u8> {
+    row(&(0..length).map(|place| (place % 251) as u8).collect::<Vec<u8>>())
+}
+
+#[test]
+fn a_row_of_four_mib_reaches_a_slow_client_and_its_host_connection_is_reused() {
+    let harness = Harness::new(gateway_program!());
+    let complete: &'static [u8] = long_row(4 << 20).leak();
+    let after: &'static [u8] =
+        [complete, &message(b'S', b"replication_role\0primary\0")[..], &message(b'Z', b"I")].concat().leak();
+    let host = harness.host(vec![Reply::Bytes(after), Reply::Row(b"short"), Reply::Bytes(after)]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let mut client = gateway.client();
+    client.write(&query(&select("a", VIEW, 20000)));
+    // The first bytes come although nobody takes the rest.
+    let mut got = client.bytes(1000);
+    std::thread::sleep(std::time::Duration::from_millis(700));
+    got.extend(client.bytes(complete.len() - 1000));
+    assert!(got == complete, "every byte in its place");
+    assert_eq!(kinds(&client.until_ready()), "Z");
+    gateway.rest();
+    assert_eq!(client.ask(&select("b", VIEW, 20000))[1].1[6..], *b"short");
+    gateway.rest();
+    assert_eq!(kinds(&client.ask(&select("c", VIEW, 20000))), "TDCZ");
+    gateway.wait_for_counter("host_connects=1 ");
+}
+
+#[test]
+fn a_host_that_disconnects_within_a_streamed_row_ends_the_client_connection_without_a_retry() {
+    let harness = Harness::new(gateway_program!());
+    let begun: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
+    let host = harness.host(vec![Reply::Cut(begun), Reply::Row(b"other")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    let mut client = gateway.client();
+    client.write(&query(&select("a", VIEW, 20000)));
+    let mut got = client.bytes(begun.len());
+    got.extend(client.until_end());
+    assert!(got == begun, "what came, and then the end");
+    assert_eq!(kinds(&gateway.client().ask(&select("b", VIEW, 20000))), "TDCZ", "the next is served");
+    assert_eq!(host.queries(), 2);
+}
+
+#[test]
+fn a_row_longer_than_any_value_is_malformed() {
+    let harness = Harness::new(gateway_program!());
+    let begun: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
+    let host = harness.host(vec![Reply::Bytes(begun), Reply::Row(b"other")]);
+    let gateway = harness.list(&[(&host, "up", "primary")]).start();
+    assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"other");
+    gateway.wait_for_counter("HostMalformed=1");
+}
+
+#[test]
+fn an_answer_received_in_pieces_is_assembled() {
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Pieces(b"in pieces", 20, 40)]);
+    assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
+    assert_eq!(host.queries(), 1);
+}
