--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -77,6 +77,16 @@
     pub reason: String,
 }
 
+impl Reply {
+    fn yes(reason: impl Into<String>) -> Reply {
+        Reply { yes: true, reason: reason.into() }
+    }
+
+    fn no(reason: impl Into<String>) -> Reply {
+        Reply { yes: false, reason: reason.into() }
+    }
+}
+
 impl fmt::Display for Reply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{} {}", if self.yes { "YES" } else { "NO" }, self.reason)
@@ -108,30 +118,29 @@
     };
     let stopping =
         matches!(before, GatewayState::StopAnnounced { .. } | GatewayState::Closing | GatewayState::Ended);
-    let (yes, reason) = match (command, before) {
-        _ if stopping => (false, "stopping, it ends by itself".to_string()),
-        (Command::Ready, GatewayState::Serving) => ready(now, known),
-        (Command::Ready, _) => (false, format!("drained; call resume, settings {}", known.version)),
-        (Command::Drain, GatewayState::Serving) => (true, "draining, clients are gone within 4 s".into()),
-        (Command::Drain, _) => (true, "drained already".into()),
-        (Command::Resume, GatewayState::Serving) => (true, "at work already".into()),
-        (Command::Resume, _) => (true, "back at work".into()),
+    let reply = match (command, before) {
+        _ if stopping => Reply::no("stopping, it ends by itself"),
+        (Command::Ready, GatewayState::Serving) => readiness(now, known),
+        (Command::Ready, _) => Reply::no(format!("drained; call resume, settings {}", known.version)),
+        (Command::Drain, GatewayState::Serving) => Reply::yes("draining, clients are gone within 4 s"),
+        (Command::Drain, _) => Reply::yes("drained already"),
+        (Command::Resume, GatewayState::Serving) => Reply::yes("at work already"),
+        (Command::Resume, _) => Reply::yes("back at work"),
     };
-    Execution { reply: Reply { yes, reason }, action }
+    Execution { reply, action }
 }
 
-/// Whether a serving gateway is ready, and the reason: it needs hosts, and a list that is no older than
-/// necessary.
-fn ready(now: Time, known: KnownState) -> (bool, String) {
+/// Whether a serving gateway is ready: it needs hosts, and a list that is no older than necessary.
+fn readiness(now: Time, known: KnownState) -> Reply {
     let KnownState { hosts, list_received, accept_initial_list_at, version } = known;
     match (hosts, list_received) {
-        (0, _) => (false, "the list names no host yet".into()),
+        (0, _) => Reply::no("the list names no host yet"),
         (_, false) if now < accept_initial_list_at => {
-            (false, format!("waiting for discovery's first word, settings {version}"))
+            Reply::no(format!("waiting for discovery's first word, settings {version}"))
         }
         (_, false) => {
-            (true, format!("serving with the list of the start, {hosts} hosts, settings {version}"))
+            Reply::yes(format!("serving with the list of the start, {hosts} hosts, settings {version}"))
         }
-        (_, true) => (true, format!("serving, {hosts} hosts, settings {version}")),
+        (_, true) => Reply::yes(format!("serving, {hosts} hosts, settings {version}")),
     }
 }
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -2,6 +2,8 @@
 //! health checks, gossip, quotas, setting reloads, a process handover and idle time. It draws from a generator of its own,
 //! so that the router's actions are the only thing that a change to the router can alter.
 
+mod events;
+
 use super::counts::Counts;
 use super::phases::phase_settings;
 use super::reference_text::reference_text;
@@ -203,23 +205,6 @@
         }
     }
 
-    fn event(&mut self) -> Option<Event> {
-        match self.below(1_000) {
-            0..=389 => Some(self.request()),
-            390..=869 => self.outcome(),
-            870..=899 => self.probe_outcome(),
-            900..=919 => Some(self.list_change()),
-            920..=939 => Some(Event::GossipedPrimary { member: self.any_member(), at: self.now - 50 * MS }),
-            940..=959 => Some(self.quota()),
-            960..=974 => self.open_request().map(|request| Event::Abandoned { request }),
-            975..=989 => {
-                let minimum_position = self.now - self.below(400) as Time * MS;
-                self.open_request().map(|request| Event::MinimumPositionLowered { request, minimum_position })
-            }
-            _ => Some(Event::Timer { token: 0 }),
-        }
-    }
-
     fn any_member(&mut self) -> MemberId {
         let members: Vec<MemberId> = self.hosts.keys().copied().collect();
         self.one_of(&members)
@@ -230,134 +215,6 @@
         (count > 0).then(|| self.below(count)).map(|place| self.open[place as usize].clone())
     }
 
-    fn quota(&mut self) -> Event {
-        let groups = self.groups.clone();
-        let extra = self.below(30) as f64 / 10.0 - 0.9;
-        Event::QuotaAdjusted {
-            group: self.one_of(&groups),
-            adjustment: QuotaAdjustment { extra, until: self.now + 2_000 * MS },
-        }
-    }
-
-    fn request(&mut self) -> Event {
-        self.requested += 1;
-        let request: RequestId = format!("r{}", self.requested).into();
-        self.open.push(request.clone());
-        // Some groups have most of the work, and some requests name a class that there is not.
-        let groups = self.groups.len() as u64;
-        let place = self.below(groups).min(self.below(groups)) as usize;
-        let has_minimum_position = self.below(5) == 0;
-        Event::Request(RequestArrival {
-            request,
-            class: if self.below(300) == 0 { 99 } else { self.below(6) as usize },
-            group: self.groups[place],
-            time_left: self.one_of(&[900, 900, 900, 950, 400, 120]) * MS,
-            is_retry: self.below(10) == 0,
-            minimum_position: has_minimum_position.then(|| self.now - self.below(300) as Time * MS),
-        })
-    }
-
-    fn outcome(&mut self) -> Option<Event> {
-        let count = self.in_flight.len() as u64;
-        if count == 0 {
-            return None;
-        }
-        let place = self.below(count) as usize;
-        let (member, sent) = (self.in_flight[place].member, self.in_flight[place].sent);
-        let answers = self.hosts[&member].answers;
-        // What a silent member has stays out for a while.
-        if !answers && self.now - sent < 400 * MS {
-            return None;
-        }
-        let out = self.in_flight.swap_remove(place);
-        let ending = self.ending(&out, answers);
-        let host = &self.hosts[&member];
-        let (primary, lag) = (host.entry.primary, host.lag);
-        let position = (answers && self.below(8) != 0).then_some(self.now - lag);
-        let role = position.map(|_| if primary { Role::Primary } else { Role::Replica });
-        let report = Report { position, role, waiting: Some(1.0), busy: None };
-        let closed = ending == Ending::Served || self.below(40) == 0;
-        let (request, attempt, took) = (out.request, out.attempt, self.now - sent);
-        if closed {
-            self.close(&request);
-        }
-        Some(Event::Outcome(AttemptOutcome {
-            request,
-            attempt,
-            member,
-            ending,
-            took,
-            closed,
-            position,
-            role,
-            report,
-        }))
-    }
-
-    fn ending(&mut self, out: &InFlight, answers: bool) -> Ending {
-        if out.cancelled {
-            return Ending::Cancelled;
-        }
-        if !answers {
-            return self.one_of(&[Ending::TimedOut, Ending::ConnectFailed, Ending::ConnectionLost]);
-        }
-        match self.below(100) {
-            0..=84 => Ending::Served,
-            85..=86 => Ending::Error,
-            87..=89 => Ending::QueueFull,
-            90..=91 => Ending::TimedOut,
-            92..=93 => Ending::ConnectFailed,
-            94..=95 => Ending::ConnectionLost,
-            96 => Ending::NotSent,
-            _ => Ending::Rejected,
-        }
-    }
-
-    fn probe_outcome(&mut self) -> Option<Event> {
-        let member = self.probes.pop_first()?;
-        let host = &self.hosts[&member];
-        let role = if host.entry.primary { Role::Primary } else { Role::Replica };
-        let (ending, is_reported) =
-            if host.answers { (Ending::Served, true) } else { (Ending::TimedOut, false) };
-        let position = is_reported.then_some(self.now - host.lag);
-        let report = Report { position, role: is_reported.then_some(role), waiting: None, busy: Some(0.4) };
-        Some(Event::Probed { member, ending, report })
-    }
-
-    fn list_change(&mut self) -> Event {
-        let member = self.any_member();
-        let now = self.now;
-        let kind = self.below(12);
-        let Some(host) = self.hosts.get_mut(&member) else { return Event::Timer { token: 0 } };
-        let (group, primary) = (host.entry.group, host.entry.primary);
-        match kind {
-            0..=1 => host.entry.status = MemberStatus::Draining,
-            2 => host.entry.status = MemberStatus::Removed,
-            3..=6 => {
-                (host.entry.started, host.entry.status) = (now, MemberStatus::Up);
-            }
-            7 if !primary => {
-                let place = self.below(MEMBERS_OF_A_GROUP as u64 - 1) as u32 + 1;
-                self.add_host(group, place, now);
-                return self.list(false, vec![member, self.next_member - 1]);
-            }
-            8 => self.move_primary(group, member),
-            9 => {
-                // A complete list that leaves one out.
-                let others = self.hosts.keys().copied().filter(|id| *id != member).collect();
-                return self.list(true, others);
-            }
-            10 => return self.list(true, self.hosts.keys().copied().collect()),
-            _ => host.lag = (host.lag * 7 + 20 * MS) % (900 * MS),
-        }
-        self.list(false, vec![member])
-    }
-
-    fn move_primary(&mut self, group: GroupId, to: MemberId) {
-        let members = self.hosts.iter_mut().filter(|(_, host)| host.entry.group == group);
-        members.for_each(|(id, host)| host.entry.primary = *id == to);
-    }
-
     fn step(&mut self, events: &[Event]) {
         let mut actions = Vec::new();
         self.router.step(self.now, events, &mut actions);
