--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -18,10 +18,10 @@
         outcome: &mut Outcome,
     ) -> bool {
         self.learn_clock(now, host, attempt, outcome);
-        let fleet_clock = self.router.fleet_clock();
-        outcome.position = outcome.position.filter(|position| fleet_clock.is_plausible(*position, now));
+        let host_clock = self.router.host_clock();
+        outcome.position = outcome.position.filter(|position| host_clock.is_plausible(*position, now));
         let is_plausible =
-            outcome.report.position.is_none_or(|position| fleet_clock.is_plausible(position, now));
+            outcome.report.position.is_none_or(|position| host_clock.is_plausible(position, now));
         if !is_plausible {
             outcome.report = Report::default();
         }
@@ -33,20 +33,20 @@
         let in_flight = attempt.and_then(|attempt| self.in_flight.get(&attempt.id));
         let is_write = |in_flight: &&AttemptInFlight| self.classes.class(in_flight.class).need == Need::Write;
         let served_write = in_flight.filter(is_write).filter(|_| outcome.ending == Ending::Served);
-        let fleet_clock = self.router.fleet_clock_mut();
+        let host_clock = self.router.host_clock_mut();
         match (served_write, outcome.position) {
-            (Some(write), Some(commit)) => fleet_clock.record_commit(Commit {
+            (Some(write), Some(commit)) => host_clock.record_commit(Commit {
                 member: host,
                 committed_at: commit,
                 sent_at: write.ordered_at,
                 received_at: now,
                 is_first_attempt: write.is_first,
             }),
-            (None, Some(position)) => fleet_clock.record_position(host, position, now),
+            (None, Some(position)) => host_clock.record_position(host, position, now),
             (_, None) => {}
         }
         if let Some(position) = outcome.report.position {
-            fleet_clock.record_position(host, position, now);
+            host_clock.record_position(host, position, now);
         }
     }
 
@@ -66,6 +66,6 @@
     /// The latest time that the hosts' clock can show now. Sessions are tracked by it, since their watermarks
     /// are commit times.
     pub(super) fn hosts_now(&self, now: Time) -> Time {
-        self.router.fleet_clock().latest_hosts_time(now)
+        self.router.host_clock().latest_hosts_time(now)
     }
 }
--- a/crates/lifecycle/src/request_table/mod.rs
+++ b/crates/lifecycle/src/request_table/mod.rs
@@ -178,7 +178,7 @@
     /// of its group. A time in the future counts as now.
     pub fn gossiped_primary(&mut self, now: Time, member: MemberId, at: Time) {
         if self.listed.contains(&member) {
-            let at = self.router.fleet_clock().own_time(at).min(now);
+            let at = self.router.host_clock().own_time(at).min(now);
             self.pending_events.push(Event::GossipedPrimary { member, at });
         }
     }
@@ -218,10 +218,10 @@
 
     /// The known primaries. `evidence_at` is a time of the hosts' clock, which all gateways share.
     pub fn primaries(&self) -> Vec<KnownPrimary> {
-        let fleet_clock = self.router.fleet_clock();
+        let host_clock = self.router.host_clock();
         let mut primaries = self.router.primaries();
         for primary in &mut primaries {
-            primary.evidence_at = fleet_clock.hosts_time(primary.evidence_at);
+            primary.evidence_at = host_clock.hosts_time(primary.evidence_at);
         }
         primaries
     }
--- a/crates/policy/src/fleet_clock.rs
+++ b/crates/policy/src/host_clock.rs
@@ -1,4 +1,4 @@
-//! The fleet clock: an estimate of the offset between the hosts' clock and the router's own.
+//! The host clock: an estimate of the offset between the hosts' clock and the router's own clock.
 //!
 //! Hosts report log positions, commits and starts in their Unix time, and all hosts read one clock. The
 //! router's own clock never jumps, but was set from a wall clock that may be wrong by any span. Only this
@@ -101,7 +101,7 @@
 /// The estimate of `hosts' clock - own clock`. The own clock must not jump; all times passed to it are its times
 /// unless they are called the hosts'.
 #[derive(Clone, Debug, Default)]
-pub struct FleetClock {
+pub struct HostClock {
     /// While disabled, the two clocks are taken for one and nothing is estimated.
     enabled: bool,
     /// Lower bounds of the current span, and of the one before it.
@@ -123,7 +123,7 @@
     contradicted: bool,
 }
 
-impl FleetClock {
+impl HostClock {
     /// Enables or disables the estimate. While disabled, the clocks are taken for one.
     pub fn set_enabled(&mut self, enabled: bool) {
         self.enabled = enabled;
@@ -213,7 +213,7 @@
         // After one commit the own clock may already be known to be behind; with the estimate alone, all members
         // would count as warming up.
         let earliest = started.saturating_sub(self.largest_offset);
-        if self.is_doubtful() {
+        if self.is_uncertain() {
             return earliest.max(listed_at);
         }
         earliest
@@ -231,7 +231,7 @@
     }
 
     /// Whether there is evidence, but not enough of it to trust the estimate.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn is_uncertain(&self) -> bool {
         self.has_evidence && !self.is_trusted()
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -29,7 +29,7 @@
 //!
 //! `interface.rs` names the types of the public interface (settings, events, actions) and `state.rs` holds the
 //! state as plain data. `in_flight.rs` and `indexes.rs` say which of it a step has to scan, `learned_state.rs` what
-//! one process can hand over to the next; none of these decides. `fleet_clock.rs` estimates the hosts' clock.
+//! one process can hand over to the next; none of these decides. `host_clock.rs` estimates the hosts' clock.
 //!
 //! Bounds: requests by what clients can hold open ([`Settings::max_open_requests`]), members by the endpoint
 //! list and a minute more, samples by a fixed count for each member.
@@ -74,7 +74,7 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { member: 1, .. })));
 //! ```
 
-mod fleet_clock;
+mod host_clock;
 mod in_flight;
 mod indexes;
 mod interface;
@@ -84,7 +84,7 @@
 mod router;
 mod state;
 
-pub use fleet_clock::{Commit, FleetClock};
+pub use host_clock::{Commit, HostClock};
 pub use interface::*;
 pub use learned_state::LearnedState;
 #[cfg(feature = "mutants")]
--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -61,7 +61,7 @@
         if need == Need::Write || self.settings.stale_read_policy != StaleReadPolicy::Serve {
             return true;
         }
-        let horizon = need.bound().map(|bound| self.fleet_clock.horizon(bound, now));
+        let horizon = need.bound().map(|bound| self.host_clock.horizon(bound, now));
         let minimum = state.minimum_position.max(horizon);
         let is_known = need != Need::Strong && minimum.is_none_or(|minimum| member.position >= minimum);
         is_known || member.is_primary() && self.is_surely_primary(now, request, id, member, need)
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -27,7 +27,7 @@
     }
 
     fn update_endpoint(&mut self, entry: &Entry) {
-        self.fleet_clock.record_start(entry.member, entry.started, self.now);
+        self.host_clock.record_start(entry.member, entry.started, self.now);
         match self.members.get(&entry.member) {
             // A list that arrives late or twice must not overwrite newer entries.
             Some(member) if member.started > entry.started => return,
--- a/crates/policy/src/router/evidence.rs
+++ b/crates/policy/src/router/evidence.rs
@@ -35,7 +35,7 @@
         let Some(position) = evidence.position else { return };
         member.position = member.position.max(position);
         if evidence.role == Some(Role::Replica) && evidence.role_at == Some(now) {
-            let lag = self.fleet_clock.age(position, now).max(0);
+            let lag = self.host_clock.age(position, now).max(0);
             push_sample(&mut member.lags, Sample { taken_at: now, value: lag });
         }
     }
--- a/crates/policy/src/router/freshness.rs
+++ b/crates/policy/src/router/freshness.rs
@@ -24,7 +24,7 @@
         let request = self.requests.get(&sequence)?;
         let minimum = request.minimum_position;
         let Need::Bounded(bound) = self.settings.classes[request.class].need else { return minimum };
-        let horizon = self.fleet_clock.horizon(bound, self.now);
+        let horizon = self.host_clock.horizon(bound, self.now);
         let commits = &self.groups.get(&request.group)?.commits;
         let known = commits.partition_point(|commit| *commit <= horizon);
         if known < commits.len() || commits.len() < 2 {
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -25,7 +25,7 @@
 
 pub use slow_start::SlowStart;
 
-use crate::fleet_clock::FleetClock;
+use crate::host_clock::HostClock;
 use crate::in_flight::InFlightAttempts;
 use crate::indexes::Indexes;
 use crate::interface::{
@@ -62,7 +62,7 @@
     base_quota: f64,
     pub(crate) rng: SeededRng,
     /// The hosts' clock in relation to `now`.
-    pub(crate) fleet_clock: FleetClock,
+    pub(crate) host_clock: HostClock,
     /// Time of the current step.
     pub(crate) now: Time,
     pub(crate) members: BTreeMap<MemberId, Member>,
@@ -131,21 +131,21 @@
         self.shortest_latency_target = latency_targets().min().unwrap_or(0);
         self.typical_time_left = vec![0; settings.classes.len()];
         self.base_quota = concurrency::even_quota(settings.routers);
-        self.fleet_clock.set_enabled(settings.clock_may_be_wrong);
+        self.host_clock.set_enabled(settings.clock_may_be_wrong);
         self.settings = settings;
         self.indexes.outdate_available();
         Ok(())
     }
 
     /// The estimate of the hosts' clock. Times of different machines are compared through it alone.
-    pub fn fleet_clock(&self) -> &FleetClock {
-        &self.fleet_clock
+    pub fn host_clock(&self) -> &HostClock {
+        &self.host_clock
     }
 
     /// The estimate of the hosts' clock, for the embedding program to record what hosts' answers show of it
     /// at the time of their arrival.
-    pub fn fleet_clock_mut(&mut self) -> &mut FleetClock {
-        &mut self.fleet_clock
+    pub fn host_clock_mut(&mut self) -> &mut HostClock {
+        &mut self.host_clock
     }
 
     /// What the health checks have scanned so far.
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -69,7 +69,7 @@
 
     /// Records the role and position of a load report.
     pub(super) fn record_report(&mut self, id: MemberId, report: &Report) {
-        let role_at = self.fleet_clock.as_of(report, self.now);
+        let role_at = self.host_clock.as_of(report, self.now);
         let evidence = Evidence { position: report.position, role: report.role, role_at };
         self.record_evidence(id, evidence);
     }
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -21,7 +21,7 @@
         let primary = self.primary(request.group);
         let wait_until = self.read_wait_deadline(request);
         let awaited = request.minimum_position.filter(|_| self.may_wait(request, wait_until));
-        let awaited = awaited.map(|position| self.fleet_clock.own_time(position));
+        let awaited = awaited.map(|position| self.host_clock.own_time(position));
         let usable = self.usable_for_read(request, primary);
         let commit = self.forecast_commit(sequence);
         let primary_rank = self.draw_primary_rank(usable.len());
--- a/crates/policy/src/router/selection.rs
+++ b/crates/policy/src/router/selection.rs
@@ -73,8 +73,7 @@
             let mut draws: Vec<Draw> = Vec::with_capacity(usable.len());
             for (index, id) in usable.iter().enumerate() {
                 let lag = self.draw_lag(*id);
-                let is_fresh =
-                    commit.is_none_or(|commit| lag < self.fleet_clock.age(commit, self.now).max(1));
+                let is_fresh = commit.is_none_or(|commit| lag < self.host_clock.age(commit, self.now).max(1));
                 counts.fresh[index] += u32::from(is_fresh);
                 let sojourn = self.draw_sojourn(*id, primary_rank);
                 draws.push(Draw { sojourn, index, is_fresh });
--- a/crates/policy/src/router/slow_start.rs
+++ b/crates/policy/src/router/slow_start.rs
@@ -57,7 +57,7 @@
 
     /// Share of its capacity that a member has by now; 1 once it is warm.
     pub(super) fn capacity_share(&self, member: &Member) -> f64 {
-        let started = self.fleet_clock.started_at(member.started, member.listed_at).max(member.recovered_at);
+        let started = self.host_clock.started_at(member.started, member.listed_at).max(member.recovered_at);
         let warm_up = self.settings.slow_start_span.max(1);
         let age = if started > 0 { self.now - started } else { 2 * warm_up };
         let progress = age.max(0) as f64 / warm_up as f64;
--- a/crates/policy/tests/fleet_clock.rs
+++ b/crates/policy/tests/fleet_clock.rs
@@ -12,14 +12,14 @@
 /// Times of the own clock are large enough for any of them.
 const NOON: Time = 1_000_000 * S;
 
-fn enabled() -> FleetClock {
-    let mut clock = FleetClock::default();
+fn enabled() -> HostClock {
+    let mut clock = HostClock::default();
     clock.set_enabled(true);
     clock
 }
 
 /// A write to member 1 whose commit is in the middle of `took`; its answer arrives at `received` of the own clock.
-fn write(clock: &mut FleetClock, offset: Time, received: Time, took: Time) {
+fn write(clock: &mut HostClock, offset: Time, received: Time, took: Time) {
     clock.record_commit(Commit {
         member: 1,
         committed_at: received - took / 2 + offset,
@@ -30,14 +30,14 @@
 }
 
 /// How far the estimate is from the true offset.
-fn errors(clock: &FleetClock, offset: Time) -> (Time, Time) {
+fn errors(clock: &HostClock, offset: Time) -> (Time, Time) {
     (clock.hosts_time(NOON) - NOON - offset, clock.latest_hosts_time(NOON) - NOON - offset)
 }
 
 #[test]
 fn the_estimate_of_a_right_clock_stays_0() {
     let mut clock = enabled();
-    assert!(!clock.is_trusted() && !clock.is_doubtful());
+    assert!(!clock.is_trusted() && !clock.is_uncertain());
     clock.record_start(2, NOON - 5 * S, NOON);
     clock.record_position(2, NOON - 20 * MS, NOON);
     assert!(clock.is_trusted(), "hosts report its own time");
@@ -82,12 +82,12 @@
     for offset in OFFSETS {
         let mut clock = enabled();
         clock.record_position(1, NOON + offset, NOON);
-        assert!(clock.is_doubtful(), "{offset}");
+        assert!(clock.is_uncertain(), "{offset}");
         clock.record_position(2, NOON + offset - 5 * S, NOON);
-        assert!(clock.is_doubtful(), "{offset}");
+        assert!(clock.is_uncertain(), "{offset}");
         // A replica that is as old as the clock is behind does not vouch for it.
         clock.record_position(3, NOON.min(NOON + offset), NOON);
-        assert!(clock.is_doubtful(), "{offset}");
+        assert!(clock.is_uncertain(), "{offset}");
     }
 }
 
@@ -258,7 +258,7 @@
         let (now, lag) = (self.harness.now, self.lags[member as usize - 1]);
         // Reported 2 ms before it arrives.
         let reported = now + self.offset - 2 * MS - lag;
-        let clock = self.harness.router.fleet_clock_mut();
+        let clock = self.harness.router.host_clock_mut();
         if class >= 4 {
             clock.record_commit(Commit {
                 member,
@@ -367,7 +367,7 @@
     (0..20).for_each(|_| {
         shifted.send_request(2);
     });
-    assert!(shifted.harness.router.fleet_clock().is_doubtful());
+    assert!(shifted.harness.router.host_clock().is_uncertain());
     shifted.send_request(5);
-    assert!(!shifted.harness.router.fleet_clock().is_doubtful());
+    assert!(!shifted.harness.router.host_clock().is_uncertain());
 }
--- a/src/os/clock.rs
+++ b/src/os/clock.rs
@@ -2,7 +2,7 @@
 //! clock, so that it never jumps when the system's time does.
 //!
 //! Differences between its times are exact. The times themselves are as wrong as the system's time was at the
-//! start, and are compared with times of other machines only through `petrelgauge_policy::FleetClock`.
+//! start, and are compared with times of other machines only through `petrelgauge_policy::HostClock`.
 
 use crate::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
