--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,99 +1,105 @@
-//! The settings of a router and their validation.
+//! Settings of a router and their validation.
 
 use super::classes::{Class, Effect, Need};
 use super::ids::Time;
 
-/// What a member does with a read that needs newer data than it has.
+/// How members handle a read that requires newer data than they have.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum StaleReadPolicy {
-    /// It serves the read from old data.
+    /// The member serves the read from stale data.
     Serve,
-    /// It rejects the read at once.
+    /// The member rejects the read immediately.
     #[default]
     Reject,
-    /// It waits up to this span (microseconds), then rejects it.
+    /// The member waits up to this long (microseconds) for newer data, then rejects the read.
     Wait(Time),
 }
 
-/// How current the roles in the endpoint list are.
+/// Whether the endpoint list contains roles, and how current they are.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ListRole {
-    /// The list has no roles.
+    /// The list contains no roles.
     #[default]
     Absent,
-    /// The roles are those of the deployment's start.
+    /// The roles are those at the start of the deployment and are never updated.
     Static,
-    /// The roles are a few seconds old.
+    /// The roles are updated with a delay of a few seconds.
     Trailing,
 }
 
-/// Largest number of routers for the same groups (count): a mistyped number would leave each with almost no
-/// quota.
+/// Maximum number of routers that serve the same groups. A larger number is assumed to be a typing error,
+/// which would leave each router with almost no quota.
 const MAX_ROUTERS: u32 = 10_000;
 
-/// The configuration of a router. Spans are in microseconds.
+/// Configuration of a router. Durations are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The classes. Requests refer to them by index.
+    /// Request classes. Requests refer to them by index.
     pub classes: Vec<Class>,
-    /// Number of routers that serve these groups, this one included.
+    /// Number of routers that serve the same groups, including this one.
     pub routers: u32,
-    /// Zone of this router.
+    /// Zone in which this router runs.
     pub zone: String,
-    /// Shortest interval between two steps.
+    /// Minimum interval between two steps.
     pub granularity: Time,
-    /// Largest number of requests that clients can have open at this router.
+    /// Maximum number of requests that clients can have open at this router.
     pub max_open_requests: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Two attempts of one request may be in flight together (hedged requests).
+    /// Whether two attempts of a request may be in flight at the same time (hedged requests).
     pub may_hedge: bool,
-    /// Members may be sent health checks.
+    /// Whether health checks may be sent to members.
     pub may_probe: bool,
-    /// Changes of the endpoint list are sent on request only.
+    /// Whether changes of the endpoint list are sent only on request.
     pub list_on_request: bool,
-    /// Longest Retry-After that a rejected client obeys; 0 where none is sent.
+    /// Maximum Retry-After that rejected clients honor; 0 if none is sent.
     pub max_retry_after: Time,
-    /// Time after the client's deadline in which a final answer still counts.
+    /// Time after the client's deadline during which a final answer is still accepted.
     pub answer_slack: Time,
-    /// Time that a request takes from its client to the router and its rejection back. The rejection of a request
-    /// that was never sent costs more after half of its time, by its client's clock.
+    /// Time for a request to travel from its client to the router and for its rejection to travel back.
+    /// Rejecting a request that was never sent costs more once half of its time has passed by the client's
+    /// clock.
     pub client_round_trip: Time,
-    /// Clock time by which every admitted request has its final answer, however long its client would wait.
+    /// Clock time by which every admitted request gets its final answer, regardless of its own deadline.
     pub final_answer_by: Time,
-    /// Slow start: share of its capacity that a member has right after its start.
+    /// Slow start: share of its full capacity that a member has immediately after its start.
     pub slow_start_initial_share: f64,
-    /// Slow start: span after which a started member has its full capacity at the latest.
+    /// Slow start: maximum time from a member's start until it has its full capacity.
     pub slow_start_span: Time,
-    /// Slow start: a member fails if it is sent more than this multiple of its capacity within `overload_span`.
+    /// Slow start: a member fails if it receives more than this multiple of its capacity within
+    /// `overload_span`.
     pub overload_factor: f64,
-    /// Slow start: the span to which `overload_factor` applies.
+    /// Slow start: the time window that `overload_factor` refers to.
     pub overload_span: Time,
-    /// Grace period in which sends to a draining or removed member must end.
+    /// Grace period after which nothing more may be sent to a draining or removed member.
     pub drain_grace: Time,
-    /// A router that has not polled the list for this long counts as notified of its changes.
+    /// A router that has not polled the list for this long is treated as notified of its changes.
     pub list_poll_interval: Time,
-    /// A member that is merely missing from the endpoint list still gets requests; a draining one does not.
+    /// Whether a member that is only missing from the endpoint list still receives requests. A draining
+    /// member never does.
     pub soft_removal: bool,
-    /// What a member does with a read that needs newer data than it has.
+    /// How members handle a read that requires newer data than they have.
     pub stale_read_policy: StaleReadPolicy,
-    /// How current the roles in the endpoint list are.
+    /// Whether the endpoint list contains roles, and how current they are.
     pub list_role: ListRole,
-    /// Longest wait of a read for a replica that is about to reach its minimum position; 0 for none.
+    /// Maximum time that a read waits for a replica that is about to reach its minimum position; 0 disables
+    /// waiting.
     pub read_wait_bound: Time,
-    /// Primary discovery: factor on the interval between two attempts to find the primary of a group (count); 1 for
-    /// a router that searches alone.
+    /// Primary discovery: multiplier of the interval between two attempts to find the primary of a group; 1
+    /// for a router that is the only one to search.
     pub discovery_interval_factor: Time,
-    /// The router's clock may differ from the hosts' clock by any span, so the offset is estimated from their answers.
+    /// Whether the router's clock may differ from the hosts' clock by any amount, so that the offset has to
+    /// be estimated from the hosts' answers.
     pub clock_may_be_wrong: bool,
-    /// Price of one crossing of zones for each request, as a share of the value of all requests.
+    /// Cost of one cross-zone send per request, as a share of the value of all requests.
     pub crossing_price: f64,
-    /// Price of one health check for each request, as a share of the value of all requests.
+    /// Cost of one health check per request, as a share of the value of all requests.
     pub probe_price: f64,
 }
 
 impl Default for Settings {
-    /// A single router without classes, which [`Settings::check`] requires, and without optional features.
+    /// A single router without optional features. It has no classes, so [`Settings::check`] fails until at
+    /// least one is added.
     fn default() -> Settings {
         Settings {
             classes: Vec::new(),
@@ -128,28 +134,28 @@
 }
 
 impl Settings {
-    /// Checks that every value is in its valid range.
+    /// Checks that every value is within its valid range.
     ///
     /// # Errors
     ///
-    /// Fails if there is no class; otherwise names the first class or value that is out of range.
+    /// Fails if there are no classes; otherwise reports the first class or value that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
         if let Some(index) = self.classes.iter().position(|class| !is_valid_class(class)) {
-            return Err(SettingsError::BadClass(index));
+            return Err(SettingsError::InvalidClass(index));
         }
         let checks = [
-            (self.classes.iter().all(|class| class.attempts > 0), "the most attempts"),
+            (self.classes.iter().all(|class| class.attempts > 0), "the maximum number of attempts"),
             ((1..=MAX_ROUTERS).contains(&self.routers), "the number of routers"),
             (self.granularity > 0, "the granularity"),
-            (self.discovery_interval_factor > 0, "the factor on the interval of primary discovery"),
+            (self.discovery_interval_factor > 0, "the primary discovery interval factor"),
             (self.overload_factor > 0.0, "the overload factor"),
-            ((0.0..=1.0).contains(&self.slow_start_initial_share), "the cold share"),
+            ((0.0..=1.0).contains(&self.slow_start_initial_share), "the initial slow start share"),
         ];
         match checks.iter().find(|(is_valid, _)| !is_valid) {
-            Some((_, name)) => Err(SettingsError::BadFigure(name)),
+            Some((_, name)) => Err(SettingsError::InvalidValue(name)),
             None => Ok(()),
         }
     }
@@ -163,25 +169,26 @@
     has_valid_window && has_valid_bound && has_valid_times && has_valid_weight && class.late_share.is_finite()
 }
 
-/// Why settings are not valid.
+/// The reason why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SettingsError {
-    /// There is no class.
+    /// No classes are defined.
     NoClasses,
-    /// The class with this index has an invalid latency target, deadline, bound, window or value.
-    BadClass(usize),
-    /// The named value is out of its range.
-    BadFigure(&'static str),
+    /// The class at this index has an invalid latency target, deadline, staleness bound, idempotency window
+    /// or value.
+    InvalidClass(usize),
+    /// The named value is out of range.
+    InvalidValue(&'static str),
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            SettingsError::NoClasses => write!(f, "the settings name no class"),
-            SettingsError::BadClass(index) => {
-                write!(f, "class number {index} has a figure that makes no sense")
+            SettingsError::NoClasses => write!(f, "no request classes are defined"),
+            SettingsError::InvalidClass(index) => {
+                write!(f, "class number {index} has a value that is out of range")
             }
-            SettingsError::BadFigure(name) => write!(f, "{name} makes no sense"),
+            SettingsError::InvalidValue(name) => write!(f, "{name} is out of range"),
         }
     }
 }
--- a/crates/policy/tests/events_and_settings.rs
+++ b/crates/policy/tests/events_and_settings.rs
@@ -36,15 +36,18 @@
     assert_eq!(Router::new(none, 1).err(), Some(SettingsError::NoClasses));
     let mut bad = settings();
     bad.classes[2].latency_target = 0;
-    assert_eq!(Router::new(bad, 1).err(), Some(SettingsError::BadClass(2)));
+    assert_eq!(Router::new(bad, 1).err(), Some(SettingsError::InvalidClass(2)));
     for routers in [0, 10_001, u32::MAX] {
         let bad = Settings { routers, ..settings() };
-        assert_eq!(Router::new(bad, 1).err(), Some(SettingsError::BadFigure("the number of routers")));
+        assert_eq!(Router::new(bad, 1).err(), Some(SettingsError::InvalidValue("the number of routers")));
     }
     assert!(Router::new(Settings { routers: 100, ..settings() }, 1).is_ok());
     let mut bad = settings();
     bad.classes[1].attempts = 0;
-    assert_eq!(Router::new(bad, 1).err(), Some(SettingsError::BadFigure("the most attempts")));
+    assert_eq!(
+        Router::new(bad, 1).err(),
+        Some(SettingsError::InvalidValue("the maximum number of attempts"))
+    );
 }
 
 #[test]
--- a/tests/invalid_settings.rs
+++ b/tests/invalid_settings.rs
@@ -78,7 +78,7 @@
         (good.replace(&harness.listen, "nowhere"), "GW_LISTEN"),
         (good.replace(&harness.listen, &taken), "cannot listen"),
         (good.replace("\"mutate\"", "\"sometimes\""), "read_level"),
-        (good.replace("\"attempts_cap\":8", "\"attempts_cap\":0"), "the most attempts"),
+        (good.replace("\"attempts_cap\":8", "\"attempts_cap\":0"), "the maximum number of attempts"),
     ];
     for (config, cause) in cases {
         let (code, log) = harness.start_with(&config).ended();
