--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,38 +1,40 @@
-//! The decision module: which member of a group gets a request, and when to wait, to retry or to reject.
+//! Routing policy: selects the member of a group for each request and decides when to wait, retry or reject.
 //!
-//! A [`Router`] is a plain state machine. It has no clock, no threads and does no I/O: the embedding program
-//! calls [`Router::step`] once for each batch of events and carries out the actions it gets back.
+//! A [`Router`] is a pure state machine without a clock, threads or I/O. The embedding program calls
+//! [`Router::step`] for each batch of events and executes the returned actions.
 //!
-//! | file in `router/` | what it decides |
+//! | file in `router/` | responsibility |
 //! | --- | --- |
-//! | `mod.rs` | the state of a router and the order of one step |
-//! | `admission.rs` | whether a new request is queued or rejected at once |
-//! | `queue.rs` | the order of dispatch, expiry and eviction of a group's queue |
-//! | `dispatch.rs` | the rules that every send must satisfy |
-//! | `primary.rs` | which member is taken for the primary, and how it is found |
-//! | `reads.rs` | which members a read may use, and when it waits |
-//! | `freshness.rs` | the commit that a read must see, and the forecast of lags and sojourns |
-//! | `selection.rs` | the member of a read, by trials over the forecast |
-//! | `outcomes.rs` | what the end of an attempt shows of its member, and what becomes of its request |
-//! | `completion.rs` | the final answer of a request, and the cancellation of its attempts |
-//! | `concurrency.rs` | the concurrency limit of a member, and this router's quota of it |
-//! | `overload.rs` | the share of reads that is shed |
-//! | `health.rs` | which members are suspected, probed and ejected |
-//! | `zones.rs` | which zones are unreachable as a whole |
-//! | `slow_start.rs` | how much work a member that has just started may be sent |
-//! | `token_bucket.rs` | whether a request is paid for in slow start |
-//! | `sampled_reads.rs` | which new reads a warming replica receives beside that |
-//! | `endpoints.rs` | which members and groups exist, and how they are listed |
-//! | `evidence.rs` | nothing: records roles, positions and commits |
-//! | `load.rs` | nothing: records what members serve and what clients offer |
-//! | `bookkeeping.rs` | nothing: keeps queues, members and their indexes consistent |
+//! | `mod.rs` | router state and the order of operations in a step |
+//! | `admission.rs` | queues or rejects new requests |
+//! | `queue.rs` | dispatch order, expiry and eviction of queued requests |
+//! | `dispatch.rs` | safety rules that every send must satisfy |
+//! | `primary.rs` | tracks and discovers the primary of a group |
+//! | `reads.rs` | members that a read may use, and waits for replicas |
+//! | `freshness.rs` | the commit that a read must see; forecasts of lags and sojourns |
+//! | `selection.rs` | selects the member for a read by Monte Carlo trials over the forecast |
+//! | `outcomes.rs` | processes the outcome of an attempt for its member and its request |
+//! | `completion.rs` | final answers, and cancellation of attempts |
+//! | `concurrency.rs` | adaptive concurrency limits of members, and this router's quota of them |
+//! | `overload.rs` | load shedding of reads |
+//! | `health.rs` | suspicion, health checks and ejection of members |
+//! | `zones.rs` | detects unreachable zones |
+//! | `slow_start.rs` | limits the work sent to recently started members |
+//! | `token_bucket.rs` | token bucket that admits requests during slow start |
+//! | `sampled_reads.rs` | samples new reads for replicas in slow start |
+//! | `endpoints.rs` | applies endpoint list updates to members and groups |
+//! | `evidence.rs` | records roles, positions and commits |
+//! | `load.rs` | records served and offered load |
+//! | `bookkeeping.rs` | keeps queues, members and their indexes consistent |
 //!
-//! `interface.rs` names the types of the public interface (settings, events, actions) and `state.rs` holds the
-//! state as plain data. `in_flight.rs` and `indexes.rs` say which of it a step has to scan, `learned_state.rs` what
-//! one process can hand over to the next; none of these decides. `host_clock.rs` estimates the hosts' clock.
+//! `interface.rs` exports the types of the public interface (settings, events, actions), and `state.rs`
+//! defines the state as plain data. `in_flight.rs` and `indexes.rs` limit what a step has to scan, and
+//! `learned_state.rs` holds what one process can hand over to the next; none of these makes decisions.
+//! `host_clock.rs` estimates the hosts' clock.
 //!
-//! Bounds: requests by what clients can hold open ([`Settings::max_open_requests`]), members by the endpoint
-//! list and a minute more, samples by a fixed count for each member.
+//! Memory is bounded: requests by the number that clients can have open ([`Settings::max_open_requests`]),
+//! members by the endpoint list (removed members are retained for another minute), and samples by a fixed
+//! count for each member.
 //!
 //! ```
 //! use petrelgauge_policy::*;
@@ -50,7 +52,7 @@
 //!     }],
 //!     ..Settings::default()
 //! };
-//! let mut router = Router::new(settings, 7).expect("sound settings");
+//! let mut router = Router::new(settings, 7).expect("valid settings");
 //! let mut actions = Vec::new();
 //! let entry = Entry {
 //!     member: 1,
