--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -1,9 +1,9 @@
-//! The actions of a router.
+//! Actions that a router returns to the embedding program.
 
 use super::ids::{MemberId, RequestId, Time};
 use super::notes::LogEntry;
 
-/// An action that the embedding program carries out, in the order given.
+/// An action for the embedding program to execute. Actions must be executed in the order they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a member.
@@ -12,17 +12,17 @@
         request: RequestId,
         /// The member.
         member: MemberId,
-        /// Clock time at which the attempt times out.
+        /// Router clock time at which the attempt times out.
         until: Time,
     },
-    /// Final answer: rejected, and safe to retry.
+    /// Final answer: the request is rejected and is safe to retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Retry-After for the client (microseconds); 0 for none.
+        /// Retry-After to send to the client (microseconds); 0 sends none.
         wait: Time,
     },
-    /// Final answer: failed, and it may have had an effect.
+    /// Final answer: the request failed and may have taken effect.
     Fail {
         /// The request.
         request: RequestId,
@@ -31,7 +31,7 @@
     Cancel {
         /// The request.
         request: RequestId,
-        /// Number of the attempt, from 0 in the order of sends.
+        /// Index of the attempt, counted from 0 in send order.
         attempt: u32,
     },
     /// Send a health check to a member.
@@ -45,11 +45,11 @@
     ReadList,
     /// Set a timer.
     Timer {
-        /// Passed back with [`Event::Timer`](super::Event::Timer).
+        /// Opaque value returned in [`Event::Timer`](super::Event::Timer).
         token: u64,
-        /// Clock time at which it fires.
+        /// Router clock time at which the timer fires.
         at: Time,
     },
-    /// Write a note for operators to the log.
+    /// Write an operator note to the log.
     Log(LogEntry),
 }
