--- a/crates/policy/src/interface/classes.rs
+++ b/crates/policy/src/interface/classes.rs
@@ -1,28 +1,28 @@
-//! Classes of requests: what data they need, what a retry may do, and what an answer is worth.
+//! Request classes: consistency, idempotency, deadlines and priority.
 
 use super::ids::Time;
 
-/// Span after which the answer of a member counts as known (microseconds; see the protocol page), whether or not
-/// it has arrived: a connection may fail silently.
+/// Time after a send at which the member's answer is treated as known, even if it has not arrived
+/// (microseconds; specified in the protocol document): a connection may fail silently and lose the answer.
 pub const ASSUMED_KNOWN_AFTER: Time = 100_000;
 
-/// What data a request of a class needs.
+/// The role or data freshness that requests of a class require.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Need {
     /// A write: only the primary serves it.
     Write,
-    /// All commits from before the request arrived at the router.
+    /// A read that must see every commit made before the request arrived at the router.
     Strong,
-    /// Commits up to the request's minimum position.
+    /// A read that must see all commits up to the request's minimum position.
     Session,
-    /// Data no older than this span (microseconds) when the request is sent.
+    /// A read whose data is at most this old (microseconds) when the request is sent.
     Bounded(Time),
-    /// Any data will do.
+    /// A read without a freshness requirement.
     Eventual,
 }
 
 impl Need {
-    /// The largest age of its data (microseconds), if it is bounded.
+    /// The staleness bound (microseconds) of a bounded read.
     pub fn bound(self) -> Option<Time> {
         match self {
             Need::Bounded(bound) => Some(bound),
@@ -31,50 +31,50 @@
     }
 }
 
-/// Whether a retry of a request may have a second effect.
+/// Whether a request may be retried without taking effect twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Idempotent by nature: may be retried freely.
+    /// Inherently idempotent: may be retried without limit.
     Safe,
-    /// Idempotent by a key: members ignore retries for `window` after the first attempt that may have run.
+    /// Idempotent by key: members deduplicate retries for `window` after the first attempt that may have run.
     Keyed {
-        /// How long members remember the key (microseconds).
+        /// How long members retain the idempotency key (microseconds).
         window: Time,
-        /// Which members remember it.
+        /// Which members share the key.
         scope: Scope,
     },
-    /// Not idempotent: must not run twice.
+    /// Not idempotent: must not be executed twice.
     Unsafe,
 }
 
-/// The members that share the memory of an idempotency key.
+/// The members that share the record of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Scope {
     /// All members.
     All,
-    /// Members in the zone of the first attempt.
+    /// Members in the zone of the first attempt's member.
     Zone,
     /// Members of the same group.
     Group,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name. No decision depends on it.
+    /// Name of the class. Decisions do not depend on it.
     pub name: String,
-    /// What data it needs.
+    /// Required role or data freshness.
     pub need: Need,
-    /// Whether a retry may have a second effect.
+    /// Idempotency of the class's requests.
     pub effect: Effect,
-    /// Largest number of attempts for one request.
+    /// Maximum number of attempts for one request.
     pub attempts: u32,
     /// Time within which an answer has its full value (microseconds).
     pub latency_target: Time,
-    /// How long a client waits in total, over all its attempts (microseconds).
+    /// Total time that a client waits, over all its attempts (microseconds).
     pub deadline: Time,
     /// Value of an answer within the latency target.
     pub priority_weight: f64,
-    /// Share of that value that a later answer has (fraction).
+    /// Share of that value that an answer after the latency target retains (fraction).
     pub late_share: f64,
 }
