--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -6,12 +6,12 @@
 /// Status of a member in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// In service.
+    /// Accepts requests.
     #[default]
     Up,
-    /// Shutting down gracefully: it finishes the work that it has.
+    /// Shutting down gracefully: it completes requests in progress and accepts no new ones.
     Draining,
-    /// Removed.
+    /// Removed from service.
     Removed,
 }
 
@@ -20,34 +20,35 @@
 pub struct Entry {
     /// The member.
     pub member: MemberId,
-    /// Its group.
+    /// The group it belongs to.
     pub group: GroupId,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: String,
-    /// Its capacity in relation to the others.
+    /// Capacity relative to the other members.
     pub weight: f64,
-    /// Its last start, by the hosts' clock; 0 for long ago.
+    /// Time of its last start, by the hosts' clock; 0 if it started long ago.
     pub started: Time,
-    /// Its status.
+    /// Listed status.
     pub status: MemberStatus,
-    /// The list names it as the primary.
+    /// Whether the list marks it as the primary.
     pub primary: bool,
 }
 
-/// A temporary deviation of this router's quota of a group's concurrency limits from the even quota.
+/// A temporary change to this router's quota of a group's concurrency limits, relative to the even quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaAdjustment {
-    /// Quota borrowed, in even quotas; negative for quota lent, which is never all of it.
+    /// Quota borrowed, in multiples of the even quota; negative for quota lent. A router never lends all of
+    /// it.
     pub extra: f64,
-    /// When the loan ends, and the quota is the even one again.
+    /// When the loan expires and the quota returns to the even quota.
     pub until: Time,
 }
 
 impl QuotaAdjustment {
-    /// The smallest quota of any router, in even quotas.
+    /// Minimum quota of a router, in multiples of the even quota.
     pub const MIN_QUOTA: f64 = 0.5;
 
-    /// The quota at a time, in even quotas.
+    /// The quota at the time `now`, in multiples of the even quota.
     pub fn at(&self, now: Time) -> f64 {
         if now < self.until {
             (1.0 + self.extra).max(QuotaAdjustment::MIN_QUOTA)
@@ -57,35 +58,35 @@
     }
 }
 
-/// A member's role.
+/// The replication role of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Role {
-    /// It serves writes.
+    /// Serves writes.
     Primary,
-    /// It replicates the primary's commits.
+    /// Replicates the primary's commits.
     Replica,
 }
 
-/// A member that is taken for the primary of its group.
+/// The member that a router currently considers the primary of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownPrimary {
     /// The group.
     pub group: GroupId,
     /// The member.
     pub member: MemberId,
-    /// Newest evidence of it that came from the member itself, by the router's clock.
+    /// Time of the latest evidence that the member itself provided, by the router's clock.
     pub evidence_at: Time,
 }
 
-/// A load report of a member.
+/// A load report sent by a member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Time up to which it has applied all commits (hosts' clock).
+    /// Replication position: all commits up to this time are applied (hosts' clock).
     pub position: Option<Time>,
-    /// Its role at that time.
+    /// Role of the member at that position.
     pub role: Option<Role>,
-    /// Requests in its queue (count).
+    /// Number of requests in the member's queue.
     pub waiting: Option<f64>,
-    /// Share of its processors in use (fraction).
+    /// CPU utilization of the member (fraction).
     pub busy: Option<f64>,
 }
