--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,45 +1,45 @@
-//! The events that a router is stepped with.
+//! Events that the embedding program passes to a router.
 
 use super::endpoints::{Entry, QuotaAdjustment, Report, Role};
 use super::ids::{GroupId, MemberId, RequestId, Time};
 use std::sync::Arc;
 
-/// An event that a router is stepped with.
+/// An input event for [`Router::step`](crate::Router::step).
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list.
     List {
-        /// What the entries stand for.
+        /// Whether the entries are the complete list or only changes.
         update: Update,
         /// The entries.
         entries: Arc<[Entry]>,
     },
     /// A new request.
     Request(RequestArrival),
-    /// The minimum position of a waiting request has become lower.
+    /// The minimum position of a queued request was lowered.
     MinimumPositionLowered {
         /// The request.
         request: RequestId,
-        /// The commit that the data must include.
+        /// The new minimum position.
         minimum_position: Time,
     },
     /// An attempt ended.
     Outcome(AttemptOutcome),
-    /// Gossip: another router had an answer of this member as its group's primary.
+    /// Gossip: this member has answered another router as the primary of its group.
     GossipedPrimary {
         /// The member.
         member: MemberId,
-        /// Time of that answer, by this router's clock.
+        /// Time of that answer, converted to this router's clock.
         at: Time,
     },
-    /// This router's quota for a group has changed.
+    /// This router's quota for a group changed.
     QuotaAdjusted {
         /// The group.
         group: GroupId,
-        /// The adjustment in force from now on.
+        /// The adjustment that replaces the previous one.
         adjustment: QuotaAdjustment,
     },
-    /// The client no longer waits for the request.
+    /// The client stopped waiting for the request.
     Abandoned {
         /// The request.
         request: RequestId,
@@ -48,9 +48,9 @@
     Probed {
         /// The member.
         member: MemberId,
-        /// How it ended.
+        /// Ending of the health check.
         ending: Ending,
-        /// The member's load report.
+        /// Load report of the member.
         report: Report,
     },
     /// A timer fired.
@@ -60,29 +60,29 @@
     },
 }
 
-/// What the entries of an endpoint list update stand for.
+/// Scope of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// The complete list: a member without an entry is removed.
+    /// The complete list: members without an entry are removed.
     Complete,
-    /// The changed entries only.
+    /// Changed entries only.
     Partial,
 }
 
 /// A new request.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// Its name.
+    /// Identifier of the request.
     pub request: RequestId,
     /// Index of its class in the settings.
     pub class: usize,
-    /// Its group.
+    /// The group it is addressed to.
     pub group: GroupId,
-    /// Time until the client gives up this request (microseconds).
+    /// Time until the client stops waiting for the request (microseconds).
     pub time_left: Time,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// The commit that the data read for it must include, in addition to what its class needs.
+    /// Replication position that the data must include, in addition to what the class requires.
     pub minimum_position: Option<Time>,
 }
 
@@ -91,31 +91,31 @@
 pub struct AttemptOutcome {
     /// The request.
     pub request: RequestId,
-    /// Number of the attempt, from 0 in the order of sends.
+    /// Index of the attempt, counted from 0 in send order.
     pub attempt: u32,
-    /// The member that it was sent to.
+    /// The member that the attempt was sent to.
     pub member: MemberId,
-    /// How it ended.
+    /// Ending of the attempt.
     pub ending: Ending,
-    /// Time since the send (microseconds).
+    /// Time from send to end (microseconds).
     pub took: Time,
-    /// The request has its final answer.
+    /// Whether the request already has its final answer.
     pub closed: bool,
-    /// Clock time up to which the member has applied all commits; for a served write its commit.
+    /// Replication position of the member (hosts' clock); for a served write, the position of its commit.
     pub position: Option<Time>,
-    /// The member's role.
+    /// Role of the member.
     pub role: Option<Role>,
-    /// The member's load report.
+    /// Load report of the member.
     pub report: Report,
 }
 
 impl AttemptOutcome {
-    /// Whether the member itself has answered.
+    /// Whether the member itself answered.
     pub(crate) fn is_answer(&self) -> bool {
         matches!(self.ending, Ending::Served | Ending::Error | Ending::QueueFull | Ending::Rejected)
     }
 
-    /// Whether the attempt got no service, and the member or the path to it is at fault.
+    /// Whether the attempt was not served because of a fault of the member or of the network path to it.
     pub(crate) fn is_failure(&self) -> bool {
         !matches!(self.ending, Ending::Served | Ending::Rejected | Ending::Cancelled | Ending::NotSent)
     }
@@ -124,28 +124,28 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
-    /// Served.
+    /// The member served the request.
     Served,
-    /// The member answered with an error; the attempt may have had an effect.
+    /// The member answered with an error; the attempt may have taken effect.
     Error,
-    /// Rejected before it ran: the member's queue is full or the member is draining.
+    /// Rejected before execution: the member's queue is full or the member is draining.
     QueueFull,
-    /// No answer in time; it may have run.
+    /// No answer before the timeout; the attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// The connection could not be established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// Rejected before it ran: the member is not the primary, or too far behind.
+    /// Rejected before execution: the member is not the primary, or its replication lag is too large.
     Rejected,
 }
 
 impl Ending {
-    /// Whether it proves that the attempt never ran.
+    /// Whether this ending proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Ending::QueueFull | Ending::ConnectFailed | Ending::NotSent | Ending::Rejected)
     }
