--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-/// Microseconds: a point in time of the embedding program's clock, or a span.
+/// A point in time of the embedding program's clock, or a duration, in microseconds.
 pub type Time = i64;
-/// A member of a group, by its number in the endpoint list.
+/// Identifier of a member, as assigned by the endpoint list.
 pub type MemberId = u32;
-/// A group: one primary and its replicas.
+/// Identifier of a group: one primary and its replicas.
 pub type GroupId = u64;
-/// Name of a request; never reused.
+/// Identifier of a request; never reused.
 pub type RequestId = Arc<str>;
