--- a/crates/policy/src/interface/notes.rs
+++ b/crates/policy/src/interface/notes.rs
@@ -1,28 +1,28 @@
-//! Notes for operators: what a router has found out about a member.
+//! Notes for operators: changes in the health of a member.
 
 use super::ids::{MemberId, Time};
 use std::fmt;
 
-/// What a router has found out about a member. Displayed as an event phrase with `key=value` fields.
+/// A change in the health of a member, displayed as an event phrase followed by `key=value` fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
-    /// The member has been silent for too long: only trials go there until it answers.
+    /// The member has not answered for too long: until it answers, it receives only trials.
     MemberSuspected {
         /// The member.
         member: MemberId,
-        /// Longest wait of an attempt since the last sign of life (microseconds).
+        /// Longest wait of an unanswered attempt since the member last answered (microseconds).
         silence: Time,
-        /// Silence that the member was allowed under its load (microseconds).
+        /// Silence that was allowed for the member's load (microseconds).
         allowed: Time,
-        /// Waits of its unanswered attempts, each in latency targets of its class, added up.
+        /// Sum of the waits of its unanswered attempts, each in latency targets of its class.
         unanswered_targets: f64,
     },
-    /// The member did not answer a health check: nothing new goes there.
+    /// The member failed a health check: no requests are sent to it.
     MemberDown {
         /// The member.
         member: MemberId,
     },
-    /// A member that was suspected or down has answered.
+    /// A suspected or down member has answered.
     MemberRecovered {
         /// The member.
         member: MemberId,
@@ -43,12 +43,12 @@
     }
 }
 
-/// A note to write to the log. Notes are limited in rate.
+/// A note to write to the log. Notes are rate-limited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LogEntry {
     /// The note.
     pub note: Note,
-    /// Notes that were left out since the last entry (count).
+    /// Number of notes suppressed by the rate limit since the last entry.
     pub suppressed: u32,
 }
 
