--- a/crates/policy/src/interface/scan_counts.rs
+++ b/crates/policy/src/interface/scan_counts.rs
@@ -1,10 +1,10 @@
-//! The cost of the health checks, counted and not timed.
+//! Cost of the health checks, as counts of scanned entries rather than as time.
 
-/// Entries that the health checks have scanned since the router was made (counts).
+/// Entries scanned by the health checks since the router was created (counts).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ScanCounts {
-    /// Members.
+    /// Members scanned.
     pub members: u64,
-    /// Attempts in flight, scanned to cancel those at a silent member.
+    /// Attempts in flight that were scanned to cancel those at an unresponsive member.
     pub requests: u64,
 }
