--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,5 +1,5 @@
-//! The interface between a router and the program that embeds it: settings, events and actions. No decisions are
-//! made here.
+//! The interface between a router and the program that embeds it: settings, events and actions. This module
+//! contains no decision logic.
 
 mod actions;
 mod classes;
