--- a/crates/policy/src/router/bookkeeping.rs
+++ b/crates/policy/src/router/bookkeeping.rs
@@ -1,12 +1,13 @@
-//! Bookkeeping: changes of queues and members that the indexes have to follow. No decisions are made here.
+//! Bookkeeping: changes of queues and members that also update the indexes. No decision logic.
 
 use super::Router;
 use crate::indexes::Indexes;
 use crate::interface::{GroupId, MemberId, MemberStatus, Time};
 use crate::state::Member;
 
-/// Span after which a removed member is forgotten (microseconds): longer than a late list may still name it.
-const FORGET_AFTER: Time = 60_000_000;
+/// Time for which a removed member is retained (microseconds): longer than a delayed list may still contain
+/// it.
+const REMOVED_MEMBER_RETENTION: Time = 60_000_000;
 
 impl Router {
     /// Adds a request to the queue of its group.
@@ -24,45 +25,45 @@
         }
     }
 
-    /// Sets the status that the endpoint list names for a member.
+    /// Sets the listed status of a member.
     pub(super) fn set_status(&mut self, id: MemberId, status: MemberStatus) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.status = status;
-        member.drained |= status == MemberStatus::Draining;
+        member.listed_draining |= status == MemberStatus::Draining;
         if self.indexes.update_status(id, status) {
             member.last_listed_at = member.last_listed_at.max(self.health_checked_at);
         }
     }
 
-    /// Forgets the removed members for which `is_kept` has returned false for as long as `FORGET_AFTER`. It
-    /// has to return true for members that are not removed.
-    pub(super) fn forget_members(&mut self, is_kept: impl Fn(&Member) -> bool) {
+    /// Purges removed members for which `is_kept` has returned false for `REMOVED_MEMBER_RETENTION`.
+    /// `is_kept` must return true for members that are not removed.
+    pub(super) fn purge_removed_members(&mut self, is_kept: impl Fn(&Member) -> bool) {
         let now = self.now;
         let members = &mut self.members;
-        let mut forgotten = Vec::new();
+        let mut purged = Vec::new();
         self.indexes.retain_delisted(|id| {
             let Some(member) = members.get_mut(id) else { return false };
             if is_kept(member) {
                 member.last_listed_at = now;
             }
             let is_removed = member.status == MemberStatus::Removed;
-            let is_forgotten = now - member.last_listed_at >= FORGET_AFTER;
-            if is_forgotten {
+            let is_expired = now - member.last_listed_at >= REMOVED_MEMBER_RETENTION;
+            if is_expired {
                 members.remove(id);
-                forgotten.push(*id);
+                purged.push(*id);
             }
-            is_removed && !is_forgotten
+            is_removed && !is_expired
         });
-        for id in &forgotten {
-            self.indexes.forget_member(*id);
+        for id in &purged {
+            self.indexes.remove_member(*id);
         }
-        if !forgotten.is_empty() {
-            self.indexes.outdate_available();
+        if !purged.is_empty() {
+            self.indexes.mark_available_changed();
             self.prune_groups();
         }
     }
 
-    /// Removes forgotten members from their groups.
+    /// Removes purged members from their groups.
     fn prune_groups(&mut self) {
         let members = &self.members;
         for group in self.groups.values_mut() {
@@ -76,7 +77,7 @@
         self.indexes = Indexes::of(&self.members, &self.groups);
     }
 
-    /// When a member was last known to be in service or to have an attempt in flight.
+    /// When the member was last known to be in service or to have an attempt in flight.
     pub(crate) fn last_listed(&self, id: MemberId, member: &Member) -> Time {
         if self.indexes.is_delisted(id) {
             member.last_listed_at
--- a/crates/policy/src/router/concurrency.rs
+++ b/crates/policy/src/router/concurrency.rs
@@ -1,63 +1,66 @@
-//! The concurrency limit of each member, and this router's quota of it.
+//! Adaptive concurrency limit of each member, and this router's quota of it.
 
 use super::Router;
 use crate::interface::{GroupId, MemberId, Time};
 use crate::state::Member;
 
-/// Mean sojourn that the concurrency limit is steered to (share of the latency target). Work is of very
-/// unequal length, so the mean has to stay well below the target.
+/// Mean sojourn that the concurrency limit is controlled to (share of the latency target). Service times vary
+/// widely, so the mean has to stay well below the latency target.
 pub(super) const TARGET_SOJOURN: f64 = 0.21;
-/// Concurrency limit of a member that has not served anything yet (count).
+/// Concurrency limit of a member that has not served any request yet (count).
 pub(super) const INITIAL_CONCURRENCY_LIMIT: f64 = 6.0;
-/// Largest concurrency limit of a member (count).
+/// Maximum concurrency limit of a member (count).
 const MAX_CONCURRENCY_LIMIT: f64 = 512.0;
-/// Number of routers up to which each may use the whole limit (count); more of them get a quota each.
+/// Number of routers up to which each may use the full limit (count). More routers each get a quota.
 const ROUTERS_WITH_FULL_LIMIT: f64 = 8.0;
-/// Exponent by which the quota falls with the number of routers. Above 1, since each of many learns late.
+/// Exponent by which the quota decreases with the number of routers. It is above 1 because with many routers,
+/// each sees few answers and adapts late.
 const QUOTA_EXPONENT: f64 = 1.15;
-/// Largest weight of one answer in the mean sojourn (fraction): more would let the mean overshoot.
+/// Maximum weight of one answer in the mean sojourn (fraction). A larger weight would make the mean
+/// overshoot.
 const MAX_SAMPLE_WEIGHT: f64 = 0.5;
 /// Weight of one answer in the mean sojourn at the full quota (fraction).
 const SAMPLE_WEIGHT: f64 = 0.15;
-/// Smallest mean sojourn that the limit is steered by (latency targets): keeps the ratio finite.
+/// Minimum mean sojourn used to adapt the limit (latency targets): keeps the ratio finite.
 const MIN_MEAN_SOJOURN: f64 = 1e-6;
-/// Smallest ratio of the target sojourn to the mean one that a step is derived from: bounds the step down.
+/// Minimum ratio of target to mean sojourn used to compute a step: bounds the step down.
 const MIN_SOJOURN_RATIO: f64 = 0.5;
-/// Growth term of the step for one answer, to be divided by the root of the limit.
+/// Growth term of the step for one answer, divided by the square root of the limit.
 const GROWTH: f64 = 0.5;
 /// Step of the limit for one answer at the full quota (count).
 const LIMIT_STEP: f64 = 0.5;
 /// Share of the limit that must be in use for it to grow (fraction).
 const GROWTH_UTILIZATION: f64 = 0.7;
-/// Factor on the limit for one answer that the queue is full, at the full quota.
+/// Factor applied to the limit for each queue-full answer, at the full quota.
 const QUEUE_FULL_BACKOFF: f64 = 0.8;
-/// Pauses that a router may save up (count): some routers have many times the work of others, and never
-/// evenly spaced.
-const SAVED_PAUSES: f64 = 12.0;
-/// Largest sojourn that a pause is derived from (latency targets).
+/// Number of pauses that a router may accumulate for a burst (count). Some routers have many times the load
+/// of others, and arrivals are never evenly spaced.
+const PACING_BURST: f64 = 12.0;
+/// Maximum sojourn used to compute a pause (latency targets).
 const MAX_PACING_SOJOURN: f64 = 3.0;
-/// Consecutive failures from which on a member gets one attempt at a time (count).
+/// Number of consecutive failures from which a member receives only one attempt at a time (count).
 const SINGLE_ATTEMPT_FAILURES: u32 = 4;
 
-/// The even quota: the share of each member's concurrency limit that each of so many routers may use.
+/// The even quota: the share of each member's concurrency limit that each of `routers` routers may use.
 pub(super) fn even_quota(routers: u32) -> f64 {
     (ROUTERS_WITH_FULL_LIMIT / f64::from(routers)).powf(QUOTA_EXPONENT).min(1.0)
 }
 
 impl Router {
-    /// This router's quota of the limits of a group's members (fraction): the even one, adjusted by loans.
+    /// This router's quota of the limits of a group's members (fraction): the even quota, adjusted by loans.
     pub(super) fn quota(&self, group: GroupId) -> f64 {
         self.base_quota * self.groups.get(&group).map_or(1.0, |state| state.quota_adjustment.at(self.now))
     }
 
-    /// Whether a member may take one more attempt of this class, within a share of this router's quota.
+    /// Whether a member may take one more attempt of this class, within the given share of this router's
+    /// quota.
     pub(super) fn has_capacity(&self, id: MemberId, share: f64, class: usize) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         self.has_concurrency(id, share) && self.has_slow_start_tokens(member, class)
     }
 
-    /// Whether its concurrency limit allows one more attempt, within a share of this router's quota. Slow
-    /// start is not considered.
+    /// Whether the member's concurrency limit allows one more attempt, within the given share of this
+    /// router's quota. Slow start is not considered.
     pub(super) fn has_concurrency(&self, id: MemberId, share: f64) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         let limit = if member.consecutive_failures >= SINGLE_ATTEMPT_FAILURES {
@@ -70,13 +73,14 @@
     }
 }
 
-/// Moves the limit of a member towards the target sojourn. A router with a small quota sees few of the
-/// member's answers, so each of them counts more.
+/// Adapts the limit of a member so that its mean sojourn approaches the target. A router with a small quota
+/// sees few of the member's answers, so each has a larger weight.
 pub(super) fn adapt_concurrency_limit(member: &mut Member, sojourn: f64, quota: f64) {
     let weight = (SAMPLE_WEIGHT / quota.sqrt()).min(MAX_SAMPLE_WEIGHT);
-    member.load += (sojourn - member.load) * weight;
-    let ratio = (TARGET_SOJOURN / member.load.max(MIN_MEAN_SOJOURN)).clamp(MIN_SOJOURN_RATIO, 1.0);
-    // The root lets small limits grow faster, so that many routers share a member evenly and none starves.
+    member.mean_sojourn += (sojourn - member.mean_sojourn) * weight;
+    let ratio = (TARGET_SOJOURN / member.mean_sojourn.max(MIN_MEAN_SOJOURN)).clamp(MIN_SOJOURN_RATIO, 1.0);
+    // Dividing by the square root makes small limits grow faster, so that many routers share a member evenly
+    // and none starves.
     let growth = GROWTH / member.concurrency_limit.sqrt();
     let step = LIMIT_STEP / quota.sqrt() * (ratio - 1.0 + growth);
     let in_use = f64::from(member.in_flight) + 1.0;
@@ -91,12 +95,12 @@
     member.concurrency_limit = (member.concurrency_limit * factor).max(1.0);
 }
 
-/// Spaces the sends to a member of which this router may use less than one attempt: a tenth of an attempt is
-/// one attempt followed by a pause nine times as long.
+/// Paces the sends to a member if this router's quota is less than one attempt: a quota of one tenth results
+/// in one attempt followed by a pause nine times as long.
 pub(super) fn pace_sends(member: &mut Member, sojourn: f64, latency_target: f64, quota: f64, now: Time) {
     let pause = latency_target
-        * sojourn.max(member.load).clamp(TARGET_SOJOURN, MAX_PACING_SOJOURN)
+        * sojourn.max(member.mean_sojourn).clamp(TARGET_SOJOURN, MAX_PACING_SOJOURN)
         * (1.0 / (member.concurrency_limit * quota) - 1.0).max(0.0);
-    let saved = if sojourn < 1.0 { SAVED_PAUSES * pause } else { 0.0 };
-    member.paced_until = member.paced_until.max(now - saved as Time) + pause as Time;
+    let burst = if sojourn < 1.0 { PACING_BURST * pause } else { 0.0 };
+    member.paced_until = member.paced_until.max(now - burst as Time) + pause as Time;
 }
--- a/crates/policy/src/router/endpoints.rs
+++ b/crates/policy/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which members and groups exist, and how they are listed.
+//! Endpoint list: applies updates to the known members and groups.
 
 use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
 use super::Router;
@@ -29,7 +29,7 @@
     fn update_endpoint(&mut self, entry: &Entry) {
         self.host_clock.record_start(entry.member, entry.started, self.now);
         match self.members.get(&entry.member) {
-            // A list that arrives late or twice must not overwrite newer entries.
+            // A delayed or duplicated list must not overwrite newer entries.
             Some(member) if member.started > entry.started => return,
             Some(member) if member.started == entry.started => {}
             _ => self.start_member(entry),
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Starts a member that is new or has restarted. Of an earlier start only the attempts in flight and the
-    /// evidence of being a replica are kept.
+    /// Adds a member that is new or has restarted. Only the attempts in flight and the evidence of being a
+    /// replica are kept from before a restart.
     fn start_member(&mut self, entry: &Entry) {
         let mut member = self.new_member(entry);
         member.slow_start_tokens = self.initial_slow_start_tokens();
@@ -51,7 +51,7 @@
             member.in_flight = earlier.in_flight;
             member.replica_evidence_at = earlier.replica_evidence_at;
         }
-        self.indexes.update_doubt(entry.member, &member);
+        self.indexes.update_unhealthy(entry.member, &member);
         self.members.insert(entry.member, member);
     }
 
@@ -59,7 +59,7 @@
         let listed_as_primary = entry.primary
             && match self.settings.list_role {
                 ListRole::Absent => false,
-                // Roles of the first list say nothing of a member that has started since.
+                // Static roles do not apply to a member that has started since the deployment's start.
                 ListRole::Static => entry.started <= 0,
                 ListRole::Trailing => true,
             };
@@ -70,7 +70,7 @@
             weight: if valid_weight { entry.weight } else { 1.0 },
             started: entry.started,
             listed_at: self.now,
-            // The list is the weakest evidence: any report of a member outweighs it.
+            // The list is the weakest evidence: any report of a member takes precedence.
             primary_evidence_at: Time::from(listed_as_primary),
             concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
             last_heard_at: self.now,
--- a/crates/policy/src/router/health.rs
+++ b/crates/policy/src/router/health.rs
@@ -1,4 +1,5 @@
-//! Health: which members are suspected, probed with health checks, ejected and cancelled at.
+//! Health: suspicion, health checks and ejection of members, and cancellation of attempts at unresponsive
+//! ones.
 
 use super::concurrency::INITIAL_CONCURRENCY_LIMIT;
 use super::Router;
@@ -6,33 +7,33 @@
 use crate::state::{share_of, AvailableMembers, Member};
 use std::collections::BTreeSet;
 
-/// Consecutive failures that a silent member counts as having at least (count). They set its first ejection,
-/// in doublings of the granularity.
+/// Minimum number of consecutive failures recorded for a silent member (count). It determines the duration of
+/// the first ejection, in doublings of the granularity.
 pub(super) const SILENCE_FAILURES: u32 = 4;
-/// Wait after which an attempt counts as lost at a member that answers others (latency targets): any sooner,
-/// and overload looks like loss.
+/// Wait after which an attempt is presumed lost at a member that answers others (latency targets). With a
+/// shorter wait, overload would be mistaken for loss.
 const LOST_AFTER: f64 = 1.25;
-/// Silence that an idle member is allowed (share of the shortest latency target).
+/// Allowed silence of an idle member (share of the shortest latency target).
 const ALLOWED_SILENCE: f64 = 0.3;
-/// Silence that a member is allowed beyond that, for each latency target of its mean sojourn (share of the
-/// shortest latency target).
+/// Additional allowed silence per latency target of the member's mean sojourn (share of the shortest latency
+/// target).
 const ALLOWED_SILENCE_FOR_LOAD: f64 = 6.0;
-/// Sum of the waits of unanswered attempts from which on silence is suspicious (latency targets).
+/// Minimum sum of the waits of unanswered attempts at which silence is suspicious (latency targets).
 const SUSPICIOUS_WAITS: f64 = 1.0;
-/// Divisor of the shortest latency target: the interval between two checks.
+/// Interval between two checks, as a divisor of the shortest latency target.
 const CHECK_INTERVAL_DIVISOR: Time = 8;
-/// Divisor of the silence threshold: the interval of health checks of a suspected member.
+/// Health check interval of a suspected member, as a divisor of the silence threshold.
 const SUSPECTED_PROBE_DIVISOR: Time = 4;
-/// Factor on the silence threshold: the interval of health checks of a member that is down, and of the
-/// members of a group without primary.
+/// Health check interval of members that are down and of the members of a group without a primary, as a
+/// multiple of the silence threshold.
 const SLOW_PROBE_FACTOR: Time = 2;
-/// Divisor of the time for which a removed member has not answered: the interval of its health checks, which
-/// become ever rarer.
+/// Health check interval of a removed member, as a divisor of the time for which it has not answered. The
+/// checks become less frequent over time.
 const REMOVED_PROBE_DIVISOR: Time = 4;
 
 impl Router {
-    /// Whether a request of this class may be sent to a suspected member as a trial. Only where there are no
-    /// health checks.
+    /// Whether a request of this class may be sent to a suspected member as a trial. Trials are used only if
+    /// health checks are disabled.
     pub(super) fn may_try_suspected(&self, id: MemberId, class: usize) -> bool {
         if self.settings.may_probe {
             return false;
@@ -49,7 +50,8 @@
         available.peek().is_some() && available.all(|member| member.suspected)
     }
 
-    /// Checks which members have fallen silent, and probes those in doubt.
+    /// Suspects members that have become silent, and sends health checks to suspected members and those that
+    /// are down.
     pub(super) fn check_health(&mut self) {
         if self.now - self.health_checked_at < self.shortest_latency_target / CHECK_INTERVAL_DIVISOR {
             return;
@@ -57,18 +59,18 @@
         self.health_checked_at = self.now;
         self.indexes.begin_check(&mut self.members);
         let keeps_removed = self.settings.soft_removal;
-        self.forget_members(|member| {
+        self.purge_removed_members(|member| {
             member.status != MemberStatus::Removed || member.in_flight > 0 || keeps_removed
         });
         self.sum_up_waits();
-        if self.indexes.take_available_outdated() {
+        if self.indexes.take_available_changed() {
             self.available = self.count_available();
         }
         for id in self.indexes.members_to_check(self.settings.may_probe) {
             self.scan_counts.members += 1;
             self.check_member(id);
         }
-        if self.indexes.has_outdated_zones() && self.has_recent_loss() {
+        if self.indexes.needs_zone_check() && self.has_recent_loss() {
             self.check_zones();
         }
         self.probe_groups_without_primary();
@@ -96,13 +98,13 @@
         self.members.values().any(|member| self.now - member.last_loss_at < span)
     }
 
-    /// Adds up the waits at each member. An attempt that a member does not answer while it answers later ones
-    /// counts as lost, so that it does not use up the member's capacity. That covers lossy paths and hung
-    /// requests of any kind; an overloaded member gets somewhat more work.
+    /// Sums up the waits at each member. An attempt that a member does not answer while it answers later ones
+    /// is presumed lost, so that it does not use up the member's concurrency limit. This handles lossy paths
+    /// and all kinds of hung requests; the drawback is that an overloaded member gets slightly more work.
     fn sum_up_waits(&mut self) {
         for attempt in self.in_flight.iter() {
             let Some(member) = self.members.get_mut(&attempt.member) else { continue };
-            self.indexes.await_member(attempt.member);
+            self.indexes.record_awaited(attempt.member);
             let waited = self.now - attempt.sent;
             let latency_target = self.settings.classes[attempt.class].latency_target;
             if member.last_heard_at > attempt.sent {
@@ -116,12 +118,12 @@
         }
     }
 
-    /// Suspects a silent member. Several unanswered attempts show soon what one alone shows only after its
-    /// latency target; a member under load is given longer. That covers members that hang or are cut off; one
-    /// that pauses is suspected for a moment.
+    /// Suspects a silent member. Several unanswered attempts reveal silence sooner than a single one, which
+    /// does so only after its latency target; a member under load is allowed a longer silence. This detects
+    /// members that hang or are partitioned; a member that merely pauses is suspected briefly.
     fn check_member(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        let allowed = ALLOWED_SILENCE + ALLOWED_SILENCE_FOR_LOAD * member.load;
+        let allowed = ALLOWED_SILENCE + ALLOWED_SILENCE_FOR_LOAD * member.mean_sojourn;
         let allowed = share_of(self.shortest_latency_target, allowed);
         let waits = member.silent_waits;
         let is_silent = waits.total_in_targets >= SUSPICIOUS_WAITS && waits.longest > allowed;
@@ -137,7 +139,7 @@
             self.suspect_silent_member(id);
         }
         let Some(member) = self.members.get(&id) else { return };
-        self.indexes.update_doubt(id, member);
+        self.indexes.update_unhealthy(id, member);
         if member.down {
             self.probe(id, SLOW_PROBE_FACTOR * self.silence_threshold);
         } else if member.suspected {
@@ -156,19 +158,20 @@
         }
     }
 
-    /// Suspects a member, ejects it for a while and cancels the reads in flight there.
+    /// Suspects a member, ejects it temporarily and cancels its attempts in flight for `Effect::Safe`
+    /// requests.
     pub(super) fn suspect_silent_member(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.suspected = true;
         self.indexes.record_loss(member, self.now);
         member.consecutive_failures = member.consecutive_failures.max(SILENCE_FAILURES);
         member.ejected_until = self.now + (self.settings.granularity << member.consecutive_failures);
-        self.indexes.update_doubt(id, member);
+        self.indexes.update_unhealthy(id, member);
         self.cancel_attempts_at(id, |effect| effect == Effect::Safe);
     }
 
-    /// Sends a health check to a member, unless one is in flight, the last was sent within `interval`
-    /// (microseconds), or the budget is used up.
+    /// Sends a health check to a member unless one is in flight, the last one was sent within `interval`
+    /// (microseconds), or the budget is exhausted.
     fn probe(&mut self, id: MemberId, interval: Time) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let is_removed = member.status == MemberStatus::Removed;
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Returns a member to service. It may have restarted without the endpoint list saying so, so its slow
+    /// Returns a member to service. It may have restarted without an update of the endpoint list, so slow
     /// start begins now.
     fn mark_up(&mut self, id: MemberId, slow_start_tokens: f64) {
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -226,8 +229,8 @@
         self.cancel_attempts_at(id, |effect| effect != Effect::Unsafe);
     }
 
-    /// Cancels attempts at a member that does not answer, so that their requests can be sent elsewhere while
-    /// there is time.
+    /// Cancels attempts at an unresponsive member, so that their requests can still be sent to other members
+    /// in time.
     fn cancel_attempts_at(&mut self, id: MemberId, is_retriable: impl Fn(Effect) -> bool) {
         let mut cancelled = BTreeSet::new();
         for (attempt_id, _) in self.in_flight.at_member(id) {
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -1,6 +1,6 @@
-//! The router: its state, and one step. Begin with `interface.rs`, which has the types that it shares with
-//! the embedding program (settings, events, actions). Its state is plain data in `state.rs`; each file here
-//! decides one concern.
+//! The router: its state and the processing of a step. Start reading at `interface.rs`, which has the types
+//! shared with the embedding program (settings, events, actions). The state is plain data in `state.rs`; each
+//! file in this module handles one concern.
 
 mod admission;
 mod bookkeeping;
@@ -37,31 +37,31 @@
 use evidence::Evidence;
 use std::collections::BTreeMap;
 
-/// A time before all others, with room to subtract from.
+/// A time before all others that leaves room for subtraction.
 const NEVER: Time = Time::MIN / 2;
-/// Requests' worth of health checks in the budget of a new router (count): it may start in the middle of a
-/// fault.
+/// Initial health check budget of a new router, in the refills of this many requests: a router may start in
+/// the middle of a fault.
 const INITIAL_PROBE_REQUESTS: f64 = 100.0;
-/// Shortest interval between two notes in the log (microseconds).
+/// Minimum interval between two notes in the log (microseconds).
 const LOG_INTERVAL: Time = 200_000;
 
-/// Budgets that each admitted request refills.
+/// Budgets that are refilled by each admitted request.
 #[derive(Clone, Debug, Default)]
 struct Budgets {
-    /// For health checks, in the unit of `Settings::probe_price`.
+    /// Budget for health checks, in the unit of `Settings::probe_price`.
     probes: f64,
-    /// For trials: requests that may be sent to suspected members (count).
+    /// Budget for trials: number of requests that may be sent to suspected members.
     trials: f64,
 }
 
-/// One router: it is stepped with events, and its actions are carried out by the embedding program.
+/// A router. The embedding program passes events to [`Router::step`] and executes the returned actions.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
     settings: Settings,
-    /// Even quota of the members' concurrency limits (fraction).
+    /// Even quota of the members' concurrency limits, before adjustment (fraction).
     base_quota: f64,
     pub(crate) rng: SeededRng,
-    /// The hosts' clock in relation to `now`.
+    /// Estimate of the hosts' clock relative to `now`.
     pub(crate) host_clock: HostClock,
     /// Time of the current step.
     pub(crate) now: Time,
@@ -69,43 +69,43 @@
     pub(crate) groups: BTreeMap<GroupId, Group>,
     /// Requests without a final answer, by sequence number.
     requests: BTreeMap<u64, Request>,
-    /// The sequence numbers of these requests.
+    /// The sequence numbers of these requests, by request identifier.
     sequences: BTreeMap<RequestId, u64>,
     in_flight: InFlightAttempts,
     next_sequence: u64,
-    /// For each class, the running median of the time left that first attempts arrive with (microseconds).
+    /// For each class, the running median of the time left with which first attempts arrive (microseconds).
     typical_time_left: Vec<Time>,
     is_timer_set: bool,
     /// When the endpoint list was last subscribed to.
     list_watched_at: Time,
     budgets: Budgets,
-    /// Silence from which on a member is suspected where there are health checks: half the longest latency
+    /// Silence from which a member is suspected if health checks are enabled: half of the longest latency
     /// target (microseconds).
     silence_threshold: Time,
     /// Shortest latency target of all classes (microseconds).
     pub(crate) shortest_latency_target: Time,
     /// When a note was last logged.
     logged_at: Time,
-    /// Notes that were not logged since then (count).
+    /// Number of notes suppressed since then.
     suppressed_notes: u32,
-    /// Load of the members as a whole.
+    /// Aggregate load of all members.
     pub(crate) load: LoadState,
-    /// Members that are in service and not down, as of the last health check.
+    /// Members that are in service and not down, as of the last check of their health.
     available: AvailableMembers,
     /// When health was last checked.
     pub(crate) health_checked_at: Time,
     pub(crate) indexes: Indexes,
     scan_counts: ScanCounts,
-    /// Actions of the current step.
+    /// Actions produced by the current step.
     actions: Vec<Action>,
 }
 
 impl Router {
-    /// A router without any knowledge. The seed is its only source of random numbers.
+    /// Creates a router without any state. The seed determines all its random numbers.
     ///
     /// # Errors
     ///
-    /// Fails if the settings are not valid; see [`Settings::check`].
+    /// Fails if the settings are invalid; see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         let mut router = Router {
             rng: SeededRng::seed_from_u64(seed),
@@ -119,11 +119,11 @@
         Ok(router)
     }
 
-    /// Replaces the settings. Classes of open requests and of attempts in flight must keep their indices.
+    /// Replaces the settings. Classes of open requests and of attempts in flight must keep their indexes.
     ///
     /// # Errors
     ///
-    /// Fails if the settings are not valid; the earlier ones then stay in force.
+    /// Fails if the settings are invalid; the previous settings then remain in effect.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let latency_targets = || settings.classes.iter().map(|class| class.latency_target);
@@ -133,27 +133,27 @@
         self.base_quota = concurrency::even_quota(settings.routers);
         self.host_clock.set_enabled(settings.clock_may_be_wrong);
         self.settings = settings;
-        self.indexes.outdate_available();
+        self.indexes.mark_available_changed();
         Ok(())
     }
 
-    /// The estimate of the hosts' clock. Times of different machines are compared through it alone.
+    /// The estimate of the hosts' clock. Times of different machines must be compared only through it.
     pub fn host_clock(&self) -> &HostClock {
         &self.host_clock
     }
 
-    /// The estimate of the hosts' clock, for the embedding program to record what hosts' answers show of it
-    /// at the time of their arrival.
+    /// Mutable access to the estimate of the hosts' clock, so that the embedding program can record the times
+    /// in hosts' answers when they arrive.
     pub fn host_clock_mut(&mut self) -> &mut HostClock {
         &mut self.host_clock
     }
 
-    /// What the health checks have scanned so far.
+    /// Number of entries scanned by the health checks so far.
     pub fn scan_counts(&self) -> ScanCounts {
         self.scan_counts
     }
 
-    /// Processes one batch of events, all at the time `now`, and appends the actions to carry out.
+    /// Processes a batch of events at the time `now` and appends the actions to execute.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Requests another step while requests are open.
+    /// Sets a timer for another step while requests are open.
     fn set_timer(&mut self) {
         if !self.is_timer_set && !self.requests.is_empty() {
             self.is_timer_set = true;
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Renews the subscription to the endpoint list, where changes are sent on request only.
+    /// Renews the subscription to the endpoint list if changes are sent only on request.
     fn watch_list(&mut self) {
         if self.settings.list_on_request
             && self.now - self.list_watched_at > self.settings.list_poll_interval / 2
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Logs a note, unless another was logged less than `LOG_INTERVAL` ago.
+    /// Logs a note, unless another one was logged within the last `LOG_INTERVAL`.
     fn log_note(&mut self, note: Note) {
         if self.now - self.logged_at <= LOG_INTERVAL {
             self.suppressed_notes += 1;
--- a/crates/policy/src/router/outcomes.rs
+++ b/crates/policy/src/router/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes: what the end of an attempt shows of its member, and what becomes of its request.
+//! Outcomes: updates the state of the member when an attempt ends, and closes or requeues the request.
 
 use super::concurrency::{adapt_concurrency_limit, pace_sends, reduce_concurrency_limit};
 use super::evidence::{push_sample, Evidence};
@@ -8,20 +8,21 @@
 use crate::mutant::{mutant, Mutant::UnsafeRetried};
 use crate::state::{AttemptId, InFlightAttempt, Sample};
 
-/// Most doublings of the granularity that an ejection lasts (count).
+/// Maximum duration of an ejection, in doublings of the granularity (count).
 const MAX_BACKOFF_DOUBLINGS: u32 = 7;
-/// Divisor of the shortest latency target: a connection that takes longer to fail has hung. A connection
-/// refused at once points to the process, one that hangs to its machine.
+/// Time after which a failing connection is treated as hung, as a divisor of the shortest latency target. A
+/// connection that is refused immediately indicates a fault of the process, one that hangs a fault of its
+/// machine.
 const HUNG_CONNECTION_DIVISOR: Time = 16;
 
-/// What the time of an attempt shows of its member.
+/// Timing of an attempt, as a measurement of its member.
 struct Measurement {
     sent: Time,
-    /// Latency target of the request's class (microseconds).
+    /// Latency target of the class of the request (microseconds).
     latency_target: f64,
     /// Time from send to end, in latency targets.
     sojourn: f64,
-    /// The sojourn, divided by the attempts in flight at the send, this one included.
+    /// The sojourn divided by the number of attempts in flight at the time of the send, including this one.
     sample: Sample<f64>,
     /// This router's quota of the member's concurrency limit (fraction).
     quota: f64,
@@ -46,13 +47,13 @@
         }
         if let Some(attempt) = attempt.filter(|_| self.members.contains_key(&outcome.member)) {
             let measurement = self.measure(outcome, &attempt);
-            self.record_sign_of_life(outcome);
+            self.record_attempt_end(outcome);
             self.update_shed_share(outcome.ending, measurement.sample);
             self.record_sojourn(outcome, &measurement);
             self.record_suspicion(outcome, &measurement);
             self.back_off(outcome, &measurement);
         }
-        self.settle_request(outcome);
+        self.close_or_requeue(outcome);
     }
 
     fn record_answer(&mut self, outcome: &AttemptOutcome, is_write: bool) {
@@ -87,7 +88,8 @@
         }
     }
 
-    fn record_sign_of_life(&mut self, outcome: &AttemptOutcome) {
+    /// Records that the attempt is no longer in flight and, if the member answered, that it is responsive.
+    fn record_attempt_end(&mut self, outcome: &AttemptOutcome) {
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
         member.in_flight = member.in_flight.saturating_sub(1);
         if !outcome.is_answer() {
@@ -101,16 +103,16 @@
         }
     }
 
-    /// Whether the attempt timed out at a member that was silent all that time. Where there are health
-    /// checks, they find that out instead.
+    /// Whether the attempt timed out at a member that was silent since the send. Always false if health
+    /// checks are enabled, since they detect this instead.
     fn was_silent(&self, outcome: &AttemptOutcome, measurement: &Measurement) -> bool {
         let silent = self.members.get(&outcome.member).is_some_and(|m| m.last_heard_at <= measurement.sent);
         outcome.ending == Ending::TimedOut && silent && !self.settings.may_probe
     }
 
-    /// Records the sojourn and adapts the member's concurrency limit. An attempt that was given up counts
-    /// with the time it took so far: without it only quick answers would count, and an overloaded member
-    /// would look healthy.
+    /// Records the sojourn and adapts the member's concurrency limit. An attempt that timed out or was
+    /// cancelled is recorded with the time it took until then: otherwise only fast answers would be recorded
+    /// and an overloaded member would look healthy.
     fn record_sojourn(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let was_silent = self.was_silent(outcome, measurement);
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Suspects a member that was silent, or to which two connections in a row failed: one may be chance.
+    /// Suspects a member that was silent, or for which a connection failed right after another failure: a
+    /// single connection failure may be accidental.
     fn record_suspicion(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let was_silent = self.was_silent(outcome, measurement);
         let hung = outcome.took > self.shortest_latency_target / HUNG_CONNECTION_DIVISOR;
@@ -146,13 +149,13 @@
                 self.indexes.record_loss(member, self.now);
             }
         }
-        self.indexes.update_doubt(outcome.member, member);
+        self.indexes.update_unhealthy(outcome.member, member);
     }
 
-    /// Paces sends and ejects. A member that rejects fast (its queue is full, it drains, its connections
-    /// break) looks idle and quick and would attract ever more requests, so each failure in a row doubles its
-    /// ejection. That covers any fault that answers health checks and fails requests; a member that failed by
-    /// chance loses one short ejection.
+    /// Paces sends to the member and ejects it after a failure. A member that fails fast (full queue,
+    /// draining, broken connections) looks idle and fast and would attract more and more requests, so each
+    /// consecutive failure doubles its ejection. This handles all faults in which a member answers health
+    /// checks but fails requests; the cost to a member that failed by chance is one short ejection.
     fn back_off(&mut self, outcome: &AttemptOutcome, measurement: &Measurement) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Closes the request, queues it for another attempt, or fails it.
-    fn settle_request(&mut self, outcome: &AttemptOutcome) {
+    /// Closes the request, queues it for another attempt, or gives its final answer.
+    fn close_or_requeue(&mut self, outcome: &AttemptOutcome) {
         let Some(sequence) = self.sequences.get(&outcome.request).copied() else { return };
         let Some(request) = self.requests.get_mut(&sequence) else { return };
         let never_ran = outcome.ending.never_ran();
--- a/crates/policy/src/router/primary.rs
+++ b/crates/policy/src/router/primary.rs
@@ -1,28 +1,31 @@
-//! The primary: which member it is taken to be, what only it may serve, and how it is found again.
+//! Primary: determines the primary of a group, selects it for requests that only it may serve, and discovers
+//! a new one.
 
 use super::Router;
 use crate::interface::{GroupId, MemberId, MemberStatus, Need, StaleReadPolicy, Time};
 use crate::mutant::{mutant, Mutant::DrainIgnored};
 use crate::state::{Member, Request};
 
-/// Share of the primary's capacity that reads may fill (fraction); the rest is for what only it can do.
+/// Share of the primary's capacity that reads may use (fraction); the rest is reserved for requests that only
+/// it can serve.
 pub(super) const PRIMARY_READ_SHARE: f64 = 0.6;
-/// Divisor of the latency target: the pause between two attempts to find the primary of a group.
+/// Interval between two attempts to discover the primary of a group, as a divisor of the latency target.
 const DISCOVERY_PAUSE_DIVISOR: Time = 16;
-/// Attempts of a request that are kept for the primary itself (count).
+/// Number of attempts of a request that are reserved for the primary itself.
 const ATTEMPTS_FOR_PRIMARY: usize = 2;
 
-/// How the primary ranks for one read.
+/// Rank of the primary among the candidates for a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PrimaryRank {
-    /// As the replicas do, by its sojourn.
+    /// Ranked by its sojourn, like the replicas.
     AmongReplicas,
-    /// Later than its sojourn says: it has enough work of its own.
+    /// Ranked lower than its sojourn suggests, because writes already keep it busy.
     BehindReplicas,
 }
 
 impl Router {
-    /// The member with the newest evidence of being primary that it has not denied since.
+    /// The member with the latest evidence of being primary that is not superseded by evidence of being a
+    /// replica.
     pub(crate) fn primary(&self, group: GroupId) -> Option<MemberId> {
         let is_primary = |id: &&MemberId| self.members.get(id).is_some_and(Member::is_primary);
         let candidates = self.group_members(group).iter().filter(is_primary).copied();
@@ -39,13 +42,13 @@
         self.primary(group).is_some_and(|id| self.is_selectable(id))
     }
 
-    /// Whether the endpoint list leaves the member in service. With `soft_removal` the list is not trusted
-    /// about removals: the member's own answers, its silence and its health checks decide, as for any other.
-    /// That covers lists that are empty, old or incomplete, at the price of an attempt or two at each member
-    /// that is truly removed.
+    /// Whether the member is in service according to the endpoint list. With `soft_removal`, removals in the
+    /// list are not trusted: the member's answers, silence and health checks decide, as for any other member.
+    /// This handles lists that are empty, outdated or incomplete, at the cost of one or two attempts at each
+    /// member that has actually been removed.
     pub(super) fn is_in_service(&self, member: &Member) -> bool {
         let is_listed = member.status == MemberStatus::Up || self.settings.soft_removal;
-        is_listed && !member.drained || mutant(DrainIgnored)
+        is_listed && !member.listed_draining || mutant(DrainIgnored)
     }
 
     /// Whether the member is in service, healthy and not ejected.
@@ -55,8 +58,8 @@
         self.is_in_service(member) && is_healthy && self.now >= member.ejected_until
     }
 
-    /// The member for a request that only the primary can serve: the primary, or another member to find it
-    /// by.
+    /// Selects the member for a request that only the primary can serve: the primary, or another member in
+    /// order to discover the new primary.
     pub(super) fn select_primary(&mut self, sequence: u64) -> Option<MemberId> {
         let request = self.requests.get(&sequence)?;
         let is_write = self.settings.classes[request.class].need == Need::Write;
@@ -72,7 +75,7 @@
                 return Some(primary);
             }
         }
-        // A replica that serves stale reads would answer a strong read with old data.
+        // A replica that serves stale reads would answer a strong read with stale data.
         if !is_write && self.settings.stale_read_policy == StaleReadPolicy::Serve {
             return None;
         }
@@ -82,8 +85,8 @@
         Some(candidate)
     }
 
-    /// A member that may have become primary: the one whose last evidence of being a replica is the oldest.
-    /// One request at a time tries one while the others wait.
+    /// A member that may have become primary: the one whose evidence of being a replica is the oldest. Only
+    /// one request at a time is used for discovery while the others wait.
     fn discovery_candidate(&self, request: &Request) -> Option<MemberId> {
         let class = &self.settings.classes[request.class];
         let max_attempts = class.attempts.max(ATTEMPTS_FOR_PRIMARY as u32) as usize;
@@ -102,8 +105,8 @@
         candidates.min_by_key(|id| self.members[id].replica_evidence_at)
     }
 
-    /// Draws how the primary ranks for a read. It ranks among the replicas for so many reads as bring it to
-    /// an even share of all work: more would overload it, fewer would overload the replicas.
+    /// Draws the rank of the primary for a read. It is ranked among the replicas with the probability that
+    /// gives it an equal share of all work: more reads would overload it, fewer would overload the replicas.
     pub(super) fn draw_primary_rank(&mut self, usable_members: usize) -> PrimaryRank {
         let time = self.load.service_time;
         let write_share = time.writes / (time.reads + time.writes).max(1.0);
