--- a/crates/policy/src/mutant.rs
+++ b/crates/policy/src/mutant.rs
@@ -1,20 +1,20 @@
 //! Mutants as in mutation testing: plausible bugs that the models must detect. Without the feature `mutants`,
-//! which no release build enables, every switch is a constant false and leaves no code behind.
+//! which release builds never enable, every switch is a constant `false` and is compiled out.
 
-/// An injected bug, by what it makes the code do.
+/// An injected bug, named after its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
-    /// Requests are sent to a member that the endpoint list calls draining.
+    /// Requests are sent to a member that is listed as draining.
     DrainIgnored,
-    /// A write is retried after its key's window.
+    /// A write is retried after the window of its idempotency key has expired.
     RetriedAfterKeyWindow,
     /// A write that may have run is retried though its class allows no retry.
     UnsafeRetried,
-    /// A connection that broke after the request was written counts as one that never carried it.
+    /// A connection that broke after the request was written is treated as if the request was never sent.
     ResetCountsAsUnsent,
     /// A second attempt is sent while the first is in flight.
     UnwantedHedge,
-    /// A request is sent after its client has given up.
+    /// A request is sent after its deadline.
     SentAfterDeadline,
     /// A request that may have run is rejected as safe to retry.
     RejectedAsRetryable,
@@ -24,21 +24,21 @@
     ReportedBeforeClose,
     /// The end of a cancelled attempt is not reported.
     CancellationUnreported,
-    /// The limit for an answer that has begun ends one that has not.
+    /// The stall timeout for a partially received answer is applied before the answer has begun.
     StallLimitBeforeAnswer,
-    /// A retry is written whenever its connection comes up.
+    /// A retry is written as soon as its connection is established, however late that is.
     RetryWrittenLate,
     /// A connection with unread bytes returns to the pool.
     UnreadConnectionPooled,
     /// A connection on which the host sent unexpected bytes is reused.
     UnexpectedBytesReused,
-    /// A duplicate of the last answer is taken for this one.
+    /// A duplicate of the previous answer is accepted as the answer to the current request.
     DuplicateAnswerAccepted,
-    /// A connection is used that the host may have closed for its age.
+    /// A connection is reused although the host may already have closed it because of its age.
     ExpiredConnectionReused,
-    /// A merge of watermarks takes the newer one instead of the higher.
+    /// Merging watermarks takes the newer one instead of the higher one.
     MergeTakesNewer,
-    /// A restart forgets that watermarks were lost.
+    /// After a restart, the loss of watermarks is forgotten.
     WatermarkLossForgotten,
     /// A gap in the watermark broadcasts is ignored.
     BroadcastGapIgnored,
@@ -48,53 +48,53 @@
     ClosedBeforeAnswer,
     /// A client is closed while bytes from it are unread.
     ClosedUnread,
-    /// The gateway ends while requests are in flight.
+    /// The gateway process exits while requests are in flight.
     ExitsWithRequestsInFlight,
     /// A drained gateway does not return to service.
     StaysDrained,
-    /// A class takes the index of one that an open request uses.
+    /// A class gets the index of a class that an open request still uses.
     ClassIndexReused,
     /// A connection on which rows are still arriving returns to the pool.
     StreamingConnectionPooled,
-    /// An acceptor answers right after a restart, without its silent period.
+    /// An acceptor answers immediately after a restart, without observing its silent period.
     SilentPeriodSkipped,
-    /// An acceptor accepts a lease offer below the one that it promised.
+    /// An acceptor accepts a lease proposal with a lower ballot than the one it has promised.
     PromiseForgotten,
     /// An acceptor does not report a lease that it has granted.
     GrantHidden,
-    /// A lease holder acts at the very end of its lease.
+    /// A lease holder treats the expiry instant as part of its lease.
     LeaseEndIncluded,
     /// A candidate uses the term of the previous lease holder.
     TermNotRaised,
-    /// One acceptor too few counts as a majority.
+    /// A majority is assumed with one acceptor too few.
     MinorityEnough,
-    /// A lease is counted from the answer instead of the offer.
+    /// A lease duration is counted from the answer instead of the proposal.
     LeaseFromAnswer,
-    /// A late answer to an earlier offer renews the lease.
+    /// A late answer to an earlier proposal renews the lease.
     OldRoundRenews,
-    /// The fence rejects newer terms and lets older ones pass.
+    /// The fence rejects newer terms and accepts older ones.
     FenceReversed,
-    /// An acceptor keeps a grant for less than the lease.
+    /// An acceptor's grant expires before the lease does.
     GrantExpiresEarly,
-    /// An offer stays open however late its answers come.
+    /// Answers to a proposal are accepted regardless of how late they arrive.
     LateAnswerAccepted,
     /// A restarted gateway lends quota that it may have lent before.
     LoanForgotten,
     /// Quota lent to one lease holder is lent to the next as well.
     LentTwice,
-    /// A lease holder counts a loan of quota from its arrival.
+    /// A lease holder counts the duration of a quota loan from its arrival.
     LoanCountedFromArrival,
     /// A grant of quota is used from its arrival.
     GrantUsedFromArrival,
-    /// A lease holder counts a grant as returned too early.
+    /// A lease holder treats a quota grant as returned too early.
     GrantReturnedEarly,
     /// An acceptor keeps a shard that another should own.
     ShardKept,
-    /// Each acceptor takes itself for the preferred lease holder.
+    /// Each acceptor considers itself the preferred lease holder.
     PrefersItself,
-    /// An absent acceptor is taken for present.
+    /// An absent acceptor is treated as present.
     AbsenceIgnored,
-    /// Leadership is yielded to an acceptor that has just appeared.
+    /// Leadership is yielded to an acceptor as soon as it appears.
     YieldedAtOnce,
     /// A gap in an acceptor's presence is ignored.
     PresenceGapIgnored,
@@ -153,7 +153,7 @@
     ];
 }
 
-/// The active mutant by its number, counted from 1; 0 for none.
+/// Number of the active mutant, counted from 1; 0 if none is active.
 #[cfg(feature = "mutants")]
 static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
@@ -163,14 +163,14 @@
     ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == mutant as u8 + 1
 }
 
-/// Whether this mutant is active: never, without the feature `mutants`.
+/// Whether this mutant is active: always `false` without the feature `mutants`.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
 pub const fn mutant(_: Mutant) -> bool {
     false
 }
 
-/// Activates a mutant for the whole process, or none.
+/// Activates a mutant for the whole process; `None` deactivates it.
 #[cfg(feature = "mutants")]
 pub fn inject_mutant(mutant: Option<Mutant>) {
     ACTIVE.store(mutant.map_or(0, |mutant| mutant as u8 + 1), std::sync::atomic::Ordering::Relaxed);
