--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -1,15 +1,15 @@
-//! The attempts in flight, indexed by member, so that a query about one member costs as much as it has in
-//! flight.
+//! Attempts in flight, with an index by member, so that the cost of a query about one member is proportional
+//! to its own attempts in flight.
 
 use crate::interface::MemberId;
 use crate::state::{AttemptId, InFlightAttempt};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Attempts whose outcome has not arrived yet, including those whose request is closed.
+/// Attempts whose outcome has not arrived yet, including those of closed requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlightAttempts {
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
-    /// The same attempts by their member. No set is empty.
+    /// Index of the same attempts by member. Contains no empty sets.
     by_member: BTreeMap<MemberId, BTreeSet<AttemptId>>,
 }
 
@@ -31,7 +31,7 @@
         Some(attempt)
     }
 
-    /// All attempts, in the order of their requests' names.
+    /// All attempts, ordered by request identifier.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &InFlightAttempt> {
         self.attempts.values()
     }
