--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -1,9 +1,9 @@
-//! What a router has learned of the members, as plain data that one process of a gateway can hand over to the
-//! next. No decisions are made here.
+//! The state that a router has learned about members, as plain data that one process of a gateway can hand
+//! over to the next. No decision logic.
 //!
-//! Everything is stored with its time, by the clock of the router that learned it (see
-//! [`LearnedState::shift_clock`]): samples expire by themselves, and reports of members outweigh all of it.
-//! Attempts in flight and waiting requests belong to the other process and are left out.
+//! All state carries timestamps of the clock of the router that learned it (see
+//! [`LearnedState::shift_clock`]): samples expire on their own, and new reports from members take precedence.
+//! Attempts in flight and queued requests remain with the old process and are not included.
 
 use crate::interface::{GroupId, KnownPrimary, MemberId, QuotaAdjustment, Time};
 use crate::router::Router;
@@ -11,13 +11,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a router has learned. Stored in handover records without field names: order and types must stay.
+/// Learned state of a router. Serialized into handover records without field names: field order and types
+/// must not change.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LearnedState {
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<u64, Group>,
     sojourns: Samples<f64>,
-    /// Served requests of the shortest latency target a second, at all members.
+    /// Work served per second by all members, in requests of the class with the shortest latency target.
     served_rate: f64,
     served_rate_at: Time,
     service_time: ServiceTime,
@@ -25,14 +26,14 @@
 }
 
 impl LearnedState {
-    /// Whether nothing was learned.
+    /// Whether nothing has been learned.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Converts the times of the learning router's clock to a clock that is ahead of it by `offset` (microseconds).
-    /// "Never" stays as it is, and so do times of the hosts' clock (starts, positions, commits). Lags were measured
-    /// against the other clock and are dropped.
+    /// Converts times from the learning router's clock to a clock that is ahead of it by `offset`
+    /// (microseconds). The sentinel for "never" is unchanged, as are times of the hosts' clock (starts,
+    /// positions, commits). Lags were measured against the old clock and are dropped.
     pub fn shift_clock(&mut self, offset: Time) {
         self.members.values_mut().for_each(|member| shift_member(member, offset));
         for group in self.groups.values_mut() {
@@ -44,12 +45,12 @@
     }
 }
 
-/// Up to this, times are not points of the clock: 0 stands for "never" and 1 for "by the endpoint list alone".
-const LAST_SPECIAL_TIME: Time = 1;
+/// Times up to this value are sentinels: 0 means "never" and 1 means "known only from the endpoint list".
+const MAX_SENTINEL_TIME: Time = 1;
 
 fn shift(time: &mut Time, offset: Time) {
-    if *time > LAST_SPECIAL_TIME {
-        *time = time.saturating_add(offset).max(LAST_SPECIAL_TIME + 1);
+    if *time > MAX_SENTINEL_TIME {
+        *time = time.saturating_add(offset).max(MAX_SENTINEL_TIME + 1);
     }
 }
 
@@ -76,12 +77,12 @@
 }
 
 impl Router {
-    /// What this router has learned so far.
+    /// Returns what this router has learned so far.
     pub fn learned_state(&self) -> LearnedState {
         let mut members = self.members.clone();
         for (id, member) in &mut members {
             member.last_listed_at = self.last_listed(*id, member);
-            // Not stored in records; reset here for routers of the same process.
+            // These two are not serialized; they are reset for routers in the same process.
             member.listed_at = 0;
             member.sampling_salt = 0;
             member.in_flight = 0;
@@ -112,7 +113,7 @@
         self.members.get(&member).map(|member| member.group)
     }
 
-    /// The members taken for the primaries of their groups, except where only the endpoint list says so.
+    /// The known primaries of all groups, except those known only from the endpoint list.
     pub fn primaries(&self) -> Vec<KnownPrimary> {
         self.groups.keys().filter_map(|group| self.known_primary(*group)).collect()
     }
@@ -120,14 +121,14 @@
     fn known_primary(&self, group: GroupId) -> Option<KnownPrimary> {
         let member = self.primary(group)?;
         let evidence_at = self.members.get(&member)?.primary_evidence_at;
-        (evidence_at > LAST_SPECIAL_TIME).then_some(KnownPrimary { group, member, evidence_at })
+        (evidence_at > MAX_SENTINEL_TIME).then_some(KnownPrimary { group, member, evidence_at })
     }
 
-    /// Begins with what another router has learned. Must be called before the first step; the endpoint list that
-    /// follows says which of these members still exist.
+    /// Adopts the state that another router has learned. Must be called before the first step; the next
+    /// endpoint list determines which of these members still exist.
     pub fn adopt_learned_state(&mut self, learned_state: LearnedState) {
         self.members = learned_state.members;
-        // Gateways that adopt the same state must not sample the same reads.
+        // Fresh salts, so that gateways that adopt the same state do not sample the same reads.
         let mut salts = self.rng.clone();
         self.members.values_mut().for_each(|member| member.sampling_salt = salts.next_u64());
         self.groups = learned_state.groups;
