--- a/crates/policy/src/router/admission.rs
+++ b/crates/policy/src/router/admission.rs
@@ -1,19 +1,19 @@
-//! Admission: a new request is rejected at once, or it joins the queue of its group.
+//! Admission: a new request is either rejected immediately or added to the queue of its group.
 
 use super::queue::USEFUL_START_SHARE;
 use super::Router;
 use crate::interface::{Action, Class, RequestArrival, RequestId, Time};
 use crate::state::{share_of, Request};
 
-/// Share of the value of all requests that may be spent on health checks (fraction).
+/// Budget for health checks, as a share of the value of all requests (fraction).
 pub(super) const PROBE_BUDGET_SHARE: f64 = 0.002;
-/// Share of requests that may be sent to suspected members as trials (fraction).
+/// Maximum share of requests that may be sent to suspected members as trials (fraction).
 const TRIAL_BUDGET_SHARE: f64 = 0.06;
-/// Burst of the budget of trials (count).
-const MAX_SAVED_TRIALS: f64 = 2.0;
-/// Divisor of the typical time left: the step by which one first attempt moves the estimate.
+/// Maximum number of trials that may accumulate in the trial budget.
+const TRIAL_BURST: f64 = 2.0;
+/// Step by which one first attempt moves the typical time left, as a divisor of it.
 const TYPICAL_TIME_STEP_DIVISOR: Time = 64;
-/// Divisor of the typical time left: how far below it a client's first attempt may lie.
+/// Tolerance by which a client's first attempt may be below the typical time left, as a divisor of it.
 const TYPICAL_TIME_TOLERANCE_DIVISOR: Time = 16;
 
 impl Router {
@@ -29,7 +29,7 @@
             return self.reject(arrival, self.settings.max_retry_after);
         }
         self.budgets.probes += PROBE_BUDGET_SHARE;
-        self.budgets.trials = (self.budgets.trials + TRIAL_BUDGET_SHARE).min(MAX_SAVED_TRIALS);
+        self.budgets.trials = (self.budgets.trials + TRIAL_BUDGET_SHARE).min(TRIAL_BURST);
         self.insert_request(arrival);
     }
 
@@ -37,7 +37,7 @@
         self.actions.push(Action::Reject { request: arrival.request.clone(), wait });
     }
 
-    /// Moves the running median of the time left that first attempts of a class arrive with.
+    /// Updates the running median of the time left with which first attempts of a class arrive.
     fn adapt_typical_time_left(&mut self, arrival: &RequestArrival) {
         if arrival.is_retry {
             return;
@@ -51,10 +51,10 @@
         }
     }
 
-    /// How long ago the client's first attempt was (microseconds). Most requests are first attempts with the
-    /// same time left, so one with well less than the median is taken for a retry. A request that is marked
-    /// as a retry was most likely rejected by a router after it had waited there for as long as a start was
-    /// useful.
+    /// Estimated time since the client's first attempt (microseconds). Most requests are first attempts with
+    /// the same time left, so a request with clearly less than the median is treated as a retry. A request
+    /// that is marked as a retry was most likely queued at another router until a start was no longer useful,
+    /// and then rejected.
     fn age_at_arrival(&self, arrival: &RequestArrival, class: &Class) -> Time {
         let typical = self.typical_time_left[arrival.class];
         let looks_like_retry = arrival.time_left < typical - typical / TYPICAL_TIME_TOLERANCE_DIVISOR;
@@ -87,7 +87,7 @@
         self.enqueue(arrival.group, sequence);
     }
 
-    /// Lowers the minimum position of a waiting request; a higher one is ignored.
+    /// Lowers the minimum position of a queued request. A higher position is ignored.
     pub(super) fn lower_minimum_position(&mut self, request: &RequestId, position: Time) {
         let Some(sequence) = self.sequences.get(request) else { return };
         let Some(request) = self.requests.get_mut(sequence) else { return };
