--- a/crates/policy/src/router/evidence.rs
+++ b/crates/policy/src/router/evidence.rs
@@ -1,27 +1,27 @@
-//! Evidence: roles, positions and commits, as members report them with answers and health checks.
+//! Evidence: roles, positions and commits reported by members in answers and health checks.
 
 use super::Router;
 use crate::interface::{MemberId, Role, Time};
 use crate::state::{Sample, Samples};
 
-/// Lag samples and sojourn samples kept for a member (count each).
+/// Number of lag samples, and of sojourn samples, kept for each member.
 pub(super) const SAMPLES_KEPT: usize = 12;
-/// Commits kept for a group (count).
+/// Number of commits kept for each group.
 const COMMITS_KEPT: usize = 4 * SAMPLES_KEPT;
-/// Age from which on a sample is ignored (microseconds).
+/// Age from which a sample is ignored (microseconds).
 const SAMPLE_AGE_LIMIT: Time = 3_000_000;
 
-/// What a member has reported of itself.
+/// The role and position that a member has reported.
 #[derive(Clone, Copy)]
 pub(super) struct Evidence {
     pub(super) position: Option<Time>,
     pub(super) role: Option<Role>,
-    /// When the role held, by the router's clock.
+    /// Time as of which the role is valid, by the router's clock.
     pub(super) role_at: Option<Time>,
 }
 
 impl Router {
-    /// Records what a member has reported of its role and position. Older evidence never replaces newer.
+    /// Records the reported role and position of a member. Older evidence never replaces newer evidence.
     pub(super) fn record_evidence(&mut self, id: MemberId, evidence: Evidence) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Records the time of a commit that a member has acknowledged.
+    /// Records the time of a commit that a member acknowledged.
     pub(super) fn record_commit(&mut self, id: MemberId, committed_at: Time) {
         let Some(member) = self.members.get(&id) else { return };
         let commits = &mut self.groups.entry(member.group).or_default().commits;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The samples younger than `SAMPLE_AGE_LIMIT`.
+    /// The samples that are younger than `SAMPLE_AGE_LIMIT`.
     pub(super) fn recent<'a, T>(
         &self,
         samples: &'a Samples<T>,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Appends a sample and drops the oldest one beyond `SAMPLES_KEPT`.
+/// Appends a sample and drops the oldest if there are more than `SAMPLES_KEPT`.
 pub(super) fn push_sample<T>(samples: &mut Samples<T>, sample: Sample<T>) {
     samples.push_back(sample);
     if samples.len() > SAMPLES_KEPT {
