--- a/crates/policy/src/router/freshness.rs
+++ b/crates/policy/src/router/freshness.rs
@@ -1,5 +1,5 @@
-//! Freshness: the commit that a read must see, and the forecast of the lag and the sojourn at a member (Ye
-//! and Hu, section 4, as the design page adapts it).
+//! Freshness: the commit that a read must see, and forecasts of a member's lag and sojourn (Ye and Hu,
+//! section 4, with the changes described in the design document).
 
 use super::concurrency::TARGET_SOJOURN;
 use super::evidence::SAMPLES_KEPT;
@@ -7,19 +7,20 @@
 use super::Router;
 use crate::interface::{MemberId, Need, Time};
 
-/// Largest number of commits that one forecast draws (count).
+/// Maximum number of commits drawn in one forecast.
 const MAX_FORECAST_COMMITS: usize = 8 * SAMPLES_KEPT;
-/// Lag samples from which on a trend is estimated (count).
+/// Minimum number of lag samples for estimating a trend.
 const MIN_TREND_SAMPLES: usize = 3;
-/// Steepest fall of a lag (microseconds a microsecond).
-const STEEPEST_FALL: f64 = -4.0;
-/// Steepest rise of a lag (microseconds a microsecond): that of a replica that has stopped applying commits.
-const STEEPEST_RISE: f64 = 1.0;
-/// Factor on the drawn sojourn of a primary that ranks behind the replicas.
-const PRIMARY_HANDICAP: f64 = 2.0;
+/// Minimum slope of a lag (microseconds per microsecond).
+const MIN_LAG_SLOPE: f64 = -4.0;
+/// Maximum slope of a lag (microseconds per microsecond): that of a replica that has stopped applying
+/// commits.
+const MAX_LAG_SLOPE: f64 = 1.0;
+/// Factor applied to the drawn sojourn of a primary that is ranked behind the replicas.
+const PRIMARY_PENALTY: f64 = 2.0;
 
 impl Router {
-    /// The newest commit that a read must see (hosts' clock); `None` where any data will do.
+    /// The latest commit that a read must see (hosts' clock); `None` if it has no freshness requirement.
     pub(super) fn forecast_commit(&mut self, sequence: u64) -> Option<Time> {
         let request = self.requests.get(&sequence)?;
         let minimum = request.minimum_position;
@@ -37,7 +38,7 @@
         minimum.max(Some(self.draw_last_commit(last, &gaps, horizon)))
     }
 
-    /// Draws the last commit before the horizon, continuing from `last` with gaps resampled from `gaps`.
+    /// Draws the last commit before the horizon by extrapolating from `last` with gaps resampled from `gaps`.
     fn draw_last_commit(&mut self, last: Time, gaps: &[Time], horizon: Time) -> Time {
         let mut commit = last;
         for _ in 0..MAX_FORECAST_COMMITS {
@@ -51,7 +52,7 @@
     }
 
     /// Draws a replication lag (microseconds): a recent sample, extrapolated by the trend of the member's
-    /// samples. A member without samples counts as having no lag, so that it is tried.
+    /// samples. A member without samples is assumed to have no lag, so that it gets tried.
     pub(super) fn draw_lag(&mut self, id: MemberId) -> Time {
         let random = self.rng.next_u64() as usize;
         let Some(member) = self.members.get(&id).filter(|member| !member.is_primary()) else { return 0 };
@@ -61,15 +62,16 @@
         let span = (last.taken_at - first.taken_at).max(1);
         let slope = (last.value - first.value) as f64 / span as f64;
         let has_trend = count >= MIN_TREND_SAMPLES;
-        let trend = if has_trend { slope.clamp(STEEPEST_FALL, STEEPEST_RISE) } else { 0.0 };
+        let trend = if has_trend { slope.clamp(MIN_LAG_SLOPE, MAX_LAG_SLOPE) } else { 0.0 };
         let drawn = recent.clone().nth(random % count).unwrap_or(last);
         let change = trend * (self.now - drawn.taken_at) as f64;
         (drawn.value + change as Time).max(0)
     }
 
-    /// Draws a sojourn (latency targets): a recent sample, scaled to what is in flight now. The fewer samples
-    /// a member has, the more often a sample of any member takes their place: a router with little traffic
-    /// seldom has an answer of each, and hundreds of routers must not all choose the same unknown member.
+    /// Draws a sojourn (latency targets): a recent sample, scaled by the attempts in flight now. The fewer
+    /// samples a member has, the more often a sample of any member is used instead: a router with little
+    /// traffic rarely has recent answers of every member, and hundreds of routers must not all choose the
+    /// same unknown member.
     pub(super) fn draw_sojourn(&mut self, id: MemberId, primary_rank: PrimaryRank) -> f64 {
         let random = self.rng.next_u64() as usize;
         let position = self.rng.uniform_sample();
@@ -80,8 +82,8 @@
         let of_any_member = || all.clone().nth((position * all.clone().count() as f64) as usize);
         let drawn = own.clone().nth(random % (own_count + 1)).or_else(of_any_member);
         let sojourn = drawn.map_or(TARGET_SOJOURN * position, |sample| sample.value);
-        let is_handicapped = member.is_primary() && primary_rank == PrimaryRank::BehindReplicas;
-        let handicap = if is_handicapped { PRIMARY_HANDICAP } else { 1.0 };
-        sojourn * (1.0 + f64::from(member.in_flight)) * handicap
+        let is_penalized = member.is_primary() && primary_rank == PrimaryRank::BehindReplicas;
+        let penalty = if is_penalized { PRIMARY_PENALTY } else { 1.0 };
+        sojourn * (1.0 + f64::from(member.in_flight)) * penalty
     }
 }
