--- a/crates/policy/src/router/load.rs
+++ b/crates/policy/src/router/load.rs
@@ -1,27 +1,29 @@
-//! Load of the members as this router sees it: what they serve, what clients offer, and how long reads and
-//! writes take. No decisions are made here.
+//! Load of the members as observed by this router: served work, offered work, and service times of reads and
+//! writes. No decision logic.
 
 use super::Router;
 use crate::interface::{GroupId, MemberId, Time};
 use crate::state::MICROSECONDS_PER_SECOND;
 
-/// Time constant of the decaying means of load (microseconds): some seconds, to outlast a lull.
+/// Time constant of the exponentially decaying load averages (microseconds): several seconds, so that a short
+/// lull does not empty them.
 const LOAD_DECAY_SPAN: f64 = 4e6;
-/// Least capacity share that served work is divided by (fraction): the settings name the least that a warming
-/// member has, and it may have twice as much.
+/// Minimum capacity share that served work is divided by (fraction): the settings give the lowest capacity
+/// share of a member in slow start, and its actual share may be twice as large.
 const MIN_COUNTED_SHARE: f64 = 0.5;
-/// Served answers over which the work of reads and writes is compared (count).
+/// Number of served answers over which the service times of reads and writes are averaged.
 const SERVICE_TIME_ANSWERS: f64 = 100.0;
 
 impl Router {
-    /// Work (microseconds of latency target) that a member of weight 1 serves a second for this router: a
-    /// decaying mean as of now.
+    /// Work (microseconds of latency target) that a member of weight 1 serves per second for this router: a
+    /// decaying average as of now.
     pub(super) fn current_served_load(&self) -> f64 {
         let age = (self.now - self.load.served_load_at) as f64;
         self.load.served_load * (-age / LOAD_DECAY_SPAN).exp()
     }
 
-    /// Work (microseconds of latency target) that clients offer a group a second: a decaying mean as of now.
+    /// Work (microseconds of latency target) that clients offer a group per second: a decaying average as of
+    /// now.
     pub(super) fn current_offered_load(&self, group: GroupId) -> f64 {
         let Some(state) = self.groups.get(&group) else { return 0.0 };
         let age = (self.now - state.offered_load_at) as f64;
@@ -38,9 +40,9 @@
         }
     }
 
-    /// Adds the work of a served answer to the served load, divided by the weight of the members available
-    /// now: divided at the end of the span, the mean would grow when members leave. The work of a warming
-    /// member counts as what it would have served when warm.
+    /// Adds the work of a served answer to the served load, divided by the total weight of the members
+    /// available now. If the sum were divided later instead, the average would grow when members leave. The
+    /// work of a member in slow start is scaled up to what it would have served at full capacity.
     pub(super) fn record_served_load(&mut self, id: MemberId, latency_target: Time) {
         let Some(member) = self.members.get(&id) else { return };
         let work = latency_target as f64 / self.capacity_share(member).max(MIN_COUNTED_SHARE);
@@ -50,7 +52,7 @@
         self.load.served_load_at = self.now;
     }
 
-    /// Adds the time of a served answer (microseconds) to that of reads or of writes.
+    /// Adds the service time of an answer (microseconds) to the total of reads or of writes.
     pub(super) fn record_service_time(&mut self, is_write: bool, took: Time) {
         let decay = 1.0 - 1.0 / SERVICE_TIME_ANSWERS;
         self.load.service_time.reads *= decay;
