--- a/crates/policy/src/router/queue.rs
+++ b/crates/policy/src/router/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a group: the order of dispatch, expiry, and eviction of what has the lowest priority.
+//! Queue of a group: dispatch order, expiry, and eviction of the requests with the lowest priority.
 
 use super::concurrency::TARGET_SOJOURN;
 use super::overload::value_for_work;
@@ -7,32 +7,34 @@
 use crate::state::{share_of, Request};
 use std::collections::BTreeSet;
 
-/// Share of the latency target after which the start of a request is no longer useful: the rest is needed for
-/// the work itself.
+/// Share of the latency target after which starting a request is no longer useful, because the remainder is
+/// needed to serve it.
 pub(super) const USEFUL_START_SHARE: f64 = 1.0 - TARGET_SOJOURN;
-/// Share of `max_open_requests` that requests may occupy (fraction): the rest is for those yet to come.
+/// Share of `max_open_requests` that requests may occupy (fraction); the rest is reserved for new requests.
 const OPEN_REQUESTS_SHARE: f64 = 0.85;
-/// Factor on the value of requests that only the primary can serve: other members may yet take the reads.
+/// Factor applied to the value of requests that only the primary can serve: other reads may still be served
+/// by other members.
 const PRIMARY_ONLY_FACTOR: f64 = 2.0;
-/// Chance of completion of a write while its group has no primary that it could be sent to (fraction).
+/// Assumed probability that a write completes while its group has no selectable primary (fraction).
 const COMPLETION_CHANCE_WITHOUT_PRIMARY: f64 = 0.1;
-/// Divisor of the latency target: how long a member that has ended an attempt gets no other of the request.
+/// Time for which a member that has ended an attempt gets no further attempt of the same request, as a
+/// divisor of the latency target.
 const RETRY_PAUSE_DIVISOR: Time = 8;
 
-/// A request with its value for each unit of its work.
+/// A request with the value by which it is ranked.
 struct RankedRequest {
     value: f64,
     sequence: u64,
 }
 
 impl Router {
-    /// Whether a start of the request now would be too late for its latency target.
+    /// Whether it is too late to start the request and still meet its latency target.
     pub(super) fn is_start_late(&self, request: &Request) -> bool {
         let useful = share_of(self.settings.classes[request.class].latency_target, USEFUL_START_SHARE);
         self.now - request.first_arrived_at >= useful
     }
 
-    /// Value of the request for each unit of its work, as of now.
+    /// Current value of the request per unit of work.
     fn value_density(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let only_primary = matches!(class.need, Need::Write | Need::Strong);
@@ -41,22 +43,22 @@
         factor * value_for_work(class) * late_factor
     }
 
-    /// Sends what waits in a group, the highest value first and the latest first among equals. Once a new
-    /// request finds no member, no other new request of its class is considered in this step.
+    /// Sends queued requests of a group, in descending order of value and latest first among equals. Once a
+    /// new request finds no member, other new requests of its class are skipped in this step.
     pub(super) fn dispatch_queue(&mut self, group: GroupId) {
         self.refill_slow_start_buckets(group);
-        let mut stuck_classes: BTreeSet<usize> = BTreeSet::new();
+        let mut blocked_classes: BTreeSet<usize> = BTreeSet::new();
         for sequence in self.dispatch_order(group) {
             let Some(request) = self.requests.get(&sequence) else { continue };
             let class = request.class;
             let is_interchangeable = request.attempts.is_empty() && request.minimum_position.is_none();
-            if is_interchangeable && stuck_classes.contains(&class) {
+            if is_interchangeable && blocked_classes.contains(&class) {
                 continue;
             }
             if let Some(member) = self.select_member(sequence, class) {
                 self.send(sequence, member);
             } else if is_interchangeable {
-                stuck_classes.insert(class);
+                blocked_classes.insert(class);
             }
         }
     }
@@ -80,14 +82,13 @@
         }
     }
 
-    /// Whether the member has ended another attempt of this request a moment ago.
+    /// Whether an attempt of this request at this member has ended recently.
     pub(super) fn was_just_tried(&self, request: &Request, id: MemberId) -> bool {
         let pause = self.settings.classes[request.class].latency_target / RETRY_PAUSE_DIVISOR;
         request.attempts.iter().any(|attempt| attempt.member == id && self.now - attempt.ended_at < pause)
     }
 
-    /// Finishes the requests whose answer would be too late, and those that no further attempt is possible
-    /// for.
+    /// Finishes requests whose answer would be too late and those for which no further attempt is possible.
     pub(super) fn expire_requests(&mut self) {
         let is_expired = |request: &Request| self.is_expired(request, &self.settings.classes[request.class]);
         let expired = self.requests.iter().filter(|(_, request)| is_expired(request));
@@ -98,14 +99,15 @@
     }
 
     fn is_expired(&self, request: &Request, class: &Class) -> bool {
-        // Unsent by half of its time, a request has little chance here, and its client still has time to
-        // retry.
+        // A request that is still unsent after half of its time has little chance of completing here, and its
+        // client still has time to retry.
         let unsent = request.attempts.iter().all(|attempt| !attempt.in_flight && !attempt.reached);
         let deadline = if unsent { request.unsent_deadline.min(request.deadline) } else { request.deadline };
         if self.now + 2 * self.settings.granularity >= deadline {
             return true;
         }
-        // An attempt in flight is not given up for being late: its work would go on, and its client retry.
+        // A request in flight is not finished for being late: the member would continue to work on it, and
+        // the client would retry.
         if request.has_attempt_in_flight() {
             return false;
         }
@@ -114,12 +116,12 @@
         is_worthless || request.is_exhausted(class, self.now + self.settings.granularity)
     }
 
-    /// Evicts requests while there are too many: first waiting ones with the least to gain, and late reads in
-    /// flight. Clients hold a bounded number of connections, and with all of them in use no new request could
+    /// Evicts the lowest-value requests if there are too many open ones: queued requests, and late reads in
+    /// flight. Clients have a bounded number of connections; if all of them were in use, no new request could
     /// arrive.
     pub(super) fn evict_lowest_priority(&mut self) {
-        let most = (f64::from(self.settings.max_open_requests) * OPEN_REQUESTS_SHARE) as usize;
-        let excess = self.requests.len().saturating_sub(most);
+        let max_requests = (f64::from(self.settings.max_open_requests) * OPEN_REQUESTS_SHARE) as usize;
+        let excess = self.requests.len().saturating_sub(max_requests);
         if excess == 0 {
             return;
         }
