--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -1,18 +1,18 @@
-//! Reads that a replica may serve: which members are usable, trials of suspected members, and waits for a
-//! replica that is about to be fresh enough.
+//! Reads that replicas may serve: usable members, trials of suspected members, and waiting for a replica that
+//! is about to be fresh enough.
 
 use super::primary::{PrimaryRank, PRIMARY_READ_SHARE};
 use super::Router;
 use crate::interface::{Effect, MemberId, Time};
 use crate::state::{share_of, Request};
 
-/// Longest wait of a read for a replica (share of the latency target).
+/// Maximum time that a read waits for a replica (share of the latency target).
 const MAX_READ_WAIT_SHARE: f64 = 0.25;
-/// Longest latency target of a request that may be spent on a trial (shortest latency targets).
+/// Maximum latency target of a request that may be used as a trial (multiple of the shortest latency target).
 const MAX_TRIAL_TARGETS: Time = 2;
 
 impl Router {
-    /// The member for a read, if one is usable now.
+    /// Selects the member for a read, if one is usable now.
     pub(super) fn select_for_read(&mut self, sequence: u64) -> Option<MemberId> {
         let request = self.requests.get(&sequence)?;
         if let Some(id) = self.suspected_to_try(request) {
@@ -30,8 +30,8 @@
         if choice != primary || primary_rank == PrimaryRank::AmongReplicas {
             return choice;
         }
-        // Only the primary is fresh, and it has enough work of its own: a short wait is better if a replica
-        // is about to reach the position.
+        // Only the primary is fresh, and writes already keep it busy. A short wait is better if a replica is
+        // about to reach the position.
         for id in usable.into_iter().filter(|id| Some(*id) != primary) {
             let fresh_at = position_at + self.draw_lag(id);
             if (self.now..wait_until).contains(&fresh_at) {
@@ -41,7 +41,7 @@
         choice
     }
 
-    /// A suspected member that this request may be spent on as a trial.
+    /// A suspected member to which this request may be sent as a trial.
     fn suspected_to_try(&self, request: &Request) -> Option<MemberId> {
         if self.settings.classes[request.class].effect != Effect::Safe {
             return None;
@@ -55,33 +55,33 @@
         self.group_members(request.group).iter().copied().find(|id| self.may_try_with(request, *id))
     }
 
-    /// Whether the request may be sent to a suspected member although others are healthy: a short one without
-    /// attempts, while the budget lasts.
+    /// Whether the request may be sent to a suspected member although others are healthy: it must have a
+    /// short latency target and no attempts, and the trial budget must not be exhausted.
     fn may_spend_trial(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
         let is_short = class.latency_target <= MAX_TRIAL_TARGETS * self.shortest_latency_target;
         request.attempts.is_empty() && is_short && self.budgets.trials >= 1.0
     }
 
-    /// Where only suspected members are left, the one whose last trial is the longest ago: a member that has
-    /// recovered is found beside others that have not. Any attempt of a read may be spent on it, since no
-    /// other member would serve it.
+    /// The member whose last trial was the longest ago, for groups with only suspected members: trying them
+    /// in turn finds a member that has recovered even if others have not. Any attempt of a read may be used
+    /// as a trial, since no other member would serve it.
     fn least_recently_tried(&self, request: &Request) -> Option<MemberId> {
         let may_try = |id: &MemberId| self.may_try_with(request, *id) && !self.was_just_tried(request, *id);
         let candidates = self.group_members(request.group).iter().copied().filter(may_try);
         candidates.min_by_key(|id| (self.members[id].ejected_until, *id))
     }
 
-    /// Whether this request may be sent to a suspected member as a trial. A member whose data is not known to
-    /// be fresh enough is left to other requests.
+    /// Whether this request may be sent to this suspected member as a trial. Members whose data is not known
+    /// to be fresh enough are not tried with this request.
     fn may_try_with(&self, request: &Request, id: MemberId) -> bool {
         self.may_try_suspected(id, request.class) && self.is_fresh(self.now, &request.id, id)
     }
 
-    /// Whether only one attempt is left. It is kept for the primary.
+    /// Whether only one attempt is left. The last attempt is reserved for the primary.
     fn is_last_attempt(&self, request: &Request) -> bool {
-        let most = self.settings.classes[request.class].attempts as usize;
-        !request.attempts.is_empty() && request.attempts.len() + 1 >= most
+        let max_attempts = self.settings.classes[request.class].attempts as usize;
+        !request.attempts.is_empty() && request.attempts.len() + 1 >= max_attempts
     }
 
     fn read_wait_deadline(&self, request: &Request) -> Time {
@@ -108,7 +108,8 @@
                 usable.push(id);
             }
         }
-        // The slow-start budget of a primary is for writes, so long as reads have another member.
+        // The slow-start budget of a primary is reserved for writes as long as reads have another usable
+        // member.
         if usable.iter().any(|id| Some(*id) != primary) {
             usable.retain(|id| Some(*id) != primary || !self.is_warming_up(&self.members[id]));
         }
