--- a/crates/policy/src/router/selection.rs
+++ b/crates/policy/src/router/selection.rs
@@ -1,19 +1,21 @@
-//! Selection of the member for a read: trials over the usable members, the smallest number of readers that is
-//! fresh often enough, and the quickest of these (Ye and Hu, section 4, as the design page adapts it).
+//! Member selection for a read: Monte Carlo trials over the usable members, the smallest number of readers
+//! that is fresh often enough, and the fastest of these (Ye and Hu, section 4, with the changes described in
+//! the design document).
 
 use super::primary::PrimaryRank;
 use super::Router;
 use crate::interface::{MemberId, Time};
 
-/// Trials of one forecast (count): enough to tell a stale share of a tenth; the paper leaves the number open.
+/// Number of trials in one forecast: sufficient to resolve a stale share of one tenth. The paper does not
+/// specify the number.
 const TRIALS: u32 = 24;
-/// Allowed share of stale reads (fraction). A stale read costs little where members reject it themselves.
+/// Allowed share of stale reads (fraction). A stale read costs little if members reject it themselves.
 const ALLOWED_STALE_SHARE: f64 = 0.15;
 
-/// What a trial drew for a member.
+/// The values drawn for a member in a trial.
 struct Draw {
     sojourn: f64,
-    /// Index of the member among the usable ones.
+    /// Index of the member in the list of usable members.
     index: usize,
     is_fresh: bool,
 }
@@ -22,17 +24,17 @@
 struct TrialCounts {
     /// For each usable member, the number of trials in which it was fresh.
     fresh: Vec<u32>,
-    /// For each rank by sojourn, the number of trials in which the quickest fresh member had it.
+    /// For each rank by sojourn, the number of trials in which the fastest fresh member had that rank.
     first_fresh_rank: Vec<u32>,
 }
 
 impl TrialCounts {
-    /// The smallest R such that one of the R quickest members was fresh in at least `wanted` trials.
-    fn smallest_passing_readers(&self, wanted: f64) -> usize {
+    /// The smallest R such that one of the R fastest members was fresh in at least `required` trials.
+    fn min_readers(&self, required: f64) -> usize {
         let mut covered = 0;
         for (rank, count) in self.first_fresh_rank.iter().enumerate() {
             covered += count;
-            if f64::from(covered) >= wanted {
+            if f64::from(covered) >= required {
                 return rank + 1;
             }
         }
@@ -41,8 +43,8 @@
 }
 
 impl Router {
-    /// Selects one of the usable members for a read that must see this commit: the quickest of R readers that
-    /// is fresh often enough, or else the quickest of those that are fresh most often.
+    /// Selects one of the usable members for a read that must see this commit: the fastest of R readers that
+    /// is fresh often enough, or otherwise the fastest of the members that are fresh most often.
     pub(super) fn select_fresh(
         &mut self,
         commit: Option<Time>,
@@ -50,14 +52,14 @@
         primary_rank: PrimaryRank,
     ) -> Option<MemberId> {
         let counts = self.run_trials(commit, usable, primary_rank);
-        let wanted = (1.0 - ALLOWED_STALE_SHARE) * f64::from(TRIALS);
-        let readers = counts.smallest_passing_readers(wanted);
+        let required = (1.0 - ALLOWED_STALE_SHARE) * f64::from(TRIALS);
+        let readers = counts.min_readers(required);
         let ranked = self.rank_by_sojourn(usable, primary_rank);
         let most_fresh = counts.fresh.iter().copied().max().filter(|most| *most > 0)?;
-        let is_fresh_enough = |index: &usize| f64::from(counts.fresh[*index]) >= wanted;
+        let is_fresh_enough = |index: &usize| f64::from(counts.fresh[*index]) >= required;
         let is_freshest = |index: &usize| counts.fresh[*index] == most_fresh;
-        let quickest = ranked.iter().copied().take(readers).find(is_fresh_enough);
-        let index = quickest.or_else(|| ranked.iter().copied().find(is_freshest))?;
+        let fastest = ranked.iter().copied().take(readers).find(is_fresh_enough);
+        let index = fastest.or_else(|| ranked.iter().copied().find(is_freshest))?;
         Some(usable[index])
     }
 
@@ -86,7 +88,7 @@
         counts
     }
 
-    /// The indices of the usable members, quickest first, by one sojourn drawn for each.
+    /// The indexes of the usable members, ordered by one drawn sojourn for each, fastest first.
     fn rank_by_sojourn(&mut self, usable: &[MemberId], primary_rank: PrimaryRank) -> Vec<usize> {
         let mut draws: Vec<Draw> = Vec::with_capacity(usable.len());
         for (index, id) in usable.iter().enumerate() {
