--- a/crates/policy/src/router/slow_start.rs
+++ b/crates/policy/src/router/slow_start.rs
@@ -1,51 +1,52 @@
-//! Slow start: how much work a router may send a member that has just started.
+//! Slow start: limits the work that a router may send to a recently started member.
 //!
-//! Within a span, all routers together may send a warming member a multiple of its present capacity: its
-//! budget. Each router takes a share of the budget in proportion to the load that it sees members serve,
-//! without coordination. Four rules keep the sum of the shares below the budget for any number of routers,
-//! also when all of them send in the same moment:
+//! Within a time window, all routers together may send a member in slow start a multiple of its current
+//! capacity, which is its budget. Without coordination, each router uses a share of the budget in proportion
+//! to the load that it observes members serving. Four rules keep the sum of the shares below the budget for
+//! any number of routers, even if all of them send at the same time:
 //!
-//! - Work is counted, not requests. The latency target of a class stands for the work of its requests, as it
-//!   does in load shedding.
-//! - The served load is summed answer by answer, each divided by the members available at that time.
-//! - Each router pays from a token bucket (`token_bucket.rs`) that holds the refill of a part of the span
-//!   only. A request that costs more than the bucket holds has a send window instead, which opens at a random
-//!   phase in each router.
-//! - Where a router's share is so small that hardly any read arrives within a send window, half of the budget
-//!   goes to a sample of the new reads (`sampled_reads.rs`).
+//! - Work is counted instead of requests. The latency target of a class serves as the measure of the work of
+//!   its requests, as it does in load shedding.
+//! - The served load is summed per answer, each divided by the members available at that time.
+//! - Each router spends tokens of a bucket (`token_bucket.rs`) that holds only the refill of a part of the
+//!   time window. A request that costs more than the bucket can hold has a send window instead, which opens
+//!   at a random phase in each router.
+//! - If a router's share is so small that hardly any read arrives within a send window, half of the budget is
+//!   used for a sample of the new reads (`sampled_reads.rs`).
 
 use super::token_bucket::TokenBucket;
 use super::Router;
 use crate::interface::{GroupId, MemberId, Time};
 use crate::state::{Member, Request, MICROSECONDS_PER_SECOND};
 
-/// Share of a warming member's budget that the token buckets of all routers refill (fraction).
+/// Share of the budget of a member in slow start that the token buckets of all routers refill (fraction).
 const REFILL_SHARE: f64 = 0.6;
-/// The same where new reads are sampled for the member as well (fraction).
-const REFILL_SHARE_BESIDE_SAMPLING: f64 = 0.3;
-/// Part of the overload span whose refill a bucket holds (fraction). A full bucket may be spent on top of the
-/// refill of a whole span, so `REFILL_SHARE * (1 + BURST_SHARE)` has to stay below 1.
+/// The same share if new reads are also sampled for the member (fraction).
+const REFILL_SHARE_WITH_SAMPLING: f64 = 0.3;
+/// Capacity of a bucket, as the refill of this part of the overload span (fraction). A full bucket may be
+/// spent in addition to the refill of an entire span, so `REFILL_SHARE * (1 + BURST_SHARE)` has to stay below
+/// 1.
 const BURST_SHARE: f64 = 0.6;
-/// Smallest served load that a budget is derived from (requests of the shortest latency target a second, of
+/// Minimum served load that a budget is derived from (requests of the shortest latency target per second, for
 /// all routers together).
 const MIN_SERVED_REQUESTS: f64 = 2.0;
-/// Smallest capacity of the buckets of all routers together (requests of the shortest latency target): chance
-/// alone may exceed a budget by as much.
+/// Minimum total capacity of the buckets of all routers (requests of the shortest latency target): random
+/// variation alone may exceed a budget by this much.
 const MIN_BURST_REQUESTS: f64 = 2.0;
 
-/// The slow start of a member, as its router sees it.
+/// State of a member's slow start in this router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that the member has by now (fraction).
+    /// Current capacity of the member as a share of its full capacity (fraction).
     pub capacity_share: f64,
-    /// Refill rate of this router's bucket (requests of the shortest latency target a second).
+    /// Refill rate of this router's bucket (requests of the shortest latency target per second).
     pub rate: f64,
     /// Tokens in the bucket (requests of the shortest latency target).
     pub tokens: f64,
 }
 
 impl Router {
-    /// The slow start of a member; `None` for one that is warm or unknown.
+    /// The slow start of a member; `None` if the member is unknown or its slow start has ended.
     pub fn slow_start(&self, member: MemberId) -> Option<SlowStart> {
         let member = self.members.get(&member)?;
         let capacity_share = self.capacity_share(member);
@@ -55,7 +56,7 @@
         (capacity_share < 1.0).then_some(SlowStart { capacity_share, rate, tokens })
     }
 
-    /// Share of its capacity that a member has by now; 1 once it is warm.
+    /// Current capacity of a member as a share of its full capacity; 1 after slow start.
     pub(super) fn capacity_share(&self, member: &Member) -> f64 {
         let started = self.host_clock.started_at(member.started, member.listed_at).max(member.recovered_at);
         let warm_up = self.settings.slow_start_span.max(1);
@@ -69,18 +70,18 @@
         self.capacity_share(member) < 1.0
     }
 
-    /// Whether a request may be sent to the member as far as its slow start is concerned.
+    /// Whether the slow start of the member permits sending it this request.
     pub(super) fn may_send_in_slow_start(&self, request: &Request, id: MemberId, member: &Member) -> bool {
         self.has_slow_start_tokens(member, request.class) || self.is_sampled(request, id, member)
     }
 
-    /// Whether the member is warm, or its bucket admits a request of this class.
+    /// Whether the member is not in slow start, or its bucket admits a request of this class.
     pub(super) fn has_slow_start_tokens(&self, member: &Member, class: usize) -> bool {
         !self.is_warming_up(member) || self.slow_start_bucket(member).admits(self.request_cost(class))
     }
 
-    /// Tokens left in the member's bucket once a request of this class is sent. Nothing is spent on a warm
-    /// member, or on a sampled read that the bucket does not admit.
+    /// Tokens left in the member's bucket after a request of this class is sent. No tokens are spent outside
+    /// slow start, or on a sampled read that the bucket does not admit.
     pub(super) fn slow_start_tokens_after_send(&self, member: &Member, class: usize) -> f64 {
         let (bucket, cost) = (self.slow_start_bucket(member), self.request_cost(class));
         if !self.is_warming_up(member) || !bucket.admits(cost) {
@@ -89,14 +90,15 @@
         bucket.tokens_after(cost)
     }
 
-    /// Tokens of a member that starts: enough for the request with the largest cost, and a random part of one
-    /// more. The send windows of routers that learn of the start together so open at different times.
+    /// Initial tokens of a member that starts: enough for the request with the highest cost, and a random
+    /// part of another one. As a result, the send windows of routers that learn of the start at the same time
+    /// open at different times.
     pub(super) fn initial_slow_start_tokens(&mut self) -> f64 {
         let max_cost = self.settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(0);
         (1.0 + self.rng.uniform_sample()) * max_cost as f64
     }
 
-    /// Refills the buckets of a group's warming members for the time since the last refill.
+    /// Refills the buckets of a group's members in slow start for the time since the last refill.
     pub(super) fn refill_slow_start_buckets(&mut self, group: GroupId) {
         for id in self.group_members(group).to_vec() {
             let Some(member) = self.members.get(&id) else { continue };
@@ -118,17 +120,17 @@
         BURST_SHARE * self.overload_seconds() * REFILL_SHARE * self.budget_rate(member)
     }
 
-    /// This router's share of a warming member's budget, in work a second.
+    /// This router's share of the budget of a member in slow start, in work per second.
     fn budget_rate(&self, member: &Member) -> f64 {
         let served = self.current_served_load() * member.weight.min(self.available.mean_weight());
-        let least =
+        let min_served =
             MIN_SERVED_REQUESTS * self.shortest_latency_target as f64 / f64::from(self.settings.routers);
-        self.settings.overload_factor * self.capacity_share(member) * served.max(least)
+        self.settings.overload_factor * self.capacity_share(member) * served.max(min_served)
     }
 
-    /// Refill rate of a warming member's bucket, in work a second.
+    /// Refill rate of the bucket of a member in slow start, in work per second.
     fn refill_rate(&self, member: &Member) -> f64 {
-        let share = if self.samples_reads_for(member) { REFILL_SHARE_BESIDE_SAMPLING } else { REFILL_SHARE };
+        let share = if self.samples_reads_for(member) { REFILL_SHARE_WITH_SAMPLING } else { REFILL_SHARE };
         share * self.budget_rate(member)
     }
 
