--- a/crates/policy/src/router/token_bucket.rs
+++ b/crates/policy/src/router/token_bucket.rs
@@ -1,13 +1,14 @@
-//! The token bucket from which a router pays for what it sends to a warming member: its arithmetic alone.
+//! Arithmetic of the token bucket that limits what a router sends to a member in slow start.
 
-/// What a router may send a warming member. Tokens and costs are work: microseconds of latency target.
+/// Token bucket for a member in slow start. Tokens and costs are in microseconds of latency target.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenBucket {
-    /// Tokens refilled and not spent. The capacity is applied when they are spent.
+    /// Tokens refilled and not yet spent. The capacity is enforced only when tokens are spent.
     pub(super) tokens: f64,
-    /// Capacity: the most that may be spent at once.
+    /// Capacity: the maximum that may be spent at once.
     pub(super) burst: f64,
-    /// Largest request that may be sent at all: a larger one would exceed the budget of the fleet by itself.
+    /// Maximum cost of a request that may be sent: a more expensive one would exceed the budget of all
+    /// routers by itself.
     pub(super) max_cost: f64,
 }
 
@@ -20,7 +21,7 @@
         self.fits_burst(cost) || self.is_within_send_window(cost)
     }
 
-    /// Tokens left once a request of this cost is sent. Only what the capacity holds is carried over.
+    /// Tokens left after a request of this cost is sent. Tokens beyond the capacity are dropped.
     pub(super) fn tokens_after(&self, cost: f64) -> f64 {
         if self.fits_burst(cost) {
             return self.tokens.min(self.burst) - cost;
@@ -28,17 +29,18 @@
         self.tokens % cost
     }
 
-    /// The ordinary case: the bucket can hold the price of the request.
+    /// The regular case: the bucket can hold the cost of the request.
     fn fits_burst(&self, cost: f64) -> bool {
         cost <= self.burst
     }
 
-    /// The other case: a request that costs more than the bucket can hold may be sent for a while after the
-    /// refill has passed a multiple of its cost, as long as it takes to refill `burst`.
+    /// The case of a request that costs more than the bucket can hold: it may be sent in a window that opens
+    /// each time the refilled tokens reach a multiple of its cost, and that lasts for the time it takes to
+    /// refill `burst`.
     ///
-    /// That is `burst / cost` of the time. Since each router starts at a random phase (see
-    /// `initial_slow_start_tokens`), that share of all routers may send in any one moment, which comes to
-    /// `burst` for each router on average: no more than in the ordinary case.
+    /// The window is open for a share of `burst / cost` of the time. Since each router starts at a random
+    /// phase (see `initial_slow_start_tokens`), this share of all routers may send at any one time. That
+    /// amounts to an average of `burst` for each router, no more than in the regular case.
     fn is_within_send_window(&self, cost: f64) -> bool {
         self.tokens % cost < self.burst
     }
