--- a/crates/policy/src/router/zones.rs
+++ b/crates/policy/src/router/zones.rs
@@ -1,16 +1,16 @@
-//! Zones that are unreachable as a whole. Otherwise every router would lose a request at each of their
-//! members before it suspects it.
+//! Detection of zones that are entirely unreachable. Without it, every router would lose a request at each of
+//! their members before suspecting that member.
 
 use super::Router;
 use crate::interface::{MemberId, MemberStatus, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Members of a zone that must have been lost since the last sign of life of any of its members, for the zone
-/// to count as unreachable (count).
+/// Minimum number of members of a zone that must have been lost since any member of the zone last answered,
+/// for the zone to be considered unreachable.
 const UNREACHABLE_ZONE_LOSSES: usize = 3;
 
-/// Signs of life and losses in a zone.
+/// The latest answer and the losses in a zone.
 #[derive(Default)]
 struct ZoneState {
     last_heard_at: Time,
