--- a/crates/policy/benches/step.rs
+++ b/crates/policy/benches/step.rs
@@ -1,5 +1,5 @@
-//! What one request and its outcome cost a router, by the number of groups that it serves: 100 requests a second in all,
-//! whatever the number of groups, so that a cost which grows with it is spent on idle groups.
+//! Cost of one request and its outcome, by the number of groups that the router serves. The total rate is 100
+//! requests per second for any number of groups, so any growth of the cost is caused by idle groups.
 
 #![allow(missing_docs)]
 
@@ -7,18 +7,18 @@
 use petrelgauge_policy::*;
 
 const GROUPS: [u64; 3] = [20, 133, 533];
-const MEMBERS_OF_A_GROUP: u32 = 6;
-const BETWEEN_REQUESTS: Time = 10_000;
+const MEMBERS_PER_GROUP: u32 = 6;
+const REQUEST_INTERVAL: Time = 10_000;
 const SERVICE_TIME: Time = 4_000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Requests before the measurement, so that members have samples.
-const WARM_UP: u64 = 2_000;
+/// Requests before the measurement, so that the router has samples of the members.
+const WARM_UP_REQUESTS: u64 = 2_000;
 
-struct Load {
+struct Workload {
     router: Router,
     now: Time,
     groups: u64,
-    requested: u64,
+    request_count: u64,
     actions: Vec<Action>,
 }
 
@@ -45,24 +45,25 @@
 fn endpoint_list(groups: u64) -> Event {
     let entry = |n: u32| Entry {
         member: n + 1,
-        group: n as u64 / MEMBERS_OF_A_GROUP as u64,
+        group: n as u64 / MEMBERS_PER_GROUP as u64,
         zone: ZONES[n as usize % ZONES.len()].into(),
         weight: 1.0,
         started: 0,
         status: MemberStatus::Up,
-        primary: n.is_multiple_of(MEMBERS_OF_A_GROUP),
+        primary: n.is_multiple_of(MEMBERS_PER_GROUP),
     };
-    let entries: Vec<Entry> = (0..groups as u32 * MEMBERS_OF_A_GROUP).map(entry).collect();
+    let entries: Vec<Entry> = (0..groups as u32 * MEMBERS_PER_GROUP).map(entry).collect();
     Event::List { update: Update::Complete, entries: entries.into() }
 }
 
-impl Load {
-    fn new(groups: u64) -> Load {
-        let router = Router::new(settings(), 7).expect("sound settings");
-        let mut load = Load { router, now: 1_000_000_000, groups, requested: 0, actions: Vec::new() };
-        load.step(endpoint_list(groups));
-        (0..WARM_UP).for_each(|_| load.request_and_outcome());
-        load
+impl Workload {
+    fn new(groups: u64) -> Workload {
+        let router = Router::new(settings(), 7).expect("valid settings");
+        let mut workload =
+            Workload { router, now: 1_000_000_000, groups, request_count: 0, actions: Vec::new() };
+        workload.step(endpoint_list(groups));
+        (0..WARM_UP_REQUESTS).for_each(|_| workload.request_and_outcome());
+        workload
     }
 
     fn step(&mut self, event: Event) {
@@ -71,13 +72,13 @@
     }
 
     fn request_and_outcome(&mut self) {
-        self.now += BETWEEN_REQUESTS - SERVICE_TIME;
-        self.requested += 1;
-        let request: RequestId = format!("r{}", self.requested).into();
+        self.now += REQUEST_INTERVAL - SERVICE_TIME;
+        self.request_count += 1;
+        let request: RequestId = format!("r{}", self.request_count).into();
         self.step(Event::Request(RequestArrival {
             request: request.clone(),
-            class: (self.requested % 3) as usize,
-            group: self.requested.wrapping_mul(7_919) % self.groups,
+            class: (self.request_count % 3) as usize,
+            group: self.request_count.wrapping_mul(7_919) % self.groups,
             time_left: 900_000,
             is_retry: false,
             minimum_position: None,
@@ -86,13 +87,13 @@
             Action::Send { member, .. } => Some(*member),
             _ => None,
         });
-        let member = sent.expect("members with so little work take every request");
+        let member = sent.expect("idle members accept every request");
         self.now += SERVICE_TIME;
         self.step(self.served(request, member));
     }
 
     fn served(&self, request: RequestId, member: MemberId) -> Event {
-        let primary = (member - 1).is_multiple_of(MEMBERS_OF_A_GROUP);
+        let primary = (member - 1).is_multiple_of(MEMBERS_PER_GROUP);
         Event::Outcome(AttemptOutcome {
             request,
             attempt: 0,
@@ -110,9 +111,9 @@
 fn request_and_outcome(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request_and_outcome");
     for groups in GROUPS {
-        let mut load = Load::new(groups);
+        let mut workload = Workload::new(groups);
         group.bench_function(BenchmarkId::from_parameter(groups), |bencher| {
-            bencher.iter(|| load.request_and_outcome());
+            bencher.iter(|| workload.request_and_outcome());
         });
     }
     group.finish();
