--- a/crates/policy/src/router/dispatch.rs
+++ b/crates/policy/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: the rules that every send must satisfy, whatever path asks for it, and the send itself.
+//! Dispatch: the rules that every send must satisfy, regardless of the code path, and the send itself.
 
 use super::Router;
 use crate::interface::{
@@ -7,39 +7,41 @@
 use crate::mutant::{mutant, Mutant::UnsafeRetried, Mutant::UnwantedHedge};
 use crate::state::{Attempt, AttemptId, InFlightAttempt, Member, Request};
 
-/// When an attempt is given up.
+/// Timeout of an attempt.
 #[derive(Clone, Copy)]
 struct AttemptDeadline {
     at: Time,
-    /// The same of an attempt that is a trial of a suspected member.
+    /// Timeout that applies if the attempt is a trial of a suspected member.
     trial_end: Time,
 }
 
 impl Router {
-    /// Whether this attempt may be sent at all.
+    /// Whether the rules allow this request to be sent to this member.
     fn is_send_allowed(&self, request: &Request, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         let class = &self.settings.classes[request.class];
-        // Rule 1: only an open request, while its client waits and the window of its key is open.
+        // Rule 1: only open requests, before their deadline and within the window of their idempotency key.
         let in_time =
             self.now < request.deadline && !request.is_exhausted(class, self.now + self.settings.granularity);
         // Rule 2: no second effect, and no hedged request unless hedging is enabled.
-        let is_alone = self.settings.may_hedge || mutant(UnwantedHedge) || !request.has_attempt_in_flight();
-        let has_no_second_effect = self.has_no_second_effect(request, class.effect, id, member);
-        // Rule 3: nothing new to a member known to drain or to be removed (the grace period is not used).
+        let obeys_hedging_rule =
+            self.settings.may_hedge || mutant(UnwantedHedge) || !request.has_attempt_in_flight();
+        let is_duplicate_safe = self.is_duplicate_safe(request, class.effect, id, member);
+        // Rule 3: no new sends to a member known to be draining or removed (the grace period is not used).
         let in_service = self.is_in_service(member) && member.group == request.group;
-        // Rule 5: only data known to be fresh enough.
+        // Rule 5: only to a member whose data is known to be fresh enough.
         let fresh = self.is_fresh(self.now, &request.id, id);
         // Rule 4: the slow-start budget.
         in_time
-            && is_alone
-            && has_no_second_effect
+            && obeys_hedging_rule
+            && is_duplicate_safe
             && in_service
             && fresh
             && self.may_send_in_slow_start(request, id, member)
     }
 
-    fn has_no_second_effect(&self, request: &Request, effect: Effect, id: MemberId, member: &Member) -> bool {
+    /// Whether the request cannot take effect twice if another attempt is sent to this member.
+    fn is_duplicate_safe(&self, request: &Request, effect: Effect, id: MemberId, member: &Member) -> bool {
         let Some(first) = request.first_possible_execution() else { return true };
         match effect {
             Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
@@ -49,9 +51,9 @@
         }
     }
 
-    /// Whether the data of a member is known to be fresh enough for a request (rule 5); true where members
-    /// check that themselves. To be asked again right before the first byte of an attempt, since its
-    /// connection may have taken long to open.
+    /// Whether the data of a member is known to be fresh enough for a request (rule 5); always true if
+    /// members check freshness themselves. Must be checked again immediately before the first byte of an
+    /// attempt is written, since opening the connection may have taken long.
     pub fn is_fresh(&self, now: Time, request: &RequestId, id: MemberId) -> bool {
         let Some(sequence) = self.sequences.get(request) else { return false };
         let (Some(state), Some(member)) = (self.requests.get(sequence), self.members.get(&id)) else {
@@ -64,12 +66,13 @@
         let horizon = need.bound().map(|bound| self.host_clock.horizon(bound, now));
         let minimum = state.minimum_position.max(horizon);
         let is_known = need != Need::Strong && minimum.is_none_or(|minimum| member.position >= minimum);
-        is_known || member.is_primary() && self.is_surely_primary(now, request, id, member, need)
+        is_known || member.is_primary() && self.is_confirmed_primary(now, request, id, member, need)
     }
 
-    /// Whether a member can still be taken for the primary. An attempt that has been in flight for long may
-    /// have been answered by a former primary, and the answer lost: then only recent evidence counts.
-    fn is_surely_primary(
+    /// Whether a member is still certain to be the primary. An attempt that has been in flight for long may
+    /// have been answered by a former primary and its answer lost; in that case only recent evidence is
+    /// accepted.
+    fn is_confirmed_primary(
         &self,
         now: Time,
         request: &RequestId,
@@ -85,7 +88,7 @@
         !at_member.any(|(attempt_id, attempt)| attempt_id.request != *request && attempt.may_be_lost(now))
     }
 
-    /// Sends a request to a member, if that is allowed.
+    /// Sends a request to a member if the rules allow it.
     pub(super) fn send(&mut self, sequence: u64, id: MemberId) {
         let Some(request) = self.requests.get(&sequence) else { return };
         let Some(member) = self.members.get(&id) else { return };
@@ -101,9 +104,9 @@
         self.insert_attempt(sequence, id, deadline);
     }
 
-    /// A trial of a suspected member is short, so that the request has time left for another attempt. It is
-    /// longer at a primary: a request that no other member can serve is better off in its queue, if it is
-    /// only overloaded.
+    /// Computes the timeout of an attempt. A trial of a suspected member is short, so that the request has
+    /// time left for another attempt. At a primary it is longer: if the primary is only overloaded, a request
+    /// that no other member can serve is better off in its queue.
     fn attempt_deadline(&self, request: &Request, member: &Member) -> AttemptDeadline {
         let span = if member.is_primary() {
             (request.deadline - self.now) / 2
@@ -115,8 +118,8 @@
         AttemptDeadline { at, trial_end }
     }
 
-    /// Whether this send is a trial that the budget pays for. It is free where only suspected members are
-    /// left, since the request has no better place to go to.
+    /// Whether this send is a trial that consumes trial budget. It does not if only suspected members are
+    /// left, since the request has no better candidate.
     fn is_paid_trial(&self, request: &Request, member: &Member) -> bool {
         member.suspected && !member.is_primary() && !self.has_only_suspected_members(request.group)
     }
