--- a/crates/policy/src/host_clock.rs
+++ b/crates/policy/src/host_clock.rs
@@ -215,7 +215,7 @@
             return 0;
         }
         // After one commit the own clock may already be known to be behind. With `offset` instead of
-        // `largest_offset`, all members would be treated as warming up.
+        // `largest_offset`, all members would be treated as in slow start.
         let earliest = started.saturating_sub(self.largest_offset);
         if self.is_uncertain() {
             return earliest.max(listed_at);
--- a/crates/policy/src/router/load.rs
+++ b/crates/policy/src/router/load.rs
@@ -6,7 +6,7 @@
 use crate::state::MICROSECONDS_PER_SECOND;
 
 /// Time constant of the exponentially decaying load averages (microseconds): several seconds, so that a short
-/// lull does not empty them.
+/// idle period does not reset them.
 const LOAD_DECAY_SPAN: f64 = 4e6;
 /// Minimum capacity share that served work is divided by (fraction): the settings give the lowest capacity
 /// share of a member in slow start, and its actual share may be twice as large.
--- a/crates/policy/src/router/primary.rs
+++ b/crates/policy/src/router/primary.rs
@@ -67,7 +67,7 @@
             if self.is_selectable(primary) {
                 let share = if is_write { 1.0 } else { PRIMARY_READ_SHARE };
                 let has_capacity = self.has_capacity(primary, share, request.class)
-                    && !self.was_just_tried(request, primary);
+                    && !self.was_recently_tried(request, primary);
                 return has_capacity.then_some(primary);
             }
             let silence = self.now - self.members[&primary].last_heard_at;
@@ -99,7 +99,7 @@
         }
         let primary = self.primary(request.group);
         let is_candidate = |id: &MemberId| {
-            self.is_selectable(*id) && Some(*id) != primary && !self.was_just_tried(request, *id)
+            self.is_selectable(*id) && Some(*id) != primary && !self.was_recently_tried(request, *id)
         };
         let candidates = self.group_members(request.group).iter().copied().filter(is_candidate);
         candidates.min_by_key(|id| self.members[id].replica_evidence_at)
--- a/crates/policy/src/router/queue.rs
+++ b/crates/policy/src/router/queue.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether an attempt of this request at this member has ended recently.
-    pub(super) fn was_just_tried(&self, request: &Request, id: MemberId) -> bool {
+    pub(super) fn was_recently_tried(&self, request: &Request, id: MemberId) -> bool {
         let pause = self.settings.classes[request.class].latency_target / RETRY_PAUSE_DIVISOR;
         request.attempts.iter().any(|attempt| attempt.member == id && self.now - attempt.ended_at < pause)
     }
--- a/crates/policy/src/router/reads.rs
+++ b/crates/policy/src/router/reads.rs
@@ -67,7 +67,8 @@
     /// in turn finds a member that has recovered even if others have not. Any attempt of a read may be used
     /// as a trial, since no other member would serve it.
     fn least_recently_tried(&self, request: &Request) -> Option<MemberId> {
-        let may_try = |id: &MemberId| self.may_try_with(request, *id) && !self.was_just_tried(request, *id);
+        let may_try =
+            |id: &MemberId| self.may_try_with(request, *id) && !self.was_recently_tried(request, *id);
         let candidates = self.group_members(request.group).iter().copied().filter(may_try);
         candidates.min_by_key(|id| (self.members[id].ejected_until, *id))
     }
@@ -104,14 +105,14 @@
             let has_capacity = self.is_selectable(id)
                 && self.has_concurrency(id, share)
                 && self.may_send_in_slow_start(request, id, member);
-            if has_capacity && !self.was_just_tried(request, id) && (!only_primary || is_primary) {
+            if has_capacity && !self.was_recently_tried(request, id) && (!only_primary || is_primary) {
                 usable.push(id);
             }
         }
         // The slow-start budget of a primary is reserved for writes as long as reads have another usable
         // member.
         if usable.iter().any(|id| Some(*id) != primary) {
-            usable.retain(|id| Some(*id) != primary || !self.is_warming_up(&self.members[id]));
+            usable.retain(|id| Some(*id) != primary || !self.is_in_slow_start(&self.members[id]));
         }
         usable
     }
--- a/crates/policy/src/router/sampled_reads.rs
+++ b/crates/policy/src/router/sampled_reads.rs
@@ -52,7 +52,7 @@
                 recent_weight += member.weight;
             }
             let is_usable =
-                !self.is_warming_up(member) && self.is_selectable(*id) && self.has_concurrency(*id, 1.0);
+                !self.is_in_slow_start(member) && self.is_selectable(*id) && self.has_concurrency(*id, 1.0);
             usable += u32::from(is_usable);
         }
         let usable_share = f64::from(usable) / f64::from(recent.max(1));
--- a/crates/policy/src/router/slow_start.rs
+++ b/crates/policy/src/router/slow_start.rs
@@ -59,14 +59,14 @@
     /// Current capacity of a member as a share of its full capacity; 1 after slow start.
     pub(super) fn capacity_share(&self, member: &Member) -> f64 {
         let started = self.host_clock.started_at(member.started, member.listed_at).max(member.recovered_at);
-        let warm_up = self.settings.slow_start_span.max(1);
-        let age = if started > 0 { self.now - started } else { 2 * warm_up };
-        let progress = age.max(0) as f64 / warm_up as f64;
+        let slow_start_span = self.settings.slow_start_span.max(1);
+        let age = if started > 0 { self.now - started } else { 2 * slow_start_span };
+        let progress = age.max(0) as f64 / slow_start_span as f64;
         (self.settings.slow_start_initial_share + (1.0 - self.settings.slow_start_initial_share) * progress)
             .min(1.0)
     }
 
-    pub(super) fn is_warming_up(&self, member: &Member) -> bool {
+    pub(super) fn is_in_slow_start(&self, member: &Member) -> bool {
         self.capacity_share(member) < 1.0
     }
 
@@ -77,14 +77,14 @@
 
     /// Whether the member is not in slow start, or its bucket admits a request of this class.
     pub(super) fn has_slow_start_tokens(&self, member: &Member, class: usize) -> bool {
-        !self.is_warming_up(member) || self.slow_start_bucket(member).admits(self.request_cost(class))
+        !self.is_in_slow_start(member) || self.slow_start_bucket(member).admits(self.request_cost(class))
     }
 
     /// Tokens left in the member's bucket after a request of this class is sent. No tokens are spent outside
     /// slow start, or on a sampled read that the bucket does not admit.
     pub(super) fn slow_start_tokens_after_send(&self, member: &Member, class: usize) -> f64 {
         let (bucket, cost) = (self.slow_start_bucket(member), self.request_cost(class));
-        if !self.is_warming_up(member) || !bucket.admits(cost) {
+        if !self.is_in_slow_start(member) || !bucket.admits(cost) {
             return member.slow_start_tokens;
         }
         bucket.tokens_after(cost)
@@ -103,7 +103,7 @@
         for id in self.group_members(group).to_vec() {
             let Some(member) = self.members.get(&id) else { continue };
             let elapsed: Time = self.now - member.slow_start_refilled_at;
-            let rate = if self.is_warming_up(member) { self.refill_rate(member) } else { 0.0 };
+            let rate = if self.is_in_slow_start(member) { self.refill_rate(member) } else { 0.0 };
             let Some(member) = self.members.get_mut(&id) else { continue };
             member.slow_start_tokens += rate * elapsed.max(0) as f64 / MICROSECONDS_PER_SECOND;
             member.slow_start_refilled_at = self.now;
