--- a/crates/policy/tests/common/counts.rs
+++ b/crates/policy/tests/common/counts.rs
@@ -1,8 +1,8 @@
-//! What came of a seeded workload, in numbers.
+//! Counters of a seeded workload.
 
-/// How often each kind of action came.
+/// The number of events sent to the router and of actions of each kind that it returned.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct ActionCounts {
     pub events: usize,
     pub sends: usize,
     pub rejections: usize,
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet: many routers, stepped together before members that they share. The only randomness is that of the
-//! routers, from fixed seeds.
+//! A simulated fleet: many routers, stepped together, that share the same members. The only random numbers
+//! are those of the routers, whose seeds are fixed.
 
 #![allow(dead_code)]
 
@@ -12,26 +12,27 @@
 use std::ops::RangeInclusive;
 
 pub const TICK: Time = 5 * MS;
-/// Requests that wait at a member before it rejects more.
+/// The length of a member's queue at which it rejects further requests.
 pub const QUEUE_CAPACITY: usize = 100;
-/// How long a connection to a silent member takes to fail.
+/// How long an attempt to connect to a silent member takes to fail.
 const CONNECT_TIMEOUT: Time = 40 * MS;
-/// The class of writes whose settings the fleet changes, and the first class of writes.
+/// The class of writes whose settings the fleet changes.
 const KEYED_WRITE: usize = 5;
-const FIRST_WRITE: usize = 4;
+/// The first class of writes.
+const FIRST_WRITE_CLASS: usize = 4;
 
-/// A member to simulate.
+/// The parameters of a simulated member.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberSpec {
     pub id: MemberId,
     pub is_primary: bool,
-    /// Requests that it works on at a time.
+    /// Requests that it serves at a time.
     pub slots: usize,
-    /// Mean work of a request.
-    pub work: Time,
+    /// Mean service time of a request.
+    pub service_time: Time,
 }
 
-/// An attempt that a member was sent.
+/// An attempt that a member has received.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedAttempt {
     pub at: Time,
@@ -39,20 +40,21 @@
     pub class: usize,
 }
 
-/// A simulated member. It works in the order of arrival and does not stop work that was given up.
+/// A simulated member. It serves attempts in the order of arrival and does not stop those that were
+/// cancelled.
 pub struct Member {
     pub primary: bool,
     pub slots: usize,
-    pub work: Time,
+    pub service_time: Time,
     /// Unreachable: it neither accepts connections nor answers.
     pub silent: bool,
     pub queue: VecDeque<Job>,
-    /// What it works on, with the time at which each is done.
-    pub busy: Vec<(Time, Job)>,
-    /// All attempts that it was sent, in order.
+    /// Attempts that it is serving, each with the time at which it is finished.
+    pub in_service: Vec<(Time, Job)>,
+    /// All attempts that it has received, in order.
     pub received: Vec<ReceivedAttempt>,
-    /// The most that it held at once.
-    pub peak: usize,
+    /// The most attempts that it had queued and in service at once.
+    pub peak_load: usize,
 }
 
 impl Member {
@@ -60,27 +62,28 @@
         Member {
             primary: spec.is_primary,
             slots: spec.slots,
-            work: spec.work,
+            service_time: spec.service_time,
             silent: false,
             queue: VecDeque::new(),
-            busy: Vec::new(),
+            in_service: Vec::new(),
             received: Vec::new(),
-            peak: 0,
+            peak_load: 0,
         }
     }
 
-    /// Removes and returns all that it holds.
+    /// Removes and returns all attempts that are queued or in service.
     pub fn take_jobs(&mut self) -> Vec<Job> {
         let queued = std::mem::take(&mut self.queue);
-        let busy = std::mem::take(&mut self.busy);
-        queued.into_iter().chain(busy.into_iter().map(|(_, job)| job)).collect()
+        let in_service = std::mem::take(&mut self.in_service);
+        queued.into_iter().chain(in_service.into_iter().map(|(_, job)| job)).collect()
     }
 
-    /// Removes and returns what is done by now.
-    fn take_done(&mut self, now: Time) -> Vec<Job> {
-        let done = self.busy.iter().filter(|(at, _)| *at <= now).map(|(_, job)| job.clone()).collect();
-        self.busy.retain(|(at, _)| *at > now);
-        done
+    /// Removes and returns the attempts that are finished by now.
+    fn take_finished(&mut self, now: Time) -> Vec<Job> {
+        let finished =
+            self.in_service.iter().filter(|(at, _)| *at <= now).map(|(_, job)| job.clone()).collect();
+        self.in_service.retain(|(at, _)| *at > now);
+        finished
     }
 }
 
@@ -92,7 +95,7 @@
     pub sent: Time,
 }
 
-/// An attempt that its router has no outcome of yet.
+/// An attempt whose outcome has not yet been reported to its router.
 #[derive(Clone, Copy)]
 pub struct OpenAttempt {
     pub member: MemberId,
@@ -101,7 +104,7 @@
     pub until: Time,
 }
 
-/// An attempt at a silent member, until its connection fails.
+/// An attempt that waits for a connection to a silent member.
 pub struct HungConnection {
     pub fails_at: Time,
     pub member: MemberId,
@@ -120,15 +123,16 @@
     pub attempt_counts: BTreeMap<(usize, RequestId), u32>,
     pub writes: BTreeSet<RequestId>,
     pub classes: BTreeMap<RequestId, usize>,
-    /// Work of each class, in parts of a member's mean work.
-    pub class_work: Vec<f64>,
+    /// Service time of each class, as a ratio of a member's mean.
+    pub service_time_ratios: Vec<f64>,
     pub hung_connections: Vec<HungConnection>,
-    /// Attempts served in time.
+    /// Attempts served before they timed out.
     pub served: usize,
     pub requested: usize,
-    /// Writes that were rejected by a member that is not the primary.
-    pub misses: usize,
-    /// The primary that was announced last, where each router's finding is announced to all.
+    /// Attempts of writes that were rejected by a member that is not the primary.
+    pub misdirected_writes: usize,
+    /// The last announced primary, where each primary that a router finds is announced to all routers.
+    /// `Some(None)` before the first announcement, `None` in a fleet without announcements.
     pub announced_primary: Option<Option<MemberId>>,
 }
 
@@ -144,7 +148,7 @@
         settings: Settings,
     ) -> Fleet {
         let settings = fleet_settings(count, settings);
-        let router = |n| Router::new(settings.clone(), 1000 + n as u64).expect("sound settings");
+        let router = |n| Router::new(settings.clone(), 1000 + n as u64).expect("valid settings");
         let list = |_| vec![Event::List { update: Update::Complete, entries: entries.to_vec().into() }];
         Fleet {
             now: START,
@@ -156,11 +160,11 @@
             attempt_counts: BTreeMap::new(),
             writes: BTreeSet::new(),
             classes: BTreeMap::new(),
-            class_work: vec![1.0; settings.classes.len()],
+            service_time_ratios: vec![1.0; settings.classes.len()],
             hung_connections: Vec::new(),
             served: 0,
             requested: 0,
-            misses: 0,
+            misdirected_writes: 0,
             announced_primary: None,
         }
     }
@@ -171,18 +175,18 @@
         let name = format!("q{}", self.requested);
         self.pending_events[router].push(request(&name, class, time_left, None));
         self.classes.insert(name.as_str().into(), class);
-        if class >= FIRST_WRITE {
+        if class >= FIRST_WRITE_CLASS {
             self.writes.insert(name.into());
         }
     }
 
-    /// Delivers an update of the endpoint list to all routers.
+    /// Delivers a partial update of the endpoint list to all routers.
     pub fn update_list(&mut self, entries: Vec<Entry>) {
         let list = Event::List { update: Update::Partial, entries: entries.into() };
         self.pending_events.iter_mut().for_each(|events| events.push(list.clone()));
     }
 
-    /// Reports the outcome of an attempt to its router, unless the router has one already.
+    /// Reports the outcome of an attempt to its router, unless one was reported already.
     pub fn report_outcome(&mut self, job: &Job, member: MemberId, ending: Ending) {
         let attempt = (job.router, job.request.clone(), job.attempt);
         if self.open_attempts.remove(&attempt).is_none() {
@@ -191,7 +195,7 @@
         let role = if self.members[&member].primary { Role::Primary } else { Role::Replica };
         let is_answer = matches!(ending, Ending::Served | Ending::QueueFull | Ending::Rejected);
         self.served += (ending == Ending::Served) as usize;
-        self.misses += (ending == Ending::Rejected) as usize;
+        self.misdirected_writes += (ending == Ending::Rejected) as usize;
         if ending == Ending::Served && self.writes.contains(&job.request) {
             self.announce_primary(member);
         }
@@ -216,13 +220,13 @@
         }
     }
 
-    /// One tick: attempts time out, members work, routers step.
+    /// Advances by one tick: attempts time out, members serve attempts, routers step.
     pub fn step(&mut self) {
         self.now += TICK;
         self.time_out_attempts();
         self.fail_hung_connections();
         let ids: Vec<MemberId> = self.members.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.work_at(id));
+        ids.into_iter().for_each(|id| self.serve_at(id));
         (0..self.routers.len()).for_each(|router| self.step_router(router));
     }
 
@@ -243,19 +247,19 @@
         failed.iter().for_each(|hung| self.report_outcome(&hung.job, hung.member, Ending::ConnectFailed));
     }
 
-    fn work_at(&mut self, id: MemberId) {
+    fn serve_at(&mut self, id: MemberId) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id).filter(|member| !member.silent) else { return };
-        let done = member.take_done(now);
-        while member.busy.len() < member.slots {
+        let finished = member.take_finished(now);
+        while member.in_service.len() < member.slots {
             let Some(job) = member.queue.pop_front() else { break };
-            // Work is of unequal length: half to one and a half of the mean.
+            // Service times vary between half and one and a half of the mean.
             let draw = (member.received.len() * 7919 + job.router * 104_729) % 101;
-            let class_work = self.class_work[self.classes[&job.request]];
-            let work = (member.work as f64 * class_work) as Time;
-            member.busy.push((now + work * (50 + draw as Time) / 100, job));
+            let ratio = self.service_time_ratios[self.classes[&job.request]];
+            let service_time = (member.service_time as f64 * ratio) as Time;
+            member.in_service.push((now + service_time * (50 + draw as Time) / 100, job));
         }
-        done.iter().for_each(|job| self.report_outcome(job, id, Ending::Served));
+        finished.iter().for_each(|job| self.report_outcome(job, id, Ending::Served));
     }
 
     fn step_router(&mut self, router: usize) {
@@ -295,7 +299,7 @@
         *count += 1;
         let open = OpenAttempt { member: id, sent: now, until };
         self.open_attempts.insert((router, request, job.attempt), open);
-        let member = self.members.get_mut(&id).expect("the member was listed");
+        let member = self.members.get_mut(&id).expect("routers send to listed members only");
         let class = self.classes[&job.request];
         member.received.push(ReceivedAttempt { at: now, router, class });
         if member.silent {
@@ -309,11 +313,11 @@
             return self.report_outcome(&job, id, Ending::QueueFull);
         }
         member.queue.push_back(job);
-        member.peak = member.peak.max(member.queue.len() + member.busy.len());
+        member.peak_load = member.peak_load.max(member.queue.len() + member.in_service.len());
     }
 }
 
-/// Settings of a router of the fleet. Writes are wanted soon, and their clients wait for long.
+/// Settings of a router of the fleet. Keyed writes have a short latency target and a long deadline.
 fn fleet_settings(routers: usize, settings: Settings) -> Settings {
     let mut settings = Settings { routers: routers as u32, may_probe: false, ..settings };
     settings.classes.iter_mut().for_each(|class| class.attempts = 8);
@@ -322,17 +326,17 @@
     settings
 }
 
-/// Members that are alike but for the primary.
+/// Members with these ids, which differ only in which of them is the primary.
 pub fn members(
     ids: RangeInclusive<MemberId>,
     primary: Option<MemberId>,
     slots: usize,
-    work: Time,
+    service_time: Time,
 ) -> Vec<MemberSpec> {
-    ids.map(|id| MemberSpec { id, is_primary: Some(id) == primary, slots, work }).collect()
+    ids.map(|id| MemberSpec { id, is_primary: Some(id) == primary, slots, service_time }).collect()
 }
 
-/// Entries of an endpoint list with these members, all of which started at this time (0 for long ago).
+/// Endpoint list entries of these members, all of which started at this time (0 for long ago).
 pub fn entries_of(ids: RangeInclusive<MemberId>, primary: MemberId, started: Time) -> Vec<Entry> {
     ids.map(|id| entry(id, MemberStatus::Up, id == primary, started)).collect()
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A test harness for one router: three members of one group, and the functions that step it.
+//! A test harness that steps one router with a group of three members.
 #![allow(dead_code)]
 
 use petrelgauge_policy::*;
@@ -9,7 +9,7 @@
 pub mod reference_text;
 pub mod workload;
 
-pub const G: GroupId = 7;
+pub const GROUP: GroupId = 7;
 pub const MS: Time = 1_000;
 pub const START: Time = 1_000_000_000;
 
@@ -26,7 +26,8 @@
     }
 }
 
-/// Classes: 0 bounded read, 1 session read, 2 any read, 3 strong read, 4 unsafe write, 5 keyed write.
+/// Settings with one class of each kind: 0 bounded read, 1 session read, 2 eventual read, 3 strong read,
+/// 4 unsafe write, 5 keyed write.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -67,21 +68,21 @@
 }
 
 pub fn entry(member: MemberId, status: MemberStatus, primary: bool, started: Time) -> Entry {
-    Entry { member, group: G, zone: "a".into(), weight: 1.0, started, status, primary }
+    Entry { member, group: GROUP, zone: "a".into(), weight: 1.0, started, status, primary }
 }
 
-/// A router with its clock.
+/// A router under test with a simulated clock.
 pub struct Harness {
     pub router: Router,
     pub now: Time,
     /// Actions of the last step.
-    pub last: Vec<Action>,
+    pub last_actions: Vec<Action>,
     /// For each request, the attempts that `serve_all` has served (count).
-    pub counts: std::collections::BTreeMap<RequestId, u32>,
+    pub attempt_counts: std::collections::BTreeMap<RequestId, u32>,
 }
 
 impl Harness {
-    /// A router with a list: member 1 is the primary, 2 and 3 are replicas.
+    /// A router that has received a list: member 1 is the primary, 2 and 3 are replicas.
     pub fn new(settings: Settings) -> Harness {
         let mut harness = Harness::empty(settings);
         let list = (1..=3).map(|m| entry(m, MemberStatus::Up, m == 1, 0)).collect::<Vec<_>>();
@@ -92,21 +93,21 @@
     /// A router that has received no list.
     pub fn empty(settings: Settings) -> Harness {
         Harness {
-            router: Router::new(settings, 11).expect("sound settings"),
+            router: Router::new(settings, 11).expect("valid settings"),
             now: START,
-            last: Vec::new(),
-            counts: Default::default(),
+            last_actions: Vec::new(),
+            attempt_counts: Default::default(),
         }
     }
 
-    /// Steps the router with one event, now.
+    /// Steps the router with one event at the current time.
     pub fn step(&mut self, event: Event) -> Vec<Action> {
-        self.last.clear();
-        self.router.step(self.now, &[event], &mut self.last);
-        self.last.clone()
+        self.last_actions.clear();
+        self.router.step(self.now, &[event], &mut self.last_actions);
+        self.last_actions.clone()
     }
 
-    /// Lets time pass, then steps the router with a timer event.
+    /// Advances the clock, then steps the router with a timer event.
     pub fn advance(&mut self, span: Time) -> Vec<Action> {
         self.now += span;
         self.step(Event::Timer { token: 0 })
@@ -117,13 +118,13 @@
         self.step(request(name, class, time_left, None))
     }
 
-    /// Serves all attempts among these actions, each after `took`, and all that are sent because of it. Returns their
-    /// number.
+    /// Serves all attempts among these actions, each after `took`, and all attempts that are sent as a
+    /// result. Returns the number of attempts served.
     pub fn serve_all(&mut self, actions: Vec<Action>, took: Time) -> usize {
         let (mut queue, mut served) = (actions, 0);
         while let Some(action) = queue.pop() {
             let Action::Send { request, member, .. } = action else { continue };
-            let count = self.counts.entry(request.clone()).or_insert(0);
+            let count = self.attempt_counts.entry(request.clone()).or_insert(0);
             let attempt = std::mem::replace(count, *count + 1);
             let event = Event::Outcome(AttemptOutcome {
                 request,
@@ -168,7 +169,7 @@
             attempt,
             member,
             ending,
-            // Answers take unequal times.
+            // Response times vary with the request.
             took: 20 * MS + (request_hash(name) % 10) as Time * MS,
             closed: ending == Ending::Served,
             position: lag.map(|lag| self.now - lag),
@@ -187,7 +188,7 @@
     Event::Request(RequestArrival {
         request: name.into(),
         class,
-        group: G,
+        group: GROUP,
         time_left,
         is_retry: false,
         minimum_position,
@@ -213,7 +214,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Serves reads whose answers report these lags of members 1 to 3.
+/// Sends rounds of eventual reads, whose answers report these lags of members 1 to 3.
 pub fn report_lags(harness: &mut Harness, lags: [Time; 3], rounds: usize) {
     for round in 0..rounds {
         for n in 0..6 {
@@ -228,17 +229,17 @@
     }
 }
 
-/// The share of a hundred requests of this class that a member is sent.
+/// Sends a hundred requests of this class and returns the share that this member was sent.
 pub fn share_sent_to(harness: &mut Harness, class: usize, member: MemberId) -> f64 {
-    let mut hits = 0;
+    let mut sent_count = 0;
     for n in 0..100 {
         let name = format!("c{}-{n}", harness.now);
-        if let Some(got) = sent_to(&harness.send_request(&name, class, 900 * MS)) {
-            hits += (got == member) as u32;
-            let role = if got == 1 { Role::Primary } else { Role::Replica };
-            harness.report_attempt_with(&name, 0, got, Ending::Served, None, Some(role));
+        if let Some(target) = sent_to(&harness.send_request(&name, class, 900 * MS)) {
+            sent_count += (target == member) as u32;
+            let role = if target == 1 { Role::Primary } else { Role::Replica };
+            harness.report_attempt_with(&name, 0, target, Ending::Served, None, Some(role));
         }
         harness.now += 10 * MS;
     }
-    hits as f64 / 100.0
+    sent_count as f64 / 100.0
 }
--- a/crates/policy/tests/common/phases.rs
+++ b/crates/policy/tests/common/phases.rs
@@ -1,9 +1,9 @@
-//! The settings that a seeded workload goes through.
+//! The settings of each phase of a seeded workload.
 
 use super::{settings, MS};
 use petrelgauge_policy::*;
 
-/// The settings of a phase; all phases have the same classes, so that open requests keep theirs.
+/// The settings of a phase. All phases have the same classes, so that open requests stay valid.
 pub fn phase_settings(phase: usize) -> Settings {
     let base = Settings { crossing_price: 0.01, read_wait_bound: 60 * MS, ..settings() };
     match phase % 5 {
--- a/crates/policy/tests/common/reference_text.rs
+++ b/crates/policy/tests/common/reference_text.rs
@@ -1,9 +1,9 @@
-//! The text of actions from which digests are taken.
+//! The textual form of actions from which digests are computed.
 
 use petrelgauge_policy::{Action, LogEntry, Note};
 
-/// The text of one step's actions in the form that they had when the digests were taken: an action with another name, or a
-/// note with another text, is still the same action.
+/// Formats the actions of one step as they were formatted when the digests were computed, so that renaming an
+/// action or rewording a note does not change a digest.
 pub fn reference_text(actions: &[Action]) -> String {
     let texts: Vec<String> = actions.iter().map(action_text).collect();
     format!("[{}]\n", texts.join(", "))
--- a/crates/policy/tests/common/workload.rs
+++ b/crates/policy/tests/common/workload.rs
@@ -1,10 +1,11 @@
-//! A seeded random workload for one router: requests of every class, every ending, list changes, drains, restarts,
-//! health checks, gossip, quotas, setting reloads, a process handover and idle time. It draws from a generator of its own,
-//! so that the router's actions are the only thing that a change to the router can alter.
+//! A seeded random workload for one router: requests of every class, every ending, list changes, drains,
+//! restarts, health checks, gossip, quotas, settings reloads, a process handover and idle time. It has a
+//! random number generator of its own: a change to the router affects the workload only by way of the
+//! router's actions.
 
 mod events;
 
-use super::counts::Counts;
+use super::counts::ActionCounts;
 use super::phases::phase_settings;
 use super::reference_text::reference_text;
 use super::{MS, START};
@@ -16,20 +17,20 @@
 use xxhash_rust::xxh3::Xxh3;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Idle members have a zone of their own: what its other members lose would put them in doubt.
+/// Idle members are in a zone of their own, since failed attempts at other members of their zone would make
+/// the router suspect them.
 const IDLE_ZONE: &str = "d";
-const MEMBERS_OF_A_GROUP: u32 = 6;
-/// Steps between two changes of the scenario's phase.
-const PHASE: usize = 1_200;
+const MEMBERS_PER_GROUP: u32 = 6;
+const STEPS_PER_PHASE: usize = 1_200;
 const FIRST_IDLE_GROUP: GroupId = 1_000;
 const FIRST_IDLE_MEMBER: MemberId = 100_000;
-const LAST_MEMBER_PLACE: u32 = MEMBERS_OF_A_GROUP - 1;
+const LAST_MEMBER_INDEX: u32 = MEMBERS_PER_GROUP - 1;
 
-/// How a member behaves, beside its line on the list.
+/// A simulated member: its entry in the endpoint list and its behaviour.
 struct Host {
     entry: Entry,
     lag: Time,
-    answers: bool,
+    responds: bool,
 }
 
 /// An attempt whose outcome is not yet reported.
@@ -43,15 +44,15 @@
 
 pub struct Workload {
     pub router: Router,
-    pub counts: Counts,
+    pub counts: ActionCounts,
     digest: Xxh3,
     rng: Pcg64Mcg,
     now: Time,
     groups: Vec<GroupId>,
     hosts: BTreeMap<MemberId, Host>,
-    /// Lines of the list for members that no request is for.
-    idle: Vec<Entry>,
-    /// Every member has its full capacity from its start on.
+    /// Entries of members of groups that get no requests.
+    idle_entries: Vec<Entry>,
+    /// Every member has its full capacity as soon as it starts.
     no_slow_start: bool,
     in_flight: Vec<InFlight>,
     attempts: BTreeMap<RequestId, u32>,
@@ -65,14 +66,14 @@
 impl Workload {
     pub fn new(seed: u64, groups: u64) -> Workload {
         let mut workload = Workload {
-            router: Router::new(phase_settings(0), seed).expect("sound settings"),
-            counts: Counts::default(),
+            router: Router::new(phase_settings(0), seed).expect("valid settings"),
+            counts: ActionCounts::default(),
             digest: Xxh3::new(),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5EED),
             now: START,
             groups: (1..=groups).collect(),
             hosts: BTreeMap::new(),
-            idle: Vec::new(),
+            idle_entries: Vec::new(),
             no_slow_start: false,
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
@@ -83,30 +84,31 @@
             next_member: 1,
         };
         for group in 1..=groups {
-            (0..MEMBERS_OF_A_GROUP).for_each(|place| workload.add_host(group, place, 0));
+            (0..MEMBERS_PER_GROUP).for_each(|index| workload.add_host(group, index, 0));
         }
         workload
     }
 
-    /// A workload beside groups that no request is for, without slow start: that depends on the number of members, as it
-    /// is meant to. The idle members are known from another router, which has drawn its random numbers for them.
-    pub fn beside_idle_groups(seed: u64, groups: u64, idle_groups: u64) -> Workload {
+    /// A workload with additional groups that get no requests. Slow start is disabled, since it depends on
+    /// the number of members by design. The state of the idle members is adopted from another router, so that
+    /// the random numbers drawn for them come from that router's generator.
+    pub fn with_idle_groups(seed: u64, groups: u64, idle_groups: u64) -> Workload {
         let mut workload = Workload::new(seed, groups);
         workload.no_slow_start = true;
         let entry = |n: u64| Entry {
             member: FIRST_IDLE_MEMBER + n as MemberId,
-            group: FIRST_IDLE_GROUP + n / MEMBERS_OF_A_GROUP as u64,
+            group: FIRST_IDLE_GROUP + n / MEMBERS_PER_GROUP as u64,
             zone: IDLE_ZONE.into(),
             weight: 1.0,
             started: 0,
             status: MemberStatus::Up,
-            primary: n.is_multiple_of(MEMBERS_OF_A_GROUP as u64),
+            primary: n.is_multiple_of(MEMBERS_PER_GROUP as u64),
         };
-        workload.idle = (0..idle_groups * MEMBERS_OF_A_GROUP as u64).map(entry).collect();
+        workload.idle_entries = (0..idle_groups * MEMBERS_PER_GROUP as u64).map(entry).collect();
         let list = workload.list(true, workload.hosts.keys().copied().collect());
         workload.router.step(START, &[list], &mut Vec::new());
         let learned_state = workload.router.learned_state();
-        workload.router = Router::new(workload.settings(0), seed).expect("sound settings");
+        workload.router = Router::new(workload.settings(0), seed).expect("valid settings");
         workload.router.adopt_learned_state(learned_state);
         workload
     }
@@ -118,26 +120,26 @@
         Settings { slow_start_initial_share, ..settings }
     }
 
-    /// The digest of the text of all actions so far.
+    /// The digest of all actions so far, in their reference text.
     pub fn digest(&self) -> u64 {
         self.digest.digest()
     }
 
-    /// Plays so many steps and returns the digest of all actions.
-    pub fn play(&mut self, steps: usize) -> u64 {
+    /// Runs this number of steps and returns the digest of all actions.
+    pub fn run(&mut self, steps: usize) -> u64 {
         let list = self.list(true, self.hosts.keys().copied().collect());
         self.step(&[list]);
         for step in 0..steps {
-            if step % PHASE == PHASE - 1 {
-                self.change_phase(step / PHASE + 1);
+            if step % STEPS_PER_PHASE == STEPS_PER_PHASE - 1 {
+                self.change_phase(step / STEPS_PER_PHASE + 1);
             }
-            self.pass_time(step);
+            self.advance_time(step);
             let mut events = Vec::new();
             if self.timer_at.is_some_and(|at| at <= self.now) {
                 self.timer_at = None;
                 events.push(Event::Timer { token: 0 });
             }
-            for _ in 0..1 + self.below(3) {
+            for _ in 0..1 + self.random_below(3) {
                 events.extend(self.event());
             }
             self.step(&events);
@@ -145,74 +147,77 @@
         self.digest()
     }
 
-    fn below(&mut self, count: u64) -> u64 {
+    fn random_below(&mut self, count: u64) -> u64 {
         self.rng.next_u64() % count
     }
 
-    fn one_of<T: Copy>(&mut self, options: &[T]) -> T {
-        options[self.below(options.len() as u64) as usize]
+    fn choose<T: Copy>(&mut self, options: &[T]) -> T {
+        options[self.random_below(options.len() as u64) as usize]
     }
 
-    fn add_host(&mut self, group: GroupId, place: u32, started: Time) {
+    fn add_host(&mut self, group: GroupId, index: u32, started: Time) {
         let member = self.next_member;
         self.next_member += 1;
         let entry = Entry {
             member,
             group,
-            zone: ZONES[place as usize % ZONES.len()].into(),
-            weight: if place == LAST_MEMBER_PLACE { 0.5 } else { 1.0 },
+            zone: ZONES[index as usize % ZONES.len()].into(),
+            weight: if index == LAST_MEMBER_INDEX { 0.5 } else { 1.0 },
             started,
             status: MemberStatus::Up,
-            primary: place == 0,
+            primary: index == 0,
         };
-        let lag = place as Time * 15 * MS;
-        self.hosts.insert(member, Host { entry, lag, answers: true });
+        let lag = index as Time * 15 * MS;
+        self.hosts.insert(member, Host { entry, lag, responds: true });
     }
 
     fn list(&self, complete: bool, members: Vec<MemberId>) -> Event {
         let mut entries = members.iter().map(|id| self.hosts[id].entry.clone()).collect::<Vec<_>>();
-        entries.extend(self.idle.iter().filter(|_| complete).cloned());
+        entries.extend(self.idle_entries.iter().filter(|_| complete).cloned());
         let update = if complete { Update::Complete } else { Update::Partial };
         Event::List { update, entries: entries.into() }
     }
 
-    fn pass_time(&mut self, step: usize) {
-        self.now += match self.below(100) {
+    fn advance_time(&mut self, step: usize) {
+        self.now += match self.random_below(100) {
             0 => 600 * MS,
             1..=4 => 60 * MS,
-            5..=60 => self.below(8) as Time * MS,
-            _ => self.below(900) as Time,
+            5..=60 => self.random_below(8) as Time * MS,
+            _ => self.random_below(900) as Time,
         };
-        // Once so long that members that are gone are forgotten.
-        self.now += if step == 5 * PHASE { 70_000 * MS } else { 0 };
+        // One pause is long enough for the router to forget removed members.
+        self.now += if step == 5 * STEPS_PER_PHASE { 70_000 * MS } else { 0 };
     }
 
-    /// Each phase has settings and faults of its own; the fourth one is played by a process that took over.
+    /// Applies the settings and faults of a phase. At phase 4 a new router adopts the learned state of the
+    /// current one, as in a process handover.
     fn change_phase(&mut self, phase: usize) {
         let settings = self.settings(phase);
         let silent_zone = [None, Some("b"), None, Some("c")][phase % 4];
-        self.hosts.values_mut().for_each(|host| host.answers = Some(host.entry.zone.as_str()) != silent_zone);
+        self.hosts
+            .values_mut()
+            .for_each(|host| host.responds = Some(host.entry.zone.as_str()) != silent_zone);
         if phase == 4 {
             let learned_state = self.router.learned_state();
-            self.router = Router::new(settings, phase as u64).expect("sound settings");
+            self.router = Router::new(settings, phase as u64).expect("valid settings");
             self.router.adopt_learned_state(learned_state);
             self.timer_at = None;
             self.probes.clear();
             let list = self.list(true, self.hosts.keys().copied().collect());
             self.step(&[list]);
         } else {
-            self.router.apply_settings(settings).expect("sound settings");
+            self.router.apply_settings(settings).expect("valid settings");
         }
     }
 
     fn any_member(&mut self) -> MemberId {
         let members: Vec<MemberId> = self.hosts.keys().copied().collect();
-        self.one_of(&members)
+        self.choose(&members)
     }
 
     fn open_request(&mut self) -> Option<RequestId> {
         let count = self.open.len() as u64;
-        (count > 0).then(|| self.below(count)).map(|place| self.open[place as usize].clone())
+        (count > 0).then(|| self.random_below(count)).map(|index| self.open[index as usize].clone())
     }
 
     fn step(&mut self, events: &[Event]) {
@@ -234,16 +239,16 @@
             }
             Action::Reject { request, .. } => {
                 self.counts.rejections += 1;
-                self.close(&request);
+                self.close_request(&request);
             }
             Action::Fail { request } => {
                 self.counts.failures += 1;
-                self.close(&request);
+                self.close_request(&request);
             }
             Action::Cancel { request, attempt } => {
                 self.counts.cancellations += 1;
-                let named = |out: &&mut InFlight| out.request == request && out.attempt == attempt;
-                self.in_flight.iter_mut().filter(named).for_each(|out| out.cancelled = true);
+                let is_named = |other: &&mut InFlight| other.request == request && other.attempt == attempt;
+                self.in_flight.iter_mut().filter(is_named).for_each(|other| other.cancelled = true);
             }
             Action::Probe { member } => {
                 self.counts.health_checks += 1;
@@ -259,7 +264,7 @@
         }
     }
 
-    fn close(&mut self, request: &Arc<str>) {
+    fn close_request(&mut self, request: &Arc<str>) {
         self.open.retain(|open| open != request);
     }
 }
--- a/crates/policy/tests/common/workload/events.rs
+++ b/crates/policy/tests/common/workload/events.rs
@@ -1,6 +1,6 @@
-//! The events of a workload, each sampled from its generator.
+//! The random events of a workload.
 
-use super::{InFlight, Workload, MEMBERS_OF_A_GROUP, MS};
+use super::{InFlight, Workload, MEMBERS_PER_GROUP, MS};
 use petrelgauge_policy::{
     AttemptOutcome, Ending, Event, GroupId, MemberId, MemberStatus, QuotaAdjustment, Report, RequestArrival,
     RequestId, Role, Time,
@@ -8,7 +8,7 @@
 
 impl Workload {
     pub(super) fn event(&mut self) -> Option<Event> {
-        match self.below(1_000) {
+        match self.random_below(1_000) {
             0..=389 => Some(self.request()),
             390..=869 => self.outcome(),
             870..=899 => self.probe_outcome(),
@@ -17,7 +17,7 @@
             940..=959 => Some(self.quota()),
             960..=974 => self.open_request().map(|request| Event::Abandoned { request }),
             975..=989 => {
-                let minimum_position = self.now - self.below(400) as Time * MS;
+                let minimum_position = self.now - self.random_below(400) as Time * MS;
                 self.open_request().map(|request| Event::MinimumPositionLowered { request, minimum_position })
             }
             _ => Some(Event::Timer { token: 0 }),
@@ -26,9 +26,9 @@
 
     fn quota(&mut self) -> Event {
         let groups = self.groups.clone();
-        let extra = self.below(30) as f64 / 10.0 - 0.9;
+        let extra = self.random_below(30) as f64 / 10.0 - 0.9;
         Event::QuotaAdjusted {
-            group: self.one_of(&groups),
+            group: self.choose(&groups),
             adjustment: QuotaAdjustment { extra, until: self.now + 2_000 * MS },
         }
     }
@@ -37,17 +37,17 @@
         self.requested += 1;
         let request: RequestId = format!("r{}", self.requested).into();
         self.open.push(request.clone());
-        // Some groups have most of the work, and some requests name a class that there is not.
+        // The first groups get most of the requests, and some requests name a class that does not exist.
         let groups = self.groups.len() as u64;
-        let place = self.below(groups).min(self.below(groups)) as usize;
-        let has_minimum_position = self.below(5) == 0;
+        let index = self.random_below(groups).min(self.random_below(groups)) as usize;
+        let has_minimum_position = self.random_below(5) == 0;
         Event::Request(RequestArrival {
             request,
-            class: if self.below(300) == 0 { 99 } else { self.below(6) as usize },
-            group: self.groups[place],
-            time_left: self.one_of(&[900, 900, 900, 950, 400, 120]) * MS,
-            is_retry: self.below(10) == 0,
-            minimum_position: has_minimum_position.then(|| self.now - self.below(300) as Time * MS),
+            class: if self.random_below(300) == 0 { 99 } else { self.random_below(6) as usize },
+            group: self.groups[index],
+            time_left: self.choose(&[900, 900, 900, 950, 400, 120]) * MS,
+            is_retry: self.random_below(10) == 0,
+            minimum_position: has_minimum_position.then(|| self.now - self.random_below(300) as Time * MS),
         })
     }
 
@@ -56,24 +56,25 @@
         if count == 0 {
             return None;
         }
-        let place = self.below(count) as usize;
-        let (member, sent) = (self.in_flight[place].member, self.in_flight[place].sent);
-        let answers = self.hosts[&member].answers;
-        // What a silent member has stays out for a while.
-        if !answers && self.now - sent < 400 * MS {
+        let index = self.random_below(count) as usize;
+        let (member, sent) = (self.in_flight[index].member, self.in_flight[index].sent);
+        let responds = self.hosts[&member].responds;
+        // Attempts at an unresponsive member stay in flight for a while.
+        if !responds && self.now - sent < 400 * MS {
             return None;
         }
-        let out = self.in_flight.swap_remove(place);
-        let ending = self.ending(&out, answers);
+        let attempt_in_flight = self.in_flight.swap_remove(index);
+        let ending = self.ending(&attempt_in_flight, responds);
         let host = &self.hosts[&member];
         let (primary, lag) = (host.entry.primary, host.lag);
-        let position = (answers && self.below(8) != 0).then_some(self.now - lag);
+        let position = (responds && self.random_below(8) != 0).then_some(self.now - lag);
         let role = position.map(|_| if primary { Role::Primary } else { Role::Replica });
         let report = Report { position, role, waiting: Some(1.0), busy: None };
-        let closed = ending == Ending::Served || self.below(40) == 0;
-        let (request, attempt, took) = (out.request, out.attempt, self.now - sent);
+        let closed = ending == Ending::Served || self.random_below(40) == 0;
+        let (request, attempt, took) =
+            (attempt_in_flight.request, attempt_in_flight.attempt, self.now - sent);
         if closed {
-            self.close(&request);
+            self.close_request(&request);
         }
         Some(Event::Outcome(AttemptOutcome {
             request,
@@ -88,14 +89,14 @@
         }))
     }
 
-    fn ending(&mut self, out: &InFlight, answers: bool) -> Ending {
-        if out.cancelled {
+    fn ending(&mut self, attempt_in_flight: &InFlight, responds: bool) -> Ending {
+        if attempt_in_flight.cancelled {
             return Ending::Cancelled;
         }
-        if !answers {
-            return self.one_of(&[Ending::TimedOut, Ending::ConnectFailed, Ending::ConnectionLost]);
+        if !responds {
+            return self.choose(&[Ending::TimedOut, Ending::ConnectFailed, Ending::ConnectionLost]);
         }
-        match self.below(100) {
+        match self.random_below(100) {
             0..=84 => Ending::Served,
             85..=86 => Ending::Error,
             87..=89 => Ending::QueueFull,
@@ -112,7 +113,7 @@
         let host = &self.hosts[&member];
         let role = if host.entry.primary { Role::Primary } else { Role::Replica };
         let (ending, is_reported) =
-            if host.answers { (Ending::Served, true) } else { (Ending::TimedOut, false) };
+            if host.responds { (Ending::Served, true) } else { (Ending::TimedOut, false) };
         let position = is_reported.then_some(self.now - host.lag);
         let report = Report { position, role: is_reported.then_some(role), waiting: None, busy: Some(0.4) };
         Some(Event::Probed { member, ending, report })
@@ -121,7 +122,7 @@
     fn list_change(&mut self) -> Event {
         let member = self.any_member();
         let now = self.now;
-        let kind = self.below(12);
+        let kind = self.random_below(12);
         let Some(host) = self.hosts.get_mut(&member) else { return Event::Timer { token: 0 } };
         let (group, primary) = (host.entry.group, host.entry.primary);
         match kind {
@@ -131,13 +132,13 @@
                 (host.entry.started, host.entry.status) = (now, MemberStatus::Up);
             }
             7 if !primary => {
-                let place = self.below(MEMBERS_OF_A_GROUP as u64 - 1) as u32 + 1;
-                self.add_host(group, place, now);
+                let index = self.random_below(MEMBERS_PER_GROUP as u64 - 1) as u32 + 1;
+                self.add_host(group, index, now);
                 return self.list(false, vec![member, self.next_member - 1]);
             }
             8 => self.move_primary(group, member),
             9 => {
-                // A complete list that leaves one out.
+                // A complete list without this member.
                 let others = self.hosts.keys().copied().filter(|id| *id != member).collect();
                 return self.list(true, others);
             }
--- a/crates/policy/tests/digest.rs
+++ b/crates/policy/tests/digest.rs
@@ -4,7 +4,7 @@
 //! A change that means to alter decisions replaces the constants, and says in its commit why they moved.
 
 mod common;
-use common::counts::Counts;
+use common::counts::ActionCounts;
 use common::workload::*;
 
 const STEPS: usize = 24_000;
@@ -21,7 +21,7 @@
 const FIRST_DIGEST: u64 = 8_566_661_806_064_578_650;
 const SECOND_DIGEST: u64 = 17_623_473_532_089_784_920;
 
-fn assert_rich(counts: &Counts) {
+fn assert_rich(counts: &ActionCounts) {
     assert!(counts.events >= 20_000, "{counts:?}");
     assert!(counts.sends >= 5_000, "{counts:?}");
     assert!(counts.rejections >= 1_000, "{counts:?}");
@@ -39,7 +39,7 @@
 #[test]
 fn actions_of_the_first_seed_are_unchanged() {
     let mut workload = Workload::new(1, GROUPS);
-    let digest = workload.play(STEPS);
+    let digest = workload.run(STEPS);
     assert_rich(&workload.counts);
     assert_eq!(digest, FIRST_DIGEST);
 }
@@ -47,16 +47,16 @@
 #[test]
 fn actions_of_the_second_seed_are_unchanged() {
     let mut workload = Workload::new(2, GROUPS);
-    let digest = workload.play(STEPS);
+    let digest = workload.run(STEPS);
     assert_rich(&workload.counts);
     assert_eq!(digest, SECOND_DIGEST);
 }
 
 #[test]
 fn idle_groups_change_no_action() {
-    let mut alone = Workload::beside_idle_groups(3, GROUPS, 0);
-    let mut beside = Workload::beside_idle_groups(3, GROUPS, IDLE_GROUPS);
-    let digest = alone.play(STEPS_BESIDE_IDLE_GROUPS);
+    let mut alone = Workload::with_idle_groups(3, GROUPS, 0);
+    let mut beside = Workload::with_idle_groups(3, GROUPS, IDLE_GROUPS);
+    let digest = alone.run(STEPS_BESIDE_IDLE_GROUPS);
     assert!(alone.counts.sends >= 2_000, "{:?}", alone.counts);
-    assert_eq!(beside.play(STEPS_BESIDE_IDLE_GROUPS), digest);
+    assert_eq!(beside.run(STEPS_BESIDE_IDLE_GROUPS), digest);
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -30,12 +30,12 @@
         }
         if tick == 2000 {
             served = fleet.served;
-            fleet.members.values_mut().for_each(|member| member.peak = 0);
+            fleet.members.values_mut().for_each(|member| member.peak_load = 0);
         }
         fleet.step();
     }
     let served_share = (fleet.served - served) as f64 / 250.0;
-    SlowPrimaryLoad { served_share, peak: fleet.members[&1].peak }
+    SlowPrimaryLoad { served_share, peak: fleet.members[&1].peak_load }
 }
 
 // Day join+vast: primaries slowed to a third had an attempt of each of a hundred gateways in flight at all times. That is
@@ -163,7 +163,7 @@
     let set = settings();
     let mut most: f64 = 0.0;
     for member in fleet.members.values() {
-        let warm = member.slots as f64 * 1e6 / member.work as f64;
+        let warm = member.slots as f64 * 1e6 / member.service_time as f64;
         for (first, attempt) in member.received.iter().enumerate() {
             let from = attempt.at;
             let within =
@@ -268,7 +268,10 @@
         fleet.step();
     }
     let requested = fleet.requested as f64;
-    LostPrimary { misses: fleet.misses as f64 / requested, served_share: fleet.served as f64 / requested }
+    LostPrimary {
+        misses: fleet.misdirected_writes as f64 / requested,
+        served_share: fleet.served as f64 / requested,
+    }
 }
 
 // 150 writes at 300 routers made 1035 misses, 6.9 each: all attempts but one went to members that were not the primary.
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -30,7 +30,7 @@
         Event::Request(RequestArrival {
             request: name.into(),
             class: 3,
-            group: G,
+            group: GROUP,
             time_left: 900 * MS,
             is_retry,
             minimum_position: None,
--- a/crates/policy/tests/quotas.rs
+++ b/crates/policy/tests/quotas.rs
@@ -41,7 +41,7 @@
         }
         for (me, quota) in self.quotas.iter_mut().enumerate() {
             let rates = &mut self.rates[me];
-            rates.observe(now, &BTreeMap::from([(G, self.request_counts[me])]));
+            rates.observe(now, &BTreeMap::from([(GROUP, self.request_counts[me])]));
             if quota.next_deadline().is_none_or(|due| now < due) {
                 continue;
             }
@@ -50,7 +50,7 @@
                 quota.on_grant(now, report.number, &granted);
             }
             fleet.pending_events[me]
-                .push(Event::QuotaAdjusted { group: G, adjustment: quota.current(now, G) });
+                .push(Event::QuotaAdjusted { group: GROUP, adjustment: quota.current(now, GROUP) });
         }
     }
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -163,7 +163,7 @@
         if let Some(start) = self.starts.last() {
             let share = capacity_share(self.fleet.now - start.at);
             let member = self.fleet.members.get_mut(&self.case.member).expect("the member exists");
-            member.work = (WORK as f64 / share) as Time;
+            member.service_time = (WORK as f64 / share) as Time;
         }
         self.fleet.step();
     }
--- a/crates/policy/tests/slow_start_work.rs
+++ b/crates/policy/tests/slow_start_work.rs
@@ -111,7 +111,7 @@
         let entries = entries_of(1..=MEMBERS, PRIMARY, 0);
         let members = members(1..=MEMBERS, Some(PRIMARY), SLOTS, WORK);
         let mut fleet = Fleet::with_settings(case.routers, &entries, members, router_settings(case));
-        TRAFFIC.iter().for_each(|traffic| fleet.class_work[traffic.class] = traffic.work);
+        TRAFFIC.iter().for_each(|traffic| fleet.service_time_ratios[traffic.class] = traffic.work);
         let mut simulation = Simulation { case, fleet, load: case.load, due: [0.0; 4], starts: Vec::new() };
         simulation.run(WARM_UP);
         simulation
@@ -142,7 +142,7 @@
         }
         for Start { member, at } in &self.starts {
             let work = WORK as f64 / self.capacity_share(self.fleet.now - at);
-            self.fleet.members.get_mut(member).expect("the member exists").work = work as Time;
+            self.fleet.members.get_mut(member).expect("the member exists").service_time = work as Time;
         }
         self.fleet.step();
     }
@@ -187,7 +187,7 @@
         let load_ratio = |first: usize| {
             let from = received[first].at;
             let within = received[first..].iter().take_while(|attempt| attempt.at < from + overload_span);
-            let work: f64 = within.map(|attempt| self.fleet.class_work[attempt.class]).sum();
+            let work: f64 = within.map(|attempt| self.fleet.service_time_ratios[attempt.class]).sum();
             let budget = overload_factor * self.capacity_share(from - start.at) * warm;
             let (spread, more) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
             work / (budget + spread * budget.sqrt() + more)
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -14,16 +14,16 @@
 #[test]
 fn a_complete_list_replaces_the_known_groups() {
     let simulation = simulation();
-    let other = Entry { group: G + 1, ..entry(4, MemberStatus::Up, true, 0) };
+    let other = Entry { group: GROUP + 1, ..entry(4, MemberStatus::Up, true, 0) };
     simulation.facade.update(|table| table.update_endpoints(Update::Partial, vec![other.clone()]));
     assert!(
-        simulation.facade.read(|table| table.may_serve_group(G))
-            && simulation.facade.read(|table| table.may_serve_group(G + 1))
+        simulation.facade.read(|table| table.may_serve_group(GROUP))
+            && simulation.facade.read(|table| table.may_serve_group(GROUP + 1))
     );
     simulation.facade.update(|table| table.update_endpoints(Update::Complete, vec![other]));
     assert!(
-        !simulation.facade.read(|table| table.may_serve_group(G))
-            && simulation.facade.read(|table| table.may_serve_group(G + 1))
+        !simulation.facade.read(|table| table.may_serve_group(GROUP))
+            && simulation.facade.read(|table| table.may_serve_group(GROUP + 1))
     );
 }
 
@@ -106,5 +106,7 @@
     assert!(facade.read(|table| table.may_serve_group(99)), "no list has been received");
     facade
         .update(|table| table.update_endpoints(Update::Complete, vec![entry(1, MemberStatus::Up, true, 0)]));
-    assert!(facade.read(|table| table.may_serve_group(G)) && !facade.read(|table| table.may_serve_group(99)));
+    assert!(
+        facade.read(|table| table.may_serve_group(GROUP)) && !facade.read(|table| table.may_serve_group(99))
+    );
 }
--- a/tests/facade_simulation/mod.rs
+++ b/tests/facade_simulation/mod.rs
@@ -5,7 +5,7 @@
 #[path = "../../crates/policy/tests/common/mod.rs"]
 mod common;
 
-pub use common::{entry, settings, G, MS, START};
+pub use common::{entry, settings, GROUP, MS, START};
 use petrelgauge::facade::{Attempt, Decision, Facade, Request, SessionRef, SessionTracking, Ticket};
 use petrelgauge::*;
 use petrelgauge_sessions::SessionTracker;
@@ -62,8 +62,10 @@
     }
 
     pub fn session_ref(&self, tokens: &[&str]) -> Option<SessionRef> {
-        let session =
-            self.facade.read(|table| table.session_ref(self.now, G, "one", tokens)).expect("sound tokens");
+        let session = self
+            .facade
+            .read(|table| table.session_ref(self.now, GROUP, "one", tokens))
+            .expect("sound tokens");
         assert_eq!(session.is_some(), self.keeps_sessions);
         session
     }
@@ -72,7 +74,7 @@
     pub fn admit(&mut self, class: usize, time_left: Time, tokens: &[&str]) -> Ticket {
         self.facade.admit(Request {
             class,
-            group: G,
+            group: GROUP,
             deadline: self.now + time_left,
             is_retry: false,
             arrived_at: self.now,
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -101,7 +101,7 @@
     let mut simulation = simulation(set);
     let broadcast = |from: Time, until: Time| {
         WatermarkBroadcast {
-            sender: BroadcastSender { instance: 1, group: G, epoch: START - 9_000 * MS },
+            sender: BroadcastSender { instance: 1, group: GROUP, epoch: START - 9_000 * MS },
             from,
             until,
             omitted_bound: 0,
