--- a/crates/policy/tests/replica_lag.rs
+++ b/crates/policy/tests/replica_lag.rs
@@ -1,17 +1,17 @@
-//! Reads before replicas that lag behind their primary.
+//! Routing of reads when replicas lag behind their primary.
 
 mod common;
 use common::*;
 use petrelgauge_policy::*;
 
 #[test]
-fn lagging_replicas_get_no_bounded_reads_but_others() {
+fn lagging_replicas_get_eventual_reads_but_no_bounded_reads() {
     let mut harness = Harness::new(settings());
     report_lags(&mut harness, [0, 10 * MS, 900 * MS], 20);
     assert!(share_sent_to(&mut harness, 0, 3) < 0.05, "bounded reads avoid the lagging replica");
     let mut harness = Harness::new(settings());
     report_lags(&mut harness, [0, 10 * MS, 900 * MS], 20);
-    assert!(share_sent_to(&mut harness, 2, 3) > 0.1, "reads of any data do not");
+    assert!(share_sent_to(&mut harness, 2, 3) > 0.1, "eventual reads do not");
 }
 
 #[test]
@@ -21,13 +21,13 @@
     let old = harness.step(request("old", 1, 900 * MS, Some(harness.now - 5_000 * MS)));
     assert!(sent_to(&old).is_some());
     for n in 0..3 {
-        let young = harness.step(request(&format!("young{n}"), 1, 900 * MS, Some(harness.now - 50 * MS)));
-        assert_eq!(sent_to(&young), Some(1), "only the primary has seen a write that young");
+        let recent = harness.step(request(&format!("young{n}"), 1, 900 * MS, Some(harness.now - 50 * MS)));
+        assert_eq!(sent_to(&recent), Some(1), "only the primary has a write that recent");
     }
 }
 
 #[test]
-fn a_lag_jump_shows_within_a_few_answers() {
+fn a_sudden_lag_is_detected_within_a_few_answers() {
     let mut harness = Harness::new(settings());
     report_lags(&mut harness, [0, 10 * MS, 10 * MS], 20);
     let mut wasted = 0;
@@ -63,12 +63,12 @@
         }
         harness.advance(5 * MS);
     }
-    assert!((1..40).contains(&wasted), "{wasted} attempts spent on replicas that jumped behind");
+    assert!((1..40).contains(&wasted), "{wasted} attempts spent on replicas with a sudden lag");
 }
 
 #[test]
 fn reads_leave_the_primary_capacity_for_writes_when_all_replicas_lag() {
-    // Recorded day i3ea088: with all replicas behind, reads crowded the primary.
+    // Recorded run i3ea088: when all replicas lagged, reads used up the capacity of the primary.
     let mut harness = Harness::new(settings());
     report_lags(&mut harness, [0, 900 * MS, 900 * MS], 20);
     for n in 0..60 {
@@ -77,6 +77,6 @@
     assert_eq!(
         sent_to(&harness.send_request("write", 4, 900 * MS)),
         Some(1),
-        "the write still finds capacity"
+        "the primary has capacity left for the write"
     );
 }
