--- a/crates/policy/tests/events_and_settings.rs
+++ b/crates/policy/tests/events_and_settings.rs
@@ -1,4 +1,4 @@
-//! Events and settings that make no sense, and actions that depend on the events alone.
+//! Invalid events and settings, and the dependence of actions on nothing but events.
 
 mod common;
 use common::*;
@@ -11,8 +11,8 @@
     harness.step(Event::Abandoned { request: "never-seen".into() });
     harness.step(Event::Probed { member: 99, ending: Ending::TimedOut, report: Report::default() });
     harness.step(Event::List { update: Update::Complete, entries: [].into() });
-    let odd = Report { position: Some(Time::MAX), role: None, waiting: Some(f64::NAN), busy: None };
-    harness.step(Event::Probed { member: 1, ending: Ending::Served, report: odd });
+    let malformed = Report { position: Some(Time::MAX), role: None, waiting: Some(f64::NAN), busy: None };
+    harness.step(Event::Probed { member: 1, ending: Ending::Served, report: malformed });
     let unknown = harness.step(Event::Request(RequestArrival {
         request: "far".into(),
         class: 99,
@@ -21,8 +21,8 @@
         is_retry: true,
         minimum_position: None,
     }));
-    assert!(rejected(&unknown), "a class that no setting names still gets its one answer");
-    assert_eq!(sends(&harness.send_request("r", 0, 900 * MS)), 0, "a group with no member up");
+    assert!(rejected(&unknown), "a request of an unknown class gets its final answer");
+    assert_eq!(sends(&harness.send_request("r", 0, 900 * MS)), 0, "the group has no member that is up");
     let mut all = Vec::new();
     for _ in 0..250 {
         all.extend(harness.advance(5 * MS));
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn invalid_settings_are_rejected_by_name() {
-    let none = Settings { classes: vec![], ..settings() };
-    assert_eq!(Router::new(none, 1).err(), Some(SettingsError::NoClasses));
+fn invalid_settings_are_rejected_with_a_specific_error() {
+    let no_classes = Settings { classes: vec![], ..settings() };
+    assert_eq!(Router::new(no_classes, 1).err(), Some(SettingsError::NoClasses));
     let mut bad = settings();
     bad.classes[2].latency_target = 0;
     assert_eq!(Router::new(bad, 1).err(), Some(SettingsError::BadClass(2)));
@@ -49,7 +49,7 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let run = |others: bool| {
+    let run = |second_router_active: bool| {
         let mut one = Harness::new(settings());
         let mut two = Harness::new(settings());
         let mut all = Vec::new();
@@ -61,12 +61,12 @@
             }
             all.extend(actions);
             all.extend(one.advance(5 * MS));
-            if others {
+            if second_router_active {
                 two.send_request(&name, 2, 500 * MS);
                 two.advance(7 * MS);
             }
         }
         all
     };
-    assert_eq!(run(false), run(true), "an instance's actions depend on its own events alone");
+    assert_eq!(run(false), run(true), "the actions of a router depend on its own events alone");
 }
