--- a/crates/policy/tests/primary_discovery.rs
+++ b/crates/policy/tests/primary_discovery.rs
@@ -1,4 +1,4 @@
-//! How the primary of a group is found, and what goes to it.
+//! Discovery of a group's primary, and which requests are sent to it.
 
 mod common;
 use common::*;
@@ -39,13 +39,13 @@
             actions.extend(harness.advance(5 * MS));
         }
         assert_eq!(served, 5, "{list_role:?}: all writes reach the new primary");
-        assert!(attempts <= 16, "{list_role:?}: {attempts} attempts burnt");
+        assert!(attempts <= 16, "{list_role:?}: {attempts} attempts used");
     }
 }
 
 #[test]
 fn a_strong_read_discovers_an_unlisted_primary() {
-    // Recorded day i115826: strong reads waited for a primary that only writes went looking for.
+    // Recorded run i115826: strong reads waited for a primary to be discovered, which only writes did.
     let mut harness = Harness::new(Settings { list_role: ListRole::Absent, ..settings() });
     let mut actions = harness.send_request("s", 3, 900 * MS);
     let mut found = false;
@@ -61,41 +61,44 @@
         let role = Some(Role::Replica);
         actions = harness.report_attempt_with("s", attempt, member, Ending::Rejected, Some(0), role);
     }
-    assert!(found, "it tries the members one by one");
+    assert!(found, "it is tried at one member after another");
 }
 
 #[test]
 fn most_reads_avoid_a_primary_with_writes_and_some_use_an_idle_one() {
-    // Standard days of the later deployments: with hundreds of routers none sees how busy the primary is.
+    // Standard scenarios of the later deployments: with hundreds of routers, no router observes how loaded
+    // the primary is.
     let reads_at_primary = |writes: usize| {
         let mut harness = Harness::new(settings());
-        let mut hits = 0;
+        let mut sent_to_primary = 0;
         for n in 0..300 {
             for k in 0..writes {
                 let actions = harness.send_request(&format!("w{n}-{k}"), 4, 900 * MS);
                 harness.serve_all(actions, 40 * MS);
             }
             let actions = harness.send_request(&format!("r{n}"), 2, 900 * MS);
-            hits += (sent_to(&actions) == Some(1)) as usize;
+            sent_to_primary += (sent_to(&actions) == Some(1)) as usize;
             harness.serve_all(actions, (40 + n % 7) as Time * MS);
             harness.now += 50 * MS;
         }
-        hits
+        sent_to_primary
     };
     let (busy, idle) = (reads_at_primary(1), reads_at_primary(0));
-    assert!(busy < 30, "{busy} of 300 reads at a primary with half of all work");
-    assert!((50..150).contains(&idle), "{idle} of 300 reads at a primary without any, of three members");
+    assert!(busy < 30, "{busy} of 300 reads at a primary that serves half of all requests");
+    assert!((50..150).contains(&idle), "{idle} of 300 reads at an idle primary, one of three members");
 }
 
 #[test]
 fn a_warming_primary_keeps_its_budget_for_writes() {
-    // Standard day rough-2 of graz-main-later: reads spent the budget of a new primary, its writes ran out unsent.
+    // Standard scenario rough-2 of graz-main-later: reads used up the budget of a new primary, and writes
+    // expired before they were sent.
     let mut harness = Harness::empty(settings());
     let list: Vec<Entry> = (1..=3)
         .map(|m| entry(m, MemberStatus::Up, m == 1, if m == 1 { START - 100 * MS } else { 0 }))
         .collect();
     harness.step(Event::List { update: Update::Complete, entries: list.into() });
-    // Its start is newer than the list's roles: before it is known to be the primary, a read may go to it as to any other.
+    // Its start is newer than the list's roles: until it is known to be the primary, reads may be sent to it
+    // as to any other member.
     harness.step(Event::GossipedPrimary { member: 1, at: harness.now });
     let (mut reads, mut writes) = (0, 0);
     for n in 0..600 {
@@ -109,6 +112,6 @@
         harness.serve_all(actions, 20 * MS);
         harness.now += 10 * MS;
     }
-    assert_eq!(reads, 0, "reads have other members");
-    assert!(writes > 20, "{writes} writes reach it");
+    assert_eq!(reads, 0, "reads are sent to other members");
+    assert!(writes > 20, "{writes} writes sent to it");
 }
