--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! By when a keyed request may be sent again.
+//! The deadline for retries of a keyed request.
 
 use petrelgauge_policy::{Effect, Scope, RETRY_WINDOW_MARGIN};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_short_window_loses_little_to_the_margin() {
+fn the_margin_takes_little_of_a_short_window() {
     for window in [0, 1, 40_000, 400_000, 4 * SECOND] {
         let usable = keyed(window).retry_deadline(0);
         assert!(usable <= window && usable >= window - window / 32, "{usable} of {window}");
