--- a/crates/policy/tests/suspected_groups.rs
+++ b/crates/policy/tests/suspected_groups.rs
@@ -1,5 +1,5 @@
-//! Groups whose members are all suspected: each read may be spent on a trial of one of them, and no member gets more than
-//! one trial at a time.
+//! Groups whose members are all suspected: each read may be sent to one of them as a trial, and no member
+//! gets more than one trial at a time.
 
 mod common;
 use common::fleet::*;
@@ -12,7 +12,7 @@
 const READ_TIME: Time = 900 * MS;
 const SECOND: Time = 1_000 * MS;
 
-/// One router before one group, of which member 1 is the primary.
+/// One router and one group, of which member 1 is the primary.
 fn group() -> Fleet {
     Fleet::new(1, &entries_of(1..=MEMBERS, 1, 0), members(1..=MEMBERS, Some(1), 4, 10 * MS))
 }
@@ -24,7 +24,7 @@
     }
 }
 
-/// Sends so many reads, with a pause after each.
+/// Sends this number of reads, with a pause after each.
 fn send_reads(fleet: &mut Fleet, reads: usize, pause: Time) {
     for _ in 0..reads {
         fleet.send_request(0, READ, READ_TIME);
@@ -36,11 +36,11 @@
     fleet.members.values_mut().for_each(|member| member.silent = silent);
 }
 
-fn sent(fleet: &Fleet) -> usize {
+fn received(fleet: &Fleet) -> usize {
     fleet.members.values().map(|member| member.received.len()).sum()
 }
 
-/// A group that was silent for long enough that all of its members are suspected.
+/// A group that has been silent for so long that all of its members are suspected.
 fn silent_group() -> Fleet {
     let mut fleet = group();
     send_reads(&mut fleet, 2, SECOND);
@@ -56,20 +56,20 @@
     set_silent(&mut fleet, false);
     let served = fleet.served;
     send_reads(&mut fleet, 5, 3 * SECOND);
-    assert_eq!(fleet.served - served, 5, "of five reads, three seconds apart");
+    assert_eq!(fleet.served - served, 5, "served reads of five, sent three seconds apart");
 }
 
 #[test]
 fn a_silent_group_with_little_traffic_is_tried_with_every_read_within_its_attempts() {
     let mut fleet = silent_group();
-    let before = sent(&fleet);
+    let before = received(&fleet);
     for _ in 0..5 {
-        let earlier = sent(&fleet);
+        let earlier = received(&fleet);
         send_reads(&mut fleet, 1, 3 * SECOND);
-        let attempts = sent(&fleet) - earlier;
+        let attempts = received(&fleet) - earlier;
         assert!((1..=8).contains(&attempts), "{attempts} attempts of one read");
     }
-    assert!(sent(&fleet) - before <= 5 * MEMBERS as usize, "no member is tried twice with one read");
+    assert!(received(&fleet) - before <= 5 * MEMBERS as usize, "no read is sent to the same member twice");
 }
 
 #[test]
@@ -88,19 +88,20 @@
 #[test]
 fn a_busy_silent_group_gets_one_trial_at_a_time_for_each_member() {
     let mut fleet = silent_group();
-    let before = sent(&fleet);
-    let mut most = 0;
+    let before = received(&fleet);
+    let mut most_open = 0;
     let end = fleet.now + 10 * SECOND;
     while fleet.now < end {
         fleet.send_request(0, READ, READ_TIME);
         fleet.step();
         for id in 1..=MEMBERS {
-            most = most.max(fleet.open_attempts.values().filter(|attempt| attempt.member == id).count());
+            most_open =
+                most_open.max(fleet.open_attempts.values().filter(|attempt| attempt.member == id).count());
         }
     }
-    // After a trial that fails the pause is 0.64 s.
-    let trials = sent(&fleet) - before;
-    assert_eq!(most, 1, "trials at one member together");
+    // After a failed trial the next one at the same member follows 0.64 s later.
+    let trials = received(&fleet) - before;
+    assert_eq!(most_open, 1, "trials in flight at one member");
     assert!((10..=17 * MEMBERS as usize).contains(&trials), "{trials} trials in 10 s, of 2000 reads");
 }
 
@@ -110,9 +111,9 @@
     let list: Vec<Entry> = (1..=MEMBERS).map(|id| entry(id, MemberStatus::Draining, id == 1, 0)).collect();
     fleet.pending_events[0].push(Event::List { update: Update::Complete, entries: list.into() });
     fleet.step();
-    let before = sent(&fleet);
+    let before = received(&fleet);
     send_reads(&mut fleet, 5, 3 * SECOND);
-    assert_eq!(sent(&fleet), before);
+    assert_eq!(received(&fleet), before);
 }
 
 fn answer(harness: &mut Harness, name: &str, attempt: u32, member: MemberId) {
@@ -129,9 +130,10 @@
     sent_to(&actions)
 }
 
-/// Where members answer reads from old data, a read must not be kept for a trial that it would not be sent to.
+/// Where members serve stale reads, a read must not be reserved for a trial at a member to which it may not
+/// be sent.
 #[test]
-fn a_bounded_read_is_not_spent_on_a_suspected_member_that_may_be_behind() {
+fn a_bounded_read_is_no_trial_of_a_suspected_member_that_may_lag() {
     let settings = Settings { may_probe: false, stale_read_policy: StaleReadPolicy::Serve, ..settings() };
     let mut harness = Harness::new(settings);
     let mut lost = 0;
