--- a/crates/policy/tests/quotas.rs
+++ b/crates/policy/tests/quotas.rs
@@ -1,11 +1,11 @@
-//! What lending quotas brings to hundreds of routers with uneven traffic. The quotas are those of the state machines of
-//! `petrelgauge-ownership`, over a network that loses nothing.
+//! The benefit of lending quotas among hundreds of routers with uneven traffic. The quotas come from the
+//! state machines of `petrelgauge-ownership`, over a network without loss.
 
 mod common;
 use common::fleet::*;
 use common::*;
 use petrelgauge_ownership::quota::{Quota, QuotaPool, RequestRates};
-use petrelgauge_ownership::Settings as Spans;
+use petrelgauge_ownership::Settings as OwnershipSettings;
 use petrelgauge_policy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,13 +21,17 @@
 
 impl QuotaExchange {
     fn new(count: usize) -> QuotaExchange {
-        let spans =
-            |me| Spans { self_id: me, gateways: count as u16, acceptors: vec![0], ..Spans::default() };
+        let ownership_settings = |me| OwnershipSettings {
+            self_id: me,
+            gateways: count as u16,
+            acceptors: vec![0],
+            ..OwnershipSettings::default()
+        };
         QuotaExchange {
-            quotas: (0..count as u16).map(|me| Quota::new(spans(me), START, 1)).collect(),
+            quotas: (0..count as u16).map(|me| Quota::new(ownership_settings(me), START, 1)).collect(),
             rates: vec![RequestRates::default(); count],
             request_counts: vec![0; count],
-            pool: QuotaPool::new(spans(0), 1),
+            pool: QuotaPool::new(ownership_settings(0), 1),
         }
     }
 
@@ -55,24 +59,24 @@
     }
 }
 
-/// Sends bursts of four writes to a primary that can do twice as many, by way of uneven routers: one in thirty gets half
-/// of them. Returns the share that was served in time.
-fn uneven_writes(routers: usize, shared: bool, seed: u64) -> f64 {
+/// Sends bursts of four writes to a primary that can serve twice as many, through routers with uneven
+/// traffic: one in thirty gets half of the writes. Returns the share that was served in time.
+fn uneven_writes(routers: usize, lending: bool, seed: u64) -> f64 {
     let entries = entries_of(1..=3, 1, 0);
     let mut fleet = Fleet::new(routers, &entries, members(1..=3, Some(1), 5, 60 * MS));
     let mut exchange = QuotaExchange::new(routers);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     for tick in 0..6_400 {
         let draw = rng.next_u64();
-        let (arrives, heavy, place) = (draw >> 59, draw >> 58 & 1, (draw >> 20) as usize);
-        // Two in thirty-two ticks of 5 ms bring four: 50 a second.
-        // The last 2 s bring no new requests, so that all have their final answer.
-        if arrives < 2 && tick < 6_000 {
+        let (arrival, heavy, place) = (draw >> 59, draw >> 58 & 1, (draw >> 20) as usize);
+        // Two in thirty-two ticks of 5 ms bring four writes: 50 a second.
+        // No new requests are sent in the last 2 s, so that all get their final answer.
+        if arrival < 2 && tick < 6_000 {
             let router = if heavy == 1 { place % (routers / 30).max(1) } else { place % routers };
             exchange.request_counts[router] += 4;
             (0..4).for_each(|_| fleet.send_request(router, 5, 900 * MS));
         }
-        if shared {
+        if lending {
             exchange.step(&mut fleet);
         }
         fleet.step();
@@ -81,17 +85,17 @@
 }
 
 #[test]
-fn lent_quotas_hold_back_fewer_requests_than_even_quotas() {
+fn lent_quotas_leave_fewer_requests_unserved_than_even_quotas() {
     for routers in [30, 100, 300] {
-        let (mut held, mut held_shared) = (0.0, 0.0);
+        let (mut unserved, mut unserved_lending) = (0.0, 0.0);
         for seed in 1..=4 {
-            let (alone, shared) = (uneven_writes(routers, false, seed), uneven_writes(routers, true, seed));
-            println!("{routers}, seed {seed}: {alone:.3} served with even quotas, {shared:.3} with shares");
-            (held, held_shared) = (held + 1.0 - alone, held_shared + 1.0 - shared);
+            let (even, lending) = (uneven_writes(routers, false, seed), uneven_writes(routers, true, seed));
+            println!("{routers}, seed {seed}: {even:.3} served with even quotas, {lending:.3} with lending");
+            (unserved, unserved_lending) = (unserved + 1.0 - even, unserved_lending + 1.0 - lending);
         }
-        println!("{routers}: {held:.3} not served in four runs, {held_shared:.3} with shares");
-        // Of what even quotas hold back, less than half is, where quotas are small.
-        let most = if routers < 100 { held } else { held / 2.0 };
-        assert!(held_shared < most, "{routers}: {held_shared:.3} of {held:.3}");
+        println!("{routers}: {unserved:.3} not served in four runs, {unserved_lending:.3} with lending");
+        // Where quotas are small, lending leaves less than half as many requests unserved as even quotas do.
+        let most = if routers < 100 { unserved } else { unserved / 2.0 };
+        assert!(unserved_lending < most, "{routers}: {unserved_lending:.3} of {unserved:.3}");
     }
 }
