--- a/crates/policy/tests/scan_counts.rs
+++ b/crates/policy/tests/scan_counts.rs
@@ -1,21 +1,22 @@
-//! What health checks scan while members are silent: it must grow with what is silent and not with what the router
-//! serves. Entries are counted, no time is measured.
+//! What health checks scan while members are silent: the cost must grow with the number of silent members and
+//! not with the number of members that the router serves. The tests count scanned entries and measure no
+//! time.
 
 mod common;
 use common::*;
 use petrelgauge_policy::*;
 use std::collections::BTreeMap;
 
-const MEMBERS_OF_A_GROUP: u32 = 6;
+const MEMBERS_PER_GROUP: u32 = 6;
 const FEW_GROUPS: u32 = 20;
 const MANY_GROUPS: u32 = 320;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const READ: usize = 2;
-const BETWEEN_REQUESTS: Time = 10 * MS;
+const REQUEST_INTERVAL: Time = 10 * MS;
 const SERVICE_TIME: Time = 20 * MS;
 const SECOND: Time = 1_000 * MS;
 
-/// An attempt whose outcome comes later.
+/// An attempt whose outcome is not yet reported.
 struct InFlight {
     request: RequestId,
     attempt: u32,
@@ -25,7 +26,7 @@
     ending: Ending,
 }
 
-/// A router with reads at an even pace, whatever the number of its groups.
+/// A router that gets reads at a constant rate, independent of the number of its groups.
 struct Load {
     router: Router,
     now: Time,
@@ -48,7 +49,7 @@
             attempts: BTreeMap::new(),
             cancelled: 0,
         };
-        let entries: Vec<Entry> = (0..groups * MEMBERS_OF_A_GROUP).map(listed).collect();
+        let entries: Vec<Entry> = (0..groups * MEMBERS_PER_GROUP).map(listed).collect();
         load.step(&[Event::List { update: Update::Complete, entries: entries.into() }]);
         load
     }
@@ -56,7 +57,7 @@
     fn run(&mut self, span: Time) {
         let end = self.now + span;
         while self.now < end {
-            self.now += BETWEEN_REQUESTS;
+            self.now += REQUEST_INTERVAL;
             self.requested += 1;
             let name = format!("r{}", self.requested);
             let mut events = self.outcomes();
@@ -75,10 +76,12 @@
 
     fn outcomes(&mut self) -> Vec<Event> {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.in_flight).into_iter().partition(|out| out.due <= now);
+        let (due, later) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(|attempt_in_flight| attempt_in_flight.due <= now);
         self.in_flight = later;
         let due: Vec<InFlight> = due;
-        due.into_iter().map(|out| outcome(out, now)).collect()
+        due.into_iter().map(|attempt_in_flight| outcome(attempt_in_flight, now)).collect()
     }
 
     fn step(&mut self, events: &[Event]) {
@@ -100,7 +103,7 @@
         let (due, ending) = if (self.is_silent)(member) {
             (until, Ending::TimedOut)
         } else {
-            // No two answers take the same time, so that no member is the quickest one.
+            // Service times vary, so that no member is always the fastest one.
             let extra = Time::from(self.requested * 7_919 % 101) * MS / 10;
             (self.now + SERVICE_TIME + extra, Ending::Served)
         };
@@ -108,14 +111,16 @@
     }
 
     fn cancel(&mut self, request: &RequestId, attempt: u32) {
-        let is_named = |out: &&mut InFlight| out.request == *request && out.attempt == attempt;
-        for out in self.in_flight.iter_mut().filter(is_named) {
-            (out.due, out.ending) = (self.now, Ending::Cancelled);
+        let is_named = |attempt_in_flight: &&mut InFlight| {
+            attempt_in_flight.request == *request && attempt_in_flight.attempt == attempt
+        };
+        for attempt_in_flight in self.in_flight.iter_mut().filter(is_named) {
+            (attempt_in_flight.due, attempt_in_flight.ending) = (self.now, Ending::Cancelled);
             self.cancelled += 1;
         }
     }
 
-    /// What is scanned within the span, once everything has settled.
+    /// Entries scanned while running for this span.
     fn scans_in(&mut self, span: Time) -> ScanCounts {
         let before = self.router.scan_counts();
         self.run(span);
@@ -124,28 +129,31 @@
     }
 }
 
-fn listed(place: u32) -> Entry {
+fn listed(index: u32) -> Entry {
     Entry {
-        member: place + 1,
-        group: GroupId::from(place / MEMBERS_OF_A_GROUP),
-        zone: ZONES[place as usize % ZONES.len()].into(),
+        member: index + 1,
+        group: GroupId::from(index / MEMBERS_PER_GROUP),
+        zone: ZONES[index as usize % ZONES.len()].into(),
         weight: 1.0,
         started: 0,
         status: MemberStatus::Up,
-        primary: place.is_multiple_of(MEMBERS_OF_A_GROUP),
+        primary: index.is_multiple_of(MEMBERS_PER_GROUP),
     }
 }
 
-fn outcome(out: InFlight, now: Time) -> Event {
-    let is_served = out.ending == Ending::Served;
-    let role =
-        if (out.member - 1).is_multiple_of(MEMBERS_OF_A_GROUP) { Role::Primary } else { Role::Replica };
+fn outcome(attempt_in_flight: InFlight, now: Time) -> Event {
+    let is_served = attempt_in_flight.ending == Ending::Served;
+    let role = if (attempt_in_flight.member - 1).is_multiple_of(MEMBERS_PER_GROUP) {
+        Role::Primary
+    } else {
+        Role::Replica
+    };
     Event::Outcome(AttemptOutcome {
-        request: out.request,
-        attempt: out.attempt,
-        member: out.member,
-        ending: out.ending,
-        took: now - out.sent,
+        request: attempt_in_flight.request,
+        attempt: attempt_in_flight.attempt,
+        member: attempt_in_flight.member,
+        ending: attempt_in_flight.ending,
+        took: now - attempt_in_flight.sent,
         closed: is_served,
         position: is_served.then_some(now),
         role: is_served.then_some(role),
@@ -157,8 +165,8 @@
     (member - 1) % ZONES.len() as u32 == 1
 }
 
-/// Visits of ten seconds with a zone cut off, from two seconds after the cut on.
-fn scans_during_a_cut(groups: u32) -> ScanCounts {
+/// Entries scanned in ten seconds, from two seconds after a zone became unreachable.
+fn scans_with_an_unreachable_zone(groups: u32) -> ScanCounts {
     let mut load = Load::new(groups);
     load.run(3 * SECOND);
     load.is_silent = in_zone_b;
@@ -168,13 +176,13 @@
 
 #[test]
 fn an_unreachable_zone_is_not_scanned_with_each_check() {
-    let few = scans_during_a_cut(FEW_GROUPS);
-    let many = scans_during_a_cut(MANY_GROUPS);
+    let few = scans_with_an_unreachable_zone(FEW_GROUPS);
+    let many = scans_with_an_unreachable_zone(MANY_GROUPS);
     assert!(many.members <= few.members * 5 / 4, "{many:?}, with few groups {few:?}");
 }
 
 #[test]
-fn a_silent_member_is_scanned_no_more_often_beside_many_groups() {
+fn a_silent_member_is_scanned_no_more_often_with_many_groups() {
     let scans = |groups| {
         let mut load = Load::new(groups);
         load.run(3 * SECOND);
@@ -183,9 +191,10 @@
         load.scans_in(10 * SECOND).members
     };
     let (few, many) = (scans(FEW_GROUPS), scans(MANY_GROUPS));
-    // A loss has the zones checked: its trials may hang, and the answers in between clear it.
-    let all = u64::from(MANY_GROUPS * MEMBERS_OF_A_GROUP);
-    assert!(many <= few + 3 * all, "{many} beside many groups, {few} beside few");
+    // A lost attempt leads to a check of the zones. Trials may stay unanswered, and answers in between end
+    // the suspicion.
+    let all = u64::from(MANY_GROUPS * MEMBERS_PER_GROUP);
+    assert!(many <= few + 3 * all, "{many} with many groups, {few} with few");
 }
 
 #[test]
@@ -202,6 +211,6 @@
         load.in_flight.len()
     );
     assert!(load.cancelled > 0);
-    // Nothing is scanned for the other members of the zone, which have nothing in flight.
+    // The other members of the zone have nothing in flight and are not scanned.
     assert!(scans.requests <= 2 * load.cancelled as u64, "{scans:?}, cancelled {}", load.cancelled);
 }
