--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! What one router and hundreds of them send a small member that has just started: with a budget of less than thirty
-//! requests, one more from each router would be too much. Members work as slowly as their slow start says.
+//! What one router, or hundreds of them, send to a small member that has just started. Its budget is less
+//! than thirty requests, so that one more from each router would exceed it. Members serve requests as slowly
+//! as slow start assumes.
 
 mod common;
 use common::fleet::{entries_of, members, Fleet, ReceivedAttempt};
@@ -10,10 +11,10 @@
 const MEMBERS: MemberId = 6;
 const PRIMARY: MemberId = 1;
 const REPLICA: MemberId = 2;
-const WORK: Time = 100 * MS;
-/// Before the member under test starts, so that routers have a served load.
+const SERVICE_TIME: Time = 100 * MS;
+/// Duration of the load before the member under test starts, so that the routers have measured a served load.
 const WARM_UP: Time = 4_000 * MS;
-/// How long after a start the routers that were not notified at once are.
+/// Delay after a start with which the other routers are notified of it.
 const NOTIFICATION_DELAY: Time = 1_000 * MS;
 const TICKS_PER_SECOND: f64 = 200.0;
 const READ: usize = 2;
@@ -22,15 +23,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     routers: usize,
-    /// Requests that a member works on at a time; each slot serves ten a second.
+    /// Requests that a member serves at a time; each slot serves ten a second.
     slots: usize,
     /// The member under test.
     member: MemberId,
     /// Offered load, as a share of the capacity of all members.
     load: f64,
-    /// When the member starts once more after its start; 0 if it does not.
+    /// How long after its start the member restarts; 0 if it does not.
     restart_after: Time,
-    /// One in so many routers is notified of a start at once, the others after `NOTIFICATION_DELAY`.
+    /// One in this number of routers is notified of a start at once, the others after `NOTIFICATION_DELAY`.
     notified_one_in: usize,
 }
 
@@ -42,10 +43,10 @@
 
     /// Capacity of a warm member (requests a second).
     fn warm_capacity(&self) -> f64 {
-        self.slots as f64 * 1e6 / WORK as f64
+        self.slots as f64 * 1e6 / SERVICE_TIME as f64
     }
 
-    /// What a member may be sent within the overload span, at this share of its capacity.
+    /// Requests that a member may be sent within the overload span, at this share of its capacity.
     fn budget(&self, capacity_share: f64) -> f64 {
         let settings = settings();
         settings.overload_factor * capacity_share * self.warm_capacity() * settings.overload_span as f64 / 1e6
@@ -56,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Start {
     at: Time,
-    /// When it starts again.
+    /// When it restarts.
     until: Time,
     /// When all routers have been notified of it.
     all_notified_at: Time,
@@ -65,37 +66,38 @@
 /// The busiest span after a start.
 #[derive(Clone, Copy, Debug, Default)]
 struct BusiestSpan {
-    /// Requests that the member was sent, in relation to its bound.
+    /// Requests that the member was sent, as a ratio of its bound.
     load_ratio: f64,
     sent: usize,
-    /// Of these, requests of routers that had been notified of the start.
+    /// Requests among these from routers that had been notified of the start.
     sent_by_notified: usize,
 }
 
 impl BusiestSpan {
-    /// Whether the member fails, and over two thirds of what it failed under came from notified routers.
+    /// Whether the member is overloaded, and more than two thirds of these requests came from notified
+    /// routers.
     fn exceeds_budget(&self) -> bool {
         self.load_ratio > 1.0 && 3 * self.sent_by_notified > 2 * self.sent
     }
 }
 
-/// The share of its capacity that a member has so long after its start.
+/// The share of its capacity that a member has at this age.
 fn capacity_share(age: Time) -> f64 {
     let settings = settings();
     let progress = age as f64 / settings.slow_start_span as f64;
     (settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * progress).min(1.0)
 }
 
-/// A budget with the spread that chance brings.
-fn with_spread(budget: f64) -> f64 {
-    let (spread, more) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-    budget + spread * budget.sqrt() + more
+/// A budget with an allowance for random variation.
+fn with_allowance(budget: f64) -> f64 {
+    let (spread, constant) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
+    budget + spread * budget.sqrt() + constant
 }
 
 struct Simulation {
     fleet: Fleet,
     case: Case,
-    /// Reads and writes that are due, as fractions.
+    /// Reads and writes to send, including fractions.
     due_reads: f64,
     due_writes: f64,
     starts: Vec<Start>,
@@ -104,12 +106,12 @@
 impl Simulation {
     fn new(case: Case) -> Simulation {
         let entries = entries_of(1..=MEMBERS, PRIMARY, 0);
-        let members = members(1..=MEMBERS, Some(PRIMARY), case.slots, WORK);
+        let members = members(1..=MEMBERS, Some(PRIMARY), case.slots, SERVICE_TIME);
         let fleet = Fleet::new(case.routers, &entries, members);
         Simulation { fleet, case, due_reads: 0.0, due_writes: 0.0, starts: Vec::new() }
     }
 
-    /// Starts the member under test, and notifies all routers of it, some of them later.
+    /// Starts the member under test and notifies all routers, some of them after `NOTIFICATION_DELAY`.
     fn start_member(&mut self) {
         let at = self.fleet.now;
         if let Some(last) = self.starts.last_mut() {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Breaks the connections of the member under test.
+    /// Closes the connections of the member under test.
     fn lose_jobs(&mut self) {
         let id = self.case.member;
         let lost = self.fleet.members.get_mut(&id).expect("the member exists").take_jobs();
@@ -147,7 +149,7 @@
 
     fn tick(&mut self) {
         let warm = self.case.warm_capacity();
-        // A fifth of what the primary can do is writes.
+        // Writes take up a fifth of the primary's share of the load.
         let per_tick = MEMBERS as f64 * warm * self.case.load / TICKS_PER_SECOND;
         let writes = 0.2 * warm * self.case.load / TICKS_PER_SECOND;
         self.due_reads = self.due_reads + per_tick - writes;
@@ -163,7 +165,7 @@
         if let Some(start) = self.starts.last() {
             let share = capacity_share(self.fleet.now - start.at);
             let member = self.fleet.members.get_mut(&self.case.member).expect("the member exists");
-            member.service_time = (WORK as f64 / share) as Time;
+            member.service_time = (SERVICE_TIME as f64 / share) as Time;
         }
         self.fleet.step();
     }
@@ -180,7 +182,7 @@
         }
     }
 
-    /// The busiest span in which the budget is exceeded, or else the busiest of all.
+    /// The busiest span in which the budget is exceeded, or else the busiest span of all.
     fn busiest_span(&self) -> BusiestSpan {
         let received = &self.fleet.members[&self.case.member].received;
         let mut busiest = BusiestSpan::default();
@@ -207,7 +209,7 @@
         let is_notified = |attempt: &&&ReceivedAttempt| {
             self.case.is_notified_at_once(attempt.router) || attempt.at > start.all_notified_at
         };
-        let bound = with_spread(self.case.budget(capacity_share(from - start.at)));
+        let bound = with_allowance(self.case.budget(capacity_share(from - start.at)));
         BusiestSpan {
             load_ratio: within.len() as f64 / bound,
             sent: within.len(),
@@ -228,14 +230,15 @@
     simulation
 }
 
-/// Simulates a case with several numbers of routers and sizes of members. Returns where the budget is exceeded.
+/// Simulates a case with several numbers of routers and sizes of members. Returns the cases that exceed the
+/// budget.
 fn exceeded_budgets(case_of: impl Fn(Case) -> Case) -> BTreeSet<String> {
     let mut exceeded = BTreeSet::new();
     for routers in [1, 3, 5, 30, 300] {
         for slots in [1, 2, 3] {
-            let plain =
+            let base =
                 Case { routers, slots, member: REPLICA, load: 0.6, restart_after: 0, notified_one_in: 1 };
-            let case = case_of(plain);
+            let case = case_of(base);
             let simulation = simulate(case);
             let busiest = simulation.busiest_span();
             let BusiestSpan { load_ratio, sent, sent_by_notified } = busiest;
@@ -274,10 +277,10 @@
     }
 }
 
-// Routers that were not notified of a start cannot know of it. They may exceed the budget, but by the rule that counts
-// only if over two thirds of the requests came from routers that were.
+// Routers that were not notified of a start cannot know of it and may exceed the budget. An excess therefore
+// counts only if more than two thirds of the requests came from routers that were notified.
 #[test]
-fn routers_that_know_of_a_start_keep_its_budget_beside_routers_that_do_not() {
+fn notified_routers_keep_the_budget_while_others_are_not_notified() {
     for member in [PRIMARY, REPLICA] {
         for load in [0.3, 0.6, 0.9] {
             assert_eq!(
