--- a/crates/policy/tests/slow_start_work.rs
+++ b/crates/policy/tests/slow_start_work.rs
@@ -1,13 +1,20 @@
-//! Two fleets, of 43 and 47 gateways, sent a host that had just started more than its budget, and it failed 5.9 s and 3.3 s
-//! after its start. Each gateway derives its share of the budget by itself, and nothing kept the sum of the shares below
-//! the budget. A gateway counted requests and not their work, so that a few long statements, held back while other hosts
-//! were silent or draining, took several times the planned work. It divided what it had served in the last seconds by the
-//! hosts that were left now, so that its share grew when hosts left. It planned for 1.3 to 1.7 times the budget. And each
-//! gateway saved the tokens of one whole request, which all could spend in the same moment.
+//! The slow-start budget counted in work instead of requests.
 //!
-//! What settled it: under the settings of that deployment, 45 routers stayed below 0.8 of the bound by count and went up to
-//! 1.35 times the bound by work, when hosts started together (load 0.75, four plays). Right before each failure the log
-//! showed that other hosts fell silent: host 23 for 0.62 s, host 17 for 0.74 s.
+//! These tests guard against a failure of two fleets, of 43 and 47 gateways, that sent a newly started host
+//! more than its budget: it failed 5.9 s and 3.3 s after its start. Each gateway derives its share of the
+//! budget independently, and nothing kept the sum of the shares below the budget:
+//!
+//! - A gateway counted requests and not their work. A few long statements, queued while other hosts were
+//!   silent or draining, took several times the planned work.
+//! - It divided the load served in the last seconds by the number of hosts still available, so that its share
+//!   grew when hosts left.
+//! - It planned for 1.3 to 1.7 times the budget.
+//! - Each gateway saved up the tokens for one whole request, and all could spend them at the same moment.
+//!
+//! Evidence: with the settings of that deployment and hosts that started together (load 0.75, four runs), 45
+//! routers stayed below 0.8 of the bound counted in requests but reached 1.35 times the bound counted in
+//! work. Right before each failure the log showed that other hosts fell silent: host 23 for 0.62 s, host 17
+//! for 0.74 s.
 
 mod common;
 use common::fleet::{entries_of, members, Fleet};
@@ -18,13 +25,14 @@
 const PRIMARY: MemberId = 1;
 /// The member that starts first.
 const STARTED: MemberId = 3;
-/// Members that drain or fall silent in some scenarios.
+/// Members that drain or become silent in some scenarios.
 const OTHERS: [MemberId; 4] = [2, 4, 5, 6];
-/// Requests that a member works on at a time, and the mean work of one.
+/// Requests that a member serves at a time.
 const SLOTS: usize = 5;
-const WORK: Time = 108 * MS;
+/// Mean service time of a request.
+const SERVICE_TIME: Time = 108 * MS;
 const TICKS_PER_SECOND: f64 = 200.0;
-/// Before anything happens, so that routers have a served load.
+/// Duration of the load before each scenario, so that the routers have measured a served load.
 const WARM_UP: Time = 4_000 * MS;
 
 const BOUNDED_READ: usize = 0;
@@ -32,12 +40,12 @@
 const EVENTUAL_READ: usize = 2;
 const KEYED_WRITE: usize = 5;
 
-/// What clients request of one class.
+/// The requests of one class.
 struct Traffic {
     class: usize,
     /// Share of all requests (fraction).
     share: f64,
-    /// Work of a request, in relation to the mean.
+    /// Work of a request, as a ratio of the mean.
     work: f64,
     /// How long clients wait.
     time_left: Time,
@@ -57,7 +65,8 @@
     overload_span: Time,
 }
 
-/// The settings of the deployment, and two of members that start with less of their capacity.
+/// The settings of the deployment, and two variants whose members start with a smaller share of their
+/// capacity.
 const SETTINGS: [SlowStartSettings; 3] = [
     SlowStartSettings { overload_factor: 4.0, initial_share: 0.24, overload_span: 1_000 * MS },
     SlowStartSettings { overload_factor: 4.0, initial_share: 0.08, overload_span: 1_000 * MS },
@@ -81,7 +90,7 @@
     case: Case,
     fleet: Fleet,
     load: f64,
-    /// For each kind of traffic, the requests that are due, as a fraction.
+    /// For each kind of traffic, the requests to send, including fractions.
     due: [f64; TRAFFIC.len()],
     starts: Vec<Start>,
 }
@@ -109,7 +118,7 @@
     /// A fleet that has served the traffic for `WARM_UP`.
     fn new(case: Case) -> Simulation {
         let entries = entries_of(1..=MEMBERS, PRIMARY, 0);
-        let members = members(1..=MEMBERS, Some(PRIMARY), SLOTS, WORK);
+        let members = members(1..=MEMBERS, Some(PRIMARY), SLOTS, SERVICE_TIME);
         let mut fleet = Fleet::with_settings(case.routers, &entries, members, router_settings(case));
         TRAFFIC.iter().for_each(|traffic| fleet.service_time_ratios[traffic.class] = traffic.work);
         let mut simulation = Simulation { case, fleet, load: case.load, due: [0.0; 4], starts: Vec::new() };
@@ -132,7 +141,7 @@
     }
 
     fn tick(&mut self) {
-        let capacity = f64::from(MEMBERS) * SLOTS as f64 * 1e6 / WORK as f64;
+        let capacity = f64::from(MEMBERS) * SLOTS as f64 * 1e6 / SERVICE_TIME as f64;
         for (kind, traffic) in TRAFFIC.iter().enumerate() {
             self.due[kind] += self.load * capacity * traffic.share / TICKS_PER_SECOND;
             while self.due[kind] >= 1.0 {
@@ -141,8 +150,9 @@
             }
         }
         for Start { member, at } in &self.starts {
-            let work = WORK as f64 / self.capacity_share(self.fleet.now - at);
-            self.fleet.members.get_mut(member).expect("the member exists").service_time = work as Time;
+            let service_time = SERVICE_TIME as f64 / self.capacity_share(self.fleet.now - at);
+            self.fleet.members.get_mut(member).expect("the member exists").service_time =
+                service_time as Time;
         }
         self.fleet.step();
     }
@@ -153,7 +163,7 @@
         self.fleet.send_request(router, traffic.class, traffic.time_left);
     }
 
-    /// Starts a member: it loses what it had, and all routers are notified.
+    /// Starts a member: it loses all attempts in flight, and all routers are notified.
     fn start_member(&mut self, id: MemberId) {
         let now = self.fleet.now;
         let member = self.fleet.members.get_mut(&id).expect("the member exists");
@@ -174,7 +184,7 @@
         self.fleet.update_list(entries);
     }
 
-    /// Work in the busiest overload span of any slow start, in relation to the bound.
+    /// Work in the busiest overload span of any slow start, as a ratio of the bound.
     fn busiest_span(&self) -> f64 {
         self.starts.iter().map(|start| self.busiest_span_after(start)).fold(0.0, f64::max)
     }
@@ -183,34 +193,34 @@
         let SlowStartSettings { overload_factor, overload_span, .. } = self.case.settings;
         let received = self.fleet.members[&start.member].received.iter();
         let received: Vec<_> = received.filter(|attempt| attempt.at >= start.at).collect();
-        let warm = SLOTS as f64 * overload_span as f64 / WORK as f64;
+        let warm = SLOTS as f64 * overload_span as f64 / SERVICE_TIME as f64;
         let load_ratio = |first: usize| {
             let from = received[first].at;
             let within = received[first..].iter().take_while(|attempt| attempt.at < from + overload_span);
             let work: f64 = within.map(|attempt| self.fleet.service_time_ratios[attempt.class]).sum();
             let budget = overload_factor * self.capacity_share(from - start.at) * warm;
-            let (spread, more) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-            work / (budget + spread * budget.sqrt() + more)
+            let (spread, constant) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
+            work / (budget + spread * budget.sqrt() + constant)
         };
         (0..received.len()).map(load_ratio).fold(0.0, f64::max)
     }
 }
 
-/// What happens around a start.
+/// A sequence of events around a start.
 struct Scenario {
     name: &'static str,
-    play: fn(&mut Simulation),
+    run: fn(&mut Simulation),
 }
 
 const SCENARIOS: [Scenario; 6] = [
     Scenario {
         name: "three start together",
-        play: |simulation| [2, 3, 4].into_iter().for_each(|id| simulation.start_member(id)),
+        run: |simulation| [2, 3, 4].into_iter().for_each(|id| simulation.start_member(id)),
     },
-    Scenario { name: "the primary starts", play: |simulation| simulation.start_member(PRIMARY) },
+    Scenario { name: "the primary starts", run: |simulation| simulation.start_member(PRIMARY) },
     Scenario {
         name: "others leave the list after a start",
-        play: |simulation| {
+        run: |simulation| {
             simulation.start_member(STARTED);
             simulation.run(2_000 * MS);
             simulation.drain(&OTHERS);
@@ -218,7 +228,7 @@
     },
     Scenario {
         name: "others fall silent after a start",
-        play: |simulation| {
+        run: |simulation| {
             simulation.start_member(STARTED);
             simulation.run(3_000 * MS);
             simulation.silence(&OTHERS);
@@ -226,7 +236,7 @@
     },
     Scenario {
         name: "others are silent before a start",
-        play: |simulation| {
+        run: |simulation| {
             simulation.silence(&OTHERS);
             simulation.run(1_000 * MS);
             simulation.start_member(STARTED);
@@ -234,7 +244,7 @@
     },
     Scenario {
         name: "clients send twice as much after a start",
-        play: |simulation| {
+        run: |simulation| {
             simulation.start_member(STARTED);
             simulation.run(3_000 * MS);
             simulation.load *= 2.0;
@@ -256,10 +266,10 @@
 #[test]
 fn members_that_start_are_sent_no_more_work_than_their_budget() {
     let mut exceeded = Vec::new();
-    for Scenario { name, play } in SCENARIOS {
+    for Scenario { name, run } in SCENARIOS {
         for case in cases() {
             let mut simulation = Simulation::new(case);
-            play(&mut simulation);
+            run(&mut simulation);
             simulation.run(5_000 * MS);
             let busiest = simulation.busiest_span();
             let served = simulation.fleet.served as f64 / simulation.fleet.requested as f64;
@@ -272,8 +282,8 @@
     assert_eq!(exceeded, Vec::<String>::new());
 }
 
-// What a router served in the last seconds was served by the members of that time. Divided by those that are left, the
-// served load of each would grow at once.
+// The load that a router served in the last seconds was served by the members of that time. Divided by the
+// number of remaining members, the load per member would grow at once.
 #[test]
 fn the_budget_of_a_member_does_not_grow_at_once_when_others_leave() {
     let mut simulation = Simulation::new(Case { routers: 4, load: 0.75, settings: SETTINGS[0] });
@@ -287,5 +297,5 @@
     simulation.drain(&OTHERS);
     simulation.run(100 * MS);
     let growth = rate_when_warm(&simulation) / before;
-    assert!((0.5..1.2).contains(&growth), "{growth:.2} times as much a tenth of a second later");
+    assert!((0.5..1.2).contains(&growth), "the rate grew {growth:.2} times within a tenth of a second");
 }
