--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, each as a guard, and what members that break the peace must not lead to.
+//! Tests of the five routing rules, and of failures that misbehaving members must not cause.
 
 mod common;
 use common::*;
@@ -16,9 +16,9 @@
             let actions = harness.advance(5 * MS);
             if rejected(&actions) || failed(&actions) {
                 ends += 1;
-                assert!(step * 5 * MS < left + 20 * MS, "class {class} ended late");
+                assert!(step * 5 * MS < left + 20 * MS, "class {class} got its final answer late");
             }
-            assert!(ends == 0 || sends(&actions) == 0, "class {class} was sent after its end");
+            assert!(ends == 0 || sends(&actions) == 0, "class {class} was sent after its final answer");
         }
         assert_eq!(ends, 1, "class {class}");
     }
@@ -39,7 +39,7 @@
         let actions = harness.advance(5 * MS);
         failed(&actions) || rejected(&actions)
     });
-    assert!(ended, "the short attempt outlived its client");
+    assert!(ended, "the retry must not outlive its client");
 }
 
 #[test]
@@ -54,7 +54,7 @@
         (Ending::NotSent, true),
         (Ending::Rejected, true),
     ];
-    for (ending, harmless) in cases {
+    for (ending, never_executed) in cases {
         let mut harness = Harness::new(settings());
         let member =
             sent_to(&harness.send_request("w", 4, 900 * MS)).expect("a write is sent to the listed primary");
@@ -62,17 +62,17 @@
         for _ in 0..200 {
             all.extend(harness.advance(5 * MS));
         }
-        if harmless {
-            // Sent again and left without an answer it must end as failed, else as refused.
-            let again = sends(&all) > 0;
+        if never_executed {
+            // A request that is sent again and not answered must fail; otherwise it must be rejected.
+            let sent_again = sends(&all) > 0;
             assert!(
-                again || ending == Ending::ConnectFailed,
-                "{ending:?}: never ran, so it may go out again"
+                sent_again || ending == Ending::ConnectFailed,
+                "{ending:?}: it was never executed, so it may be sent again"
             );
-            assert_eq!((failed(&all), rejected(&all)), (again, !again), "{ending:?}");
+            assert_eq!((failed(&all), rejected(&all)), (sent_again, !sent_again), "{ending:?}");
         } else {
             assert_eq!(sends(&all), 0, "{ending:?}: sent again");
-            assert!(failed(&all) && !rejected(&all), "{ending:?}: must fail, must not be refused");
+            assert!(failed(&all) && !rejected(&all), "{ending:?}: must fail and must not be rejected");
         }
     }
 }
@@ -82,8 +82,8 @@
     let mut harness = Harness::new(settings());
     let member = sent_to(&harness.send_request("k", 5, 900 * MS)).expect("sent");
     harness.now += 100 * MS;
-    let again = harness.report_attempt("k", 0, member, Ending::Error);
-    let mut early = sends(&again);
+    let retry = harness.report_attempt("k", 0, member, Ending::Error);
+    let mut early = sends(&retry);
     let mut late = 0;
     for step in 0..150 {
         let actions = harness.advance(5 * MS);
@@ -91,10 +91,10 @@
             at if at < 400 * MS => early += sends(&actions),
             _ => late += sends(&actions),
         }
-        assert!(!rejected(&actions), "it may have run and its scope is the group: never refused");
+        assert!(!rejected(&actions), "it may have run, and its scope is the group");
     }
-    assert!(early > 0, "inside the window it is repeated");
-    assert_eq!(late, 0, "outside the window it is not");
+    assert!(early > 0, "it is retried inside the window");
+    assert_eq!(late, 0, "it is not retried outside the window");
 }
 
 #[test]
@@ -117,22 +117,23 @@
             assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}");
         }
     }
-    // A complete list that leaves a member out says the same.
+    // A complete list without a member removes it as well.
     let mut harness = Harness::new(settings());
     harness.step(Event::List {
         update: Update::Complete,
         entries: [entry(1, MemberStatus::Up, true, 0)].into(),
     });
     for n in 0..50 {
-        assert!(
-            matches!(harness.send_request(&format!("r{n}"), 2, 900 * MS).as_slice(), a if sent_to(a) != Some(2))
-        );
+        assert!(matches!(
+            harness.send_request(&format!("r{n}"), 2, 900 * MS).as_slice(),
+            a if sent_to(a) != Some(2)
+        ));
     }
 }
 
 #[test]
 fn with_soft_removal_a_removed_member_is_used_as_long_as_it_answers() {
-    // Standard days with a wrong list: running members listed as removed, or all of them, got no requests.
+    // Scenarios with a wrong list: running members listed as removed, or all members, got no requests.
     for complete in [false, true] {
         let mut harness = Harness::new(Settings { soft_removal: true, ..settings() });
         let removed: Vec<Entry> = (1..=3).map(|m| entry(m, MemberStatus::Removed, m == 1, 0)).collect();
@@ -144,11 +145,11 @@
         for n in 0..20 {
             let name = format!("g{n}");
             let member =
-                sent_to(&harness.send_request(&name, 2, 900 * MS)).expect("running members keep serving");
+                sent_to(&harness.send_request(&name, 2, 900 * MS)).expect("running members get requests");
             harness.report_attempt(&name, 0, member, Ending::Served);
             harness.advance(20 * MS);
         }
-        // A member that is really removed does not answer, and is ejected.
+        // A member that is in fact removed does not answer and is ejected.
         let member = sent_to(&harness.send_request("lost", 2, 900 * MS)).expect("sent");
         harness.report_attempt("lost", 0, member, Ending::ConnectFailed);
         harness.step(Event::Probed { member, ending: Ending::ConnectFailed, report: Report::default() });
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn a_listed_drain_holds_until_the_next_start_whatever_later_lists_say() {
+fn a_listed_drain_persists_until_the_next_start_whatever_later_lists_say() {
     for soft_removal in [false, true] {
         let mut harness = Harness::new(Settings { soft_removal, ..settings() });
         let drain = [entry(2, MemberStatus::Draining, false, 0), entry(3, MemberStatus::Draining, false, 0)];
@@ -172,7 +173,7 @@
                 assert!(!matches!(sent_to(&actions), Some(2 | 3)), "{status:?}, soft {soft_removal}");
             }
         }
-        // A new start lifts it; the old list that comes again does not undo the new start.
+        // A new start ends the drain; an old list that arrives again does not undo the new start.
         let start = START - 60_000 * MS;
         let old = [entry(2, MemberStatus::Draining, false, 0)];
         harness.step(Event::List { update: Update::Partial, entries: old.into() });
@@ -182,17 +183,17 @@
         actions.extend(harness.step(Event::List { update: Update::Partial, entries: old.into() }));
         harness.now += 2_000 * MS;
         actions.extend((0..20).flat_map(|n| harness.send_request(&format!("new{n}"), 2, 900 * MS)));
-        let hit = actions.iter().any(|a| matches!(a, Action::Send { member: 2, .. }));
-        assert!(hit, "a member that started anew takes work");
+        let is_sent = actions.iter().any(|a| matches!(a, Action::Send { member: 2, .. }));
+        assert!(is_sent, "a restarted member gets requests");
     }
 }
 
 #[test]
 fn a_warming_member_gets_no_burst_however_many_routers_there_are() {
-    // Routers that know nothing of each other, one warming member as the only one up. Recorded days if22470 and
-    // i115826: "at least two from each" pushed members over when hundreds of routers did it.
+    // Independent routers, with a warming member as the only one up. Recorded runs if22470 and i115826: a
+    // minimum of two attempts from each router overloaded members where there were hundreds of routers.
     for (routers, span) in [(8, 1_500 * MS), (400, 1_500 * MS)] {
-        let mut together = 0;
+        let mut total = 0;
         for seed in 0..routers {
             let settings = Settings { routers, ..settings() };
             let mut harness = Harness::empty(settings.clone());
@@ -203,14 +204,14 @@
             for n in 0..span / step {
                 let name = format!("r{n}");
                 let actions = harness.send_request(&name, 2, 900 * MS);
-                together += harness.serve_all(actions, 20 * MS);
+                total += harness.serve_all(actions, 20 * MS);
                 let later = harness.advance(step);
-                together += harness.serve_all(later, 20 * MS);
+                total += harness.serve_all(later, 20 * MS);
             }
         }
-        // The member's budget: 4 times 0.15 of what a slow one carries warm, some 30 a second, for 1.5 s.
-        assert!(together <= 27, "{together} sends of {routers} routers to a member just started");
-        assert!(together > 0, "{routers} routers: a warming member still gets some requests");
+        // The budget: 4 times 0.15 of the warm capacity of a slow member, about 30 a second, for 1.5 s.
+        assert!(total <= 27, "{total} attempts of {routers} routers at a member that has just started");
+        assert!(total > 0, "{routers} routers: a warming member still gets some requests");
     }
 }
 
@@ -219,12 +220,12 @@
     let mut harness = Harness::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     for n in 0..40 {
         let actions = harness.send_request(&format!("r{n}"), 0, 900 * MS);
-        assert!(!matches!(sent_to(&actions), Some(2 | 3)), "nothing is known of the replicas yet");
+        assert!(!matches!(sent_to(&actions), Some(2 | 3)), "the positions of the replicas are not known yet");
     }
 }
 
 #[test]
-fn a_former_primary_that_denies_it_gets_no_strong_read_and_no_write() {
+fn a_former_primary_that_reports_as_replica_gets_no_strong_reads() {
     let mut harness = Harness::new(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     let member = sent_to(&harness.send_request("w", 4, 900 * MS)).expect("sent");
     assert_eq!(member, 1);
@@ -235,7 +236,8 @@
     }
 }
 
-// Found by the exhaustive models: without a class that reads, the share refused unsent was 0 to the power of 0.
+// Found by the exhaustive models: without a class of reads, the share of requests rejected unsent was
+// computed as 0 to the power of 0.
 #[test]
 fn a_deployment_with_writes_only_is_served() {
     let set = settings();
@@ -244,7 +246,8 @@
     assert_eq!(sent_to(&harness.send_request("w", 1, 900 * MS)), Some(1));
 }
 
-// With nothing out and no attempt left, or behind the window of its key, a request waited for its end and could not be sent.
+// With nothing in flight and no attempt left, or after the window of its key, a request stayed queued until
+// it expired although it could not be sent any more.
 #[test]
 fn a_request_that_cannot_be_retried_is_finished_at_once() {
     let mut once = settings();
@@ -257,7 +260,7 @@
         assert_eq!(
             (rejected(&all), sends(&all)),
             (true, 0),
-            "class {class}: it never ran, and may not go out again"
+            "class {class}: it was never executed, and may not be sent again"
         );
     }
     let mut many = settings();
@@ -276,30 +279,30 @@
         assert!(!rejected(&actions), "it may have run, and its scope is the group");
         ended = ended.or(failed(&actions).then_some(step * 5));
     }
-    assert!(attempts > 1, "inside the window it is repeated");
+    assert!(attempts > 1, "it is retried inside the window");
     assert!(ended.is_some_and(|at| (380..=405).contains(&at)), "its window of 400 ms is over: {ended:?}");
 }
 
-/// Members answer from whatever they have.
-fn unchecked() -> Settings {
+/// Settings for members that serve reads from stale data.
+fn serving_stale_reads() -> Settings {
     Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() }
 }
 
 #[test]
-fn a_known_position_grows_stale_while_an_attempt_connects() {
+fn a_known_position_becomes_stale_while_an_attempt_connects() {
     // Class 0 is bounded by 200 ms.
-    let mut harness = Harness::new(unchecked());
-    let taught = sent_to(&harness.send_request("t", 2, 900 * MS)).expect("sent");
-    harness.report_attempt_with("t", 0, taught, Ending::Served, Some(50 * MS), Some(Role::Replica));
+    let mut harness = Harness::new(serving_stale_reads());
+    let replica = sent_to(&harness.send_request("t", 2, 900 * MS)).expect("sent");
+    harness.report_attempt_with("t", 0, replica, Ending::Served, Some(50 * MS), Some(Role::Replica));
     harness.advance(5 * MS);
     for n in 0..20 {
         let name: RequestId = format!("r{n}").as_str().into();
-        if sent_to(&harness.send_request(&name, 0, 900 * MS)) == Some(taught) {
+        if sent_to(&harness.send_request(&name, 0, 900 * MS)) == Some(replica) {
             let at = harness.now;
-            assert!(harness.router.is_fresh(at + 140 * MS, &name, taught));
+            assert!(harness.router.is_fresh(at + 140 * MS, &name, replica));
             assert!(
-                !harness.router.is_fresh(at + 150 * MS, &name, taught),
-                "known to be 50 ms old at the start"
+                !harness.router.is_fresh(at + 150 * MS, &name, replica),
+                "its data was 50 ms old at the send"
             );
             return;
         }
@@ -308,8 +311,8 @@
 }
 
 #[test]
-fn a_member_that_denies_being_primary_is_not_fresh_enough_for_the_newest_data() {
-    let mut harness = Harness::new(unchecked());
+fn a_member_that_reports_as_replica_is_not_fresh_enough_for_strong_reads() {
+    let mut harness = Harness::new(serving_stale_reads());
     let name: RequestId = "strong".into();
     assert_eq!(sent_to(&harness.send_request(&name, 3, 900 * MS)), Some(1));
     assert!(harness.router.is_fresh(harness.now, &name, 1));
@@ -325,7 +328,8 @@
     assert!(!harness.router.is_fresh(harness.now, &name, 1));
 }
 
-// Variant dike-log: a request's only attempt was taken for the last of several, which the primary gets. All reads went there.
+// Deployment variant dike-log: the only attempt of a request was treated as the last of several, which is
+// sent to the primary, so that all reads were sent there.
 #[test]
 fn with_one_attempt_a_request_reads_use_replicas_and_a_lost_primary_is_discovered() {
     let mut once = settings();
@@ -342,18 +346,18 @@
         harness.advance(20 * MS);
     }
     assert!(at[2] + at[3] >= 20, "{at:?}");
-    // Nobody is known to lead: a write finds out.
+    // No primary is known: a write discovers it.
     let mut harness = Harness::empty(Settings { list_role: ListRole::Absent, ..once });
     let list = (1..=3).map(|m| entry(m, MemberStatus::Up, false, 0)).collect::<Vec<_>>();
     harness.step(Event::List { update: Update::Complete, entries: list.into() });
     assert!(sent_to(&harness.send_request("w", 5, 900 * MS)).is_some());
 }
 
-// What is answered counts as known 0.1 s later, also if the answer is lost: one that was taken for the primary may have said
-// meanwhile that it is none.
+// An answer counts as known 0.1 s after it was given, even if it is lost: a member that is taken for the
+// primary may have reported in the meantime that it is not.
 #[test]
-fn a_primary_needs_recent_evidence_while_an_answer_of_it_may_be_lost() {
-    let mut harness = Harness::new(unchecked());
+fn a_primary_needs_recent_evidence_while_one_of_its_answers_may_be_lost() {
+    let mut harness = Harness::new(serving_stale_reads());
     let first = sent_to(&harness.send_request("w", 5, 900 * MS)).expect("sent");
     harness.report_attempt_with("w", 0, first, Ending::Served, Some(0), Some(Role::Primary));
     assert_eq!((first, sent_to(&harness.send_request("out", 5, 900 * MS))), (1, Some(1)));
@@ -361,29 +365,32 @@
     harness.send_request(&name, 3, 900 * MS);
     let now = harness.now;
     assert!(harness.router.is_fresh(now + 99 * MS, &name, 1));
-    assert!(!harness.router.is_fresh(now + 150 * MS, &name, 1), "the write has been out there for longer");
+    assert!(!harness.router.is_fresh(now + 150 * MS, &name, 1), "the write has been in flight for longer");
     harness.now += 150 * MS;
     harness.report_attempt_with("out", 0, 1, Ending::Served, Some(0), Some(Role::Primary));
-    assert!(harness.router.is_fresh(harness.now, &name, 1), "it has spoken since");
+    assert!(harness.router.is_fresh(harness.now, &name, 1), "it has answered since");
 }
 
-// Variant tide-tables, split: the list shows roles as they were at the start of the day, and its old primary came back as a
-// replica: `list host=3 up_since_ms=1796183494291 role=primary`, then reads went there, and were answered from old data.
+// Deployment variant tide-tables, scenario split: the list shows the roles at the start of the run, and the
+// old primary was restarted as a replica (`list host=3 up_since_ms=1796183494291 role=primary`). Reads were
+// then sent there and answered from stale data.
 #[test]
 fn a_restarted_member_is_not_taken_for_the_primary_that_a_static_list_names() {
-    let strong = |role: ListRole, said: Option<Role>| {
-        let mut harness = Harness::new(Settings { list_role: role, ..unchecked() });
-        if let Some(said) = said {
-            let report = Report { position: Some(harness.now), role: Some(said), ..Report::default() };
+    let strong_read_sent_to = |role: ListRole, reported_role: Option<Role>| {
+        let mut harness = Harness::new(Settings { list_role: role, ..serving_stale_reads() });
+        if let Some(reported_role) = reported_role {
+            let report =
+                Report { position: Some(harness.now), role: Some(reported_role), ..Report::default() };
             harness.step(Event::Probed { member: 1, ending: Ending::Served, report });
         }
-        let again = entry(1, MemberStatus::Up, true, harness.now);
-        harness.step(Event::List { update: Update::Partial, entries: [again].into() });
+        let restarted = entry(1, MemberStatus::Up, true, harness.now);
+        harness.step(Event::List { update: Update::Partial, entries: [restarted].into() });
         harness.now += 20_000 * MS;
         sent_to(&harness.send_request("strong", 3, 900 * MS))
     };
-    assert_eq!(strong(ListRole::Static, None), None);
-    // A list that follows roles may be right about it, unless it has said itself that it does not lead.
-    assert_eq!(strong(ListRole::Trailing, None), Some(1));
-    assert_eq!(strong(ListRole::Trailing, Some(Role::Replica)), None);
+    assert_eq!(strong_read_sent_to(ListRole::Static, None), None);
+    // A list that follows role changes may be right, unless the member itself has reported that it is not the
+    // primary.
+    assert_eq!(strong_read_sent_to(ListRole::Trailing, None), Some(1));
+    assert_eq!(strong_read_sent_to(ListRole::Trailing, Some(Role::Replica)), None);
 }
