--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -188,7 +188,7 @@
             bytes_received: counters.datagram_bytes_received.get(),
             list_bytes: counters.list_bytes.get(),
             list_revision: self.control.list_revision.get(),
-            settings_version: self.control.facade.read(|table| table.version()),
+            settings_version: self.control.facade.read(|table| table.settings_version()),
             entries: self.control.entry_count() as u64,
             held_leases: leadership.map_or(0, |leadership| leadership.held_leases() as u64),
             known_lease_holders: leadership.map_or(0, |leadership| leadership.known_lease_holders() as u64),
--- a/crates/lifecycle/src/class_table.rs
+++ b/crates/lifecycle/src/class_table.rs
@@ -1,12 +1,12 @@
-//! The request classes that exist while the settings change under open requests.
+//! The table of request classes, which stays consistent when the settings change while requests are open.
 //!
 //! The router knows a class by its index in a table. A request keeps the index, and with it the class, that
-//! it was admitted with, for as long as it or one of its attempts is known. New settings are entered into the
-//! table beside what is still in use: an unchanged class keeps its index, a changed or new one gets a free
-//! index or a further one. Old and new classes stand side by side, and each request has exactly one of them.
+//! it was admitted with, for as long as it or one of its attempts is known. The classes of new settings are
+//! added next to those still in use: an unchanged class keeps its index, a changed or new one gets a free
+//! index or extends the table. Old and new classes coexist, and each request has exactly one of them.
 //!
-//! For [`OVERLAP`] after a change a removed name is still found, and a class that now requires an idempotency
-//! key is found in its previous form by requests without one: clients learn of the change later than the
+//! For [`OVERLAP`] after a change a removed class is still found, and a request without an idempotency key
+//! finds the previous form of a class that now requires one: clients learn of the change later than the
 //! gateway.
 //!
 //! **Bounds.** The table holds the classes in force, those before the last change, and those of open
@@ -17,11 +17,19 @@
 //! use petrelgauge_policy::{Class, Effect, Need};
 //!
 //! let class = |name: &str, effect| Class {
-//!     name: name.into(), need: Need::Eventual, effect, attempts: 4, latency_target: 1, deadline: 2, priority_weight: 1.0, late_share: 0.0,
+//!     name: name.into(),
+//!     need: Need::Eventual,
+//!     effect,
+//!     attempts: 4,
+//!     latency_target: 1,
+//!     deadline: 2,
+//!     priority_weight: 1.0,
+//!     late_share: 0.0,
 //! };
 //! let mut classes = ClassTable::new(vec![class("view", Effect::Safe)]);
 //! let old = classes.find(0, "view", IdempotencyKey::Absent).expect("it is in force");
-//! classes.update(10, vec![class("view", Effect::Unsafe)], &[old].into()).expect("the table has a free index");
+//! let changed = vec![class("view", Effect::Unsafe)];
+//! classes.update(10, changed, &[old].into()).expect("the table has a free index");
 //! let new = classes.find(10, "view", IdempotencyKey::Absent).expect("it is in force");
 //! assert_eq!((classes.class(old).effect, classes.class(new).effect), (Effect::Safe, Effect::Unsafe));
 //! ```
@@ -29,9 +37,11 @@
 use petrelgauge_policy::{mutant, Class, Effect, Mutant, Time};
 use std::collections::BTreeSet;
 
-/// Most classes in the table (count). Hundreds of changes within the longest deadline would be a mistake.
+/// Most classes in the table (count). Only a misconfiguration that changes the settings hundreds of times
+/// within the longest deadline needs more.
 pub const MAX_CLASSES: usize = 256;
-/// How long clients may not know of a change (microseconds). The platform updates them within 1.2 s.
+/// How long after a change clients may still use the previous classes (microseconds). The platform updates
+/// them within 1.2 s.
 pub const OVERLAP: Time = 2_000_000;
 
 /// Whether a request carries an idempotency key.
@@ -43,7 +53,7 @@
     Absent,
 }
 
-/// The classes in force, and those that open requests still have.
+/// The classes in force, and those that open requests still use.
 #[derive(Clone, Debug)]
 pub struct ClassTable {
     table: Vec<Class>,
@@ -53,14 +63,20 @@
     previous: Vec<usize>,
     /// Clock time until which the previous classes are found.
     previous_until: Time,
-    version: u64,
+    settings_version: u64,
 }
 
 impl ClassTable {
     /// A table with the classes of the initial settings.
     pub fn new(classes: Vec<Class>) -> ClassTable {
         let in_force = (0..classes.len()).collect();
-        ClassTable { table: classes, in_force, previous: Vec::new(), previous_until: Time::MIN, version: 1 }
+        ClassTable {
+            table: classes,
+            in_force,
+            previous: Vec::new(),
+            previous_until: Time::MIN,
+            settings_version: 1,
+        }
     }
 
     /// The classes by index, as the router gets them.
@@ -68,9 +84,9 @@
         &self.table
     }
 
-    /// How many settings have been in force so far, from 1.
-    pub fn version(&self) -> u64 {
-        self.version
+    /// The version of the settings in force: 1 for the initial ones, incremented with each change.
+    pub fn settings_version(&self) -> u64 {
+        self.settings_version
     }
 
     /// The class with this index.
@@ -83,7 +99,7 @@
         &self.in_force
     }
 
-    /// Indexes of the classes before the last change, while clients may not know of it.
+    /// Indexes of the classes before the last change, for as long as clients may not know of it.
     pub fn previous(&self, now: Time) -> &[usize] {
         if now < self.previous_until {
             &self.previous
@@ -94,7 +110,7 @@
 
     /// The longest deadline (microseconds) of the classes with this name, the previous one included while
     /// clients may not know of the change. 0 if there is no such class.
-    pub fn longest_wait(&self, now: Time, name: &str) -> Time {
+    pub fn longest_class_deadline(&self, now: Time, name: &str) -> Time {
         let indexes = self.in_force.iter().chain(self.previous(now));
         let named = indexes.map(|index| &self.table[*index]).filter(|class| class.name == name);
         named.map(|class| class.deadline).max().unwrap_or(0)
@@ -107,7 +123,7 @@
         match named(&self.in_force) {
             None => previous(),
             Some(index) if key == IdempotencyKey::Present || !requires_key(self.class(index)) => Some(index),
-            // Its client does not know yet that the class requires a key.
+            // The client may not know yet that the class requires a key.
             Some(index) => previous().filter(|old| !requires_key(self.class(*old))).or(Some(index)),
         }
     }
@@ -116,38 +132,39 @@
     ///
     /// # Errors
     ///
-    /// If the table would grow past [`MAX_CLASSES`]. Nothing has changed then.
+    /// Fails if the table would grow past [`MAX_CLASSES`]; nothing has changed then.
     pub fn update(
         &mut self,
         now: Time,
         classes: Vec<Class>,
         used: &BTreeSet<usize>,
     ) -> Result<(), TooManyClasses> {
-        let mut taken: BTreeSet<usize> = used.iter().chain(&self.in_force).copied().collect();
-        taken.extend(self.previous(now));
+        let mut occupied: BTreeSet<usize> = used.iter().chain(&self.in_force).copied().collect();
+        occupied.extend(self.previous(now));
         if mutant(Mutant::ClassIndexReused) {
-            taken.clear();
+            occupied.clear();
         }
-        let NewClasses { mut table, in_force } = self.with_classes(&classes, &mut taken);
-        clear_unused(&mut table, &taken, &classes);
+        let NewClasses { mut table, in_force } = self.with_classes(&classes, &mut occupied);
+        clear_unused(&mut table, &occupied, &classes);
         if table.len() > MAX_CLASSES {
             return Err(TooManyClasses);
         }
         self.previous = std::mem::replace(&mut self.in_force, in_force);
         self.table = table;
         self.previous_until = now + OVERLAP;
-        self.version += 1;
+        self.settings_version += 1;
         Ok(())
     }
 
-    /// A copy of the table with these classes entered, and their indexes, which are added to the taken ones.
-    fn with_classes(&self, classes: &[Class], taken: &mut BTreeSet<usize>) -> NewClasses {
+    /// A copy of the table with these classes added, and their indexes, which are added to `occupied`.
+    fn with_classes(&self, classes: &[Class], occupied: &mut BTreeSet<usize>) -> NewClasses {
         let (mut table, mut in_force) = (self.table.clone(), Vec::new());
         for class in classes {
-            let same = (0..table.len()).find(|index| table[*index] == *class && !in_force.contains(index));
-            let index =
-                same.unwrap_or_else(|| (0..).find(|index| !taken.contains(index)).unwrap_or_default());
-            taken.insert(index);
+            let unchanged =
+                (0..table.len()).find(|index| table[*index] == *class && !in_force.contains(index));
+            let index = unchanged
+                .unwrap_or_else(|| (0..).find(|index| !occupied.contains(index)).unwrap_or_default());
+            occupied.insert(index);
             in_force.push(index);
             if index < table.len() {
                 table[index] = class.clone();
@@ -165,16 +182,16 @@
     in_force: Vec<usize>,
 }
 
-/// Removes classes that are no longer used, or overwrites them with one in force: the router takes all
-/// classes of the table into account, so no obsolete one may remain.
-fn clear_unused(table: &mut Vec<Class>, taken: &BTreeSet<usize>, classes: &[Class]) {
-    table.truncate(taken.last().map_or(0, |last| last + 1));
-    for index in (0..table.len()).filter(|index| !taken.contains(index)) {
+/// Truncates the table after the last occupied index, and overwrites the other unused entries with a class in
+/// force: the router takes all classes of the table into account, so no obsolete one may remain.
+fn clear_unused(table: &mut Vec<Class>, occupied: &BTreeSet<usize>, classes: &[Class]) {
+    table.truncate(occupied.last().map_or(0, |last| last + 1));
+    for index in (0..table.len()).filter(|index| !occupied.contains(index)) {
         table[index] = classes[0].clone();
     }
 }
 
-/// Open requests have too many different classes for a change of the settings.
+/// The classes of new settings, together with those still in use, exceed [`MAX_CLASSES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyClasses;
 
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -27,10 +27,10 @@
         Some(ClassLookup { index, class: self.classes.class(index).clone() })
     }
 
-    /// The longest that clients of this class wait (microseconds); see
-    /// [`ClassTable::longest_wait`](crate::class_table::ClassTable::longest_wait).
-    pub fn longest_wait(&self, now: Time, name: &str) -> Time {
-        self.classes.longest_wait(now, name)
+    /// The longest deadline of the classes with this name (microseconds); see
+    /// [`ClassTable::longest_class_deadline`](crate::class_table::ClassTable::longest_class_deadline).
+    pub fn longest_class_deadline(&self, now: Time, name: &str) -> Time {
+        self.classes.longest_class_deadline(now, name)
     }
 
     /// Sets the clock time by which every request that is admitted from now on gets its final answer.
@@ -49,9 +49,10 @@
         longest(self.classes.previous(now)).map_or(in_force, |previous| previous.min(in_force))
     }
 
-    /// How many settings have been in force so far, from 1.
-    pub fn version(&self) -> u64 {
-        self.classes.version()
+    /// The version of the settings in force; see
+    /// [`ClassTable::settings_version`](crate::class_table::ClassTable::settings_version).
+    pub fn settings_version(&self) -> u64 {
+        self.classes.settings_version()
     }
 
     /// Applies new settings to requests that are admitted from now on. Open requests and their attempts keep
--- a/crates/models/src/rules.rs
+++ b/crates/models/src/rules.rs
@@ -131,7 +131,7 @@
                 }
             }
             // The time depends only on the last change, so that waiting again reaches no new state.
-            Step::ClientsCatchUp => self.now = OVERLAP * (1 + self.classes.version() as Time),
+            Step::ClientsCatchUp => self.now = OVERLAP * (1 + self.classes.settings_version() as Time),
         }
         self.check();
     }
--- a/src/client/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -121,7 +121,7 @@
         if wait
             > self
                 .facade
-                .read(|table| table.longest_wait(arrived_at, &class.name))
+                .read(|table| table.longest_class_deadline(arrived_at, &class.name))
                 .saturating_mul(MAX_WAIT_FACTOR)
         {
             return Err(UnusableStatement::WaitTooLong);
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -200,7 +200,7 @@
 
     /// Version of the settings in force; each reload increments it.
     fn settings_version(&self) -> u64 {
-        self.control.facade.read(|table| table.version())
+        self.control.facade.read(|table| table.settings_version())
     }
 
     fn log_counters(&self) {
