--- a/crates/lifecycle/src/backoff.rs
+++ b/crates/lifecycle/src/backoff.rs
@@ -2,28 +2,28 @@
 //!
 //! The discovery address is that of an agent on the gateway's own machine, which responds at once. The first
 //! call is cheap and is sent without a pause, however many gateways there are: a gateway is expected to know
-//! what the agent knows, and one that restarts with an old list must not wait. Only a rejected call is a sign
-//! that the gateways together overload the service. The pause then depends on the number of gateways: with a
-//! fixed pause of 200 ms, a hundred gateways call 500 times a second, and a service that can answer fewer
-//! calls would reject nearly all of them, for good.
+//! the agent's endpoint list, and one that restarts with an old list must not wait. Only a rejected call
+//! indicates that the gateways together overload the service. The pause then depends on the number of
+//! gateways: with a fixed pause of 200 ms, a hundred gateways send 500 calls per second, and a service with a
+//! lower capacity would reject nearly all of them, permanently.
 
 use petrelgauge_policy::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Mean pause after a watch that fell silent, broke or was never established (microseconds). Two timeouts of
-/// 3 s, with the pauses after them, then fit into the 8 s within which an endpoint update has to be known (6
-/// s) and applied (2 s).
+/// Mean pause after a watch that timed out, broke or was never established (microseconds). Two timeouts of 3 s
+/// and the pauses after them then fit into the 8 s within which an endpoint update has to be known (6 s) and
+/// applied (2 s).
 pub const FIRST_MEAN: Time = 200_000;
-/// Most doublings of a mean (count).
+/// Maximum number of doublings of a mean.
 const MAX_DOUBLINGS: u32 = 2;
 /// The longest mean while calls are not answered (microseconds): an update that the agent gets when the
-/// service returns has to be applied within 2 s, and the service may return at the beginning of a pause.
+/// service recovers has to be applied within 2 s, and the service may recover at the beginning of a pause.
 const MAX_MEAN_UNANSWERED: Time = 400_000;
-/// After a rejected call, the part of the mean for each gateway (microseconds): together they send one call
-/// in this time.
+/// Mean pause after a rejected call, per gateway (microseconds): all gateways together then send one call per
+/// this interval on average.
 const MEAN_PER_GATEWAY: Time = 25_000;
-/// The longest mean after a rejected call (microseconds). No pause is longer than twice that.
+/// The longest mean after a rejected call (microseconds). Pauses are shorter than twice this.
 pub const MAX_MEAN: Time = 4_000_000;
 
 /// Why a call or watch ended.
@@ -35,7 +35,7 @@
     Lost,
 }
 
-/// Backoff state of one gateway; of fixed size.
+/// Backoff state of one gateway, of fixed size.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     mean_after_rejection: Time,
@@ -44,20 +44,20 @@
 }
 
 impl Backoff {
-    /// The backoff of one of `gateways` gateways. The jitter is seeded by `seed`.
+    /// The backoff of a gateway in a fleet of `gateways`. `seed` seeds the jitter.
     pub fn new(gateways: u32, seed: u64) -> Backoff {
         let mean_after_rejection =
             MEAN_PER_GATEWAY.saturating_mul(gateways.into()).clamp(FIRST_MEAN, MAX_MEAN);
         Backoff { mean_after_rejection, failures: 0, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// Records that a call succeeded: the next pause is as short as the first one.
+    /// Records that a call succeeded: the next pause has the initial mean.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The pause (microseconds) after a failure: uniform up to twice the mean, which doubles with each
-    /// consecutive failure.
+    /// The pause (microseconds) after a failure: uniformly distributed between 0 and twice the mean, which
+    /// doubles with each consecutive failure.
     pub fn pause(&mut self, cause: Cause) -> Time {
         let (mean, max_mean) = match cause {
             Cause::Rejected => (self.mean_after_rejection, MAX_MEAN),
