--- a/crates/lifecycle/src/connect_timeout.rs
+++ b/crates/lifecycle/src/connect_timeout.rs
@@ -1,9 +1,9 @@
 //! Estimates the timeout for establishing a connection to a host from recent connections.
 //!
-//! The settings give a generous upper limit. Where connections are established within a millisecond, one that
-//! takes forty most likely leads to a machine that is down, and the waiting request could be answered by
-//! another host in that time. When a zone is lost, each gateway of a fleet learns it host by host, from its
-//! own requests.
+//! The settings define a generous upper limit. Where connections are usually established within a
+//! millisecond, one that takes 40 ms most likely leads to a machine that is down, and another host could answer
+//! the waiting request in that time. When a zone fails, each gateway of a fleet detects this host by host, from
+//! its own requests.
 
 use petrelgauge_policy::Time;
 
@@ -11,14 +11,14 @@
 const MARGIN: Time = 16;
 /// The shortest timeout (microseconds): longer than a process usually waits to be scheduled.
 pub const MIN_TIMEOUT: Time = 40_000;
-/// Established connections before an estimate is made (count).
+/// Minimum number of established connections for an estimate.
 pub const MIN_SAMPLES: u32 = 8;
-/// With each established connection the longest connect time decays by this fraction (divisor).
+/// With each established connection the longest connect time decays by 1 / `DECAY`.
 const DECAY: Time = 64;
-/// Most doublings of the estimate (count), so that the shift can't overflow.
+/// Maximum number of doublings of the estimate, so that the shift can't overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// The estimate over all hosts, of fixed size.
+/// The estimate for all hosts together, of fixed size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectTimeout {
     /// Upper limit from the settings, in microseconds.
@@ -39,7 +39,7 @@
         ConnectTimeout { limit, ..self }
     }
 
-    /// Records a connection that was established, with a ready host, after `took` microseconds.
+    /// Records a connection that was established, up to the host's readiness, within `took` microseconds.
     pub fn record_connected(&mut self, took: Time) {
         self.longest = took.clamp(self.longest - self.longest / DECAY, self.limit.max(0));
         self.samples = self.samples.saturating_add(1);
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,16 +1,15 @@
-//! The state machine of a client's request. It has exactly one final answer, and the first event that ends it
-//! decides which.
+//! The state machine of a client's request. A request gets exactly one final answer, which is determined by
+//! the first event that ends it.
 //!
-//! An answer that a host gave takes precedence over what the router decides, and both over the client's
-//! disconnecting: the caller steps [`RequestState`] with the events in that order when it learns of several
-//! at a time.
+//! A host's answer takes precedence over the router's decision, and both over the client's disconnecting: a
+//! caller that learns of several events at once passes them to [`RequestState`] in that order.
 
 use petrelgauge_policy::Time;
 
 /// What happens to a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The router decided on an attempt.
+    /// The router started an attempt.
     AttemptStarted,
     /// The attempt ended.
     AttemptEnded {
@@ -22,22 +21,22 @@
         /// How long the client should wait before it retries (microseconds).
         wait: Time,
     },
-    /// The router gave it up: it failed.
+    /// The router ended it as failed.
     Failed,
     /// The client cancelled it.
     Cancelled,
     /// The client disconnected.
     Disconnected,
-    /// Its connection or the process is about to end, and the time for an answer before that has expired.
+    /// Its connection or the process is about to end, and the time left to answer it before that has passed.
     GracePeriodExpired,
 }
 
 /// The final answer of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
-    /// The answer that a host gave.
+    /// The answer of a host.
     HostAnswer,
-    /// It was rejected, and has not run.
+    /// It was rejected and has not run.
     Rejected {
         /// How long the client should wait before it retries (microseconds).
         wait: Time,
@@ -46,7 +45,7 @@
     Failed,
     /// Its client cancelled it, and gets an error.
     Cancelled,
-    /// Its client no longer waits for an answer.
+    /// Its client disconnected and gets no answer.
     Abandoned,
 }
 
@@ -55,7 +54,7 @@
 pub struct RequestState {
     attempt_in_flight: bool,
     was_attempted: bool,
-    ended: Option<FinalAnswer>,
+    final_answer: Option<FinalAnswer>,
 }
 
 impl RequestState {
@@ -67,7 +66,7 @@
     /// Steps the machine. Returns the final answer if the event ends the request; later events change
     /// nothing.
     pub fn on(&mut self, event: Event) -> Option<FinalAnswer> {
-        if self.ended.is_some() {
+        if self.final_answer.is_some() {
             return None;
         }
         match event {
@@ -77,16 +76,16 @@
             }
             Event::AttemptEnded { answered } => {
                 self.attempt_in_flight = false;
-                self.ended = answered.then_some(FinalAnswer::HostAnswer);
+                self.final_answer = answered.then_some(FinalAnswer::HostAnswer);
             }
-            Event::Rejected { wait } => self.ended = Some(FinalAnswer::Rejected { wait }),
-            Event::Failed => self.ended = Some(FinalAnswer::Failed),
-            Event::Cancelled => self.ended = Some(FinalAnswer::Cancelled),
-            Event::Disconnected => self.ended = Some(FinalAnswer::Abandoned),
-            // It may have had an effect only if it was attempted.
-            Event::GracePeriodExpired if self.was_attempted => self.ended = Some(FinalAnswer::Failed),
-            Event::GracePeriodExpired => self.ended = Some(FinalAnswer::Rejected { wait: 0 }),
+            Event::Rejected { wait } => self.final_answer = Some(FinalAnswer::Rejected { wait }),
+            Event::Failed => self.final_answer = Some(FinalAnswer::Failed),
+            Event::Cancelled => self.final_answer = Some(FinalAnswer::Cancelled),
+            Event::Disconnected => self.final_answer = Some(FinalAnswer::Abandoned),
+            // Only a request that was attempted may have had an effect.
+            Event::GracePeriodExpired if self.was_attempted => self.final_answer = Some(FinalAnswer::Failed),
+            Event::GracePeriodExpired => self.final_answer = Some(FinalAnswer::Rejected { wait: 0 }),
         }
-        self.ended
+        self.final_answer
     }
 }
--- a/crates/lifecycle/tests/outage.rs
+++ b/crates/lifecycle/tests/outage.rs
@@ -30,12 +30,12 @@
             for recovery_at in [61, 75, 90, 600].map(|seconds| seconds * SECOND + seed as Time * 37_003) {
                 // Calls fail at once: only the pause delays the next call.
                 let (delay, mut backoff) = pause_at_recovery(gateways, seed, 1_000, recovery_at);
-                assert!(delay < APPLIED_WITHIN / 2, "{gateways} gateways, seed {seed}: {delay} us delay");
+                assert!(delay < APPLIED_WITHIN / 2, "{gateways} gateways, seed {seed}: delay {delay} us");
                 // Calls get no answer: the one in flight at the recovery has to time out first.
                 let (delay, _) = pause_at_recovery(gateways, seed, WATCH_TIMEOUT, recovery_at);
                 assert!(
                     delay < WATCH_TIMEOUT + APPLIED_WITHIN / 2,
-                    "{gateways} gateways, seed {seed}: {delay} us delay"
+                    "{gateways} gateways, seed {seed}: delay {delay} us"
                 );
                 // A success resets the backoff: the pause after the next failure is short.
                 backoff.reset();
--- a/crates/lifecycle/tests/watch.rs
+++ b/crates/lifecycle/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The revision of the endpoint list that is in use, and whether the complete list has to be requested.
+//! Which revision of the endpoint list is current, and whether the complete list has to be requested.
 
 use petrelgauge_lifecycle::watch::WatchState;
 use petrelgauge_policy::Update;
@@ -21,7 +21,7 @@
     assert!(state.on_update(9, Update::Partial));
     assert!(!state.on_complete_list(8));
     assert!(state.needs_complete_list());
-    assert!(state.on_complete_list(8), "the same revision twice: it is the source's current one");
+    assert!(state.on_complete_list(8), "the same revision twice: it is the current one of the source");
     assert_eq!((state.needs_complete_list(), state.resume_after()), (false, Some(8)));
 }
 
