--- a/crates/lifecycle/src/read_ahead.rs
+++ b/crates/lifecycle/src/read_ahead.rs
@@ -1,36 +1,36 @@
-//! How far a client's messages are read ahead of the one that is being answered, and when each was received.
+//! Limits how far a client's messages are read ahead of the one being answered, and tracks when each arrived.
 //!
 //! The bounds are enforced by back pressure: at a bound nothing more is read from the connection until queued
-//! messages have been dequeued, and what the client continues to send waits in the kernel's socket buffer.
-//! Nothing is read that can't be answered, and no client is cut off for sending quickly.
+//! messages have been dequeued, and further data from the client stays in the kernel's socket buffer. Nothing
+//! is read that can't be answered, and no client is cut off for sending quickly.
 //!
-//! A message that waited in the kernel arrived at an unknown time. [`ReadAhead::arrived_at`] gives the
+//! The arrival time of a message that waited in the kernel is unknown. [`ReadAhead::arrived_at`] returns the
 //! earliest possible one, so that a client's remaining wait is never overestimated.
 //!
 //! Sizes are in bytes, times in microseconds. The state is of fixed size.
 
 use petrelgauge_policy::Time;
 
-/// Most messages that are queued while one is being answered (count). A longer queue would only move the wait
-/// from the kernel to here.
+/// Maximum number of messages queued while one is being answered. A longer queue would only move waiting
+/// messages from the kernel's buffer to the gateway's memory.
 pub const MAX_QUEUED: usize = 64;
-/// Most bytes that are queued, including those of an incomplete message: twice the longest message, so that a
-/// complete one fits beside the beginning of the next.
+/// Maximum number of queued bytes, including those of an incomplete message: twice the longest message, so that
+/// a complete one fits together with the beginning of the next.
 pub const MAX_BYTES: usize = 320 * 1024;
 
-/// What one connection has read and not yet answered.
+/// Messages and bytes that one connection has read and not yet answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadAhead {
     queued: usize,
     queued_bytes: usize,
     /// Bytes that have not been parsed into messages yet.
     unparsed_bytes: usize,
-    /// Size of the message that was dequeued last, until it is finished.
+    /// Size of the message that was dequeued last, until it has been handled.
     current_bytes: usize,
-    /// Reading has paused, although the kernel may have received bytes.
+    /// Reading is paused, although the kernel may have received bytes.
     is_paused: bool,
     /// The last read left nothing in the kernel's buffer.
-    is_kernel_drained: bool,
+    is_kernel_buffer_empty: bool,
     last_read_at: Time,
     arrived_at: Time,
 }
@@ -38,10 +38,10 @@
 impl ReadAhead {
     /// A connection from which nothing has been read.
     pub fn new() -> ReadAhead {
-        ReadAhead { is_kernel_drained: true, ..ReadAhead::default() }
+        ReadAhead { is_kernel_buffer_empty: true, ..ReadAhead::default() }
     }
 
-    /// Number of bytes that may be read now within the connection's own bounds. At 0 reading has to pause.
+    /// Number of bytes that may be read now within the bounds of the connection. At 0 reading has to pause.
     pub fn allowance(&self) -> usize {
         if self.queued >= MAX_QUEUED {
             return 0;
@@ -49,12 +49,12 @@
         MAX_BYTES.saturating_sub(self.queued_bytes + self.unparsed_bytes)
     }
 
-    /// Whether no message is queued or being answered. The connection can free no memory by itself then.
-    pub fn is_starved(&self) -> bool {
+    /// Whether no message is queued or being answered. In that case the connection can't free memory by itself.
+    pub fn has_no_message(&self) -> bool {
         self.queued == 0 && self.current_bytes == 0
     }
 
-    /// Number of bytes that the connection has in memory.
+    /// Number of bytes that the connection holds in memory.
     pub fn buffered_bytes(&self) -> usize {
         self.current_bytes + self.queued_bytes + self.unparsed_bytes
     }
@@ -64,21 +64,21 @@
         self.is_paused = true;
     }
 
-    /// Whether reading has paused and nothing was read since.
+    /// Whether reading has paused and nothing has been read since.
     pub fn is_paused(&self) -> bool {
         self.is_paused
     }
 
     /// Records that `read` bytes were read into a buffer of `capacity` bytes.
     pub fn on_read(&mut self, now: Time, read: usize, capacity: usize) {
-        self.arrived_at = match (self.is_kernel_drained, self.is_paused) {
-            // What the last read left in the kernel may be as old as what it returned.
+        self.arrived_at = match (self.is_kernel_buffer_empty, self.is_paused) {
+            // Bytes that the last read left in the kernel may be as old as those it returned.
             (false, _) => self.arrived_at,
             (true, true) => self.last_read_at,
             (true, false) => now,
         };
         self.unparsed_bytes += read;
-        self.is_kernel_drained = read < capacity;
+        self.is_kernel_buffer_empty = read < capacity;
         self.is_paused = false;
         self.last_read_at = now;
     }
@@ -95,26 +95,26 @@
         self.unparsed_bytes = unparsed_bytes;
     }
 
-    /// Records that a message of `size` bytes was dequeued. The one before it is finished.
-    pub fn on_taken(&mut self, size: usize) {
+    /// Records that a message of `size` bytes was dequeued. The previous one has been handled.
+    pub fn on_dequeued(&mut self, size: usize) {
         self.queued = self.queued.saturating_sub(1);
         self.queued_bytes = self.queued_bytes.saturating_sub(size);
         self.current_bytes = size;
     }
 
-    /// Records that the message that was dequeued last is finished.
-    pub fn on_done(&mut self) {
+    /// Records that the message that was dequeued last has been handled.
+    pub fn on_handled(&mut self) {
         self.current_bytes = 0;
     }
 
-    /// Records that unparsed bytes were consumed in another way or dropped, and how many are left.
+    /// Records how many unparsed bytes are left after some were dropped or consumed without being queued.
     pub fn set_unparsed_bytes(&mut self, unparsed_bytes: usize) {
         self.unparsed_bytes = unparsed_bytes;
     }
 
     /// Whether the kernel may have bytes that were received before the last read.
-    pub fn is_behind(&self) -> bool {
-        !self.is_kernel_drained
+    pub fn may_have_unread(&self) -> bool {
+        !self.is_kernel_buffer_empty
     }
 
     /// Clock time of the last read.
--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -171,7 +171,7 @@
 
     /// Whether the kernel may still have bytes that arrived before the last read.
     pub(super) fn is_behind(&self) -> bool {
-        self.ahead.is_behind()
+        self.ahead.may_have_unread()
     }
 
     /// Whether a message has begun and is not complete.
@@ -223,13 +223,13 @@
     }
 
     async fn read_message(&mut self) -> Result<QueuedMessage, ReadError> {
-        self.ahead.on_done();
+        self.ahead.on_handled();
         self.memory.release_reserve();
         loop {
             self.parse_messages();
             // Messages that were complete before a protocol error are answered first.
             if let Some(queued) = self.queue.pop_front() {
-                self.ahead.on_taken(memory_of(&queued.message));
+                self.ahead.on_dequeued(memory_of(&queued.message));
                 return Ok(queued);
             }
             if let Some(failure) = self.failure {
@@ -280,7 +280,7 @@
             if allowance > 0 {
                 return Ok(allowance);
             }
-            if self.ahead.is_starved() && self.memory.acquire_reserve() {
+            if self.ahead.has_no_message() && self.memory.acquire_reserve() {
                 continue;
             }
             if !self.ahead.is_paused() {
