--- a/crates/models/src/connection/attempt.rs
+++ b/crates/models/src/connection/attempt.rs
@@ -43,7 +43,7 @@
         if !connection.unread.is_empty() {
             self.violated = Some(UNREAD);
         }
-        if self.now - since > IDLE_POLICY.span {
+        if self.now - since > IDLE_POLICY.max_idle {
             self.violated = Some(TOO_OLD);
         }
         Some(connection)
--- a/crates/models/src/connection/mod.rs
+++ b/crates/models/src/connection/mod.rs
@@ -139,7 +139,7 @@
     violated: Option<&'static str>,
 }
 
-const IDLE_POLICY: IdlePolicy = IdlePolicy { span: 22_000_000 };
+const IDLE_POLICY: IdlePolicy = IdlePolicy { max_idle: 22_000_000 };
 /// Deadline of each attempt, from its start (microseconds).
 const ATTEMPT_TIMEOUT: Time = 2_000_000;
 /// Connect timeout of an attempt (microseconds).
--- a/crates/models/src/connection/steps.rs
+++ b/crates/models/src/connection/steps.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::{Bytes, Connection, Connections, Step, IDLE_POLICY};
 use petrelgauge_lifecycle::exchange::AttemptState;
-use petrelgauge_lifecycle::idle_connection::{DUPLICATE_WINDOW, SETTLE};
+use petrelgauge_lifecycle::idle_connection::{DUPLICATE_WINDOW, SETTLE_TIME};
 
 /// Maximum number of unread messages on a connection, to keep the model small.
 const MAX_UNREAD: usize = 2;
@@ -33,7 +33,7 @@
         }
         steps.push(Step::Send);
         if self.idle.is_some() && !self.has_waited {
-            let spans = [SETTLE / 2, SETTLE, DUPLICATE_WINDOW, IDLE_POLICY.span + 1];
+            let spans = [SETTLE_TIME / 2, SETTLE_TIME, DUPLICATE_WINDOW, IDLE_POLICY.max_idle + 1];
             steps.extend(spans.map(Step::Wait));
         }
     }
@@ -68,11 +68,11 @@
             let age = self.now - written.at;
             // Garbage follows an answer within the settling time; a duplicate that can be detected may come
             // later.
-            let copy_window = if written.has_position { DUPLICATE_WINDOW } else { SETTLE };
+            let copy_window = if written.has_position { DUPLICATE_WINDOW } else { SETTLE_TIME };
             if age < copy_window {
                 steps.push(Step::DuplicateAnswer);
             }
-            if age < SETTLE && connection.unanswered.is_empty() {
+            if age < SETTLE_TIME && connection.unanswered.is_empty() {
                 steps.push(Step::WriteGarbage);
             }
         }
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -136,7 +136,7 @@
         for host in self.hosts.borrow_mut().values_mut() {
             host.idle.retain(|pooled| {
                 let socket_state = pooled.connection.socket_state();
-                let end = self.idle_policy.get().expire(now, pooled.idle(), socket_state);
+                let end = self.idle_policy.get().reason_to_close(now, pooled.idle(), socket_state);
                 end.into_iter().for_each(|end| self.counters.ended(end));
                 end.is_none()
             });
