--- a/crates/lifecycle/src/ending.rs
+++ b/crates/lifecycle/src/ending.rs
@@ -1,4 +1,4 @@
-//! Every way in which a connection or an attempt can end.
+//! All ways in which a connection or an attempt can end.
 
 use petrelgauge_policy::Ending;
 
@@ -7,13 +7,13 @@
 pub enum End {
     /// A database host served the request.
     Served,
-    /// A database host serves the request with a long row, which is streamed to the client.
+    /// A database host serves the request with a long row that is streamed to the client.
     Flows,
-    /// The host answered with an error; the request may have had an effect.
+    /// The host answered with an error, and the request may have had an effect.
     HostError,
-    /// The host rejected the request without running it: it is not the primary, or its data are too old.
+    /// The host rejected the request without executing it: it is not the primary, or its data are too old.
     Rejected,
-    /// No host could execute the statement.
+    /// The statement is in error: no host could execute it.
     Unusable,
     /// The host rejected the request before reading it: its queue is full, it is draining, or it has too many
     /// connections.
@@ -30,11 +30,11 @@
     HostMalformed,
     /// The host's answer was a duplicate of its previous one.
     HostRepeated,
-    /// The host's answer began and was not completed in time.
+    /// The host's answer began but was not completed in time.
     HostStalled,
     /// The host sent bytes that belong to no answer, on an idle connection.
     HostSurplus,
-    /// No answer before the attempt's deadline.
+    /// The host did not answer before the attempt's deadline.
     NoAnswer,
     /// The router cancelled the attempt.
     Cancelled,
@@ -46,7 +46,7 @@
     NoMemory,
     /// The attempt's deadline passed before the request could be written.
     TooLate,
-    /// Before the request was written its client had left or its host accepted no more requests.
+    /// The request was not written, because its client had left or its host accepted no more requests.
     NotWanted,
     /// The gateway closed an idle connection: it had expired, or its host moved, restarted or was removed.
     Retired,
@@ -66,7 +66,7 @@
     ClientStuck,
     /// The gateway closed an idle client to free its descriptor.
     ClientShed,
-    /// The gateway closed an idle client because it stops or drains.
+    /// The gateway closed an idle client because the gateway is stopping or draining.
     Stopped,
 }
 
@@ -112,7 +112,7 @@
     }
 
     /// The ending that is reported to the router for an attempt.
-    pub fn as_ending(self) -> Ending {
+    pub fn to_router_ending(self) -> Ending {
         match self {
             End::Served | End::Flows => Ending::Served,
             End::HostError => Ending::Error,
@@ -123,13 +123,13 @@
                 Ending::ConnectionLost
             }
             End::NoAnswer => Ending::TimedOut,
-            // The request was sent; running out of memory here is no fault of the host.
+            // The request was sent. A lack of memory in the gateway is not a fault of the host.
             End::Cancelled | End::NoMemory => Ending::Cancelled,
-            // No faults of the host: they must not count against it.
+            // These are no faults of the host and must not count against it.
             End::NoDescriptor | End::NoAddress | End::TooLate | End::NotWanted | End::Unusable => {
                 Ending::NotSent
             }
-            // These end connections that carry no attempt.
+            // These end connections without an attempt.
             End::Retired
             | End::HostClosedIdle
             | End::HostSurplus
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The state machine of one attempt to have a request served by a host, from its start to its report.
+//! The state machine of one attempt to have a host serve a request, from its start to its report.
 //!
 //! ```text
 //!            Connected          HostReady         Written          AnswerBegan
@@ -7,19 +7,18 @@
 //!     +--------------------+-----------------+----------------+-------------------+--> Ended(end)
 //! ```
 //!
-//! With the first bytes of a long row an attempt ends as [`End::Flows`]: the request has its answer, and the
-//! connection is lent to the client's session, which streams the row.
+//! When the first bytes of a long row arrive, the attempt ends as [`End::Flows`]: the request has its answer,
+//! and the connection is handed to the client's session, which streams the row.
 //!
-//! An attempt on a reused connection begins in Writing. Whatever the state, an attempt ends once, by
-//! [`Exchange::on`], and its connection is kept or closed before the end may be reported:
-//! [`Exchange::finish`] says which. Otherwise a retry could be sent while a connection still carries the
-//! first attempt.
+//! An attempt on a reused connection starts in Writing. In every state an attempt ends once, by
+//! [`Exchange::on`], and its connection is kept or closed, as [`Exchange::finish`] says, before the end may be
+//! reported. Otherwise a retry could be sent while a connection still carries the first attempt.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Time within which an answer that has begun must be complete (microseconds). Hosts write an answer at once;
-/// one that stalls in the middle would otherwise hold its request until the attempt's deadline.
+/// Time within which an answer that has begun must be complete (microseconds). Hosts write an answer as a
+/// whole; one that stalls in the middle would otherwise block its request until the attempt's deadline.
 pub const ANSWER_TIMEOUT: Time = 300_000;
 
 /// The remaining wait is sent to hosts in milliseconds.
@@ -33,14 +32,14 @@
         /// Clock time by which the host must be ready.
         by: Time,
     },
-    /// The connection is established, and the host has not said that it is ready.
+    /// The connection is established, and the host has not reported that it is ready.
     Greeting {
         /// Clock time by which the host must be ready.
         by: Time,
     },
     /// The request is being written.
     Writing,
-    /// The request was written completely. From here on it may have run.
+    /// The request was written completely, and may have run.
     Waiting,
     /// The answer has begun.
     Answering {
@@ -64,7 +63,7 @@
     HostReady,
     /// The host rejected the connection with an error.
     Rejected(End),
-    /// The request must not be begun any more: its client has left, the attempt was cancelled, it is too
+    /// The request must not be written any more: its client has left, the attempt was cancelled, it is too
     /// late, or its host accepts no more requests.
     Unwanted,
     /// The last byte of the request was written.
@@ -73,18 +72,18 @@
     AnswerBegan,
     /// A complete answer was received.
     Answered {
-        /// How the attempt ended according to it.
+        /// How the attempt ended according to the answer.
         end: End,
-        /// It equals the previous answer on the connection byte for byte.
+        /// The answer equals the previous one on the connection byte for byte.
         is_duplicate: bool,
     },
-    /// A long row has begun, which is to be streamed to the client.
+    /// The first bytes of a long row were received, which is streamed to the client.
     LongRowBegan,
     /// The host violated the protocol.
     Malformed,
     /// The connection broke or ended.
     ConnectionLost,
-    /// There is no memory to buffer more of the answer.
+    /// There is no memory left to buffer more of the answer.
     NoMemory,
     /// The router cancelled the attempt.
     Cancelled,
@@ -98,7 +97,7 @@
     /// Keep it idle: it may carry another request.
     Reuse,
     /// Hand it to the client's session, which streams the row that has begun on it.
-    Lend,
+    StreamToClient,
     /// Close it: bytes were received that belong to no answer, and more may follow.
     CloseSurplus,
     /// Close it because of the way the attempt ended.
@@ -109,11 +108,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Exchange {
     state: AttemptState,
-    /// Clock time at which it is abandoned.
+    /// Clock time at which the attempt is abandoned.
     deadline: Time,
-    /// Clock time by which its request must be written, if at all.
+    /// Clock time by which its request must be written; after it the request is not written at all.
     write_deadline: Time,
-    /// The host said that it is ready for another request.
+    /// The host reported that it is ready for another request.
     is_host_ready: bool,
 }
 
@@ -130,31 +129,29 @@
     /// An attempt on a new connection, whose host must be ready by `connect_deadline`. It is abandoned at
     /// `deadline`.
     pub fn connecting(connect_deadline: Time, deadline: Time) -> Exchange {
-        Exchange::in_state(AttemptState::Connecting { by: connect_deadline.min(deadline) }, deadline)
+        Exchange::with_state(AttemptState::Connecting { by: connect_deadline.min(deadline) }, deadline)
     }
 
     /// An attempt on a reused connection. It is abandoned at `deadline`.
     pub fn reusing(now: Time, deadline: Time) -> Exchange {
         let state = if now >= deadline { AttemptState::Ended(End::TooLate) } else { AttemptState::Writing };
-        Exchange::in_state(state, deadline)
+        Exchange::with_state(state, deadline)
     }
 
-    fn in_state(state: AttemptState, deadline: Time) -> Exchange {
+    fn with_state(state: AttemptState, deadline: Time) -> Exchange {
         Exchange { state, deadline, write_deadline: deadline, is_host_ready: false }
     }
 
-    /// The same attempt, with a request that must be written by then or not at all: after the window of its
-    /// idempotency key a retry would have a second effect, however long its connection took to be
-    /// established.
+    /// The same attempt, whose request must not be written after `at`: once the window of its idempotency key
+    /// has passed, a retry would have a second effect, however long its connection took to be established.
     pub fn with_write_deadline(self, at: Time) -> Exchange {
         let write_deadline =
             if mutant(Mutant::RetryWrittenLate) { self.deadline } else { self.deadline.min(at) };
         Exchange { write_deadline, ..self }
     }
 
-    /// The remaining wait that is sent with the request if its first byte is written now, in whole
-    /// milliseconds. None if the request must not be written any more: it is too late, or less than a
-    /// millisecond is left.
+    /// The remaining wait to send with the request if its first byte is written now, in whole milliseconds. None
+    /// if the request must not be written any more: it is too late, or less than a millisecond is left.
     pub fn remaining_wait_ms(&self, now: Time) -> Option<u64> {
         if now >= self.write_deadline {
             return None;
@@ -175,7 +172,7 @@
         }
     }
 
-    /// Whether its request has been written completely, and so may have run.
+    /// Whether its request has been written completely, and therefore may have run.
     pub fn may_have_run(&self) -> bool {
         matches!(self.state, AttemptState::Waiting | AttemptState::Answering { .. })
     }
@@ -193,13 +190,13 @@
     /// Steps the machine. An event that does not fit the state changes nothing: a connection that is being
     /// disposed of may still cause some.
     pub fn on(&mut self, now: Time, event: Event) {
-        self.state = self.next(now, event);
+        self.state = self.next_state(now, event);
     }
 
-    fn next(&self, now: Time, event: Event) -> AttemptState {
+    fn next_state(&self, now: Time, event: Event) -> AttemptState {
         match (self.state, event) {
             (AttemptState::Ended(end), _) => AttemptState::Ended(end),
-            // Whether a cancelled request ran is not known.
+            // It is unknown whether a cancelled request has run.
             (_, Event::Cancelled) => AttemptState::Ended(End::Cancelled),
             (AttemptState::Connecting { by } | AttemptState::Greeting { by }, Event::Timeout) => {
                 self.on_connect_timeout(now, by)
@@ -217,7 +214,7 @@
         if now >= connect_deadline {
             AttemptState::Ended(End::ConnectSilent)
         } else if now >= self.write_deadline {
-            // The attempt is out of time, which is no sign of a fault of the host.
+            // The attempt has no time left, which does not indicate a fault of the host.
             AttemptState::Ended(End::TooLate)
         } else {
             self.state
@@ -252,19 +249,19 @@
             }
             Event::Written => AttemptState::Waiting,
             Event::ConnectionLost => AttemptState::Ended(End::BrokenUnsent),
-            // Not written completely: it never ran.
+            // The request was not written completely, so it never ran.
             Event::Timeout if now >= self.write_deadline => AttemptState::Ended(End::ConnectSilent),
             _ => self.state,
         }
     }
 
-    /// The request has been written and may have run.
+    /// The next state of an attempt whose request has been written and may have run.
     fn next_when_written(&self, now: Time, event: Event) -> AttemptState {
         match (self.state, event) {
             (AttemptState::Waiting, Event::AnswerBegan) => {
                 AttemptState::Answering { by: now + ANSWER_TIMEOUT }
             }
-            // It is not known to which request a duplicate belongs, nor whether this one has run.
+            // It is unknown to which request a duplicate belongs and whether this request has run.
             (_, Event::Answered { is_duplicate: true, .. }) if mutant(Mutant::DuplicateAnswerAccepted) => {
                 AttemptState::Ended(End::Served)
             }
@@ -285,7 +282,7 @@
         }
     }
 
-    /// Records that the host said, with its answer, that it is ready for another request.
+    /// Records that the host reported, with its answer, that it is ready for another request.
     pub fn record_host_ready(&mut self) {
         self.is_host_ready = true;
     }
@@ -293,7 +290,7 @@
     /// How the attempt ended and what is to be done with its connection; none while the attempt is in flight.
     ///
     /// The connection is reused only if the host sent a complete answer and is ready for another request.
-    /// `has_unread`: bytes are available on it that belong to no answer.
+    /// `has_unread` says that bytes are available on it that belong to no answer.
     pub fn finish(self, has_unread: bool) -> Option<FinishedAttempt> {
         let end = self.ended()?;
         Some(FinishedAttempt { end, disposition: self.disposition(end, has_unread) })
@@ -304,10 +301,10 @@
             return if mutant(Mutant::StreamingConnectionPooled) {
                 ConnectionDisposition::Reuse
             } else {
-                ConnectionDisposition::Lend
+                ConnectionDisposition::StreamToClient
             };
         }
-        // Nothing was written for an unwanted attempt: its connection is as it was.
+        // Nothing was written for an unwanted attempt, so its connection is unchanged.
         let is_reusable = end.is_answer() && self.is_host_ready || end == End::NotWanted;
         match (is_reusable, has_unread && !mutant(Mutant::UnreadConnectionPooled)) {
             (true, false) => ConnectionDisposition::Reuse,
--- a/crates/lifecycle/tests/exchange.rs
+++ b/crates/lifecycle/tests/exchange.rs
@@ -1,9 +1,9 @@
-//! The remaining wait that is sent to a host, as of the first byte of the request.
+//! The remaining wait that is sent to a host, as of the time when the first byte of the request is written.
 
 use petrelgauge_lifecycle::exchange::{AttemptState, Event, Exchange};
 use proptest::prelude::*;
 
-/// An attempt on a reused connection, with its deadline at 5 s.
+/// An attempt on a reused connection with a deadline at 5 s.
 fn attempt() -> Exchange {
     Exchange::reusing(0, 5_000_000)
 }
@@ -12,7 +12,7 @@
 fn the_remaining_wait_is_what_is_left_when_the_first_byte_is_written() {
     let mut exchange = attempt();
     assert_eq!(exchange.remaining_wait_ms(0), Some(5_000));
-    // The connection took no byte for a while.
+    // No byte could be written to the connection for 1.2 s.
     exchange.on(1_200_000, Event::Timeout);
     assert_eq!(exchange.state(), AttemptState::Writing);
     assert_eq!(exchange.remaining_wait_ms(1_200_000), Some(3_800));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_retry_is_not_begun_once_its_window_closes() {
+fn a_retry_is_not_written_once_its_window_has_passed() {
     let exchange = attempt().with_write_deadline(2_000_000);
     assert_eq!(exchange.remaining_wait_ms(1_999_999), Some(3_000));
     assert_eq!(exchange.remaining_wait_ms(2_000_000), None);
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -168,7 +168,7 @@
     ) -> Option<StreamedRow> {
         match (connection, disposition) {
             (Some(connection), ConnectionDisposition::Reuse) => self.put_back(host, connection),
-            (Some(connection), ConnectionDisposition::Lend) => {
+            (Some(connection), ConnectionDisposition::StreamToClient) => {
                 return Some(StreamedRow::new(self.clone(), host, connection, assembler));
             }
             (connection, disposition) => {
@@ -192,7 +192,7 @@
         match (reply, streamed) {
             (Some(reply), _) => parse_outcome(end, &reply.parameters, &self.counters),
             (None, Some(row)) => parse_outcome(end, row.parameters(), &self.counters),
-            (None, None) => Outcome::silent(end.as_ending()),
+            (None, None) => Outcome::silent(end.to_router_ending()),
         }
     }
 
