--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -1,14 +1,18 @@
-//! The state machine of a client's connection, from its startup message to its end.
+//! The state machine of a client's connection, from its acceptance to its end.
 //!
 //! ```text
 //! Opening --StartupReceived--> Idle --Message(Query)--> AwaitingAnswer --Answered--> Idle
-//!    |                          |                          |  \--Answered(Unusable)--> Pausing --PauseEnded--> Idle
-//!    +--------------------------+--- ProtocolError --> CutOff  +--- Disconnected --> Ended
+//!    |                          |                            |
+//!    |                          |                            +--Answered(Unusable)--> Pausing
+//!    +--------------------------+--ProtocolError--> CutOff                              |
+//!                                                             Idle <----PauseEnded------+
+//!
+//! any state --Disconnected--> Ended
 //! ```
 //!
-//! Bytes from the client take precedence over every reason to close its connection: whoever steps the machine
-//! with [`Event::Shed`], [`Event::Stop`] or [`Event::Timeout`] says whether unread bytes are available, and
-//! those are read first. A connection with an open query is not closed for its age, to free its descriptor or
+//! Bytes from the client take precedence over every reason to close its connection: a caller that passes
+//! [`Event::Shed`], [`Event::Stop`] or [`Event::Timeout`] says whether unread bytes are available, and those
+//! are read first. A connection with an open query is not closed because of its age, to free its descriptor or
 //! for a stop.
 
 use crate::ending::End;
@@ -16,30 +20,30 @@
 
 /// Time within which a client must send its startup message (microseconds).
 pub const STARTUP_TIMEOUT: Time = 2_000_000;
-/// Time without an open query after which a client is closed (microseconds), since others need its
-/// descriptor.
+/// Time without an open query after which a client's connection is closed to free its descriptor for others
+/// (microseconds).
 pub const IDLE_TIMEOUT: Time = 2_100_000;
-/// Time within which a new client must complete a message that it has begun (microseconds): it has to get an
-/// answer or an error within 3 s.
+/// Time within which a new client must complete a message that it has begun (microseconds). The client has to
+/// get an answer or an error within 3 s.
 pub const NEW_CLIENT_MESSAGE_TIMEOUT: Time = 2_500_000;
 /// Time within which a client that has been served before must complete a message that it has begun
 /// (microseconds).
 pub const MESSAGE_TIMEOUT: Time = 6_000_000;
-/// Time without a further byte of an incomplete message after which a client is cut off (microseconds). A
-/// slow client may continue; one that has stopped has to get an error within 3 s.
+/// Time without another byte of an incomplete message after which a client is cut off (microseconds). A slow
+/// client may continue; one that has stopped sending has to get an error within 3 s.
 pub const STALL_TIMEOUT: Time = 2_500_000;
-/// Pause after an unusable statement before the next one is read (microseconds), doubled for each further one
-/// in a row. A client that repeats it at once must not take processor time from the others.
+/// Pause after an unusable statement before the next one is read (microseconds), doubled for each consecutive
+/// one. A client that repeats such a statement without delay must not take processor time from the others.
 pub const MIN_BACKOFF: Time = 1_000;
 /// The longest such pause (microseconds).
 pub const MAX_BACKOFF: Time = 64_000;
-/// Unusable statements in a row are counted up to this number, so that the shift can't overflow.
+/// Consecutive unusable statements are counted up to this number, so that the shift can't overflow.
 const MAX_COUNTED_UNUSABLE: u32 = 16;
 
 /// Why a client may be closed to free its descriptor. Clients are closed in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Idleness {
-    /// It has been sent the reason why its connection ends, and has time to read it.
+    /// It has been sent the reason why its connection ends, and is given time to read it.
     CutOff,
     /// It has sent no query yet.
     New,
@@ -50,7 +54,7 @@
 /// Since when a client may be closed to free its descriptor, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdleSince {
-    /// Why.
+    /// Why it may be closed.
     pub kind: Idleness,
     /// Clock time at which it was accepted or last used its connection.
     pub since: Time,
@@ -89,9 +93,9 @@
     Extended,
     /// A function call.
     Function,
-    /// Flush and the messages of a copy, which don't count as use of the connection.
+    /// Flush and the COPY messages, which don't count as use of the connection.
     Ignored,
-    /// Not a message of the protocol.
+    /// Not a message type of the protocol.
     Unknown,
 }
 
@@ -115,7 +119,7 @@
 pub enum QueryOutcome {
     /// It was a request and got its final answer.
     Request,
-    /// The gateway answered it by itself.
+    /// The gateway answered it without a host.
     AnsweredLocally,
     /// It was unusable and got an error.
     Unusable,
@@ -138,14 +142,14 @@
     PauseEnded,
     /// The client violated the protocol or a limit.
     ProtocolError(End),
-    /// The client closed the connection, or does not read what it is sent.
+    /// The client closed the connection, or does not read what is sent to it.
     Disconnected(End),
-    /// The connection should be closed to free its descriptor.
+    /// The connection is to be closed to free its descriptor.
     Shed {
         /// Unread bytes are available.
         has_unread: bool,
     },
-    /// The gateway stops.
+    /// The gateway is stopping.
     Stop {
         /// Unread bytes are available.
         has_unread: bool,
@@ -159,7 +163,7 @@
     },
 }
 
-/// What is to be done after an event.
+/// What the caller has to do after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Wait for the next event.
@@ -182,7 +186,7 @@
         /// Clock time.
         until: Time,
     },
-    /// Send the reason why the connection ends, and leave the client time to read it.
+    /// Send the reason why the connection ends, and give the client time to read it.
     CutOff(CutOffReason),
     /// Close the connection.
     Close(End),
@@ -203,14 +207,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClientConnection {
     state: ClientState,
-    /// Clock time at which the connection is closed if no query is open.
+    /// Clock time at which the connection is closed unless a query is open.
     idle_deadline: Time,
     /// Clock time by which a message that has begun must be complete.
     message_deadline: Time,
     idle: IdleSince,
-    /// After an error in extended query messages everything up to Sync is skipped.
+    /// After a rejected extended query message, all messages up to Sync are skipped.
     is_skipping: bool,
-    /// A request of it got its final answer.
+    /// A request of this client has got its final answer.
     has_been_served: bool,
     consecutive_unusable: u32,
 }
@@ -249,7 +253,7 @@
 
     /// Steps the machine. An event that does not fit the state changes nothing.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
-        let action = self.action(now, event);
+        let action = self.action_for(now, event);
         self.state = self.next_state(event, action);
         action
     }
@@ -272,7 +276,7 @@
         }
     }
 
-    fn action(&mut self, now: Time, event: Event) -> Action {
+    fn action_for(&mut self, now: Time, event: Event) -> Action {
         use ClientState::{AwaitingAnswer, CutOff, Ended, Idle, Opening, Pausing};
         match (self.state, event) {
             (Ended(end), _) => Action::Close(end),
@@ -303,7 +307,7 @@
         }
     }
 
-    /// The idle timeout of a client that has sent nothing more, or only a part of a message.
+    /// Handles the idle timeout of a client that has sent nothing since its last message, or only a part of one.
     fn on_idle_timeout(&mut self, now: Time, partial_at: Option<Time>) -> Action {
         let Some(partial_at) = partial_at else { return Action::Close(End::ClientIdle) };
         self.idle_deadline = self.message_deadline.min(partial_at + STALL_TIMEOUT);
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -142,7 +142,7 @@
         Exchange { state, deadline, write_deadline: deadline, is_host_ready: false }
     }
 
-    /// The same attempt, whose request must not be written after `at`: once the window of its idempotency key
+    /// The same attempt, whose request must not be written from `at` on: once the window of its idempotency key
     /// has passed, a retry would have a second effect, however long its connection took to be established.
     pub fn with_write_deadline(self, at: Time) -> Exchange {
         let write_deadline =
--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -10,49 +10,50 @@
 //! ```
 //!
 //! How clients are treated is the [`ServingState`], which follows from the state alone. A drained gateway
-//! keeps its process, its endpoint list and what it has learned, and still accepts new clients; it only asks
-//! the load balancer in front of it to send none.
+//! keeps running, keeps its endpoint list and learned state, and still accepts new clients; its readiness check
+//! only tells the load balancer in front of it to send none.
 //!
-//! After SIGTERM new clients are accepted for a while, since the load balancer learns of the stop with a
-//! delay. Idle clients are closed after that, the others get their answers, and the process ends when no
+//! After SIGTERM new clients are accepted for [`LOAD_BALANCER_NOTICE`], since the load balancer learns of the
+//! stop with a delay. Then idle clients are closed, the others get their answers, and the process ends when no
 //! connection and no attempt is left.
 
 use crate::client::Idleness;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// After SIGTERM, and after the command to drain, clients are served as before for this time (microseconds).
-/// The load balancer needs it to notice and to send no more clients.
+/// Time after SIGTERM or the command to drain during which clients are served as before (microseconds). The
+/// load balancer needs it to detect the change and to stop sending clients.
 pub const LOAD_BALANCER_NOTICE: Time = 450_000;
 
-/// After SIGTERM the platform's protocol leaves a process the longest deadline of its classes, up to this
-/// limit, and [`KILL_DELAY`] more before it is killed (microseconds).
+/// Limit of the longest deadline in the shutdown time (microseconds): after SIGTERM the platform waits for the
+/// longest deadline of the process's classes, up to this limit, plus [`KILL_DELAY`] before it kills the process.
 const MAX_COUNTED_DEADLINE: Time = 3_000_000;
-/// See [`MAX_COUNTED_DEADLINE`] (microseconds).
+/// Time that the platform waits in addition to the longest deadline; see [`MAX_COUNTED_DEADLINE`]
+/// (microseconds).
 const KILL_DELAY: Time = 700_000;
-/// How long before the kill the last answers are given (microseconds): a machine with little processor time
+/// How long before the kill the last answers must be ready (microseconds): a machine with little processor time
 /// takes some tenths of a second to send them.
 const KILL_MARGIN: Time = 250_000;
 
 /// The state of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GatewayState {
-    /// It serves.
+    /// It serves clients.
     Serving,
     /// It will be drained: the readiness check fails, and clients are served as before.
     DrainAnnounced {
-        /// Clock time until which they are.
+        /// Clock time until which they are served.
         until: Time,
     },
     /// Clients are closed as soon as they have their answers.
     Drained,
     /// It will stop, and clients are served as before.
     StopAnnounced {
-        /// Clock time until which they are.
+        /// Clock time until which they are served.
         until: Time,
     },
     /// No new client is accepted, and idle ones are closed.
     Closing,
-    /// The process ends.
+    /// The process can end.
     Ended,
 }
 
@@ -83,11 +84,11 @@
 impl ServingState {
     /// Whether the readiness check succeeds, so that the load balancer continues to send clients.
     pub fn reports_ready(self) -> bool {
-        // During a stop it need not fail: the platform itself tells the load balancer.
+        // It need not fail during a stop, of which the platform itself informs the load balancer.
         matches!(self, ServingState::Serving | ServingState::Stopped)
     }
 
-    /// Whether clients that have their answers are closed.
+    /// Whether clients are closed once they have their answers.
     pub fn closes_idle_clients(self) -> bool {
         matches!(self, ServingState::Draining | ServingState::Stopped)
     }
@@ -100,7 +101,7 @@
     Stop,
     /// An operator's command to drain.
     Drain,
-    /// An operator's command to serve again.
+    /// An operator's command to resume serving.
     Resume,
     /// SIGHUP: the settings were read again.
     Reload {
@@ -109,16 +110,16 @@
     },
     /// The time that [`Gateway::timeout_at`] returned has come.
     Timeout,
-    /// The gateway checked what has not ended yet.
+    /// The gateway counted the connections and attempts that have not ended.
     Remaining {
-        /// Clients' connections, including those that wait to be accepted.
+        /// Clients' connections, including those that are waiting to be accepted.
         clients: usize,
         /// Attempts without a report.
         attempts: usize,
     },
 }
 
-/// What is to be done after an event.
+/// What the caller has to do after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Nothing.
@@ -127,7 +128,7 @@
     ApplySettings,
     /// Keep the old settings, and report that the new ones can't be used.
     KeepSettings,
-    /// Treat clients as [`Gateway::serving_state`] says now.
+    /// Treat clients according to the new [`Gateway::serving_state`].
     ApplyServingState,
     /// End the process.
     End,
@@ -136,17 +137,17 @@
 /// Clock times until which messages of clients are read during a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadDeadlines {
-    /// For clients without an answer: they are read until the last answers are given, so that none is closed
-    /// without one.
+    /// For clients that have had no answer: their messages are read until the last answers are given, so that
+    /// none of them is closed without an answer.
     new: Time,
-    /// For clients that have had an answer. What is read from them has half of the remaining time to be
-    /// answered. Later it would be rejected for lack of time, while the client of an unread query can retry
-    /// it at another gateway.
+    /// For clients that have had an answer: half of the remaining time is left to answer what is read from
+    /// them. A query read later would be rejected for lack of time, while the client of an unread query can
+    /// retry it at another gateway.
     answered: Time,
 }
 
 impl Default for ReadDeadlines {
-    /// Without a stop messages are always read.
+    /// The deadlines while the gateway is not stopping: messages are always read.
     fn default() -> ReadDeadlines {
         ReadDeadlines { new: Time::MAX, answered: Time::MAX }
     }
@@ -188,15 +189,15 @@
         self.state
     }
 
-    /// Clock time by which every request that is admitted from now on must be answered, however long its
-    /// client would wait: the process is killed soon after. `longest_deadline` is that of any class
+    /// Clock time by which every request that is admitted from now on must be answered, even if its client would
+    /// wait longer: the process is killed soon after. `longest_deadline` is the longest of any class
     /// (microseconds).
     pub fn answer_deadline(&self, longest_deadline: Time) -> Time {
         let limit = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         self.stopped_at.map_or(Time::MAX, |at| at + limit)
     }
 
-    /// Clock times until which messages of clients are read. `longest_deadline` is that of any class
+    /// Clock times until which messages of clients are read. `longest_deadline` is the longest of any class
     /// (microseconds).
     pub fn read_deadlines(&self, longest_deadline: Time) -> ReadDeadlines {
         let Some(stopped_at) = self.stopped_at else { return ReadDeadlines::default() };
@@ -229,8 +230,8 @@
         }
     }
 
-    /// Steps the machine. An event that does not fit the state changes nothing: a second SIGTERM hurries
-    /// nothing, and a stopping gateway neither applies new settings nor drains or resumes.
+    /// Steps the machine. An event that does not fit the state changes nothing: a second SIGTERM does
+    /// not speed up the shutdown, and a stopping gateway neither applies new settings nor drains or resumes.
     pub fn on(&mut self, now: Time, event: Event) -> Action {
         match event {
             Event::Stop => self.on_stop(now),
@@ -251,7 +252,7 @@
         self.stopped_at.get_or_insert(now);
         let is_successor_accepting = self.sharing == ListenerSharing::WithSuccessor && self.is_running();
         match self.state {
-            // No client connects any more, or a successor process accepts those that do.
+            // The load balancer sends no clients any more, or a successor process accepts them.
             state if state == GatewayState::Drained || is_successor_accepting => {
                 self.enter(GatewayState::Closing)
             }
--- a/crates/lifecycle/tests/client.rs
+++ b/crates/lifecycle/tests/client.rs
@@ -1,4 +1,4 @@
-//! When a client that is between two queries is closed, and when one that does not complete a message is.
+//! When a client without an open query is closed, and when a client with an incomplete message is cut off.
 
 use petrelgauge_lifecycle::client::{
     Action, ClientConnection, CutOffReason, Event, MessageKind, QueryOutcome, MESSAGE_TIMEOUT,
@@ -7,7 +7,7 @@
 
 const SECOND: Time = 1_000_000;
 
-/// A client that has had an answer at this time.
+/// A client that got its first answer at this time.
 fn served(at: Time) -> ClientConnection {
     let mut client = ClientConnection::new(at);
     client.on(at, Event::StartupReceived);
@@ -27,14 +27,14 @@
             other => panic!("{other:?} at {now}"),
         }
     }
-    panic!("it is never cut off");
+    panic!("the client is never cut off");
 }
 
 #[test]
 fn a_client_that_stalls_within_a_message_is_cut_off_within_three_seconds_of_its_last_byte() {
-    for begun in [1, SECOND / 2, SECOND, 2 * SECOND] {
-        let at = cut_off_at(&mut served(0), &[begun]);
-        assert!((begun..begun + 3 * SECOND).contains(&at), "begun at {begun}, cut off at {at}");
+    for begun_at in [1, SECOND / 2, SECOND, 2 * SECOND] {
+        let at = cut_off_at(&mut served(0), &[begun_at]);
+        assert!((begun_at..begun_at + 3 * SECOND).contains(&at), "begun at {begun_at}, cut off at {at}");
     }
 }
 
--- a/crates/lifecycle/tests/gateway.rs
+++ b/crates/lifecycle/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The times by which a stopping gateway answers and reads.
+//! The times until which a stopping gateway answers requests and reads messages.
 
 use petrelgauge_lifecycle::client::Idleness;
 use petrelgauge_lifecycle::gateway::{Event, Gateway, ListenerSharing, ReadDeadlines, LOAD_BALANCER_NOTICE};
@@ -16,14 +16,14 @@
             (Time::MAX, ReadDeadlines::default())
         );
         gateway.on(5 * second, Event::Stop);
-        let by = gateway.answer_deadline(longest);
-        assert!((5 * second + kill - 300_000..5 * second + kill - 200_000).contains(&by), "{by}");
+        let deadline = gateway.answer_deadline(longest);
+        assert!((5 * second + kill - 300_000..5 * second + kill - 200_000).contains(&deadline), "{deadline}");
         let reads = gateway.read_deadlines(longest);
-        assert_eq!((reads.of(Idleness::New), reads.of(Idleness::CutOff)), (by, by));
+        assert_eq!((reads.of(Idleness::New), reads.of(Idleness::CutOff)), (deadline, deadline));
         let answered = reads.of(Idleness::Answered);
         assert!(answered >= 5 * second + LOAD_BALANCER_NOTICE, "{answered}");
-        assert!(answered <= by - (by - 5 * second) / 4, "{answered}");
+        assert!(answered <= deadline - (deadline - 5 * second) / 4, "{answered}");
         gateway.on(6 * second, Event::Stop);
-        assert_eq!(gateway.answer_deadline(longest), by);
+        assert_eq!(gateway.answer_deadline(longest), deadline);
     }
 }
