--- a/crates/lifecycle/src/client.rs
+++ b/crates/lifecycle/src/client.rs
@@ -12,8 +12,8 @@
 //!
 //! Bytes from the client take precedence over every reason to close its connection: a caller that passes
 //! [`Event::Shed`], [`Event::Stop`] or [`Event::Timeout`] says whether unread bytes are available, and those
-//! are read first. A connection with an open query is not closed because of its age, to free its descriptor or
-//! for a stop.
+//! are read first. A connection with an open query is not closed because of its age, to free its descriptor
+//! or for a stop.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
@@ -307,7 +307,8 @@
         }
     }
 
-    /// Handles the idle timeout of a client that has sent nothing since its last message, or only a part of one.
+    /// Handles the idle timeout of a client that has sent nothing since its last message, or only a part of
+    /// one.
     fn on_idle_timeout(&mut self, now: Time, partial_at: Option<Time>) -> Action {
         let Some(partial_at) = partial_at else { return Action::Close(End::ClientIdle) };
         self.idle_deadline = self.message_deadline.min(partial_at + STALL_TIMEOUT);
--- a/crates/lifecycle/src/connect_timeout.rs
+++ b/crates/lifecycle/src/connect_timeout.rs
@@ -1,9 +1,9 @@
 //! Estimates the timeout for establishing a connection to a host from recent connections.
 //!
 //! The settings define a generous upper limit. Where connections are usually established within a
-//! millisecond, one that takes 40 ms most likely leads to a machine that is down, and another host could answer
-//! the waiting request in that time. When a zone fails, each gateway of a fleet detects this host by host, from
-//! its own requests.
+//! millisecond, one that takes 40 ms most likely leads to a machine that is down, and another host could
+//! answer the waiting request in that time. When a zone fails, each gateway of a fleet detects this host by
+//! host, from its own requests.
 
 use petrelgauge_policy::Time;
 
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -11,8 +11,8 @@
 //! and the connection is handed to the client's session, which streams the row.
 //!
 //! An attempt on a reused connection starts in Writing. In every state an attempt ends once, by
-//! [`Exchange::on`], and its connection is kept or closed, as [`Exchange::finish`] says, before the end may be
-//! reported. Otherwise a retry could be sent while a connection still carries the first attempt.
+//! [`Exchange::on`], and its connection is kept or closed, as [`Exchange::finish`] says, before the end may
+//! be reported. Otherwise a retry could be sent while a connection still carries the first attempt.
 
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
@@ -142,16 +142,17 @@
         Exchange { state, deadline, write_deadline: deadline, is_host_ready: false }
     }
 
-    /// The same attempt, whose request must not be written from `at` on: once the window of its idempotency key
-    /// has passed, a retry would have a second effect, however long its connection took to be established.
+    /// The same attempt, whose request must not be written from `at` on: once the window of its idempotency
+    /// key has passed, a retry would have a second effect, however long its connection took to be
+    /// established.
     pub fn with_write_deadline(self, at: Time) -> Exchange {
         let write_deadline =
             if mutant(Mutant::RetryWrittenLate) { self.deadline } else { self.deadline.min(at) };
         Exchange { write_deadline, ..self }
     }
 
-    /// The remaining wait to send with the request if its first byte is written now, in whole milliseconds. None
-    /// if the request must not be written any more: it is too late, or less than a millisecond is left.
+    /// The remaining wait to send with the request if its first byte is written now, in whole milliseconds.
+    /// None if the request must not be written any more: it is too late, or less than a millisecond is left.
     pub fn remaining_wait_ms(&self, now: Time) -> Option<u64> {
         if now >= self.write_deadline {
             return None;
--- a/crates/lifecycle/src/gateway.rs
+++ b/crates/lifecycle/src/gateway.rs
@@ -10,12 +10,12 @@
 //! ```
 //!
 //! How clients are treated is the [`ServingState`], which follows from the state alone. A drained gateway
-//! keeps running, keeps its endpoint list and learned state, and still accepts new clients; its readiness check
-//! only tells the load balancer in front of it to send none.
+//! keeps running, keeps its endpoint list and learned state, and still accepts new clients; its readiness
+//! check only tells the load balancer in front of it to send none.
 //!
 //! After SIGTERM new clients are accepted for [`LOAD_BALANCER_NOTICE`], since the load balancer learns of the
-//! stop with a delay. Then idle clients are closed, the others get their answers, and the process ends when no
-//! connection and no attempt is left.
+//! stop with a delay. Then idle clients are closed, the others get their answers, and the process ends when
+//! no connection and no attempt is left.
 
 use crate::client::Idleness;
 use petrelgauge_policy::{mutant, Mutant, Time};
@@ -24,14 +24,15 @@
 /// load balancer needs it to detect the change and to stop sending clients.
 pub const LOAD_BALANCER_NOTICE: Time = 450_000;
 
-/// Limit of the longest deadline in the shutdown time (microseconds): after SIGTERM the platform waits for the
-/// longest deadline of the process's classes, up to this limit, plus [`KILL_DELAY`] before it kills the process.
+/// Limit of the longest deadline in the shutdown time (microseconds): after SIGTERM the platform waits for
+/// the longest deadline of the process's classes, up to this limit, plus [`KILL_DELAY`] before it kills the
+/// process.
 const MAX_COUNTED_DEADLINE: Time = 3_000_000;
 /// Time that the platform waits in addition to the longest deadline; see [`MAX_COUNTED_DEADLINE`]
 /// (microseconds).
 const KILL_DELAY: Time = 700_000;
-/// How long before the kill the last answers must be ready (microseconds): a machine with little processor time
-/// takes some tenths of a second to send them.
+/// How long before the kill the last answers must be ready (microseconds): a machine with little processor
+/// time takes some tenths of a second to send them.
 const KILL_MARGIN: Time = 250_000;
 
 /// The state of the gateway.
@@ -189,8 +190,8 @@
         self.state
     }
 
-    /// Clock time by which every request that is admitted from now on must be answered, even if its client would
-    /// wait longer: the process is killed soon after. `longest_deadline` is the longest of any class
+    /// Clock time by which every request that is admitted from now on must be answered, even if its client
+    /// would wait longer: the process is killed soon after. `longest_deadline` is the longest of any class
     /// (microseconds).
     pub fn answer_deadline(&self, longest_deadline: Time) -> Time {
         let limit = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
--- a/crates/lifecycle/src/idle_connection.rs
+++ b/crates/lifecycle/src/idle_connection.rs
@@ -3,8 +3,8 @@
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Idle time after which a connection is preferred for reuse (microseconds). Unexpected bytes of a host arrive
-/// within this time after its answer. A connection may be reused sooner if there is no other.
+/// Idle time after which a connection is preferred for reuse (microseconds). Unexpected bytes of a host
+/// arrive within this time after its answer. A connection may be reused sooner if there is no other.
 pub const SETTLE_TIME: Time = 20_000;
 /// Time after an answer within which the next one may be a duplicate of it (microseconds).
 pub const DUPLICATE_WINDOW: Time = 1_000_000;
@@ -43,9 +43,9 @@
         IdlePolicy { max_idle: host_idle_timeout / 4 * 3 }
     }
 
-    /// Chooses the connection to reuse next. Returns its index in `idle`, which is sorted by the time at which
-    /// they became idle: the most recent one that has been idle for [`SETTLE_TIME`], so that the others age and
-    /// are closed. If there is none, the longest idle one on which a duplicate can be recognized.
+    /// Chooses the connection to reuse next. Returns its index in `idle`, which is sorted by the time at
+    /// which they became idle: the most recent one that has been idle for [`SETTLE_TIME`], so that the others
+    /// age and are closed. If there is none, the longest idle one on which a duplicate can be recognized.
     pub fn choose(
         self,
         now: Time,
@@ -55,8 +55,8 @@
         settled.or_else(|| idle.clone().position(|connection| connection.detects_duplicates))
     }
 
-    /// Checks that the chosen connection may carry a request. Returns whether a duplicate of its last answer may
-    /// still arrive.
+    /// Checks that the chosen connection may carry a request. Returns whether a duplicate of its last answer
+    /// may still arrive.
     ///
     /// # Errors
     ///
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Checks that a reusable connection may be kept: not if its host moved, restarted, was removed or is draining.
+    /// Checks that a reusable connection may be kept: not if its host moved, restarted, was removed or is
+    /// draining.
     ///
     /// # Errors
     ///
@@ -96,9 +97,9 @@
     }
 }
 
-/// Whether no other answer than a duplicate can be equal to this one, which holds for a row with its position.
-/// A host whose log does not advance (it is partitioned, or its group has no primary) rejects consecutive
-/// requests with the same text and position.
+/// Whether no other answer than a duplicate can be equal to this one, which holds for a row with its
+/// position. A host whose log does not advance (it is partitioned, or its group has no primary) rejects
+/// consecutive requests with the same text and position.
 pub fn is_distinguishable(is_row: bool, reports_position: bool) -> bool {
     is_row && reports_position
 }
--- a/crates/lifecycle/src/ops.rs
+++ b/crates/lifecycle/src/ops.rs
@@ -1,18 +1,19 @@
 //! Commands of the operators' address: parsing, execution and replies.
 //!
-//! One line per connection, one line back: `YES` or `NO` and a short reason. Commands change the gateway only
-//! through [`Event`]; they are idempotent, and a repeated one gets the reply that suits the state it finds.
+//! A caller sends one line per connection and gets one line back: `YES` or `NO` and a short reason. Commands
+//! change the gateway only through [`Event`]. They are idempotent, and a repeated command gets the reply for
+//! the state that the gateway is in.
 
 use crate::gateway::{Action, Event, Gateway, GatewayState};
 use petrelgauge_policy::Time;
 use std::fmt;
 use thiserror::Error;
 
-/// Longest line of a caller, without its line end (bytes).
+/// Maximum length of a caller's line, without its line end (bytes).
 pub const MAX_LINE_BYTES: usize = 64;
 /// Time within which a caller's line must be complete (microseconds).
 pub const LINE_TIMEOUT: Time = 3_000_000;
-/// Most concurrent callers (count). A further one replaces the one that has waited longest.
+/// Maximum number of concurrent callers. Another one replaces the one that has been connected longest.
 pub const MAX_CALLERS: usize = 16;
 
 /// A command of an operator.
@@ -20,16 +21,16 @@
 pub enum Command {
     /// Check whether the gateway can serve.
     Ready,
-    /// Drain all clients.
+    /// Drain the gateway of all clients.
     Drain,
-    /// Serve again.
+    /// Resume serving.
     Resume,
 }
 
-/// Why a caller's line is no command. The texts are sent to the caller.
+/// Why a caller's line is not a command. The texts are sent to the caller.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
-    /// No command of this name exists.
+    /// There is no command of this name.
     #[error("the calls are ready, drain and resume")]
     Unknown,
     /// It is longer than [`MAX_LINE_BYTES`].
@@ -44,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the line is too long or no command.
+/// Fails if the line is too long or is not a command.
 pub fn parse(line: &[u8]) -> Result<Command, CommandError> {
     match line.trim_ascii() {
         _ if line.len() > MAX_LINE_BYTES => Err(CommandError::TooLong),
@@ -55,17 +56,17 @@
     }
 }
 
-/// What readiness depends on besides the state of the gateway.
+/// What readiness depends on in addition to the state of the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct KnownState {
+pub struct ReadinessInputs {
     /// Hosts in the endpoint list.
     pub hosts: usize,
-    /// A list was received from discovery since the start.
+    /// A list has been received from discovery since the start.
     pub list_received: bool,
-    /// Clock time (microseconds) from which the initial list is good enough, if discovery sends none.
+    /// Clock time (microseconds) from which the initial list is accepted if discovery has sent none.
     pub accept_initial_list_at: Time,
-    /// Version of the settings in force: 1 at the start, one more for each file applied since.
-    pub version: u64,
+    /// Version of the settings in force: 1 at the start, incremented with each file that is applied.
+    pub settings_version: u64,
 }
 
 /// The reply to a command.
@@ -99,7 +100,7 @@
     }
 }
 
-/// What came of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Execution {
     /// The reply to the operator.
@@ -109,7 +110,7 @@
 }
 
 /// Executes a command on the gateway.
-pub fn execute(gateway: &mut Gateway, now: Time, command: Command, known: KnownState) -> Execution {
+pub fn execute(gateway: &mut Gateway, now: Time, command: Command, inputs: ReadinessInputs) -> Execution {
     let before = gateway.state();
     let action = match command {
         Command::Ready => Action::Wait,
@@ -120,8 +121,10 @@
         matches!(before, GatewayState::StopAnnounced { .. } | GatewayState::Closing | GatewayState::Ended);
     let reply = match (command, before) {
         _ if stopping => Reply::no("stopping, it ends by itself"),
-        (Command::Ready, GatewayState::Serving) => readiness(now, known),
-        (Command::Ready, _) => Reply::no(format!("drained; call resume, settings {}", known.version)),
+        (Command::Ready, GatewayState::Serving) => readiness(now, inputs),
+        (Command::Ready, _) => {
+            Reply::no(format!("drained; call resume, settings {}", inputs.settings_version))
+        }
         (Command::Drain, GatewayState::Serving) => Reply::yes("draining, clients are gone within 4 s"),
         (Command::Drain, _) => Reply::yes("drained already"),
         (Command::Resume, GatewayState::Serving) => Reply::yes("at work already"),
@@ -130,17 +133,18 @@
     Execution { reply, action }
 }
 
-/// Whether a serving gateway is ready: it needs hosts, and a list that is no older than necessary.
-fn readiness(now: Time, known: KnownState) -> Reply {
-    let KnownState { hosts, list_received, accept_initial_list_at, version } = known;
+/// Whether a serving gateway is ready: its list must name hosts, and must come from discovery unless
+/// discovery sends none in time.
+fn readiness(now: Time, inputs: ReadinessInputs) -> Reply {
+    let ReadinessInputs { hosts, list_received, accept_initial_list_at, settings_version } = inputs;
     match (hosts, list_received) {
         (0, _) => Reply::no("the list names no host yet"),
         (_, false) if now < accept_initial_list_at => {
-            Reply::no(format!("waiting for discovery's first word, settings {version}"))
-        }
-        (_, false) => {
-            Reply::yes(format!("serving with the list of the start, {hosts} hosts, settings {version}"))
+            Reply::no(format!("waiting for discovery's first word, settings {settings_version}"))
         }
-        (_, true) => Reply::yes(format!("serving, {hosts} hosts, settings {version}")),
+        (_, false) => Reply::yes(format!(
+            "serving with the list of the start, {hosts} hosts, settings {settings_version}"
+        )),
+        (_, true) => Reply::yes(format!("serving, {hosts} hosts, settings {settings_version}")),
     }
 }
--- a/crates/lifecycle/src/read_ahead.rs
+++ b/crates/lifecycle/src/read_ahead.rs
@@ -14,8 +14,8 @@
 /// Maximum number of messages queued while one is being answered. A longer queue would only move waiting
 /// messages from the kernel's buffer to the gateway's memory.
 pub const MAX_QUEUED: usize = 64;
-/// Maximum number of queued bytes, including those of an incomplete message: twice the longest message, so that
-/// a complete one fits together with the beginning of the next.
+/// Maximum number of queued bytes, including those of an incomplete message: twice the longest message, so
+/// that a complete one fits together with the beginning of the next.
 pub const MAX_BYTES: usize = 320 * 1024;
 
 /// Messages and bytes that one connection has read and not yet answered.
@@ -49,7 +49,8 @@
         MAX_BYTES.saturating_sub(self.queued_bytes + self.unparsed_bytes)
     }
 
-    /// Whether no message is queued or being answered. In that case the connection can't free memory by itself.
+    /// Whether no message is queued or being answered. In that case the connection can't free memory by
+    /// itself.
     pub fn has_no_message(&self) -> bool {
         self.queued == 0 && self.current_bytes == 0
     }
--- a/crates/lifecycle/src/verdict.rs
+++ b/crates/lifecycle/src/verdict.rs
@@ -19,14 +19,15 @@
 
 /// Whether a load report is plausible: no value in it is negative, infinite or NaN. An implausible report is
 /// dropped as a whole; the answer that it came with remains valid. Positions are compared with the hosts'
-/// clock separately; see [`RequestTable::validate_times`](crate::request_table::RequestTable::validate_times).
+/// clock separately; see
+/// [`RequestTable::validate_times`](crate::request_table::RequestTable::validate_times).
 pub fn is_plausible_report(report: &Report) -> bool {
     let is_plausible = |value: Option<f64>| value.is_none_or(|value| value.is_finite() && value >= 0.0);
     report.position.is_none_or(|at| at >= 0) && is_plausible(report.waiting) && is_plausible(report.busy)
 }
 
-/// Converts a position from Unix milliseconds, as hosts report it, to microseconds on the hosts' clock. None if
-/// it is out of range.
+/// Converts a position from Unix milliseconds, as hosts report it, to microseconds on the hosts' clock. None
+/// if it is out of range.
 pub fn position_from_millis(millis: Time) -> Option<Time> {
     millis.checked_mul(MICROSECONDS_PER_MILLISECOND).filter(|at| *at > 0)
 }
--- a/crates/lifecycle/src/watch.rs
+++ b/crates/lifecycle/src/watch.rs
@@ -84,8 +84,9 @@
         true
     }
 
-    /// Records the complete list that a separate call returned. Returns whether to apply it: a list older than
-    /// what the watch sent meanwhile is requested again, and is applied if the next response is older as well.
+    /// Records the complete list that a separate call returned. Returns whether to apply it: a list older
+    /// than what the watch sent meanwhile is requested again, and is applied if the next response is older as
+    /// well.
     pub fn on_complete_list(&mut self, revision: u64) -> bool {
         let is_older = self.revision.is_some_and(|current| revision < current);
         if is_older && !std::mem::replace(&mut self.was_last_response_older, true) {
--- a/crates/lifecycle/tests/backoff.rs
+++ b/crates/lifecycle/tests/backoff.rs
@@ -5,8 +5,8 @@
 use petrelgauge_policy::Time;
 
 /// Simulates gateways that all start at 0 with a service that handles one call at a time, each in 60 ms, and
-/// rejects calls that have waited for 2 s, which costs it the same 60 ms. Returns when the last gateway succeeded
-/// (microseconds), if all did within 20 s.
+/// rejects calls that have waited for 2 s, which costs it the same 60 ms. Returns when the last gateway
+/// succeeded (microseconds), if all did within 20 s.
 fn last_success_at(gateways: u32, pause: impl Fn(&mut Backoff) -> Time) -> Option<Time> {
     let backoffs = (0..gateways).map(|n| Backoff::new(gateways, 77 + u64::from(n)));
     let mut calls: Vec<(Time, Backoff)> = backoffs.map(|backoff| (0, backoff)).collect();
--- a/crates/lifecycle/tests/ops.rs
+++ b/crates/lifecycle/tests/ops.rs
@@ -1,19 +1,20 @@
-//! Commands of the operators' address: parsing, answers and their effect on the gateway.
+//! Commands of the operators' address: parsing, replies and effect on the gateway.
 
 use petrelgauge_lifecycle::gateway::{
     Action, Event, Gateway, GatewayState, ServingState, LOAD_BALANCER_NOTICE,
 };
-use petrelgauge_lifecycle::ops::{execute, parse, Command, CommandError, KnownState, MAX_LINE_BYTES};
+use petrelgauge_lifecycle::ops::{execute, parse, Command, CommandError, ReadinessInputs, MAX_LINE_BYTES};
 use petrelgauge_policy::Time;
 
-const KNOWN: KnownState = KnownState { hosts: 3, list_received: true, accept_initial_list_at: 0, version: 1 };
+const READY_INPUTS: ReadinessInputs =
+    ReadinessInputs { hosts: 3, list_received: true, accept_initial_list_at: 0, settings_version: 1 };
 
-fn accepted(gateway: &mut Gateway, now: Time, command: Command) -> bool {
-    execute(gateway, now, command, KNOWN).reply.yes
+fn reply_is_yes(gateway: &mut Gateway, now: Time, command: Command) -> bool {
+    execute(gateway, now, command, READY_INPUTS).reply.yes
 }
 
 #[test]
-fn commands_are_parsed_with_surrounding_space_and_nothing_else_is() {
+fn only_exact_commands_with_optional_surrounding_space_are_parsed() {
     assert_eq!(parse(b"ready"), Ok(Command::Ready));
     assert_eq!(parse(b" drain \r"), Ok(Command::Drain));
     assert_eq!(parse(b"resume"), Ok(Command::Resume));
@@ -26,24 +27,24 @@
 #[test]
 fn draining_and_resuming_are_idempotent() {
     let mut gateway = Gateway::default();
-    assert!(accepted(&mut gateway, 0, Command::Resume), "at work already");
-    assert!(accepted(&mut gateway, 0, Command::Drain) && !accepted(&mut gateway, 1, Command::Ready));
+    assert!(reply_is_yes(&mut gateway, 0, Command::Resume), "at work already");
+    assert!(reply_is_yes(&mut gateway, 0, Command::Drain) && !reply_is_yes(&mut gateway, 1, Command::Ready));
     assert_eq!(
         (gateway.serving_state(), gateway.timeout_at()),
         (ServingState::Unready, Some(LOAD_BALANCER_NOTICE))
     );
-    // The second command does not put off the first one's end.
-    assert!(accepted(&mut gateway, LOAD_BALANCER_NOTICE / 2, Command::Drain));
+    // The second command does not extend the period that the first one started.
+    assert!(reply_is_yes(&mut gateway, LOAD_BALANCER_NOTICE / 2, Command::Drain));
     assert_eq!(gateway.timeout_at(), Some(LOAD_BALANCER_NOTICE));
     assert_eq!(gateway.on(LOAD_BALANCER_NOTICE, Event::Timeout), Action::ApplyServingState);
     assert_eq!((gateway.serving_state(), gateway.timeout_at()), (ServingState::Draining, None));
     assert!(
-        accepted(&mut gateway, LOAD_BALANCER_NOTICE, Command::Drain)
-            && !accepted(&mut gateway, LOAD_BALANCER_NOTICE, Command::Ready)
+        reply_is_yes(&mut gateway, LOAD_BALANCER_NOTICE, Command::Drain)
+            && !reply_is_yes(&mut gateway, LOAD_BALANCER_NOTICE, Command::Ready)
     );
     assert!(
-        accepted(&mut gateway, 9_000_000, Command::Resume)
-            && accepted(&mut gateway, 9_000_000, Command::Ready)
+        reply_is_yes(&mut gateway, 9_000_000, Command::Resume)
+            && reply_is_yes(&mut gateway, 9_000_000, Command::Ready)
     );
     assert_eq!(gateway.serving_state(), ServingState::Serving);
 }
@@ -54,18 +55,19 @@
     gateway.on(0, Event::Drain);
     gateway.on(0, Event::Stop);
     for command in [Command::Ready, Command::Drain, Command::Resume] {
-        assert!(!accepted(&mut gateway, 1, command));
+        assert!(!reply_is_yes(&mut gateway, 1, command));
     }
     assert!(matches!(gateway.state(), GatewayState::StopAnnounced { .. }));
 }
 
 #[test]
-fn readiness_needs_listed_hosts_and_a_received_list_or_a_wait() {
+fn readiness_needs_listed_hosts_and_a_received_list_or_an_expired_wait() {
     let ready = |now, hosts, list_received| {
-        let known = KnownState { hosts, list_received, accept_initial_list_at: 100, version: 1 };
-        execute(&mut Gateway::default(), now, Command::Ready, known).reply.yes
+        let inputs =
+            ReadinessInputs { hosts, list_received, accept_initial_list_at: 100, settings_version: 1 };
+        execute(&mut Gateway::default(), now, Command::Ready, inputs).reply.yes
     };
-    assert!(!ready(0, 0, true) && !ready(200, 0, false), "nobody to send to");
+    assert!(!ready(0, 0, true) && !ready(200, 0, false), "no host is listed");
     assert!(ready(0, 1, true));
     assert!(!ready(99, 1, false) && ready(100, 1, false));
 }
--- a/crates/lifecycle/tests/read_ahead.rs
+++ b/crates/lifecycle/tests/read_ahead.rs
@@ -68,7 +68,8 @@
 }
 
 proptest! {
-    /// For any sequence of messages the bounds hold, and a connection with nothing queued may continue to read.
+    /// For any sequence of messages the bounds hold, and a connection with nothing queued may continue to
+    /// read.
     #[test]
     fn bounds_hold_and_reading_always_resumes(
         steps in prop::collection::vec((1usize..70_000, any::<bool>()), 1..200),
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -12,7 +12,7 @@
 use petrelgauge::Time;
 use petrelgauge_handover::Reservation;
 use petrelgauge_lifecycle::gateway::{Action, Event, Gateway, GatewayState, ServingState};
-use petrelgauge_lifecycle::ops::{self, Execution, KnownState};
+use petrelgauge_lifecycle::ops::{self, Execution, ReadinessInputs};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -133,14 +133,14 @@
 
     /// Executes an operator's command and replies to it.
     fn execute(&mut self, command: CommandRequest) {
-        let known = KnownState {
+        let inputs = ReadinessInputs {
             hosts: self.control.host_pool.listed_count(),
             list_received: self.control.has_received_list.get(),
             accept_initial_list_at: self.initial_list_deadline,
-            version: self.settings_version(),
+            settings_version: self.settings_version(),
         };
         let Execution { reply, action } =
-            ops::execute(&mut self.lifecycle, self.clock.now(), command.command, known);
+            ops::execute(&mut self.lifecycle, self.clock.now(), command.command, inputs);
         if action == Action::ApplyServingState {
             log::info!("command executed command={:?} answer={}", command.command, reply.reason);
         }
