--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -216,8 +216,11 @@
         for group in groups.filter(|group| (group + turn).is_multiple_of(PRIMARY_PARTS)) {
             let Some(member) = names.by_name(&member_name(group, 0)) else { continue };
             let now = clock.now();
-            let outcome =
-                Outcome { role: Some(Role::Primary), position: Some(now), ..Outcome::silent(Ending::Served) };
+            let outcome = Outcome {
+                role: Some(Role::Primary),
+                position: Some(now),
+                ..Outcome::without_report(Ending::Served)
+            };
             facade.update(|table| table.record_late_report(now, member, outcome));
         }
     }
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -72,8 +72,8 @@
         if self.session_tracker.is_none() && !session_classes.is_empty() {
             return Err(SettingsRejected::SessionsDisabled);
         }
-        let attempt_classes = self.in_flight.values().map(|attempt| attempt.class);
-        let used = self.open.values().map(|open| open.class).chain(attempt_classes).collect();
+        let attempt_classes = self.attempts_in_flight.values().map(|attempt| attempt.class);
+        let used = self.open_requests.values().map(|open| open.class).chain(attempt_classes).collect();
         let mut classes = self.classes.clone();
         let new_classes = std::mem::take(&mut settings.classes);
         classes.update(now, new_classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
@@ -99,9 +99,9 @@
     /// Admits a request and returns its id. The table gives out its own ids, since those that clients choose
     /// need not be unique.
     pub fn admit(&mut self, request: Request) -> RequestId {
-        let id: RequestId = self.next_id.to_string().into();
-        self.next_id += 1;
-        if self.groups.contains(&request.group) {
+        let id: RequestId = self.next_request_id.to_string().into();
+        self.next_request_id += 1;
+        if self.listed_groups.contains(&request.group) {
             *self.request_counts.entry(request.group).or_default() += 1;
         }
         self.record_unconfirmed_writes(request.arrived_at);
@@ -115,7 +115,7 @@
             is_retry: request.is_retry,
             session,
         };
-        self.open.insert(id.clone(), open);
+        self.open_requests.insert(id.clone(), open);
         self.pending_events.push(Event::Request(RequestArrival {
             request: id.clone(),
             class: request.class,
@@ -129,7 +129,7 @@
 
     /// What the session of a new request needs, if it has one.
     fn session_need(&mut self, request: &Request) -> Option<SessionNeed> {
-        let hosts_now = self.hosts_now(request.arrived_at);
+        let hosts_now = self.latest_hosts_time(request.arrived_at);
         let is_write = self.classes.class(request.class).need == Need::Write;
         let tracker = self.session_tracker.as_mut()?;
         let SessionRef { key, token } = request.session.as_ref()?;
@@ -160,10 +160,10 @@
     ) -> MinimumPosition {
         let may_be_known = |attempt: &AttemptInFlight| {
             attempt.session_write.is_some_and(|write| write.key == key)
-                && attempt.ordered_at <= arrived_at - ASSUMED_KNOWN_AFTER
+                && attempt.issued_at <= arrived_at - ASSUMED_KNOWN_AFTER
         };
-        if self.in_flight.values().any(may_be_known) {
-            minimum.with_pending_write(self.hosts_now(arrived_at) - ASSUMED_KNOWN_AFTER)
+        if self.attempts_in_flight.values().any(may_be_known) {
+            minimum.with_pending_write(self.latest_hosts_time(arrived_at) - ASSUMED_KNOWN_AFTER)
         } else {
             minimum
         }
@@ -172,27 +172,27 @@
     /// Applies an update of the endpoint list.
     pub fn update_endpoints(&mut self, update: Update, entries: Vec<Entry>) {
         if update == Update::Complete {
-            self.groups.clear();
-            self.listed.clear();
+            self.listed_groups.clear();
+            self.listed_members.clear();
         }
-        self.groups.extend(entries.iter().map(|entry| entry.group));
+        self.listed_groups.extend(entries.iter().map(|entry| entry.group));
         if let Some(tracker) = &mut self.session_tracker {
-            self.groups.iter().for_each(|group| tracker.track_group(*group));
+            self.listed_groups.iter().for_each(|group| tracker.track_group(*group));
         }
         for entry in &entries {
             match entry.status {
-                MemberStatus::Removed => self.listed.remove(&entry.member),
-                MemberStatus::Up | MemberStatus::Draining => self.listed.insert(entry.member),
+                MemberStatus::Removed => self.listed_members.remove(&entry.member),
+                MemberStatus::Up | MemberStatus::Draining => self.listed_members.insert(entry.member),
             };
         }
-        self.reported_positions.retain(|id, _| self.listed.contains(id));
-        self.request_counts.retain(|group, _| self.groups.contains(group));
+        self.reported_positions.retain(|id, _| self.listed_members.contains(id));
+        self.request_counts.retain(|group, _| self.listed_groups.contains(group));
         self.pending_events.push(Event::List { update, entries: entries.into() });
     }
 
     /// Whether requests for this group may be served: the endpoint list names the group, or none has been
     /// received.
     pub fn may_serve_group(&self, group: GroupId) -> bool {
-        self.groups.is_empty() || self.groups.contains(&group)
+        self.listed_groups.is_empty() || self.listed_groups.contains(&group)
     }
 }
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -10,9 +10,9 @@
     /// The client no longer waits. Returns whether the request was still open.
     pub fn abandon(&mut self, request: &RequestId) -> bool {
         if mutant(Mutant::SentAfterDeadline) {
-            return self.open.contains_key(request);
+            return self.open_requests.contains_key(request);
         }
-        let Some(open) = self.open.remove(request) else { return false };
+        let Some(open) = self.open_requests.remove(request) else { return false };
         if let Some(key) = open.unconfirmed_write() {
             self.unconfirmed_writes.push(key);
         }
@@ -25,29 +25,29 @@
     /// an attempt is ignored.
     pub fn report(&mut self, now: Time, attempt: &AttemptSpec, mut outcome: Outcome) -> bool {
         // A second report would decrement the attempts of the member twice.
-        let Some(in_flight) = self.in_flight.remove(&attempt.id) else { return false };
+        let Some(in_flight) = self.attempts_in_flight.remove(&attempt.id) else { return false };
         let request = &attempt.id.request;
         self.record_write(now, &in_flight, &outcome);
-        let is_stale = self.shows_old_data(attempt, in_flight.class, &outcome);
+        let is_stale = self.is_stale_answer(attempt, in_flight.class, &outcome);
         if outcome.ending == Ending::Served && (is_stale || !self.accept_answer(now, request, &outcome)) {
             // The data were too old: as if the member had rejected the request by itself.
             outcome.ending = Ending::Rejected;
         }
         self.record_position(attempt.host, &outcome);
-        if let (false, Some(open)) = (outcome.ending.never_ran(), self.open.get_mut(request)) {
-            open.may_have_run_since.get_or_insert(attempt.ordered_at);
+        if let (false, Some(open)) = (outcome.ending.never_ran(), self.open_requests.get_mut(request)) {
+            open.may_have_run_since.get_or_insert(attempt.issued_at);
         }
         let is_answer = outcome.ending == Ending::Served || outcome.is_unusable;
         // The request ends here and not with the next step: no rejection may replace an answer.
-        let is_final_answer =
-            is_answer && (self.open.remove(request).is_some() || mutant(Mutant::RejectedAfterAnswer));
+        let is_final_answer = is_answer
+            && (self.open_requests.remove(request).is_some() || mutant(Mutant::RejectedAfterAnswer));
         self.pending_events.push(Event::Outcome(AttemptOutcome {
             request: request.clone(),
             attempt: attempt.id.number,
             member: attempt.host,
             ending: outcome.ending,
-            took: (now - attempt.ordered_at).max(0),
-            closed: is_answer || !self.open.contains_key(request),
+            took: (now - attempt.issued_at).max(0),
+            closed: is_answer || !self.open_requests.contains_key(request),
             position: outcome.position,
             role: outcome.role,
             report: outcome.report,
@@ -58,7 +58,7 @@
     /// Records the write of a session, also if its client has left: the session's next read may use another
     /// connection.
     fn record_write(&mut self, now: Time, attempt: &AttemptInFlight, outcome: &Outcome) {
-        let hosts_now = self.hosts_now(now);
+        let hosts_now = self.latest_hosts_time(now);
         let (Some(tracker), Some(write)) = (&mut self.session_tracker, attempt.session_write) else { return };
         let SessionWrite { key, arrived_at } = write;
         match outcome.ending {
@@ -77,7 +77,7 @@
     /// Records the position that a replica reported. A late report of a removed member must not add an entry
     /// for it.
     fn record_position(&mut self, host: MemberId, outcome: &Outcome) {
-        let is_tracked = self.session_tracker.is_some() && self.listed.contains(&host);
+        let is_tracked = self.session_tracker.is_some() && self.listed_members.contains(&host);
         if let (Some(position), Some(Role::Replica), true) = (outcome.position, outcome.role, is_tracked) {
             let highest = self.reported_positions.entry(host).or_default();
             *highest = position.max(*highest);
@@ -87,15 +87,15 @@
     /// Records writes that were abandoned since the last call, with the present time: what may have run was
     /// committed before it.
     pub(super) fn record_unconfirmed_writes(&mut self, now: Time) {
-        let hosts_now = self.hosts_now(now);
+        let hosts_now = self.latest_hosts_time(now);
         let Some(tracker) = &mut self.session_tracker else { return };
         self.unconfirmed_writes.drain(..).for_each(|key| tracker.record_unconfirmed_write(hosts_now, key));
     }
 
     /// Ends a request that was not served. None if it has ended already.
-    pub(super) fn end(&mut self, now: Time, request: &RequestId) -> Option<()> {
-        let open = self.open.remove(request)?;
-        let hosts_now = self.hosts_now(now);
+    pub(super) fn end_unserved(&mut self, now: Time, request: &RequestId) -> Option<()> {
+        let open = self.open_requests.remove(request)?;
+        let hosts_now = self.latest_hosts_time(now);
         if let (Some(tracker), Some(key)) = (&mut self.session_tracker, open.unconfirmed_write()) {
             tracker.record_unconfirmed_write(hosts_now, key);
         }
@@ -104,21 +104,21 @@
 
     /// Whether the member's report shows that its data are older than the class allows: the router took it
     /// for the primary, and it is a replica. Members that check this by themselves don't answer in that case.
-    fn shows_old_data(&self, attempt: &AttemptSpec, class: usize, outcome: &Outcome) -> bool {
+    fn is_stale_answer(&self, attempt: &AttemptSpec, class: usize, outcome: &Outcome) -> bool {
         let need = self.classes.class(class).need;
         let Some(bound) = need.bound().or((need == Need::Strong).then_some(0)) else { return false };
         let is_unchecked_replica =
             self.settings.stale_read_policy == StaleReadPolicy::Serve && outcome.role == Some(Role::Replica);
-        let oldest_allowed = self.hosts_now(attempt.ordered_at) - bound;
+        let oldest_allowed = self.latest_hosts_time(attempt.issued_at) - bound;
         is_unchecked_replica && outcome.position.is_some_and(|position| position < oldest_allowed)
     }
 
     /// Whether an answer can be the final answer of its request: the answer to a session's read must prove
     /// the minimum position. An accepted answer is recorded as seen by the session.
     fn accept_answer(&mut self, now: Time, request: &RequestId, outcome: &Outcome) -> bool {
-        let hosts_now = self.hosts_now(now);
+        let hosts_now = self.latest_hosts_time(now);
         let Some(tracker) = &mut self.session_tracker else { return true };
-        let session = self.open.get(request).and_then(|open| open.session.as_ref());
+        let session = self.open_requests.get(request).and_then(|open| open.session.as_ref());
         let Some(SessionNeed { key, minimum_position: Some(minimum), position_at_send, .. }) = session else {
             return true;
         };
--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -17,7 +17,7 @@
         attempt: Option<&AttemptSpec>,
         outcome: &mut Outcome,
     ) -> bool {
-        self.learn_clock(now, host, attempt, outcome);
+        self.update_clock_estimate(now, host, attempt, outcome);
         let fleet_clock = self.router.fleet_clock();
         outcome.position = outcome.position.filter(|position| fleet_clock.is_plausible(*position, now));
         let is_plausible =
@@ -29,8 +29,14 @@
         is_plausible
     }
 
-    fn learn_clock(&mut self, now: Time, host: MemberId, attempt: Option<&AttemptSpec>, outcome: &Outcome) {
-        let in_flight = attempt.and_then(|attempt| self.in_flight.get(&attempt.id));
+    fn update_clock_estimate(
+        &mut self,
+        now: Time,
+        host: MemberId,
+        attempt: Option<&AttemptSpec>,
+        outcome: &Outcome,
+    ) {
+        let in_flight = attempt.and_then(|attempt| self.attempts_in_flight.get(&attempt.id));
         let is_write = |in_flight: &&AttemptInFlight| self.classes.class(in_flight.class).need == Need::Write;
         let served_write = in_flight.filter(is_write).filter(|_| outcome.ending == Ending::Served);
         let fleet_clock = self.router.fleet_clock_mut();
@@ -38,7 +44,7 @@
             (Some(write), Some(commit)) => fleet_clock.record_commit(Commit {
                 member: host,
                 committed_at: commit,
-                sent_at: write.ordered_at,
+                sent_at: write.issued_at,
                 received_at: now,
                 is_first_attempt: write.is_first,
             }),
@@ -53,7 +59,7 @@
     /// Restarts the session tracker if the hosts' clock differs from the estimate that the sessions' times
     /// are based on, which makes them useless.
     fn restart_tracker(&mut self, now: Time) {
-        let offset = self.hosts_now(now) - now;
+        let offset = self.latest_hosts_time(now) - now;
         if (offset - self.tracker_offset).abs() <= MAX_TRACKER_DRIFT {
             return;
         }
@@ -65,7 +71,7 @@
 
     /// The latest time that the hosts' clock can show now. Sessions are tracked by it, since their watermarks
     /// are commit times.
-    pub(super) fn hosts_now(&self, now: Time) -> Time {
+    pub(super) fn latest_hosts_time(&self, now: Time) -> Time {
         self.router.fleet_clock().latest_hosts_time(now)
     }
 }
--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if tokens are disabled or the text is no valid token.
+    /// Fails if tokens are disabled or the text is not a valid token.
     pub fn set_tokens(&self, tokens: &mut SessionTokens, text: &str) -> Result<(), TokenError> {
         let tracker = self
             .session_tracker
@@ -29,7 +29,7 @@
         tokens.set(text, tracker.settings().secret)
     }
 
-    /// The session that a request belongs to, with its client's tokens joined into one. None if sessions are
+    /// The session that a request belongs to, with its client's tokens merged into one. None if sessions are
     /// not tracked.
     ///
     /// # Errors
@@ -46,7 +46,7 @@
         let key = tracker.session_key(group, name);
         let mut token: Option<Token> = None;
         for text in tokens {
-            let parsed = tracker.parse_token(self.hosts_now(now), text, key)?;
+            let parsed = tracker.parse_token(self.latest_hosts_time(now), text, key)?;
             token = Some(token.map_or(parsed, |known| known.join(parsed)));
         }
         Ok(Some(SessionRef { key, token }))
@@ -54,31 +54,31 @@
 
     /// Issues the token that is sent with an answer to this session, if tokens are enabled.
     pub fn token(&self, now: Time, key: SessionKey) -> Option<String> {
-        self.session_tracker.as_ref()?.issue_token(self.hosts_now(now), key)
+        self.session_tracker.as_ref()?.issue_token(self.latest_hosts_time(now), key)
     }
 
-    /// Number of entries about other gateways' sessions.
+    /// Number of entries for sessions of other gateways.
     pub fn session_entries(&self) -> usize {
         self.session_tracker.as_ref().map_or(0, SessionTracker::peer_entries)
     }
 
-    /// What sessions have counted, if they are tracked.
+    /// Counters of the sessions, if sessions are tracked.
     pub fn session_counts(&self) -> Option<SessionCounts> {
         let tracker = self.session_tracker.as_ref()?;
         Some(SessionCounts { counts: tracker.counts(), broadcast_gaps: tracker.gaps() })
     }
 
-    /// Applies a watermark broadcast of another gateway. Waiting reads may need a lower position then.
+    /// Applies a watermark broadcast of another gateway, which may lower the minimum positions of open reads.
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is no valid broadcast; nothing has changed then.
+    /// Fails if the datagram is not a valid broadcast; nothing has changed then.
     pub fn receive_broadcast(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
-        let hosts_now = self.hosts_now(now);
-        let RequestTable { session_tracker, open, pending_events, .. } = self;
+        let hosts_now = self.latest_hosts_time(now);
+        let RequestTable { session_tracker, open_requests, pending_events, .. } = self;
         let Some(tracker) = session_tracker else { return Ok(()) };
         tracker.receive(hosts_now, bytes)?;
-        for (request, open) in open.iter_mut() {
+        for (request, open) in open_requests.iter_mut() {
             let Some(SessionNeed { key, minimum_position: Some(minimum), .. }) = &mut open.session else {
                 continue;
             };
@@ -95,7 +95,7 @@
 
     /// Takes the watermark broadcasts that are due now.
     pub fn due_broadcasts(&mut self, now: Time) -> DueBroadcasts {
-        let hosts_now = self.hosts_now(now);
+        let hosts_now = self.latest_hosts_time(now);
         let Some(tracker) = &mut self.session_tracker else { return DueBroadcasts::default() };
         let datagrams = tracker.due_broadcasts(hosts_now);
         let next_at = tracker.next_broadcast_at().map(|at| at - (hosts_now - now));
--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -51,13 +51,13 @@
     /// The command for an action of the router, if it concerns the caller.
     fn command_for(&mut self, now: Time, action: Action) -> Option<TableCommand> {
         match action {
-            Action::Send { request, member, until } => self.order_attempt(now, request, member, until),
+            Action::Send { request, member, until } => self.issue_attempt(now, request, member, until),
             Action::Reject { request, wait } => {
-                self.end(now, &request)?;
+                self.end_unserved(now, &request)?;
                 Some(TableCommand::Reject { request, wait })
             }
             Action::Fail { request } => {
-                self.end(now, &request)?;
+                self.end_unserved(now, &request)?;
                 Some(TableCommand::Fail { request })
             }
             Action::Cancel { request, attempt } => self.cancel(AttemptId { request, number: attempt }),
@@ -72,21 +72,21 @@
     }
 
     fn cancel(&mut self, id: AttemptId) -> Option<TableCommand> {
-        let is_in_flight = self.in_flight.contains_key(&id);
+        let is_in_flight = self.attempts_in_flight.contains_key(&id);
         if mutant(Mutant::CancellationUnreported) {
-            self.in_flight.remove(&id);
+            self.attempts_in_flight.remove(&id);
         }
         is_in_flight.then_some(TableCommand::Cancel(id))
     }
 
-    fn order_attempt(
+    fn issue_attempt(
         &mut self,
         now: Time,
         request: RequestId,
         host: MemberId,
         deadline: Time,
     ) -> Option<TableCommand> {
-        let open = self.open.get_mut(&request)?;
+        let open = self.open_requests.get_mut(&request)?;
         let number = open.attempts;
         open.attempts += 1;
         if let Some(session) = &mut open.session {
@@ -97,13 +97,13 @@
             open.may_have_run_since.map_or(Time::MAX, |first_at| effect.retry_deadline(first_at));
         let attempt = AttemptInFlight {
             class: open.class,
-            ordered_at: now,
+            issued_at: now,
             is_first: number == 0 && !open.is_retry,
             session_write: open.session.as_ref().and_then(SessionNeed::as_write),
         };
         let id = AttemptId { request, number };
-        self.in_flight.insert(id.clone(), attempt);
-        Some(TableCommand::Send(AttemptSpec { id, host, deadline, write_deadline, ordered_at: now }))
+        self.attempts_in_flight.insert(id.clone(), attempt);
+        Some(TableCommand::Send(AttemptSpec { id, host, deadline, write_deadline, issued_at: now }))
     }
 }
 
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -61,7 +61,7 @@
 
 impl Outcome {
     /// An attempt that ended like this and brought no report of the member.
-    pub fn silent(ending: Ending) -> Outcome {
+    pub fn without_report(ending: Ending) -> Outcome {
         Outcome { ending, position: None, role: None, report: Report::default(), is_unusable: false }
     }
 }
@@ -124,7 +124,7 @@
     /// retry.
     pub write_deadline: Time,
     /// Clock time at which it was ordered.
-    pub ordered_at: Time,
+    pub issued_at: Time,
 }
 
 /// A request class and where to find it.
--- a/crates/lifecycle/tests/retries.rs
+++ b/crates/lifecycle/tests/retries.rs
@@ -67,8 +67,8 @@
     });
     let first = next_attempt(&mut table, start);
     assert_eq!(first.write_deadline, Time::MAX, "no window is open");
-    let broke_at = first.ordered_at + SECOND / 10;
-    assert!(!table.report(broke_at, &first, Outcome::silent(Ending::ConnectionLost)));
+    let broke_at = first.issued_at + SECOND / 10;
+    assert!(!table.report(broke_at, &first, Outcome::without_report(Ending::ConnectionLost)));
     let retry = next_attempt(&mut table, broke_at);
-    assert_eq!(retry.write_deadline, first.ordered_at + WINDOW - RETRY_WINDOW_MARGIN);
+    assert_eq!(retry.write_deadline, first.issued_at + WINDOW - RETRY_WINDOW_MARGIN);
 }
--- a/crates/models/src/attempts/commands.rs
+++ b/crates/models/src/attempts/commands.rs
@@ -120,7 +120,7 @@
 
     /// The outcome that the gateway reports for an attempt at this host with this end.
     fn outcome(&self, host: MemberId, end: End) -> Outcome {
-        let silent = Outcome::silent(end.to_router_ending());
+        let silent = Outcome::without_report(end.to_router_ending());
         if !end.is_answer() {
             return silent;
         }
--- a/crates/models/src/attempts/mod.rs
+++ b/crates/models/src/attempts/mod.rs
@@ -211,7 +211,7 @@
 
     /// When the first attempt of this request that may have run was ordered.
     fn may_have_run_since(&self, id: &RequestId) -> Option<Time> {
-        self.attempts_of(id).find(|attempt| attempt.may_have_run).map(|attempt| attempt.spec.ordered_at)
+        self.attempts_of(id).find(|attempt| attempt.may_have_run).map(|attempt| attempt.spec.issued_at)
     }
 }
 
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -278,7 +278,7 @@
     fn drop(&mut self) {
         if !self.is_reported {
             // Its client left before the attempt was received.
-            self.report_once(self.spec.ordered_at, Outcome::silent(Ending::NotSent));
+            self.report_once(self.spec.issued_at, Outcome::without_report(Ending::NotSent));
         }
     }
 }
--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -70,7 +70,7 @@
         if let Some(group) = group {
             self.announced.insert(now, group, member);
         }
-        self.options.facade.update(|table| table.gossiped_primary(now, member, announcement.position));
+        self.options.facade.update(|table| table.record_gossiped_primary(now, member, announcement.position));
     }
 
     /// Updates the known leaders and adapts how often this gateway tries members without a known primary.
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -192,7 +192,7 @@
         match (reply, streamed) {
             (Some(reply), _) => parse_outcome(end, &reply.parameters, &self.counters),
             (None, Some(row)) => parse_outcome(end, row.parameters(), &self.counters),
-            (None, None) => Outcome::silent(end.to_router_ending()),
+            (None, None) => Outcome::without_report(end.to_router_ending()),
         }
     }
 
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -11,7 +11,7 @@
 /// The outcome of an attempt with an answer, from the parameters that the host reported with it. An
 /// implausible load report is dropped and counted.
 pub(super) fn parse_outcome(end: End, parameters: &[Parameter], counters: &Counters) -> Outcome {
-    let mut outcome = Outcome::silent(end.to_router_ending());
+    let mut outcome = Outcome::without_report(end.to_router_ending());
     outcome.is_unusable = end == End::Unusable;
     for Parameter { name, value } in parameters {
         match name.as_str() {
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -32,14 +32,17 @@
     let mut simulation = simulation();
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let attempt = simulation.send(&mut ticket);
-    assert!(attempt.report(simulation.now + MS, Outcome::silent(Ending::Served)));
+    assert!(attempt.report(simulation.now + MS, Outcome::without_report(Ending::Served)));
     simulation.step();
     assert!(matches!(ready(ticket.pick()), Some(Decision::Fail)), "no decision follows the final one");
 
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let attempt = simulation.send(&mut ticket);
     drop(ticket);
-    assert!(!attempt.report(simulation.now + MS, Outcome::silent(Ending::Served)), "its client has left");
+    assert!(
+        !attempt.report(simulation.now + MS, Outcome::without_report(Ending::Served)),
+        "its client has left"
+    );
 }
 
 #[test]
@@ -81,7 +84,7 @@
         }
         assert!(matches!(decision, Some(Decision::Fail)), "{decision:?}");
         assert!(ready(attempt.cancelled()).is_none());
-        assert!(!attempt.report(simulation.now + 9 * MS, Outcome::silent(Ending::TimedOut)));
+        assert!(!attempt.report(simulation.now + 9 * MS, Outcome::without_report(Ending::TimedOut)));
         // A timeout ejects its member for a while.
         for _ in 0..300 {
             simulation.step();
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -33,7 +33,7 @@
 }
 
 fn served(position: Time, role: Role) -> Outcome {
-    Outcome { position: Some(position), role: Some(role), ..Outcome::silent(Ending::Served) }
+    Outcome { position: Some(position), role: Some(role), ..Outcome::without_report(Ending::Served) }
 }
 
 /// Makes a write that is served with this commit, and returns the session's token.
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -101,7 +101,7 @@
     /// The host of this attempt answers as served, at this position; whether that is the answer.
     fn answer(&mut self, attempt: Attempt, position: Time, role: Role) -> bool {
         self.simulation.now += 2 * MS;
-        let silent = Outcome::silent(Ending::Served);
+        let silent = Outcome::without_report(Ending::Served);
         let mut outcome = Outcome { position: Some(position), role: Some(role), ..silent };
         attempt.validate_times(self.simulation.now, &mut outcome);
         attempt.report(self.simulation.now, outcome)
@@ -139,7 +139,10 @@
         for gateway in [&mut right, &mut wrong] {
             gateway.simulation.now += 1_000 * MS;
             let at = by_right + 900 * MS;
-            gateway.simulation.facade.update(|table| table.gossiped_primary(gateway.simulation.now, 2, at));
+            gateway
+                .simulation
+                .facade
+                .update(|table| table.record_gossiped_primary(gateway.simulation.now, 2, at));
             gateway.step();
             assert_eq!(gateway.leader(), Some(2), "{shift_ms}");
         }
@@ -180,7 +183,7 @@
         let (ticket, attempt) = shifted.send(WRITE);
         shifted.simulation.now += 50 * MS;
         let lost = shifted.hosts_now();
-        assert!(!attempt.report(shifted.simulation.now, Outcome::silent(Ending::ConnectionLost)));
+        assert!(!attempt.report(shifted.simulation.now, Outcome::without_report(Ending::ConnectionLost)));
         drop(ticket);
         shifted.step();
         let (_ticket, attempt) = shifted.send(READ);
