--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -1,5 +1,4 @@
-//! Admission of requests, and what they are admitted by: the settings with their classes, and the endpoint
-//! list.
+//! Admission of requests, and what it depends on: the settings with their classes, and the endpoint list.
 
 use super::{
     AttemptInFlight, ClassLookup, OpenRequest, Request, RequestTable, SessionNeed, SessionRef,
@@ -13,10 +12,10 @@
 use petrelgauge_sessions::{MinimumPosition, SessionKey};
 
 impl RequestTable {
-    /// Sets how many requests can be open at a time.
+    /// Sets the maximum number of requests that can be open at a time.
     pub fn set_max_open_requests(&mut self, max_count: u32) {
         self.settings.max_open_requests = max_count;
-        // The settings were valid before, and this value can't make them invalid.
+        // This can't fail: the settings were valid before, and no value of this field is invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
@@ -33,15 +32,15 @@
         self.classes.longest_class_deadline(now, name)
     }
 
-    /// Sets the clock time by which every request that is admitted from now on gets its final answer.
+    /// Sets the clock time by which every request that is admitted from now on must get its final answer.
     pub fn set_final_answer_by(&mut self, deadline: Time) {
         self.settings.final_answer_by = deadline;
-        // The settings were valid before, and this value can't make them invalid.
+        // This can't fail: the settings were valid before, and no value of this field is invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// The longest deadline of any class in force (microseconds), or of the previous classes if that is
-    /// shorter and clients may not know of the change yet.
+    /// The longest deadline of the classes in force (microseconds). While clients may not know of the last
+    /// change, the longest deadline of the previous classes if that is shorter.
     pub fn longest_deadline(&self, now: Time) -> Time {
         let longest =
             |indexes: &[usize]| indexes.iter().map(|index| self.classes.class(*index).deadline).max();
@@ -61,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Why the settings were rejected. Nothing has changed then.
+    /// Returns why the settings were rejected; nothing has changed then.
     pub fn apply_settings(
         &mut self,
         now: Time,
@@ -77,7 +76,7 @@
         let mut classes = self.classes.clone();
         let new_classes = std::mem::take(&mut settings.classes);
         classes.update(now, new_classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
-        // These two are set at run time and not by the settings.
+        // These two are set by the control plane at run time and not by the settings file.
         settings.discovery_interval_factor = self.settings.discovery_interval_factor;
         settings.final_answer_by = self.settings.final_answer_by;
         self.settings = settings;
@@ -96,8 +95,8 @@
         Settings { classes: self.classes.table().to_vec(), ..self.settings.clone() }
     }
 
-    /// Admits a request and returns its id. The table gives out its own ids, since those that clients choose
-    /// need not be unique.
+    /// Admits a request and returns its id. The table assigns ids itself, since ids chosen by clients might
+    /// not be unique.
     pub fn admit(&mut self, request: Request) -> RequestId {
         let id: RequestId = self.next_request_id.to_string().into();
         self.next_request_id += 1;
@@ -127,7 +126,7 @@
         id
     }
 
-    /// What the session of a new request needs, if it has one.
+    /// What the session of a new request requires, if the request has a session.
     fn session_need(&mut self, request: &Request) -> Option<SessionNeed> {
         let hosts_now = self.latest_hosts_time(request.arrived_at);
         let is_write = self.classes.class(request.class).need == Need::Write;
@@ -150,8 +149,8 @@
         })
     }
 
-    /// Raises the minimum position of a read that arrives while a write of its session is in flight. That
-    /// write may have been committed, and its client may know of it, before its report gets here.
+    /// Raises the minimum position of a read that arrives while a write of its session is in flight: the
+    /// write may have been committed, and its client may know of it, before its report arrives.
     fn with_pending_writes(
         &self,
         minimum: MinimumPosition,
@@ -190,7 +189,7 @@
         self.pending_events.push(Event::List { update, entries: entries.into() });
     }
 
-    /// Whether requests for this group may be served: the endpoint list names the group, or none has been
+    /// Whether requests for this group may be served: the endpoint list names the group, or no list has been
     /// received.
     pub fn may_serve_group(&self, group: GroupId) -> bool {
         self.listed_groups.is_empty() || self.listed_groups.contains(&group)
--- a/crates/lifecycle/src/request_table/completion.rs
+++ b/crates/lifecycle/src/request_table/completion.rs
@@ -1,4 +1,4 @@
-//! Reports and abandoned requests: the one end of each request.
+//! Reports of attempts and abandoned requests. Each request ends exactly once.
 
 use super::{AttemptInFlight, AttemptSpec, OpenRequest, Outcome, RequestTable, SessionNeed, SessionWrite};
 use petrelgauge_policy::{
@@ -7,7 +7,7 @@
 use petrelgauge_sessions::{AnswerEvidence, SessionKey, Verdict};
 
 impl RequestTable {
-    /// The client no longer waits. Returns whether the request was still open.
+    /// Ends a request whose client no longer waits. Returns whether the request was still open.
     pub fn abandon(&mut self, request: &RequestId) -> bool {
         if mutant(Mutant::SentAfterDeadline) {
             return self.open_requests.contains_key(request);
@@ -24,13 +24,13 @@
     /// the member's answer is the final answer of the request, to be sent to the client. A second report of
     /// an attempt is ignored.
     pub fn report(&mut self, now: Time, attempt: &AttemptSpec, mut outcome: Outcome) -> bool {
-        // A second report would decrement the attempts of the member twice.
+        // A second report would decrement the member's attempt count twice.
         let Some(in_flight) = self.attempts_in_flight.remove(&attempt.id) else { return false };
         let request = &attempt.id.request;
         self.record_write(now, &in_flight, &outcome);
         let is_stale = self.is_stale_answer(attempt, in_flight.class, &outcome);
         if outcome.ending == Ending::Served && (is_stale || !self.accept_answer(now, request, &outcome)) {
-            // The data were too old: as if the member had rejected the request by itself.
+            // The data were too old: treated as if the member itself had rejected the request.
             outcome.ending = Ending::Rejected;
         }
         self.record_position(attempt.host, &outcome);
@@ -38,7 +38,7 @@
             open.may_have_run_since.get_or_insert(attempt.issued_at);
         }
         let is_answer = outcome.ending == Ending::Served || outcome.is_unusable;
-        // The request ends here and not with the next step: no rejection may replace an answer.
+        // The request ends now and not with the next step, so that no rejection can replace the answer.
         let is_final_answer = is_answer
             && (self.open_requests.remove(request).is_some() || mutant(Mutant::RejectedAfterAnswer));
         self.pending_events.push(Event::Outcome(AttemptOutcome {
@@ -55,7 +55,7 @@
         is_final_answer
     }
 
-    /// Records the write of a session, also if its client has left: the session's next read may use another
+    /// Records the write of a session, even if its client has left: the session's next read may use another
     /// connection.
     fn record_write(&mut self, now: Time, attempt: &AttemptInFlight, outcome: &Outcome) {
         let hosts_now = self.latest_hosts_time(now);
@@ -66,7 +66,7 @@
                 let hosts_arrived_at = hosts_now - (now - arrived_at);
                 tracker.record_write(hosts_now, key, hosts_arrived_at, outcome.position);
             }
-            // The write may have been committed, and its answer lost.
+            // The write may have been committed although its answer was lost.
             Ending::ConnectionLost | Ending::TimedOut | Ending::Cancelled => {
                 tracker.record_unconfirmed_write(hosts_now, key)
             }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Records writes that were abandoned since the last call, with the present time: what may have run was
+    /// Records writes that were abandoned since the last call, at the current time: if they ran, they were
     /// committed before it.
     pub(super) fn record_unconfirmed_writes(&mut self, now: Time) {
         let hosts_now = self.latest_hosts_time(now);
@@ -92,7 +92,7 @@
         self.unconfirmed_writes.drain(..).for_each(|key| tracker.record_unconfirmed_write(hosts_now, key));
     }
 
-    /// Ends a request that was not served. None if it has ended already.
+    /// Ends a request that was not served. Returns none if it has ended already.
     pub(super) fn end_unserved(&mut self, now: Time, request: &RequestId) -> Option<()> {
         let open = self.open_requests.remove(request)?;
         let hosts_now = self.latest_hosts_time(now);
@@ -102,8 +102,9 @@
         Some(())
     }
 
-    /// Whether the member's report shows that its data are older than the class allows: the router took it
-    /// for the primary, and it is a replica. Members that check this by themselves don't answer in that case.
+    /// Whether the member's report shows that its data are older than the class allows, because the router
+    /// took a replica for the primary. Members that check staleness by themselves reject the request in that
+    /// case.
     fn is_stale_answer(&self, attempt: &AttemptSpec, class: usize, outcome: &Outcome) -> bool {
         let need = self.classes.class(class).need;
         let Some(bound) = need.bound().or((need == Need::Strong).then_some(0)) else { return false };
@@ -114,7 +115,7 @@
     }
 
     /// Whether an answer can be the final answer of its request: the answer to a session's read must prove
-    /// the minimum position. An accepted answer is recorded as seen by the session.
+    /// the minimum position. Records an accepted answer as seen by the session.
     fn accept_answer(&mut self, now: Time, request: &RequestId, outcome: &Outcome) -> bool {
         let hosts_now = self.latest_hosts_time(now);
         let Some(tracker) = &mut self.session_tracker else { return true };
--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -1,14 +1,14 @@
-//! What hosts report about their clock, and times that cross machines.
+//! The estimate of the hosts' clock, and checks of times that hosts report.
 
 use super::{AttemptInFlight, AttemptSpec, Outcome, RequestTable};
 use petrelgauge_policy::{Commit, Ending, MemberId, Need, Report, Time};
 
-/// A change of the estimated clock offset after which the session tracker is restarted (microseconds).
+/// Change of the estimated clock offset above which the session tracker is restarted (microseconds).
 const MAX_TRACKER_DRIFT: Time = 1_000_000;
 
 impl RequestTable {
-    /// Learns from the times of an answer, as of its arrival, how far the hosts' clock is ahead, and drops
-    /// times that lie in the hosts' future: those were not read from a clock. `attempt` is the attempt that
+    /// Updates the estimate of the hosts' clock from the times of an answer that arrives now, and drops times
+    /// that lie in the hosts' future: those can't have been read from a clock. `attempt` is the attempt that
     /// is answered; none if it has been reported already. Returns whether the load report was kept.
     pub fn validate_times(
         &mut self,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Restarts the session tracker if the hosts' clock differs from the estimate that the sessions' times
-    /// are based on, which makes them useless.
+    /// Restarts the session tracker if the estimated clock offset has changed by more than
+    /// [`MAX_TRACKER_DRIFT`], which invalidates the sessions' times.
     fn restart_tracker(&mut self, now: Time) {
         let offset = self.latest_hosts_time(now) - now;
         if (offset - self.tracker_offset).abs() <= MAX_TRACKER_DRIFT {
@@ -69,8 +69,8 @@
         }
     }
 
-    /// The latest time that the hosts' clock can show now. Sessions are tracked by it, since their watermarks
-    /// are commit times.
+    /// The latest time that the hosts' clock can show now. Sessions are tracked on this clock, since their
+    /// watermarks are commit times.
     pub(super) fn latest_hosts_time(&self, now: Time) -> Time {
         self.router.fleet_clock().latest_hosts_time(now)
     }
--- a/crates/lifecycle/src/request_table/steps.rs
+++ b/crates/lifecycle/src/request_table/steps.rs
@@ -1,4 +1,4 @@
-//! The router's steps, and the commands that follow from them.
+//! The router's steps, and the resulting commands.
 
 use super::{
     AttemptId, AttemptInFlight, AttemptSpec, RequestTable, RouterTimer, SessionNeed, SessionWrite,
@@ -7,8 +7,8 @@
 use petrelgauge_policy::{mutant, Action, Event, MemberId, Mutant, RequestId, Time};
 
 impl RequestTable {
-    /// Steps the router if a step is due: something has changed or the router's timer has run out, and the
-    /// last step is at least one granularity ago.
+    /// Steps the router if a step is due: events are pending or the router's timer has expired, and at least
+    /// one granularity has passed since the last step.
     pub fn tick(&mut self, now: Time) -> Tick {
         let earliest_step = self.last_step_at.saturating_add(self.granularity);
         let expired_timer = self.timer.filter(|timer| timer.at <= now);
@@ -25,7 +25,7 @@
         Tick { commands, next_at: self.timer.map(|timer| timer.at.max(now + self.granularity)) }
     }
 
-    /// When the next step is due, which is no sooner than `earliest`.
+    /// Clock time at which the next step is due, which is not before `earliest`.
     fn next_step_at(&self, earliest: Time) -> Option<Time> {
         if !self.pending_events.is_empty() {
             return Some(earliest);
@@ -33,7 +33,7 @@
         self.timer.map(|timer| timer.at.max(earliest))
     }
 
-    /// Takes the events of a step, with the time that requests have left as of now.
+    /// Takes the events for a step, and converts the deadlines of requests into the time left as of now.
     fn take_events(&mut self, now: Time, expired_timer: Option<RouterTimer>) -> Vec<Event> {
         let mut events = std::mem::take(&mut self.pending_events);
         for event in &mut events {
@@ -48,7 +48,7 @@
         events
     }
 
-    /// The command for an action of the router, if it concerns the caller.
+    /// Applies an action of the router. Returns the command for the caller, if there is one.
     fn command_for(&mut self, now: Time, action: Action) -> Option<TableCommand> {
         match action {
             Action::Send { request, member, until } => self.issue_attempt(now, request, member, until),
@@ -66,7 +66,7 @@
                 None
             }
             Action::Log(entry) => Some(TableCommand::Log(entry)),
-            // The gateway's settings disable health checks, and it watches the endpoint list continuously.
+            // The gateway's settings disable health checks, and the endpoint list is watched continuously.
             Action::Probe { .. } | Action::WatchList | Action::ReadList => None,
         }
     }
--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -1,4 +1,4 @@
-//! What goes into the request table and what comes out of it, independent of any protocol.
+//! Inputs and outputs of the request table, independent of any protocol.
 
 use petrelgauge_policy::{
     Class, Ending, GroupId, LogEntry, MemberId, Report, RequestId, Role, SettingsError, Time,
@@ -8,17 +8,17 @@
 /// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Index of its class, as [`RequestTable::find_class`](super::RequestTable::find_class) gave it.
+    /// Index of its class, as returned by [`RequestTable::find_class`](super::RequestTable::find_class).
     pub class: usize,
     /// Its group.
     pub group: GroupId,
     /// Clock time at which the client stops waiting.
     pub deadline: Time,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
     /// Clock time at which it arrived.
     pub arrived_at: Time,
-    /// A commit that the data of the answer must include, where the client requires one.
+    /// Position of a commit that the answer's data must include, if the client requires one.
     pub required_position: Option<Time>,
     /// Its session, if its class has sessions.
     pub session: Option<SessionRef>,
@@ -47,49 +47,49 @@
 pub struct Outcome {
     /// How it ended.
     pub ending: Ending,
-    /// Time of the hosts' clock up to which the member has applied all commits; for a served write its
-    /// commit.
+    /// Time of the hosts' clock up to which the member has applied all commits; for a served write the time
+    /// of its commit.
     pub position: Option<Time>,
     /// The member's role.
     pub role: Option<Role>,
     /// The member's load report.
     pub report: Report,
-    /// No member can execute the request: the member's error is the final answer, and no other member is
-    /// tried.
+    /// Whether no member can execute the request: the member's error is the final answer, and no other member
+    /// is tried.
     pub is_unusable: bool,
 }
 
 impl Outcome {
-    /// An attempt that ended like this and brought no report of the member.
+    /// The outcome of an attempt that ended without a report of the member.
     pub fn without_report(ending: Ending) -> Outcome {
         Outcome { ending, position: None, role: None, report: Report::default(), is_unusable: false }
     }
 }
 
-/// What the caller has to do after a step of the router, in sequence.
+/// What the caller has to do after a step of the router, in the given order.
 ///
-/// These are the router's [`Action`](petrelgauge_policy::Action)s as far as they leave the table. They differ
-/// from the actions: an attempt has its number and its write deadline, what concerns an ended request or a
-/// reported attempt is left out, and timers stay inside.
+/// These are the router's [`Action`](petrelgauge_policy::Action)s that concern the caller. In contrast to the
+/// actions, an attempt has its number and its write deadline, actions for ended requests and reported
+/// attempts are left out, and timers are handled by the table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TableCommand {
     /// Make this attempt.
     Send(AttemptSpec),
-    /// The request ends: rejected, and safe to retry.
+    /// The request ends as rejected, and is safe to retry.
     Reject {
         /// The request.
         request: RequestId,
         /// Retry-After for the client (microseconds); 0 for none.
         wait: Time,
     },
-    /// The request ends: failed, and it may have run.
+    /// The request ends as failed, and may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
     /// Cancel an attempt in flight: close its connection, then report it.
     Cancel(AttemptId),
-    /// Write a note for operators to the log.
+    /// Write a log entry for operators.
     Log(LogEntry),
 }
 
@@ -98,7 +98,7 @@
 pub struct Tick {
     /// What the caller has to do.
     pub commands: Vec<TableCommand>,
-    /// Clock time of the next call, if one is needed although nothing changes.
+    /// Clock time of the next call, if one is needed even without further events.
     pub next_at: Option<Time>,
 }
 
@@ -107,7 +107,7 @@
 pub struct AttemptId {
     /// Its request.
     pub request: RequestId,
-    /// How many attempts of the request were ordered before it.
+    /// Number of attempts of the request that were issued before it.
     pub number: u32,
 }
 
@@ -120,14 +120,14 @@
     pub host: MemberId,
     /// Clock time at which to abandon it.
     pub deadline: Time,
-    /// Clock time by which it must be written, if at all: the end of the window of its idempotency key for a
-    /// retry.
+    /// Clock time by which it must be written or not at all. For a retry it is derived from the window of the
+    /// idempotency key.
     pub write_deadline: Time,
-    /// Clock time at which it was ordered.
+    /// Clock time at which it was issued.
     pub issued_at: Time,
 }
 
-/// A request class and where to find it.
+/// A request class and its index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassLookup {
     /// Its index, for [`Request::class`].
@@ -136,7 +136,7 @@
     pub class: Class,
 }
 
-/// What sessions have counted since the start.
+/// Counters of the sessions since the start.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionCounts {
     /// Counters of the reads, tokens and broadcasts.
@@ -154,14 +154,14 @@
     pub next_at: Option<Time>,
 }
 
-/// Why new settings were rejected.
+/// The reason why new settings were rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SettingsRejected {
     /// They are invalid.
     Invalid(SettingsError),
-    /// Together with the classes of open requests they have too many classes.
+    /// They have too many classes, together with those of open requests.
     TooManyClasses,
-    /// They have classes with sessions, and sessions were disabled at the start.
+    /// They have classes with sessions, but sessions were disabled at the start.
     SessionsDisabled,
 }
 
@@ -170,9 +170,11 @@
         match self {
             SettingsRejected::Invalid(cause) => cause.fmt(f),
             SettingsRejected::TooManyClasses => {
-                write!(f, "requests of too many earlier classes are still open")
+                write!(f, "too many classes, together with those that open requests still use")
+            }
+            SettingsRejected::SessionsDisabled => {
+                write!(f, "sessions can be enabled only at the start of the process")
             }
-            SettingsRejected::SessionsDisabled => write!(f, "sessions are switched on at the start only"),
         }
     }
 }
--- a/crates/lifecycle/tests/retries.rs
+++ b/crates/lifecycle/tests/retries.rs
@@ -1,4 +1,4 @@
-//! The time by which the retry of a request with an idempotency key must be written.
+//! The deadline for writing the retry of a request with an idempotency key.
 
 use petrelgauge_lifecycle::request_table::{AttemptSpec, Outcome, Request, RequestTable, TableCommand};
 use petrelgauge_policy::{
@@ -35,7 +35,7 @@
     }
 }
 
-/// Steps the request table until it orders the next attempt.
+/// Steps the request table until it issues the next attempt.
 fn next_attempt(table: &mut RequestTable, from: Time) -> AttemptSpec {
     let mut now = from;
     while now < from + 2 * SECOND {
@@ -48,13 +48,13 @@
         }
         now += 5_000;
     }
-    panic!("no attempt is ordered");
+    panic!("no attempt is issued");
 }
 
 #[test]
 fn a_retry_must_be_written_early_enough_that_a_stalled_process_stays_within_the_window() {
     let start = 100 * SECOND;
-    let mut table = RequestTable::new(settings(), 7, None).expect("sound settings");
+    let mut table = RequestTable::new(settings(), 7, None).expect("valid settings");
     table.update_endpoints(Update::Complete, vec![primary()]);
     table.admit(Request {
         class: 0,
@@ -66,9 +66,13 @@
         session: None,
     });
     let first = next_attempt(&mut table, start);
-    assert_eq!(first.write_deadline, Time::MAX, "no window is open");
-    let broke_at = first.issued_at + SECOND / 10;
-    assert!(!table.report(broke_at, &first, Outcome::without_report(Ending::ConnectionLost)));
-    let retry = next_attempt(&mut table, broke_at);
+    assert_eq!(
+        first.write_deadline,
+        Time::MAX,
+        "no attempt may have run yet, so no window limits the first one"
+    );
+    let lost_at = first.issued_at + SECOND / 10;
+    assert!(!table.report(lost_at, &first, Outcome::without_report(Ending::ConnectionLost)));
+    let retry = next_attempt(&mut table, lost_at);
     assert_eq!(retry.write_deadline, first.issued_at + WINDOW - RETRY_WINDOW_MARGIN);
 }
