--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! | module | subject | states |
 //! | --- | --- | --- |
-//! | `request_table/` | requests and attempts between sessions and the router | open, ended; in flight, reported |
+//! | `request_table/` | requests and their attempts | open, ended; in flight, reported |
 //! | `read_ahead.rs` | messages read ahead of the query that is being answered | reading, paused |
 //! | `client.rs` | a client's connection | opening, idle, awaiting an answer, pausing, cut off, ended |
 //! | `request.rs` | a client's request in its session | waiting, attempt in flight, ended |
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -15,7 +15,7 @@
     /// Sets the maximum number of requests that can be open at a time.
     pub fn set_max_open_requests(&mut self, max_count: u32) {
         self.settings.max_open_requests = max_count;
-        // This can't fail: the settings were valid before, and no value of this field is invalid.
+        // The settings were valid before, and this value can't make them invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
@@ -35,7 +35,7 @@
     /// Sets the clock time by which every request that is admitted from now on must get its final answer.
     pub fn set_final_answer_by(&mut self, deadline: Time) {
         self.settings.final_answer_by = deadline;
-        // This can't fail: the settings were valid before, and no value of this field is invalid.
+        // The settings were valid before, and this value can't make them invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
@@ -76,7 +76,7 @@
         let mut classes = self.classes.clone();
         let new_classes = std::mem::take(&mut settings.classes);
         classes.update(now, new_classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
-        // These two are set by the control plane at run time and not by the settings file.
+        // These two are set at run time and not by the settings.
         settings.discovery_interval_factor = self.settings.discovery_interval_factor;
         settings.final_answer_by = self.settings.final_answer_by;
         self.settings = settings;
