--- a/crates/lifecycle/src/backoff.rs
+++ b/crates/lifecycle/src/backoff.rs
@@ -11,8 +11,8 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Mean pause after a watch that timed out, broke or was never established (microseconds). Two timeouts of 3
-/// s and the pauses after them then fit into the 8 s within which an endpoint update has to be known (6 s)
+/// Mean pause after a watch that timed out, broke or was never established (microseconds). Two timeouts of
+/// 3 s and the pauses after them then fit into the 8 s within which an endpoint update has to be known (6 s)
 /// and applied (2 s).
 pub const FIRST_MEAN: Time = 200_000;
 /// Maximum number of doublings of a mean.
--- a/crates/lifecycle/src/exchange.rs
+++ b/crates/lifecycle/src/exchange.rs
@@ -17,8 +17,8 @@
 use crate::ending::End;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
-/// Time within which an answer that has begun must be complete (microseconds). Hosts write an answer as a
-/// whole; one that stalls in the middle would otherwise block its request until the attempt's deadline.
+/// Time within which an answer that has begun must be complete (microseconds). Hosts write an answer without
+/// pauses; one that stalls in the middle would otherwise block its request until the attempt's deadline.
 pub const ANSWER_TIMEOUT: Time = 300_000;
 
 /// The remaining wait is sent to hosts in milliseconds.
@@ -63,8 +63,8 @@
     HostReady,
     /// The host rejected the connection with an error.
     Rejected(End),
-    /// The request must not be written any more: its client has left, the attempt was cancelled, it is too
-    /// late, or its host accepts no more requests.
+    /// No byte of the request has been written, and it must not be begun any more: its client has left, the
+    /// attempt was cancelled, it is too late, or its host accepts no more requests.
     Unwanted,
     /// The last byte of the request was written.
     Written,
