--- a/crates/lab/src/scale/hollow_gateway.rs
+++ b/crates/lab/src/scale/hollow_gateway.rs
@@ -188,7 +188,7 @@
             bytes_received: counters.datagram_bytes_received.get(),
             list_bytes: counters.list_bytes.get(),
             list_revision: self.control.list_revision.get(),
-            settings_version: self.control.facade.read(|table| table.version()),
+            settings_version: self.control.facade.read(|table| table.settings_version()),
             entries: self.control.entry_count() as u64,
             held_leases: leadership.map_or(0, |leadership| leadership.held_leases() as u64),
             known_lease_holders: leadership.map_or(0, |leadership| leadership.known_lease_holders() as u64),
@@ -216,8 +216,11 @@
         for group in groups.filter(|group| (group + turn).is_multiple_of(PRIMARY_PARTS)) {
             let Some(member) = names.by_name(&member_name(group, 0)) else { continue };
             let now = clock.now();
-            let outcome =
-                Outcome { role: Some(Role::Primary), position: Some(now), ..Outcome::silent(Ending::Served) };
+            let outcome = Outcome {
+                role: Some(Role::Primary),
+                position: Some(now),
+                ..Outcome::without_report(Ending::Served)
+            };
             facade.update(|table| table.record_late_report(now, member, outcome));
         }
     }
--- a/crates/lifecycle/src/request_table/admission.rs
+++ b/crates/lifecycle/src/request_table/admission.rs
@@ -1,5 +1,4 @@
-//! Admission of requests, and what they are admitted by: the settings with their classes, and the endpoint
-//! list.
+//! Admission of requests, and what it depends on: the settings with their classes, and the endpoint list.
 
 use super::{
     AttemptInFlight, ClassLookup, OpenRequest, Request, RequestTable, SessionNeed, SessionRef,
@@ -13,7 +12,7 @@
 use petrelgauge_sessions::{MinimumPosition, SessionKey};
 
 impl RequestTable {
-    /// Sets how many requests can be open at a time.
+    /// Sets the maximum number of requests that can be open at a time.
     pub fn set_max_open_requests(&mut self, max_count: u32) {
         self.settings.max_open_requests = max_count;
         // The settings were valid before, and this value can't make them invalid.
@@ -27,21 +26,21 @@
         Some(ClassLookup { index, class: self.classes.class(index).clone() })
     }
 
-    /// The longest that clients of this class wait (microseconds); see
-    /// [`ClassTable::longest_wait`](crate::class_table::ClassTable::longest_wait).
-    pub fn longest_wait(&self, now: Time, name: &str) -> Time {
-        self.classes.longest_wait(now, name)
+    /// The longest deadline of the classes with this name (microseconds); see
+    /// [`ClassTable::longest_class_deadline`](crate::class_table::ClassTable::longest_class_deadline).
+    pub fn longest_class_deadline(&self, now: Time, name: &str) -> Time {
+        self.classes.longest_class_deadline(now, name)
     }
 
-    /// Sets the clock time by which every request that is admitted from now on gets its final answer.
+    /// Sets the clock time by which every request that is admitted from now on must get its final answer.
     pub fn set_final_answer_by(&mut self, deadline: Time) {
         self.settings.final_answer_by = deadline;
         // The settings were valid before, and this value can't make them invalid.
         let _ = self.router.apply_settings(self.settings_with_classes());
     }
 
-    /// The longest deadline of any class in force (microseconds), or of the previous classes if that is
-    /// shorter and clients may not know of the change yet.
+    /// The longest deadline of the classes in force (microseconds). While clients may not know of the last
+    /// change, the longest deadline of the previous classes if that is shorter.
     pub fn longest_deadline(&self, now: Time) -> Time {
         let longest =
             |indexes: &[usize]| indexes.iter().map(|index| self.classes.class(*index).deadline).max();
@@ -49,9 +48,10 @@
         longest(self.classes.previous(now)).map_or(in_force, |previous| previous.min(in_force))
     }
 
-    /// How many settings have been in force so far, from 1.
-    pub fn version(&self) -> u64 {
-        self.classes.version()
+    /// The version of the settings in force; see
+    /// [`ClassTable::settings_version`](crate::class_table::ClassTable::settings_version).
+    pub fn settings_version(&self) -> u64 {
+        self.classes.settings_version()
     }
 
     /// Applies new settings to requests that are admitted from now on. Open requests and their attempts keep
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Why the settings were rejected. Nothing has changed then.
+    /// Returns why the settings were rejected; nothing has changed then.
     pub fn apply_settings(
         &mut self,
         now: Time,
@@ -71,8 +71,8 @@
         if self.session_tracker.is_none() && !session_classes.is_empty() {
             return Err(SettingsRejected::SessionsDisabled);
         }
-        let attempt_classes = self.in_flight.values().map(|attempt| attempt.class);
-        let used = self.open.values().map(|open| open.class).chain(attempt_classes).collect();
+        let attempt_classes = self.attempts_in_flight.values().map(|attempt| attempt.class);
+        let used = self.open_requests.values().map(|open| open.class).chain(attempt_classes).collect();
         let mut classes = self.classes.clone();
         let new_classes = std::mem::take(&mut settings.classes);
         classes.update(now, new_classes, &used).map_err(|TooManyClasses| SettingsRejected::TooManyClasses)?;
@@ -95,12 +95,12 @@
         Settings { classes: self.classes.table().to_vec(), ..self.settings.clone() }
     }
 
-    /// Admits a request and returns its id. The table gives out its own ids, since those that clients choose
-    /// need not be unique.
+    /// Admits a request and returns its id. The table assigns ids itself, since ids chosen by clients might
+    /// not be unique.
     pub fn admit(&mut self, request: Request) -> RequestId {
-        let id: RequestId = self.next_id.to_string().into();
-        self.next_id += 1;
-        if self.groups.contains(&request.group) {
+        let id: RequestId = self.next_request_id.to_string().into();
+        self.next_request_id += 1;
+        if self.listed_groups.contains(&request.group) {
             *self.request_counts.entry(request.group).or_default() += 1;
         }
         self.record_unconfirmed_writes(request.arrived_at);
@@ -114,7 +114,7 @@
             is_retry: request.is_retry,
             session,
         };
-        self.open.insert(id.clone(), open);
+        self.open_requests.insert(id.clone(), open);
         self.pending_events.push(Event::Request(RequestArrival {
             request: id.clone(),
             class: request.class,
@@ -126,9 +126,9 @@
         id
     }
 
-    /// What the session of a new request needs, if it has one.
+    /// What the session of a new request requires, if the request has a session.
     fn session_need(&mut self, request: &Request) -> Option<SessionNeed> {
-        let hosts_now = self.hosts_now(request.arrived_at);
+        let hosts_now = self.latest_hosts_time(request.arrived_at);
         let is_write = self.classes.class(request.class).need == Need::Write;
         let tracker = self.session_tracker.as_mut()?;
         let SessionRef { key, token } = request.session.as_ref()?;
@@ -149,8 +149,8 @@
         })
     }
 
-    /// Raises the minimum position of a read that arrives while a write of its session is in flight. That
-    /// write may have been committed, and its client may know of it, before its report gets here.
+    /// Raises the minimum position of a read that arrives while a write of its session is in flight: the
+    /// write may have been committed, and its client may know of it, before its report arrives.
     fn with_pending_writes(
         &self,
         minimum: MinimumPosition,
@@ -159,10 +159,10 @@
     ) -> MinimumPosition {
         let may_be_known = |attempt: &AttemptInFlight| {
             attempt.session_write.is_some_and(|write| write.key == key)
-                && attempt.ordered_at <= arrived_at - ASSUMED_KNOWN_AFTER
+                && attempt.issued_at <= arrived_at - ASSUMED_KNOWN_AFTER
         };
-        if self.in_flight.values().any(may_be_known) {
-            minimum.with_pending_write(self.hosts_now(arrived_at) - ASSUMED_KNOWN_AFTER)
+        if self.attempts_in_flight.values().any(may_be_known) {
+            minimum.with_pending_write(self.latest_hosts_time(arrived_at) - ASSUMED_KNOWN_AFTER)
         } else {
             minimum
         }
@@ -171,27 +171,27 @@
     /// Applies an update of the endpoint list.
     pub fn update_endpoints(&mut self, update: Update, entries: Vec<Entry>) {
         if update == Update::Complete {
-            self.groups.clear();
-            self.listed.clear();
+            self.listed_groups.clear();
+            self.listed_members.clear();
         }
-        self.groups.extend(entries.iter().map(|entry| entry.group));
+        self.listed_groups.extend(entries.iter().map(|entry| entry.group));
         if let Some(tracker) = &mut self.session_tracker {
-            self.groups.iter().for_each(|group| tracker.track_group(*group));
+            self.listed_groups.iter().for_each(|group| tracker.track_group(*group));
         }
         for entry in &entries {
             match entry.status {
-                MemberStatus::Removed => self.listed.remove(&entry.member),
-                MemberStatus::Up | MemberStatus::Draining => self.listed.insert(entry.member),
+                MemberStatus::Removed => self.listed_members.remove(&entry.member),
+                MemberStatus::Up | MemberStatus::Draining => self.listed_members.insert(entry.member),
             };
         }
-        self.reported_positions.retain(|id, _| self.listed.contains(id));
-        self.request_counts.retain(|group, _| self.groups.contains(group));
+        self.reported_positions.retain(|id, _| self.listed_members.contains(id));
+        self.request_counts.retain(|group, _| self.listed_groups.contains(group));
         self.pending_events.push(Event::List { update, entries: entries.into() });
     }
 
-    /// Whether requests for this group may be served: the endpoint list names the group, or none has been
+    /// Whether requests for this group may be served: the endpoint list names the group, or no list has been
     /// received.
     pub fn may_serve_group(&self, group: GroupId) -> bool {
-        self.groups.is_empty() || self.groups.contains(&group)
+        self.listed_groups.is_empty() || self.listed_groups.contains(&group)
     }
 }
--- a/crates/lifecycle/src/request_table/hosts_clock.rs
+++ b/crates/lifecycle/src/request_table/hosts_clock.rs
@@ -1,14 +1,14 @@
-//! What hosts report about their clock, and times that cross machines.
+//! The estimate of the hosts' clock, and checks of times that hosts report.
 
 use super::{AttemptInFlight, AttemptSpec, Outcome, RequestTable};
 use petrelgauge_policy::{Commit, Ending, MemberId, Need, Report, Time};
 
-/// A change of the estimated clock offset after which the session tracker is restarted (microseconds).
+/// Change of the estimated clock offset above which the session tracker is restarted (microseconds).
 const MAX_TRACKER_DRIFT: Time = 1_000_000;
 
 impl RequestTable {
-    /// Learns from the times of an answer, as of its arrival, how far the hosts' clock is ahead, and drops
-    /// times that lie in the hosts' future: those were not read from a clock. `attempt` is the attempt that
+    /// Updates the estimate of the hosts' clock from the times of an answer that arrives now, and drops times
+    /// that lie in the hosts' future: those can't have been read from a clock. `attempt` is the attempt that
     /// is answered; none if it has been reported already. Returns whether the load report was kept.
     pub fn validate_times(
         &mut self,
@@ -17,7 +17,7 @@
         attempt: Option<&AttemptSpec>,
         outcome: &mut Outcome,
     ) -> bool {
-        self.learn_clock(now, host, attempt, outcome);
+        self.update_clock_estimate(now, host, attempt, outcome);
         let host_clock = self.router.host_clock();
         outcome.position = outcome.position.filter(|position| host_clock.is_plausible(*position, now));
         let is_plausible =
@@ -29,8 +29,14 @@
         is_plausible
     }
 
-    fn learn_clock(&mut self, now: Time, host: MemberId, attempt: Option<&AttemptSpec>, outcome: &Outcome) {
-        let in_flight = attempt.and_then(|attempt| self.in_flight.get(&attempt.id));
+    fn update_clock_estimate(
+        &mut self,
+        now: Time,
+        host: MemberId,
+        attempt: Option<&AttemptSpec>,
+        outcome: &Outcome,
+    ) {
+        let in_flight = attempt.and_then(|attempt| self.attempts_in_flight.get(&attempt.id));
         let is_write = |in_flight: &&AttemptInFlight| self.classes.class(in_flight.class).need == Need::Write;
         let served_write = in_flight.filter(is_write).filter(|_| outcome.ending == Ending::Served);
         let host_clock = self.router.host_clock_mut();
@@ -38,7 +44,7 @@
             (Some(write), Some(commit)) => host_clock.record_commit(Commit {
                 member: host,
                 committed_at: commit,
-                sent_at: write.ordered_at,
+                sent_at: write.issued_at,
                 received_at: now,
                 is_first_attempt: write.is_first,
             }),
@@ -50,10 +56,10 @@
         }
     }
 
-    /// Restarts the session tracker if the hosts' clock differs from the estimate that the sessions' times
-    /// are based on, which makes them useless.
+    /// Restarts the session tracker if the estimated clock offset has changed by more than
+    /// [`MAX_TRACKER_DRIFT`], which invalidates the sessions' times.
     fn restart_tracker(&mut self, now: Time) {
-        let offset = self.hosts_now(now) - now;
+        let offset = self.latest_hosts_time(now) - now;
         if (offset - self.tracker_offset).abs() <= MAX_TRACKER_DRIFT {
             return;
         }
@@ -63,9 +69,9 @@
         }
     }
 
-    /// The latest time that the hosts' clock can show now. Sessions are tracked by it, since their watermarks
-    /// are commit times.
-    pub(super) fn hosts_now(&self, now: Time) -> Time {
+    /// The latest time that the hosts' clock can show now. Sessions are tracked on this clock, since their
+    /// watermarks are commit times.
+    pub(super) fn latest_hosts_time(&self, now: Time) -> Time {
         self.router.host_clock().latest_hosts_time(now)
     }
 }
