--- a/crates/models/src/watermarks.rs
+++ b/crates/models/src/watermarks.rs
@@ -6,7 +6,7 @@
 use crate::Size;
 use petrelgauge_policy::{Role, Time};
 use petrelgauge_sessions::{
-    AnswerEvidence, MinimumPosition, Promise, SessionKey, SessionTracker, Settings, Verdict,
+    AnswerEvidence, MinimumPosition, SessionGuarantee, SessionKey, SessionTracker, Settings, Verdict,
 };
 
 /// Clock time at the start (microseconds).
@@ -81,7 +81,7 @@
 
 fn settings(instance: u16) -> Settings {
     Settings {
-        promise: Promise::WritesAndReads,
+        guarantee: SessionGuarantee::ReadYourWritesAndMonotonicReads,
         instances: 2,
         instance,
         tokens: false,
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -30,7 +30,7 @@
 //! watermarks, and four pending intervals per other instance. A datagram has at most [`MAX_DATAGRAM_BYTES`]
 //! bytes, a token 48 characters.
 //!
-//! **Promise.** If clients return every token that no later answer has replaced, or none at all, then no
+//! **Guarantee.** If clients return every token that no later answer has replaced, or none at all, then no
 //! answer accepted by [`SessionTracker::verify_answer`] is older than what its session had seen when the read
 //! arrived: whichever datagrams are lost, delayed or repeated and whichever instances restart, as long as no
 //! two clocks differ by more than [`Settings::clock_error`]. `docs/design/sessions.md` has the proof for each
@@ -90,7 +90,8 @@
 pub use session_tokens::{SessionTokens, MAX_TOKENS};
 pub use session_tracker::SessionTracker;
 pub use settings::{
-    PositionScope, Promise, Settings, SettingsError, MAX_CLOCK_ERROR, MAX_EXACT_SESSIONS, MAX_INSTANCES,
+    PositionScope, SessionGuarantee, Settings, SettingsError, MAX_CLOCK_ERROR, MAX_EXACT_SESSIONS,
+    MAX_INSTANCES,
 };
 pub use sketch::{overestimate_rate, MaxSketch, ROWS};
 pub use snapshot::{Snapshot, SnapshotKind};
--- a/crates/sessions/src/outbox.rs
+++ b/crates/sessions/src/outbox.rs
@@ -1,6 +1,6 @@
 //! The watermarks of one group that are waiting to be broadcast.
 
-use crate::settings::Promise;
+use crate::settings::SessionGuarantee;
 use crate::watermark::Watermark;
 use crate::watermark_broadcast::{BroadcastEntry, BroadcastSender, WatermarkBroadcast, MAX_ENTRIES};
 use petrelgauge_policy::Time;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Outbox {
     sender: BroadcastSender,
-    promise: Promise,
+    guarantee: SessionGuarantee,
     /// End of the interval before the last one.
     previous_until: Time,
     /// End of the last interval.
@@ -37,10 +37,10 @@
 
 impl Outbox {
     /// An empty outbox: nothing was recorded since the sender's epoch.
-    pub fn new(sender: BroadcastSender, promise: Promise) -> Outbox {
+    pub fn new(sender: BroadcastSender, guarantee: SessionGuarantee) -> Outbox {
         Outbox {
             sender,
-            promise,
+            guarantee,
             previous_until: sender.epoch,
             last_until: sender.epoch,
             pending: VecDeque::new(),
@@ -91,13 +91,14 @@
         }
         let entry = |(name_hash, watermark)| BroadcastEntry { name_hash, watermark };
         let mut entries: Vec<BroadcastEntry> = by_name.into_iter().map(entry).collect();
-        entries
-            .sort_by_key(|entry| (Reverse(entry.watermark.required_position(self.promise)), entry.name_hash));
+        entries.sort_by_key(|entry| {
+            (Reverse(entry.watermark.required_position(self.guarantee)), entry.name_hash)
+        });
         entries
     }
 
     fn omit(&mut self, entry: &BroadcastEntry) {
-        self.omitted_bound = self.omitted_bound.max(entry.watermark.required_position(self.promise));
+        self.omitted_bound = self.omitted_bound.max(entry.watermark.required_position(self.guarantee));
     }
 }
 
--- a/crates/sessions/src/peer_exchange.rs
+++ b/crates/sessions/src/peer_exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::known_range::{KnownRange, PeerInterval};
 use crate::outbox::Outbox;
-use crate::settings::{Promise, Settings};
+use crate::settings::{SessionGuarantee, Settings};
 use crate::watermark::Watermark;
 use crate::watermark_broadcast::{BroadcastEntry, BroadcastSender, WatermarkBroadcast};
 use petrelgauge_policy::{GroupId, Time};
@@ -18,7 +18,7 @@
     instance: u16,
     instances: u16,
     epoch: Time,
-    promise: Promise,
+    guarantee: SessionGuarantee,
     groups: BTreeMap<GroupId, GroupExchange>,
 }
 
@@ -37,7 +37,7 @@
             instance: settings.instance,
             instances: settings.instances,
             epoch,
-            promise: settings.promise,
+            guarantee: settings.guarantee,
             groups: BTreeMap::new(),
         }
     }
@@ -114,7 +114,7 @@
         }
         let sender = BroadcastSender { instance: self.instance, group, epoch: self.epoch };
         let empty = || GroupExchange {
-            outbox: Outbox::new(sender, self.promise),
+            outbox: Outbox::new(sender, self.guarantee),
             known_ranges: vec![KnownRange::default(); usize::from(self.instances)],
         };
         Some(self.groups.entry(group).or_insert_with(empty))
--- a/crates/sessions/src/session_tracker/mod.rs
+++ b/crates/sessions/src/session_tracker/mod.rs
@@ -103,7 +103,7 @@
 
     /// Takes a snapshot of all watermarks.
     pub fn snapshot(&self, now: Time, kind: SnapshotKind) -> Snapshot {
-        let highest_evicted = self.memory.highest_evicted().required_position(self.settings.promise);
+        let highest_evicted = self.memory.highest_evicted().required_position(self.settings.guarantee);
         Snapshot {
             taken_at: now,
             kind,
--- a/crates/sessions/src/session_tracker/reads.rs
+++ b/crates/sessions/src/session_tracker/reads.rs
@@ -54,7 +54,7 @@
 
     /// The minimum position by the client's token, if that covers everything that the session did.
     fn minimum_by_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Option<MinimumPosition> {
-        let known = self.merge_token(now, key, token).required_position(self.settings.promise);
+        let known = self.merge_token(now, key, token).required_position(self.settings.guarantee);
         let is_recent = now - token.issued_at <= self.settings.token_age;
         if !is_recent || token.issued_at > self.latest_clock(now) {
             self.counts.expired_tokens += 1;
@@ -67,7 +67,7 @@
     /// The minimum position, by what is known now, of a read without a token that arrived at `arrived_at`.
     fn current_minimum(&self, arrived_at: Time, key: SessionKey) -> MinimumPosition {
         let entry = self.memory.get(key);
-        let remembered = entry.watermark.required_position(self.settings.promise).max(self.omitted_bound);
+        let remembered = entry.watermark.required_position(self.settings.guarantee).max(self.omitted_bound);
         if !self.settings.conservative {
             return MinimumPosition::from_known(arrived_at, remembered, PositionSource::LocalMemory);
         }
--- a/crates/sessions/src/session_tracker/recording.rs
+++ b/crates/sessions/src/session_tracker/recording.rs
@@ -3,7 +3,7 @@
 use crate::minimum_position::MinimumPosition;
 use crate::session_key::SessionKey;
 use crate::session_tracker::SessionTracker;
-use crate::settings::Promise;
+use crate::settings::SessionGuarantee;
 use crate::watermark::Watermark;
 use petrelgauge_policy::Time;
 
@@ -12,10 +12,14 @@
     pub fn record_read(&mut self, now: Time, key: SessionKey, minimum: &MinimumPosition, position: Time) {
         // Hosts round positions down, so the data read may be newer by one step.
         let newest = position + self.settings.position_granularity;
-        let watermark = match self.settings.promise {
+        let watermark = match self.settings.guarantee {
             // The data read contain all of the session's own writes up to the minimum position.
-            Promise::Writes => Watermark { written: minimum.position().min(newest), read: 0 },
-            Promise::WritesAndReads => Watermark { written: 0, read: newest.min(self.latest_position(now)) },
+            SessionGuarantee::ReadYourWrites => {
+                Watermark { written: minimum.position().min(newest), read: 0 }
+            }
+            SessionGuarantee::ReadYourWritesAndMonotonicReads => {
+                Watermark { written: 0, read: newest.min(self.latest_position(now)) }
+            }
         };
         self.record(now, key, watermark, minimum.arrived_at);
     }
--- a/crates/sessions/src/settings.rs
+++ b/crates/sessions/src/settings.rs
@@ -21,11 +21,11 @@
 
 /// What is promised to a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum SessionGuarantee {
     /// Read-your-writes: its reads see its writes.
-    Writes,
+    ReadYourWrites,
     /// Read-your-writes and monotonic reads: no read sees less than an earlier one did.
-    WritesAndReads,
+    ReadYourWritesAndMonotonicReads,
 }
 
 /// What the position reported with an answer refers to.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// What is promised to a session.
-    pub promise: Promise,
+    pub guarantee: SessionGuarantee,
     /// What a reported position refers to.
     pub position_scope: PositionScope,
     /// Whether hosts report positions. If not, a primary's answer proves any minimum position.
@@ -83,7 +83,7 @@
     /// Exact watermarks take some 100 bytes each, the sketch 16 bytes per cell: 27 MB and 2 MB.
     fn default() -> Settings {
         Settings {
-            promise: Promise::WritesAndReads,
+            guarantee: SessionGuarantee::ReadYourWritesAndMonotonicReads,
             position_scope: PositionScope::DataRead,
             hosts_report_positions: true,
             hosts_enforce_positions: false,
--- a/crates/sessions/src/watermark.rs
+++ b/crates/sessions/src/watermark.rs
@@ -1,6 +1,6 @@
 //! What a session has seen of a group: its highest commit and the highest position that it has read.
 
-use crate::settings::Promise;
+use crate::settings::SessionGuarantee;
 use petrelgauge_policy::{mutant, Mutant, Time};
 
 /// The watermark of a session in one group: positions of the group's log, as times in microseconds; 0 for
@@ -37,11 +37,11 @@
         self.written >= other.written && self.read >= other.read
     }
 
-    /// The position (microseconds) that a read of the session needs for this promise.
-    pub fn required_position(self, promise: Promise) -> Time {
-        match promise {
-            Promise::Writes => self.written,
-            Promise::WritesAndReads => self.written.max(self.read),
+    /// The position (microseconds) that a read of the session needs for this guarantee.
+    pub fn required_position(self, guarantee: SessionGuarantee) -> Time {
+        match guarantee {
+            SessionGuarantee::ReadYourWrites => self.written,
+            SessionGuarantee::ReadYourWritesAndMonotonicReads => self.written.max(self.read),
         }
     }
 
--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -215,7 +215,7 @@
             let (tracker, offset) = (&mut instance.tracker, instance.clock_offset);
             let shown = serve(tracker, &read, self.now, offset, &mut self.rng, &mut self.findings);
             let known = self.truth.entry(read.name).or_default();
-            if self.scenario.settings.promise == Promise::WritesAndReads {
+            if self.scenario.settings.guarantee == SessionGuarantee::ReadYourWritesAndMonotonicReads {
                 known.read = known.read.max(shown);
             }
             replace_tokens(&mut self.tokens, read.name, &read.held, tracker.issue_token(local, read.key));
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -108,7 +108,7 @@
     fn watermarks_that_an_outbox_omits_are_bounded(recorded in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
         let start = 1_000 * MS;
         let sender = BroadcastSender { instance: 0, group: G, epoch: start };
-        let mut outbox = Outbox::new(sender, Promise::Writes);
+        let mut outbox = Outbox::new(sender, SessionGuarantee::ReadYourWrites);
         let mut now = start;
         for (name, age) in &recorded {
             now += MS / 2;
--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -45,9 +45,9 @@
         instances in 0..5u16,
         (roams, tokens, both) in any::<(bool, bool, bool)>(),
     ) {
-        let promise = if both { Promise::WritesAndReads } else { Promise::Writes };
+        let guarantee = if both { SessionGuarantee::ReadYourWritesAndMonotonicReads } else { SessionGuarantee::ReadYourWrites };
         let instances = if instances == 1 { 0 } else { instances };
-        let settings = Settings { clock_error: error, roams, tokens, promise, ..settings(instances, 0) };
+        let settings = Settings { clock_error: error, roams, tokens, guarantee, ..settings(instances, 0) };
         let findings = run(&Scenario { loss, restarts, ..scenario(settings, tokens) }, u64::from(seed));
         prop_assert_eq!((findings.stale, findings.blocked, findings.deposed), (0, 0, 0), "{:?}", findings);
         prop_assert!(findings.reads > 500);
--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -312,7 +312,7 @@
 fn outputs_are_as_recorded() {
     let clocks_differ =
         Settings { clock_error: 5 * MS, position_scope: PositionScope::HostAtAnswer, ..settings() };
-    let writes_only = Settings { promise: Promise::Writes, tokens: false, ..settings() };
+    let writes_only = Settings { guarantee: SessionGuarantee::ReadYourWrites, tokens: false, ..settings() };
     let single_instance = Settings {
         instances: 0,
         roams: false,
--- a/src/settings/operator/sessions_record.rs
+++ b/src/settings/operator/sessions_record.rs
@@ -2,14 +2,16 @@
 
 use crate::{Class, Need};
 use petrelgauge_config_language::{Record, RecordError};
-use petrelgauge_sessions::{PositionScope, Promise, Settings};
+use petrelgauge_sessions::{PositionScope, SessionGuarantee, Settings};
 use thiserror::Error;
 
 /// Values of `sources`, in the order of [`SessionSources`]' fields.
 const SOURCES: [&str; 2] = ["token", "peers"];
 /// Values of `promise`.
-const PROMISES: [(&str, Promise); 2] =
-    [("writes", Promise::Writes), ("writes-and-reads", Promise::WritesAndReads)];
+const PROMISES: [(&str, SessionGuarantee); 2] = [
+    ("writes", SessionGuarantee::ReadYourWrites),
+    ("writes-and-reads", SessionGuarantee::ReadYourWritesAndMonotonicReads),
+];
 /// Values of `positions`.
 const POSITION_SCOPES: [(&str, PositionScope); 2] =
     [("read", PositionScope::DataRead), ("answer", PositionScope::HostAtAnswer)];
@@ -68,12 +70,12 @@
             return Err(record.error("sessions: classes names the classes that carry sessions"));
         }
         let sources = parse_sources(&mut record)?;
-        let promise = parse_choice(&mut record, "promise", PROMISES)?;
+        let guarantee = parse_choice(&mut record, "promise", PROMISES)?;
         let position_scope = parse_choice(&mut record, "positions", POSITION_SCOPES)?;
         let secret = parse_secret(&mut record)?;
         let base = Settings::default();
         let settings = Settings {
-            promise: promise.unwrap_or(base.promise),
+            guarantee: guarantee.unwrap_or(base.guarantee),
             position_scope: position_scope.unwrap_or(base.position_scope),
             conservative: record.one_of("unknown", &["asked-for", "ignored"])? != Some(1),
             roams: record.boolean("roams")?.unwrap_or(base.roams),
