--- a/crates/lifecycle/src/request_table/sessions.rs
+++ b/crates/lifecycle/src/request_table/sessions.rs
@@ -59,13 +59,13 @@
 
     /// Number of entries about other gateways' sessions.
     pub fn session_entries(&self) -> usize {
-        self.session_tracker.as_ref().map_or(0, SessionTracker::peer_entries)
+        self.session_tracker.as_ref().map_or(0, SessionTracker::peer_range_count)
     }
 
     /// What sessions have counted, if they are tracked.
     pub fn session_counts(&self) -> Option<SessionCounts> {
         let tracker = self.session_tracker.as_ref()?;
-        Some(SessionCounts { counts: tracker.counts(), broadcast_gaps: tracker.gaps() })
+        Some(SessionCounts { counts: tracker.counts(), broadcast_gaps: tracker.closed_gaps() })
     }
 
     /// Applies a watermark broadcast of another gateway. Waiting reads may need a lower position then.
--- a/crates/sessions/src/known_range.rs
+++ b/crates/sessions/src/known_range.rs
@@ -44,7 +44,7 @@
     /// Since when an interval is missing, by the local clock.
     gap_since: Time,
     /// Gaps closed so far.
-    gaps: u64,
+    closed_gaps: u64,
 }
 
 impl KnownRange {
@@ -89,8 +89,8 @@
     }
 
     /// Gaps closed with an upper bound, including the one before the first interval.
-    pub fn gaps(&self) -> u64 {
-        self.gaps
+    pub fn closed_gaps(&self) -> u64 {
+        self.closed_gaps
     }
 
     /// The sender has restarted: what its last run recorded and did not send is lost.
@@ -126,7 +126,7 @@
                 self.gap_end = self.gap_end.max(end);
             }
             self.known_until = end;
-            self.gaps += 1;
+            self.closed_gaps += 1;
         }
     }
 
--- a/crates/sessions/src/peer_exchange.rs
+++ b/crates/sessions/src/peer_exchange.rs
@@ -99,8 +99,8 @@
     }
 
     /// Gaps closed with an upper bound, over all groups and instances.
-    pub(crate) fn gaps(&self) -> u64 {
-        self.groups.values().flat_map(|exchange| &exchange.known_ranges).map(KnownRange::gaps).sum()
+    pub(crate) fn closed_gaps(&self) -> u64 {
+        self.groups.values().flat_map(|exchange| &exchange.known_ranges).map(KnownRange::closed_gaps).sum()
     }
 
     /// Number of known ranges, over all groups.
--- a/crates/sessions/src/session_memory.rs
+++ b/crates/sessions/src/session_memory.rs
@@ -100,7 +100,7 @@
     }
 
     /// Corrects watermarks recorded by a wrong clock: caps them at `ceiling` and marks them as incomplete.
-    pub fn distrust(&mut self, ceiling: Time) {
+    pub fn cap_and_mark_incomplete(&mut self, ceiling: Time) {
         for (_, entry) in self.exact.iter_mut() {
             *entry = SessionEntry { watermark: entry.watermark.capped_at(ceiling), complete_until: 0 };
         }
--- a/crates/sessions/src/session_tracker/broadcasts.rs
+++ b/crates/sessions/src/session_tracker/broadcasts.rs
@@ -22,8 +22,8 @@
     pub fn receive(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
         let applied = self.apply_broadcast(now, bytes);
         match applied {
-            Ok(()) => self.counts.received += 1,
-            Err(_) => self.counts.rejected += 1,
+            Ok(()) => self.counts.broadcasts_received += 1,
+            Err(_) => self.counts.broadcasts_rejected += 1,
         }
         applied
     }
@@ -40,7 +40,7 @@
         let secret = self.settings.secret;
         let datagrams: Vec<Vec<u8>> =
             self.peers.next_broadcasts(now).map(|broadcast| broadcast.encode(secret)).collect();
-        self.counts.sent += datagrams.len() as u64;
+        self.counts.broadcasts_sent += datagrams.len() as u64;
         datagrams
     }
 
--- a/crates/sessions/src/session_tracker/mod.rs
+++ b/crates/sessions/src/session_tracker/mod.rs
@@ -93,7 +93,7 @@
     /// Starts over after the clock was corrected to `now`. Watermarks are kept but count as incomplete, and
     /// intervals of the other instances are awaited anew.
     pub fn restart(&mut self, now: Time) {
-        self.memory.distrust(self.latest_clock(now));
+        self.memory.cap_and_mark_incomplete(self.latest_clock(now));
         self.peers.restart(now);
         self.omitted_bound = self.omitted_bound.min(now);
         self.lost_until = now;
@@ -134,12 +134,12 @@
     }
 
     /// Gaps in the broadcasts of other instances that were closed with an upper bound, over all groups.
-    pub fn gaps(&self) -> u64 {
-        self.peers.gaps()
+    pub fn closed_gaps(&self) -> u64 {
+        self.peers.closed_gaps()
     }
 
     /// Number of ranges known of other instances, over all groups.
-    pub fn peer_entries(&self) -> usize {
+    pub fn peer_range_count(&self) -> usize {
         self.peers.range_count()
     }
 
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -165,7 +165,7 @@
     assert_eq!((range.known_until(), range.gap_end()), (60, 50), "a late interval changes nothing");
     // The sender has restarted: what its earlier run had not sent is lost at once.
     range.record_interval(102, interval(70, 70, 80));
-    assert_eq!((range.known_until(), range.gap_end(), range.gaps()), (80, 70, 3));
+    assert_eq!((range.known_until(), range.gap_end(), range.closed_gaps()), (80, 70, 3));
     range.record_interval(103, interval(10, 60, 200));
     assert_eq!(range.known_until(), 80, "intervals of the earlier run are ignored");
 }
@@ -216,7 +216,7 @@
     next_version[0] = 2;
     assert_eq!(tracker.receive(now, &next_version).err(), Some(BroadcastError::UnsupportedVersion));
     assert!(tracker.receive(now, &datagram(1, now)).is_ok());
-    assert_eq!((tracker.counts().received, tracker.counts().rejected), (1, 4));
+    assert_eq!((tracker.counts().broadcasts_received, tracker.counts().broadcasts_rejected), (1, 4));
 }
 
 #[test]
--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -45,7 +45,11 @@
         instances in 0..5u16,
         (roams, tokens, both) in any::<(bool, bool, bool)>(),
     ) {
-        let guarantee = if both { SessionGuarantee::ReadYourWritesAndMonotonicReads } else { SessionGuarantee::ReadYourWrites };
+        let guarantee = if both {
+            SessionGuarantee::ReadYourWritesAndMonotonicReads
+        } else {
+            SessionGuarantee::ReadYourWrites
+        };
         let instances = if instances == 1 { 0 } else { instances };
         let settings = Settings { clock_error: error, roams, tokens, guarantee, ..settings(instances, 0) };
         let findings = run(&Scenario { loss, restarts, ..scenario(settings, tokens) }, u64::from(seed));
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -133,7 +133,7 @@
     let attempt = send(&mut simulation, &mut ticket);
     assert!(attempt.report(simulation.now, served(arrived - MS, Role::Replica)), "nothing stands against it");
     let counts = simulation.facade.read(|table| table.session_counts()).expect("sessions are kept").counts;
-    assert_eq!((counts.lowered, counts.received), (1, 2));
+    assert_eq!((counts.lowered, counts.broadcasts_received), (1, 2));
     assert!(simulation.facade.update(|table| table.receive_broadcast(simulation.now, b"garbage")).is_err());
 }
 
