--- a/crates/sessions/src/encoding.rs
+++ b/crates/sessions/src/encoding.rs
@@ -16,17 +16,17 @@
 const MAX_MILLISECONDS: u64 = (1 << (8 * TIME_BYTES)) - 1;
 
 /// Whole milliseconds, rounded up; 0 for times before 0.
-pub(crate) fn milliseconds_up(time: Time) -> u64 {
+pub(crate) fn ceil_milliseconds(time: Time) -> u64 {
     (time.max(0) as u64).div_ceil(MICROSECONDS_PER_MILLISECOND)
 }
 
 /// Whole milliseconds, rounded down; 0 for times before 0.
-pub(crate) fn milliseconds_down(time: Time) -> u64 {
+pub(crate) fn floor_milliseconds(time: Time) -> u64 {
     time.max(0) as u64 / MICROSECONDS_PER_MILLISECOND
 }
 
 /// Milliseconds as a time in microseconds.
-pub(crate) fn time_of(milliseconds: u64) -> Time {
+pub(crate) fn time_from_milliseconds(milliseconds: u64) -> Time {
     milliseconds as Time * MICROSECONDS_PER_MILLISECOND as Time
 }
 
@@ -71,7 +71,7 @@
 
     /// The next time, in microseconds.
     pub(crate) fn time(&mut self) -> Time {
-        time_of(self.integer(TIME_BYTES))
+        time_from_milliseconds(self.integer(TIME_BYTES))
     }
 
     /// The next hash of a session's name.
--- a/crates/sessions/src/known_range.rs
+++ b/crates/sessions/src/known_range.rs
@@ -63,7 +63,7 @@
         } else {
             self.known_until = self.known_until.max(interval.until);
         }
-        self.absorb_pending();
+        self.merge_pending();
     }
 
     /// Closes gaps that have been open for longer than `timeout` (microseconds).
@@ -116,7 +116,7 @@
     fn skip_gap(&mut self) {
         if let Some(from) = self.pending.iter().map(|interval| interval.from).min() {
             self.close_gap(from);
-            self.absorb_pending();
+            self.merge_pending();
         }
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Extends the known range by all pending intervals that now touch it.
-    fn absorb_pending(&mut self) {
+    fn merge_pending(&mut self) {
         while let Some(index) = self.pending.iter().position(|interval| interval.from <= self.known_until) {
             let interval = self.pending.swap_remove(index);
             self.known_until = self.known_until.max(interval.until);
--- a/crates/sessions/src/outbox.rs
+++ b/crates/sessions/src/outbox.rs
@@ -62,7 +62,7 @@
     /// one.
     pub fn next_broadcast(&mut self, now: Time) -> WatermarkBroadcast {
         // What is recorded later in the same microsecond must belong to the next interval.
-        let until = whole_milliseconds(now - 1).max(self.last_until);
+        let until = truncate_to_milliseconds(now - 1).max(self.last_until);
         let from = self.previous_until;
         self.pending.retain(|pending| pending.recorded_at > from);
         let entries = self.take_encodable(until);
@@ -102,6 +102,6 @@
     }
 }
 
-fn whole_milliseconds(time: Time) -> Time {
+fn truncate_to_milliseconds(time: Time) -> Time {
     time / MICROSECONDS_PER_MILLISECOND * MICROSECONDS_PER_MILLISECOND
 }
--- a/crates/sessions/src/peer_exchange.rs
+++ b/crates/sessions/src/peer_exchange.rs
@@ -53,12 +53,12 @@
 
     /// Sends broadcasts of this group from now on, unless there are [`MAX_GROUPS`] already.
     pub(crate) fn track(&mut self, group: GroupId) {
-        self.group(group);
+        self.group_exchange(group);
     }
 
     /// Adds a watermark recorded `now` to the next broadcast of its group.
     pub(crate) fn push(&mut self, now: Time, group: GroupId, name_hash: u64, watermark: Watermark) {
-        if let Some(exchange) = self.group(group) {
+        if let Some(exchange) = self.group_exchange(group) {
             exchange.outbox.push(now, BroadcastEntry { name_hash, watermark });
         }
     }
@@ -77,8 +77,9 @@
             until: broadcast.until,
             omitted_bound: broadcast.omitted_bound,
         };
-        let known_range =
-            self.group(group).and_then(|exchange| exchange.known_ranges.get_mut(usize::from(instance)));
+        let known_range = self
+            .group_exchange(group)
+            .and_then(|exchange| exchange.known_ranges.get_mut(usize::from(instance)));
         if let Some(range) = known_range {
             range.record_interval(now, interval);
         }
@@ -92,10 +93,16 @@
     }
 
     /// The known range of each other instance in this group; `None` if the group is not tracked.
-    pub(crate) fn others(&self, group: GroupId) -> Option<impl Iterator<Item = &KnownRange>> {
-        let own = usize::from(self.instance);
+    pub(crate) fn peer_ranges(&self, group: GroupId) -> Option<impl Iterator<Item = &KnownRange>> {
+        let own_index = usize::from(self.instance);
         let known_ranges = &self.groups.get(&group)?.known_ranges;
-        Some(known_ranges.iter().enumerate().filter(move |(place, _)| *place != own).map(|(_, range)| range))
+        Some(
+            known_ranges
+                .iter()
+                .enumerate()
+                .filter(move |(index, _)| *index != own_index)
+                .map(|(_, range)| range),
+        )
     }
 
     /// Gaps closed with an upper bound, over all groups and instances.
@@ -108,7 +115,7 @@
         self.groups.values().map(|exchange| exchange.known_ranges.len()).sum()
     }
 
-    fn group(&mut self, group: GroupId) -> Option<&mut GroupExchange> {
+    fn group_exchange(&mut self, group: GroupId) -> Option<&mut GroupExchange> {
         if self.groups.len() >= MAX_GROUPS && !self.groups.contains_key(&group) {
             return None;
         }
--- a/crates/sessions/src/session_tracker/reads.rs
+++ b/crates/sessions/src/session_tracker/reads.rs
@@ -11,7 +11,7 @@
 impl SessionTracker {
     /// The minimum position of a read that has just arrived.
     pub fn begin_read(&mut self, now: Time, key: SessionKey, token: Option<&Token>) -> MinimumPosition {
-        if let Some(minimum) = token.and_then(|token| self.minimum_by_token(now, key, token)) {
+        if let Some(minimum) = token.and_then(|token| self.minimum_from_token(now, key, token)) {
             return minimum;
         }
         let minimum = self.current_minimum(now, key);
@@ -53,7 +53,7 @@
     }
 
     /// The minimum position by the client's token, if that covers everything that the session did.
-    fn minimum_by_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Option<MinimumPosition> {
+    fn minimum_from_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Option<MinimumPosition> {
         let known = self.merge_token(now, key, token).required_position(self.settings.guarantee);
         let is_recent = now - token.issued_at <= self.settings.token_age;
         if !is_recent || token.issued_at > self.latest_clock(now) {
@@ -75,7 +75,7 @@
         if !self.settings.roams {
             return MinimumPosition::from_known(arrived_at, known, PositionSource::LocalMemory);
         }
-        match self.bound_by_peers(arrived_at, key.group, &entry) {
+        match self.peer_bound(arrived_at, key.group, &entry) {
             Some(bound) => MinimumPosition::from_known(arrived_at, known.max(bound), PositionSource::Peers),
             None => MinimumPosition::from_unknown(arrived_at, known, self.latest_clock(arrived_at)),
         }
@@ -94,13 +94,13 @@
 
     /// Upper bound of what other instances may have recorded for a session without this one knowing; `None`
     /// unless their broadcasts cover the time `arrived_at`. Their clocks may be ahead of this one's.
-    fn bound_by_peers(&self, arrived_at: Time, group: GroupId, entry: &SessionEntry) -> Option<Time> {
+    fn peer_bound(&self, arrived_at: Time, group: GroupId, entry: &SessionEntry) -> Option<Time> {
         if self.settings.instances < 2 {
             return None;
         }
         let clock_error = self.settings.clock_error;
         let mut bound = 0;
-        for range in self.peers.others(group)? {
+        for range in self.peers.peer_ranges(group)? {
             if range.known_until() - clock_error < arrived_at {
                 return None;
             }
--- a/crates/sessions/src/token.rs
+++ b/crates/sessions/src/token.rs
@@ -2,7 +2,7 @@
 //! checksummed.
 
 use crate::encoding::{
-    checksum, milliseconds_down, milliseconds_up, push_milliseconds, push_name_hash, FieldReader,
+    ceil_milliseconds, checksum, floor_milliseconds, push_milliseconds, push_name_hash, FieldReader,
     CHECKSUM_BYTES, NAME_HASH_BYTES, TIME_BYTES,
 };
 use crate::session_key::SessionKey;
@@ -76,9 +76,9 @@
         bytes.push(VERSION);
         bytes.extend_from_slice(&self.key.group.to_be_bytes());
         push_name_hash(&mut bytes, self.key.name_hash);
-        push_milliseconds(&mut bytes, milliseconds_up(self.watermark.written));
-        push_milliseconds(&mut bytes, milliseconds_up(self.watermark.read));
-        push_milliseconds(&mut bytes, milliseconds_down(self.issued_at));
+        push_milliseconds(&mut bytes, ceil_milliseconds(self.watermark.written));
+        push_milliseconds(&mut bytes, ceil_milliseconds(self.watermark.read));
+        push_milliseconds(&mut bytes, floor_milliseconds(self.issued_at));
         let checksum = checksum(&bytes, checksum_seed(secret));
         bytes.extend_from_slice(&checksum);
         URL_SAFE_NO_PAD.encode(bytes)
--- a/crates/sessions/src/watermark_broadcast.rs
+++ b/crates/sessions/src/watermark_broadcast.rs
@@ -3,8 +3,8 @@
 //! instance recorded in one interval, or an upper bound of those that it omits.
 
 use crate::encoding::{
-    checksum, milliseconds_down, milliseconds_up, push_milliseconds, push_name_hash, time_of, FieldReader,
-    CHECKSUM_BYTES, NAME_HASH_BYTES, TIME_BYTES,
+    ceil_milliseconds, checksum, floor_milliseconds, push_milliseconds, push_name_hash,
+    time_from_milliseconds, FieldReader, CHECKSUM_BYTES, NAME_HASH_BYTES, TIME_BYTES,
 };
 use crate::watermark::Watermark;
 use petrelgauge_policy::{GroupId, Time};
@@ -29,11 +29,11 @@
 
 /// Watermarks are encoded as ages relative to a reference time, which is this long after the end of the
 /// interval (milliseconds).
-const REFERENCE_AHEAD_MS: u64 = 2_000;
+const REFERENCE_OFFSET_MS: u64 = 2_000;
 /// Encodes a missing component of a watermark.
 const ABSENT: u16 = u16::MAX;
 /// Maximum age (milliseconds). Older watermarks are encoded with this age, which only raises them.
-const MAX_AGE: u64 = ABSENT as u64 - 1;
+const MAX_AGE_MS: u64 = ABSENT as u64 - 1;
 /// Keeps the checksum apart from a token's under the same secret.
 const CHECKSUM_SEED: u64 = 0xB111_E714;
 
@@ -143,7 +143,7 @@
     /// Whether a watermark can be encoded in an interval that ends at `until`. One too far ahead of it
     /// cannot.
     pub fn can_encode(watermark: Watermark, until: Time) -> bool {
-        milliseconds_up(watermark.written.max(watermark.read)) <= reference_milliseconds(until)
+        ceil_milliseconds(watermark.written.max(watermark.read)) <= reference_milliseconds(until)
     }
 
     fn push_header(&self, bytes: &mut Vec<u8>, entries: usize) {
@@ -151,9 +151,9 @@
         bytes.extend_from_slice(&self.sender.instance.to_be_bytes());
         bytes.extend_from_slice(&self.sender.group.to_be_bytes());
         for time in [self.sender.epoch, self.from, self.until] {
-            push_milliseconds(bytes, milliseconds_down(time));
+            push_milliseconds(bytes, floor_milliseconds(time));
         }
-        push_milliseconds(bytes, milliseconds_up(self.omitted_bound));
+        push_milliseconds(bytes, ceil_milliseconds(self.omitted_bound));
         bytes.push(entries as u8);
     }
 }
@@ -176,7 +176,7 @@
 fn push_age(bytes: &mut Vec<u8>, position: Time, reference: u64) {
     let age = match position {
         ..=0 => ABSENT,
-        position => reference.saturating_sub(milliseconds_up(position)).min(MAX_AGE) as u16,
+        position => reference.saturating_sub(ceil_milliseconds(position)).min(MAX_AGE_MS) as u16,
     };
     bytes.extend_from_slice(&age.to_be_bytes());
 }
@@ -191,10 +191,10 @@
 fn read_position(reader: &mut FieldReader, reference: u64) -> Time {
     match reader.integer(AGE_BYTES) {
         age if age == u64::from(ABSENT) => 0,
-        age => time_of(reference.saturating_sub(age)),
+        age => time_from_milliseconds(reference.saturating_sub(age)),
     }
 }
 
 fn reference_milliseconds(until: Time) -> u64 {
-    milliseconds_down(until) + REFERENCE_AHEAD_MS
+    floor_milliseconds(until) + REFERENCE_OFFSET_MS
 }
