--- a/crates/sessions/src/outbox.rs
+++ b/crates/sessions/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The watermarks of one group that are waiting to be broadcast.
+//! Queue of the watermarks of one group that are waiting to be broadcast.
 
 use crate::settings::SessionGuarantee;
 use crate::watermark::Watermark;
@@ -7,23 +7,23 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of pending watermarks: two intervals at many times the capacity of a datagram.
+/// Maximum number of pending watermarks: two intervals that each hold many times what a datagram holds.
 const MAX_PENDING: usize = 32 * MAX_ENTRIES;
 
 const MICROSECONDS_PER_MILLISECOND: Time = 1_000;
 
-/// Watermarks of one group that wait to be broadcast, one datagram per interval.
+/// Watermarks of one group that are waiting to be broadcast, in one datagram per interval.
 ///
-/// Each datagram also covers the interval before its own, so that one lost datagram leaves no gap. Watermarks
-/// that don't fit are omitted, the lowest ones first, and bounded by `omitted_bound`. Receivers then require
-/// that position of every session, which costs nothing once the replicas have passed it.
+/// Each datagram also covers the preceding interval, so that a single lost datagram leaves no gap. Watermarks
+/// that do not fit are omitted, lowest first, and are bounded by `omitted_bound`. Receivers then require
+/// that position for every session, which has no cost once the replicas have passed it.
 #[derive(Clone, Debug)]
 pub struct Outbox {
     sender: BroadcastSender,
     guarantee: SessionGuarantee,
-    /// End of the interval before the last one.
+    /// End of the interval before the last broadcast interval.
     previous_until: Time,
-    /// End of the last interval.
+    /// End of the last broadcast interval.
     last_until: Time,
     pending: VecDeque<PendingWatermark>,
     omitted_bound: Time,
@@ -36,7 +36,7 @@
 }
 
 impl Outbox {
-    /// An empty outbox: nothing was recorded since the sender's epoch.
+    /// Creates an empty outbox, with nothing recorded since the sender's epoch.
     pub fn new(sender: BroadcastSender, guarantee: SessionGuarantee) -> Outbox {
         Outbox {
             sender,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Adds a watermark recorded `now` (microseconds).
+    /// Adds a watermark recorded at `now` (microseconds).
     pub fn push(&mut self, now: Time, entry: BroadcastEntry) {
         self.pending.push_back(PendingWatermark { recorded_at: now, entry });
         if self.pending.len() > MAX_PENDING {
@@ -58,10 +58,10 @@
         }
     }
 
-    /// The next datagram: everything recorded up to `now` (microseconds) since the interval before the last
-    /// one.
+    /// Builds the next datagram. It covers everything recorded up to `now` (microseconds) since the start of
+    /// the last broadcast interval.
     pub fn next_broadcast(&mut self, now: Time) -> WatermarkBroadcast {
-        // What is recorded later in the same microsecond must belong to the next interval.
+        // Watermarks recorded later in the same microsecond must fall into the next interval.
         let until = truncate_to_milliseconds(now - 1).max(self.last_until);
         let from = self.previous_until;
         self.pending.retain(|pending| pending.recorded_at > from);
@@ -71,8 +71,7 @@
         WatermarkBroadcast { sender: self.sender, from, until, omitted_bound: self.omitted_bound, entries }
     }
 
-    /// The highest entries up to `until` that fit into a datagram; the others raise the bound of what is
-    /// omitted.
+    /// Returns the highest entries up to `until` that fit into a datagram. All others raise `omitted_bound`.
     fn take_encodable(&mut self, until: Time) -> Vec<BroadcastEntry> {
         let mut entries = self.entries_until(until);
         let omitted = entries.split_off(entries.len().min(MAX_ENTRIES));
@@ -82,7 +81,7 @@
         entries
     }
 
-    /// One joined entry per session recorded up to `until`, the highest first.
+    /// Joins the watermarks recorded up to `until` into one entry per session, highest first.
     fn entries_until(&self, until: Time) -> Vec<BroadcastEntry> {
         let mut by_name: BTreeMap<u64, Watermark> = BTreeMap::new();
         for pending in self.pending.iter().filter(|pending| pending.recorded_at <= until) {
