--- a/crates/sessions/src/peer_exchange.rs
+++ b/crates/sessions/src/peer_exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of watermarks with the other instances, for all groups.
+//! Exchange of watermarks with the other instances, for all groups.
 
 use crate::known_range::{KnownRange, PeerInterval};
 use crate::outbox::Outbox;
@@ -8,11 +8,11 @@
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
-/// Maximum number of groups whose watermarks are exchanged. A read of any other group needs everything
-/// committed before it arrived.
+/// Maximum number of groups whose watermarks are exchanged. Reads of any other group require everything
+/// committed before they arrived.
 pub const MAX_GROUPS: usize = 1024;
 
-/// The watermarks to send to the other instances, and how far theirs are known.
+/// The watermarks to send to the other instances, and up to which time theirs are known.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerExchange {
     instance: u16,
@@ -22,16 +22,16 @@
     groups: BTreeMap<GroupId, GroupExchange>,
 }
 
-/// The exchange for one group.
+/// The state of the exchange for one group.
 #[derive(Clone, Debug)]
 struct GroupExchange {
     outbox: Outbox,
-    /// By instance number; the entry of this instance stays empty.
+    /// Indexed by instance number; the entry of this instance stays empty.
     known_ranges: Vec<KnownRange>,
 }
 
 impl PeerExchange {
-    /// An exchange that starts at `epoch` (microseconds).
+    /// Creates an exchange that starts at `epoch` (microseconds).
     pub(crate) fn new(settings: &Settings, epoch: Time) -> PeerExchange {
         PeerExchange {
             instance: settings.instance,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Starts over at another epoch. The groups stay tracked, since the other instances wait for their
-    /// broadcasts.
+    /// Clears all state and starts again at another epoch. The groups stay tracked, because the other
+    /// instances wait for their broadcasts.
     pub(crate) fn restart(&mut self, epoch: Time) {
         self.epoch = epoch;
         for group in std::mem::take(&mut self.groups).into_keys() {
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Sends broadcasts of this group from now on, unless there are [`MAX_GROUPS`] already.
+    /// Starts broadcasting for this group, unless [`MAX_GROUPS`] are tracked already.
     pub(crate) fn track(&mut self, group: GroupId) {
         self.group_exchange(group);
     }
 
-    /// Adds a watermark recorded `now` to the next broadcast of its group.
+    /// Adds a watermark recorded at `now` to the next broadcast of its group.
     pub(crate) fn push(&mut self, now: Time, group: GroupId, name_hash: u64, watermark: Watermark) {
         if let Some(exchange) = self.group_exchange(group) {
             exchange.outbox.push(now, BroadcastEntry { name_hash, watermark });
         }
     }
 
-    /// The next broadcast of every group.
+    /// Builds the next broadcast of every group.
     pub(crate) fn next_broadcasts(&mut self, now: Time) -> impl Iterator<Item = WatermarkBroadcast> + '_ {
         self.groups.values_mut().map(move |exchange| exchange.outbox.next_broadcast(now))
     }
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Closes gaps that have been open for longer than `timeout` (microseconds).
+    /// Closes the gaps that have been open for longer than `timeout` (microseconds).
     pub(crate) fn expire_gaps(&mut self, now: Time, timeout: Time) {
         for range in self.groups.values_mut().flat_map(|exchange| &mut exchange.known_ranges) {
             range.expire_gaps(now, timeout);
         }
     }
 
-    /// The known range of each other instance in this group; `None` if the group is not tracked.
+    /// The known ranges of the other instances in this group; `None` if the group is not tracked.
     pub(crate) fn peer_ranges(&self, group: GroupId) -> Option<impl Iterator<Item = &KnownRange>> {
         let own_index = usize::from(self.instance);
         let known_ranges = &self.groups.get(&group)?.known_ranges;
@@ -105,7 +105,7 @@
         )
     }
 
-    /// Gaps closed with an upper bound, over all groups and instances.
+    /// Number of gaps closed with an upper bound, over all groups and instances.
     pub(crate) fn closed_gaps(&self) -> u64 {
         self.groups.values().flat_map(|exchange| &exchange.known_ranges).map(KnownRange::closed_gaps).sum()
     }
@@ -115,6 +115,7 @@
         self.groups.values().map(|exchange| exchange.known_ranges.len()).sum()
     }
 
+    /// The exchange for this group, created if there are fewer than [`MAX_GROUPS`].
     fn group_exchange(&mut self, group: GroupId) -> Option<&mut GroupExchange> {
         if self.groups.len() >= MAX_GROUPS && !self.groups.contains_key(&group) {
             return None;
