--- a/crates/sessions/src/session_memory.rs
+++ b/crates/sessions/src/session_memory.rs
@@ -1,4 +1,4 @@
-//! The watermarks that this instance remembers: exact ones for recent sessions, upper bounds for all others.
+//! The watermarks stored in this instance: exact ones for recent sessions, upper bounds for all others.
 
 use crate::session_key::SessionKey;
 use crate::sketch::MaxSketch;
@@ -8,12 +8,12 @@
 use std::hash::{BuildHasherDefault, Hasher};
 use std::num::NonZeroUsize;
 
-/// What is known of a session.
+/// The stored state of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionEntry {
     /// Its watermark.
     pub watermark: Watermark,
-    /// The watermark covers everything that the session did at any instance before this time (microseconds).
+    /// The watermark covers all of the session's requests at any instance before this time (microseconds).
     pub complete_until: Time,
 }
 
@@ -21,7 +21,7 @@
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 const HASH_ROTATION: u32 = 25;
 
-/// Hashes a key. Its name is a keyed hash already, so this only has to mix in the group.
+/// Hashes a session key. Its name is a keyed hash already, so only the group has to be mixed in.
 #[derive(Clone, Default)]
 pub struct KeyHasher(u64);
 
@@ -42,7 +42,7 @@
 }
 
 /// Watermarks by session. When the exact entries are full, the least recently used one is evicted into a
-/// sketch, which keeps an upper bound of its watermark and forgets how far that is complete.
+/// sketch, which keeps an upper bound of its watermark but not `complete_until`.
 #[derive(Clone)]
 pub struct SessionMemory {
     exact: LruCache<SessionKey, SessionEntry, BuildHasherDefault<KeyHasher>>,
@@ -59,11 +59,11 @@
 }
 
 impl SessionMemory {
-    /// An empty memory for `exact_sessions` sessions, at least one, and a sketch with rows of `sketch_width`
-    /// cells.
+    /// Creates an empty memory with room for `exact_sessions` sessions (at least one) and a sketch with
+    /// `sketch_width` cells per row.
     pub fn new(exact_sessions: usize, sketch_width: usize, secret: u64) -> SessionMemory {
         let capacity = NonZeroUsize::new(exact_sessions).unwrap_or(NonZeroUsize::MIN);
-        // Grown as it fills: most instances never see that many sessions.
+        // Starts unbounded so that it allocates as it fills: most instances never reach the capacity.
         let mut exact = LruCache::unbounded_with_hasher(BuildHasherDefault::default());
         exact.resize(capacity);
         SessionMemory {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// What is known of a session. Without an exact entry it is the sketch's upper bound, which says nothing
-    /// of other instances.
+    /// The state of a session. Without an exact entry it is the upper bound of the sketch, which says nothing
+    /// about requests at other instances.
     pub fn get(&self, key: SessionKey) -> SessionEntry {
         match self.exact.peek(&key) {
             Some(entry) => *entry,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Joins a watermark into what is known of a session and returns the result. `complete_until` is 0 if it
-    /// is unknown what the watermark covers.
+    /// Joins a watermark into the state of a session and returns the joined watermark. `complete_until` is 0
+    /// if it is unknown what the watermark covers.
     pub fn join(&mut self, key: SessionKey, watermark: Watermark, complete_until: Time) -> Watermark {
         let known = self.get(key);
         let entry = SessionEntry {
@@ -99,7 +99,7 @@
         entry.watermark
     }
 
-    /// Corrects watermarks recorded by a wrong clock: caps them at `ceiling` and marks them as incomplete.
+    /// Corrects watermarks recorded with a wrong clock: caps them at `ceiling` and marks them as incomplete.
     pub fn cap_and_mark_incomplete(&mut self, ceiling: Time) {
         for (_, entry) in self.exact.iter_mut() {
             *entry = SessionEntry { watermark: entry.watermark.capped_at(ceiling), complete_until: 0 };
@@ -108,7 +108,7 @@
         self.highest_evicted = self.highest_evicted.capped_at(ceiling);
     }
 
-    /// All exact entries, the most recently used first.
+    /// All exact entries, most recently used first.
     pub fn iter(&self) -> impl Iterator<Item = (SessionKey, SessionEntry)> + '_ {
         self.exact.iter().map(|(key, entry)| (*key, *entry))
     }
@@ -123,7 +123,7 @@
         self.exact.is_empty()
     }
 
-    /// Sessions evicted into the sketch so far.
+    /// Number of sessions evicted into the sketch so far.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
@@ -133,7 +133,8 @@
         self.highest_evicted
     }
 
-    /// Estimated size in bytes, of exact entries with their list links and table slots, and of the sketch.
+    /// Estimated size (bytes) of the exact entries, with their list links and hash table slots, and the
+    /// sketch.
     pub fn bytes(&self) -> usize {
         const LINKS: usize = 2 * std::mem::size_of::<usize>();
         const TABLE_SLOT: usize = 2 * (std::mem::size_of::<usize>() * 2 + 1);
