--- a/crates/sessions/src/session_tokens.rs
+++ b/crates/sessions/src/session_tokens.rs
@@ -1,10 +1,10 @@
-//! The session tokens that a client has set for its connection.
+//! The session tokens that a client has set for a connection.
 
 use crate::token::{Token, TokenError};
 use petrelgauge_policy::GroupId;
 
-/// Maximum number of tokens of a connection. More are rejected: dropping one silently would let a read go
-/// back in time.
+/// Maximum number of tokens per connection. More are rejected, because silently dropping one would allow a
+/// stale read.
 pub const MAX_TOKENS: usize = 16;
 
 const SEPARATOR: char = '+';
@@ -15,7 +15,7 @@
     tokens: Vec<ConnectionToken>,
 }
 
-/// A token that passed its checksum.
+/// A token whose checksum is valid.
 #[derive(Clone, Debug)]
 struct ConnectionToken {
     group: GroupId,
@@ -23,12 +23,12 @@
 }
 
 impl SessionTokens {
-    /// Sets a client's tokens, separated by `+`. They replace all earlier tokens of their groups.
+    /// Sets the tokens in `text`, separated by `+`. They replace all earlier tokens of their groups.
     ///
     /// # Errors
     ///
-    /// Fails with the error of the first token that cannot be decoded, or with [`TokenError::TooMany`].
-    /// Nothing changes then.
+    /// Fails with the error of the first token that cannot be decoded, or with [`TokenError::TooMany`]. The
+    /// tokens are unchanged in that case.
     pub fn set(&mut self, text: &str, secret: u64) -> Result<(), TokenError> {
         let new = parse(text, secret)?;
         let is_replaced = |group| new.iter().any(|token| token.group == group);
