--- a/crates/sessions/src/session_tracker/broadcasts.rs
+++ b/crates/sessions/src/session_tracker/broadcasts.rs
@@ -1,4 +1,4 @@
-//! Watermark broadcasts: sending those that are due and applying those of other instances.
+//! Watermark broadcasts: building those that are due and applying those of other instances.
 
 use crate::session_key::SessionKey;
 use crate::session_tracker::SessionTracker;
@@ -6,8 +6,8 @@
 use petrelgauge_policy::{GroupId, Time};
 
 impl SessionTracker {
-    /// Sends broadcasts of this group from now on, even while nothing is recorded in it. Without them the
-    /// other instances could not know that this one has recorded nothing.
+    /// Starts broadcasting for this group, even while nothing is recorded in it. Otherwise the other
+    /// instances could not tell that this one has recorded nothing.
     pub fn track_group(&mut self, group: GroupId) {
         if self.has_peers() {
             self.peers.track(group);
@@ -18,7 +18,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is no valid broadcast of another instance. It is counted and otherwise ignored.
+    /// Fails if the datagram is not a valid broadcast of another instance. It is counted and otherwise
+    /// ignored.
     pub fn receive(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
         let applied = self.apply_broadcast(now, bytes);
         match applied {
@@ -28,7 +29,7 @@
         applied
     }
 
-    /// The broadcasts that are due, each to be sent to every other instance. Call again at
+    /// Returns the datagrams that are due, each to be sent to every other instance. The next call is due at
     /// [`SessionTracker::next_broadcast_at`].
     pub fn due_broadcasts(&mut self, now: Time) -> Vec<Vec<u8>> {
         if self.next_broadcast_at().is_none_or(|due| now < due) {
@@ -44,14 +45,14 @@
         datagrams
     }
 
-    /// When the next broadcasts are due; `None` without other instances.
+    /// When the next broadcasts are due; `None` if there are no other instances.
     pub fn next_broadcast_at(&self) -> Option<Time> {
         self.has_peers().then(|| self.last_broadcast_at + self.settings.broadcast_interval)
     }
 
     fn apply_broadcast(&mut self, now: Time, bytes: &[u8]) -> Result<(), BroadcastError> {
         let broadcast = WatermarkBroadcast::decode(bytes, self.settings.secret)?;
-        // An interval that ends in the future would cover reads that have not arrived yet.
+        // An interval that ends in the future would also cover reads that have not arrived yet.
         if broadcast.until > self.latest_clock(now) {
             return Err(BroadcastError::InvalidInterval);
         }
@@ -59,7 +60,7 @@
         if instance >= self.settings.instances || instance == self.settings.instance {
             return Err(BroadcastError::UnknownInstance);
         }
-        // The sender's clock may be ahead of this one, and a host's clock ahead of the sender's.
+        // The sender's clock may be ahead of the local one, and a host's clock ahead of the sender's.
         let latest_position = self.latest_position(self.latest_clock(now));
         for entry in &broadcast.entries {
             let key = SessionKey { group: broadcast.sender.group, name_hash: entry.name_hash };
