--- a/crates/sessions/src/session_tracker/mod.rs
+++ b/crates/sessions/src/session_tracker/mod.rs
@@ -1,11 +1,11 @@
-//! The state of session consistency at one instance.
+//! Session consistency state of one instance.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `mod.rs` | the state, and how it starts, restarts and is saved |
-//! | `reads.rs` | minimum positions of reads, verification of answers |
+//! | `mod.rs` | the state: creation, restart, snapshots |
+//! | `reads.rs` | minimum positions of reads and verification of answers |
 //! | `recording.rs` | watermarks of answered reads and writes |
-//! | `tokens.rs` | tokens of clients |
+//! | `tokens.rs` | session tokens of clients |
 //! | `broadcasts.rs` | exchange of watermarks with other instances |
 
 mod broadcasts;
@@ -21,30 +21,30 @@
 use crate::snapshot::{Snapshot, SnapshotKind};
 use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
 
-/// Broadcast intervals after which a missing broadcast is taken for lost.
+/// Number of broadcast intervals after which a missing broadcast counts as lost.
 const GAP_TIMEOUT_INTERVALS: Time = 3;
 
-/// The state of session consistency at one instance. It has no clock: every call takes the current time `now`
-/// in microseconds. Time may go back slightly between calls.
+/// Session consistency state of one instance. It has no clock: every call takes the current time `now` in
+/// microseconds. Time may go back slightly between calls.
 #[derive(Clone, Debug)]
 pub struct SessionTracker {
     settings: Settings,
-    /// Watermarks that this instance recorded up to then may be lost; 0 if none are.
+    /// Watermarks that this instance recorded up to this time may be lost; 0 if none are.
     lost_until: Time,
-    /// Upper bound of the watermarks that the snapshot restored from had omitted.
+    /// Upper bound of the watermarks omitted from the snapshot that was restored.
     omitted_bound: Time,
     memory: SessionMemory,
     peers: PeerExchange,
-    /// When broadcasts were last sent.
+    /// When broadcasts were last built.
     last_broadcast_at: Time,
-    /// Latest time of any call that recorded or sent watermarks.
+    /// Latest time of any call that recorded or broadcast watermarks.
     latest_call_at: Time,
     counts: Counts,
 }
 
 impl SessionTracker {
-    /// Creates a tracker that starts now without a snapshot. Whatever this instance acknowledged before
-    /// counts as lost.
+    /// Creates a tracker without a snapshot. All watermarks that this instance recorded before `now` count as
+    /// lost.
     ///
     /// # Errors
     ///
@@ -63,9 +63,9 @@
         })
     }
 
-    /// Creates a tracker that starts now from a snapshot of any age. Unless that was taken at a clean
-    /// shutdown, what was recorded after it counts as lost. A snapshot from the future was taken by another
-    /// clock and is ignored.
+    /// Creates a tracker from a snapshot of any age. Unless the snapshot was taken at a clean shutdown,
+    /// watermarks recorded after it count as lost. A snapshot from the future was taken with another clock
+    /// and is ignored.
     ///
     /// # Errors
     ///
@@ -90,8 +90,8 @@
         Ok(tracker)
     }
 
-    /// Starts over after the clock was corrected to `now`. Watermarks are kept but count as incomplete, and
-    /// intervals of the other instances are awaited anew.
+    /// Restarts after the clock was corrected to `now`. Watermarks are kept but count as incomplete, and the
+    /// known intervals of the other instances are cleared.
     pub fn restart(&mut self, now: Time) {
         self.memory.cap_and_mark_incomplete(self.latest_clock(now));
         self.peers.restart(now);
@@ -118,12 +118,12 @@
         &self.settings
     }
 
-    /// Counts since the start.
+    /// The counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The watermarks remembered here.
+    /// The watermarks stored in this instance.
     pub fn memory(&self) -> &SessionMemory {
         &self.memory
     }
@@ -133,12 +133,13 @@
         SessionKey::new(self.settings.secret, group, name)
     }
 
-    /// Gaps in the broadcasts of other instances that were closed with an upper bound, over all groups.
+    /// Number of gaps in the broadcasts of other instances that were closed with an upper bound, over all
+    /// groups.
     pub fn closed_gaps(&self) -> u64 {
         self.peers.closed_gaps()
     }
 
-    /// Number of ranges known of other instances, over all groups.
+    /// Number of known ranges of other instances, over all groups.
     pub fn peer_range_count(&self) -> usize {
         self.peers.range_count()
     }
@@ -148,12 +149,12 @@
         self.settings.roams && self.settings.instances > 1
     }
 
-    /// The latest time that any clock may show now.
+    /// The latest time that the clock of any instance or host may show at `now`.
     fn latest_clock(&self, now: Time) -> Time {
         now + self.settings.clock_error
     }
 
-    /// The highest position that a host may report now.
+    /// The highest position that a host may report at `now`.
     fn latest_position(&self, now: Time) -> Time {
         self.latest_clock(now) + self.settings.position_granularity
     }
