--- a/crates/sessions/src/session_tracker/reads.rs
+++ b/crates/sessions/src/session_tracker/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: the minimum position that each needs, and whether an answer proves it.
+//! Minimum positions of reads, and verification of their answers.
 
 use crate::answer_check::{verify, AnswerEvidence, Verdict};
 use crate::minimum_position::{MinimumPosition, PositionSource};
@@ -9,7 +9,7 @@
 use petrelgauge_policy::{GroupId, Time};
 
 impl SessionTracker {
-    /// The minimum position of a read that has just arrived.
+    /// Determines the minimum position of a read that has just arrived.
     pub fn begin_read(&mut self, now: Time, key: SessionKey, token: Option<&Token>) -> MinimumPosition {
         if let Some(minimum) = token.and_then(|token| self.minimum_from_token(now, key, token)) {
             return minimum;
@@ -24,7 +24,7 @@
         minimum
     }
 
-    /// The minimum position of a waiting read, if it is lower than `minimum` by now.
+    /// Determines the minimum position of a waiting read again, and returns it if it is now below `minimum`.
     pub fn recheck_read(
         &mut self,
         now: Time,
@@ -43,7 +43,7 @@
         Some(current)
     }
 
-    /// Whether an answer proves that its data have reached a read's minimum position.
+    /// Checks whether an answer proves that its data have reached the minimum position of a read.
     pub fn verify_answer(&mut self, minimum: &MinimumPosition, answer: &AnswerEvidence) -> Verdict {
         let verdict = verify(&self.settings, minimum, answer);
         if verdict == Verdict::Unproven {
@@ -52,7 +52,7 @@
         verdict
     }
 
-    /// The minimum position by the client's token, if that covers everything that the session did.
+    /// The minimum position from the client's token, if the token covers all earlier requests of the session.
     fn minimum_from_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Option<MinimumPosition> {
         let known = self.merge_token(now, key, token).required_position(self.settings.guarantee);
         let is_recent = now - token.issued_at <= self.settings.token_age;
@@ -64,14 +64,15 @@
         Some(MinimumPosition::from_known(now, known, PositionSource::Token))
     }
 
-    /// The minimum position, by what is known now, of a read without a token that arrived at `arrived_at`.
+    /// The minimum position of a read that arrived at `arrived_at` without a usable token, from what is known
+    /// now.
     fn current_minimum(&self, arrived_at: Time, key: SessionKey) -> MinimumPosition {
         let entry = self.memory.get(key);
-        let remembered = entry.watermark.required_position(self.settings.guarantee).max(self.omitted_bound);
+        let stored = entry.watermark.required_position(self.settings.guarantee).max(self.omitted_bound);
         if !self.settings.conservative {
-            return MinimumPosition::from_known(arrived_at, remembered, PositionSource::LocalMemory);
+            return MinimumPosition::from_known(arrived_at, stored, PositionSource::LocalMemory);
         }
-        let known = remembered.max(self.lost_bound(&entry));
+        let known = stored.max(self.lost_bound(&entry));
         if !self.settings.roams {
             return MinimumPosition::from_known(arrived_at, known, PositionSource::LocalMemory);
         }
@@ -82,7 +83,7 @@
     }
 
     /// Upper bound of the watermarks that this instance recorded for a session and has lost; 0 if there are
-    /// none. They were committed before this run began.
+    /// none. They were committed before `lost_until`.
     fn lost_bound(&self, entry: &SessionEntry) -> Time {
         let is_complete = entry.complete_until >= self.lost_until;
         if is_complete {
@@ -92,8 +93,9 @@
         }
     }
 
-    /// Upper bound of what other instances may have recorded for a session without this one knowing; `None`
-    /// unless their broadcasts cover the time `arrived_at`. Their clocks may be ahead of this one's.
+    /// Upper bound of the watermarks that other instances may have recorded for a session and that this one
+    /// has not received; `None` unless their broadcasts cover the time `arrived_at`. Their clocks may be
+    /// ahead of the local one.
     fn peer_bound(&self, arrived_at: Time, group: GroupId, entry: &SessionEntry) -> Option<Time> {
         if self.settings.instances < 2 {
             return None;
