--- a/crates/sessions/src/session_tracker/tokens.rs
+++ b/crates/sessions/src/session_tracker/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens of clients: decoding, issuing and merging them.
+//! Session tokens of clients: decoding, issuing and merging.
 
 use crate::session_key::SessionKey;
 use crate::session_tracker::SessionTracker;
@@ -24,7 +24,7 @@
         Ok(token)
     }
 
-    /// The token to send with an answer of this session, if tokens are enabled.
+    /// Issues the token to send with an answer of this session, if tokens are enabled.
     pub fn issue_token(&self, now: Time, key: SessionKey) -> Option<String> {
         if !self.settings.tokens {
             return None;
@@ -33,9 +33,9 @@
         Some(Token { key, watermark, issued_at: now }.encode(self.settings.secret))
     }
 
-    /// Merges the token of a request into what is known of the session; the token of the answer will replace
+    /// Merges the token of a request into the state of its session, because the token of the answer replaces
     /// it at the client. A forged token can raise the minimum position of its own session up to the current
-    /// time, and affects no other session.
+    /// time, but affects no other session.
     pub fn merge_token(&mut self, now: Time, key: SessionKey, token: &Token) -> Watermark {
         let latest_clock = self.latest_clock(now);
         let watermark = token.watermark.capped_at(latest_clock);
