--- a/crates/sessions/src/settings.rs
+++ b/crates/sessions/src/settings.rs
@@ -1,14 +1,14 @@
-//! Settings of session consistency, and their validation.
+//! Session consistency settings and their validation.
 
 use petrelgauge_policy::Time;
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Maximum number of instances that exchange watermarks. Each costs some state per group.
+/// Maximum number of instances that exchange watermarks. Each adds state to every group.
 pub const MAX_INSTANCES: u16 = 1024;
-/// Maximum clock error (microseconds). Twice that is less than any failover of a primary takes.
+/// Maximum clock error (microseconds). Every failover of a primary takes longer than twice this time.
 pub const MAX_CLOCK_ERROR: Time = 100_000;
-/// Maximum number of sessions whose watermarks are kept exactly.
+/// Maximum number of sessions whose watermarks are stored exactly.
 pub const MAX_EXACT_SESSIONS: usize = 16 * 1024 * 1024;
 
 const MAX_SKETCH_WIDTH: usize = 1 << 24;
@@ -16,71 +16,73 @@
 const POSITION_GRANULARITIES: RangeInclusive<Time> = 1..=10_000;
 /// Valid broadcast intervals (microseconds).
 const BROADCAST_INTERVALS: RangeInclusive<Time> = 1_000..=10_000_000;
-/// Valid read waits (microseconds).
+/// Valid values of the longest read wait (microseconds).
 const READ_WAITS: RangeInclusive<Time> = 0..=1_000_000;
 
-/// What is promised to a session.
+/// The consistency guarantee of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionGuarantee {
-    /// Read-your-writes: its reads see its writes.
+    /// Read-your-writes: a read sees all earlier writes of its session.
     ReadYourWrites,
-    /// Read-your-writes and monotonic reads: no read sees less than an earlier one did.
+    /// Read-your-writes and monotonic reads: a read also sees everything that earlier reads of its session
+    /// saw.
     ReadYourWritesAndMonotonicReads,
 }
 
-/// What the position reported with an answer refers to.
+/// What the position that is reported with an answer refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionScope {
-    /// The data that were read.
+    /// The data that was read.
     DataRead,
-    /// The host when it answered; the data may be older. Only positions reported before the read was sent
-    /// count.
+    /// The host at the time of the answer; the data may be older. Only positions reported before the read was
+    /// sent are proof.
     HostAtAnswer,
 }
 
-/// How sessions are tracked. Durations in microseconds.
+/// Session consistency settings. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// What is promised to a session.
+    /// The consistency guarantee of a session.
     pub guarantee: SessionGuarantee,
     /// What a reported position refers to.
     pub position_scope: PositionScope,
-    /// Whether hosts report positions. If not, a primary's answer proves any minimum position.
+    /// Whether hosts report positions. If not, an answer of a primary proves any minimum position.
     pub hosts_report_positions: bool,
-    /// Whether hosts reject reads for which they lag too far. If so, and if they report no positions, any
-    /// answer proves its minimum position.
+    /// Whether hosts reject reads for which they lag too far. If they do, and if they report no positions,
+    /// any answer proves its minimum position.
     pub hosts_enforce_positions: bool,
-    /// Whether reads require everything that may have been acknowledged. If not, they require only what is
-    /// known, and a session can miss something after a restart or at another instance.
+    /// Whether reads require everything that their session may have seen. If not, they require only what is
+    /// known, and a session can get a stale read after a restart or at another instance.
     pub conservative: bool,
-    /// Whether a session may use more than one instance.
+    /// Whether a session may use several instances.
     pub roams: bool,
     /// Whether clients carry tokens and return the newest one with every request.
     pub tokens: bool,
-    /// Instances that exchange watermarks, including this one; 0 where none do.
+    /// Number of instances that exchange watermarks, including this one; 0 if none do.
     pub instances: u16,
-    /// Number of this instance among them, from 0.
+    /// Number of this instance among them, counted from 0.
     pub instance: u16,
-    /// Number of sessions whose watermarks are kept exactly. All others share the cells of a sketch.
+    /// Number of sessions whose watermarks are stored exactly. All others share the cells of a sketch.
     pub exact_sessions: usize,
     /// Number of cells in each row of the sketch, a power of two.
     pub sketch_width: usize,
-    /// Age after which a token no longer covers everything that its session did.
+    /// Age after which a token no longer counts as covering all earlier requests of its session.
     pub token_age: Time,
-    /// Maximum difference of two clocks, of instances or hosts.
+    /// Maximum difference between any two clocks of instances or hosts.
     pub clock_error: Time,
-    /// Step to which hosts round positions down and commits up.
+    /// Step to which hosts round positions down and commit times up.
     pub position_granularity: Time,
     /// Time between two broadcasts of a group.
     pub broadcast_interval: Time,
     /// Maximum time that a read waits for a replica to reach its minimum position.
     pub max_read_wait: Time,
-    /// Key of hashes and checksums, the same at all instances.
+    /// Key of the hashes and checksums; the same at all instances.
     pub secret: u64,
 }
 
 impl Default for Settings {
-    /// Exact watermarks take some 100 bytes each, the sketch 16 bytes per cell: 27 MB and 2 MB.
+    /// The defaults use 27 MB for exact watermarks (about 100 bytes each) and 2 MB for the sketch (16 bytes
+    /// per cell).
     fn default() -> Settings {
         Settings {
             guarantee: SessionGuarantee::ReadYourWritesAndMonotonicReads,
@@ -104,35 +106,35 @@
     }
 }
 
-/// Why settings are invalid. The texts are shown with the line of the operator's file.
+/// Reason why settings are invalid. The texts are shown with the line of the operator's file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// [`Settings::exact_sessions`] is out of range.
-    #[error("exact watermarks are from 1 to {MAX_EXACT_SESSIONS}, not {0}")]
+    #[error("the number of exact watermarks must be from 1 to {MAX_EXACT_SESSIONS}, not {0}")]
     ExactSessions(usize),
     /// [`Settings::sketch_width`] is out of range.
-    #[error("the summary has a power of two of cells, {MAX_SKETCH_WIDTH} at most, not {0}")]
+    #[error("the number of cells must be a power of two of at most {MAX_SKETCH_WIDTH}, not {0}")]
     SketchWidth(usize),
     /// [`Settings::token_age`] is not positive.
-    #[error("the age of a token is over 0, not {0} us")]
+    #[error("the maximum age of a token must be more than 0, not {0} us")]
     TokenAge(Time),
     /// [`Settings::clock_error`] is out of range.
-    #[error("clocks differ by 0 to 100 ms, not by {0} us")]
+    #[error("the clock error must be from 0 to 100 ms, not {0} us")]
     ClockError(Time),
     /// [`Settings::position_granularity`] is out of range.
-    #[error("positions are rounded to 1 us to 10 ms, not to {0} us")]
+    #[error("the position granularity must be from 1 us to 10 ms, not {0} us")]
     PositionGranularity(Time),
     /// [`Settings::broadcast_interval`] is out of range.
-    #[error("broadcasts go out every 1 ms to 10 s, not every {0} us")]
+    #[error("the broadcast interval must be from 1 ms to 10 s, not {0} us")]
     BroadcastInterval(Time),
     /// [`Settings::max_read_wait`] is out of range.
-    #[error("a read is held for 0 to 1 s, not for {0} us")]
+    #[error("a read can be held for 0 to 1 s, not for {0} us")]
     ReadWait(Time),
     /// [`Settings::instances`] is out of range.
-    #[error("at most {MAX_INSTANCES} instances exchange watermarks, not {0}")]
+    #[error("at most {MAX_INSTANCES} instances can exchange watermarks, not {0}")]
     TooManyInstances(u16),
     /// [`Settings::instance`] is not below [`Settings::instances`].
-    #[error("instance {instance} is none of {instances}")]
+    #[error("instance number {instance} is not below the number of instances, {instances}")]
     Instance {
         /// Number of this instance.
         instance: u16,
@@ -142,7 +144,7 @@
 }
 
 impl Settings {
-    /// Validates all values.
+    /// Checks that every value is in its range.
     ///
     /// # Errors
     ///
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -225,7 +225,7 @@
         |settings: Settings| settings.check().err().map(|cause| cause.to_string()).unwrap_or_default();
     assert!(reason(Settings { sketch_width: 1000, ..settings(0, 0) }).contains("power of two"));
     assert!(reason(Settings { exact_sessions: 0, ..settings(0, 0) }).contains("exact"));
-    assert!(reason(settings(3, 3)).contains("instance 3 is none of 3"));
+    assert!(reason(settings(3, 3)).contains("instance number 3 is not below the number of instances, 3"));
     assert_eq!(reason(settings(3, 2)), "");
 }
 
