--- a/crates/sessions/src/sketch.rs
+++ b/crates/sessions/src/sketch.rs
@@ -1,19 +1,19 @@
-//! A max-sketch: a fixed-size summary of many watermarks that only errs upward. It is the count-min sketch of
-//! Cormode and Muthukrishnan (2005) with maxima in place of sums.
+//! A max-sketch: a fixed-size summary of many watermarks that never underestimates. It is the count-min
+//! sketch of Cormode and Muthukrishnan (2005) with maxima in place of sums.
 
 use crate::session_key::SessionKey;
 use crate::watermark::Watermark;
 use petrelgauge_policy::Time;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rows of the sketch, each with a hash of its own.
+/// Number of rows of the sketch, each with its own hash.
 pub const ROWS: usize = 2;
 
-/// Rows of cells, each with the highest watermark of all keys hashed onto it. The bound of a key is the
-/// lowest of its cells.
+/// Rows of cells. Each cell holds the highest watermark of all keys that hash to it, and the upper bound of a
+/// key is the lowest of its cells.
 ///
-/// The bound is never below the highest watermark inserted for the key. It is above if in every row a key
-/// with a higher watermark shares the key's cell; [`overestimate_rate`] predicts how often.
+/// The bound is never below the highest watermark inserted for the key. It is above that if, in every row, a
+/// key with a higher watermark shares the key's cell; [`overestimate_rate`] predicts how often this happens.
 #[derive(Clone)]
 pub struct MaxSketch {
     cells: Vec<Watermark>,
@@ -22,7 +22,7 @@
 }
 
 impl std::fmt::Debug for MaxSketch {
-    /// Shows only the cells in use, by index.
+    /// Formats only the cells in use, by index.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let used = self.cells.iter().enumerate().filter(|(_, watermark)| **watermark != Watermark::NONE);
         f.debug_map().entries(used).finish()
@@ -30,7 +30,7 @@
 }
 
 impl MaxSketch {
-    /// An empty sketch with rows of `width` cells, a power of two.
+    /// Creates an empty sketch with `width` cells per row, a power of two.
     pub fn new(width: usize, seed: u64) -> MaxSketch {
         debug_assert!(width.is_power_of_two());
         MaxSketch { cells: vec![Watermark::NONE; ROWS * width], width, seed }
@@ -44,7 +44,8 @@
         debug_assert!(self.upper_bound(key).covers(watermark));
     }
 
-    /// Caps every cell, if no watermark inserted was really above `ceiling`.
+    /// Caps every cell at `ceiling`. The cells remain upper bounds only if no true watermark is above
+    /// `ceiling`.
     pub fn cap(&mut self, ceiling: Time) {
         self.cells.iter_mut().for_each(|cell| *cell = cell.capped_at(ceiling));
     }
@@ -55,7 +56,7 @@
         Watermark { written: first.written.min(second.written), read: first.read.min(second.read) }
     }
 
-    /// Size of the cells in bytes.
+    /// Size of the cells (bytes).
     pub fn bytes(&self) -> usize {
         self.cells.len() * std::mem::size_of::<Watermark>()
     }
@@ -72,8 +73,9 @@
     }
 }
 
-/// Expected share of keys whose bound is above their own watermark, if `higher` keys with higher watermarks
-/// were inserted into rows of `width` cells: in every row at least one of them shares the key's cell.
+/// Expected fraction of keys whose bound is above their own watermark, after `higher` keys with higher
+/// watermarks were inserted into rows of `width` cells: those for which in every row at least one of the
+/// higher keys shares the cell.
 pub fn overestimate_rate(higher: f64, width: usize) -> f64 {
     let collision = 1.0 - (-higher / width as f64).exp();
     collision.powi(ROWS as i32)
