--- a/crates/sessions/src/token.rs
+++ b/crates/sessions/src/token.rs
@@ -1,5 +1,5 @@
-//! Session tokens: a session's watermark in one group, carried by the client; opaque, versioned and
-//! checksummed.
+//! Session tokens. A token carries the watermark of a session in one group and is held by the client. It is
+//! opaque, versioned and has a checksum.
 
 use crate::encoding::{
     ceil_milliseconds, checksum, floor_milliseconds, push_milliseconds, push_name_hash, FieldReader,
@@ -12,42 +12,42 @@
 use petrelgauge_policy::{GroupId, Time};
 use thiserror::Error;
 
-/// Version of the encoding, the only one that is decoded.
+/// Version of the encoding. No other version can be decoded.
 pub const VERSION: u8 = 1;
 
-/// What a client sends instead of a token with the first request of a session.
+/// Sent by clients instead of a token with the first request of a session.
 pub const NEW_SESSION: &str = "new";
 
 const VERSION_BYTES: usize = 1;
 const GROUP_BYTES: usize = 8;
-/// Version, group, name, `written`, `read`, `issued_at`.
+/// Fields: version, group, name, `written`, `read`, `issued_at`.
 const BODY_BYTES: usize = VERSION_BYTES + GROUP_BYTES + NAME_HASH_BYTES + 3 * TIME_BYTES;
 const BYTES: usize = BODY_BYTES + CHECKSUM_BYTES;
-/// Characters of a token: its bytes in base64 without padding.
+/// Length of a token in characters: its bytes in base64 without padding.
 const TEXT_LENGTH: usize = BYTES.div_ceil(3) * 4 - (3 - BYTES % 3) % 3;
 
-/// A decoded token. Times in microseconds, whole milliseconds when encoded: the watermark is rounded up and
-/// the time of issue down, so that rounding never claims that more is covered.
+/// A decoded token. Times are in microseconds and are encoded as milliseconds. The watermark is rounded up
+/// and the time of issue down, so that a rounded token never covers more than the exact one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
     /// Session and group.
     pub key: SessionKey,
     /// The session's watermark.
     pub watermark: Watermark,
-    /// When it was issued. The watermark covers everything that the session did before.
+    /// When the token was issued. The watermark covers all earlier requests of the session.
     pub issued_at: Time,
 }
 
-/// Why a token cannot be used. The texts are sent to clients.
+/// Reason why a token cannot be used. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
-    /// Wrong length or characters.
+    /// Its length or its characters are invalid.
     #[error("the session token is not one of this gateway")]
     Malformed,
-    /// A version that this program does not know.
+    /// Its version is not supported.
     #[error("the session token has a version that is not known here")]
     UnsupportedVersion,
-    /// The checksum does not match: it was altered, or made with another secret.
+    /// Its checksum does not match: the token was altered, or encoded with another secret.
     #[error("the session token does not pass its check")]
     InvalidChecksum,
     /// It belongs to another session.
@@ -56,7 +56,7 @@
     /// It belongs to another group.
     #[error("the session token is of another cluster")]
     WrongGroup,
-    /// There are more than a connection may hold.
+    /// More than [`crate::MAX_TOKENS`] tokens are set for a connection.
     #[error("more session tokens are set than a connection may hold")]
     TooMany,
     /// Tokens are disabled by the settings.
@@ -65,7 +65,7 @@
 }
 
 impl Token {
-    /// The token of a session that has seen nothing yet; clients send [`NEW_SESSION`] for it.
+    /// Creates the token of a session without earlier requests. Clients send [`NEW_SESSION`] for it.
     pub fn new_session(key: SessionKey, now: Time) -> Token {
         Token { key, watermark: Watermark::NONE, issued_at: now }
     }
@@ -106,9 +106,9 @@
         Ok(decode_fields(&body[VERSION_BYTES..]))
     }
 
-    /// Merges two tokens of the same session: the join of both watermarks, with the later time of issue. A
-    /// client with several requests in flight holds several tokens; the token of an answer replaces those
-    /// sent with its request.
+    /// Merges two tokens of the same session: joins their watermarks and takes the later time of issue. A
+    /// client with several requests in flight holds several tokens, because the token of an answer replaces
+    /// only those sent with its request.
     #[must_use]
     pub fn join(self, other: Token) -> Token {
         let newer = if other.issued_at > self.issued_at { other } else { self };
