--- a/crates/sessions/src/watermark_broadcast.rs
+++ b/crates/sessions/src/watermark_broadcast.rs
@@ -1,6 +1,6 @@
 //! Watermark broadcasts: datagrams of at most 256 bytes in which an instance sends the watermarks of one
-//! group to the others. They may be lost, delayed, repeated or reordered. Each holds every watermark that its
-//! instance recorded in one interval, or an upper bound of those that it omits.
+//! group to the others. They may be lost, delayed, duplicated or reordered. Each contains every watermark
+//! that the instance recorded in one interval, or an upper bound of those that it omits.
 
 use crate::encoding::{
     ceil_milliseconds, checksum, floor_milliseconds, push_milliseconds, push_name_hash,
@@ -12,29 +12,29 @@
 
 /// Maximum length of a datagram (bytes).
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Version of the encoding. Others are rejected, since they may give the same bytes another meaning.
+/// Version of the encoding. Other versions are rejected, because they may encode other fields.
 pub const VERSION: u8 = 1;
 
 const VERSION_BYTES: usize = 1;
 const INSTANCE_BYTES: usize = 2;
 const GROUP_BYTES: usize = 8;
 const COUNT_BYTES: usize = 1;
-/// Version, instance, group, `epoch`, `from`, `until`, `omitted_bound`, number of entries.
+/// Fields: version, instance, group, `epoch`, `from`, `until`, `omitted_bound`, number of entries.
 const HEADER_BYTES: usize = VERSION_BYTES + INSTANCE_BYTES + GROUP_BYTES + 4 * TIME_BYTES + COUNT_BYTES;
 const AGE_BYTES: usize = 2;
-/// Name, age of `written`, age of `read`.
+/// Fields: name, age of `written`, age of `read`.
 const ENTRY_BYTES: usize = NAME_HASH_BYTES + 2 * AGE_BYTES;
 /// Maximum number of entries in one datagram.
 pub const MAX_ENTRIES: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / ENTRY_BYTES;
 
-/// Watermarks are encoded as ages relative to a reference time, which is this long after the end of the
-/// interval (milliseconds).
+/// Offset (milliseconds) of the reference time from the end of the interval. Watermarks are encoded as ages
+/// relative to the reference time.
 const REFERENCE_OFFSET_MS: u64 = 2_000;
-/// Encodes a missing component of a watermark.
+/// The encoding of a missing watermark component.
 const ABSENT: u16 = u16::MAX;
-/// Maximum age (milliseconds). Older watermarks are encoded with this age, which only raises them.
+/// Maximum age (milliseconds). Older watermarks are encoded with this age, which can only raise them.
 const MAX_AGE_MS: u64 = ABSENT as u64 - 1;
-/// Keeps the checksum apart from a token's under the same secret.
+/// Makes the checksum differ from that of a token under the same secret.
 const CHECKSUM_SEED: u64 = 0xB111_E714;
 
 /// The sender of a broadcast.
@@ -57,7 +57,7 @@
     pub watermark: Watermark,
 }
 
-/// One datagram. Times in microseconds, whole milliseconds when encoded.
+/// One broadcast datagram. Times are in microseconds and are encoded as milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatermarkBroadcast {
     /// Its sender.
@@ -66,35 +66,35 @@
     pub from: Time,
     /// End of the interval, inclusive.
     pub until: Time,
-    /// Upper bound of the watermarks omitted in this and in earlier broadcasts.
+    /// Upper bound of the watermarks omitted from this broadcast and earlier ones.
     pub omitted_bound: Time,
-    /// Watermarks recorded in the interval, [`MAX_ENTRIES`] at most.
+    /// Watermarks recorded in the interval, at most [`MAX_ENTRIES`].
     pub entries: Vec<BroadcastEntry>,
 }
 
-/// Why a datagram was rejected.
+/// Reason why a datagram was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BroadcastError {
-    /// Too short, too long, or of another length than its number of entries needs.
+    /// Too short, too long, or the length does not match the number of entries.
     #[error("the datagram has an invalid length")]
     Malformed,
-    /// A version that this program does not know.
+    /// The version is not supported.
     #[error("the datagram has an unsupported version")]
     UnsupportedVersion,
-    /// The checksum does not match: garbage, or another secret.
+    /// The checksum does not match: the datagram is corrupt, or encoded with another secret.
     #[error("the datagram has an invalid checksum")]
     InvalidChecksum,
     /// The interval ends before it starts, or in the future.
     #[error("the datagram has an invalid interval")]
     InvalidInterval,
-    /// Sent by an instance that does not exchange watermarks, or by this one.
+    /// Sent by this instance, or by one that does not exist.
     #[error("the datagram was not sent by another instance")]
     UnknownInstance,
 }
 
 impl WatermarkBroadcast {
-    /// Encodes the broadcast. Watermarks are rounded up. Entries beyond [`MAX_ENTRIES`] are left out; the
-    /// caller must have covered them by `omitted_bound`.
+    /// Encodes the broadcast. Watermarks are rounded up. Entries beyond [`MAX_ENTRIES`] are dropped; the
+    /// caller must have included them in `omitted_bound`.
     pub fn encode(&self, secret: u64) -> Vec<u8> {
         debug_assert!(self.entries.len() <= MAX_ENTRIES);
         let entries = &self.entries[..self.entries.len().min(MAX_ENTRIES)];
@@ -116,8 +116,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with any error except [`BroadcastError::UnknownInstance`]: which instances exist is known to the
-    /// caller.
+    /// Fails with any error except [`BroadcastError::UnknownInstance`], which only the caller can detect.
     pub fn decode(bytes: &[u8], secret: u64) -> Result<WatermarkBroadcast, BroadcastError> {
         let body = verified_body(bytes, secret)?;
         let mut reader = FieldReader::new(&body[VERSION_BYTES..]);
@@ -140,8 +139,8 @@
         Ok(WatermarkBroadcast { sender, from, until, omitted_bound, entries })
     }
 
-    /// Whether a watermark can be encoded in an interval that ends at `until`. One too far ahead of it
-    /// cannot.
+    /// Whether a watermark can be encoded in an interval that ends at `until`. Watermarks later than the
+    /// reference time cannot.
     pub fn can_encode(watermark: Watermark, until: Time) -> bool {
         ceil_milliseconds(watermark.written.max(watermark.read)) <= reference_milliseconds(until)
     }
@@ -158,7 +157,7 @@
     }
 }
 
-/// The datagram without its checksum, if length, version and checksum are valid.
+/// Returns the datagram without its checksum, if its length, version and checksum are valid.
 fn verified_body(bytes: &[u8], secret: u64) -> Result<&[u8], BroadcastError> {
     if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(BroadcastError::Malformed);
