--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,40 +1,41 @@
 //! Session consistency across gateways: read-your-writes and monotonic reads for each session, through any
-//! gateway instance and after any restart. Where something is unknown, the required position is
+//! gateway instance and across restarts. Where information is missing, the required position is
 //! overestimated, never underestimated.
 //!
-//! **What it decides.** Which log position the data of a read must have reached, its minimum position
-//! ([`SessionTracker::begin_read`]); whether a lower one is enough by now ([`SessionTracker::recheck_read`]);
-//! and whether an answer proves it ([`SessionTracker::verify_answer`]). It learns from answers
-//! ([`SessionTracker::record_read`], [`SessionTracker::record_write`],
-//! [`SessionTracker::record_unconfirmed_write`]), from clients' tokens, from watermark broadcasts of other
-//! instances, and from a snapshot. The routing policy, which chooses the host, gets the minimum position as a
-//! commit that must be visible. There is no clock and no I/O here: every call takes the current time.
+//! **Decisions.** This crate determines the log position that the data of a read must have reached, its
+//! minimum position ([`SessionTracker::begin_read`]); whether a lower one has become sufficient
+//! ([`SessionTracker::recheck_read`]); and whether an answer proves it ([`SessionTracker::verify_answer`]).
+//! The inputs are answers ([`SessionTracker::record_read`], [`SessionTracker::record_write`],
+//! [`SessionTracker::record_unconfirmed_write`]), tokens of clients, watermark broadcasts of other instances,
+//! and a snapshot. The routing policy, which chooses the host, gets the minimum position as a commit that
+//! must be visible. The crate uses no clock and no I/O: every call takes the current time.
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | `session_key`, `watermark` | identity of a session, and what it has seen |
+//! | `session_key`, `watermark` | identity of a session, and the positions that it has seen |
 //! | `session_tracker` | the state of one instance: reads, writes, tokens, broadcasts |
-//! | `minimum_position`, `answer_check` | the position that a read needs, and whether an answer proves it |
+//! | `minimum_position`, `answer_check` | the position that a read requires, and the check of its answer |
 //! | `session_memory`, `sketch` | exact watermarks of recent sessions, an upper bound for all others |
-//! | `token`, `session_tokens` | the client's copy of a watermark, and the tokens set for a connection |
+//! | `token`, `session_tokens` | the watermark held by a client, and the tokens set for a connection |
 //! | `peer_exchange`, `outbox`, `watermark_broadcast`, `known_range` | exchange of watermarks between instances |
-//! | `snapshot` | the state that survives a restart |
+//! | `snapshot` | the state that is kept across a restart |
 //! | `settings`, `counts` | configuration and counters |
 //!
-//! **States.** A read's minimum position rests on a [`PositionSource`]: the client's token, local memory, or
-//! the broadcasts of all other instances. Otherwise it is unknown, and the read needs everything committed
-//! before it arrived, until the broadcasts cover the time of its arrival and a recheck lowers the position.
+//! **States.** The minimum position of a read comes from a [`PositionSource`]: the client's token, local
+//! memory, or the broadcasts of all other instances. Without any of them it is unknown, and the read requires
+//! everything committed before it arrived, until the broadcasts cover its arrival and a recheck lowers the
+//! position.
 //!
 //! **Bounds.** Exact watermarks: [`Settings::exact_sessions`]. Sketch: two rows of [`Settings::sketch_width`]
-//! cells. Groups whose watermarks are exchanged: [`MAX_GROUPS`]; each has 32 datagrams' worth of pending
-//! watermarks, and four pending intervals per other instance. A datagram has at most [`MAX_DATAGRAM_BYTES`]
-//! bytes, a token 48 characters.
+//! cells. Groups whose watermarks are exchanged: [`MAX_GROUPS`]; each holds at most as many pending
+//! watermarks as fit into 32 datagrams, and four pending intervals per other instance. A datagram has at most
+//! [`MAX_DATAGRAM_BYTES`] bytes, a token 48 characters.
 //!
 //! **Guarantee.** If clients return every token that no later answer has replaced, or none at all, then no
 //! answer accepted by [`SessionTracker::verify_answer`] is older than what its session had seen when the read
-//! arrived: whichever datagrams are lost, delayed or repeated and whichever instances restart, as long as no
-//! two clocks differ by more than [`Settings::clock_error`]. `docs/design/sessions.md` has the proof for each
-//! source.
+//! arrived. This holds whichever datagrams are lost, delayed or duplicated and whichever instances restart,
+//! as long as no two clocks differ by more than [`Settings::clock_error`]. `docs/design/sessions.md` contains
+//! the proof for each source.
 //!
 //! ```
 //! use petrelgauge_sessions::{AnswerEvidence, PositionSource, SessionTracker, Settings, Verdict};
@@ -46,7 +47,7 @@
 //! let key = first.session_key(2, "member-17");
 //! first.record_write(5_010_000, key, 5_000_000, Some(5_004_000));
 //! let token = first.issue_token(5_010_000, key).expect("tokens are enabled");
-//! // A read reaches the second gateway 2 ms later and needs exactly that commit.
+//! // A read reaches the second gateway 2 ms later and requires exactly that commit.
 //! let token = second.parse_token(5_012_000, &token, key)?;
 //! let minimum = second.begin_read(5_012_000, key, Some(&token));
 //! assert_eq!((minimum.source, minimum.position()), (PositionSource::Token, 5_004_000));
@@ -55,7 +56,7 @@
 //! };
 //! assert_eq!(answer_at(5_003_000), Verdict::Unproven);
 //! assert_eq!(answer_at(5_004_000), Verdict::Proven);
-//! // Another session without a token needs everything that was committed before its read arrived.
+//! // Another session without a token requires everything committed before its read arrived.
 //! let other = second.session_key(2, "member-18");
 //! assert_eq!(second.begin_read(5_012_000, other, None).position(), 5_012_000);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
