--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -9,15 +9,15 @@
 use std::collections::BTreeMap;
 
 pub const MS: Time = 1_000;
-pub const G: u64 = 2;
+pub const GROUP: u64 = 2;
 
 /// Parameters of a run.
 #[derive(Clone)]
 pub struct Scenario {
     pub settings: Settings,
     pub instances: u16,
-    pub loss: f64,
-    pub restarts: f64,
+    pub loss_probability: f64,
+    pub restart_probability: f64,
     /// Whether clients return their tokens.
     pub tokens: bool,
     pub steps: usize,
@@ -27,22 +27,22 @@
 /// An injected fault that the oracle must detect.
 #[derive(Clone, Copy, PartialEq)]
 pub enum InjectedFault {
-    Nothing,
+    None,
     /// A restarted instance ignores that it has lost watermarks.
-    WatermarkLossForgotten,
+    WatermarkLossIgnored,
     /// An old snapshot passes for one of a clean shutdown.
-    AgeForgotten,
+    SnapshotAgeIgnored,
     /// A token's watermark is ignored, as a forged token's could be.
-    TokenUnverified,
+    TokenWatermarkIgnored,
     /// A broadcast claims to cover everything since its instance started.
-    GapIgnored,
+    BroadcastGapIgnored,
     /// A snapshot's watermarks replace higher ones instead of being joined.
-    MergeTakesNewer,
+    SnapshotReplacesWatermarks,
 }
 
 /// What a session has really seen.
 #[derive(Clone, Copy, Default)]
-struct Truth {
+struct SeenPositions {
     written: Time,
     read: Time,
 }
@@ -50,23 +50,23 @@
 /// A read that waits for its answer.
 struct Read {
     answered_at: Time,
-    place: usize,
-    run: u32,
+    instance_index: usize,
+    restart_count: u32,
     name: u64,
     key: SessionKey,
     minimum: MinimumPosition,
     /// The tokens in its request.
-    held: Vec<String>,
+    request_tokens: Vec<String>,
     /// What its session had seen when it arrived.
-    seen_before: Truth,
+    seen_at_arrival: SeenPositions,
 }
 
 struct Instance {
-    runs: u32,
+    restart_count: u32,
     tracker: SessionTracker,
     /// How far its clock is ahead.
     clock_offset: Time,
-    saved: Option<Snapshot>,
+    last_running_snapshot: Option<Snapshot>,
 }
 
 /// Counts of a run.
@@ -78,11 +78,11 @@
     /// Reads whose answer from a replica was accepted.
     pub by_replicas: usize,
     /// Of these, reads whose minimum position came from the broadcasts of other instances.
-    pub by_replicas_known_from_peers: usize,
+    pub by_replicas_via_broadcasts: usize,
     /// Answers of the primary that were rejected.
-    pub blocked: usize,
+    pub primary_unproven: usize,
     /// Answers of a deposed primary that were accepted although they lacked something.
-    pub deposed: usize,
+    pub deposed_primary_stale: usize,
 }
 
 pub fn settings(instances: u16, instance: u16) -> Settings {
@@ -117,7 +117,7 @@
     rng: Pcg64Mcg,
     now: Time,
     instances: Vec<Instance>,
-    truth: BTreeMap<u64, Truth>,
+    seen_by_session: BTreeMap<u64, SeenPositions>,
     tokens: BTreeMap<u64, Vec<String>>,
     in_flight: Vec<Datagram>,
     open_reads: Vec<Read>,
@@ -133,7 +133,7 @@
             let clock_offset = if error > 0 { rng.random_range(0..=error) } else { 0 };
             let settings = Settings { instance, ..scenario.settings.clone() };
             let tracker = SessionTracker::new(settings, now + clock_offset).expect("valid settings");
-            Instance { runs: 0, tracker, clock_offset, saved: None }
+            Instance { restart_count: 0, tracker, clock_offset, last_running_snapshot: None }
         });
         let instances = instances.collect();
         Simulation {
@@ -141,7 +141,7 @@
             rng,
             now,
             instances,
-            truth: BTreeMap::new(),
+            seen_by_session: BTreeMap::new(),
             tokens: BTreeMap::new(),
             in_flight: Vec::new(),
             open_reads: Vec::new(),
@@ -154,26 +154,32 @@
         self.send_broadcasts();
         self.deliver_broadcasts();
         self.answer_due_reads();
-        if self.rng.random_bool(self.scenario.restarts) {
-            let place = self.rng.random_range(0..self.instances.len());
-            let settings = Settings { instance: place as u16, ..self.scenario.settings.clone() };
-            restart(&mut self.instances[place], settings, self.now, self.scenario.fault, &mut self.rng);
+        if self.rng.random_bool(self.scenario.restart_probability) {
+            let instance_index = self.rng.random_range(0..self.instances.len());
+            let settings = Settings { instance: instance_index as u16, ..self.scenario.settings.clone() };
+            restart(
+                &mut self.instances[instance_index],
+                settings,
+                self.now,
+                self.scenario.fault,
+                &mut self.rng,
+            );
         }
         self.request();
     }
 
     fn send_broadcasts(&mut self) {
         let secret = self.scenario.settings.secret;
-        for place in 0..self.instances.len() {
-            let local = self.now + self.instances[place].clock_offset;
-            for bytes in self.instances[place].tracker.due_broadcasts(local) {
+        for instance_index in 0..self.instances.len() {
+            let local_now = self.now + self.instances[instance_index].clock_offset;
+            for bytes in self.instances[instance_index].tracker.due_broadcasts(local_now) {
                 let bytes = match WatermarkBroadcast::decode(&bytes, secret) {
-                    Ok(sent) if self.scenario.fault == InjectedFault::GapIgnored => {
+                    Ok(sent) if self.scenario.fault == InjectedFault::BroadcastGapIgnored => {
                         WatermarkBroadcast { from: sent.sender.epoch, ..sent }.encode(secret)
                     }
                     _ => bytes,
                 };
-                for other in (0..self.instances.len()).filter(|other| *other != place) {
+                for other in (0..self.instances.len()).filter(|other| *other != instance_index) {
                     self.send_datagram(other, &bytes);
                 }
             }
@@ -183,7 +189,7 @@
     /// Sends over a network that loses, duplicates and delays datagrams.
     fn send_datagram(&mut self, to: usize, bytes: &[u8]) {
         for _ in 0..1 + usize::from(self.rng.random_bool(0.1)) {
-            if !self.rng.random_bool(self.scenario.loss) {
+            if !self.rng.random_bool(self.scenario.loss_probability) {
                 let max_delay = if self.rng.random_bool(0.05) { 300 * MS } else { 11 * MS };
                 let arrives_at = self.now + self.rng.random_range(1_300..max_delay);
                 self.in_flight.push(Datagram { arrives_at, to, bytes: bytes.to_vec() });
@@ -206,19 +212,24 @@
     fn answer_due_reads(&mut self) {
         while let Some(at) = self.open_reads.iter().position(|read| read.answered_at <= self.now) {
             let read = self.open_reads.swap_remove(at);
-            let instance = &mut self.instances[read.place];
+            let instance = &mut self.instances[read.instance_index];
             // Requests of an earlier run are not answered.
-            if instance.runs != read.run {
+            if instance.restart_count != read.restart_count {
                 continue;
             }
-            let local = self.now + instance.clock_offset;
+            let local_now = self.now + instance.clock_offset;
             let (tracker, offset) = (&mut instance.tracker, instance.clock_offset);
-            let shown = serve(tracker, &read, self.now, offset, &mut self.rng, &mut self.findings);
-            let known = self.truth.entry(read.name).or_default();
+            let served_position = serve(tracker, &read, self.now, offset, &mut self.rng, &mut self.findings);
+            let known = self.seen_by_session.entry(read.name).or_default();
             if self.scenario.settings.guarantee == SessionGuarantee::ReadYourWritesAndMonotonicReads {
-                known.read = known.read.max(shown);
+                known.read = known.read.max(served_position);
             }
-            replace_tokens(&mut self.tokens, read.name, &read.held, tracker.issue_token(local, read.key));
+            replace_tokens(
+                &mut self.tokens,
+                read.name,
+                &read.request_tokens,
+                tracker.issue_token(local_now, read.key),
+            );
         }
     }
 
@@ -226,40 +237,58 @@
     fn request(&mut self) {
         let name = self.rng.random_range(0..200u64).min(self.rng.random_range(0..200));
         // A session that does not roam always uses the same instance.
-        let place = if self.scenario.settings.roams {
+        let instance_index = if self.scenario.settings.roams {
             self.rng.random_range(0..self.instances.len())
         } else {
             name as usize % self.instances.len()
         };
-        let instance = &mut self.instances[place];
-        let local = self.now + instance.clock_offset;
-        let key = instance.tracker.session_key(G, &name.to_string());
-        let held = match self.scenario.tokens {
+        let instance = &mut self.instances[instance_index];
+        let local_now = self.now + instance.clock_offset;
+        let key = instance.tracker.session_key(GROUP, &name.to_string());
+        let request_tokens = match self.scenario.tokens {
             true => self.tokens.get(&name).cloned().unwrap_or_default(),
             false => Vec::new(),
         };
-        let parsed =
-            held.iter().map(|text| instance.tracker.parse_token(local, text, key).expect("its own token"));
+        let parsed = request_tokens
+            .iter()
+            .map(|text| instance.tracker.parse_token(local_now, text, key).expect("its own token"));
         let token = parsed.reduce(Token::join).map(|token| match self.scenario.fault {
-            InjectedFault::TokenUnverified => Token { watermark: Watermark::NONE, ..token },
+            InjectedFault::TokenWatermarkIgnored => Token { watermark: Watermark::NONE, ..token },
             _ => token,
         });
         if self.rng.random_bool(0.3) {
-            self.write(name, place, key, token.as_ref(), &held);
+            self.write(name, instance_index, key, token.as_ref(), &request_tokens);
         } else {
             self.findings.reads += 1;
-            let minimum = instance.tracker.begin_read(local, key, token.as_ref());
+            let minimum = instance.tracker.begin_read(local_now, key, token.as_ref());
             let answered_at = self.now + self.rng.random_range(10..90 * MS);
-            let (run, seen_before) = (instance.runs, *self.truth.entry(name).or_default());
-            self.open_reads.push(Read { answered_at, place, run, name, key, minimum, held, seen_before });
+            let (restart_count, seen_at_arrival) =
+                (instance.restart_count, *self.seen_by_session.entry(name).or_default());
+            self.open_reads.push(Read {
+                answered_at,
+                instance_index,
+                restart_count,
+                name,
+                key,
+                minimum,
+                request_tokens,
+                seen_at_arrival,
+            });
         }
     }
 
-    fn write(&mut self, name: u64, place: usize, key: SessionKey, token: Option<&Token>, held: &[String]) {
-        let Instance { tracker, clock_offset, .. } = &mut self.instances[place];
-        let (commit, local) = (self.now, self.now + *clock_offset);
+    fn write(
+        &mut self,
+        name: u64,
+        instance_index: usize,
+        key: SessionKey,
+        token: Option<&Token>,
+        request_tokens: &[String],
+    ) {
+        let Instance { tracker, clock_offset, .. } = &mut self.instances[instance_index];
+        let (commit, local_now) = (self.now, self.now + *clock_offset);
         if let Some(token) = token {
-            tracker.merge_token(local, key, token);
+            tracker.merge_token(local_now, key, token);
         }
         self.now += self.rng.random_range(10..2 * MS);
         let answered = self.now + *clock_offset;
@@ -268,10 +297,10 @@
             return;
         }
         let reported = (commit + MS - 1) / MS * MS;
-        tracker.record_write(answered, key, local, Some(reported));
-        let known = self.truth.entry(name).or_default();
+        tracker.record_write(answered, key, local_now, Some(reported));
+        let known = self.seen_by_session.entry(name).or_default();
         known.written = known.written.max(commit);
-        replace_tokens(&mut self.tokens, name, held, tracker.issue_token(answered, key));
+        replace_tokens(&mut self.tokens, name, request_tokens, tracker.issue_token(answered, key));
     }
 }
 
@@ -279,11 +308,11 @@
 fn replace_tokens(
     tokens: &mut BTreeMap<u64, Vec<String>>,
     name: u64,
-    held: &[String],
+    request_tokens: &[String],
     token: Option<String>,
 ) {
     let known = tokens.entry(name).or_default();
-    known.retain(|text| !held.contains(text));
+    known.retain(|text| !request_tokens.contains(text));
     known.extend(token);
 }
 
@@ -302,51 +331,52 @@
     rng: &mut Pcg64Mcg,
     findings: &mut Findings,
 ) -> Time {
-    let Read { key, seen_before, .. } = read;
+    let Read { key, seen_at_arrival, .. } = read;
     let minimum = tracker.recheck_read(now + clock_offset, *key, &read.minimum).unwrap_or(read.minimum);
     // Half of the replicas have just reached the minimum position, the others lag at random.
     let required = ((minimum.position() + MS - 1) / MS * MS).clamp(now - 3_000 * MS, now);
     let position = if rng.random_bool(0.5) { required } else { now - rng.random_range(0..80 * MS) };
-    let is_stale = |position: Time| position < seen_before.written || position < seen_before.read;
+    let is_stale = |position: Time| position < seen_at_arrival.written || position < seen_at_arrival.read;
     // No primary accepts writes for 300 ms after one was deposed.
     let deposed_at = now - rng.random_range(1_000 * MS..4_000 * MS);
     let verify_primary = |tracker: &mut SessionTracker, position: Time| {
         tracker.verify_answer(&minimum, &evidence(position, Role::Primary))
     };
-    findings.deposed += usize::from(
+    findings.deposed_primary_stale += usize::from(
         verify_primary(tracker, deposed_at) == Verdict::Proven && is_stale(deposed_at + 300 * MS),
     );
-    let by_replica = tracker.verify_answer(&minimum, &evidence(position, Role::Replica)) == Verdict::Proven;
-    findings.by_replicas += usize::from(by_replica);
-    findings.by_replicas_known_from_peers +=
-        usize::from(by_replica && minimum.source == PositionSource::Peers);
-    if !by_replica {
-        findings.blocked += usize::from(verify_primary(tracker, now) == Verdict::Unproven);
+    let is_replica_proven =
+        tracker.verify_answer(&minimum, &evidence(position, Role::Replica)) == Verdict::Proven;
+    findings.by_replicas += usize::from(is_replica_proven);
+    findings.by_replicas_via_broadcasts +=
+        usize::from(is_replica_proven && minimum.source == PositionSource::Peers);
+    if !is_replica_proven {
+        findings.primary_unproven += usize::from(verify_primary(tracker, now) == Verdict::Unproven);
     }
-    let shown = if by_replica { position } else { now };
-    findings.stale += usize::from(is_stale(shown));
-    tracker.record_read(now + clock_offset, *key, &minimum, shown / MS * MS);
-    shown
+    let served_position = if is_replica_proven { position } else { now };
+    findings.stale += usize::from(is_stale(served_position));
+    tracker.record_read(now + clock_offset, *key, &minimum, served_position / MS * MS);
+    served_position
 }
 
 fn restart(instance: &mut Instance, settings: Settings, now: Time, fault: InjectedFault, rng: &mut Pcg64Mcg) {
-    let local = now + instance.clock_offset;
-    instance.runs += 1;
-    if fault == InjectedFault::WatermarkLossForgotten {
+    let local_now = now + instance.clock_offset;
+    instance.restart_count += 1;
+    if fault == InjectedFault::WatermarkLossIgnored {
         instance.tracker = SessionTracker::new(settings, 0).expect("valid settings");
         return;
     }
     let is_clean = rng.random_bool(0.3);
     let kind = if is_clean { SnapshotKind::CleanShutdown } else { SnapshotKind::Running };
-    let latest = instance.tracker.snapshot(local, kind);
-    let snapshot = match (is_clean, instance.saved.take()) {
+    let latest = instance.tracker.snapshot(local_now, kind);
+    let snapshot = match (is_clean, instance.last_running_snapshot.take()) {
         (true, _) => latest.clone(),
         (false, Some(old)) => old,
         (false, None) => Snapshot::default(),
     };
     let snapshot = match fault {
-        InjectedFault::AgeForgotten => Snapshot { kind: SnapshotKind::CleanShutdown, ..snapshot },
-        InjectedFault::MergeTakesNewer => {
+        InjectedFault::SnapshotAgeIgnored => Snapshot { kind: SnapshotKind::CleanShutdown, ..snapshot },
+        InjectedFault::SnapshotReplacesWatermarks => {
             let lower = |(key, entry): (SessionKey, SessionEntry)| {
                 (key, SessionEntry { watermark: Watermark::NONE, ..entry })
             };
@@ -355,6 +385,6 @@
         }
         _ => snapshot,
     };
-    instance.tracker = SessionTracker::restore(settings, local, &snapshot).expect("valid settings");
-    instance.saved = Some(Snapshot { kind: SnapshotKind::Running, ..latest });
+    instance.tracker = SessionTracker::restore(settings, local_now, &snapshot).expect("valid settings");
+    instance.last_running_snapshot = Some(Snapshot { kind: SnapshotKind::Running, ..latest });
 }
--- a/crates/sessions/tests/fixtures.rs
+++ b/crates/sessions/tests/fixtures.rs
@@ -20,12 +20,12 @@
     lines.map(|line| line.split_once(' ').expect("a name and a value")).collect()
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
+fn decode_hex(hex: &str) -> Vec<u8> {
+    let byte = |start: usize| u8::from_str_radix(&hex[start..start + 2], 16).expect("hexadecimal digits");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
@@ -133,7 +133,7 @@
     let fixtures = fixtures(DATAGRAMS);
     assert_eq!(fixtures.len(), datagrams().len());
     for (name, datagram, _) in datagrams() {
-        assert_eq!(Some(&hex(&datagram.encode(SECRET)).as_str()), fixtures.get(name), "{name}");
+        assert_eq!(Some(&encode_hex(&datagram.encode(SECRET)).as_str()), fixtures.get(name), "{name}");
     }
 }
 
@@ -141,7 +141,7 @@
 fn recorded_datagrams_are_decoded() {
     let fixtures = fixtures(DATAGRAMS);
     for (name, _, expected) in datagrams() {
-        assert_eq!(WatermarkBroadcast::decode(&bytes_of(fixtures[name]), SECRET), Ok(expected), "{name}");
+        assert_eq!(WatermarkBroadcast::decode(&decode_hex(fixtures[name]), SECRET), Ok(expected), "{name}");
     }
 }
 
@@ -153,7 +153,7 @@
     }
     for text in fixtures(DATAGRAMS).values() {
         assert_eq!(
-            WatermarkBroadcast::decode(&bytes_of(text), SECRET + 1),
+            WatermarkBroadcast::decode(&decode_hex(text), SECRET + 1),
             Err(BroadcastError::InvalidChecksum)
         );
     }
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -6,7 +6,7 @@
 use petrelgauge_sessions::*;
 use proptest::prelude::*;
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 200,
         failure_persistence: None,
@@ -15,16 +15,16 @@
     }
 }
 
-fn a_watermark() -> impl Strategy<Value = Watermark> {
-    (0..1i64 << 44, 0..1i64 << 44).prop_map(|(wrote, read)| Watermark { written: wrote, read })
+fn watermark_strategy() -> impl Strategy<Value = Watermark> {
+    (0..1i64 << 44, 0..1i64 << 44).prop_map(|(written, read)| Watermark { written, read })
 }
 
-fn a_key() -> impl Strategy<Value = SessionKey> {
+fn key_strategy() -> impl Strategy<Value = SessionKey> {
     (0..4u64, 0..300u64).prop_map(|(group, name)| SessionKey { group, name_hash: name })
 }
 
 fn sender(instance: u16) -> BroadcastSender {
-    BroadcastSender { instance, group: G, epoch: MS }
+    BroadcastSender { instance, group: GROUP, epoch: MS }
 }
 
 fn broadcast(entries: Vec<BroadcastEntry>, until: Time) -> WatermarkBroadcast {
@@ -32,10 +32,10 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn merging_is_commutative_associative_idempotent_and_never_lowers(a in a_watermark(), b in a_watermark(), c in a_watermark()) {
+    fn merging_is_commutative_associative_idempotent_and_never_lowers(a in watermark_strategy(), b in watermark_strategy(), c in watermark_strategy()) {
         prop_assert_eq!(a.join(b), b.join(a));
         prop_assert_eq!(a.join(b).join(c), a.join(b.join(c)));
         prop_assert_eq!(a.join(a), a);
@@ -44,22 +44,22 @@
     }
 
     #[test]
-    fn memory_never_underestimates_and_keeps_its_capacity(joins in prop::collection::vec((a_key(), a_watermark()), 1..400)) {
+    fn memory_never_underestimates_and_keeps_its_capacity(joins in prop::collection::vec((key_strategy(), watermark_strategy()), 1..400)) {
         let mut memory = SessionMemory::new(32, 64, 5);
-        let mut truth = std::collections::BTreeMap::<SessionKey, Watermark>::new();
+        let mut expected = std::collections::BTreeMap::<SessionKey, Watermark>::new();
         for (key, watermark) in &joins {
             memory.join(*key, *watermark, 0);
-            let known = truth.entry(*key).or_default();
+            let known = expected.entry(*key).or_default();
             *known = known.join(*watermark);
             prop_assert!(memory.len() <= 32);
         }
-        for (key, watermark) in truth {
+        for (key, watermark) in expected {
             prop_assert!(memory.get(key).watermark.covers(watermark));
         }
     }
 
     #[test]
-    fn a_token_round_trips_rounded_up_and_rejects_alterations(key in a_key(), watermark in a_watermark(), issued_at in 0..1i64 << 44, at in 0..60usize, bit in 0..8u8) {
+    fn a_token_round_trips_rounded_up_and_rejects_alterations(key in key_strategy(), watermark in watermark_strategy(), issued_at in 0..1i64 << 44, index in 0..60usize, bit in 0..8u8) {
         let text = Token { key, watermark, issued_at }.encode(9);
         let token = Token::decode(&text, 9).expect("its own token");
         prop_assert_eq!(token.key, key);
@@ -68,8 +68,8 @@
         prop_assert!(token.issued_at <= issued_at);
         prop_assert_eq!(Token::decode(&text, 10).err(), Some(TokenError::InvalidChecksum));
         let mut bytes = text.clone().into_bytes();
-        let at = at % bytes.len();
-        bytes[at] ^= 1 << bit;
+        let index = index % bytes.len();
+        bytes[index] ^= 1 << bit;
         let altered = String::from_utf8_lossy(&bytes).into_owned();
         prop_assert!(altered == text || Token::decode(&altered, 9).is_err());
     }
@@ -91,23 +91,23 @@
     ) {
         let until = 5_000_000 * MS;
         let entries: Vec<BroadcastEntry> = ages.iter()
-            .map(|(name, wrote, read)| BroadcastEntry { name_hash: *name, watermark: Watermark { written: until - wrote * MS - 1, read: until - read * MS } })
+            .map(|(name, written, read)| BroadcastEntry { name_hash: *name, watermark: Watermark { written: until - written * MS - 1, read: until - read * MS } })
             .collect();
         let sent = broadcast(entries.clone(), until);
         let bytes = sent.encode(9);
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let received = WatermarkBroadcast::decode(&bytes, 9).expect("its own broadcast");
         prop_assert_eq!((received.sender, received.from, received.until), (sender(1), sent.from, sent.until));
-        for (sent, back) in entries.iter().zip(&received.entries) {
-            prop_assert_eq!(sent.name_hash, back.name_hash);
-            prop_assert!(back.watermark.covers(sent.watermark), "{:?} came back as {:?}", sent, back);
+        for (sent, decoded) in entries.iter().zip(&received.entries) {
+            prop_assert_eq!(sent.name_hash, decoded.name_hash);
+            prop_assert!(decoded.watermark.covers(sent.watermark), "{:?} came decoded as {:?}", sent, decoded);
         }
     }
 
     #[test]
     fn watermarks_that_an_outbox_omits_are_bounded(recorded in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
         let start = 1_000 * MS;
-        let sender = BroadcastSender { instance: 0, group: G, epoch: start };
+        let sender = BroadcastSender { instance: 0, group: GROUP, epoch: start };
         let mut outbox = Outbox::new(sender, SessionGuarantee::ReadYourWrites);
         let mut now = start;
         for (name, age) in &recorded {
@@ -133,11 +133,11 @@
     let (width, higher) = (4096, 3_000);
     let mut sketch = MaxSketch::new(width, 11);
     for name in 0..higher {
-        sketch.insert(SessionKey { group: G, name_hash: name }, Watermark { written: 100, read: 0 });
+        sketch.insert(SessionKey { group: GROUP, name_hash: name }, Watermark { written: 100, read: 0 });
     }
     let others = 20_000u64;
     let overestimated = (0..others)
-        .filter(|n| sketch.upper_bound(SessionKey { group: G, name_hash: 1_000_000 + n }).written > 0)
+        .filter(|n| sketch.upper_bound(SessionKey { group: GROUP, name_hash: 1_000_000 + n }).written > 0)
         .count();
     let (rate, predicted) = (overestimated as f64 / others as f64, overestimate_rate(higher as f64, width));
     assert!((rate - predicted).abs() < 0.02, "{rate} measured, {predicted} predicted");
@@ -174,7 +174,7 @@
 fn forged_and_foreign_tokens_are_rejected_or_affect_only_their_session() {
     let now = 9_000_000 * MS;
     let mut tracker = SessionTracker::new(settings(0, 0), now - 60_000 * MS).expect("valid");
-    let (key, other) = (tracker.session_key(G, "one"), tracker.session_key(G, "two"));
+    let (key, other) = (tracker.session_key(GROUP, "one"), tracker.session_key(GROUP, "two"));
     let encoded = |key, watermark, issued_at| Token { key, watermark, issued_at }.encode(99);
     let none = encoded(key, Watermark::NONE, now);
     assert_eq!(tracker.parse_token(now, &none, other).err(), Some(TokenError::WrongSession));
@@ -232,43 +232,43 @@
 // A client with several requests in flight holds several tokens of a group, and all of them count.
 #[test]
 fn session_tokens_are_all_kept_or_all_rejected() {
-    let text = |group, wrote| {
+    let text = |group, written| {
         Token {
             key: SessionKey { group, name_hash: 1 },
-            watermark: Watermark { written: wrote, read: 0 },
+            watermark: Watermark { written, read: 0 },
             issued_at: MS,
         }
         .encode(9)
     };
     let (one, two, other) = (text(2, MS), text(2, 2 * MS), text(3, MS));
-    let held =
+    let group_tokens =
         |tokens: &SessionTokens, group| tokens.for_group(group).map(str::to_string).collect::<Vec<_>>();
     let mut tokens = SessionTokens::default();
     assert_eq!(tokens.set(&format!("{one}+{two}+{other}"), 9), Ok(()));
-    assert_eq!(held(&tokens, 2), [one.clone(), two.clone()]);
+    assert_eq!(group_tokens(&tokens, 2), [one.clone(), two.clone()]);
     assert_eq!(tokens.set(&two, 9), Ok(()));
     assert_eq!(
-        (held(&tokens, 2), held(&tokens, 3)),
+        (group_tokens(&tokens, 2), group_tokens(&tokens, 3)),
         (vec![two.clone()], vec![other]),
         "new tokens replace those of their group"
     );
     assert_eq!(tokens.set(&format!("{one}+x"), 9), Err(TokenError::Malformed));
-    assert_eq!(held(&tokens, 2).len(), 1, "invalid tokens change nothing");
+    assert_eq!(group_tokens(&tokens, 2).len(), 1, "invalid tokens change nothing");
     let many: Vec<String> = (0..=MAX_TOKENS as u64).map(|group| text(group, MS)).collect();
     assert_eq!(tokens.set(&many.join("+"), 9), Err(TokenError::TooMany));
-    assert_eq!(held(&tokens, 2), [two]);
+    assert_eq!(group_tokens(&tokens, 2), [two]);
     tokens.clear();
-    assert!(held(&tokens, 2).is_empty());
+    assert!(group_tokens(&tokens, 2).is_empty());
 }
 
 // With hosts that report no positions, no answer to a session's read was once accepted, and no such read was
 // served.
 #[test]
 fn without_reported_positions_an_answer_proves_what_its_host_enforces_or_a_primary_implies() {
-    let reporting = Settings { roams: false, tokens: false, ..Default::default() };
+    let with_positions = Settings { roams: false, tokens: false, ..Default::default() };
     let verdicts = |settings: Settings, position| {
         let mut tracker = SessionTracker::new(settings, 0).expect("valid");
-        let (key, now) = (tracker.session_key(G, "member-1"), 9_000 * MS);
+        let (key, now) = (tracker.session_key(GROUP, "member-1"), 9_000 * MS);
         tracker.record_write(now, key, now - MS, Some(now - MS));
         let minimum = tracker.begin_read(now, key, None);
         let roles = [Some(Role::Primary), Some(Role::Replica), None];
@@ -277,12 +277,15 @@
                 == Verdict::Proven
         })
     };
-    let silent = Settings { hosts_report_positions: false, ..reporting.clone() };
-    assert_eq!(verdicts(silent.clone(), None), [true, false, false]);
-    assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..silent.clone() }, None), [true; 3]);
+    let without_positions = Settings { hosts_report_positions: false, ..with_positions.clone() };
+    assert_eq!(verdicts(without_positions.clone(), None), [true, false, false]);
+    assert_eq!(
+        verdicts(Settings { hosts_enforce_positions: true, ..without_positions.clone() }, None),
+        [true; 3]
+    );
     // A reported position counts, and where positions are reported an answer without one proves nothing.
-    assert_eq!(verdicts(silent, Some(8_000 * MS)), [false; 3]);
-    assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..reporting }, None), [false; 3]);
+    assert_eq!(verdicts(without_positions, Some(8_000 * MS)), [false; 3]);
+    assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..with_positions }, None), [false; 3]);
 }
 
 #[test]
@@ -290,7 +293,7 @@
     let settings =
         Settings { roams: false, tokens: false, hosts_report_positions: false, ..Default::default() };
     let mut tracker = SessionTracker::new(settings, 0).expect("valid");
-    let key = tracker.session_key(G, "member-1");
+    let key = tracker.session_key(GROUP, "member-1");
     let minimum = tracker.begin_read(9_000 * MS, key, None);
     let replica = AnswerEvidence { role: Some(Role::Replica), ..AnswerEvidence::default() };
     assert_eq!(tracker.verify_answer(&minimum, &replica), Verdict::Proven);
--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -11,11 +11,11 @@
     Scenario {
         settings,
         instances,
-        loss: 0.3,
-        restarts: 0.01,
+        loss_probability: 0.3,
+        restart_probability: 0.01,
         tokens,
         steps: 1_500,
-        fault: InjectedFault::Nothing,
+        fault: InjectedFault::None,
     }
 }
 
@@ -24,7 +24,7 @@
     scenario(Settings { roams: false, tokens: false, ..settings(0, 0) }, false)
 }
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 24,
         failure_persistence: None,
@@ -34,26 +34,26 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     #[test]
     fn no_stale_answer_is_accepted_under_any_loss(
         seed in any::<u32>(),
-        loss in 0.0..0.9f64,
-        restarts in 0.0..0.05f64,
-        error in prop::sample::select(vec![0, 10 * MS, 50 * MS]),
+        loss_probability in 0.0..0.9f64,
+        restart_probability in 0.0..0.05f64,
+        clock_error in prop::sample::select(vec![0, 10 * MS, 50 * MS]),
         instances in 0..5u16,
-        (roams, tokens, both) in any::<(bool, bool, bool)>(),
+        (roams, tokens, monotonic_reads) in any::<(bool, bool, bool)>(),
     ) {
-        let guarantee = if both {
+        let guarantee = if monotonic_reads {
             SessionGuarantee::ReadYourWritesAndMonotonicReads
         } else {
             SessionGuarantee::ReadYourWrites
         };
         let instances = if instances == 1 { 0 } else { instances };
-        let settings = Settings { clock_error: error, roams, tokens, guarantee, ..settings(instances, 0) };
-        let findings = run(&Scenario { loss, restarts, ..scenario(settings, tokens) }, u64::from(seed));
-        prop_assert_eq!((findings.stale, findings.blocked, findings.deposed), (0, 0, 0), "{:?}", findings);
+        let settings = Settings { clock_error, roams, tokens, guarantee, ..settings(instances, 0) };
+        let findings = run(&Scenario { loss_probability, restart_probability, ..scenario(settings, tokens) }, u64::from(seed));
+        prop_assert_eq!((findings.stale, findings.primary_unproven, findings.deposed_primary_stale), (0, 0, 0), "{:?}", findings);
         prop_assert!(findings.reads > 500);
     }
 }
@@ -65,7 +65,7 @@
         scenario(settings(0, 0), true),
         scenario(Settings { tokens: false, ..settings(3, 0) }, false),
     ] {
-        let findings = run(&Scenario { loss: 0.0, restarts: 0.0, ..scenario }, 5);
+        let findings = run(&Scenario { loss_probability: 0.0, restart_probability: 0.0, ..scenario }, 5);
         assert_eq!(findings.stale, 0);
         assert!(findings.by_replicas * 4 > findings.reads, "{findings:?}");
     }
@@ -76,18 +76,18 @@
     let with_tokens = scenario(settings(0, 0), true);
     let with_broadcasts = scenario(Settings { tokens: false, ..settings(3, 0) }, false);
     let cases = [
-        (InjectedFault::WatermarkLossForgotten, sticky_sessions()),
-        (InjectedFault::AgeForgotten, sticky_sessions()),
-        (InjectedFault::MergeTakesNewer, sticky_sessions()),
-        (InjectedFault::TokenUnverified, with_tokens),
-        (InjectedFault::GapIgnored, Scenario { loss: 0.8, ..with_broadcasts }),
+        (InjectedFault::WatermarkLossIgnored, sticky_sessions()),
+        (InjectedFault::SnapshotAgeIgnored, sticky_sessions()),
+        (InjectedFault::SnapshotReplacesWatermarks, sticky_sessions()),
+        (InjectedFault::TokenWatermarkIgnored, with_tokens),
+        (InjectedFault::BroadcastGapIgnored, Scenario { loss_probability: 0.8, ..with_broadcasts }),
     ];
     for (index, (fault, scenario)) in cases.into_iter().enumerate() {
         let stale_reads = |fault| {
             let scenario = Scenario { fault, ..scenario.clone() };
             (1..20).map(|seed| run(&scenario, seed).stale).sum::<usize>()
         };
-        assert_eq!(stale_reads(InjectedFault::Nothing), 0, "case {index} without a fault");
+        assert_eq!(stale_reads(InjectedFault::None), 0, "case {index} without a fault");
         assert!(stale_reads(fault) > 0, "the fault of case {index} is not detected");
     }
 }
--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -99,37 +99,37 @@
 
 /// A read that waits for its answer.
 struct OpenRead {
-    place: usize,
+    instance_index: usize,
     key: SessionKey,
     minimum: MinimumPosition,
 }
 
-struct Run {
+struct Simulation {
     rng: Pcg64Mcg,
     now: Time,
     settings: Settings,
     instances: Vec<SessionTracker>,
     datagrams: Vec<Datagram>,
     tokens: Vec<String>,
-    reads: Vec<OpenRead>,
+    open_reads: Vec<OpenRead>,
     digest: Digest,
 }
 
-impl Run {
-    fn new(settings: Settings, seed: u64) -> Run {
+impl Simulation {
+    fn new(settings: Settings, seed: u64) -> Simulation {
         let instances = (0..settings.instances.max(2))
             .map(|instance| {
                 SessionTracker::new(Settings { instance, ..settings.clone() }, START).expect("valid settings")
             })
             .collect();
-        Run {
+        Simulation {
             rng: Pcg64Mcg::new(u128::from(seed) * 2 + 1),
             now: START,
             settings,
             instances,
             datagrams: Vec::new(),
             tokens: Vec::new(),
-            reads: Vec::new(),
+            open_reads: Vec::new(),
             digest: Digest::default(),
         }
     }
@@ -137,14 +137,14 @@
     fn step(&mut self) {
         self.now += self.rng.random_range(50..3 * MS);
         self.exchange_broadcasts();
-        let place = self.rng.random_range(0..self.instances.len());
+        let instance_index = self.rng.random_range(0..self.instances.len());
         match self.rng.random_range(0..100) {
-            0..30 => self.write(place),
-            30..65 => self.read(place),
-            65..95 => self.answer_read(),
-            95..97 => self.receive_garbage(place),
-            97..99 => self.track_random_group(place),
-            _ => self.restart(place),
+            0..30 => self.write(instance_index),
+            30..65 => self.read(instance_index),
+            65..95 => self.answer_random_read(),
+            95..97 => self.receive_garbage(instance_index),
+            97..99 => self.track_random_group(instance_index),
+            _ => self.restart(instance_index),
         }
     }
 
@@ -171,15 +171,15 @@
         }
     }
 
-    fn random_key(&mut self, place: usize) -> SessionKey {
+    fn random_key(&mut self, instance_index: usize) -> SessionKey {
         let group = self.rng.random_range(0..GROUPS);
         let session = self.rng.random_range(0..90u32).to_string();
-        self.instances[place].session_key(group, &session)
+        self.instances[instance_index].session_key(group, &session)
     }
 
     /// The token of a request, if it has one: usually its session's newest, sometimes that of another
     /// session.
-    fn request_token(&mut self, place: usize, key: SessionKey) -> Option<Token> {
+    fn request_token(&mut self, instance_index: usize, key: SessionKey) -> Option<Token> {
         let newest = self
             .tokens
             .iter()
@@ -192,62 +192,62 @@
             2..8 => newest.cloned(),
             _ => None,
         }?;
-        let parsed = self.instances[place].parse_token(self.now, &text, key);
+        let parsed = self.instances[instance_index].parse_token(self.now, &text, key);
         self.digest.number(i64::from(parsed.is_ok()));
         parsed.ok()
     }
 
-    fn write(&mut self, place: usize) {
-        let key = self.random_key(place);
-        if let Some(token) = self.request_token(place, key) {
-            let watermark = self.instances[place].merge_token(self.now, key, &token);
+    fn write(&mut self, instance_index: usize) {
+        let key = self.random_key(instance_index);
+        if let Some(token) = self.request_token(instance_index, key) {
+            let watermark = self.instances[instance_index].merge_token(self.now, key, &token);
             self.digest.number(watermark.written);
             self.digest.number(watermark.read);
         }
         let arrived = self.now;
         self.now += self.rng.random_range(10..MS);
         match self.rng.random_range(0..10) {
-            0 => self.instances[place].record_unconfirmed_write(self.now, key),
-            1 => self.instances[place].record_write(self.now, key, arrived, None),
-            _ => self.instances[place].record_write(self.now, key, arrived, Some(self.now - 5)),
+            0 => self.instances[instance_index].record_unconfirmed_write(self.now, key),
+            1 => self.instances[instance_index].record_write(self.now, key, arrived, None),
+            _ => self.instances[instance_index].record_write(self.now, key, arrived, Some(self.now - 5)),
         }
-        self.issue_token(place, key);
+        self.issue_token(instance_index, key);
     }
 
-    fn issue_token(&mut self, place: usize, key: SessionKey) {
-        if let Some(token) = self.instances[place].issue_token(self.now, key) {
+    fn issue_token(&mut self, instance_index: usize, key: SessionKey) {
+        if let Some(token) = self.instances[instance_index].issue_token(self.now, key) {
             self.digest.bytes(token.as_bytes());
             self.tokens.push(token);
         }
     }
 
-    fn read(&mut self, place: usize) {
-        let key = self.random_key(place);
-        let token = self.request_token(place, key);
-        let minimum = self.instances[place].begin_read(self.now, key, token.as_ref());
+    fn read(&mut self, instance_index: usize) {
+        let key = self.random_key(instance_index);
+        let token = self.request_token(instance_index, key);
+        let minimum = self.instances[instance_index].begin_read(self.now, key, token.as_ref());
         let minimum = match self.rng.random_range(0..10) {
             0 => minimum.with_pending_write(self.now - 3 * MS),
             _ => minimum,
         };
         self.digest.minimum(&minimum);
-        self.reads.push(OpenRead { place, key, minimum });
+        self.open_reads.push(OpenRead { instance_index, key, minimum });
     }
 
     /// Answers a random open read from hosts with a random lag.
-    fn answer_read(&mut self) {
-        if self.reads.is_empty() {
+    fn answer_random_read(&mut self) {
+        if self.open_reads.is_empty() {
             return;
         }
-        let index = self.rng.random_range(0..self.reads.len());
-        let OpenRead { place, key, mut minimum } = self.reads.swap_remove(index);
-        if let Some(lower) = self.instances[place].recheck_read(self.now, key, &minimum) {
+        let index = self.rng.random_range(0..self.open_reads.len());
+        let OpenRead { instance_index, key, mut minimum } = self.open_reads.swap_remove(index);
+        if let Some(lower) = self.instances[instance_index].recheck_read(self.now, key, &minimum) {
             self.digest.minimum(&lower);
             minimum = lower;
         }
         let lag = self.rng.random_range(0..80 * MS);
         let position = (self.now - lag) / MS * MS;
         let position_at_send = self.rng.random_bool(0.5).then_some(position - MS);
-        let tracker = &mut self.instances[place];
+        let tracker = &mut self.instances[instance_index];
         for role in [Some(Role::Replica), None, Some(Role::Primary)] {
             for position in [None, Some(position)] {
                 let answer = AnswerEvidence { position, position_at_send, role };
@@ -255,45 +255,45 @@
             }
         }
         tracker.record_read(self.now, key, &minimum, position.max(minimum.position()));
-        self.issue_token(place, key);
+        self.issue_token(instance_index, key);
     }
 
-    fn receive_garbage(&mut self, place: usize) {
+    fn receive_garbage(&mut self, instance_index: usize) {
         let bytes: Vec<u8> = (0..self.rng.random_range(0..300)).map(|_| self.rng.random()).collect();
-        let received = self.instances[place].receive(self.now, &bytes);
+        let received = self.instances[instance_index].receive(self.now, &bytes);
         self.digest.number(i64::from(received.is_ok()));
     }
 
-    fn track_random_group(&mut self, place: usize) {
+    fn track_random_group(&mut self, instance_index: usize) {
         let group = self.rng.random_range(0..GROUPS);
-        self.instances[place].track_group(group);
+        self.instances[instance_index].track_group(group);
     }
 
-    fn restart(&mut self, place: usize) {
+    fn restart(&mut self, instance_index: usize) {
         let is_clean = self.rng.random_bool(0.5);
         let kind = if is_clean { SnapshotKind::CleanShutdown } else { SnapshotKind::Running };
-        let snapshot = self.instances[place].snapshot(self.now, kind);
+        let snapshot = self.instances[instance_index].snapshot(self.now, kind);
         self.digest.snapshot(&snapshot);
-        self.digest.counts(&self.instances[place]);
+        self.digest.counts(&self.instances[instance_index]);
         self.now += self.rng.random_range(MS..200 * MS);
-        let settings = Settings { instance: place as u16, ..self.settings.clone() };
-        self.instances[place] = match self.rng.random_bool(0.3) {
+        let settings = Settings { instance: instance_index as u16, ..self.settings.clone() };
+        self.instances[instance_index] = match self.rng.random_bool(0.3) {
             true => SessionTracker::new(settings, self.now),
             false => SessionTracker::restore(settings, self.now, &snapshot),
         }
         .expect("valid settings");
-        self.reads.retain(|read| read.place != place);
+        self.open_reads.retain(|read| read.instance_index != instance_index);
     }
 }
 
 fn digest_of(settings: Settings, seed: u64) -> u64 {
-    let mut run = Run::new(settings, seed);
-    (0..STEPS).for_each(|_| run.step());
-    for tracker in &run.instances {
-        run.digest.counts(tracker);
-        run.digest.snapshot(&tracker.snapshot(run.now, SnapshotKind::CleanShutdown));
+    let mut simulation = Simulation::new(settings, seed);
+    (0..STEPS).for_each(|_| simulation.step());
+    for tracker in &simulation.instances {
+        simulation.digest.counts(tracker);
+        simulation.digest.snapshot(&tracker.snapshot(simulation.now, SnapshotKind::CleanShutdown));
     }
-    run.digest.0.digest()
+    simulation.digest.0.digest()
 }
 
 fn settings() -> Settings {
