--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A simulation with an oracle: instances whose clocks differ, lost datagrams, restarts, clients with and
-//! without tokens, and replicas whose data are as old as a read's minimum position allows.
+//! A simulation with an oracle that detects stale reads. It has instances whose clocks differ, lost
+//! datagrams, restarts, clients with and without tokens, and replicas whose data are as old as the minimum
+//! position of a read allows.
 #![allow(dead_code)]
 
 use petrelgauge_policy::{Role, Time};
@@ -11,7 +12,7 @@
 pub const MS: Time = 1_000;
 pub const GROUP: u64 = 2;
 
-/// Parameters of a run.
+/// Parameters of a simulation run.
 #[derive(Clone)]
 pub struct Scenario {
     pub settings: Settings,
@@ -28,26 +29,26 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum InjectedFault {
     None,
-    /// A restarted instance ignores that it has lost watermarks.
+    /// A restarted instance ignores that watermarks were lost.
     WatermarkLossIgnored,
-    /// An old snapshot passes for one of a clean shutdown.
+    /// An old snapshot is restored as if it had been taken at a clean shutdown.
     SnapshotAgeIgnored,
-    /// A token's watermark is ignored, as a forged token's could be.
+    /// The watermark of a token is replaced by an empty one, as in a forged token.
     TokenWatermarkIgnored,
-    /// A broadcast claims to cover everything since its instance started.
+    /// A broadcast claims to cover the whole time since its instance started.
     BroadcastGapIgnored,
-    /// A snapshot's watermarks replace higher ones instead of being joined.
+    /// Watermarks are replaced by lower ones from a snapshot instead of being joined with them.
     SnapshotReplacesWatermarks,
 }
 
-/// What a session has really seen.
+/// The true positions that a session has seen, as recorded by the oracle.
 #[derive(Clone, Copy, Default)]
 struct SeenPositions {
     written: Time,
     read: Time,
 }
 
-/// A read that waits for its answer.
+/// A read that is waiting for its answer.
 struct Read {
     answered_at: Time,
     instance_index: usize,
@@ -55,33 +56,33 @@
     name: u64,
     key: SessionKey,
     minimum: MinimumPosition,
-    /// The tokens in its request.
+    /// The tokens sent with the request.
     request_tokens: Vec<String>,
-    /// What its session had seen when it arrived.
+    /// What the session had seen when the read arrived.
     seen_at_arrival: SeenPositions,
 }
 
 struct Instance {
     restart_count: u32,
     tracker: SessionTracker,
-    /// How far its clock is ahead.
+    /// How far the clock of the instance is ahead.
     clock_offset: Time,
     last_running_snapshot: Option<Snapshot>,
 }
 
-/// Counts of a run.
+/// Counters of a simulation run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Findings {
     pub reads: usize,
-    /// Answers that were accepted although their session had seen more.
+    /// Accepted answers that were older than what their session had seen.
     pub stale: usize,
-    /// Reads whose answer from a replica was accepted.
+    /// Reads for which the answer of a replica was accepted.
     pub by_replicas: usize,
     /// Of these, reads whose minimum position came from the broadcasts of other instances.
     pub by_replicas_via_broadcasts: usize,
-    /// Answers of the primary that were rejected.
+    /// Answers of the current primary that were rejected.
     pub primary_unproven: usize,
-    /// Answers of a deposed primary that were accepted although they lacked something.
+    /// Accepted answers of a deposed primary that were older than what their session had seen.
     pub deposed_primary_stale: usize,
 }
 
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Sends over a network that loses, duplicates and delays datagrams.
+    /// Sends a datagram over a network that loses, duplicates and delays datagrams.
     fn send_datagram(&mut self, to: usize, bytes: &[u8]) {
         for _ in 0..1 + usize::from(self.rng.random_bool(0.1)) {
             if !self.rng.random_bool(self.scenario.loss_probability) {
@@ -213,7 +214,7 @@
         while let Some(at) = self.open_reads.iter().position(|read| read.answered_at <= self.now) {
             let read = self.open_reads.swap_remove(at);
             let instance = &mut self.instances[read.instance_index];
-            // Requests of an earlier run are not answered.
+            // A restart drops the requests that were in flight.
             if instance.restart_count != read.restart_count {
                 continue;
             }
@@ -233,10 +234,10 @@
         }
     }
 
-    /// A client's request: a write, or a read that will be answered later.
+    /// Sends a request of a random session: a write, or a read that is answered later.
     fn request(&mut self) {
         let name = self.rng.random_range(0..200u64).min(self.rng.random_range(0..200));
-        // A session that does not roam always uses the same instance.
+        // Without roaming, a session always uses the same instance.
         let instance_index = if self.scenario.settings.roams {
             self.rng.random_range(0..self.instances.len())
         } else {
@@ -304,7 +305,7 @@
     }
 }
 
-/// Replaces the tokens that were sent with a request by the token of its answer.
+/// Replaces the tokens sent with a request by the token of its answer.
 fn replace_tokens(
     tokens: &mut BTreeMap<u64, Vec<String>>,
     name: u64,
@@ -316,12 +317,12 @@
     known.extend(token);
 }
 
-/// What a host reports that has reached `position`. Hosts report whole milliseconds.
+/// What a host that has reached `position` reports. Hosts report whole milliseconds.
 fn evidence(position: Time, role: Role) -> AnswerEvidence {
     AnswerEvidence { position: Some(position / MS * MS), position_at_send: None, role: Some(role) }
 }
 
-/// Answers a read from a lagging replica, or from the primary if the replica's answer proves too little.
+/// Answers a read from a lagging replica, or from the primary if the answer of the replica is not proven.
 /// Returns the position of the data.
 fn serve(
     tracker: &mut SessionTracker,
@@ -333,11 +334,11 @@
 ) -> Time {
     let Read { key, seen_at_arrival, .. } = read;
     let minimum = tracker.recheck_read(now + clock_offset, *key, &read.minimum).unwrap_or(read.minimum);
-    // Half of the replicas have just reached the minimum position, the others lag at random.
+    // With probability 0.5 the replica has just reached the minimum position; otherwise its lag is random.
     let required = ((minimum.position() + MS - 1) / MS * MS).clamp(now - 3_000 * MS, now);
     let position = if rng.random_bool(0.5) { required } else { now - rng.random_range(0..80 * MS) };
     let is_stale = |position: Time| position < seen_at_arrival.written || position < seen_at_arrival.read;
-    // No primary accepts writes for 300 ms after one was deposed.
+    // After a primary is deposed, no primary accepts writes for 300 ms.
     let deposed_at = now - rng.random_range(1_000 * MS..4_000 * MS);
     let verify_primary = |tracker: &mut SessionTracker, position: Time| {
         tracker.verify_answer(&minimum, &evidence(position, Role::Primary))
