--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -1,5 +1,5 @@
-//! No lost datagram, restart or clock error leads to a stale read, and the oracle that checks it detects
-//! injected faults.
+//! Checks that lost datagrams, restarts and clock errors never lead to a stale read, and that the oracle
+//! detects injected faults.
 
 mod common;
 use common::*;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Sessions that stay with one instance, without tokens: only that instance knows what they have seen.
+/// Sessions that use a single instance, without tokens: only that instance knows what they have seen.
 fn sticky_sessions() -> Scenario {
     scenario(Settings { roams: false, tokens: false, ..settings(0, 0) }, false)
 }
