--- a/crates/sessions/tests/restart.rs
+++ b/crates/sessions/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Restarting a tracker after its clock was found to be wrong.
+//! Restart of a tracker after its clock was found to be wrong.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
 const HOUR: Time = 3_600_000 * MS;
 const CORRECT_TIME: Time = 1_000_000_000 * MS;
 
-/// Two instances without tokens that exchange watermarks of group `GROUP`.
+/// Creates two instances without tokens that exchange watermarks of [`GROUP`].
 fn two_trackers(now: Time) -> [SessionTracker; 2] {
     [0, 1].map(|instance| {
         let settings = Settings { tokens: false, ..settings(2, instance) };
@@ -18,22 +18,22 @@
     })
 }
 
-/// Lets both trackers exchange five broadcasts, each at the time of its own clock.
+/// Exchanges five broadcasts between both trackers, each at the time of its own clock.
 fn exchange_broadcasts(trackers: &mut [SessionTracker; 2], now: [Time; 2]) {
     for interval in 1..6 {
         let local_now = now.map(|now| now + interval * 100 * MS);
         let broadcasts = [trackers[0].due_broadcasts(local_now[0]), trackers[1].due_broadcasts(local_now[1])];
         for (to, bytes) in [(1, &broadcasts[0]), (0, &broadcasts[1])] {
             for datagram in bytes {
-                // Rejected if it is from the future by the receiver's clock.
+                // Datagrams from the future, by the receiver's clock, are rejected.
                 let _ = trackers[to].receive(local_now[to] + MS, datagram);
             }
         }
     }
 }
 
-// Intervals received by a clock that was ahead cover times that have not come yet: without the restart, a
-// read would count as covered.
+// Intervals received while the clock was ahead cover times in the future: without the restart, reads would
+// count as covered by them.
 #[test]
 fn intervals_received_by_a_clock_that_was_ahead_cover_no_read() {
     let mut trackers = two_trackers(CORRECT_TIME + HOUR);
@@ -74,7 +74,7 @@
         exchange_broadcasts(&mut trackers, [CORRECT_TIME + 1_400 * MS; 2]);
         let key = trackers[0].session_key(GROUP, "one");
         for tracker in &mut trackers {
-            // The read arrives well before the end of the last broadcast interval.
+            // The read arrives well before the last broadcast interval ends.
             let minimum = tracker.begin_read(CORRECT_TIME + 1_600 * MS, key, None);
             assert_eq!(minimum.source, PositionSource::Peers, "clock error {clock_error}");
         }
