--- a/crates/sessions/tests/fixtures.rs
+++ b/crates/sessions/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Compatibility of encodings that outlive a process: tokens held by clients, and datagrams between versions
-//! of the program. The fixtures were recorded from commit a97f0e8.
+//! Compatibility tests of encodings that are shared between versions of the program: tokens held by clients,
+//! and datagrams between instances. The fixtures were recorded at commit a97f0e8.
 
 use petrelgauge_policy::Time;
 use petrelgauge_sessions::*;
@@ -7,14 +7,14 @@
 
 const MS: Time = 1_000;
 const SECRET: u64 = 0x5EED;
-/// A whole number of milliseconds, which encodes exactly. Microseconds added to it show how a field is
+/// A whole number of milliseconds, which is encoded exactly. Adding microseconds shows how a field is
 /// rounded.
 const NOW: Time = 1_767_225_600_123_000;
 
 const TOKENS: &str = include_str!("fixtures/tokens.txt");
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.txt");
 
-/// The lines `name value` of a fixture file.
+/// Parses the `name value` lines of a fixture file.
 fn fixtures(text: &'static str) -> BTreeMap<&'static str, &'static str> {
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     lines.map(|line| line.split_once(' ').expect("a name and a value")).collect()
@@ -37,7 +37,7 @@
     Watermark { written, read }
 }
 
-/// Names of the fixtures, with the token encoded and the token that it decodes to.
+/// Names of the fixtures, each with the token to encode and the token that the fixture decodes to.
 fn tokens() -> Vec<(&'static str, Token, Token)> {
     let token = |watermark, issued_at| Token { key: key(0xFE_DCBA_9876), watermark, issued_at };
     vec![
@@ -75,7 +75,7 @@
     }
 }
 
-/// Names of the fixtures, with the broadcast encoded and the broadcast that it decodes to.
+/// Names of the fixtures, each with the broadcast to encode and the broadcast that the fixture decodes to.
 fn datagrams() -> Vec<(&'static str, WatermarkBroadcast, WatermarkBroadcast)> {
     let full: Vec<BroadcastEntry> =
         (0..MAX_ENTRIES as u64).map(|n| entry(n << 32 | n, watermark(NOW - n as Time * MS, 0))).collect();
@@ -84,7 +84,7 @@
         entry(8, watermark(0, NOW - 7 * MS)),
         entry(0xFF_FFFF_FFFF, watermark(NOW, NOW + 2_000 * MS)),
     ];
-    // An older watermark is encoded as the oldest possible.
+    // The oldest watermark that can be encoded; older ones are raised to it.
     let oldest = NOW + 2_000 * MS - (Time::from(u16::MAX) - 1) * MS;
     vec![
         ("empty", datagram(Vec::new()), datagram(Vec::new())),
@@ -159,8 +159,8 @@
     }
 }
 
-// Tokens and datagrams contain hashes of session names: with another hash function every known watermark
-// would belong to another session.
+// Tokens and datagrams contain hashes of session names: with a different hash function, known watermarks
+// would be assigned to other sessions.
 #[test]
 fn session_names_hash_as_recorded() {
     let names = ["", "member-17", "9b1f6e2c-2f3d-4c55-9d0c-0a4f6a1f0d11"];
