--- a/crates/sessions/tests/replay.rs
+++ b/crates/sessions/tests/replay.rs
@@ -1,5 +1,6 @@
-//! Seeded runs of several instances whose digests of all outputs were recorded from commit a97f0e8: a
-//! refactoring must not change a token, a datagram, a decision or a counter.
+//! Regression test: seeded simulations of several instances. The digests of all outputs were recorded at
+//! commit a97f0e8, so that a refactoring cannot change a token, a datagram, a decision or a counter
+//! unnoticed.
 
 use petrelgauge_policy::{Role, Time};
 use petrelgauge_sessions::*;
@@ -12,7 +13,7 @@
 const GROUPS: u64 = 3;
 const START: Time = 1_000_000_000;
 
-/// Digest of all outputs in order.
+/// Digest of all outputs, in order.
 #[derive(Default)]
 struct Digest(Xxh3);
 
@@ -97,7 +98,7 @@
     bytes: Vec<u8>,
 }
 
-/// A read that waits for its answer.
+/// A read that is waiting for its answer.
 struct OpenRead {
     instance_index: usize,
     key: SessionKey,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Sends due broadcasts with loss, delay and duplication, and delivers those that have arrived.
+    /// Sends due broadcasts with loss, delay and duplication, and delivers the datagrams that have arrived.
     fn exchange_broadcasts(&mut self) {
         for from in 0..self.instances.len() {
             for bytes in self.instances[from].due_broadcasts(self.now) {
@@ -177,8 +178,8 @@
         self.instances[instance_index].session_key(group, &session)
     }
 
-    /// The token of a request, if it has one: usually its session's newest, sometimes that of another
-    /// session.
+    /// The parsed token of a request, if it has a valid one. Usually this is the newest token of its session,
+    /// sometimes one of another session, which is rejected.
     fn request_token(&mut self, instance_index: usize, key: SessionKey) -> Option<Token> {
         let newest = self
             .tokens
@@ -233,7 +234,7 @@
         self.open_reads.push(OpenRead { instance_index, key, minimum });
     }
 
-    /// Answers a random open read from hosts with a random lag.
+    /// Answers a random open read with data of a random lag.
     fn answer_random_read(&mut self) {
         if self.open_reads.is_empty() {
             return;
