--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -1,4 +1,5 @@
-//! Laws of joins, bounds of memory and sketch, rejection of invalid tokens, broadcasts and settings.
+//! Algebraic laws of joins, bounds of memory and sketch, and rejection of invalid tokens, broadcasts and
+//! settings.
 
 mod common;
 use common::*;
@@ -35,7 +36,11 @@
     #![proptest_config(proptest_config())]
 
     #[test]
-    fn merging_is_commutative_associative_idempotent_and_never_lowers(a in watermark_strategy(), b in watermark_strategy(), c in watermark_strategy()) {
+    fn merging_is_commutative_associative_idempotent_and_never_lowers(
+        a in watermark_strategy(),
+        b in watermark_strategy(),
+        c in watermark_strategy(),
+    ) {
         prop_assert_eq!(a.join(b), b.join(a));
         prop_assert_eq!(a.join(b).join(c), a.join(b.join(c)));
         prop_assert_eq!(a.join(a), a);
@@ -44,7 +49,9 @@
     }
 
     #[test]
-    fn memory_never_underestimates_and_keeps_its_capacity(joins in prop::collection::vec((key_strategy(), watermark_strategy()), 1..400)) {
+    fn memory_never_underestimates_and_keeps_its_capacity(
+        joins in prop::collection::vec((key_strategy(), watermark_strategy()), 1..400),
+    ) {
         let mut memory = SessionMemory::new(32, 64, 5);
         let mut expected = std::collections::BTreeMap::<SessionKey, Watermark>::new();
         for (key, watermark) in &joins {
@@ -59,9 +66,15 @@
     }
 
     #[test]
-    fn a_token_round_trips_rounded_up_and_rejects_alterations(key in key_strategy(), watermark in watermark_strategy(), issued_at in 0..1i64 << 44, index in 0..60usize, bit in 0..8u8) {
+    fn a_token_round_trips_rounded_up_and_rejects_alterations(
+        key in key_strategy(),
+        watermark in watermark_strategy(),
+        issued_at in 0..1i64 << 44,
+        index in 0..60usize,
+        bit in 0..8u8,
+    ) {
         let text = Token { key, watermark, issued_at }.encode(9);
-        let token = Token::decode(&text, 9).expect("its own token");
+        let token = Token::decode(&text, 9).expect("a valid token");
         prop_assert_eq!(token.key, key);
         let less = Watermark { written: token.watermark.written - MS, read: token.watermark.read - MS };
         prop_assert!(token.watermark.covers(watermark) && watermark.covers(less));
@@ -75,10 +88,17 @@
     }
 
     #[test]
-    fn garbage_is_rejected_as_token_and_broadcast(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 0..256usize) {
+    fn garbage_is_rejected_as_token_and_broadcast(
+        bytes in prop::collection::vec(any::<u8>(), 0..300),
+        cut in 0..256usize,
+    ) {
         prop_assert!(Token::decode(&String::from_utf8_lossy(&bytes), 9).is_err());
         prop_assert!(WatermarkBroadcast::decode(&bytes, 9).is_err());
-        let complete = broadcast(vec![BroadcastEntry { name_hash: 7, watermark: Watermark { written: 990 * MS, read: 0 } }], 1_000 * MS).encode(9);
+        let complete = broadcast(
+            vec![BroadcastEntry { name_hash: 7, watermark: Watermark { written: 990 * MS, read: 0 } }],
+            1_000 * MS,
+        )
+        .encode(9);
         prop_assert!(WatermarkBroadcast::decode(&complete[..cut.min(complete.len() - 1)], 9).is_err());
         let mut altered = complete.clone();
         altered[cut % complete.len()] ^= 1 << (cut % 8);
@@ -91,16 +111,19 @@
     ) {
         let until = 5_000_000 * MS;
         let entries: Vec<BroadcastEntry> = ages.iter()
-            .map(|(name, written, read)| BroadcastEntry { name_hash: *name, watermark: Watermark { written: until - written * MS - 1, read: until - read * MS } })
+            .map(|(name, written, read)| BroadcastEntry {
+                name_hash: *name,
+                watermark: Watermark { written: until - written * MS - 1, read: until - read * MS },
+            })
             .collect();
         let sent = broadcast(entries.clone(), until);
         let bytes = sent.encode(9);
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        let received = WatermarkBroadcast::decode(&bytes, 9).expect("its own broadcast");
+        let received = WatermarkBroadcast::decode(&bytes, 9).expect("a valid broadcast");
         prop_assert_eq!((received.sender, received.from, received.until), (sender(1), sent.from, sent.until));
         for (sent, decoded) in entries.iter().zip(&received.entries) {
             prop_assert_eq!(sent.name_hash, decoded.name_hash);
-            prop_assert!(decoded.watermark.covers(sent.watermark), "{:?} came decoded as {:?}", sent, decoded);
+            prop_assert!(decoded.watermark.covers(sent.watermark), "{:?} was decoded as {:?}", sent, decoded);
         }
     }
 
@@ -123,7 +146,7 @@
             let watermark = now - age * MS;
             let entry = sent.entries.iter().find(|entry| entry.name_hash == *name);
             let sent_watermark = entry.map_or(0, |entry| entry.watermark.written);
-            prop_assert!(watermark <= sent_watermark.max(sent.omitted_bound), "{watermark} is neither sent nor bounded");
+            prop_assert!(watermark <= sent_watermark.max(sent.omitted_bound), "watermark {watermark} is neither sent nor bounded");
         }
     }
 }
@@ -155,19 +178,19 @@
     );
     range.record_interval(1, interval(10, 30, 40));
     range.record_interval(1, interval(10, 30, 40));
-    assert_eq!((range.known_until(), range.gap_end()), (20, 10), "the interval between may still arrive");
+    assert_eq!((range.known_until(), range.gap_end()), (20, 10), "the missing interval may still arrive");
     range.record_interval(2, interval(10, 18, 30));
-    assert_eq!((range.known_until(), range.gap_end()), (40, 10), "it has arrived");
+    assert_eq!((range.known_until(), range.gap_end()), (40, 10), "the missing interval has arrived");
     range.record_interval(3, interval(10, 50, 60));
     range.expire_gaps(100, 50);
     assert_eq!((range.known_until(), range.gap_end()), (60, 50));
     range.record_interval(101, interval(10, 40, 50));
     assert_eq!((range.known_until(), range.gap_end()), (60, 50), "a late interval changes nothing");
-    // The sender has restarted: what its earlier run had not sent is lost at once.
+    // The sender has restarted: watermarks that it had not sent before are lost.
     range.record_interval(102, interval(70, 70, 80));
     assert_eq!((range.known_until(), range.gap_end(), range.closed_gaps()), (80, 70, 3));
     range.record_interval(103, interval(10, 60, 200));
-    assert_eq!(range.known_until(), 80, "intervals of the earlier run are ignored");
+    assert_eq!(range.known_until(), 80, "intervals from before the restart are ignored");
 }
 
 #[test]
@@ -183,7 +206,7 @@
         Some(TokenError::WrongGroup)
     );
     assert_eq!(tracker.parse_token(now, "x", key).err(), Some(TokenError::Malformed));
-    // A token from the future is capped at the current time and does not count as complete.
+    // The watermark of a token from the future is capped at the current time and counts as incomplete.
     let ahead = Watermark { written: now + 1_000_000 * MS, read: 0 };
     let ahead = tracker.parse_token(now, &encoded(key, ahead, now + 10 * MS), key).expect("valid");
     let minimum = tracker.begin_read(now, key, Some(&ahead));
@@ -193,7 +216,7 @@
         now,
         "the minimum position of other sessions is unchanged"
     );
-    // An expired token does not cover what the session did since.
+    // An expired token does not cover the later requests of its session.
     let old =
         tracker.parse_token(now, &encoded(other, Watermark::NONE, now - 31_000 * MS), other).expect("valid");
     assert_eq!(tracker.begin_read(now, other, Some(&old)).source, PositionSource::Unknown);
@@ -229,7 +252,7 @@
     assert_eq!(reason(settings(3, 2)), "");
 }
 
-// A client with several requests in flight holds several tokens of a group, and all of them count.
+// A client with several requests in flight holds several tokens of a group, and all of them must be used.
 #[test]
 fn session_tokens_are_all_kept_or_all_rejected() {
     let text = |group, written| {
@@ -261,8 +284,8 @@
     assert!(group_tokens(&tokens, 2).is_empty());
 }
 
-// With hosts that report no positions, no answer to a session's read was once accepted, and no such read was
-// served.
+// Regression test: with hosts that report no positions, no answer to a read of a session was accepted, so
+// that no such read was served.
 #[test]
 fn without_reported_positions_an_answer_proves_what_its_host_enforces_or_a_primary_implies() {
     let with_positions = Settings { roams: false, tokens: false, ..Default::default() };
@@ -283,7 +306,8 @@
         verdicts(Settings { hosts_enforce_positions: true, ..without_positions.clone() }, None),
         [true; 3]
     );
-    // A reported position counts, and where positions are reported an answer without one proves nothing.
+    // A reported position is always checked. Where hosts report positions, an answer without one proves
+    // nothing.
     assert_eq!(verdicts(without_positions, Some(8_000 * MS)), [false; 3]);
     assert_eq!(verdicts(Settings { hosts_enforce_positions: true, ..with_positions }, None), [false; 3]);
 }
@@ -297,7 +321,7 @@
     let minimum = tracker.begin_read(9_000 * MS, key, None);
     let replica = AnswerEvidence { role: Some(Role::Replica), ..AnswerEvidence::default() };
     assert_eq!(tracker.verify_answer(&minimum, &replica), Verdict::Proven);
-    // A write in flight may have committed and its answer been lost.
+    // A write in flight may have been committed although its answer was lost.
     let minimum = minimum.with_pending_write(8_900 * MS);
     assert_eq!((minimum.position(), minimum.with_pending_write(1).position()), (8_900 * MS, 8_900 * MS));
     assert_eq!(tracker.verify_answer(&minimum, &replica), Verdict::Unproven);
