--- a/crates/sessions/tests/no_stale_reads.rs
+++ b/crates/sessions/tests/no_stale_reads.rs
@@ -52,8 +52,16 @@
         };
         let instances = if instances == 1 { 0 } else { instances };
         let settings = Settings { clock_error, roams, tokens, guarantee, ..settings(instances, 0) };
-        let findings = run(&Scenario { loss_probability, restart_probability, ..scenario(settings, tokens) }, u64::from(seed));
-        prop_assert_eq!((findings.stale, findings.primary_unproven, findings.deposed_primary_stale), (0, 0, 0), "{:?}", findings);
+        let findings = run(
+            &Scenario { loss_probability, restart_probability, ..scenario(settings, tokens) },
+            u64::from(seed),
+        );
+        prop_assert_eq!(
+            (findings.stale, findings.primary_unproven, findings.deposed_primary_stale),
+            (0, 0, 0),
+            "{:?}",
+            findings
+        );
         prop_assert!(findings.reads > 500);
     }
 }
