--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/common/mod.rs
@@ -252,7 +252,7 @@
         };
         let parsed = request_tokens
             .iter()
-            .map(|text| instance.tracker.parse_token(local_now, text, key).expect("its own token"));
+            .map(|text| instance.tracker.parse_token(local_now, text, key).expect("a valid token"));
         let token = parsed.reduce(Token::join).map(|token| match self.scenario.fault {
             InjectedFault::TokenWatermarkIgnored => Token { watermark: Watermark::NONE, ..token },
             _ => token,
