--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -17,7 +17,7 @@
 //! | `minimum_position`, `answer_check` | the position that a read requires, and the check of its answer |
 //! | `session_memory`, `sketch` | exact watermarks of recent sessions, an upper bound for all others |
 //! | `token`, `session_tokens` | the watermark held by a client, and the tokens set for a connection |
-//! | `peer_exchange`, `outbox`, `watermark_broadcast`, `known_range` | exchange of watermarks between instances |
+//! | `peer_exchange`, `outbox`, `watermark_broadcast`, `known_range` | watermark exchange between instances |
 //! | `snapshot` | the state that is kept across a restart |
 //! | `settings`, `counts` | configuration and counters |
 //!
@@ -52,7 +52,8 @@
 //! let minimum = second.begin_read(5_012_000, key, Some(&token));
 //! assert_eq!((minimum.source, minimum.position()), (PositionSource::Token, 5_004_000));
 //! let mut answer_at = |position| {
-//!     second.verify_answer(&minimum, &AnswerEvidence { position: Some(position), ..AnswerEvidence::default() })
+//!     let answer = AnswerEvidence { position: Some(position), ..AnswerEvidence::default() };
+//!     second.verify_answer(&minimum, &answer)
 //! };
 //! assert_eq!(answer_at(5_003_000), Verdict::Unproven);
 //! assert_eq!(answer_at(5_004_000), Verdict::Proven);
--- a/crates/sessions/src/settings.rs
+++ b/crates/sessions/src/settings.rs
@@ -32,7 +32,7 @@
 /// What the position that is reported with an answer refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionScope {
-    /// The data that was read.
+    /// The data that were read.
     DataRead,
     /// The host at the time of the answer; the data may be older. Only positions reported before the read was
     /// sent are proof.
@@ -113,7 +113,7 @@
     #[error("the number of exact watermarks must be from 1 to {MAX_EXACT_SESSIONS}, not {0}")]
     ExactSessions(usize),
     /// [`Settings::sketch_width`] is out of range.
-    #[error("the number of cells must be a power of two of at most {MAX_SKETCH_WIDTH}, not {0}")]
+    #[error("the number of cells per row must be a power of two of at most {MAX_SKETCH_WIDTH}, not {0}")]
     SketchWidth(usize),
     /// [`Settings::token_age`] is not positive.
     #[error("the maximum age of a token must be more than 0, not {0} us")]
--- a/crates/sessions/tests/laws.rs
+++ b/crates/sessions/tests/laws.rs
@@ -128,7 +128,9 @@
     }
 
     #[test]
-    fn watermarks_that_an_outbox_omits_are_bounded(recorded in prop::collection::vec((0..80u64, 0..200i64), 1..200)) {
+    fn watermarks_that_an_outbox_omits_are_bounded(
+        recorded in prop::collection::vec((0..80u64, 0..200i64), 1..200),
+    ) {
         let start = 1_000 * MS;
         let sender = BroadcastSender { instance: 0, group: GROUP, epoch: start };
         let mut outbox = Outbox::new(sender, SessionGuarantee::ReadYourWrites);
@@ -146,7 +148,10 @@
             let watermark = now - age * MS;
             let entry = sent.entries.iter().find(|entry| entry.name_hash == *name);
             let sent_watermark = entry.map_or(0, |entry| entry.watermark.written);
-            prop_assert!(watermark <= sent_watermark.max(sent.omitted_bound), "watermark {watermark} is neither sent nor bounded");
+            prop_assert!(
+                watermark <= sent_watermark.max(sent.omitted_bound),
+                "watermark {watermark} is neither sent nor bounded"
+            );
         }
     }
 }
