--- a/crates/sessions/src/counts.rs
+++ b/crates/sessions/src/counts.rs
@@ -7,7 +7,7 @@
     pub by_token: u64,
     /// Reads whose minimum position came from the watermarks stored in this instance.
     pub by_memory: u64,
-    /// Reads whose minimum position came from the broadcasts of the other instances already when they arrived.
+    /// Reads whose minimum position came, already on arrival, from the broadcasts of the other instances.
     pub by_peers: u64,
     /// Reads without a known minimum position, which required everything committed before they arrived.
     pub unknown: u64,
