--- a/crates/sessions/src/counts.rs
+++ b/crates/sessions/src/counts.rs
@@ -46,7 +46,10 @@
         )?;
         write!(f, "lowered={lowered} unproven={unproven} ")?;
         write!(f, "expired_tokens={expired_tokens} future_tokens={future_tokens} ")?;
-        write!(f, "broadcasts_sent={broadcasts_sent} broadcasts_received={broadcasts_received} ")?;
-        write!(f, "broadcasts_rejected={broadcasts_rejected}")
+        write!(
+            f,
+            "broadcasts_sent={broadcasts_sent} broadcasts_received={broadcasts_received} \
+             broadcasts_rejected={broadcasts_rejected}"
+        )
     }
 }
