--- a/crates/ownership/src/acceptor.rs
+++ b/crates/ownership/src/acceptor.rs
@@ -1,11 +1,11 @@
-//! An acceptor: promises and accepted leases, kept in memory only.
+//! An acceptor: promises and accepted leases, kept only in memory.
 
 use crate::message::{GrantedLease, LeaseRequest, LeaseResponse};
 use crate::{Ballot, GatewayId, LeadershipRole, Settings, MAX_ROLES};
 use petrelgauge_policy::{mutant, Mutant, Time};
 use std::collections::BTreeMap;
 
-/// A lease that was accepted.
+/// A lease that the acceptor has accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AcceptedLease {
     ballot: Ballot,
@@ -16,7 +16,7 @@
 /// What an acceptor has promised and accepted for one role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct RoleState {
-    /// No lower ballot is accepted.
+    /// Requests with a lower ballot are rejected.
     promised: Ballot,
     accepted: Option<AcceptedLease>,
 }
@@ -30,8 +30,8 @@
         self.accepted.is_none_or(|lease| now >= lease.expires_at)
     }
 
-    /// Whether the request's ballot is too low. A ballot is prepared once: the same one again is a duplicate,
-    /// or comes from an earlier process of the same gateway.
+    /// Whether the request's ballot is too low. A ballot can be prepared only once: a second prepare request
+    /// with the same ballot is a duplicate or was sent by an earlier process of the same gateway.
     fn is_outdated(&self, request: LeaseRequest) -> bool {
         match request {
             LeaseRequest::Prepare { ballot } => ballot <= self.promised,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// The lease that a candidate has to wait for. That may be one of its own gateway, held by an earlier
-    /// process.
+    /// The accepted lease, which a candidate has to wait for. It may belong to an earlier process of the
+    /// candidate's own gateway.
     fn granted_lease(&self, now: Time) -> Option<GrantedLease> {
         if mutant(Mutant::GrantHidden) {
             return None;
@@ -49,17 +49,17 @@
     }
 }
 
-/// The acceptor of one gateway, since its start. Holds at most [`MAX_ROLES`] roles.
+/// The acceptor of one gateway. Keeps the state of at most [`MAX_ROLES`] roles.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// Requests are ignored until then: leases accepted before a restart may still be in force.
+    /// Requests are ignored until this time, since leases accepted before a restart may still be in force.
     silent_until: Time,
     acceptance_duration: Time,
     roles: BTreeMap<LeadershipRole, RoleState>,
 }
 
 impl Acceptor {
-    /// Creates an acceptor that starts now, without any memory of earlier promises.
+    /// Creates an acceptor that starts now and knows of no earlier promises.
     pub fn new(settings: &Settings, now: Time) -> Acceptor {
         let silence = if mutant(Mutant::SilentPeriodSkipped) { 0 } else { settings.startup_silence() };
         let shortened = mutant(Mutant::GrantExpiresEarly);
@@ -67,8 +67,8 @@
         Acceptor { silent_until: now + silence, acceptance_duration, roles: BTreeMap::new() }
     }
 
-    /// Handles a candidate's request and returns the response, if any. During the silence after the start,
-    /// requests are ignored and change nothing.
+    /// Handles a candidate's request and returns the response, if any. During the silent period after
+    /// startup, requests are ignored and change nothing.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -103,9 +103,9 @@
         }
     }
 
-    /// The state of a role. If there are too many, a new role replaces one whose lease has expired: an
-    /// expired lease binds nobody, and the promise beside it only orders ballots of that time. `None` if all
-    /// leases are in force.
+    /// Returns the state of a role. If [`MAX_ROLES`] roles are kept already, a new role replaces one whose
+    /// lease has expired: an expired lease binds nobody, and the promise stored with it only orders ballots
+    /// of that time. Returns `None` if all leases are in force.
     fn role_state(&mut self, now: Time, role: LeadershipRole) -> Option<&mut RoleState> {
         if !self.roles.contains_key(&role) && self.roles.len() >= MAX_ROLES {
             let (expired, _) = self.roles.iter().find(|(_, state)| state.is_expired(now))?;
