--- a/crates/ownership/src/candidate.rs
+++ b/crates/ownership/src/candidate.rs
@@ -1,15 +1,15 @@
 //! A candidate for one role: acquires the lease, renews it and releases it.
 //!
 //! ```text
-//!         deadline         majority promised           majority accepted
-//! Idle ------------> Preparing ------------> Proposing ----------------> Holding --deadline--> Holding (renewing)
-//!   ^                    |                       |                          |
-//!   +-- rejected, another holds the lease, timeout --+------ lease expired -+
+//!       deadline             majority promised            majority accepted
+//! Idle ----------> Preparing -----------------> Proposing -----------------> Holding (renews at deadline)
+//!  ^                   |                            |                           |
+//!  +-- rejected, lease held by another, timeout ----+------ lease expired ------+
 //! ```
 //!
-//! The lease is counted from the moment at which the proposal was **sent**, by the candidate's own clock;
-//! each acceptor counts from when it arrived, which is later. Proposals are numbered, so that a late response
-//! to an earlier one renews nothing.
+//! The candidate measures the lease from the time at which it **sent** the proposal, by its own clock. Each
+//! acceptor measures it from the arrival of the proposal, which is later. Proposals are numbered so that a
+//! late response to an earlier proposal cannot renew the lease.
 
 use crate::message::{GrantedLease, LeaseRequest, LeaseResponse};
 use crate::{Ballot, GatewayId, Settings, Term, PROPOSER_BITS};
@@ -20,10 +20,10 @@
 
 /// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Unit of the time in a term (microseconds).
+/// Resolution of the time that is part of a term (microseconds).
 const TERM_TICK: Time = 1_000;
 
-/// A proposal to renew the lease that awaits a majority.
+/// A proposal to renew the lease that a majority has not accepted yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Renewal {
     sent_at: Time,
@@ -34,9 +34,9 @@
 enum State {
     /// Sends nothing before `retry_at`.
     Idle { retry_at: Time },
-    /// Awaits promises.
+    /// Waits for promises from a majority.
     Preparing { deadline: Time, promised: BTreeSet<GatewayId> },
-    /// Awaits acceptance of the proposal.
+    /// Waits for a majority to accept the proposal.
     Proposing { sent_at: Time, deadline: Time, accepted: BTreeSet<GatewayId> },
     /// Holds the lease.
     Holding { expires_at: Time, renewal: Option<Renewal> },
@@ -45,7 +45,7 @@
 /// What the caller has to do after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Nothing.
+    /// Do nothing.
     Wait,
     /// Send this request to all acceptors.
     Send(LeaseRequest),
@@ -65,7 +65,7 @@
     ballot: Ballot,
     /// The highest term seen in any message.
     highest_term: Term,
-    /// Number of its last proposal.
+    /// Number of the last proposal.
     round: u32,
     /// Consecutive failed attempts.
     failed_attempts: u32,
@@ -85,7 +85,7 @@
         candidate
     }
 
-    /// The term of the lease, if it is held at `now`. Read the time right before each effect.
+    /// The term of the lease, if it is held at `now`. Callers must read the clock right before each effect.
     pub fn held_term(&self, now: Time) -> Option<Term> {
         let State::Holding { expires_at, .. } = &self.state else { return None };
         let at_the_end = now == *expires_at && mutant(Mutant::LeaseEndIncluded);
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Records that another gateway holds the lease under this term for at most `remaining` microseconds. An
-    /// idle candidate waits until that lease has expired.
+    /// Records that another gateway holds the lease under this term for at most `remaining` more
+    /// microseconds. An idle candidate waits until that lease has expired.
     pub fn observe_lease(&mut self, now: Time, term: Term, remaining: Time) {
         self.observe_term(term);
         if term < self.ballot.term {
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Records a term that was seen elsewhere. The next ballot will have a higher one.
+    /// Records a term that another gateway has used. The next ballot will have a higher one.
     pub fn observe_term(&mut self, term: Term) {
         self.highest_term = self.highest_term.max(term);
     }
 
-    /// Handles the deadline of the present state; does nothing before [`Candidate::next_deadline`].
+    /// Handles the deadline of the current state; does nothing before [`Candidate::next_deadline`].
     pub fn on_deadline(&mut self, now: Time) -> Action {
         if now < self.next_deadline() {
             return Action::Wait;
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Handles an acceptor's response. Responses to earlier ballots, late ones, and those of other gateways
-    /// are ignored.
+    /// Handles an acceptor's response. Ignores late responses, responses to earlier ballots and responses
+    /// from gateways that are not acceptors.
     pub fn on_response(&mut self, now: Time, from: GatewayId, response: LeaseResponse) -> Action {
         let is_acceptor = self.settings.acceptors.contains(&from);
         if !is_acceptor || response.ballot() != self.ballot || self.is_late(now) {
@@ -176,8 +176,8 @@
         Some(LeaseRequest::Release { ballot: self.ballot })
     }
 
-    /// Whether the attempt's deadline has passed. A response that late must not count: meanwhile a restarted
-    /// acceptor may have forgotten a holder with a higher term.
+    /// Whether the attempt's deadline has passed. Later responses must not count, because an acceptor that
+    /// has restarted in the meantime may have forgotten a holder with a higher term.
     fn is_late(&self, now: Time) -> bool {
         match &self.state {
             State::Preparing { deadline, .. } | State::Proposing { deadline, .. } => {
@@ -212,7 +212,7 @@
         self.propose()
     }
 
-    /// Handles a promise of an acceptor that has already accepted another lease, which is still in force.
+    /// Handles a promise from an acceptor that has accepted another lease that is still in force.
     fn on_granted_lease(&mut self, now: Time, lease: GrantedLease) -> Action {
         if !matches!(self.state, State::Preparing { .. }) {
             return Action::Wait;
@@ -267,12 +267,12 @@
     }
 
     fn on_rejected(&mut self, now: Time, highest: Ballot) -> Action {
-        // An acceptor received a duplicate of this candidate's own request.
+        // The acceptor has rejected a duplicate of a request from this candidate.
         if highest == self.ballot {
             return Action::Wait;
         }
         self.observe_term(highest.term);
-        // Other acceptors may still renew a lease that is held; if not, it expires.
+        // The other acceptors may still renew a lease that is held; otherwise it expires.
         if matches!(self.state, State::Holding { .. }) {
             return Action::Wait;
         }
@@ -285,8 +285,8 @@
         Action::Wait
     }
 
-    /// Backs off for a random part of a span that doubles with each failure, so that concurrent candidates
-    /// diverge.
+    /// Backs off for a random time whose upper bound doubles with each failure, so that concurrent
+    /// candidates don't keep colliding.
     fn back_off(&mut self, now: Time) {
         let doublings = self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS);
         let max_backoff = self.settings.response_timeout() << doublings;
@@ -294,30 +294,30 @@
         self.state = State::Idle { retry_at: now + backoff };
     }
 
-    /// Samples the delay after a lease's expiry. Candidates that wait for the same lease retry in the order
-    /// of the acceptors, each leaving the one before it enough time to succeed. One that is no acceptor takes
-    /// a random place.
+    /// Samples a delay to wait after another gateway's lease has expired. Candidates that wait for the same
+    /// lease retry in the order of the acceptors, far enough apart for the previous one to succeed. A
+    /// candidate that is not an acceptor takes a random rank in that order.
     fn sample_stagger(&mut self) -> Time {
         let sample = self.sample();
         let Settings { acceptors, self_id, max_delay, .. } = &self.settings;
-        let own_place = acceptors.iter().position(|acceptor| acceptor == self_id);
-        let place = own_place.unwrap_or(sample as usize % acceptors.len().max(1));
-        place as Time * self.settings.response_timeout() + sample % (*max_delay).max(1)
+        let own_rank = acceptors.iter().position(|acceptor| acceptor == self_id);
+        let rank = own_rank.unwrap_or(sample as usize % acceptors.len().max(1));
+        rank as Time * self.settings.response_timeout() + sample % (*max_delay).max(1)
     }
 
-    /// A uniform random sample, not negative.
+    /// Samples a uniformly distributed non-negative number.
     fn sample(&mut self) -> Time {
         (self.rng.next_u64() >> 1) as Time
     }
 
-    /// Number of acceptors whose agreement is needed.
+    /// Number of acceptors that have to agree.
     fn quorum(&self) -> usize {
         self.settings.majority() - usize::from(mutant(Mutant::MinorityEnough))
     }
 
     /// A term above every term seen and above the time in milliseconds. A restarted acceptor may have
-    /// forgotten the last holder's term; since it was silent for longer than a lease, the time alone makes
-    /// the new term higher.
+    /// forgotten the last holder's term. It was silent for longer than a lease, though, so the time alone
+    /// makes the new term higher.
     fn next_term(&self, now: Time) -> Term {
         let highest_seen = self.highest_term.max(self.ballot.term);
         if mutant(Mutant::TermNotRaised) {
