--- a/crates/ownership/src/datagram.rs
+++ b/crates/ownership/src/datagram.rs
@@ -2,13 +2,14 @@
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 1 | magic byte, which distinguishes these datagrams from watermark broadcasts on the same socket |
+//! | 1 | magic byte, which tells these datagrams from watermark broadcasts on the same socket |
 //! | 1 | version of this encoding |
 //! | 4 | fingerprint of the fleet's settings, big-endian |
-//! | up to 246 | sender and message, as `postcard` encodes them |
-//! | 4 | CRC-32C of the fleet's secret followed by everything before, big-endian |
+//! | up to 246 | sender and message, encoded with `postcard` |
+//! | 4 | CRC-32C of the fleet's secret followed by all preceding bytes, big-endian |
 //!
-//! The keyed checksum detects corruption and datagrams of other fleets. It is no defence against an attacker.
+//! The keyed checksum detects corruption and datagrams of other fleets. It does not protect against an
+//! attacker.
 
 use crate::message::Message;
 use crate::GatewayId;
@@ -16,7 +17,7 @@
 
 /// Maximum length of a datagram (bytes).
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// First byte of each datagram. Watermark broadcasts of sessions begin with their version, which is lower.
+/// First byte of each datagram. Watermark broadcasts begin with their version, which is a lower value.
 const MAGIC: u8 = 0xA7;
 /// Version of the encoding.
 const VERSION: u8 = 1;
@@ -28,24 +29,24 @@
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
-    /// It is too short or too long, begins with another byte, or its body cannot be decoded.
+    /// It is too short or too long, has another first byte, or its body cannot be decoded.
     #[error("the datagram is malformed")]
     Malformed,
     /// It has another version of the encoding.
-    #[error("the datagram has a version that is not known here")]
+    #[error("the datagram has an unknown version")]
     UnknownVersion,
-    /// The sender is configured with other acceptors, durations or shards.
-    #[error("the datagram is of a fleet with other electors or durations")]
+    /// The sender is configured with other acceptors, durations or shards. The text uses the operator's keys.
+    #[error("the datagram is from a gateway with different electors, durations or shards")]
     OtherFleet,
     /// It was corrupted, or encoded with another secret.
-    #[error("the datagram's checksum does not match")]
+    #[error("the checksum of the datagram does not match")]
     ChecksumMismatch,
 }
 
 /// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedMessage {
-    /// The gateway that the datagram claims to be from.
+    /// The sender, as the datagram states it.
     pub from: GatewayId,
     /// The message.
     pub message: Message,
@@ -57,11 +58,11 @@
         bytes.first() == Some(&MAGIC)
     }
 
-    /// Encodes the message as a datagram. `fleet` is [`crate::Settings::sharded_fingerprint`]; `secret` is
-    /// the same at all gateways.
-    pub fn encode(&self, from: GatewayId, fleet: u32, secret: u64) -> Vec<u8> {
+    /// Encodes the message as a datagram. `fingerprint` is [`crate::Settings::sharded_fingerprint`]; `secret`
+    /// is the same at all gateways.
+    pub fn encode(&self, from: GatewayId, fingerprint: u32, secret: u64) -> Vec<u8> {
         let mut bytes = vec![MAGIC, VERSION];
-        bytes.extend_from_slice(&fleet.to_be_bytes());
+        bytes.extend_from_slice(&fingerprint.to_be_bytes());
         bytes = postcard::to_extend(&(from, self), bytes).unwrap_or_default();
         let checksum = keyed_checksum(&bytes, secret);
         bytes.extend_from_slice(&checksum);
@@ -73,11 +74,10 @@
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is malformed, of another version or fleet, or corrupted, or if it was encoded
-    /// with another secret.
-    pub fn decode(bytes: &[u8], fleet: u32, secret: u64) -> Result<ReceivedMessage, DatagramError> {
-        let lengths = HEADER_BYTES + CHECKSUM_BYTES..=MAX_DATAGRAM_BYTES;
-        if !lengths.contains(&bytes.len()) || !Message::has_magic_byte(bytes) {
+    /// Fails if the datagram is malformed or corrupted, or if it has another version, fingerprint or secret.
+    pub fn decode(bytes: &[u8], fingerprint: u32, secret: u64) -> Result<ReceivedMessage, DatagramError> {
+        let valid_lengths = HEADER_BYTES + CHECKSUM_BYTES..=MAX_DATAGRAM_BYTES;
+        if !valid_lengths.contains(&bytes.len()) || !Message::has_magic_byte(bytes) {
             return Err(DatagramError::Malformed);
         }
         let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
@@ -88,7 +88,7 @@
         if header[1] != VERSION {
             return Err(DatagramError::UnknownVersion);
         }
-        if header[2..] != fleet.to_be_bytes() {
+        if header[2..] != fingerprint.to_be_bytes() {
             return Err(DatagramError::OtherFleet);
         }
         match postcard::take_from_bytes::<(GatewayId, Message)>(body) {
