--- a/crates/ownership/src/fence.rs
+++ b/crates/ownership/src/fence.rs
@@ -1,18 +1,18 @@
 //! Fencing: a receiver remembers the highest term seen for each role and rejects effects under lower terms.
-//! Those come from an earlier holder that does not know yet that its lease has expired.
+//! Those are sent by an earlier holder that doesn't know yet that its lease has expired.
 
 use crate::{LeadershipRole, Term, MAX_ROLES};
 use petrelgauge_policy::{mutant, Mutant};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Terms from here on are implausible: the time in milliseconds with [`crate::PROPOSER_BITS`] more bits stays
-/// far below. A corrupted one that was admitted would fence out every later holder.
+/// Terms from this value on are implausible: the time in milliseconds, shifted by [`crate::PROPOSER_BITS`],
+/// stays far below. If a corrupted term this high were admitted, every later holder would be fenced out.
 const TERM_LIMIT: Term = 1 << 62;
 
-/// An effect was rejected because a newer term is known.
+/// An effect was rejected because its term is stale or implausibly high.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("an effect under term {term} comes after one under term {highest}")]
+#[error("rejected an effect under term {term}; the highest term seen is {highest}")]
 pub struct StaleTerm {
     /// The term of the effect.
     pub term: Term,
@@ -28,7 +28,7 @@
 }
 
 impl Fence {
-    /// Admits an effect under this term and remembers the term. Call it before the effect is applied.
+    /// Admits an effect under this term and records the term. Must be called before the effect is applied.
     ///
     /// # Errors
     ///
@@ -56,8 +56,8 @@
         self.rejected
     }
 
-    /// Evicts the role with the lowest term if there are too many. Terms grow with time, so that role has
-    /// been idle longest.
+    /// Evicts the role with the lowest term if [`MAX_ROLES`] others are known. Terms increase with time, so
+    /// that role has been idle for the longest time.
     fn make_room_for(&mut self, role: LeadershipRole) {
         if self.highest.contains_key(&role) || self.highest.len() < MAX_ROLES {
             return;
