--- a/crates/ownership/src/lease_manager.rs
+++ b/crates/ownership/src/lease_manager.rs
@@ -1,9 +1,10 @@
-//! The lease manager of one gateway: its acceptor, its candidates and its fence for all roles, and the
-//! messages to send.
+//! The lease manager of one gateway. Combines its acceptor, its candidates and its fence for all roles, and
+//! returns the messages to send.
 //!
 //! Messages returned by [`LeaseManager::on_deadline`] and [`LeaseManager::on_message`] must be sent at once.
-//! A notification is built by [`LeaseManager::notification`] while the lease is held, with the time read
-//! right before; a caller that queues it must ask [`LeaseManager::still_holds`] again before sending it.
+//! [`LeaseManager::notification`] builds a notification only while the lease is held; the caller must read
+//! the clock right before the call. A caller that queues the notification must check
+//! [`LeaseManager::still_holds`] again before sending it.
 
 use crate::acceptor::Acceptor;
 use crate::candidate::{Action, Candidate};
@@ -14,8 +15,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Rotation of the shard's bits in a candidate's seed, which keeps them apart from the bits of the role's
-/// kind.
+/// Rotation of the shard number in a candidate's seed (bits), so that its low bits don't overlap with those
+/// of the role's kind.
 const SHARD_SEED_ROTATION: u32 = 17;
 
 /// A message and its receiver.
@@ -36,7 +37,7 @@
     pub term: Term,
 }
 
-/// A lease of another gateway, as its holder last announced it.
+/// A lease of another gateway, as last announced by its holder.
 #[derive(Clone, Copy, Debug)]
 struct ObservedLease {
     holder: LeaseHolder,
@@ -44,7 +45,7 @@
     expires_at: Time,
 }
 
-/// Counters since the start. Their names in the text form are an interface to operators.
+/// Counters since the start. `Display` prints them under names that operators' tools rely on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Leases acquired.
@@ -53,7 +54,7 @@
     pub lost: u64,
     /// Notifications rejected because of a stale term.
     pub rejected: u64,
-    /// Messages whose sender is none of the gateways.
+    /// Messages whose sender is not one of the gateways.
     pub unknown_senders: u64,
 }
 
@@ -69,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     settings: Settings,
-    /// Present if this gateway is one of the acceptors.
+    /// `Some` if this gateway is one of the acceptors.
     acceptor: Option<Acceptor>,
     candidates: BTreeMap<LeadershipRole, Candidate>,
     fence: Fence,
@@ -108,7 +109,7 @@
         Counts { rejected: self.fence.rejected(), ..self.counts }
     }
 
-    /// Makes this gateway a candidate for the role, unless it is one for [`MAX_ROLES`] roles already.
+    /// Makes this gateway a candidate for the role, unless it is a candidate for [`MAX_ROLES`] roles already.
     pub fn campaign(&mut self, now: Time, role: LeadershipRole) {
         if self.candidates.len() >= MAX_ROLES {
             return;
@@ -124,8 +125,8 @@
         self.candidates.contains_key(&role)
     }
 
-    /// Ends this gateway's candidacy for the role. Returns the messages that release the lease, if it is
-    /// held.
+    /// Ends this gateway's candidacy for the role. Returns the messages that release the lease, if this
+    /// gateway holds it.
     pub fn withdraw(&mut self, now: Time, role: LeadershipRole) -> Vec<Outgoing> {
         let Some(mut candidate) = self.candidates.remove(&role) else { return Vec::new() };
         let Some(request) = candidate.release(now) else { return Vec::new() };
@@ -133,13 +134,13 @@
         self.to_acceptors(role, request)
     }
 
-    /// The term of the lease, if this gateway holds it at `now`. Read the time right before each effect.
+    /// The term of the lease, if this gateway holds it at `now`. Callers must read the clock right before
+    /// each effect.
     pub fn held_term(&self, now: Time, role: LeadershipRole) -> Option<Term> {
         self.candidates.get(&role)?.held_term(now)
     }
 
-    /// Whether this gateway still holds the lease under this term, so that an effect prepared under it may be
-    /// sent.
+    /// Whether this gateway still holds the lease under this term and may send an effect prepared under it.
     pub fn still_holds(&self, now: Time, role: LeadershipRole, term: Term) -> bool {
         self.held_term(now, role) == Some(term)
     }
@@ -153,12 +154,12 @@
         (now < lease.expires_at).then_some(lease.holder)
     }
 
-    /// When [`LeaseManager::on_deadline`] is to be called next; `None` without a candidate.
+    /// When [`LeaseManager::on_deadline`] is to be called next; `None` if there is no candidate.
     pub fn next_deadline(&self) -> Option<Time> {
         self.candidates.values().map(Candidate::next_deadline).min()
     }
 
-    /// Handles all deadlines that have passed. Returns the messages to send.
+    /// Handles the deadlines of all candidates. Returns the messages to send.
     pub fn on_deadline(&mut self, now: Time) -> Vec<Outgoing> {
         let roles: Vec<LeadershipRole> = self.candidates.keys().copied().collect();
         let mut outgoing = Vec::new();
@@ -201,13 +202,13 @@
         }
     }
 
-    /// Whether the fence would admit a notification under this term. Ask before [`LeaseManager::on_message`],
-    /// which remembers the term.
+    /// Whether the fence would admit a notification under this term. To be called before
+    /// [`LeaseManager::on_message`], which records the term.
     pub fn would_admit(&self, role: LeadershipRole, term: Term) -> bool {
         self.fence.clone().admit(role, term).is_ok()
     }
 
-    /// A notification under the current term, or `None` unless this gateway holds the lease.
+    /// Builds a notification under the current term. Returns `None` if this gateway doesn't hold the lease.
     pub fn notification(
         &mut self,
         now: Time,
@@ -219,7 +220,7 @@
         Some(Message::Notification { role, term, notification })
     }
 
-    /// Ends all candidacies, for shutdown. Returns the messages that release the leases held.
+    /// Ends all candidacies before shutdown. Returns the messages that release the leases held.
     pub fn release_all(&mut self, now: Time) -> Vec<Outgoing> {
         let roles: Vec<LeadershipRole> = self.candidates.keys().copied().collect();
         roles.into_iter().flat_map(|role| self.withdraw(now, role)).collect()
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Announces the lease to all other gateways. If its term is below one seen here, the others would reject
-    /// it too: then the lease is released, and the next term will be higher.
+    /// Announces the lease to all other gateways. If this gateway has seen a higher term, the others would
+    /// reject the announcement too, so the lease is released instead. The next term will be higher.
     fn announce_lease(&mut self, now: Time, role: LeadershipRole, term: Term) -> Vec<Outgoing> {
         let Some(candidate) = self.candidates.get_mut(&role) else { return Vec::new() };
         if let Err(stale) = self.fence.admit(role, term) {
@@ -294,8 +295,8 @@
         self.to_others(&Message::Notification { role, term, notification })
     }
 
-    /// Addresses a request to all acceptors. The caller delivers it to this gateway's own acceptor like any
-    /// other message.
+    /// Addresses a request to all acceptors. If this gateway is one of them, the caller delivers the request
+    /// to it like any other message.
     fn to_acceptors(&self, role: LeadershipRole, request: LeaseRequest) -> Vec<Outgoing> {
         let message = Message::LeaseRequest { role, request };
         let acceptors = self.settings.acceptors.iter();
