--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -1,30 +1,30 @@
-//! Messages between gateways. The order of the variants and of their fields is the wire format: `postcard`
-//! encodes variants by index and fields by position, so either may only be appended to.
+//! Messages between gateways. The order of variants and fields is part of the wire format: `postcard` encodes
+//! variants by index and fields by position, so new ones may only be appended.
 
 use crate::quota::{GroupGrant, MeanRate, QuotaReport};
 use crate::{Ballot, LeadershipRole, Term};
 use petrelgauge_policy::Time;
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of primaries in one datagram: each encodes to at most 10 bytes for either number.
+/// Maximum number of primaries in one datagram. Each of their two numbers takes at most 10 bytes.
 pub const MAX_ANNOUNCEMENTS: usize = 10;
 
 /// A request of a candidate to the acceptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseRequest {
-    /// Promise to accept no lower ballot.
+    /// Asks for a promise to accept no lower ballot.
     Prepare {
         /// The candidate's ballot.
         ballot: Ballot,
     },
-    /// Accept the lease.
+    /// Asks the acceptor to accept the lease.
     Propose {
         /// The candidate's ballot.
         ballot: Ballot,
-        /// Number of this proposal, so that a late response to an earlier one renews nothing.
+        /// Number of this proposal, so that a late response to an earlier one cannot renew the lease.
         round: u32,
     },
-    /// Forget the accepted lease, which its holder has released.
+    /// Tells the acceptor that the holder has released the lease.
     Release {
         /// The holder's ballot.
         ballot: Ballot,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A lease that an acceptor has accepted, as it reports it to other candidates.
+/// A lease that an acceptor has accepted, as reported to other candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantedLease {
     /// The holder's ballot.
@@ -58,21 +58,21 @@
     Promised {
         /// The ballot of the request.
         ballot: Ballot,
-        /// The lease that the acceptor has accepted before and that has not expired yet.
+        /// The lease that the acceptor has accepted and that has not expired yet.
         granted: Option<GrantedLease>,
     },
     /// The acceptor has accepted the lease.
     Accepted {
         /// The ballot of the request.
         ballot: Ballot,
-        /// The number of the proposal.
+        /// Number of the proposal.
         round: u32,
     },
     /// The acceptor has promised a higher ballot.
     Rejected {
         /// The ballot of the request.
         ballot: Ballot,
-        /// The promised ballot.
+        /// The ballot that the acceptor has promised.
         highest: Ballot,
     },
 }
@@ -108,14 +108,14 @@
     },
     /// A member answered as its group's primary.
     Primary(PrimaryAnnouncement),
-    /// A round of quota lending begins: every gateway reports its demand.
+    /// A round of quota lending has begun: every gateway is to report its demand.
     QuotaRound {
         /// Number of the round.
         round: u32,
         /// Mean request rates of some or all groups, over the gateways that have reported.
         mean_rates: Vec<MeanRate>,
     },
-    /// Quota that is granted to the receiver beside its even quota.
+    /// Quota granted to the receiver in addition to its even quota.
     QuotaGrant {
         /// Number of the report that requested it.
         number: u32,
@@ -134,21 +134,21 @@
 pub enum Message {
     /// From a candidate to an acceptor.
     LeaseRequest {
-        /// The role whose lease is concerned.
+        /// The role of the lease.
         role: LeadershipRole,
         /// The request.
         request: LeaseRequest,
     },
     /// From an acceptor to a candidate.
     LeaseResponse {
-        /// The role whose lease is concerned.
+        /// The role of the lease.
         role: LeadershipRole,
         /// The response.
         response: LeaseResponse,
     },
     /// From the holder of a lease to other gateways.
     Notification {
-        /// The role that the sender holds the lease of.
+        /// The role whose lease the sender holds.
         role: LeadershipRole,
         /// The fencing term of the lease.
         term: Term,
@@ -156,7 +156,7 @@
         notification: Notification,
     },
     /// From any gateway to the leader of primary discovery, which forwards it under its own term. A report is
-    /// evidence and no effect of a role, so it carries no term.
+    /// evidence and not an effect of a role, so it carries no term.
     PrimaryReport(PrimaryAnnouncement),
     /// From a receiver to the sender of a notification that the receiver's fence has rejected.
     StaleTerm {
@@ -165,13 +165,13 @@
         /// The highest term that the receiver has seen.
         highest: Term,
     },
-    /// From any gateway to the holder of the quota lease: what it lends or requests.
+    /// From any gateway to the holder of the quota lease: the quota that it lends or requests.
     QuotaReport(QuotaReport),
     /// From any gateway to the leader of a shard of primary discovery.
     PrimaryReports {
         /// The members, at most [`MAX_ANNOUNCEMENTS`].
         primaries: Vec<PrimaryAnnouncement>,
     },
-    /// From an acceptor to the other acceptors: it is alive.
+    /// From an acceptor to the other acceptors: the sender is alive.
     Heartbeat,
 }
