--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -94,7 +94,7 @@
     /// Hash of the member's name on the endpoint list.
     pub member: u64,
     /// Time of the member's answer (microseconds).
-    pub position: Time,
+    pub evidence_at: Time,
 }
 
 /// An effect of a role, sent by the holder of its lease to other gateways. Receivers admit it only if its
--- a/crates/ownership/tests/datagrams.rs
+++ b/crates/ownership/tests/datagrams.rs
@@ -11,7 +11,7 @@
 const ROLE: LeadershipRole = LeadershipRole { kind: 2, shard: u64::MAX };
 
 fn notification(term: Term) -> Message {
-    let primary = PrimaryAnnouncement { member: u64::MAX, position: i64::MAX };
+    let primary = PrimaryAnnouncement { member: u64::MAX, evidence_at: i64::MAX };
     Message::Notification { role: ROLE, term, notification: Notification::Primary(primary) }
 }
 
--- a/crates/ownership/tests/golden_datagrams.rs
+++ b/crates/ownership/tests/golden_datagrams.rs
@@ -15,8 +15,8 @@
 const BALLOT: Ballot = Ballot { term: 0x1_0000_012c, proposer: 300 };
 const OTHER: Ballot = Ballot { term: 0x1_0000_0007, proposer: 7 };
 const PRIMARY: PrimaryAnnouncement =
-    PrimaryAnnouncement { member: 0xfeed_beef_dead_cafe, position: 1_700_000_000_000_000 };
-const SECOND_PRIMARY: PrimaryAnnouncement = PrimaryAnnouncement { member: 1, position: -5 };
+    PrimaryAnnouncement { member: 0xfeed_beef_dead_cafe, evidence_at: 1_700_000_000_000_000 };
+const SECOND_PRIMARY: PrimaryAnnouncement = PrimaryAnnouncement { member: 1, evidence_at: -5 };
 
 fn request(request: LeaseRequest) -> Message {
     Message::LeaseRequest { role: DISCOVERY, request }
--- a/crates/ownership/tests/golden_leases.rs
+++ b/crates/ownership/tests/golden_leases.rs
@@ -109,7 +109,7 @@
         let now = self.now;
         let mut outgoing = self.manager(id).on_deadline(now);
         for role in ROLES {
-            let primary = PrimaryAnnouncement { member: u64::from(id), position: now };
+            let primary = PrimaryAnnouncement { member: u64::from(id), evidence_at: now };
             let message = self.manager(id).notification(now, role, Notification::Primary(primary));
             outgoing.extend(message.map(|message| Outgoing { to: (id + 1) % GATEWAYS, message }));
             self.add_lease(id, role);
--- a/crates/ownership/tests/lease_fleet.rs
+++ b/crates/ownership/tests/lease_fleet.rs
@@ -99,7 +99,7 @@
     let holder = fleet.run_until_held();
     let clock = fleet.clock(holder);
     // A notification built before the stall, and sent after it.
-    let primary = Notification::Primary(PrimaryAnnouncement { member: 1, position: 5 });
+    let primary = Notification::Primary(PrimaryAnnouncement { member: 1, evidence_at: 5 });
     let message = fleet.manager(holder).notification(clock, ROLE, primary).expect("it holds the lease");
     let Message::Notification { term, .. } = message else { panic!("a notification") };
     fleet.stall(holder, 3 * LEASE);
--- a/crates/ownership/tests/support/lease_fleet.rs
+++ b/crates/ownership/tests/support/lease_fleet.rs
@@ -228,7 +228,7 @@
     /// The lease holder's work: a notification to all other gateways.
     fn effects(&mut self, id: GatewayId, clock: Time) -> Vec<Outgoing> {
         let Some(manager) = &mut self.gateway(id).manager else { return Vec::new() };
-        let primary = PrimaryAnnouncement { member: 7, position: clock };
+        let primary = PrimaryAnnouncement { member: 7, evidence_at: clock };
         let message = manager.notification(clock, ROLE, Notification::Primary(primary));
         let Some(message) = message else { return Vec::new() };
         let others = (0..self.gateways.len() as u16).filter(|to| *to != id);
--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -70,7 +70,7 @@
         if let Some(group) = group {
             self.announced.insert(now, group, member);
         }
-        self.options.facade.update(|table| table.gossiped_primary(now, member, announcement.position));
+        self.options.facade.update(|table| table.gossiped_primary(now, member, announcement.evidence_at));
     }
 
     /// Updates the known leaders and adapts how often this gateway tries members without a known primary.
@@ -164,7 +164,7 @@
             let Some(name_hash) = self.options.host_names.hash(*member) else { continue };
             if self.announced.is_due(now, *group, *member, repeats) {
                 self.announced.insert(now, *group, *member);
-                due.push(PrimaryAnnouncement { member: name_hash, position: *evidence_at });
+                due.push(PrimaryAnnouncement { member: name_hash, evidence_at: *evidence_at });
             }
         }
         due
