--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -117,9 +117,9 @@
     },
     /// Quota granted to the receiver in addition to its even quota.
     QuotaGrant {
-        /// Number of the report that requested it.
-        number: u32,
-        /// The amounts.
+        /// Number of the report that requested the quota.
+        report_number: u32,
+        /// The amount for each group.
         granted: Vec<GroupGrant>,
     },
     /// Members answered as their groups' primaries.
--- a/crates/ownership/tests/golden_datagrams.rs
+++ b/crates/ownership/tests/golden_datagrams.rs
@@ -100,7 +100,7 @@
             notification(
                 QUOTAS,
                 Notification::QuotaGrant {
-                    number: u32::MAX,
+                    report_number: u32::MAX,
                     granted: vec![
                         GroupGrant { group: 7, amount: 500 },
                         GroupGrant { group: 900, amount: -3 },
--- a/crates/ownership/tests/quota_rules.rs
+++ b/crates/ownership/tests/quota_rules.rs
@@ -69,7 +69,7 @@
             role,
             term,
             notification: Notification::QuotaGrant {
-                number: u32::MAX,
+                report_number: u32::MAX,
                 granted: vec![GroupGrant { group: u64::MAX, amount: Thousandths::MIN }; 11],
             },
         },
--- a/src/fleet/quota_lending.rs
+++ b/src/fleet/quota_lending.rs
@@ -208,9 +208,9 @@
                     quota.on_round(now, term, *round, mean_rates);
                 }
             }
-            Notification::QuotaGrant { number, granted } => {
+            Notification::QuotaGrant { report_number, granted } => {
                 if let Some(quota) = quota {
-                    quota.on_grant(now, *number, granted);
+                    quota.on_grant(now, *report_number, granted);
                 }
                 self.apply(now, granted.iter().map(|grant| grant.group));
             }
@@ -238,7 +238,7 @@
         if granted.is_empty() {
             return None;
         }
-        let notification = Notification::QuotaGrant { number: report.number, granted };
+        let notification = Notification::QuotaGrant { report_number: report.number, granted };
         let message = lease_manager.notification(self.clock.now(), lending_role(shard), notification)?;
         Some(Outgoing { to: from, message })
     }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -170,9 +170,9 @@
                     let bytes = report.encode(5, ledger.settings.fingerprint(), SECRET);
                     ledger.socket.send_to(&bytes, &ledger.gateways[usize::from(from)]).expect("sent");
                 }
-                Notification::QuotaGrant { number, granted } => {
+                Notification::QuotaGrant { report_number, granted } => {
                     let life = Duration::from_micros(ledger.settings.grant_duration() as u64);
-                    let expires_at = self.reported_at[&number] + life;
+                    let expires_at = self.reported_at[&report_number] + life;
                     let amounts = granted.iter().map(|GroupGrant { group, amount }| {
                         assert_eq!(*group, 2);
                         Granted { amount: *amount, expires_at }
