--- a/crates/ownership/src/placement.rs
+++ b/crates/ownership/src/placement.rs
@@ -1,10 +1,10 @@
-//! Placement of a role's shards on acceptors: the work is spread evenly, and the shards of a failed acceptor
-//! move to others.
+//! Placement of a role's shards on acceptors. Spreads the shards evenly, and moves those of a failed acceptor
+//! to others.
 //!
-//! Groups map to shards by a hash that is the same at all gateways. Each shard has an order of preference of
-//! the acceptors, and each acceptor is the first choice of as many shards as any other. An acceptor campaigns
-//! for a shard while all acceptors before it in that order are absent, and yields a shard that it leads once
-//! one of them has settled. Presence is detected by heartbeats.
+//! A hash that is the same at all gateways maps groups to shards. Each shard ranks the acceptors by
+//! preference, and first choices are spread evenly over the acceptors. An acceptor campaigns for a shard
+//! while all acceptors that the shard prefers are absent, and yields a shard that it leads once one of them
+//! has settled. Heartbeats show which acceptors are present.
 //!
 //! ```text
 //! absent --heartbeat--> present --[`Placement::settling_time`] without a gap--> settled
@@ -12,28 +12,30 @@
 //!   +---- no heartbeat for [`Placement::absence_timeout`] ------------------------+
 //! ```
 //!
-//! **Safety does not depend on placement.** Leases alone decide who may act. Two acceptors that campaign for
-//! one shard cost a few rejected ballots; a shard for which none campaigns has no leader until one does.
+//! **Safety does not depend on placement.** Only leases decide who may act. If two acceptors campaign for the
+//! same shard, a few ballots are rejected; a shard for which no acceptor campaigns has no leader until one
+//! does.
 //!
-//! Bounds: [`MAX_SHARDS`] shards, one entry for each acceptor. All durations derive from the lease
-//! (microseconds).
+//! Bounds: [`MAX_SHARDS`] shards and one entry for each acceptor. All durations are in microseconds and
+//! derive from the lease.
 
 use crate::{GatewayId, Settings};
 use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
 use std::collections::BTreeMap;
 
-/// Maximum number of shards of a role: two sharded roles together have [`crate::MAX_ROLES`].
+/// Maximum number of shards of a role. Two sharded roles together reach [`crate::MAX_ROLES`].
 pub const MAX_SHARDS: u16 = 32;
 /// Multiplier of Fibonacci hashing: 2^64 divided by the golden ratio.
 const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The shard of a group, from 0. Hashed, since consecutive groups should not share a shard.
+/// The shard of a group, counted from 0. Hashes the group's number so that consecutive groups are spread
+/// over the shards.
 pub fn shard_of(group: GroupId, shards: u16) -> u16 {
     let mixed = group.wrapping_add(1).wrapping_mul(FIBONACCI_MULTIPLIER) >> 32;
     (mixed % u64::from(shards.max(1))) as u16
 }
 
-/// A sequence of heartbeats without a long gap.
+/// A series of heartbeats without a gap longer than [`Placement::absence_timeout`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Presence {
     first: Time,
@@ -53,8 +55,8 @@
 }
 
 impl Placement {
-    /// The view of an acceptor that starts now. The others count as present until their heartbeats have been
-    /// missing for [`Placement::absence_timeout`].
+    /// Creates the view of an acceptor that starts now. The others count as present until
+    /// [`Placement::absence_timeout`] has passed without a heartbeat from them.
     pub fn new(settings: &Settings, shards: u16, now: Time) -> Placement {
         Placement {
             self_id: settings.self_id,
@@ -67,17 +69,17 @@
         }
     }
 
-    /// Time between two heartbeats of an acceptor.
+    /// Interval between the heartbeats of an acceptor.
     pub fn heartbeat_interval(&self) -> Time {
         self.lease / 2
     }
 
-    /// An acceptor without a heartbeat for longer than this is absent: four heartbeat intervals.
+    /// An acceptor is absent if its last heartbeat is older than this: four heartbeat intervals.
     pub fn absence_timeout(&self) -> Time {
         2 * self.lease
     }
 
-    /// An acceptor that has been present for this long is settled, and others yield its shards to it.
+    /// An acceptor that has been present for this long is settled: others yield its shards to it.
     pub fn settling_time(&self) -> Time {
         2 * self.lease
     }
@@ -87,7 +89,7 @@
         self.next_heartbeat_at
     }
 
-    /// The acceptors to send a heartbeat to; none before [`Placement::next_deadline`].
+    /// Returns the acceptors to send a heartbeat to; none before [`Placement::next_deadline`].
     pub fn due_heartbeats(&mut self, now: Time) -> Vec<GatewayId> {
         if now < self.next_heartbeat_at {
             return Vec::new();
@@ -122,7 +124,7 @@
         self.preferred_over_self(shard).any(|acceptor| self.is_settled(now, acceptor))
     }
 
-    /// The acceptors that the shard prefers to this one, the most preferred first.
+    /// The acceptors that the shard prefers to this one, most preferred first.
     fn preferred_over_self(&self, shard: u16) -> impl Iterator<Item = GatewayId> + '_ {
         let count = self.acceptors.len();
         let first = self.first_choice(shard);
