--- a/crates/ownership/src/quota/demand.rs
+++ b/crates/ownership/src/quota/demand.rs
@@ -1,21 +1,21 @@
-//! Entries of reports, rounds and grants: their bounds, and how they are split into datagrams.
+//! Entries of reports, rounds and grants: their bounds, and how lists of them are split into datagrams.
 
 use crate::Term;
 use petrelgauge_policy::{GroupId, QuotaAdjustment};
 use serde::{Deserialize, Serialize};
 
-/// An amount of quota: thousandths of an even quota.
+/// An amount of quota, in thousandths of an even quota.
 pub type Thousandths = i16;
 
 /// Thousandths in one even quota.
 pub(super) const EVEN_QUOTA: f64 = 1000.0;
-/// Maximum loan. The routing policy relies on what then remains, [`QuotaAdjustment::MIN_QUOTA`].
+/// Maximum loan. It leaves the lender [`QuotaAdjustment::MIN_QUOTA`], on which the routing policy relies.
 pub const MAX_LENT: Thousandths = (EVEN_QUOTA * (1.0 - QuotaAdjustment::MIN_QUOTA)) as Thousandths;
 /// Maximum grant.
 pub const MAX_GRANTED: Thousandths = 30_000;
-/// Maximum number of groups whose quotas are lent. All others have even quotas.
+/// Maximum number of groups whose quotas are lent. All other groups keep their even quotas.
 pub const MAX_GROUPS: usize = 256;
-/// Maximum number of rounds that a lease holder remembers. Loans reported for older ones have expired.
+/// Maximum number of rounds that a lease holder keeps. Loans reported for older rounds have expired.
 pub(super) const MAX_ROUNDS: usize = 4;
 /// Maximum rate that is reported (thousandths of a request per second).
 pub const MAX_RATE: u32 = 1 << 30;
@@ -24,21 +24,21 @@
 const ENTRIES_BYTES: usize = 198;
 /// Length of the shortest entry (bytes): a group, a rate and an amount of one byte each.
 const SHORTEST_ENTRY: usize = 3;
-/// Length of the longest entry (bytes): ten for a group, five for a rate, three for an amount.
+/// Length of the longest entry (bytes): ten for a group, five for a rate and three for an amount.
 const LONGEST_ENTRY: usize = 18;
-/// Maximum number of entries in one datagram, all of them the shortest.
-pub const MAX_DEMANDS: usize = ENTRIES_BYTES / SHORTEST_ENTRY;
-/// Number of entries that fit into one datagram whatever their length.
-pub(super) const MIN_DEMANDS: usize = ENTRIES_BYTES / LONGEST_ENTRY;
+/// Maximum number of entries in one datagram, reached if all of them are as short as possible.
+pub const MAX_ENTRIES_PER_DATAGRAM: usize = ENTRIES_BYTES / SHORTEST_ENTRY;
+/// Number of entries that fit into one datagram even if all of them are as long as possible.
+pub(super) const GUARANTEED_ENTRIES_PER_DATAGRAM: usize = ENTRIES_BYTES / LONGEST_ENTRY;
 
 /// One gateway's demand for a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupDemand {
     /// The group.
     pub group: GroupId,
-    /// Rate of its requests at this gateway (thousandths of a request per second).
+    /// Rate of the group's requests at this gateway (thousandths of a request per second).
     pub rate: u32,
-    /// The amount requested, or the amount lent if negative.
+    /// The amount requested if positive; the amount lent if negative.
     pub requested: Thousandths,
 }
 
@@ -47,7 +47,7 @@
 pub struct MeanRate {
     /// The group.
     pub group: GroupId,
-    /// Mean rate at a gateway (thousandths of a request per second).
+    /// Mean rate of a gateway (thousandths of a request per second).
     pub rate: u32,
 }
 
@@ -69,7 +69,7 @@
     pub round: u32,
     /// Number of the report, consecutive at each gateway.
     pub number: u32,
-    /// What the gateway lends and requests.
+    /// The amounts that the gateway lends and requests.
     pub demands: Vec<GroupDemand>,
 }
 
@@ -91,7 +91,7 @@
     parts
 }
 
-/// Length of an entry (bytes). One that can't be encoded counts as the longest.
+/// Length of an encoded entry (bytes). An entry that can't be encoded counts as the longest.
 fn encoded_length<T: Serialize>(entry: &T) -> usize {
     postcard::to_allocvec(entry).map_or(LONGEST_ENTRY, |bytes| bytes.len())
 }
--- a/crates/ownership/src/quota/mod.rs
+++ b/crates/ownership/src/quota/mod.rs
@@ -33,8 +33,8 @@
 mod timing;
 
 pub use demand::{
-    GroupDemand, GroupGrant, MeanRate, QuotaReport, Thousandths, MAX_DEMANDS, MAX_GRANTED, MAX_GROUPS,
-    MAX_LENT, MAX_RATE,
+    GroupDemand, GroupGrant, MeanRate, QuotaReport, Thousandths, MAX_ENTRIES_PER_DATAGRAM, MAX_GRANTED,
+    MAX_GROUPS, MAX_LENT, MAX_RATE,
 };
 pub use own_quota::Quota;
 pub use pool::{QuotaPool, QuotaRound, QuotaTotals};
--- a/crates/ownership/src/quota/own_quota.rs
+++ b/crates/ownership/src/quota/own_quota.rs
@@ -2,7 +2,8 @@
 
 use super::demand::{
     split_into_datagrams, GroupDemand, GroupGrant, MeanRate, QuotaReport, Thousandths, EVEN_QUOTA,
-    MAX_DEMANDS, MAX_GRANTED, MAX_GROUPS, MAX_LENT, MAX_RATE, MAX_ROUNDS, MIN_DEMANDS,
+    GUARANTEED_ENTRIES_PER_DATAGRAM, MAX_ENTRIES_PER_DATAGRAM, MAX_GRANTED, MAX_GROUPS, MAX_LENT, MAX_RATE,
+    MAX_ROUNDS,
 };
 use crate::{Settings, Term};
 use petrelgauge_policy::{mutant, GroupId, Mutant, QuotaAdjustment, Time};
@@ -12,7 +13,7 @@
 const MAX_ENTRIES: usize = 16;
 /// Maximum number of reports whose grants are still accepted: reports about all groups, for as many rounds as
 /// a lease holder remembers.
-const MAX_SENT_REPORTS: usize = MAX_ROUNDS * MAX_GROUPS.div_ceil(MIN_DEMANDS);
+const MAX_SENT_REPORTS: usize = MAX_ROUNDS * MAX_GROUPS.div_ceil(GUARANTEED_ENTRIES_PER_DATAGRAM);
 /// What a gateway keeps, relative to what its traffic needs, so that it can absorb a burst (ratio).
 const HEADROOM: f64 = 1.25;
 
@@ -169,7 +170,7 @@
         if now >= expires_at {
             return;
         }
-        for GroupGrant { group, amount } in granted.iter().take(MAX_DEMANDS) {
+        for GroupGrant { group, amount } in granted.iter().take(MAX_ENTRIES_PER_DATAGRAM) {
             let Some(quota) = self.groups.get_mut(group) else { continue };
             if *amount > 0 {
                 quota.add_grant(Grant { report_number, amount: (*amount).min(MAX_GRANTED), expires_at });
--- a/crates/ownership/src/quota/pool.rs
+++ b/crates/ownership/src/quota/pool.rs
@@ -1,8 +1,8 @@
 //! The lease holder's pool of quota: the loans that it has received and the grants that it has made.
 
 use super::demand::{
-    split_into_datagrams, GroupDemand, GroupGrant, MeanRate, Thousandths, MAX_DEMANDS, MAX_GRANTED,
-    MAX_GROUPS, MAX_ROUNDS,
+    split_into_datagrams, GroupDemand, GroupGrant, MeanRate, Thousandths, MAX_ENTRIES_PER_DATAGRAM,
+    MAX_GRANTED, MAX_GROUPS, MAX_ROUNDS,
 };
 use super::pool_group::PoolGroup;
 use crate::{GatewayId, Settings, Term};
@@ -101,7 +101,7 @@
         let counted_from = if mutant(Mutant::LoanCountedFromArrival) { now } else { round.opened_at };
         let loans_expire_at = counted_from + self.settings.counted_loan_duration();
         let mut granted = Vec::new();
-        for demand in demands.iter().take(MAX_DEMANDS) {
+        for demand in demands.iter().take(MAX_ENTRIES_PER_DATAGRAM) {
             let Some(group) = self.group_mut(demand.group) else { continue };
             group.record(now, from, demand);
             if demand.requested < 0 {
