--- a/crates/ownership/src/quota/mod.rs
+++ b/crates/ownership/src/quota/mod.rs
@@ -1,8 +1,8 @@
 //! Quota lending: gateways with little traffic lend part of their even quota of a group's limits to the
 //! holder of the role's lease, which grants it to gateways with more traffic.
 //!
-//! The even quota of a limit is the limit divided by the number of gateways. Amounts are [`Thousandths`] of
-//! it.
+//! The even quota of a limit is the limit divided by the number of gateways. Amounts are given in
+//! [`Thousandths`] of the even quota.
 //!
 //! ```text
 //! lease holder                                   gateway
@@ -15,15 +15,18 @@
 //! ```
 //!
 //! **The sum of the quotas in force never exceeds the sum of the even quotas.** Each duration is measured by
-//! one machine's clock, from an event at that machine, and errs on the safe side. A loan binds its lender
-//! from the report on, which is sent after the round; the lease holder counts it from the round. A grant may
-//! be used from the report that requested it; the lease holder counts it from that report's arrival, which is
-//! later. So at every instant whatever is used has been lent, whichever datagrams are lost, late, duplicated
-//! or reordered. It holds even while two gateways both believe that they hold the lease: a loan is made to
-//! one term, and no other loan is made while it is in force.
+//! one machine's clock, from an event on that machine, and is chosen conservatively:
+//! - A loan binds its lender from the sending of the report, which follows the round. The lease holder counts
+//!   the loan from the round, so it stops relying on the loan before the loan ends.
+//! - A grant may be used from the sending of the report that requested it. The lease holder counts the grant
+//!   from the arrival of that report, so it counts the grant until after its use has ended.
 //!
-//! A gateway that receives nothing returns to its even quota after a loan's duration. A gateway that has
-//! restarted has forgotten its loans: for that duration it uses the minimum quota and lends nothing.
+//! At any instant, therefore, all additional quota in use has been lent, even if datagrams are lost, delayed,
+//! duplicated or reordered. This holds even while two gateways both believe that they hold the lease, because
+//! a loan is made to one term, and the lender makes no loan to another term while it is in force.
+//!
+//! A gateway that receives no messages returns to its even quota after the duration of a loan. A restarted
+//! gateway has forgotten its loans, so it uses the minimum quota and lends nothing for that duration.
 
 mod demand;
 mod own_quota;
