--- a/crates/ownership/src/quota/pool.rs
+++ b/crates/ownership/src/quota/pool.rs
@@ -1,4 +1,4 @@
-//! The lease holder's pool of quota: the loans that it has received and the grants that it has made.
+//! The lease holder's quota pool: the loans that it has received and the grants that it has made.
 
 use super::demand::{
     split_into_datagrams, GroupDemand, GroupGrant, MeanRate, Thousandths, MAX_ENTRIES_PER_DATAGRAM,
@@ -9,7 +9,7 @@
 use petrelgauge_policy::{mutant, GroupId, Mutant, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Rounds without a report after which a gateway no longer counts towards the mean rates.
+/// Number of rounds without a report after which a gateway no longer counts towards the mean rates.
 const REPORTED_WITHIN_ROUNDS: Time = 3;
 
 /// A round that the pool has opened.
@@ -19,7 +19,7 @@
     opened_at: Time,
 }
 
-/// The content of a round's notifications.
+/// The contents of a round's notifications.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaRound {
     /// Number of the round.
@@ -32,27 +32,28 @@
 /// Sums over all groups and gateways, in thousandths of an even quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaTotals {
-    /// What is lent.
+    /// The quota that is lent.
     pub lent: i64,
-    /// What may be in use in addition to even quotas.
+    /// The quota that may be in use in addition to even quotas.
     pub granted: i64,
 }
 
 /// The pool of a lease holder under one term. Holds at most [`MAX_GROUPS`] groups, with an entry for each
-/// gateway that has reported recently. The caller must drop reports of senders that are none of the gateways.
+/// gateway that has reported recently. The caller must drop reports from senders that are not gateways of the
+/// fleet.
 #[derive(Clone, Debug)]
 pub struct QuotaPool {
     settings: Settings,
     term: Term,
-    round: u32,
+    last_round: u32,
     rounds: VecDeque<OpenRound>,
     groups: BTreeMap<GroupId, PoolGroup>,
 }
 
 impl QuotaPool {
-    /// An empty pool. Loans to earlier lease holders are unknown here and don't count.
+    /// Creates an empty pool. Loans to earlier lease holders are unknown here and don't count.
     pub fn new(settings: Settings, term: Term) -> QuotaPool {
-        QuotaPool { settings, term, round: 0, rounds: VecDeque::new(), groups: BTreeMap::new() }
+        QuotaPool { settings, term, last_round: 0, rounds: VecDeque::new(), groups: BTreeMap::new() }
     }
 
     /// The lease holder's term.
@@ -66,10 +67,10 @@
         self.rounds.back().map_or(Time::MIN, |last| last.opened_at + interval)
     }
 
-    /// Opens a round.
+    /// Opens a round. Returns the mean rates to send to all gateways.
     pub fn open_round(&mut self, now: Time) -> QuotaRound {
-        self.round = self.round.wrapping_add(1);
-        self.rounds.push_back(OpenRound { number: self.round, opened_at: now });
+        self.last_round = self.last_round.wrapping_add(1);
+        self.rounds.push_back(OpenRound { number: self.last_round, opened_at: now });
         if self.rounds.len() > MAX_ROUNDS {
             self.rounds.pop_front();
         }
@@ -85,19 +86,21 @@
         if parts.is_empty() {
             parts.push(Vec::new());
         }
-        QuotaRound { number: self.round, parts }
+        QuotaRound { number: self.last_round, parts }
     }
 
-    /// Handles a gateway's report for a round: counts its loans and returns its grants. A report for a round
-    /// that is no longer remembered is ignored.
+    /// Handles a gateway's report for a round: counts its loans and returns the grants for its requests.
+    /// Reports for rounds that are unknown or too old are ignored.
     pub fn on_report(
         &mut self,
         now: Time,
         from: GatewayId,
-        round: u32,
+        round_number: u32,
         demands: &[GroupDemand],
     ) -> Vec<GroupGrant> {
-        let Some(round) = self.rounds.iter().find(|known| known.number == round) else { return Vec::new() };
+        let Some(round) = self.rounds.iter().find(|round| round.number == round_number) else {
+            return Vec::new();
+        };
         let counted_from = if mutant(Mutant::LoanCountedFromArrival) { now } else { round.opened_at };
         let loans_expire_at = counted_from + self.settings.counted_loan_duration();
         let mut granted = Vec::new();
@@ -113,19 +116,19 @@
         granted
     }
 
-    /// Number of entries: one for each gateway in each group.
+    /// Number of entries: one per gateway and group.
     pub fn entries(&self) -> usize {
         self.groups.values().map(PoolGroup::len).sum()
     }
 
-    /// The sums of loans and grants in force.
+    /// Sums of the loans and grants in force.
     pub fn totals(&self, now: Time) -> QuotaTotals {
         let lent = self.groups.values().map(|group| group.lent(now)).sum();
         let granted = self.groups.values().map(|group| group.granted(now)).sum();
         QuotaTotals { lent, granted }
     }
 
-    /// The state of a group; `None` if it is new and there are too many.
+    /// The state of a group, created if needed; `None` if there are already [`MAX_GROUPS`] others.
     fn group_mut(&mut self, group: GroupId) -> Option<&mut PoolGroup> {
         if !self.groups.contains_key(&group) && self.groups.len() >= MAX_GROUPS {
             return None;
