--- a/crates/ownership/src/quota/own_quota.rs
+++ b/crates/ownership/src/quota/own_quota.rs
@@ -1,4 +1,4 @@
-//! One gateway's quotas: its loans and grants, and when they expire.
+//! The quotas of one gateway: its loans and grants, and when they expire.
 
 use super::demand::{
     split_into_datagrams, GroupDemand, GroupGrant, MeanRate, QuotaReport, Thousandths, EVEN_QUOTA,
@@ -9,17 +9,17 @@
 use petrelgauge_policy::{mutant, GroupId, Mutant, QuotaAdjustment, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of loans, and of grants, of a group: more than the rounds during one loan.
-const MAX_ENTRIES: usize = 16;
+/// Maximum number of loans, and of grants, of a group. Higher than the number of rounds during one loan.
+const MAX_ENTRIES_PER_GROUP: usize = 16;
 /// Maximum number of reports whose grants are still accepted: reports about all groups, for as many rounds as
-/// a lease holder remembers.
+/// a lease holder keeps.
 const MAX_SENT_REPORTS: usize = MAX_ROUNDS * MAX_GROUPS.div_ceil(GUARANTEED_ENTRIES_PER_DATAGRAM);
-/// What a gateway keeps, relative to what its traffic needs, so that it can absorb a burst (ratio).
+/// Ratio of the quota that a gateway keeps to what its traffic needs, so that it can absorb a burst.
 const HEADROOM: f64 = 1.25;
 
 #[derive(Clone, Copy, Debug)]
 struct Loan {
-    /// The term of the borrowing lease holder.
+    /// The term of the lease holder that borrows.
     term: Term,
     amount: Thousandths,
     expires_at: Time,
@@ -53,24 +53,24 @@
         self.grants.retain(|grant| now < grant.expires_at);
     }
 
-    /// Whether quota may be lent to the lease holder with this term. A loan in force is never forgotten: if
-    /// there are too many, nothing more is lent.
+    /// Whether quota may be lent to the lease holder with this term. A loan in force must not be evicted, so
+    /// nothing more is lent once there are [`MAX_ENTRIES_PER_GROUP`].
     fn may_lend(&self, now: Time, term: Term) -> bool {
         let lent_to_another = self.loans_in_force(now).any(|loan| loan.term != term);
         let has_grant = self.grants_in_force(now).next().is_some();
-        let is_full = self.loans.len() >= MAX_ENTRIES;
+        let is_full = self.loans.len() >= MAX_ENTRIES_PER_GROUP;
         (!lent_to_another || mutant(Mutant::LentTwice)) && !has_grant && !is_full
     }
 
     fn add_grant(&mut self, grant: Grant) {
         self.grants.push_back(grant);
-        if self.grants.len() > MAX_ENTRIES {
+        if self.grants.len() > MAX_ENTRIES_PER_GROUP {
             self.grants.pop_front();
         }
     }
 }
 
-/// A round whose report is still to be sent.
+/// A round whose reports have not been sent yet.
 #[derive(Clone, Debug)]
 struct PendingRound {
     term: Term,
@@ -85,13 +85,13 @@
     sent_at: Time,
 }
 
-/// One gateway's quotas of at most [`MAX_GROUPS`] groups, and of earlier groups whose loans are still in
-/// force.
+/// The quotas of one gateway, for at most [`MAX_GROUPS`] groups and for earlier groups whose loans are still
+/// in force.
 #[derive(Clone, Debug)]
 pub struct Quota {
     settings: Settings,
-    /// Until then the gateway uses the minimum quota and lends nothing: it has forgotten the loans from
-    /// before its start.
+    /// The gateway uses the minimum quota and lends nothing until this time, since it has forgotten the loans
+    /// that it made before its start.
     restricted_until: Time,
     groups: BTreeMap<GroupId, GroupQuota>,
     pending: Option<PendingRound>,
@@ -101,8 +101,8 @@
 }
 
 impl Quota {
-    /// The quotas of a gateway that starts now. Its reports are numbered from `first_report_number`, which
-    /// should be random: then a restarted gateway accepts no grant that was made to the process before it.
+    /// Creates the quotas of a gateway that starts now. Its reports are numbered from `first_report_number`,
+    /// which should be random so that a restarted gateway accepts no grants made to its previous process.
     pub fn new(settings: Settings, now: Time, first_report_number: u32) -> Quota {
         let Settings { drift_bound, .. } = settings;
         let restriction = settings.loan_duration() as f64 * (1.0 + drift_bound) / (1.0 - drift_bound);
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Records a round, or another part of its mean rates. The report for it is due after
-    /// [`Settings::report_delay`]. A newer round replaces one whose report is still pending, and the report
-    /// stays due at the same time.
+    /// Records a round, or another part of its mean rates. Its reports are due after
+    /// [`Settings::report_delay`]. A newer round replaces one whose reports are still pending, and the
+    /// reports remain due at the same time.
     pub fn on_round(&mut self, now: Time, term: Term, round: u32, mean_rates: &[MeanRate]) {
         let report_at = now + self.settings.report_delay();
         let new = || PendingRound { term, round, report_at, mean_rates: BTreeMap::new() };
@@ -134,13 +134,14 @@
         }
     }
 
-    /// When [`Quota::due_reports`] is to be called next, if at all.
+    /// When [`Quota::due_reports`] is to be called next; `None` if no report is pending.
     pub fn next_deadline(&self) -> Option<Time> {
         self.pending.as_ref().map(|pending| pending.report_at)
     }
 
-    /// The reports to send now. `rates` are the request rates of all groups (thousandths of a request per
-    /// second). Loans bind from this call on: apply [`Quota::current`] before sending the reports.
+    /// Returns the reports to send now. `rates` are the request rates of all groups (thousandths of a request
+    /// per second). Loans bind from this call on, so [`Quota::current`] must be applied before the reports
+    /// are sent.
     pub fn due_reports(&mut self, now: Time, rates: &BTreeMap<GroupId, u32>) -> Vec<QuotaReport> {
         let Some(pending) = self.pending.take_if(|pending| now >= pending.report_at) else {
             return Vec::new();
@@ -160,7 +161,7 @@
         parts.into_iter().map(|demands| self.report(now, &pending, demands)).collect()
     }
 
-    /// Records grants that answer the report of this number.
+    /// Records the grants for the report with this number.
     pub fn on_grant(&mut self, now: Time, report_number: u32, granted: &[GroupGrant]) {
         let Some(report) = self.sent_reports.iter().find(|report| report.number == report_number) else {
             return;
@@ -178,13 +179,13 @@
         }
     }
 
-    /// What this gateway may use of a group's limits now, and when that ends.
+    /// How much of a group's limits this gateway may use now, and until when.
     pub fn current(&self, now: Time, group: GroupId) -> QuotaAdjustment {
         let quota = self.groups.get(&group);
         self.lent_adjustment(now, quota).or_else(|| self.granted_adjustment(now, quota)).unwrap_or_default()
     }
 
-    /// The groups of which state is kept.
+    /// The groups whose state is kept.
     pub fn groups(&self) -> impl Iterator<Item = GroupId> + '_ {
         self.groups.keys().copied()
     }
@@ -202,7 +203,7 @@
         (lent > 0).then(|| QuotaAdjustment { extra: -f64::from(lent) / EVEN_QUOTA, until })
     }
 
-    /// The grant for the newest report. Grants may arrive out of order.
+    /// The grant for the newest report, since grants may arrive out of order.
     fn granted_adjustment(&self, now: Time, quota: Option<&GroupQuota>) -> Option<QuotaAdjustment> {
         let oldest_number = self.last_report_number.wrapping_add(1);
         let grants = quota.into_iter().flat_map(|quota| quota.grants_in_force(now));
@@ -221,7 +222,7 @@
     }
 
     /// The amount requested for a group, or lent if negative. A loan binds from now on. Nothing is requested
-    /// while a loan is in force, and nothing is requested or lent while the group's mean rate is unknown.
+    /// while a loan is in force, and nothing is requested or lent if the group's mean rate is unknown.
     fn request_or_lend(
         &mut self,
         now: Time,
@@ -249,12 +250,12 @@
     }
 }
 
-/// What to request if this much is needed (even quotas).
+/// The amount to request for this need (in even quotas).
 fn requested_amount(needed: f64) -> Thousandths {
     ((needed - 1.0) * EVEN_QUOTA).clamp(0.0, f64::from(MAX_GRANTED)) as Thousandths
 }
 
-/// What can be lent if this much is needed (even quotas).
+/// The amount that can be lent with this need (in even quotas).
 fn spare_amount(needed: f64) -> Thousandths {
     let spare = (1.0 - needed * HEADROOM) * EVEN_QUOTA;
     spare.clamp(0.0, f64::from(MAX_LENT)) as Thousandths
