--- a/crates/ownership/src/quota/rates.rs
+++ b/crates/ownership/src/quota/rates.rs
@@ -1,33 +1,34 @@
-//! Request rates of one gateway: exponentially weighted moving averages over samples of its request counters.
+//! Request rates of one gateway: exponentially weighted moving averages over samples of request counters.
 
 use super::demand::MAX_RATE;
 use petrelgauge_policy::{GroupId, Time};
 use std::collections::BTreeMap;
 
-/// Time constant of the average (microseconds): longer than a lull between two bursts.
+/// Time constant of the average (microseconds). Longer than the pauses between bursts.
 const TIME_CONSTANT: f64 = 4e6;
-/// Minimum interval between samples (microseconds). Samples that follow sooner are ignored.
+/// Minimum interval between samples (microseconds). Earlier samples are ignored.
 const MIN_SAMPLE_INTERVAL: Time = 10_000;
-/// Lower bound of the weight used as a divisor.
-const MIN_WEIGHT: f64 = 1e-3;
-/// Microseconds in a second.
-const SECOND: f64 = 1e6;
+/// Lower bound of the total weight when it is used as a divisor.
+const MIN_TOTAL_WEIGHT: f64 = 1e-3;
+/// Microseconds per second.
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 #[derive(Clone, Copy, Debug)]
 struct GroupRate {
-    /// The counter at the last sample.
+    /// Value of the request counter at the last sample.
     count: u64,
     /// Requests per second.
     rate: f64,
 }
 
-/// Request rates of one gateway. Holds the groups of the last sample and no others.
+/// Request rates of one gateway. Keeps only the groups of the last sample.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRates {
     sampled_at: Option<Time>,
     groups: BTreeMap<GroupId, GroupRate>,
-    /// Sum of the weights of all samples (fraction): low while a gateway has just started.
-    weight: f64,
+    /// Total weight of all samples (fraction). Low after the start of the gateway; rates are divided by it to
+    /// correct for that.
+    total_weight: f64,
 }
 
 impl RequestRates {
@@ -47,20 +48,20 @@
         let update =
             |(group, count): (&GroupId, &u64)| (*group, self.updated(*group, *count, elapsed, weight));
         self.groups = counts.iter().map(update).collect();
-        self.weight += weight * (1.0 - self.weight);
+        self.total_weight += weight * (1.0 - self.total_weight);
         self.sampled_at = Some(now);
     }
 
     /// The rate of each group (thousandths of a request per second).
     pub fn per_group(&self) -> BTreeMap<GroupId, u32> {
-        let weight = self.weight.max(MIN_WEIGHT);
-        let scaled = |rate: f64| ((rate / weight * 1000.0) as u32).min(MAX_RATE);
+        let total_weight = self.total_weight.max(MIN_TOTAL_WEIGHT);
+        let scaled = |rate: f64| ((rate / total_weight * 1000.0) as u32).min(MAX_RATE);
         self.groups.iter().map(|(group, state)| (*group, scaled(state.rate))).collect()
     }
 
     fn updated(&self, group: GroupId, count: u64, elapsed: f64, weight: f64) -> GroupRate {
         let previous = self.groups.get(&group).copied().unwrap_or(GroupRate { count, rate: 0.0 });
-        let current = count.saturating_sub(previous.count) as f64 / elapsed * SECOND;
+        let current = count.saturating_sub(previous.count) as f64 / elapsed * MICROSECONDS_PER_SECOND;
         GroupRate { count, rate: previous.rate + weight * (current - previous.rate) }
     }
 }
