--- a/crates/ownership/tests/datagrams.rs
+++ b/crates/ownership/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams that are truncated, altered, replayed, or of another fleet; invalid settings.
+//! Rejection of datagrams that are truncated, altered, replayed or from another fleet, and of invalid
+//! settings.
 
 use petrelgauge_ownership::{
     DatagramError, LeadershipRole, LeaseManager, Message, Notification, Outgoing, PrimaryAnnouncement,
@@ -6,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-const FLEET: u32 = 77;
+const FINGERPRINT: u32 = 77;
 const SECRET: u64 = 5;
 const ROLE: LeadershipRole = LeadershipRole { kind: 2, shard: u64::MAX };
 
@@ -15,7 +16,7 @@
     Message::Notification { role: ROLE, term, notification: Notification::Primary(primary) }
 }
 
-/// What gateway 1 is sent if its notification is rejected.
+/// The response to gateway 1 if its notification is rejected.
 fn rejection(highest: Term) -> Outgoing {
     Outgoing { to: 1, message: Message::StaleTerm { role: ROLE, highest } }
 }
@@ -27,22 +28,22 @@
 
 #[test]
 fn the_longest_datagrams_fit_and_round_trip() {
-    let bytes = notification(Term::MAX).encode(u16::MAX, FLEET, SECRET);
+    let bytes = notification(Term::MAX).encode(u16::MAX, FINGERPRINT, SECRET);
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
     assert_eq!(
-        Message::decode(&bytes, FLEET, SECRET),
+        Message::decode(&bytes, FINGERPRINT, SECRET),
         Ok(ReceivedMessage { from: u16::MAX, message: notification(Term::MAX) })
     );
 }
 
 #[test]
 fn another_fleet_version_or_secret_is_a_typed_error() {
-    let mut bytes = notification(1).encode(3, FLEET, SECRET);
-    assert_eq!(Message::decode(&bytes, FLEET + 1, SECRET), Err(DatagramError::OtherFleet));
-    assert_eq!(Message::decode(&bytes, FLEET, SECRET + 1), Err(DatagramError::ChecksumMismatch));
+    let mut bytes = notification(1).encode(3, FINGERPRINT, SECRET);
+    assert_eq!(Message::decode(&bytes, FINGERPRINT + 1, SECRET), Err(DatagramError::OtherFleet));
+    assert_eq!(Message::decode(&bytes, FINGERPRINT, SECRET + 1), Err(DatagramError::ChecksumMismatch));
     assert!(!Message::has_magic_byte(&[1, 2, 3]) && !Message::has_magic_byte(&[]));
     bytes.truncate(9);
-    assert_eq!(Message::decode(&bytes, FLEET, SECRET), Err(DatagramError::Malformed));
+    assert_eq!(Message::decode(&bytes, FINGERPRINT, SECRET), Err(DatagramError::Malformed));
 }
 
 #[test]
@@ -88,19 +89,23 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 512, rng_seed: proptest::test_runner::RngSeed::Fixed(4), ..Default::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 512,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(4),
+        ..Default::default()
+    })]
 
     #[test]
     fn truncated_altered_and_random_bytes_are_rejected(
-        cut in 0usize..200, place in 0usize..200, bit in 0u8..8,
+        length in 0usize..200, index in 0usize..200, bit in 0u8..8,
         garbage in proptest::collection::vec(any::<u8>(), 0..300),
     ) {
-        let complete = notification(9).encode(1, FLEET, SECRET);
-        prop_assert!(Message::decode(&complete[..cut % complete.len()], FLEET, SECRET).is_err());
+        let complete = notification(9).encode(1, FINGERPRINT, SECRET);
+        prop_assert!(Message::decode(&complete[..length % complete.len()], FINGERPRINT, SECRET).is_err());
         let mut altered = complete.clone();
-        let place = place % altered.len();
-        altered[place] ^= 1 << bit;
-        prop_assert!(Message::decode(&altered, FLEET, SECRET).is_err());
-        prop_assert!(Message::decode(&garbage, FLEET, SECRET).is_err());
+        let index = index % altered.len();
+        altered[index] ^= 1 << bit;
+        prop_assert!(Message::decode(&altered, FINGERPRINT, SECRET).is_err());
+        prop_assert!(Message::decode(&garbage, FINGERPRINT, SECRET).is_err());
     }
 }
