--- a/crates/ownership/tests/golden_datagrams.rs
+++ b/crates/ownership/tests/golden_datagrams.rs
@@ -1,5 +1,5 @@
-//! Bytes of one datagram of each kind, recorded from commit a97f0e8. Gateways of different versions run side by side
-//! during a rolling upgrade, so neither the layout nor the order of the variants may change.
+//! Encoded bytes of one datagram of each kind, recorded from commit a97f0e8. Gateways of different versions
+//! run side by side during a rolling upgrade, so neither the layout nor the order of the variants may change.
 
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, MeanRate, QuotaReport};
 use petrelgauge_ownership::{
@@ -7,7 +7,7 @@
     PrimaryAnnouncement, ReceivedMessage, Settings,
 };
 
-const FLEET: u32 = 0x1234_5678;
+const FINGERPRINT: u32 = 0x1234_5678;
 const SECRET: u64 = 0x5e;
 const FROM: GatewayId = 300;
 const DISCOVERY: LeadershipRole = LeadershipRole { kind: 1, shard: 3 };
@@ -30,7 +30,7 @@
     Message::Notification { role, term: BALLOT.term, notification }
 }
 
-/// Datagrams of leases.
+/// Datagrams that acquire, renew and release leases.
 fn lease_datagrams() -> Vec<(Message, &'static str)> {
     vec![
         (request(LeaseRequest::Prepare { ballot: BALLOT }), "a70112345678ac0200010300ac82808010ac025ed3be48"),
@@ -66,7 +66,7 @@
     ]
 }
 
-/// Datagrams of the two roles: notifications and reports.
+/// Notifications and reports of the two roles.
 fn role_datagrams() -> Vec<(Message, &'static str)> {
     let primaries = vec![PRIMARY, SECOND_PRIMARY];
     let demands = vec![
@@ -136,9 +136,9 @@
 
 fn assert_unchanged(datagrams: Vec<(Message, &'static str)>) {
     for (message, recorded) in datagrams {
-        assert_eq!(hex(&message.encode(FROM, FLEET, SECRET)), recorded, "{message:?}");
+        assert_eq!(hex(&message.encode(FROM, FINGERPRINT, SECRET)), recorded, "{message:?}");
         assert_eq!(
-            Message::decode(&bytes(recorded), FLEET, SECRET),
+            Message::decode(&bytes(recorded), FINGERPRINT, SECRET),
             Ok(ReceivedMessage { from: FROM, message })
         );
     }
