--- a/crates/ownership/tests/golden_leases.rs
+++ b/crates/ownership/tests/golden_leases.rs
@@ -1,5 +1,5 @@
-//! Seeded runs of leases whose digests of all outputs were recorded from commit a97f0e8: a refactoring must not change a
-//! single message, deadline or decision.
+//! Seeded runs of lease managers and of a candidate. The digests of all outputs were recorded from commit
+//! a97f0e8. Refactoring must not change any message, deadline or decision.
 
 #[path = "support/digest.rs"]
 mod digest;
@@ -21,7 +21,7 @@
 
 const ROLES: [LeadershipRole; 2] =
     [LeadershipRole { kind: 1, shard: 0 }, LeadershipRole { kind: 2, shard: 4 }];
-/// Candidates from the start, by index of the role and gateway.
+/// Initial candidacies, by index of the role and gateway.
 const CANDIDACIES: [(usize, usize); 6] = [(0, 0), (0, 2), (0, 4), (0, 1), (1, 2), (1, 3)];
 const NETWORK_FAULTS: NetworkFaults = NetworkFaults {
     max_delay: MAX_DELAY,
@@ -31,13 +31,13 @@
     loopback_is_lossy: true,
 };
 const STEPS: usize = 4_000;
-/// Steps between two faults.
+/// Number of steps between two faults.
 const FAULT_INTERVAL: usize = 50;
-/// Any values; they are part of the digest.
-const FLEET: u32 = 1;
+/// Arbitrary values, which are part of the digest.
+const FINGERPRINT: u32 = 1;
 const SECRET: u64 = 2;
 
-/// A few gateways over a faulty network.
+/// A few gateways that are connected by a faulty network.
 struct Simulation {
     now: Time,
     managers: Vec<LeaseManager>,
@@ -67,12 +67,12 @@
     fn send(&mut self, from: GatewayId, outgoing: Vec<Outgoing>) {
         for Outgoing { to, message } in outgoing {
             self.digest.add(&to.to_be_bytes());
-            self.digest.add(&message.encode(from, FLEET, SECRET));
+            self.digest.add(&message.encode(from, FINGERPRINT, SECRET));
             self.network.send(self.now, &Envelope { from, to, message });
         }
     }
 
-    /// Restarts a random gateway or makes it release leases; afterwards it is a candidate for all roles.
+    /// Restarts a random gateway or makes it release leases, and makes it a candidate for all roles again.
     fn inject_fault(&mut self, step: usize) {
         let id = self.network.sample(u64::from(GATEWAYS)) as u16;
         let (now, seed) = (self.now, self.network.sequence);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Runs to the end and returns the digest of all outputs.
+    /// Runs all steps and returns the digest of all outputs.
     fn run(mut self) -> u64 {
         for step in 0..STEPS {
             self.now += STEP;
@@ -158,12 +158,12 @@
     assert_eq!(digests, [0xaaee_caa6_53c6_7128, 0x7898_b65b_1508_bde3, 0xc391_f52e_42ca_e49f]);
 }
 
-/// An action in bytes that don't depend on the names of its variants.
+/// Encodes an action as bytes that don't depend on the names of the variants.
 fn action_bytes(action: Action) -> Vec<u8> {
     let (kind, term) = match action {
         Action::Wait => (0, 0),
         Action::Send(request) => {
-            return Message::LeaseRequest { role: ROLES[0], request }.encode(0, FLEET, SECRET)
+            return Message::LeaseRequest { role: ROLES[0], request }.encode(0, FINGERPRINT, SECRET)
         }
         Action::Acquired(term) => (1, term),
         Action::Renewed(term) => (2, term),
@@ -172,7 +172,8 @@
     [&[kind], &term.to_be_bytes()[..]].concat()
 }
 
-/// A candidate without a lease manager, whose acceptors respond directly: its actions and deadlines.
+/// Runs a candidate without a lease manager. The acceptors respond immediately; the digest covers the
+/// candidate's actions and deadlines.
 struct CandidateRun {
     candidate: Candidate,
     acceptors: Vec<Acceptor>,
@@ -181,7 +182,7 @@
 }
 
 impl CandidateRun {
-    /// Carries out an action. Returns the actions that follow from the responses, of which four in ten are lost.
+    /// Carries out an action. Four in ten responses are lost; returns the actions that the others lead to.
     fn carry_out(&mut self, now: Time, action: Action) -> Vec<Action> {
         self.digest.add(&action_bytes(action));
         self.digest.add_time(self.candidate.next_deadline());
@@ -197,7 +198,7 @@
         following
     }
 
-    /// Now and then lets another candidate prepare a higher ballot, or lets another gateway take over the lease.
+    /// Occasionally lets another candidate prepare a higher ballot, or another gateway take over the lease.
     fn inject_fault(&mut self, now: Time) {
         if self.rng.next_u64().is_multiple_of(400) {
             let ballot = Ballot { term: (now as u64) << 18, proposer: 2 };
