--- a/crates/ownership/tests/golden_quotas.rs
+++ b/crates/ownership/tests/golden_quotas.rs
@@ -1,5 +1,5 @@
-//! A seeded run of quota lending whose digest of all outputs was recorded from commit a97f0e8: a refactoring must not
-//! change a single report, grant or amount.
+//! A seeded run of quota lending. The digest of all outputs was recorded from commit a97f0e8. Refactoring
+//! must not change any report, grant or amount.
 
 #[path = "support/digest.rs"]
 mod digest;
@@ -17,14 +17,15 @@
 
 const GROUPS: [GroupId; 3] = [1, 2, 9];
 const STEPS: Time = 4_000;
-/// Time after which the load moves to other gateways.
+/// Interval after which the load moves to other gateways.
 const LOAD_SHIFT: Time = 4_000_000;
 
-/// Three groups among a few gateways, over a network that loses datagrams; two lease holders one after the other.
+/// A few gateways that share the quotas of three groups over a lossy network, under two successive lease
+/// holders.
 struct Simulation {
     quotas: Vec<Quota>,
     rates: Vec<RequestRates>,
-    /// Requests so far, by gateway and group.
+    /// Number of requests so far, by gateway and group.
     counts: Vec<BTreeMap<GroupId, u64>>,
     pool: QuotaPool,
     rng: Pcg64Mcg,
@@ -104,7 +105,7 @@
         self.digest.add_time(self.quotas[index].next_deadline().unwrap_or(-1));
     }
 
-    /// Runs to the end and returns the digest of all outputs.
+    /// Runs all steps and returns the digest of all outputs.
     fn run(mut self) -> u64 {
         let mut max_granted = 0;
         for step in 0..STEPS {
