--- a/crates/ownership/tests/lease_fleet.rs
+++ b/crates/ownership/tests/lease_fleet.rs
@@ -1,4 +1,5 @@
-//! Leases in a simulated fleet: at most one holder, increasing terms, bounded takeover, flat cost.
+//! Leases in a simulated fleet: at most one holder, increasing terms, takeover within the bound, and a cost
+//! per gateway that doesn't grow with the fleet.
 
 #[path = "support/lease_fleet.rs"]
 mod lease_fleet;
@@ -41,7 +42,7 @@
                 6 => fleet.network.cut_links.clear(),
                 7 => fleet.network.faults.lost.count = fleet.network.sample(300),
                 _ => {
-                    // Half of the acceptors within one lease.
+                    // Restarts two of the five acceptors at once.
                     for acceptor in [0, 10] {
                         fleet.start(acceptor);
                     }
@@ -51,12 +52,12 @@
             fleet.run(span);
         }
         fleet.assert_terms_increase();
-        // All faults are repaired: a gateway must acquire the lease again.
+        // After all faults are repaired, a gateway must acquire the lease again.
         fleet.network.faults.lost.count = 20;
         fleet.network.cut_links = BTreeSet::new();
         (0..25).for_each(|id| fleet.start(id));
         fleet.run(4_000_000);
-        assert!(fleet.is_held(), "seed {seed}: nobody holds the lease");
+        assert!(fleet.is_held(), "seed {seed}: no gateway holds the lease");
         fleet.assert_terms_increase();
     }
 }
@@ -65,17 +66,20 @@
 fn a_crashed_lease_holder_is_replaced_within_the_takeover_bound() {
     for seed in 0..20 {
         let mut fleet = SimulatedFleet::new(20, 100 + seed);
-        // The bound holds while no datagram is lost.
+        // The bound holds only if no datagram is lost.
         fleet.network.faults.lost = Ratio { count: 0, of: 1000 };
         let holder = fleet.run_until_held();
         let takeover_bound = fleet.manager(0).settings().takeover_bound();
         fleet.crash(holder);
-        // Four of five acceptors are left, a majority.
+        // Four of the five acceptors remain, which is a majority.
         let (crashed_at, before) = (fleet.now, fleet.holder_changes.len());
         while fleet.holder_changes.len() == before {
             fleet.run(5_000);
             let took = fleet.now - crashed_at;
-            assert!(took <= takeover_bound + 30 * MAX_DELAY, "seed {seed}: {took} of {takeover_bound}");
+            assert!(
+                took <= takeover_bound + 30 * MAX_DELAY,
+                "seed {seed}: takeover took {took}, bound {takeover_bound}"
+            );
         }
     }
 }
@@ -89,7 +93,7 @@
     fleet.run(3_000_000);
     let holders = fleet.holders();
     assert!(holders.len() == 1, "{holders:?}");
-    assert!(!minority.contains(&holders[0].gateway), "{holders:?} with {minority:?} cut off");
+    assert!(!minority.contains(&holders[0].gateway), "{holders:?} while {minority:?} is partitioned off");
     fleet.assert_terms_increase();
 }
 
@@ -98,15 +102,19 @@
     let mut fleet = SimulatedFleet::new(20, 5);
     let holder = fleet.run_until_held();
     let clock = fleet.clock(holder);
-    // A notification built before the stall, and sent after it.
+    // The notification is built before the stall and sent after it.
     let primary = Notification::Primary(PrimaryAnnouncement { member: 1, evidence_at: 5 });
-    let message = fleet.manager(holder).notification(clock, ROLE, primary).expect("it holds the lease");
-    let Message::Notification { term, .. } = message else { panic!("a notification") };
+    let message =
+        fleet.manager(holder).notification(clock, ROLE, primary).expect("the gateway holds the lease");
+    let Message::Notification { term, .. } = message else { panic!("expected a notification") };
     fleet.stall(holder, 3 * LEASE);
     fleet.run(3 * LEASE + 5_000);
     let clock = fleet.clock(holder);
-    assert!(!fleet.manager(holder).still_holds(clock, ROLE, term), "asked right before the send");
-    // Sent without that check, it is rejected by a gateway that knows the next lease holder.
+    assert!(
+        !fleet.manager(holder).still_holds(clock, ROLE, term),
+        "the lease must have expired before the send"
+    );
+    // If it is sent without that check, a gateway that knows the next lease holder rejects it.
     let next = fleet.run_until_held();
     assert_ne!(next, holder);
     assert!(!fleet.manager(next).would_admit(ROLE, term));
@@ -138,8 +146,8 @@
             caught.is_err()
         })
     });
-    // No drift bound covers such a step, so the checker must find two holders.
-    assert!(detected, "the checker has not detected two lease holders");
+    // No drift bound covers such a clock step, so the checker must detect two holders.
+    assert!(detected, "the checker did not detect two lease holders");
 }
 
 #[test]
@@ -153,5 +161,8 @@
         (fleet.network.sent - before) as f64 / f64::from(count) / (span as f64 / 1e6)
     };
     let (few, many) = (rate(100), rate(1000));
-    assert!(many < few * 1.2, "{few:.1} and {many:.1} datagrams per second and gateway");
+    assert!(
+        many < few * 1.2,
+        "datagrams per second and gateway: {few:.1} with 100 gateways, {many:.1} with 1000"
+    );
 }
