--- a/crates/ownership/tests/placement.rs
+++ b/crates/ownership/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of shards: even, with failover from an absent acceptor and return to one that has settled.
+//! Placement of shards: even spread, failover from an absent acceptor, and return to one that has settled.
 
 use petrelgauge_ownership::{shard_of, Placement, Settings, MAX_SHARDS};
 use petrelgauge_policy::Time;
@@ -7,7 +7,7 @@
 const LEASE: Time = 2_000_000;
 const ACCEPTORS: u16 = 9;
 const SHARDS: u16 = 27;
-/// The acceptors are every so many gateways.
+/// Distance between the numbers of consecutive acceptors.
 const ID_STEP: u16 = 166;
 
 fn settings(index: u16) -> Settings {
@@ -15,7 +15,7 @@
     Settings { self_id: index * ID_STEP, gateways: 1_500, acceptors, lease: LEASE, ..Settings::default() }
 }
 
-/// Acceptors that receive each other's heartbeats, some of them absent.
+/// Acceptors that exchange heartbeats; some of them may be absent.
 struct SimulatedAcceptors {
     now: Time,
     placements: Vec<Placement>,
@@ -41,11 +41,11 @@
         }
     }
 
-    /// The present acceptors that campaign for each shard.
+    /// The acceptors that are up and campaign for each shard.
     fn campaigns(&self) -> BTreeMap<u16, Vec<usize>> {
         let campaign_for = |shard: u16| {
-            let up = (0..self.placements.len()).filter(|one| self.up[*one]);
-            up.filter(|one| self.placements[*one].should_campaign(self.now, shard)).collect::<Vec<_>>()
+            let up = (0..self.placements.len()).filter(|index| self.up[*index]);
+            up.filter(|index| self.placements[*index].should_campaign(self.now, shard)).collect::<Vec<_>>()
         };
         (0..SHARDS).map(|shard| (shard, campaign_for(shard))).collect()
     }
@@ -73,7 +73,7 @@
     acceptors.run(3 * LEASE);
     let campaigns = acceptors.campaigns();
     assert!(campaigns.values().all(|ids| ids.len() == 1 && ids[0] != 4), "{campaigns:?}");
-    // Two consecutive ones are absent: the next one takes the shards of both.
+    // If two consecutive acceptors are absent, the next one takes the shards of both.
     acceptors.up[5] = false;
     acceptors.run(4 * LEASE);
     let campaigns = acceptors.campaigns();
@@ -86,9 +86,13 @@
             taken.iter().filter(|shard| acceptors.placements[6].should_yield(acceptors.now, **shard));
         shards.copied().collect::<Vec<_>>()
     };
-    assert_eq!(yielded(&acceptors), Vec::<u16>::new(), "an acceptor that has not settled gets nothing back");
+    assert_eq!(
+        yielded(&acceptors),
+        Vec::<u16>::new(),
+        "nothing is yielded to an acceptor that has not settled"
+    );
     acceptors.run(3 * LEASE);
-    assert_eq!(yielded(&acceptors).len(), 6, "all but its own three");
+    assert_eq!(yielded(&acceptors).len(), 6, "it yields all but its own three shards");
     assert!(acceptors.campaigns().values().all(|ids| ids.len() == 1));
 }
 
@@ -112,7 +116,7 @@
 #[test]
 fn a_starting_acceptor_waits_for_the_heartbeats_of_others() {
     let placement = Placement::new(&settings(3), SHARDS, 0);
-    assert!(placement.should_campaign(0, 3), "its own first shards are campaigns at once");
+    assert!(placement.should_campaign(0, 3), "it campaigns at once for shards that prefer it");
     assert!(!placement.should_campaign(0, 2));
     assert!(!placement.should_campaign(LEASE, 2));
     assert!(placement.should_campaign(3 * LEASE, 2), "no heartbeat has arrived");
@@ -122,12 +126,12 @@
 fn groups_are_spread_over_shards_and_the_number_of_shards_is_bounded() {
     let mut counts = BTreeMap::new();
     (0..484u64).for_each(|group| *counts.entry(shard_of(1_000 + group, SHARDS)).or_insert(0) += 1);
-    let (least, most) = (counts.values().min(), counts.values().max());
-    assert!(counts.len() == usize::from(SHARDS) && least >= Some(&8) && most <= Some(&30), "{counts:?}");
+    let (fewest, most) = (counts.values().min(), counts.values().max());
+    assert!(counts.len() == usize::from(SHARDS) && fewest >= Some(&8) && most <= Some(&30), "{counts:?}");
     assert_eq!(shard_of(7, 1), 0);
     assert_eq!(shard_of(7, 0), 0);
-    let far = Placement::new(&settings(0), u16::MAX, 0);
-    assert!(far.should_campaign(0, 0));
+    let clamped = Placement::new(&settings(0), u16::MAX, 0);
+    assert!(clamped.should_campaign(0, 0));
     assert!(u32::from(MAX_SHARDS) * 2 <= petrelgauge_ownership::MAX_ROLES as u32);
 }
 
