--- a/crates/ownership/tests/quota_fleet.rs
+++ b/crates/ownership/tests/quota_fleet.rs
@@ -1,4 +1,5 @@
-//! Quotas lent in a simulated fleet: the sum in force, what loaded gateways get, and what it costs.
+//! Quota lending in a simulated fleet: the sum of quotas in force, the quotas of loaded gateways, and the
+//! cost in datagrams.
 
 #[path = "support/quota_fleet.rs"]
 mod quota_fleet;
@@ -17,7 +18,7 @@
         fleet.elect(0, 1);
         fleet.run(6 * SECOND);
         let sent = fleet.network.sent;
-        // A mean over time: now and then a datagram is lost and a grant not renewed.
+        // The mean over time, since a lost datagram may keep a grant from being renewed.
         let (mut quota, mut needed) = (0.0, 0.0);
         for _ in 0..40 {
             fleet.run(SECOND / 10);
@@ -27,22 +28,25 @@
         }
         costs.push((fleet.network.sent - sent) as f64 / f64::from(count) / 4.0);
         println!(
-            "{count}: {quota:.2} even quotas where {needed:.2} are needed, {:.1} datagrams per second each",
+            "{count} gateways: {quota:.2} even quotas of {needed:.2} needed, {:.1} datagrams per second and gateway",
             costs[costs.len() - 1]
         );
-        assert!(quota > 1.8 && fleet.grant_count > 0, "{count}: {quota:.2} of {needed:.2}");
+        assert!(
+            quota > 1.8 && fleet.grant_count > 0,
+            "{count} gateways: {quota:.2} even quotas of {needed:.2} needed"
+        );
     }
     assert!(costs.iter().all(|cost| *cost < 8.0), "{costs:?} datagrams per gateway and second");
 }
 
-/// One of six kinds of faults, by turn and seed.
+/// Injects one of six kinds of faults, chosen by turn and seed.
 fn inject_fault(fleet: &mut SimulatedFleet, turn: u64, seed: u64) {
     let count = fleet.gateways.len() as u16;
     match (turn + seed) % 6 {
-        // The lease holder stalls for three leases, another is elected, and the first one resumes beside it
+        // The lease holder stalls for three leases and another one is elected. Then the first one resumes
         // without knowing that its lease has expired.
         0 => {
-            let holder = *fleet.pools.keys().next().expect("there is one");
+            let holder = *fleet.pools.keys().next().expect("a gateway holds the lease");
             fleet.stall(holder, 3 * LEASE);
             fleet.run(LEASE);
             fleet.elect((holder + 7) % count, 2 + turn);
@@ -51,7 +55,7 @@
             fleet.run(LEASE);
             fleet.pools.remove(&holder);
         }
-        // Gateways restart, lenders as well as borrowers.
+        // Up to a quarter of the gateways restart, lenders as well as borrowers.
         1 => {
             for _ in 0..count / 4 {
                 let id = fleet.network.sample(u64::from(count)) as u16;
@@ -61,7 +65,7 @@
                 fleet.run(SECOND / 20);
             }
         }
-        // A partition cuts off a third.
+        // A third of the gateways is partitioned off.
         2 => {
             fleet.network.partitioned = (0..count / 3).collect();
             fleet.run(2 * LEASE);
@@ -73,14 +77,14 @@
             fleet.run(2 * LEASE);
             fleet.network.faults.lost.count = 20;
         }
-        // Some stall, and resume with what arrived meanwhile.
+        // Some gateways stall, then process what has arrived meanwhile.
         4 => {
             let stalled: Vec<u16> = (0..count).filter(|id| id % 9 == turn as u16 % 9).collect();
             stalled.iter().for_each(|id| fleet.stall(*id, LEASE));
             fleet.run(LEASE);
             stalled.iter().for_each(|id| fleet.resume(*id));
         }
-        // Two lease holders at once, and the load moves to other gateways.
+        // Two gateways hold the lease at once, and the load moves to other gateways.
         _ => {
             fleet.elect((3 + turn as u16) % count, 100 + turn);
             fleet.run(SECOND);
@@ -101,7 +105,7 @@
             fleet.run(2 * SECOND);
         }
         println!(
-            "{count}, seed {seed}: {} checks, {} grants, highest excess {:.3}",
+            "{count} gateways, seed {seed}: {} checks, {} grants, highest excess {:.3}",
             fleet.check_count, fleet.grant_count, fleet.highest_excess
         );
         assert!(fleet.grant_count > 100, "only {} grants", fleet.grant_count);
@@ -114,7 +118,7 @@
     fleet.elect(0, 1);
     fleet.run(6 * SECOND);
     assert!(fleet.grant_count > 0);
-    // No gateway holds the lease any more.
+    // From here on no gateway holds the lease.
     fleet.pools.clear();
     fleet.run(3 * SECOND);
     for id in 0..30 {
