--- a/crates/ownership/tests/quota_rules.rs
+++ b/crates/ownership/tests/quota_rules.rs
@@ -1,4 +1,5 @@
-//! Quotas between a few gateways: invalid reports, lengths of datagrams, clocks at the ends of the drift bound.
+//! Quota lending between a few gateways: invalid reports, datagram lengths, and clocks at the limits of the
+//! drift bound.
 
 use petrelgauge_ownership::quota::{
     GroupDemand, GroupGrant, MeanRate, Quota, QuotaPool, QuotaReport, Thousandths, MAX_GROUPS, MAX_LENT,
@@ -31,7 +32,7 @@
     let mut pool = QuotaPool::new(settings.clone(), 4);
     let round = pool.open_round(0).number;
     let demands = |requested| [GroupDemand { group: GROUP, rate: u32::MAX, requested }];
-    // An amount above the maximum counts as the maximum; a report for an unknown round is ignored.
+    // An amount above the maximum counts as the maximum. A report for an unknown round is ignored.
     pool.on_report(1, 1, round, &demands(Thousandths::MIN));
     pool.on_report(1, 2, round.wrapping_add(9), &demands(Thousandths::MIN));
     assert_eq!(pool.totals(2).lent, i64::from(MAX_LENT));
@@ -39,7 +40,7 @@
     let round = pool.open_round(500_000).number;
     let granted = pool.on_report(500_001, 2, round, &demands(Thousandths::MAX));
     assert_eq!(granted, vec![GroupGrant { group: GROUP, amount: MAX_LENT }]);
-    // A grant that this process has not requested is ignored.
+    // A grant that the process has not requested is ignored.
     let mut quota = Quota::new(settings, 0, 77);
     quota.on_grant(3 * LEASE, 78, &[GroupGrant { group: GROUP, amount: 500 }]);
     assert_eq!(quota.current(3 * LEASE, GROUP).at(3 * LEASE), 1.0);
@@ -84,32 +85,33 @@
     }
 }
 
-/// True times of one loan and one grant. The clocks of the lease holder and of the borrower run at the slow end of
-/// the drift bound, the lender's at the fast end: loans expire soonest and grants last longest.
+/// True times of the events of one loan and one grant. The clocks of the lease holder and of the borrower run
+/// as slowly as the drift bound allows, and the lender's as fast. This is the worst case: the loan expires
+/// earliest and the grant lasts longest.
 struct LoanAndGrant {
     settings: Settings,
-    /// When the round begins that the lender reports for.
+    /// Start of the round that the lender reports for.
     round_at: Time,
-    /// When the lender's report arrives.
+    /// Arrival of the lender's report.
     loan_arrives_at: Time,
     /// When the borrower requests quota and the lease holder grants it.
     requested_at: Time,
-    /// When the grant arrives at the borrower.
+    /// Arrival of the grant at the borrower.
     grant_arrives_at: Time,
 }
 
 impl LoanAndGrant {
-    fn slow(&self, at: Time) -> Time {
+    fn slow_clock(&self, at: Time) -> Time {
         (at as f64 * (1.0 - self.settings.drift_bound)) as Time
     }
 
-    fn fast(&self, at: Time) -> Time {
+    fn fast_clock(&self, at: Time) -> Time {
         (at as f64 * (1.0 + self.settings.drift_bound)) as Time
     }
 
-    /// A pool that knows from an earlier round that the lender needs little and the borrower much.
+    /// A pool that has learned in an earlier round that the lender needs little and the borrower needs much.
     fn pool_after_first_round(&self) -> QuotaPool {
-        let now = self.slow(self.round_at) - 1;
+        let now = self.slow_clock(self.round_at) - 1;
         let mut pool = QuotaPool::new(self.settings.clone(), 1);
         let round = pool.open_round(now).number;
         for (from, rate, requested) in [(0, 100, 0), (1, 1_000, 500)] {
@@ -120,39 +122,39 @@
 
     fn lend(&self, pool: &mut QuotaPool) -> Quota {
         let mut lender = Quota::new(self.settings.clone(), 0, 1);
-        let round = pool.open_round(self.slow(self.round_at));
-        let sent_at = self.fast(self.round_at);
+        let round = pool.open_round(self.slow_clock(self.round_at));
+        let sent_at = self.fast_clock(self.round_at);
         lender.on_round(sent_at, 1, round.number, &round.parts[0]);
         let report = lender.due_reports(sent_at, &BTreeMap::from([(GROUP, 100)])).remove(0);
         assert_eq!(report.demands[0].requested, -MAX_LENT);
-        pool.on_report(self.slow(self.loan_arrives_at), 0, round.number, &report.demands);
+        pool.on_report(self.slow_clock(self.loan_arrives_at), 0, round.number, &report.demands);
         lender
     }
 
     fn borrow(&self, pool: &mut QuotaPool) -> Borrower {
         let mut quota = Quota::new(self.settings.clone(), 0, 50);
-        let now = self.slow(self.requested_at);
+        let now = self.slow_clock(self.requested_at);
         let round = pool.open_round(now);
         quota.on_round(now, 1, round.number, &round.parts[0]);
         let report = quota.due_reports(now, &BTreeMap::from([(GROUP, 1_000)])).remove(0);
         let granted = pool.on_report(now, 1, round.number, &report.demands);
-        quota.on_grant(self.slow(self.grant_arrives_at), report.number, &granted);
+        quota.on_grant(self.slow_clock(self.grant_arrives_at), report.number, &granted);
         Borrower { quota, grant_count: granted.len() }
     }
 
-    /// Runs the loan and the grant, and checks after its arrival that no more is borrowed than lent. Returns the number
-    /// of grants.
+    /// Runs the loan and the grant, and checks from the grant's arrival on that no more is borrowed than
+    /// lent. Returns the number of grants.
     fn run_and_check(&self) -> usize {
         let mut pool = self.pool_after_first_round();
         let lender = self.lend(&mut pool);
         let borrower = self.borrow(&mut pool);
         let end = self.grant_arrives_at + 2 * LEASE;
         for at in (self.grant_arrives_at..end).step_by(LEASE as usize / 400) {
-            let borrowed = borrower.quota.current(self.slow(at), GROUP).at(self.slow(at)) - 1.0;
-            let lent = lender.current(self.fast(at), GROUP).at(self.fast(at)) - 1.0;
+            let borrowed = borrower.quota.current(self.slow_clock(at), GROUP).at(self.slow_clock(at)) - 1.0;
+            let lent = lender.current(self.fast_clock(at), GROUP).at(self.fast_clock(at)) - 1.0;
             assert!(
                 borrowed + lent < 1e-6,
-                "round {}, loan {}, request {}, grant {}, now {at}: {borrowed} of {lent}",
+                "round {}, loan {}, request {}, grant {}, now {at}: borrowed {borrowed}, lent {lent}",
                 self.round_at,
                 self.loan_arrives_at,
                 self.requested_at,
@@ -191,7 +193,8 @@
     assert!(grant_count > 50, "{grant_count} grants");
 }
 
-// A datagram holds at least eleven entries, and every report must be remembered until its grant arrives.
+// A datagram holds at least eleven entries, so a report about the maximum number of groups takes many
+// datagrams. The number of each one must be kept until its grant arrives.
 #[test]
 fn grants_for_the_maximum_number_of_groups_are_all_accepted() {
     let settings = settings(0, 3);
@@ -219,5 +222,5 @@
         now += LEASE / 4;
     }
     let ungranted = (0..groups).filter(|group| borrower.current(now, *group).at(now) < 1.4).count();
-    assert_eq!(ungranted, 0, "groups of {groups} without a grant");
+    assert_eq!(ungranted, 0, "number of groups without a grant, of {groups}");
 }
