--- a/crates/ownership/tests/support/lease_fleet.rs
+++ b/crates/ownership/tests/support/lease_fleet.rs
@@ -1,5 +1,6 @@
-//! A simulated fleet of hundreds of lease managers: clocks that drift, a faulty network, stalls, crashes and
-//! restarts, all from a seed. The fleet reads true time, each gateway its own clock.
+//! A simulated fleet of hundreds of lease managers, with drifting clocks, a faulty network, stalls, crashes
+//! and restarts, all determined by a seed. The simulation runs in true time; each gateway reads its own
+//! clock.
 
 use crate::simulated_network::{Envelope, NetworkFaults, Ratio, SimulatedNetwork};
 use crate::stallable_socket::StallableSocket;
@@ -16,13 +17,13 @@
 pub const LEASE: Time = 400_000;
 pub const MAX_DELAY: Time = 20_000;
 pub const ACCEPTORS: u16 = 5;
-/// True time between two steps of every gateway.
+/// Interval between steps of each gateway, in true time.
 const STEP: Time = 5_000;
-/// True time between two effects of the lease holder.
+/// Interval between effects of the lease holder, in true time.
 const EFFECT_INTERVAL: Time = 50_000;
-/// Clocks swing between 5% fast and 5% slow with this period.
+/// Period with which clocks alternate between 5% fast and 5% slow.
 const CLOCK_PERIOD: Time = 8_000_000;
-/// Messages that a gateway's socket can buffer.
+/// Number of messages that a gateway's socket can buffer.
 const SOCKET_CAPACITY: usize = 200;
 const NETWORK_FAULTS: NetworkFaults = NetworkFaults {
     max_delay: MAX_DELAY,
@@ -33,14 +34,14 @@
 };
 
 pub struct SimulatedGateway {
-    /// `None` while it is crashed.
+    /// `None` after a crash, until the gateway is started again.
     pub manager: Option<LeaseManager>,
-    /// Phase of its clock's swing.
+    /// Offset within [`CLOCK_PERIOD`] of its clock's alternation.
     pub clock_phase: Time,
-    /// Fixed error of its clock in addition to the swing.
+    /// Constant error of its clock in addition to the alternation.
     pub clock_error: Time,
     pub socket: StallableSocket<Message>,
-    /// The highest term of a notification that it has admitted.
+    /// Highest term of the notifications that it has admitted.
     pub highest_admitted: Term,
 }
 
@@ -92,9 +93,9 @@
         &mut self.gateways[usize::from(id)]
     }
 
-    /// The lease manager of a gateway that has not crashed.
+    /// The lease manager of a gateway that is running.
     pub fn manager(&mut self, id: GatewayId) -> &mut LeaseManager {
-        self.gateway(id).manager.as_mut().expect("the gateway runs")
+        self.gateway(id).manager.as_mut().expect("the gateway is running")
     }
 
     pub fn stall(&mut self, id: GatewayId, span: Time) {
@@ -106,16 +107,17 @@
         self.gateway(id).manager = None;
     }
 
-    /// The time that a gateway's clock shows: up to 5% fast or slow and at most 0.1 s from true time, plus its fixed error.
+    /// The time on a gateway's clock. Its rate is up to 5% fast or slow, and it is at most 0.1 s from true
+    /// time, plus its constant error.
     pub fn clock(&self, id: GatewayId) -> Time {
         let gateway = &self.gateways[usize::from(id)];
         let phase = (self.now + gateway.clock_phase).rem_euclid(CLOCK_PERIOD);
         let (half, quarter) = (CLOCK_PERIOD / 2, CLOCK_PERIOD / 4);
-        let swing = if phase < half { phase - quarter } else { half + quarter - phase };
-        self.now + swing / 20 + gateway.clock_error
+        let deviation = if phase < half { phase - quarter } else { half + quarter - phase };
+        self.now + deviation / 20 + gateway.clock_error
     }
 
-    /// Starts or restarts a gateway without any memory of earlier runs.
+    /// Starts or restarts a gateway without any state from earlier runs.
     pub fn start(&mut self, id: GatewayId) {
         let clock = self.clock(id);
         let settings = Settings {
@@ -152,7 +154,10 @@
         if let Message::Notification { role: ROLE, term, .. } = message {
             if manager.would_admit(ROLE, term) {
                 let highest = gateway.highest_admitted;
-                assert!(term >= highest, "an effect under term {term} after one under {highest}");
+                assert!(
+                    term >= highest,
+                    "admitted an effect under term {term} after one under term {highest}"
+                );
                 gateway.highest_admitted = term;
             }
         }
@@ -160,7 +165,7 @@
         self.send(to, responses);
     }
 
-    /// All gateways that hold the lease at this instant, each by its own clock.
+    /// All gateways that hold the lease now, each by its own clock.
     pub fn holders(&self) -> Vec<LeaseHolder> {
         let held_by = |id: GatewayId| {
             let manager = self.gateways[usize::from(id)].manager.as_ref()?;
@@ -170,7 +175,7 @@
         self.candidates.iter().copied().filter_map(held_by).collect()
     }
 
-    /// Checks that at most one gateway holds the lease, and records a change of the holder.
+    /// Checks that at most one gateway holds the lease, and records changes of the holder.
     fn check_holders(&mut self) {
         let holders = self.holders();
         assert!(holders.len() <= 1, "at {}: {holders:?}", self.now);
@@ -181,7 +186,7 @@
         }
     }
 
-    /// Whether a gateway holds the lease, or did until a moment ago.
+    /// Whether a gateway holds the lease, or did within the last two steps.
     pub fn is_held(&self) -> bool {
         self.now - self.held_at < 2 * STEP
     }
@@ -207,7 +212,8 @@
         }
     }
 
-    /// Runs one gateway as the program does: first what waits in its socket, then its deadlines.
+    /// Runs one step of a gateway in the order of the real program: first the messages buffered in its
+    /// socket, then its deadlines.
     fn step(&mut self, id: GatewayId) {
         let now = self.now;
         let socket = &mut self.gateway(id).socket;
@@ -225,7 +231,7 @@
         self.send(id, outgoing);
     }
 
-    /// The lease holder's work: a notification to all other gateways.
+    /// The effects of the lease holder: a notification to each other gateway.
     fn effects(&mut self, id: GatewayId, clock: Time) -> Vec<Outgoing> {
         let Some(manager) = &mut self.gateway(id).manager else { return Vec::new() };
         let primary = PrimaryAnnouncement { member: 7, evidence_at: clock };
@@ -243,7 +249,7 @@
             }
             self.run(STEP);
         }
-        panic!("nobody holds the lease");
+        panic!("no gateway holds the lease");
     }
 
     pub fn assert_terms_increase(&self) {
