--- a/crates/ownership/tests/support/quota_fleet.rs
+++ b/crates/ownership/tests/support/quota_fleet.rs
@@ -1,6 +1,7 @@
-//! A simulated fleet of hundreds of gateways that lend each other quota: clocks up to 5% fast or slow, a faulty
-//! network, partitions, restarts, and lease holders that stall and resume beside the next one. The sum of all
-//! quotas in force is checked whenever it can have risen: when a grant arrives, a loan expires or a gateway restarts.
+//! A simulated fleet of hundreds of gateways that lend each other quota, with clocks up to 5% fast or slow, a
+//! faulty network, partitions, restarts, and lease holders that stall and resume after another one was
+//! elected. The sum of all quotas in force is checked whenever it may have risen: when a grant arrives, a
+//! loan expires or a gateway restarts.
 
 use crate::simulated_network::{Envelope, NetworkFaults, Ratio, SimulatedNetwork};
 use crate::stallable_socket::StallableSocket;
@@ -15,7 +16,7 @@
 pub const LEASE: Time = 2_000_000;
 pub const MAX_DELAY: Time = 20_000;
 pub const SECOND: Time = 1_000_000;
-/// Events that a gateway's socket can buffer.
+/// Number of events that a gateway's socket can buffer.
 const SOCKET_CAPACITY: usize = 300;
 const NETWORK_FAULTS: NetworkFaults = NetworkFaults {
     max_delay: MAX_DELAY,
@@ -32,9 +33,9 @@
 
 pub struct SimulatedGateway {
     pub quota: Quota,
-    /// How much faster than true time its clock runs (fraction).
+    /// How much faster than true time its clock runs (fraction); negative if slower.
     pub clock_drift: f64,
-    /// Offset of its clock at true time 0.
+    /// Time on its clock at true time 0.
     pub clock_offset: Time,
     pub rate: u32,
     pub socket: StallableSocket<Event>,
@@ -52,7 +53,7 @@
         number: u32,
         granted: Vec<GroupGrant>,
     },
-    /// Not a datagram: a timer of the gateway, for an expiry or a deadline.
+    /// A timer of the gateway, for an expiry or a deadline. Not a datagram.
     Wake,
 }
 
@@ -63,11 +64,11 @@
     pub network: SimulatedNetwork<Event>,
     pub grant_count: u64,
     pub check_count: u64,
-    /// The highest sum of quotas in force beyond the sum of even quotas (even quotas).
+    /// Highest excess of the sum of quotas in force over the sum of even quotas (in even quotas).
     pub highest_excess: f64,
 }
 
-/// Mean quota of loaded gateways, and what each of them needs (even quotas).
+/// Mean quota of loaded gateways, and the quota that each of them needs (in even quotas).
 pub struct LoadedQuota {
     pub mean: f64,
     pub needed: f64,
@@ -102,19 +103,19 @@
         &mut self.gateways[usize::from(id)]
     }
 
-    /// The time that a gateway's clock shows.
+    /// The time on a gateway's clock.
     fn clock(&self, id: GatewayId) -> Time {
         let gateway = &self.gateways[usize::from(id)];
         (self.now as f64 * (1.0 + gateway.clock_drift)) as Time + gateway.clock_offset
     }
 
-    /// The true time, or a moment later, at which the gateway's clock shows `local`.
-    fn true_time(&self, id: GatewayId, local: Time) -> Time {
+    /// The true time at which the gateway's clock shows `local_time`, rounded up.
+    fn true_time(&self, id: GatewayId, local_time: Time) -> Time {
         let gateway = &self.gateways[usize::from(id)];
-        ((local - gateway.clock_offset) as f64 / (1.0 + gateway.clock_drift)).ceil() as Time + 1
+        ((local_time - gateway.clock_offset) as f64 / (1.0 + gateway.clock_drift)).ceil() as Time + 1
     }
 
-    /// Restarts a gateway without any memory of earlier runs.
+    /// Restarts a gateway without any state from earlier runs.
     pub fn restart(&mut self, id: GatewayId) {
         let number = self.network.rng.next_u64() as u32;
         let quota = Quota::new(settings(id, self.gateways.len() as u16), self.clock(id), number);
@@ -127,7 +128,7 @@
         self.network.schedule(at, Envelope { from: id, to: id, message: Event::Wake });
     }
 
-    /// Sends a datagram. One from a gateway to itself arrives at once.
+    /// Sends a datagram. A datagram from a gateway to itself arrives immediately.
     fn send(&mut self, from: GatewayId, to: GatewayId, event: Event) {
         let envelope = Envelope { from, to, message: event };
         if from == to {
@@ -144,18 +145,18 @@
         self.wake_at(self.now, id);
     }
 
-    /// What a gateway may use now (even quotas).
+    /// The quota that a gateway may use now (in even quotas).
     pub fn quota_of(&self, id: GatewayId) -> f64 {
         let clock = self.clock(id);
         self.gateways[usize::from(id)].quota.current(clock, GROUP).at(clock)
     }
 
-    /// Checks that the quotas in force don't exceed the even quotas.
+    /// Checks that the sum of quotas in force doesn't exceed the sum of even quotas.
     fn check_sum(&mut self) {
         let excess: f64 = (0..self.gateways.len() as u16).map(|id| self.quota_of(id) - 1.0).sum();
         self.check_count += 1;
         self.highest_excess = self.highest_excess.max(excess);
-        assert!(excess < 1e-6, "{excess} even quotas too many are in force at {}", self.now);
+        assert!(excess < 1e-6, "quotas in force exceed the even quotas by {excess} at {}", self.now);
     }
 
     fn deliver(&mut self, envelope: Envelope<Event>) {
@@ -207,7 +208,7 @@
                 self.send(id, holder, Event::Report(report));
             }
         }
-        // A loan or a grant may have expired.
+        // The wake-up may be due to an expired loan or grant.
         self.check_sum();
     }
 
