--- a/crates/ownership/tests/support/recorded_fleet.rs
+++ b/crates/ownership/tests/support/recorded_fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet whose outputs are recorded as digests: five gateways, three of them acceptors.
+//! Settings of the fleet in the golden tests: five gateways, of which three are acceptors.
 
 use petrelgauge_ownership::{GatewayId, Settings};
 use petrelgauge_policy::Time;
@@ -6,7 +6,7 @@
 pub const GATEWAYS: u16 = 5;
 pub const LEASE: Time = 400_000;
 pub const MAX_DELAY: Time = 20_000;
-/// Time between two steps of every gateway.
+/// Interval between steps of each gateway.
 pub const STEP: Time = 5_000;
 
 pub fn settings(self_id: GatewayId) -> Settings {
