--- a/crates/ownership/tests/support/simulated_network.rs
+++ b/crates/ownership/tests/support/simulated_network.rs
@@ -1,6 +1,6 @@
-//! A simulated network between gateways that loses, delays, duplicates and reorders datagrams, cuts links, and partitions
-//! gateways off, all from a seed. Messages are delivered in the order of their arrival times; equal times in the order of
-//! sending.
+//! A simulated network between gateways that loses, delays, duplicates and reorders datagrams, cuts links and
+//! partitions gateways off, all determined by a seed. Messages are delivered in order of arrival time, and
+//! those with equal arrival times in order of sending.
 
 use petrelgauge_ownership::GatewayId;
 use petrelgauge_policy::Time;
@@ -8,10 +8,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One in so many datagrams arrives twice.
+/// One datagram in this many arrives twice.
 const DUPLICATED_ONE_IN: u64 = 20;
 
-/// A part of all datagrams.
+/// A proportion of all datagrams: `count` of `of`.
 #[derive(Clone, Copy)]
 pub struct Ratio {
     pub count: u64,
@@ -24,20 +24,20 @@
     }
 }
 
-/// What the network does to datagrams.
+/// The faults to which the network subjects datagrams.
 #[derive(Clone, Copy)]
 pub struct NetworkFaults {
-    /// Maximum delay of an ordinary datagram.
+    /// Maximum delay of a datagram that is not slow.
     pub max_delay: Time,
     pub lost: Ratio,
-    /// Datagrams that may take `slow_factor` times the maximum delay.
+    /// Datagrams whose delay may be up to `slow_factor` times the maximum delay.
     pub slow: Ratio,
     pub slow_factor: Time,
     /// Whether a datagram from a gateway to itself may be lost too.
     pub loopback_is_lossy: bool,
 }
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone)]
 pub struct Envelope<M> {
     pub from: GatewayId,
@@ -53,7 +53,7 @@
 
 pub struct SimulatedNetwork<M> {
     pub faults: NetworkFaults,
-    /// Links that are cut, by sender and receiver.
+    /// Links that are cut in the direction from sender to receiver.
     pub cut_links: BTreeSet<(GatewayId, GatewayId)>,
     /// Gateways that are partitioned off from all others.
     pub partitioned: BTreeSet<GatewayId>,
@@ -61,7 +61,7 @@
     /// Number of the last scheduled message.
     pub sequence: u64,
     pub rng: Pcg64Mcg,
-    /// By time of arrival and sequence number.
+    /// Messages by arrival time and sequence number.
     in_flight: BTreeMap<(Time, u64), Envelope<M>>,
 }
 
@@ -78,12 +78,12 @@
         }
     }
 
-    /// A uniform sample below the bound.
+    /// Samples a uniformly distributed number below the bound.
     pub fn sample(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound.max(1)
     }
 
-    /// Sends a datagram at `now` with all the faults of the network.
+    /// Sends a datagram at `now`, subject to the faults of the network.
     pub fn send(&mut self, now: Time, envelope: &Envelope<M>) {
         self.sent += 1;
         if self.is_cut(envelope.from, envelope.to) {
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Delivers a message at a given time without any faults.
+    /// Schedules a message for delivery at the given time, without faults.
     pub fn schedule(&mut self, at: Time, envelope: Envelope<M>) {
         self.sequence += 1;
         self.in_flight.insert((at, self.sequence), envelope);
     }
 
-    /// The next message that arrives at `now` or earlier.
+    /// Removes and returns the next message that arrives at `now` or earlier.
     pub fn next_delivery(&mut self, now: Time) -> Option<Delivery<M>> {
         let next = self.in_flight.first_entry()?;
         let (at, _) = *next.key();
