--- a/crates/ownership/tests/support/stallable_socket.rs
+++ b/crates/ownership/tests/support/stallable_socket.rs
@@ -3,7 +3,7 @@
 use crate::simulated_network::Envelope;
 use petrelgauge_policy::Time;
 
-/// The socket of a gateway that may stall: until it runs again, messages wait in a bounded buffer.
+/// The socket of a gateway that may stall. Messages that arrive during a stall wait in a bounded buffer.
 pub struct StallableSocket<M> {
     pub stalled_until: Time,
     buffer: Vec<Envelope<M>>,
@@ -19,7 +19,8 @@
         self.stalled_until > now
     }
 
-    /// Returns the message if the gateway runs. Otherwise buffers it, or drops it if the buffer is full.
+    /// Returns the message unless the gateway is stalled. Otherwise buffers it, or drops it if the buffer is
+    /// full.
     pub fn receive(&mut self, now: Time, envelope: Envelope<M>) -> Option<Envelope<M>> {
         if !self.is_stalled(now) {
             return Some(envelope);
@@ -30,7 +31,7 @@
         None
     }
 
-    /// What arrived during the stall, in order.
+    /// Removes and returns the messages that arrived during the stall, in order.
     pub fn take_buffered(&mut self) -> Vec<Envelope<M>> {
         std::mem::take(&mut self.buffer)
     }
