--- a/crates/ownership/tests/request_rates.rs
+++ b/crates/ownership/tests/request_rates.rs
@@ -1,4 +1,4 @@
-//! Request rates measured from counters.
+//! Request rates computed from samples of request counters.
 
 use petrelgauge_ownership::quota::RequestRates;
 use petrelgauge_policy::Time;
@@ -21,5 +21,5 @@
     }
     assert!(rates.per_group()[&GROUP] < 1_000, "{:?}", rates.per_group());
     rates.observe(21 * SECOND, &BTreeMap::new());
-    assert!(rates.per_group().is_empty(), "groups that are gone are forgotten");
+    assert!(rates.per_group().is_empty(), "groups that are missing from the last sample are removed");
 }
