--- a/crates/ownership/src/datagram.rs
+++ b/crates/ownership/src/datagram.rs
@@ -2,7 +2,7 @@
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 1 | magic byte, which tells these datagrams from watermark broadcasts on the same socket |
+//! | 1 | magic byte, which distinguishes these datagrams from watermark broadcasts on the same socket |
 //! | 1 | version of this encoding |
 //! | 4 | fingerprint of the fleet's settings, big-endian |
 //! | up to 246 | sender and message, encoded with `postcard` |
