--- a/crates/ownership/src/lease_manager.rs
+++ b/crates/ownership/src/lease_manager.rs
@@ -45,7 +45,7 @@
     expires_at: Time,
 }
 
-/// Counters since the start. `Display` prints them under names that operators' tools rely on.
+/// Counters since the start. The names that `Display` prints are an interface to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Leases acquired.
--- a/crates/ownership/src/placement.rs
+++ b/crates/ownership/src/placement.rs
@@ -3,8 +3,8 @@
 //!
 //! A hash that is the same at all gateways maps groups to shards. Each shard ranks the acceptors by
 //! preference, and first choices are spread evenly over the acceptors. An acceptor campaigns for a shard
-//! while all acceptors that the shard prefers are absent, and yields a shard that it leads once one of them
-//! has settled. Heartbeats show which acceptors are present.
+//! while all acceptors that the shard prefers to it are absent, and yields a shard that it leads once one of
+//! them has settled. Heartbeats show which acceptors are present.
 //!
 //! ```text
 //! absent --heartbeat--> present --[`Placement::settling_time`] without a gap--> settled
