--- a/crates/ownership/src/quota/rates.rs
+++ b/crates/ownership/src/quota/rates.rs
@@ -6,7 +6,7 @@
 
 /// Time constant of the average (microseconds). Longer than the pauses between bursts.
 const TIME_CONSTANT: f64 = 4e6;
-/// Minimum interval between samples (microseconds). Earlier samples are ignored.
+/// Minimum interval between samples (microseconds). A sample that follows sooner is ignored.
 const MIN_SAMPLE_INTERVAL: Time = 10_000;
 /// Lower bound of the total weight when it is used as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-3;
--- a/crates/ownership/src/settings.rs
+++ b/crates/ownership/src/settings.rs
@@ -106,7 +106,7 @@
         crc32c::crc32c(format!("{gateways} {acceptors:?} {lease} {drift_bound} {max_delay}").as_bytes())
     }
 
-    /// Checksum of the shared settings and the number of shards of each role.
+    /// Checksum of the shared settings and, if there are several, the number of shards of each role.
     pub fn sharded_fingerprint(&self, shards: u16) -> u32 {
         match shards {
             0 | 1 => self.fingerprint(),
