--- a/crates/ownership/tests/quota_fleet.rs
+++ b/crates/ownership/tests/quota_fleet.rs
@@ -28,7 +28,7 @@
         }
         costs.push((fleet.network.sent - sent) as f64 / f64::from(count) / 4.0);
         println!(
-            "{count} gateways: {quota:.2} even quotas of {needed:.2} needed, {:.1} datagrams per second and gateway",
+            "{count} gateways: {quota:.2} even quotas of {needed:.2} needed, {:.1} datagrams per second each",
             costs[costs.len() - 1]
         );
         assert!(
