--- a/crates/ownership/tests/golden_datagrams.rs
+++ b/crates/ownership/tests/golden_datagrams.rs
@@ -1,5 +1,5 @@
-//! Bytes of one datagram of each kind, recorded from commit a97f0e8. Gateways of different versions run side by side
-//! during a rolling upgrade, so neither the layout nor the order of the variants may change.
+//! Encoded bytes of one datagram of each kind, recorded from commit a97f0e8. Gateways of different versions
+//! run side by side during a rolling upgrade, so neither the layout nor the order of the variants may change.
 
 use petrelgauge_ownership::quota::{GroupDemand, GroupGrant, MeanRate, QuotaReport};
 use petrelgauge_ownership::{
@@ -7,7 +7,7 @@
     PrimaryAnnouncement, ReceivedMessage, Settings,
 };
 
-const FLEET: u32 = 0x1234_5678;
+const FINGERPRINT: u32 = 0x1234_5678;
 const SECRET: u64 = 0x5e;
 const FROM: GatewayId = 300;
 const DISCOVERY: LeadershipRole = LeadershipRole { kind: 1, shard: 3 };
@@ -15,8 +15,8 @@
 const BALLOT: Ballot = Ballot { term: 0x1_0000_012c, proposer: 300 };
 const OTHER: Ballot = Ballot { term: 0x1_0000_0007, proposer: 7 };
 const PRIMARY: PrimaryAnnouncement =
-    PrimaryAnnouncement { member: 0xfeed_beef_dead_cafe, position: 1_700_000_000_000_000 };
-const SECOND_PRIMARY: PrimaryAnnouncement = PrimaryAnnouncement { member: 1, position: -5 };
+    PrimaryAnnouncement { member: 0xfeed_beef_dead_cafe, evidence_at: 1_700_000_000_000_000 };
+const SECOND_PRIMARY: PrimaryAnnouncement = PrimaryAnnouncement { member: 1, evidence_at: -5 };
 
 fn request(request: LeaseRequest) -> Message {
     Message::LeaseRequest { role: DISCOVERY, request }
@@ -30,7 +30,7 @@
     Message::Notification { role, term: BALLOT.term, notification }
 }
 
-/// Datagrams of leases.
+/// Datagrams that acquire, renew and release leases.
 fn lease_datagrams() -> Vec<(Message, &'static str)> {
     vec![
         (request(LeaseRequest::Prepare { ballot: BALLOT }), "a70112345678ac0200010300ac82808010ac025ed3be48"),
@@ -66,7 +66,7 @@
     ]
 }
 
-/// Datagrams of the two roles: notifications and reports.
+/// Notifications and reports of the two roles.
 fn role_datagrams() -> Vec<(Message, &'static str)> {
     let primaries = vec![PRIMARY, SECOND_PRIMARY];
     let demands = vec![
@@ -100,7 +100,7 @@
             notification(
                 QUOTAS,
                 Notification::QuotaGrant {
-                    number: u32::MAX,
+                    report_number: u32::MAX,
                     granted: vec![
                         GroupGrant { group: 7, amount: 500 },
                         GroupGrant { group: 900, amount: -3 },
@@ -136,9 +136,9 @@
 
 fn assert_unchanged(datagrams: Vec<(Message, &'static str)>) {
     for (message, recorded) in datagrams {
-        assert_eq!(hex(&message.encode(FROM, FLEET, SECRET)), recorded, "{message:?}");
+        assert_eq!(hex(&message.encode(FROM, FINGERPRINT, SECRET)), recorded, "{message:?}");
         assert_eq!(
-            Message::decode(&bytes(recorded), FLEET, SECRET),
+            Message::decode(&bytes(recorded), FINGERPRINT, SECRET),
             Ok(ReceivedMessage { from: FROM, message })
         );
     }
