--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -3,7 +3,7 @@
 use crate::client::context::ClientContext;
 use crate::client::request_parser::ClientRequest;
 use crate::client::session::ClientSession;
-use crate::facade::{Decision, Ticket};
+use crate::facade::{Decision, RequestHandle};
 use crate::host::attempt::HostAnswer;
 use crate::sql::statement::Statement;
 use crate::Time;
@@ -106,7 +106,7 @@
 struct OpenRequest<'a> {
     context: &'a ClientContext,
     statement: &'a Rc<Statement>,
-    ticket: Ticket,
+    handle: RequestHandle,
     /// The attempt in flight.
     attempt: Option<JoinHandle<Option<HostAnswer>>>,
     /// The host's answer that is the final one.
@@ -118,7 +118,7 @@
         OpenRequest {
             context,
             statement: &request.statement,
-            ticket: context.facade.admit(request.request.clone()),
+            handle: context.facade.admit(request.request.clone()),
             attempt: None,
             host_answer: None,
         }
@@ -133,7 +133,7 @@
                 self.host_answer = host_answer;
                 Event::AttemptEnded { answered: self.host_answer.is_some() }
             }
-            decision = self.ticket.pick() => self.on_decision(decision),
+            decision = self.handle.next_decision() => self.on_decision(decision),
         }
     }
 
--- a/src/control/tasks.rs
+++ b/src/control/tasks.rs
@@ -17,9 +17,9 @@
         match facade.tick(clock.now()) {
             Some(next_at) => tokio::select! {
                 () = clock.sleep_until(next_at) => {}
-                () = facade.woken() => {}
+                () = facade.changed() => {}
             },
-            None => facade.woken().await,
+            None => facade.changed().await,
         }
     }
 }
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -1,17 +1,17 @@
-//! An asynchronous interface to the routing decisions, for code that serves connections: admit a request,
-//! wait for decisions on it, report each attempt.
+//! Asynchronous interface to the routing decisions, for code that serves connections: admits requests,
+//! delivers the decisions on them and takes the report of each attempt.
 //!
-//! A [`Facade`] owns the gateway's [`RequestTable`] and knows who waits for which decision: one entry for
-//! each open request and each attempt in flight. A client session admits a [`Request`] and gets a [`Ticket`];
-//! [`Ticket::pick`] waits for the next [`Decision`]. A decision to send carries an [`Attempt`], which is
-//! reported exactly once, whether it was made or dropped.
+//! A [`Facade`] owns the gateway's [`RequestTable`] and a channel for each open request and each attempt in
+//! flight. A client session admits a [`Request`] and gets a [`RequestHandle`], whose
+//! [`next_decision`](RequestHandle::next_decision) waits for the next [`Decision`]. A decision to send has an
+//! [`Attempt`], which is reported exactly once, whether it was made or dropped.
 //!
-//! One task drives it: it calls [`Facade::tick`] at the time that the last call returned, or earlier when
-//! [`Facade::woken`] returns. Everything that is neither a request nor an attempt is read with
-//! [`Facade::read`] and changed with [`Facade::update`], which wakes that task.
+//! One task drives the facade: it calls [`Facade::tick`] at the time that the last call returned, or earlier
+//! when [`Facade::changed`] returns. State other than requests and attempts is read with [`Facade::read`] and
+//! changed with [`Facade::update`], which wakes that task.
 //!
-//! The facade decides nothing and knows neither protocols nor sockets. It may import no other folder of the
-//! gateway.
+//! The facade makes no decisions itself and handles neither protocols nor sockets. It may import no other
+//! folder of the gateway.
 
 use petrelgauge_lifecycle::request_table::{AttemptId, AttemptSpec, RequestTable, TableCommand, Tick};
 pub use petrelgauge_lifecycle::request_table::{
@@ -30,12 +30,12 @@
 pub enum Decision {
     /// Send the request to the attempt's member. Another decision may follow.
     Send(Attempt),
-    /// Final: the request is rejected and has not run.
+    /// Final: the request is rejected and was not executed.
     Reject {
         /// Retry-After for the client (microseconds); 0 for none.
         wait: Time,
     },
-    /// Final: the request failed, and may have run.
+    /// Final: the request failed and may have been executed.
     Fail,
 }
 
@@ -47,9 +47,9 @@
 
 struct Inner {
     table: RefCell<RequestTable>,
-    /// The channel for the decisions on each open request.
+    /// Delivers the decisions on each open request.
     decision_senders: RefCell<BTreeMap<RequestId, DecisionSender>>,
-    /// The channel for the cancellation of each attempt in flight.
+    /// Delivers the cancellation of each attempt in flight.
     cancel_senders: RefCell<BTreeMap<AttemptId, oneshot::Sender<()>>>,
     /// Notified when the table changes.
     table_changed: Notify,
@@ -58,7 +58,7 @@
 type DecisionSender = mpsc::UnboundedSender<Decision>;
 
 impl Facade {
-    /// A facade without session consistency. `seed` is its only source of random numbers.
+    /// Creates a facade without session consistency. All random numbers are derived from `seed`.
     ///
     /// # Errors
     ///
@@ -67,7 +67,7 @@
         Facade::with_sessions(settings, seed, None)
     }
 
-    /// A facade that also tracks the sessions of some request classes.
+    /// Creates a facade that also tracks the sessions of some request classes.
     ///
     /// # Errors
     ///
@@ -90,40 +90,40 @@
     ///
     /// # Panics
     ///
-    /// If `read` changes the facade's table, for example by dropping a [`Ticket`].
+    /// If `read` changes the request table, for example by dropping a [`RequestHandle`].
     pub fn read<T>(&self, read: impl FnOnce(&RequestTable) -> T) -> T {
         read(&self.inner.table.borrow())
     }
 
     /// Changes the request table and wakes the task that drives the facade.
     ///
-    /// Requests and attempts don't go this way: the facade has to know who waits for their decisions, see
-    /// [`Facade::admit`] and [`Attempt::report`].
+    /// Not for requests and attempts, whose channels the facade has to register and remove: use
+    /// [`Facade::admit`] and [`Attempt::report`] for them.
     ///
     /// # Panics
     ///
-    /// If `change` uses the facade itself.
+    /// If `change` uses the facade.
     pub fn update<T>(&self, change: impl FnOnce(&mut RequestTable) -> T) -> T {
         let result = change(&mut self.inner.table.borrow_mut());
         self.inner.table_changed.notify_one();
         result
     }
 
-    /// Admits a request. Decisions on it are delivered through the returned [`Ticket`].
-    pub fn admit(&self, request: Request) -> Ticket {
+    /// Admits a request. Decisions on it are delivered through the returned [`RequestHandle`].
+    pub fn admit(&self, request: Request) -> RequestHandle {
         let (sender, decisions) = mpsc::unbounded_channel();
         let id = self.update(|table| table.admit(request));
         self.inner.decision_senders.borrow_mut().insert(id.clone(), sender);
-        Ticket { facade: self.clone(), id, decisions }
+        RequestHandle { facade: self.clone(), id, decisions }
     }
 
     /// Waits until the table has changed since the last tick. Cancel safe.
-    pub async fn woken(&self) {
+    pub async fn changed(&self) {
         self.inner.table_changed.notified().await;
     }
 
-    /// Steps the router if a step is due, and delivers its decisions. Returns the clock time of the next
-    /// call, if one is needed although nothing changes.
+    /// Steps the router if a step is due, and delivers its decisions. Returns the clock time at which to call
+    /// again if the table does not change before; none if no such call is needed.
     pub fn tick(&self, now: Time) -> Option<Time> {
         let Tick { commands, next_at } = self.inner.table.borrow_mut().tick(now);
         commands.into_iter().for_each(|command| self.execute(command));
@@ -134,9 +134,9 @@
         match command {
             TableCommand::Send(spec) => self.start_attempt(spec),
             TableCommand::Reject { request, wait } => {
-                self.decide_finally(&request, Decision::Reject { wait })
+                self.deliver_final_decision(&request, Decision::Reject { wait })
             }
-            TableCommand::Fail { request } => self.decide_finally(&request, Decision::Fail),
+            TableCommand::Fail { request } => self.deliver_final_decision(&request, Decision::Fail),
             TableCommand::Cancel(attempt) => self.cancel(&attempt),
             TableCommand::Log(entry) => log_note(&entry),
         }
@@ -148,7 +148,7 @@
         let attempt =
             Attempt { facade: self.clone(), spec, cancelled, is_cancelled: false, is_reported: false };
         self.inner.cancel_senders.borrow_mut().insert(attempt.spec.id.clone(), cancel_sender);
-        // Without a receiver the attempt is dropped here, which reports it as not sent.
+        // If the request is no longer open, the attempt is dropped here, which reports it as not sent.
         if let Some(sender) = sender {
             let _ = sender.send(Decision::Send(attempt));
         }
@@ -161,7 +161,7 @@
         }
     }
 
-    fn decide_finally(&self, request: &RequestId, decision: Decision) {
+    fn deliver_final_decision(&self, request: &RequestId, decision: Decision) {
         let sender = self.inner.decision_senders.borrow_mut().remove(request);
         if let Some(sender) = sender {
             let _ = sender.send(decision);
@@ -181,31 +181,31 @@
 }
 
 /// An admitted request. Dropping it before its final decision abandons the request.
-pub struct Ticket {
+pub struct RequestHandle {
     facade: Facade,
     id: RequestId,
     decisions: mpsc::UnboundedReceiver<Decision>,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// Waits for the next decision. After the final one it returns [`Decision::Fail`]. Cancel safe.
-    pub async fn pick(&mut self) -> Decision {
+    pub async fn next_decision(&mut self) -> Decision {
         self.decisions.recv().await.unwrap_or(Decision::Fail)
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.facade.inner.decision_senders.borrow_mut().remove(&self.id);
         self.facade.update(|table| table.abandon(&self.id));
-        // Decisions that were not received are dropped with the channel, after this. An attempt among them
-        // reports itself.
+        // Decisions that were not received are dropped with the channel, after this function returns. An
+        // attempt among them is reported as not sent when it is dropped.
     }
 }
 
 /// An attempt to make. It is reported exactly once: by [`Attempt::report`], or as not sent when it is
-/// dropped. An attempt that was never reported would count as in flight for good, and its member would lose
-/// capacity.
+/// dropped. An attempt that is never reported would count as in flight forever and permanently reduce the
+/// capacity of its member.
 pub struct Attempt {
     facade: Facade,
     spec: AttemptSpec,
@@ -220,12 +220,12 @@
         self.spec.host
     }
 
-    /// Clock time at which to abandon the attempt.
+    /// Clock time at which the attempt is abandoned.
     pub fn deadline(&self) -> Time {
         self.spec.deadline
     }
 
-    /// Clock time by which the request must be written, if at all; see [`AttemptSpec::write_deadline`].
+    /// Clock time after which the request may no longer be written; see [`AttemptSpec::write_deadline`].
     pub fn write_deadline(&self) -> Time {
         self.spec.write_deadline
     }
@@ -238,32 +238,32 @@
         self.is_cancelled = true;
     }
 
-    /// Whether the attempt may still be sent: it has not been cancelled, and see [`RequestTable::may_send`].
+    /// Whether the attempt may still be sent: it was not cancelled and [`RequestTable::may_send`] allows it.
     pub fn is_wanted(&mut self, now: Time) -> bool {
-        // A cancellation may have arrived while the caller did other work.
+        // A cancellation may have arrived since `cancelled` was last polled.
         self.is_cancelled = self.is_cancelled || self.cancelled.try_recv().is_ok();
         !self.is_cancelled && self.facade.read(|table| table.may_send(now, &self.spec))
     }
 
-    /// Learns the hosts' clock from the answer and drops implausible times from it; see
-    /// [`RequestTable::validate_times`]. To be called before the attempt is reported. Returns whether the
-    /// load report was kept.
+    /// Updates the estimate of the hosts' clock from the answer and removes implausible times from `outcome`;
+    /// see [`RequestTable::validate_times`]. Must be called before the attempt is reported. Returns whether
+    /// the load report was kept.
     pub fn validate_times(&self, now: Time, outcome: &mut Outcome) -> bool {
         self.facade.update(|table| table.validate_times(now, self.spec.host, Some(&self.spec), outcome))
     }
 
-    /// Reports how the attempt ended. Returns whether the member's answer is the final answer of the request:
-    /// then the caller must deliver it to the client.
+    /// Reports how the attempt ended. Returns whether the member's answer is the final answer of the request,
+    /// in which case the caller must deliver it to the client.
     pub fn report(mut self, now: Time, outcome: Outcome) -> bool {
-        self.report_once(now, outcome)
+        self.report_outcome(now, outcome)
     }
 
-    /// The slow start of the attempt's member; none for a member that is warm.
+    /// The slow start of the attempt's member; none if the member is not in slow start.
     pub fn slow_start(&self) -> Option<SlowStart> {
         self.facade.read(|table| table.slow_start(self.spec.host))
     }
 
-    fn report_once(&mut self, now: Time, outcome: Outcome) -> bool {
+    fn report_outcome(&mut self, now: Time, outcome: Outcome) -> bool {
         self.is_reported = true;
         self.facade.inner.cancel_senders.borrow_mut().remove(&self.spec.id);
         let is_final_answer = self.facade.update(|table| table.report(now, &self.spec, outcome));
@@ -277,8 +277,8 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if !self.is_reported {
-            // Its client left before the attempt was received.
-            self.report_once(self.spec.issued_at, Outcome::without_report(Ending::NotSent));
+            // The request was abandoned before its session received the attempt.
+            self.report_outcome(self.spec.issued_at, Outcome::without_report(Ending::NotSent));
         }
     }
 }
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -34,7 +34,10 @@
     let attempt = simulation.send(&mut ticket);
     assert!(attempt.report(simulation.now + MS, Outcome::without_report(Ending::Served)));
     simulation.step();
-    assert!(matches!(ready(ticket.pick()), Some(Decision::Fail)), "no decision follows the final one");
+    assert!(
+        matches!(ready(ticket.next_decision()), Some(Decision::Fail)),
+        "no decision follows the final one"
+    );
 
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let attempt = simulation.send(&mut ticket);
@@ -80,7 +83,7 @@
         let mut decision = None;
         while decision.is_none() {
             simulation.step();
-            decision = ready(ticket.pick());
+            decision = ready(ticket.next_decision());
         }
         assert!(matches!(decision, Some(Decision::Fail)), "{decision:?}");
         assert!(ready(attempt.cancelled()).is_none());
@@ -98,9 +101,9 @@
     let mut ticket = simulation.admit(2, 900 * MS, &[]);
     let early = simulation.now + MS;
     assert_eq!(simulation.facade.tick(early), Some(simulation.now + STEP), "too early to step");
-    assert!(ready(ticket.pick()).is_none());
+    assert!(ready(ticket.next_decision()).is_none());
     assert!(simulation.step().is_some(), "an open request sets a timer");
-    assert!(matches!(ready(ticket.pick()), Some(Decision::Send(_))));
+    assert!(matches!(ready(ticket.next_decision()), Some(Decision::Send(_))));
 }
 
 #[test]
--- a/tests/facade_simulation/mod.rs
+++ b/tests/facade_simulation/mod.rs
@@ -6,7 +6,7 @@
 mod common;
 
 pub use common::{entry, settings, GROUP, MS, START};
-use petrelgauge::facade::{Attempt, Decision, Facade, Request, SessionRef, SessionTracking, Ticket};
+use petrelgauge::facade::{Attempt, Decision, Facade, Request, RequestHandle, SessionRef, SessionTracking};
 use petrelgauge::*;
 use petrelgauge_sessions::SessionTracker;
 use std::future::Future;
@@ -71,7 +71,7 @@
     }
 
     /// A request of session `one`, where sessions are kept.
-    pub fn admit(&mut self, class: usize, time_left: Time, tokens: &[&str]) -> Ticket {
+    pub fn admit(&mut self, class: usize, time_left: Time, tokens: &[&str]) -> RequestHandle {
         self.facade.admit(Request {
             class,
             group: GROUP,
@@ -84,14 +84,14 @@
     }
 
     /// The next attempt of this request, which has to be sent in one step.
-    pub fn send(&mut self, ticket: &mut Ticket) -> Attempt {
+    pub fn send(&mut self, ticket: &mut RequestHandle) -> Attempt {
         self.send_within(ticket, 1)
     }
 
-    pub fn send_within(&mut self, ticket: &mut Ticket, steps: usize) -> Attempt {
+    pub fn send_within(&mut self, ticket: &mut RequestHandle, steps: usize) -> Attempt {
         for _ in 0..steps {
             self.step();
-            match ready(ticket.pick()) {
+            match ready(ticket.next_decision()) {
                 Some(Decision::Send(attempt)) => return attempt,
                 Some(other) => panic!("no send but {other:?}"),
                 None => {}
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -4,7 +4,7 @@
 mod facade_simulation;
 
 use facade_simulation::*;
-use petrelgauge::facade::{Attempt, Outcome, Ticket};
+use petrelgauge::facade::{Attempt, Outcome, RequestHandle};
 use petrelgauge::settings::operator::OperatorConfig;
 use petrelgauge::*;
 use petrelgauge_sessions::{BroadcastEntry, BroadcastSender, Token, Watermark, WatermarkBroadcast};
@@ -24,11 +24,11 @@
     Simulation::new(START, settings, Some(sessions))
 }
 
-fn admit(simulation: &mut Simulation, class: usize, tokens: &[&str]) -> Ticket {
+fn admit(simulation: &mut Simulation, class: usize, tokens: &[&str]) -> RequestHandle {
     simulation.admit(class, 900 * MS, tokens)
 }
 
-fn send(simulation: &mut Simulation, ticket: &mut Ticket) -> Attempt {
+fn send(simulation: &mut Simulation, ticket: &mut RequestHandle) -> Attempt {
     simulation.send_within(ticket, MOST_STEPS)
 }
 
@@ -81,7 +81,7 @@
         if lose {
             drop(ticket);
         } else {
-            while ready(ticket.pick()).is_none() {
+            while ready(ticket.next_decision()).is_none() {
                 simulation.step();
             }
             unsure = simulation.now;
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -4,7 +4,7 @@
 mod facade_simulation;
 
 use facade_simulation::*;
-use petrelgauge::facade::{Attempt, Outcome, Ticket};
+use petrelgauge::facade::{Attempt, Outcome, RequestHandle};
 use petrelgauge::*;
 use petrelgauge_test_support::{
     gateway_program, insert, kinds, select, unix_ms, with_unchecked_reads, Harness, ReadClass, Reply,
@@ -92,7 +92,7 @@
     }
 
     /// A request of session `one`, and its first attempt.
-    fn send(&mut self, class: usize) -> (Ticket, Attempt) {
+    fn send(&mut self, class: usize) -> (RequestHandle, Attempt) {
         let mut ticket = self.simulation.admit(class, 900 * MS, &[]);
         let attempt = self.simulation.send(&mut ticket);
         (ticket, attempt)
