--- a/src/client/answer.rs
+++ b/src/client/answer.rs
@@ -112,7 +112,7 @@
         let context = self.context.clone();
         let host = row.host();
         let streamed = async {
-            row.pass_on(&mut self.writer).await?;
+            row.forward(&mut self.writer).await?;
             row.complete().await
         };
         let RowCompletion { command_complete, mut outcome } = tokio::select! {
--- a/src/host/attempt.rs
+++ b/src/host/attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt to have a request served by a database host: take an idle connection or make one, write the
-//! query, read the answer, return the connection to the pool or close it, report.
+//! One attempt to serve a request at a database host: takes an idle connection or opens one, writes the
+//! query, reads the answer, returns the connection to the pool or closes it, and reports the outcome.
 //!
-//! What follows from an event is decided by the attempt's state machine ([`Exchange`]). This module waits for
-//! the events, and `attempt_io` reads and writes.
+//! State transitions are decided by the attempt's state machine ([`Exchange`]). This module waits for events,
+//! and `attempt_io` reads and writes.
 
 use crate::facade::{Attempt, Outcome};
 use crate::host::attempt_io::{AttemptIo, Progress};
@@ -19,7 +19,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// The field `written_us` of the log line of an attempt whose query was not written.
+/// Value of the log field `written_us` for an attempt whose query was not written.
 const NOT_WRITTEN: Time = -1;
 
 /// A host's answer, with the memory that is reserved for it.
@@ -33,7 +33,7 @@
 pub enum AnswerBody {
     /// A row, or an error that any other host would return as well.
     Complete(Answer),
-    /// A long row, which is passed on piece by piece.
+    /// A long row, which is streamed to the client.
     Streamed(Box<StreamedRow>),
 }
 
@@ -51,7 +51,7 @@
     /// Makes an attempt and reports it. Returns the host's answer if that is the request's final answer.
     ///
     /// Not cancel safe: an attempt that is dropped before its end is reported as not sent, although its query
-    /// may have been written. It has to run in a task of its own.
+    /// may have been written. Must run in its own task.
     pub async fn attempt(
         self: Rc<Self>,
         mut attempt: Attempt,
@@ -62,10 +62,10 @@
         log_slow_start(&attempt, &statement);
         let mut run = self.start(&attempt);
         self.run_to_end(&mut run, &mut attempt, &statement).await;
-        self.conclude(run, attempt, &statement)
+        self.finish(run, attempt, &statement)
     }
 
-    /// Starts on an idle connection, or without one if there is none.
+    /// Starts on an idle connection if there is one, and without a connection otherwise.
     fn start(&self, attempt: &Attempt) -> AttemptRun {
         let io = AttemptIo::new(self.take_idle(attempt.host()), self.budget.reserve_host_memory());
         let now = self.clock.now();
@@ -83,7 +83,7 @@
     /// both over a timeout.
     async fn run_to_end(&self, run: &mut AttemptRun, attempt: &mut Attempt, statement: &Statement) {
         let host = attempt.host();
-        // The timer is only set anew when the timeout changes: most events leave it as it is.
+        // The timer is reset only when the timeout changes, since most events leave it unchanged.
         let mut timeout_at = run.exchange.timeout_at();
         let mut timer = pin!(self.clock.sleep_until(timeout_at));
         while run.exchange.ended().is_none() {
@@ -120,9 +120,9 @@
         }
     }
 
-    /// Releases the connection of an attempt that has ended, and reports the attempt after that. Returns the
-    /// host's answer if that is the request's final answer.
-    fn conclude(
+    /// Releases the connection of an attempt that has ended, then reports the attempt. Returns the host's
+    /// answer if that is the request's final answer.
+    fn finish(
         self: &Rc<Self>,
         run: AttemptRun,
         attempt: Attempt,
@@ -147,7 +147,7 @@
             ended_at - started_at,
             written_at.map_or(NOT_WRITTEN, |at| at - started_at),
         );
-        // A reply that was read does not count if the attempt ended for another reason.
+        // A reply that was read is ignored if the attempt ended for another reason.
         let reply = reply.filter(|_| end.is_answer());
         let is_final_answer =
             self.report(attempt, ended_at, self.outcome_of(end, reply.as_ref(), streamed.as_ref()));
@@ -158,7 +158,7 @@
         answer.map(|answer| HostAnswer { answer, memory }).filter(|_| is_final_answer)
     }
 
-    /// Returns a connection to the pool, lends it to the row that has begun on it, or closes it.
+    /// Returns a connection to the pool, hands it to the row that is streamed on it, or closes it.
     fn release(
         self: &Rc<Self>,
         host: MemberId,
@@ -167,7 +167,7 @@
         disposition: ConnectionDisposition,
     ) -> Option<StreamedRow> {
         match (connection, disposition) {
-            (Some(connection), ConnectionDisposition::Reuse) => self.put_back(host, connection),
+            (Some(connection), ConnectionDisposition::Reuse) => self.return_connection(host, connection),
             (Some(connection), ConnectionDisposition::StreamToClient) => {
                 return Some(StreamedRow::new(self.clone(), host, connection, assembler));
             }
@@ -205,7 +205,7 @@
     }
 }
 
-/// Logs the budget of a member in slow start that gets an attempt.
+/// Logs the slow start limits of the attempt's member, if it is in slow start.
 fn log_slow_start(attempt: &Attempt, statement: &Statement) {
     let Some(SlowStart { capacity_share, rate, tokens }) = attempt.slow_start() else { return };
     log::debug!(
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -24,23 +24,23 @@
 /// The parameter by which a host reports its log position.
 const LOG_POSITION: &str = "log_position";
 
-/// What a step of input or output led to.
+/// The result of a step of input or output.
 pub(super) enum Progress {
     /// An event for the attempt's state machine.
     Event(Event),
-    /// The connection is writable: the query can be begun.
+    /// The connection is writable and the query can be started.
     ReadyToWrite,
 }
 
 /// The connection of an attempt, and what has been written and read on it.
 pub(super) struct AttemptIo {
     pub(super) connection: Option<HostConnection>,
-    /// The rest of a query that was written in part.
+    /// The rest of a partially written query.
     unwritten: Option<Box<dyn Buf>>,
-    /// The first write failed for lack of local resources. It is repeated after a pause.
+    /// Whether the first write failed for lack of local resources and is to be retried after a pause.
     is_write_delayed: bool,
     pub(super) assembler: AnswerAssembler,
-    /// Bytes of the answer that were taken out of the framer.
+    /// Bytes of the answer that were taken from the framer.
     answer_bytes: usize,
     answer_hash: DefaultHasher,
     pub(super) reply: Option<Reply>,
@@ -48,7 +48,7 @@
 }
 
 impl AttemptIo {
-    /// For an attempt on this idle connection, or on a new one.
+    /// For an attempt on this idle connection, or on a new one if there is none.
     pub(super) fn new(connection: Option<HostConnection>, memory: MemoryReservation) -> AttemptIo {
         AttemptIo {
             connection,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Handles the messages of a greeting that were read. None if the greeting is incomplete.
+    /// Handles the buffered messages of the greeting. None if the greeting is incomplete.
     fn take_greeting(&mut self) -> Option<Event> {
         let Some(connection) = &mut self.connection else { return Some(Event::ConnectionLost) };
         loop {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The host rejected the connection with an error.
+    /// Handles the error with which the host rejected the connection.
     fn on_rejection(&mut self, message: Message) -> Event {
         let mut assembler = AnswerAssembler::default();
         if assembler.push(message).is_err() {
@@ -95,7 +95,7 @@
         end.map_or(Event::ConnectionLost, Event::Rejected)
     }
 
-    /// Handles the messages of an answer that were read. None if the answer is incomplete.
+    /// Handles the buffered messages of the answer. None if the answer is incomplete.
     fn take_answer(&mut self) -> Option<Event> {
         let Some(connection) = &mut self.connection else { return Some(Event::ConnectionLost) };
         loop {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The answer is complete. A duplicate of the connection's last answer is recognized by its hash.
+    /// Handles a complete answer. A duplicate of the connection's last answer is recognized by its hash.
     fn complete_answer(&mut self, reply: Reply) -> Event {
         let Some(connection) = &mut self.connection else { return Event::ConnectionLost };
         let is_row = matches!(reply.answer, Answer::Row(_));
@@ -128,15 +128,15 @@
         Event::Answered { end, is_duplicate }
     }
 
-    /// The connection ended while an answer was awaited. An error that was received before that is the
-    /// answer.
+    /// Handles the loss of the connection while an answer was awaited. An error message that was received
+    /// before is the answer.
     fn on_connection_lost(&mut self) -> Event {
         self.reply = self.assembler.finish();
         let end = self.reply.as_ref().map(end_of_reply);
         end.map_or(Event::ConnectionLost, |end| Event::Answered { end, is_duplicate: false })
     }
 
-    /// Accounts for the bytes that are buffered. Returns whether that many may be.
+    /// Accounts for the buffered bytes. Returns whether they are within the memory limit.
     fn reserve_memory(&mut self) -> bool {
         let unparsed = self.connection.as_ref().map_or(0, |connection| connection.framer.len());
         self.memory.resize(self.answer_bytes + unparsed)
@@ -144,10 +144,10 @@
 }
 
 impl HostPool {
-    /// Connects, reads or writes as the state of the attempt requires, until there is an event.
+    /// Connects, reads or writes, depending on the state of the attempt, until there is an event.
     ///
     /// Cancel safe: what was connected, written and read is kept in `io`, and the next call continues from
-    /// there. Only a connect in progress is started again.
+    /// there. Only a connect in progress is restarted.
     pub(super) async fn advance(&self, state: AttemptState, host: MemberId, io: &mut AttemptIo) -> Progress {
         if io.connection.is_none() {
             return Progress::Event(self.open_connection(host, io).await);
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Waits until the query can be begun, or writes the rest of a query that has been begun.
+    /// Waits until the query can be started, or writes the rest of a partially written query.
     async fn write_query(&self, io: &mut AttemptIo) -> Progress {
         let Some(connection) = &io.connection else { return Progress::Event(Event::ConnectionLost) };
         if let Some(rest) = &mut io.unwritten {
@@ -193,12 +193,12 @@
         }
     }
 
-    /// Writes the first bytes of the query, if the attempt is still wanted: much may have happened while its
-    /// connection was established or not writable. It does not wait, so that the remaining wait that the
-    /// query states is exact.
+    /// Writes the first bytes of the query if the attempt is still wanted: it may have been cancelled, or its
+    /// host have moved or been removed, while the connection was being established or was not writable. Does
+    /// not wait, so that the remaining wait that the query states is exact.
     ///
-    /// Returns none if the attempt continues to write: either the query was written in part, or the
-    /// connection accepted no byte and this is to be called again.
+    /// Returns none if writing has to continue: either the query was written in part, or the connection
+    /// accepted no byte and this function is to be called again.
     pub(super) fn begin_query(
         &self,
         exchange: &Exchange,
@@ -207,9 +207,9 @@
         io: &mut AttemptIo,
     ) -> Option<Event> {
         let Some(connection) = &io.connection else { return Some(Event::ConnectionLost) };
-        let host_accepts = self.accepts(attempt.host(), connection.endpoint);
+        let host_accepts_requests = self.accepts_requests(attempt.host(), connection.endpoint);
         let now = self.clock.now();
-        if !host_accepts || !attempt.is_wanted(now) {
+        if !host_accepts_requests || !attempt.is_wanted(now) {
             return Some(Event::Unwanted);
         }
         let Some(wait_ms) = exchange.remaining_wait_ms(now) else { return Some(Event::Unwanted) };
@@ -256,7 +256,7 @@
             if let Some(event) = io.take_answer() {
                 return event;
             }
-            // Most answers come in one read. The beginning is an event of its own only for the others.
+            // Most answers arrive in one read. Only for the others the beginning is a separate event.
             if has_begun {
                 return Event::AnswerBegan;
             }
@@ -276,7 +276,7 @@
     }
 }
 
-/// How an attempt with this reply ends.
+/// The end of an attempt that received this reply.
 fn end_of_reply(reply: &Reply) -> End {
     match &reply.answer {
         Answer::Row(_) => End::Served,
--- a/src/host/connection.rs
+++ b/src/host/connection.rs
@@ -11,31 +11,32 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// The address of a host and its last start. Connections to an earlier endpoint of a host are closed.
+/// The address, start time and status of a host. When they change, connections to the earlier endpoint are
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// The address that it listens on.
     pub address: SocketAddr,
     /// When it last started (Unix time, microseconds).
     pub started_at: Time,
-    /// It accepts new requests: it is listed as up and is not draining.
+    /// Whether it accepts new requests: it is listed as up and is not draining.
     pub is_up: bool,
 }
 
-/// An established connection. Its descriptor is accounted for as long as it lives.
+/// An established connection. Its descriptor counts against the budget until the connection is dropped.
 pub(super) struct HostConnection {
     pub(super) stream: TcpStream,
     pub(super) framer: Framer,
     pub(super) endpoint: Endpoint,
-    /// Hash of the last answer, if only a duplicate of that answer can have the same hash.
+    /// Hash of the last answer, if no other answer than a duplicate of it can have the same hash.
     pub(super) last_answer_hash: Option<u64>,
-    /// The last answer is so recent that a duplicate of it may still arrive.
+    /// Whether the last answer is so recent that a duplicate of it may still arrive.
     pub(super) is_last_answer_recent: bool,
     _slot: DescriptorSlot,
 }
 
 impl HostConnection {
-    /// The connection on a stream that has just been connected.
+    /// Creates the connection on a newly connected stream.
     pub(super) fn new(stream: TcpStream, endpoint: Endpoint, slot: DescriptorSlot) -> HostConnection {
         HostConnection {
             stream,
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Takes the next message; none if it has not been read completely.
+    /// Takes the next message; none if it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`Event::LongRowBegan`] for the beginning of a row that is to be streamed, [`Event::Malformed`] for
-    /// anything that is no message of a host.
+    /// [`Event::LongRowBegan`] at the beginning of a row that is to be streamed, [`Event::Malformed`] for
+    /// anything that is not a valid backend message.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, Event> {
         match self.framer.kind() {
             Some(kind) if !message_type::SENT_BY_HOSTS.contains(&kind) => Err(Event::Malformed),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Reads once, `max_bytes` at most, into the framer, which bounds what is buffered: no message is longer
+    /// Reads once, at most `max_bytes`, into the framer. Buffered data is bounded, since no message is longer
     /// than [`MAX_MESSAGE_BYTES`](crate::postgres::MAX_MESSAGE_BYTES). Cancel safe.
     ///
     /// # Errors
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The state of its socket, as the kernel reports it without reading.
+    /// The state of the socket according to the kernel; consumes no bytes.
     pub(super) fn socket_state(&self) -> SocketState {
         match socket::unread_on(&self.stream) {
             Unread::Nothing => SocketState::Quiet,
--- a/src/host/descriptors.rs
+++ b/src/host/descriptors.rs
@@ -1,23 +1,24 @@
-//! Frees descriptors for new connections: closes idle clients and idle connections to hosts in a fixed order.
+//! Frees descriptors for new connections by closing idle clients and idle host connections in a fixed order.
 
 use crate::host::pool::HostPool;
 use crate::resources::budget::Idleness;
 use crate::Time;
 
-/// While clients hold more than their share of the descriptors: how long a client must have been idle to be
-/// closed (microseconds). Its next query may be on its way.
+/// Minimum idle time before a client is closed while clients hold more than their share of the descriptors
+/// (microseconds). The next query of a client that was active more recently may be in transit.
 const MIN_IDLE_OF_EXCESS_CLIENT: Time = 100_000;
-/// When no descriptor is left: how long a client without a query must have been idle to be closed
+/// Minimum idle time before a client that has sent no query is closed when no descriptor is left
 /// (microseconds).
 const MIN_IDLE_OF_NEW_CLIENT: Time = 20_000;
-/// When no descriptor is left: how long a client that has been answered must have been idle to be closed
-/// (microseconds). It is likely to send another query, so connections to hosts are closed before one that was
-/// answered more recently.
+/// Minimum idle time before a client that has been answered is closed when no descriptor is left
+/// (microseconds). A client that was answered more recently is likely to send another query, so idle host
+/// connections are closed before it.
 const MIN_IDLE_OF_ANSWERED_CLIENT: Time = 1_000_000;
 
 impl HostPool {
     /// Closes idle clients while clients hold more than their share of the descriptors. Clients keep their
-    /// connections, also those that never send another query; without this, new clients would get none.
+    /// connections open even if they never send another query, so new clients would get no descriptor
+    /// otherwise.
     pub fn shed_excess_clients(&self) {
         let idle_since = self.clock.now() - MIN_IDLE_OF_EXCESS_CLIENT;
         for _ in 0..self.budget.excess_clients() {
@@ -31,8 +32,8 @@
         }
     }
 
-    /// Ensures that a descriptor is left for a new connection, and closes an idle client or connection if it
-    /// has to. Returns whether there is one.
+    /// Ensures that a descriptor is available for a new connection, closing an idle client or host connection
+    /// if necessary. Returns whether one is available.
     pub fn ensure_descriptor(&self) -> bool {
         if !self.budget.is_exhausted() {
             return true;
--- a/src/host/load_report.rs
+++ b/src/host/load_report.rs
@@ -1,4 +1,4 @@
-//! What a host reports about itself with an answer: its role, its log position and its load.
+//! Parses what a host reports about itself with an answer: its role, its log position and its load.
 
 use crate::facade::Outcome;
 use crate::postgres::Parameter;
@@ -8,8 +8,8 @@
 use petrelgauge_lifecycle::ending::End;
 use petrelgauge_lifecycle::verdict;
 
-/// The outcome of an attempt with an answer, from the parameters that the host reported with it. An
-/// implausible load report is dropped and counted.
+/// Builds the outcome of an attempt from its ending and the parameters that the host sent with its answer. A
+/// malformed or implausible load report is ignored and counted.
 pub(super) fn parse_outcome(end: End, parameters: &[Parameter], counters: &Counters) -> Outcome {
     let mut outcome = Outcome::without_report(end.to_router_ending());
     outcome.is_unusable = end == End::Unusable;
@@ -35,8 +35,8 @@
     outcome
 }
 
-/// Parses a load report: names and values, positions as Unix times in seconds. None if it is malformed or
-/// implausible.
+/// Parses a load report: comma-separated `name=value` pairs, with positions as Unix times in seconds. Returns
+/// none if it is malformed or implausible.
 fn parse_load_report(text: &str) -> Option<Report> {
     let parse_pair = |pair: &str| -> Option<(String, f64)> {
         let (name, value) = pair.split_once('=')?;
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,22 +1,22 @@
-//! Database hosts: connections to them, and attempts to have requests served on these connections.
+//! Connections to the database hosts, and the attempts that are made on them.
 //!
 //! | file | concern |
 //! | --- | --- |
 //! | [`pool`] | the listed hosts and the idle connections to them; new connections |
 //! | `connection` | one connection: its messages and the state of its socket |
 //! | `descriptors` | closing idle clients and connections when descriptors run out |
-//! | [`attempt`] | one attempt, from taking a connection to the report |
+//! | [`attempt`] | one attempt, from acquiring a connection to reporting the outcome |
 //! | `attempt_io` | connecting, reading and writing for an attempt |
-//! | [`streamed_row`] | a long row, passed on to its client piece by piece |
+//! | [`streamed_row`] | a long row, streamed to its client in chunks |
 //! | `load_report` | what a host reports about itself with an answer |
 //!
-//! An attempt is a task of its own: it takes an idle connection or makes one, writes the query, reads the
+//! Each attempt runs in its own task: it takes an idle connection or opens one, writes the query, reads the
 //! answer, returns the connection to the pool or closes it, and then reports to the [facade](crate::facade).
-//! What follows from an event is decided by [`petrelgauge_lifecycle::exchange`], which connection is reused
-//! by [`petrelgauge_lifecycle::idle_connection`].
+//! State transitions are in [`petrelgauge_lifecycle::exchange`], the policy for reusing idle connections in
+//! [`petrelgauge_lifecycle::idle_connection`].
 //!
-//! The folder owns every socket to a host. The pool has no bound of its own: connections are bounded by the
-//! descriptors ([`crate::resources::budget`]).
+//! This module owns all sockets to hosts. The pool has no limit of its own: the number of connections is
+//! limited by the descriptor budget ([`crate::resources::budget`]).
 //!
 //! May import: `facade`, `sql`, `postgres`, `resources`, `settings`, `os`.
 
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -17,18 +17,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Connects that are attempted while they fail for lack of local resources (count). The pauses between them
-/// are far shorter than a connect timeout.
+/// Maximum number of connect calls while they fail for lack of local resources. The pauses between them are
+/// much shorter than a connect timeout.
 const CONNECT_ATTEMPTS: u32 = 3;
 
-/// An idle connection.
+/// An idle connection in the pool.
 struct PooledConnection {
     idle_since: Time,
     connection: HostConnection,
 }
 
 impl PooledConnection {
-    /// What the idle policy has to know of it.
+    /// The properties that the idle policy decides on.
     fn idle(&self) -> IdleConnection {
         IdleConnection {
             since: self.idle_since,
@@ -39,12 +39,12 @@
 
 struct Host {
     endpoint: Endpoint,
-    /// In the order in which they became idle.
+    /// Idle connections, the longest idle first.
     idle: Vec<PooledConnection>,
     consecutive_connect_timeouts: u32,
 }
 
-/// What a pool needs.
+/// Options of a [`HostPool`].
 pub struct HostPoolOptions {
     /// The clock.
     pub clock: Clock,
@@ -54,9 +54,9 @@
     pub counters: Rc<Counters>,
     /// The buffer that all connections read into.
     pub read_buffer: Rc<ReadBuffer>,
-    /// The longest that a connection may take to be established (microseconds).
+    /// Maximum time for establishing a connection (microseconds).
     pub connect_timeout: Time,
-    /// The time after which hosts close idle connections (microseconds).
+    /// Time after which hosts close idle connections (microseconds).
     pub host_idle_timeout: Time,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl HostPool {
-    /// A pool without hosts.
+    /// Creates a pool without hosts.
     pub fn new(options: HostPoolOptions) -> Rc<HostPool> {
         Rc::new(HostPool {
             hosts: RefCell::new(BTreeMap::new()),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle the longest. Returns whether there was one.
     pub(super) fn close_longest_idle(&self) -> bool {
         let mut hosts = self.hosts.borrow_mut();
         let with_idle = hosts.values_mut().filter(|host| !host.idle.is_empty());
@@ -153,8 +153,8 @@
         true
     }
 
-    /// Takes an idle connection that may carry a request, if there is one. Unusable ones that it meets are
-    /// closed.
+    /// Takes an idle connection that may be used for a request, if there is one. Closes unusable connections
+    /// that it encounters.
     pub(super) fn take_idle(&self, id: MemberId) -> Option<HostConnection> {
         let now = self.clock.now();
         let mut hosts = self.hosts.borrow_mut();
@@ -173,14 +173,14 @@
         }
     }
 
-    /// Whether a host still has this endpoint and accepts new requests.
-    pub(super) fn accepts(&self, id: MemberId, endpoint: Endpoint) -> bool {
+    /// Whether a host is still at this endpoint and accepts new requests.
+    pub(super) fn accepts_requests(&self, id: MemberId, endpoint: Endpoint) -> bool {
         endpoint.is_up && self.hosts.borrow().get(&id).is_some_and(|host| host.endpoint == endpoint)
     }
 
-    /// Returns a connection to the pool. It is closed if its host moved, restarted, is draining or is no
+    /// Returns a connection to the pool. Closes it if its host has moved, has restarted, is draining or is no
     /// longer listed.
-    pub(super) fn put_back(&self, id: MemberId, connection: HostConnection) {
+    pub(super) fn return_connection(&self, id: MemberId, connection: HostConnection) {
         let mut hosts = self.hosts.borrow_mut();
         let host =
             hosts.get_mut(&id).filter(|host| host.endpoint == connection.endpoint && host.endpoint.is_up);
@@ -198,29 +198,29 @@
         self.connect_timeout.get().timeout(failures)
     }
 
-    /// Records that a new connection to this host was established, greeting included, after `took`
+    /// Records that a new connection to this host was established, greeting included, after `elapsed`
     /// microseconds.
-    pub(super) fn record_connected(&self, id: MemberId, took: Time) {
+    pub(super) fn record_connected(&self, id: MemberId, elapsed: Time) {
         let mut timeout = self.connect_timeout.get();
-        timeout.record_connected(took);
+        timeout.record_connected(elapsed);
         self.connect_timeout.set(timeout);
         if let Some(host) = self.hosts.borrow_mut().get_mut(&id) {
             host.consecutive_connect_timeouts = 0;
         }
     }
 
-    /// Records that a new connection to this host was not established in time. The next one gets more time.
+    /// Records that a new connection to this host timed out. The next one gets a longer timeout.
     pub(super) fn record_connect_timeout(&self, id: MemberId) {
         if let Some(host) = self.hosts.borrow_mut().get_mut(&id) {
             host.consecutive_connect_timeouts = host.consecutive_connect_timeouts.saturating_add(1);
         }
     }
 
-    /// Connects to a host and sends the startup message. Cancelling it closes the connection.
+    /// Connects to a host and sends the startup message. Dropping the future closes the connection.
     ///
     /// # Errors
     ///
-    /// [`Event::NotConnected`] if no connect was attempted, [`Event::Refused`] if the host did not accept it.
+    /// [`Event::NotConnected`] if the host is not responsible for the failure, [`Event::Refused`] if it is.
     pub(super) async fn connect(&self, id: MemberId) -> Result<HostConnection, Event> {
         let endpoint =
             self.hosts.borrow().get(&id).map(|host| host.endpoint).filter(|endpoint| endpoint.is_up);
@@ -232,19 +232,19 @@
         self.counters.host_connects.add();
         let connected =
             socket::through_shortages(CONNECT_ATTEMPTS, || socket::connect(endpoint.address)).await;
-        let stream = connected.map_err(|error| after_failed_connect(&error))?;
+        let stream = connected.map_err(|error| event_for_connect_error(&error))?;
         let _ = stream.set_nodelay(true);
         let connection = HostConnection::new(stream, endpoint, slot);
         let mut startup = Vec::new();
         postgres::put_startup(&mut startup);
-        // If this fails, so does reading the greeting.
+        // The error is ignored: if this write fails, reading the greeting fails too.
         let _ = socket::write_all(&connection.stream, &mut &startup[..]).await;
         Ok(connection)
     }
 }
 
-/// The event for a failed connect. Only failures that the host is responsible for may count against it.
-pub fn after_failed_connect(error: &SocketError) -> Event {
+/// The event for a failed connect. Only failures for which the host is responsible count against it.
+pub fn event_for_connect_error(error: &SocketError) -> Event {
     match error {
         SocketError::Unreachable(_) | SocketError::Broken(_) => Event::Refused,
         SocketError::OwnShortage(_) | SocketError::Interrupted | SocketError::WouldBlock => {
--- a/src/host/streamed_row.rs
+++ b/src/host/streamed_row.rs
@@ -1,6 +1,6 @@
-//! A long row that is passed on from a database host to a client piece by piece. After its first byte there
-//! is no retry: either the client gets the complete row, or its connection is closed in the middle, which the
-//! client notices.
+//! Streams a long row from a database host to a client in chunks. Once its first byte is sent the request
+//! cannot be retried: either the client gets the complete row, or its connection is closed in the middle of
+//! the row, which the client detects.
 
 use crate::facade::Outcome;
 use crate::host::connection::HostConnection;
@@ -15,27 +15,28 @@
 use std::rc::Rc;
 use tokio::net::tcp::WriteHalf;
 
-/// Most bytes that are read at once. This bounds the memory of a row whose client reads slowly.
-const PIECE_BYTES: usize = 16 * 1024;
-/// Time within which the host must send something and the client must read something (microseconds). Either
-/// may be slow by seconds; one that has vanished must not hold the other's connection for good.
+/// Maximum number of bytes per read. Bounds the memory used by a row whose client reads slowly.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// Time within which the host must send at least one byte and the client must read at least one
+/// (microseconds). Tolerates delays of some seconds on either side, but keeps a side that has disappeared
+/// from holding the other's connection forever.
 const PROGRESS_TIMEOUT: Time = 10_000_000;
 
-/// A row that has begun, and the host connection that it comes on.
+/// A row of which the beginning was received, and the host connection that carries it.
 pub struct StreamedRow {
     pool: Rc<HostPool>,
     host: MemberId,
     connection: HostConnection,
     assembler: AnswerAssembler,
-    /// Bytes of the row's message that have not been passed on.
+    /// Bytes of the row's message that have not been forwarded.
     remaining_bytes: usize,
 }
 
-/// What the host sent after the row.
+/// The end of the host's answer, after the row.
 pub struct RowCompletion {
     /// The CommandComplete message, for the client.
     pub command_complete: Bytes,
-    /// What the host reported with it.
+    /// The outcome of the attempt, with what the host reported after the row.
     pub outcome: Outcome,
 }
 
@@ -55,27 +56,27 @@
         self.assembler.parameters()
     }
 
-    /// The host that it comes from.
+    /// The host that sends the row.
     pub fn host(&self) -> MemberId {
         self.host
     }
 
-    /// Passes the row on, up to its end. Not cancel safe: a piece that was read and not written is lost.
+    /// Forwards the row up to its end. Not cancel safe: a chunk that was read but not written is lost.
     ///
     /// # Errors
     ///
-    /// Whose connection broke or stalled: the host's ([`End::BrokenSent`], [`End::HostStalled`]) or the
+    /// Fails if a connection broke or stalled: the host's ([`End::BrokenSent`], [`End::HostStalled`]) or the
     /// client's ([`End::ClientLeft`], [`End::ClientStuck`]).
-    pub async fn pass_on(&mut self, writer: &mut WriteHalf<'_>) -> Result<(), End> {
+    pub async fn forward(&mut self, writer: &mut WriteHalf<'_>) -> Result<(), End> {
         let description = self.assembler.begin_streamed_row();
         self.write(writer, description).await?;
         while self.remaining_bytes > 0 {
             if self.connection.framer.is_empty() {
-                self.read(PIECE_BYTES).await?;
+                self.read(MAX_CHUNK_BYTES).await?;
             }
-            let piece = self.connection.framer.take_raw(self.remaining_bytes);
-            self.remaining_bytes -= piece.len();
-            self.write(writer, piece).await?;
+            let chunk = self.connection.framer.take_raw(self.remaining_bytes);
+            self.remaining_bytes -= chunk.len();
+            self.write(writer, chunk).await?;
         }
         Ok(())
     }
@@ -84,14 +85,14 @@
     ///
     /// # Errors
     ///
-    /// How the host failed: [`End::HostMalformed`], [`End::BrokenSent`] or [`End::HostStalled`].
+    /// Fails with [`End::HostMalformed`], [`End::BrokenSent`] or [`End::HostStalled`].
     pub async fn complete(mut self) -> Result<RowCompletion, End> {
         let reply = self.read_reply().await?;
         let Answer::Row(mut messages) = reply.answer else { return Err(End::HostMalformed) };
         let outcome = parse_outcome(End::Served, &reply.parameters, &self.pool.counters);
         let StreamedRow { pool, host, connection, .. } = self;
         if reply.is_ready && connection.framer.is_empty() {
-            pool.put_back(host, connection);
+            pool.return_connection(host, connection);
         } else {
             pool.counters.ended(End::HostSurplus);
         }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -5,7 +5,7 @@
 use petrelgauge::control::ops;
 use petrelgauge::discovery::list_assembler::ListText;
 use petrelgauge::discovery::list_request::ListResponse;
-use petrelgauge::host::pool::after_failed_connect;
+use petrelgauge::host::pool::event_for_connect_error;
 use petrelgauge::os::clock::Clock;
 use petrelgauge::os::socket::{self, classify, ByteStream, Call, SocketError, Unread};
 use petrelgauge::postgres::read_buffer::ReadBuffer;
@@ -91,7 +91,7 @@
 // ENOBUFS, ENOMEM, EAGAIN and ENETUNREACH once counted as refused by the host, which had done nothing.
 #[test]
 fn a_connect_that_fails_here_is_no_evidence_against_its_host() {
-    let event = |number| after_failed_connect(&classify(Call::Connect, error(number)));
+    let event = |number| event_for_connect_error(&classify(Call::Connect, error(number)));
     for number in [
         libc::EMFILE,
         libc::ENFILE,
