--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -1,5 +1,4 @@
-//! Reads the messages of one client in order, a bounded number of them ahead of the query that is being
-//! answered.
+//! Reads the messages of one client in order, with bounded read-ahead while a query is being answered.
 
 use crate::client::client_event::{ClientEvent, Payload, ProtocolError, Query, ReadError};
 use crate::client::context::ClientContext;
@@ -18,17 +17,17 @@
 use tokio::io::Interest;
 use tokio::net::tcp::ReadHalf;
 
-/// Time in which an open query may still be answered after malformed bytes have followed it (microseconds).
+/// Time within which an open query may still be answered after a protocol error that followed it
+/// (microseconds).
 const ANSWER_GRACE_PERIOD: Time = 1_000_000;
 
 /// Reads from one client.
 ///
-/// Messages keep the time at which they arrived: a client counts its wait from when it sent a query, also
-/// while its earlier queries are being answered. What is buffered is bounded by [`ReadAhead`] and by the
-/// memory of all connections. At either bound reading pauses, and only the client's disconnecting is still
-/// noticed.
+/// Each message keeps its arrival time, since a client measures its wait from when it sent a query, even
+/// while its earlier queries are being answered. Buffered data is bounded by [`ReadAhead`] and by the memory
+/// of all connections. At either bound reading pauses, and only the client's disconnect is still detected.
 ///
-/// Every wait is cancel safe: what was read stays in the reader.
+/// All methods that wait are cancel safe: what was read stays in the reader.
 pub(super) struct ClientReader<'a> {
     stream: ReadHalf<'a>,
     clock: Clock,
@@ -38,8 +37,8 @@
     framer: Framer,
     /// Bounded by [`petrelgauge_lifecycle::read_ahead::MAX_QUEUED`].
     queue: VecDeque<QueuedMessage>,
-    ahead: ReadAhead,
-    /// The startup message was received.
+    read_ahead: ReadAhead,
+    /// Whether the startup message was received.
     has_started: bool,
     failure: Option<Failure>,
 }
@@ -50,7 +49,7 @@
     arrived_at: Time,
 }
 
-/// A protocol error, and until when queries that came before it may still be answered.
+/// A protocol error, and the time until which queries received before it may still be answered.
 #[derive(Clone, Copy)]
 struct Failure {
     error: ProtocolError,
@@ -67,13 +66,13 @@
             memory: context.budget.reserve_client_memory(),
             framer: Framer::default(),
             queue: VecDeque::new(),
-            ahead: ReadAhead::new(),
+            read_ahead: ReadAhead::new(),
             has_started: false,
             failure: None,
         }
     }
 
-    /// Returns what the client sent next.
+    /// Returns the next event on the connection.
     pub(super) async fn next_event(&mut self, state: ClientState) -> ClientEvent {
         let event = match state {
             ClientState::Opening => self.next_opening().await,
@@ -82,9 +81,9 @@
         event.unwrap_or_else(ClientEvent::from)
     }
 
-    /// Reads ahead until the client disconnects, or until the time to answer what came before a protocol
-    /// error is over. Terminate counts as disconnecting, whatever was sent before it: a client that sends it
-    /// closes at once.
+    /// Reads ahead until the client disconnects, or until the time to answer the queries before a protocol
+    /// error is over. Terminate counts as a disconnect even if queries are queued before it, since a client
+    /// that sends it closes the connection at once.
     pub(super) async fn disconnected(&mut self) -> End {
         loop {
             self.parse_messages();
@@ -104,7 +103,7 @@
                 Err(end) => return end,
             };
             // Checked before the bytes that precede the close are read: reading yields, and another task
-            // could send the query to a host meanwhile.
+            // could send the open query to a host in the meantime.
             if is_closed_by_client(&self.stream).await {
                 return End::ClientLeft;
             }
@@ -114,9 +113,9 @@
         }
     }
 
-    /// Reads ahead while an answer is being written, and never returns. A query that was left in the kernel
-    /// until then would seem to have just arrived, and its host would be given more time than the client
-    /// waits.
+    /// Reads ahead while an answer is being written; never returns. A query left in the kernel buffer until
+    /// the answer is written would get a later arrival time, and its host would be given more time than the
+    /// client waits.
     pub(super) async fn read_ahead(&mut self) {
         if self.has_started {
             self.disconnected().await;
@@ -124,27 +123,27 @@
         std::future::pending().await
     }
 
-    /// Reads and drops bytes until the client disconnects.
-    pub(super) async fn discard(&mut self) {
+    /// Reads and discards bytes until the client disconnects.
+    pub(super) async fn discard_input(&mut self) {
         while self.read().await.is_ok() {
             self.framer.clear();
         }
     }
 
     /// Waits until the client has closed its side, without reading.
-    pub(super) async fn closed(&self) {
+    pub(super) async fn closed_by_client(&self) {
         closed_by_client(&self.stream).await;
     }
 
-    /// Ends reading for a protocol error. Messages before it stay queued; nothing after it is buffered.
+    /// Stops parsing after a protocol error. Messages before it stay queued; nothing after it is buffered.
     pub(super) fn fail(&mut self, error: ProtocolError) {
         let answer_deadline = self.clock.now() + ANSWER_GRACE_PERIOD;
         self.failure = self.failure.or(Some(Failure { error, answer_deadline }));
         self.framer.clear();
-        self.ahead.set_unparsed_bytes(0);
+        self.read_ahead.set_unparsed_bytes(0);
     }
 
-    /// Whether reading ended for a protocol error that ends the connection like this.
+    /// Whether a protocol error that ends the connection with this `end` was recorded.
     pub(super) fn is_failed_with(&self, end: End) -> bool {
         self.failure.is_some_and(|failure| failure.error.end == end)
     }
@@ -154,8 +153,8 @@
         self.failure.is_some_and(|failure| self.clock.now() >= failure.answer_deadline)
     }
 
-    /// Whether [`next_event`](Self::next_event) would return without reading: there is a complete message or
-    /// a protocol error.
+    /// Whether [`next_event`](Self::next_event) would return without reading, because there is a complete
+    /// message or a protocol error.
     pub(super) fn has_event(&mut self, state: ClientState) -> bool {
         if state == ClientState::Opening {
             return self.failure.is_some() || self.framer.has_opening();
@@ -164,25 +163,25 @@
         self.failure.is_some() || !self.queue.is_empty()
     }
 
-    /// Whether reading is not paused at a bound.
+    /// Whether reading is currently within its bounds.
     pub(super) fn may_read(&self) -> bool {
         self.allowance() > 0
     }
 
-    /// Whether the kernel may still have bytes that arrived before the last read.
-    pub(super) fn is_behind(&self) -> bool {
-        self.ahead.may_have_unread()
+    /// Whether the kernel buffer may still hold bytes that arrived before the last read.
+    pub(super) fn may_have_unread(&self) -> bool {
+        self.read_ahead.may_have_unread()
     }
 
-    /// Whether a message has begun and is not complete.
+    /// Whether an incomplete message is buffered.
     pub(super) fn has_partial_message(&self) -> bool {
         !self.framer.is_empty()
     }
 
-    /// When the last bytes of an incomplete message were received, if there is one. While reading is paused
-    /// for lack of memory this is now, since the client is not to blame for the delay.
+    /// When the last bytes of an incomplete message were received, if there is one. Returns the current time
+    /// while reading is paused for lack of memory, since the client does not cause that delay.
     pub(super) fn partial_at(&self) -> Option<Time> {
-        let at = if self.may_read() { self.ahead.last_read_at() } else { self.clock.now() };
+        let at = if self.may_read() { self.read_ahead.last_read_at() } else { self.clock.now() };
         self.has_partial_message().then_some(at)
     }
 
@@ -200,7 +199,7 @@
     async fn read_opening(&mut self) -> Result<Opening, ReadError> {
         loop {
             let opening = self.framer.opening();
-            self.ahead.set_unparsed_bytes(self.framer.len());
+            self.read_ahead.set_unparsed_bytes(self.framer.len());
             let opening = opening?;
             if let Some(failure) = self.failure {
                 return Err(ReadError::Protocol(failure.error));
@@ -223,13 +222,13 @@
     }
 
     async fn read_message(&mut self) -> Result<QueuedMessage, ReadError> {
-        self.ahead.on_handled();
+        self.read_ahead.on_handled();
         self.memory.release_reserve();
         loop {
             self.parse_messages();
-            // Messages that were complete before a protocol error are answered first.
+            // Complete messages before a protocol error are answered first.
             if let Some(queued) = self.queue.pop_front() {
-                self.ahead.on_dequeued(memory_of(&queued.message));
+                self.read_ahead.on_dequeued(accounted_bytes(&queued.message));
                 return Ok(queued);
             }
             if let Some(failure) = self.failure {
@@ -239,19 +238,19 @@
         }
     }
 
-    /// Parses what was read into messages, as many as may be queued.
+    /// Parses buffered bytes into messages, as many as may be queued.
     fn parse_messages(&mut self) {
-        while self.failure.is_none() && self.ahead.may_queue() {
+        while self.failure.is_none() && self.read_ahead.may_queue() {
             match self.framer.message() {
                 Ok(Some(message)) => {
-                    self.ahead.on_queued(memory_of(&message), self.framer.len());
-                    self.queue.push_back(QueuedMessage { message, arrived_at: self.ahead.arrived_at() });
+                    self.read_ahead.on_queued(accounted_bytes(&message), self.framer.len());
+                    self.queue.push_back(QueuedMessage { message, arrived_at: self.read_ahead.arrived_at() });
                 }
                 Ok(None) => break,
                 Err(malformed) => self.fail(malformed.into()),
             }
         }
-        self.memory.resize(self.ahead.buffered_bytes());
+        self.memory.resize(self.read_ahead.buffered_bytes());
     }
 
     fn has_queued_terminate(&self) -> bool {
@@ -262,16 +261,16 @@
     /// Number of bytes that may be read now.
     fn allowance(&self) -> usize {
         match self.failure {
-            // Bytes after an error are dropped: they are read only to notice that the client disconnects.
+            // Bytes after an error are discarded; they are read only to detect the client's disconnect.
             Some(_) => read_buffer::SIZE,
-            None => self.ahead.allowance().min(self.memory.available()),
+            None => self.read_ahead.allowance().min(self.memory.available()),
         }
     }
 
     /// Waits until bytes may be read and returns how many.
     ///
-    /// At the connection's own bound only the client's disconnecting ends the wait: taking a message from the
-    /// queue cancels it and reads again.
+    /// At the connection's own bound only the client's disconnect ends the wait; taking a message from the
+    /// queue cancels the wait and starts reading again.
     async fn wait_for_allowance(&mut self) -> Result<usize, End> {
         loop {
             // Created before the allowance is checked, so that no release in between is missed.
@@ -280,14 +279,14 @@
             if allowance > 0 {
                 return Ok(allowance);
             }
-            if self.ahead.has_no_message() && self.memory.acquire_reserve() {
+            if self.read_ahead.has_no_message() && self.memory.acquire_reserve() {
                 continue;
             }
-            if !self.ahead.is_paused() {
-                self.ahead.pause();
+            if !self.read_ahead.is_paused() {
+                self.read_ahead.pause();
                 self.counters.read_pauses.add();
             }
-            let waits_for_memory = self.ahead.allowance() > 0;
+            let waits_for_memory = self.read_ahead.allowance() > 0;
             tokio::select! {
                 biased;
                 () = closed_by_client(&self.stream) => return Err(End::ClientLeft),
@@ -296,8 +295,8 @@
         }
     }
 
-    /// Waits until bytes may be read and are there, or the connection has ended. Returns how many bytes may
-    /// be read.
+    /// Waits until bytes may be read and the socket is readable, or the connection has ended. Returns how
+    /// many bytes may be read.
     async fn wait_readable(&mut self) -> Result<usize, End> {
         let allowance = self.wait_for_allowance().await?;
         self.stream.readable().await.map_err(|_| End::ClientLeft)?;
@@ -329,16 +328,16 @@
             }
         };
         if self.failure.is_none() {
-            self.ahead.on_read(self.clock.now(), read_bytes, capacity);
-            self.memory.resize(self.ahead.buffered_bytes());
+            self.read_ahead.on_read(self.clock.now(), read_bytes, capacity);
+            self.memory.resize(self.read_ahead.buffered_bytes());
         }
-        // A client that sends without a pause must not keep the others from being served.
+        // Yields so that a client that sends continuously does not starve the others.
         tokio::task::yield_now().await;
         Ok(())
     }
 }
 
-/// Waits until the time to answer what came before a protocol error is over; for ever without an error.
+/// Waits until the time to answer the queries before a protocol error is over; forever without an error.
 async fn answer_grace_period_over(clock: Clock, failure: Option<Failure>) {
     match failure {
         Some(failure) => clock.sleep_until(failure.answer_deadline).await,
@@ -348,8 +347,8 @@
 
 /// Waits until the client has closed its side or the connection broke, without reading.
 ///
-/// It waits for priority data, for which the socket is not registered: only the end of the connection is
-/// reported then, and not bytes that can be read.
+/// Waits for priority data, for which the socket is not registered, so that only the end of the connection is
+/// reported and not readable bytes.
 async fn closed_by_client(stream: &ReadHalf<'_>) {
     loop {
         match stream.ready(Interest::PRIORITY).await {
@@ -368,8 +367,8 @@
     }
 }
 
-/// Bytes that a queued message is accounted with, including its entry: many small messages cost more than
-/// their bytes.
-fn memory_of(message: &Message) -> usize {
+/// Bytes accounted for a queued message. Includes the queue entry, since many small messages use more memory
+/// than their bytes.
+fn accounted_bytes(message: &Message) -> usize {
     message.raw.len() + std::mem::size_of::<QueuedMessage>()
 }
--- a/src/client/session.rs
+++ b/src/client/session.rs
@@ -1,4 +1,4 @@
-//! One client's connection: PostgreSQL's simple queries in, one final answer out for each.
+//! Serves the connection of one client: reads PostgreSQL simple queries and writes one final answer to each.
 
 use crate::client::cancel_registry::RegisteredKey;
 use crate::client::client_event::{ClientEvent, Payload, ProtocolError, Query};
@@ -21,22 +21,22 @@
 
 /// Time after a request's deadline within which its client must read the answer (microseconds).
 const ANSWER_WRITE_TIMEOUT: Time = 2_000_000;
-/// Time after the write half was closed within which the client may read the rest and close its side
+/// Time after closing the write half within which the client may read the rest and close its side
 /// (microseconds).
 const LINGERING_CLOSE_TIMEOUT: Time = 1_000_000;
-/// Time after its accept before which a client without a query is not closed for a drain or stop
-/// (microseconds): its first query may be on its way.
+/// Time after its accept during which a client that has sent no query is not closed for a drain or stop
+/// (microseconds). Its first query may be in transit.
 const FIRST_QUERY_GRACE_PERIOD: Time = 500_000;
-/// Time after the last use of the connection until which a client that has begun a message is not closed for
-/// a drain or stop (microseconds).
+/// Time after the last use of the connection during which a client that has sent part of a message is not
+/// closed for a drain or stop (microseconds).
 const PARTIAL_MESSAGE_GRACE_PERIOD: Time = 2_000_000;
-/// Interval at which a message that has begun is checked during that time (microseconds).
+/// Interval at which an incomplete message is checked during [`PARTIAL_MESSAGE_GRACE_PERIOD`] (microseconds).
 const PARTIAL_MESSAGE_POLL_INTERVAL: Time = 20_000;
 
-/// The answer to a request for encryption.
+/// The answer to a request for encryption (SSLRequest or GSSENCRequest).
 const ENCRYPTION_DECLINED: u8 = b'N';
 
-/// The connection of one client, owned by its task.
+/// The connection of one client, owned by the task that serves it.
 pub(super) struct ClientSession<'a> {
     pub(super) context: Rc<ClientContext>,
     pub(super) reader: ClientReader<'a>,
@@ -52,7 +52,7 @@
 }
 
 impl<'a> ClientSession<'a> {
-    /// The session of the client with this number.
+    /// Creates the session of the client with this connection number.
     pub(super) fn new(
         context: Rc<ClientContext>,
         stream: &'a mut TcpStream,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Performs an action of the state machine. Returns how the connection ended, if it did.
+    /// Performs an action of the state machine. Returns how the connection ended, if it has ended.
     async fn perform(&mut self, action: Action, payload: &Payload) -> Result<Option<End>, End> {
         let mut out = Vec::new();
         match (action, payload) {
@@ -133,7 +133,7 @@
     async fn next_event(&mut self, connection: &ClientConnection) -> ClientEvent {
         let state = connection.state();
         if let ClientState::Pausing { until } = state {
-            return self.next_event_in_pause(until).await;
+            return self.next_event_while_paused(until).await;
         }
         if self.is_past_final_read(connection) {
             return Event::Stop { has_unread: false }.into();
@@ -153,7 +153,7 @@
         }
     }
 
-    async fn next_event_in_pause(&mut self, until: Time) -> ClientEvent {
+    async fn next_event_while_paused(&mut self, until: Time) -> ClientEvent {
         let clock = self.context.clock;
         tokio::select! {
             () = clock.sleep_until(until) => Event::PauseEnded.into(),
@@ -165,20 +165,20 @@
         }
     }
 
-    /// Whether the connection is closed for a stop without another read: the process may be killed soon, and
+    /// Whether to close the connection for a stop without another read: the process may be killed soon, and
     /// everything that was read has been answered.
     fn is_past_final_read(&mut self, connection: &ClientConnection) -> bool {
         let read_deadline = self.context.final_read_deadlines.get().of(connection.idle_since().kind);
         self.serving_state.borrow().closes_idle_clients()
             && self.context.clock.now() >= read_deadline
             && !self.reader.has_event(connection.state())
-            && !self.reader.is_behind()
+            && !self.reader.may_have_unread()
     }
 
     async fn on_shed(&mut self, state: ClientState) -> ClientEvent {
         let has_unread = self.has_unread(state).await;
         if has_unread {
-            // The descriptor is still needed once these bytes are answered.
+            // The descriptor still has to be freed once these bytes are answered.
             self.shed.notify_one();
         }
         Event::Shed { has_unread }.into()
@@ -201,17 +201,17 @@
         Event::Timeout { has_unread, partial_at: self.reader.partial_at() }.into()
     }
 
-    /// Whether the socket or the reader has bytes that were not handled yet. A query that was read but not
-    /// answered is lost when the connection closes; an unread one can be retried by the client elsewhere.
+    /// Whether the socket or the reader has unhandled bytes. A query that was read but not answered is lost
+    /// when the connection closes; the client can retry an unread one elsewhere.
     ///
-    /// Asks the kernel, since the reactor may not know yet of bytes that have just arrived, and then lets the
-    /// reactor run.
+    /// Queries the kernel, since the reactor may not know yet of bytes that have just arrived, and then
+    /// yields to let the reactor run.
     async fn has_unread(&mut self, state: ClientState) -> bool {
         if self.reader.has_event(state) {
             return true;
         }
         if !self.reader.may_read() {
-            // It waits for memory in the middle of a message.
+            // Reading is paused for lack of memory in the middle of a message.
             return false;
         }
         let has_unread = socket::unread_on(self.writer.as_ref()) == Unread::Bytes;
@@ -221,53 +221,53 @@
         has_unread
     }
 
-    /// Whether the gateway stops and the time for answers is over.
+    /// Whether the gateway is stopping and the time for answers is over.
     pub(super) fn is_past_final_answer(&self) -> bool {
         self.context.clock.now() >= self.context.final_answer_deadline.get()
     }
 
-    /// Sends the client the reason why its connection ends, and ends it.
+    /// Sends the client the error for which its connection ends, and closes the connection.
     async fn cut_off(&mut self, error: ProtocolError) -> Result<End, End> {
         let clock = self.context.clock;
         let mut out = Vec::new();
         postgres::put_error(&mut out, Severity::Fatal, error.sqlstate, error.message, None);
         self.reader.fail(error);
         self.write(&out[..], clock.now()).await?;
-        // Closing a socket with unread bytes resets the connection, and the client would not see the reason.
+        // Closing a socket with unread bytes resets the connection, and the client would not get the error.
         let _ = self.writer.shutdown().await;
         let _idle = self.context.budget.register_idle(Idleness::CutOff, clock.now(), &self.shed);
         let close_at = clock.now() + LINGERING_CLOSE_TIMEOUT;
         tokio::select! {
-            () = self.reader.discard() => {}
+            () = self.reader.discard_input() => {}
             () = self.shed.notified() => {}
             () = clock.sleep_until(close_at) => {}
         }
         Ok(error.end)
     }
 
-    /// Closes the write half and waits until the client has closed too, so that it gets the rest of its last
-    /// answer: closing a socket with unread bytes resets the connection. Nothing more is read, since a query
-    /// that is read here gets no answer, while an unread one can be retried elsewhere.
+    /// Closes the write half and waits until the client has closed its side, so that it gets the rest of its
+    /// last answer: closing a socket with unread bytes resets the connection. Nothing more is read, since a
+    /// query that is read here gets no answer, while an unread one can be retried elsewhere.
     async fn close_lingering(&mut self) {
         let _ = self.writer.shutdown().await;
         let now = self.context.clock.now();
         let close_at = (now + LINGERING_CLOSE_TIMEOUT).min(self.context.final_answer_deadline.get());
         let _idle = self.context.budget.register_idle(Idleness::CutOff, now, &self.shed);
         tokio::select! {
-            () = self.reader.closed() => {}
+            () = self.reader.closed_by_client() => {}
             () = self.shed.notified() => {}
             () = self.context.clock.sleep_until(close_at) => {}
         }
     }
 
-    /// Writes all of `bytes`. `deadline` is that of the answered request; a client that does not read the
-    /// answer soon after it is disconnected.
+    /// Writes all of `bytes`. `deadline` is the deadline of the answered request; a client that has not read
+    /// the answer within [`ANSWER_WRITE_TIMEOUT`] after it is disconnected.
     ///
     /// # Errors
     ///
-    /// How the connection ended: [`End::ClientLeft`] or [`End::ClientStuck`].
+    /// Returns how the connection ended: [`End::ClientLeft`] or [`End::ClientStuck`].
     pub(super) async fn write(&mut self, mut bytes: impl Buf, deadline: Time) -> Result<(), End> {
-        // A request that waited behind others may end long after its deadline.
+        // A request that was queued behind others may end long after its deadline.
         let write_deadline = deadline.max(self.context.clock.now()) + ANSWER_WRITE_TIMEOUT;
         tokio::select! {
             biased;
@@ -278,8 +278,8 @@
     }
 }
 
-/// Waits until idle clients are to be closed, and then until `no_close_before` or the time of the last
-/// answers.
+/// Waits until idle clients are to be closed, and then until `no_close_before` or the final answer deadline,
+/// whichever is earlier.
 async fn close_requested(
     context: &ClientContext,
     mut serving_state: watch::Receiver<ServingState>,
