--- a/src/client/request_parser.rs
+++ b/src/client/request_parser.rs
@@ -1,5 +1,5 @@
-//! Parses a query as a request for the database hosts, and checks it against the classes, groups and sessions
-//! that are served.
+//! Parses a query as a request for the database hosts and validates it against the configured classes, groups
+//! and sessions.
 
 use crate::client::client_event::Query;
 use crate::client::context::{ClientContext, ReservedRequestId};
@@ -15,10 +15,10 @@
 
 /// Statements and error details carry durations in milliseconds; clock times are in microseconds.
 pub(super) const MICROSECONDS_PER_MILLISECOND: Time = 1000;
-/// A request may ask for at most this many times the longest wait of its class.
+/// Maximum wait of a request, as a multiple of the longest deadline of its class.
 const MAX_WAIT_FACTOR: Time = 2;
 
-/// Why a statement is unusable. The text is the message that the client gets.
+/// Why a statement is unusable. The text is the message that is sent to the client.
 #[derive(Debug, Error)]
 pub(super) enum UnusableStatement {
     #[error(transparent)]
@@ -40,7 +40,7 @@
 }
 
 impl UnusableStatement {
-    /// The error's SQLSTATE.
+    /// The SQLSTATE that is sent to the client.
     pub(super) fn sqlstate(&self) -> &'static str {
         match self {
             UnusableStatement::Malformed(_) | UnusableStatement::ClassMismatch => sqlstate::SYNTAX_ERROR,
@@ -54,8 +54,8 @@
     }
 }
 
-/// A request that can be admitted, with the statement that is sent to a host. Its id is reserved for as long
-/// as it lives.
+/// A request that can be admitted, with the statement that is sent to a host. Its id is reserved until it is
+/// dropped.
 pub(super) struct ClientRequest {
     pub(super) request: Request,
     pub(super) statement: Rc<Statement>,
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// Why the statement is unusable.
+    /// Returns why the statement is unusable.
     pub(super) fn parse_request(
         self: &Rc<Self>,
         query: &Query,
@@ -88,7 +88,7 @@
             .ok_or(UnusableStatement::UnknownClass)?;
         let wait = microseconds(statement.wait_ms);
         self.check(&statement, &class, wait, arrived_at)?;
-        let session = self.session_of(class_index, &statement, arrived_at, connection_tokens)?;
+        let session = self.session_ref(class_index, &statement, arrived_at, connection_tokens)?;
         let id = self.reserve_request_id(&statement.id).ok_or(UnusableStatement::DuplicateId)?;
         let reads_session = class.need == Need::Session;
         let request = Request {
@@ -103,7 +103,7 @@
         Ok(ClientRequest { request, statement: Rc::new(statement), _id: id })
     }
 
-    /// Checks a statement against its class and the groups that are served.
+    /// Validates a statement against its class and the groups that are served.
     fn check(
         &self,
         statement: &Statement,
@@ -132,9 +132,9 @@
         Ok(())
     }
 
-    /// The session of a request, if its class has sessions, with the tokens of its comment and of its
-    /// connection.
-    fn session_of(
+    /// The session of a request, if its class has sessions, with the tokens from the statement's comment and
+    /// from the connection.
+    fn session_ref(
         &self,
         class_index: usize,
         statement: &Statement,
