--- a/src/client/request.rs
+++ b/src/client/request.rs
@@ -17,12 +17,12 @@
 /// The final answer of a request that its client still waits for.
 pub(super) enum RequestEnd {
     Answered(HostAnswer),
-    /// The request was shed and has not run.
+    /// The request was rejected and was not executed.
     Rejected {
         /// Retry-After for the client (microseconds); 0 for none.
         retry_after: Time,
     },
-    /// The request may have run.
+    /// The request may have been executed.
     Failed,
     Cancelled,
 }
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// How the connection ended before the answer was written.
+    /// Returns how the connection ended if that was before the answer was written.
     pub(super) async fn answer_request(&mut self, request: ClientRequest) -> Result<(), End> {
         let end = self.run_request(&request).await?;
         let now = self.context.clock.now();
@@ -59,11 +59,12 @@
         self.write_final_answer(end, &request).await
     }
 
-    /// Admits a request and makes the attempts that are decided on, until the request has its final answer.
+    /// Admits a request and makes the attempts that the router decides on, until the request has its final
+    /// answer.
     ///
     /// # Errors
     ///
-    /// How the client disconnected before that. Its request is abandoned then.
+    /// Returns how the client disconnected if that was before the final answer; the request is abandoned.
     async fn run_request(&mut self, request: &ClientRequest) -> Result<RequestEnd, End> {
         let context = self.context.clone();
         context.counters.requests.add();
@@ -73,11 +74,11 @@
         let mut open = OpenRequest::admit(&context, request);
         let mut state = RequestState::default();
         let mut disconnected_as = End::ClientLeft;
-        // Created once: a future made anew in each iteration would miss a cancel that comes beside another
-        // event.
+        // Created once: a future recreated in each iteration would miss a cancel that arrives together with
+        // another event.
         let mut cancelled = pin!(self.cancel_key.cancelled());
         loop {
-            // A host's answer precedes decisions, and both precede the client's disconnecting.
+            // A host's answer takes precedence over decisions, and both over the client's disconnect.
             let event = tokio::select! {
                 biased;
                 event = open.next_event() => event,
@@ -102,7 +103,7 @@
     }
 }
 
-/// A request that was admitted. Dropping it abandons the request; an attempt in flight runs to its own end.
+/// An admitted request. Dropping it abandons the request, while an attempt in flight runs to completion.
 struct OpenRequest<'a> {
     context: &'a ClientContext,
     statement: &'a Rc<Statement>,
@@ -141,8 +142,8 @@
         match decision {
             Decision::Send(attempt) => {
                 let run = self.context.host_pool.clone().attempt(attempt, self.statement.clone());
-                // A task of its own, since it may outlive the request: the attempt of a write that failed for
-                // its client may still be in flight.
+                // Runs in its own task, since it may outlive the request: the attempt of a write that was
+                // reported to its client as failed may still be in flight.
                 self.attempt = Some(tokio::task::spawn_local(run));
                 Event::AttemptStarted
             }
@@ -161,7 +162,7 @@
     }
 }
 
-/// Waits for the end of the attempt in flight; for ever if there is none. Cancel safe.
+/// Waits for the end of the attempt in flight; forever if there is none. Cancel safe.
 async fn attempt_ended(attempt: &mut Option<JoinHandle<Option<HostAnswer>>>) -> Option<HostAnswer> {
     match attempt {
         Some(task) => task.await.unwrap_or_default(),
@@ -169,8 +170,8 @@
     }
 }
 
-/// Waits until a stopping gateway has to give its last answers: the process may be killed after that, and a
-/// request that was admitted before the stop may have a later deadline.
+/// Waits until the time by which a stopping gateway must have answered open requests: the process may be
+/// killed after it, and a request that was admitted before the stop may have a later deadline.
 async fn final_answer_deadline(context: &ClientContext) {
     // The deadline is set well before the serving state changes.
     let mut serving_state = context.serving_state.clone();
