--- a/src/client/query.rs
+++ b/src/client/query.rs
@@ -1,4 +1,4 @@
-//! Queries: a request for the database hosts, or a statement that the gateway answers by itself.
+//! Queries: a request for the database hosts, or a statement that the gateway answers itself.
 
 use crate::client::client_event::Query;
 use crate::client::request_parser::UnusableStatement;
@@ -13,7 +13,7 @@
     ///
     /// # Errors
     ///
-    /// How the connection ended before the answer was written.
+    /// Returns how the connection ended if that was before the answer was written.
     pub(super) async fn answer(&mut self, query: &Query) -> Result<QueryOutcome, End> {
         let mut out = Vec::new();
         let outcome = if is_empty_query(&query.text) {
@@ -37,7 +37,7 @@
         Ok(outcome)
     }
 
-    /// Appends the answer to an empty query, which is the readiness check of load balancers.
+    /// Appends the answer to an empty query, which load balancers use as a readiness check.
     fn put_readiness(&self, out: &mut Vec<u8>) {
         if self.serving_state.borrow().reports_ready() {
             postgres::put_empty(out);
