--- a/src/client/answer.rs
+++ b/src/client/answer.rs
@@ -10,13 +10,13 @@
 use bytes::{Buf, Bytes};
 use petrelgauge_lifecycle::ending::End;
 
-/// An error that a client gets as the answer to a request.
+/// An error that is sent to a client as the answer to a request.
 struct ErrorAnswer<'a> {
     sqlstate: &'a str,
     message: &'a str,
     detail: Option<String>,
-    /// Whether the statement may have run. The session's token is sent with the error then: the session's
-    /// next read must see what the statement may have written.
+    /// Whether the statement may have been executed. If so, the session's token is sent with the error, since
+    /// the session's next read must see what the statement may have written.
     may_have_run: bool,
 }
 
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// How the connection ended before the answer was written completely.
+    /// Returns how the connection ended if that was before the complete answer was written.
     pub(super) async fn write_final_answer(
         &mut self,
         end: RequestEnd,
@@ -64,7 +64,7 @@
 
     async fn write_host_answer(&mut self, answer: HostAnswer, request: &ClientRequest) -> Result<(), End> {
         let context = self.context.clone();
-        // The answer's memory stays reserved until it is written.
+        // The answer's memory stays reserved until the answer is written.
         let HostAnswer { answer, memory } = answer;
         match answer {
             AnswerBody::Streamed(row) => {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Writes a complete row as the host sent it, without copying it.
+    /// Writes a complete row exactly as the host sent it, without copying it.
     async fn write_row(&mut self, messages: &[Bytes], request: &ClientRequest) -> Result<(), End> {
         let mut out = Vec::new();
         self.context.put_session_token(&mut out, request.session_key());
@@ -106,8 +106,8 @@
         self.write(&out[..], request.request.deadline).await
     }
 
-    /// Streams a long row from its host to the client. If the row breaks off the connection is closed, which
-    /// is how the client notices.
+    /// Streams a long row from its host to the client. If the row ends early, the client's connection is
+    /// closed, which is how the client detects it.
     async fn stream_row(&mut self, mut row: StreamedRow, request: &ClientRequest) -> Result<(), End> {
         let context = self.context.clone();
         let host = row.host();
@@ -132,7 +132,7 @@
     }
 }
 
-/// The detail of an error that carries a Retry-After: whole milliseconds, at least one.
+/// The DETAIL of an error with a Retry-After: whole milliseconds, at least one.
 fn retry_after_detail(retry_after: Time) -> String {
     (retry_after / MICROSECONDS_PER_MILLISECOND).max(1).to_string()
 }
