--- a/src/client/acceptor.rs
+++ b/src/client/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts clients and starts a session for each of them.
+//! Accepts clients and starts a session for each one.
 
 use crate::client::accept_loop::{AcceptLoop, ClientHandler};
 use crate::client::context::ClientContext;
@@ -12,7 +12,7 @@
 impl ClientContext {
     /// Accepts and serves clients until the gateway stops; see [`AcceptLoop::run`].
     pub async fn accept(self: Rc<Self>, listener: TcpListener, sharing: ListenerSharing) {
-        // Counts as a session: the gateway must not end while clients may be in the listen backlog.
+        // Counts as a session, since the gateway must not exit while clients may be in the listen backlog.
         let _accepting = self.open_sessions.enter();
         let accept_loop = AcceptLoop { clock: self.clock, state: self.serving_state.clone(), sharing };
         let handler = SessionStarter { context: self.clone(), accepted_count: Cell::new(0) };
@@ -41,8 +41,8 @@
         self.accepted_count.set(number);
         context.counters.clients.add();
         context.host_pool.ensure_descriptor();
-        // Acquired here and not in the task: of many clients that come at once, each must see those before
-        // it.
+        // Acquired here rather than in the task, so that each of many simultaneous clients counts those that
+        // were accepted before it.
         let slot = context.budget.acquire_client_slot();
         tokio::task::spawn_local(context.clone().serve(stream, number, slot));
     }
