--- a/src/client/accept_loop.rs
+++ b/src/client/accept_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that accepts clients until the gateway stops, and survives failed calls.
+//! Accepts clients until the gateway stops; failed accept calls do not end the loop.
 
 use crate::os::clock::Clock;
 use crate::os::socket::{self, Acceptor, SocketError};
@@ -6,15 +6,15 @@
 use petrelgauge_lifecycle::gateway::{ListenerSharing, ServingState};
 use tokio::sync::watch;
 
-/// Pause after an accept failed for lack of descriptors or memory (microseconds).
+/// Pause after an accept that failed for lack of descriptors or memory (microseconds).
 const SHORTAGE_PAUSE: Time = 2_000;
 
 /// Handles accepted clients.
 pub trait ClientHandler<S> {
-    /// A client was accepted.
+    /// Called for each accepted client.
     fn on_client(&self, stream: S);
 
-    /// A client could not be accepted for lack of descriptors or memory.
+    /// Called when a client could not be accepted for lack of descriptors or memory.
     fn on_shortage(&self);
 }
 
@@ -22,9 +22,9 @@
 pub struct AcceptLoop {
     /// The clock.
     pub clock: Clock,
-    /// How the gateway treats clients.
+    /// Whether clients are accepted, and whether idle ones are closed.
     pub state: watch::Receiver<ServingState>,
-    /// Whether clients in the listen backlog are left to a successor.
+    /// Whether clients in the listen backlog are left to a successor process.
     pub sharing: ListenerSharing,
 }
 
@@ -38,13 +38,13 @@
                 Ok(stream) => {
                     resource_exhausted = false;
                     handler.on_client(stream);
-                    // Lets sessions that were asked to close run, and new ones read, before the next accept.
+                    // Before the next accept, lets sessions run that are to close, and new ones read.
                     tokio::task::yield_now().await;
                 }
-                // That client has disconnected; others may be waiting.
+                // The client has disconnected; others may be waiting.
                 Err(SocketError::Broken(_)) => tokio::task::yield_now().await,
                 Err(error) => {
-                    // Logged once for a series of failures: they come by the hundred.
+                    // Logged once per series of failures: there can be hundreds of them.
                     if !std::mem::replace(&mut resource_exhausted, true) {
                         log::warn!("client accept failed cause={error}");
                     }
@@ -71,7 +71,7 @@
                     if backlog_checked {
                         return None;
                     }
-                    // The reactor may not know yet of a client that connected a moment ago. It does after this.
+                    // The reactor may not know yet of a client that has just connected; yielding lets it run.
                     backlog_checked = true;
                     tokio::task::yield_now().await;
                 }
