--- a/src/client/cancel_registry.rs
+++ b/src/client/cancel_registry.rs
@@ -1,5 +1,5 @@
-//! The cancel keys of all open clients. A cancel request comes on a connection of its own and cancels the
-//! query that the client with its key has open.
+//! The cancel keys of all open clients. A cancel request arrives on a separate connection and cancels the
+//! open query of the client that has the same key.
 
 use crate::postgres::cancel::CancelKey;
 use rand_core::{RngCore, SeedableRng};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The keys of all open clients. It has one entry for each client, and so is bounded by the descriptors.
+/// The keys of all open clients. It has one entry per client, so the descriptor limit bounds its size.
 pub struct CancelRegistry {
     open_clients: RefCell<BTreeMap<u32, OpenClient>>,
     secret_rng: RefCell<Pcg64Mcg>,
@@ -22,7 +22,7 @@
 }
 
 impl CancelRegistry {
-    /// An empty registry. `seed` is the only source of secrets.
+    /// Creates an empty registry. All secrets are derived from `seed`.
     pub fn new(seed: u64) -> Rc<CancelRegistry> {
         Rc::new(CancelRegistry {
             open_clients: RefCell::default(),
@@ -30,8 +30,8 @@
         })
     }
 
-    /// Creates the key of the client with this connection number. It is valid for as long as the returned
-    /// value lives.
+    /// Creates the key of the client with this connection number. The key is valid until the returned value
+    /// is dropped.
     pub fn register(self: &Rc<Self>, process: u32) -> RegisteredKey {
         let key = CancelKey { process, secret: self.secret_rng.borrow_mut().next_u32() };
         let cancelled = Rc::new(Notify::new());
@@ -44,14 +44,14 @@
     pub fn cancel(&self, key: CancelKey) {
         let open_clients = self.open_clients.borrow();
         if let Some(client) = open_clients.get(&key.process).filter(|client| client.secret == key.secret) {
-            // Not `notify_one`: without an open query nobody waits, and the next query must not be cancelled
-            // for it.
+            // Not `notify_one`, which would store a permit: a cancel that arrives while no query is open must
+            // not cancel the next one.
             client.cancelled.notify_waiters();
         }
     }
 }
 
-/// The key of one client. Dropping it makes the key invalid.
+/// The key of one client. Dropping it invalidates the key.
 pub struct RegisteredKey {
     registry: Rc<CancelRegistry>,
     /// The key.
@@ -60,8 +60,8 @@
 }
 
 impl RegisteredKey {
-    /// Waits until the query that is open now is cancelled. A cancel after this call is not missed, whenever
-    /// the future is first polled.
+    /// Waits until the query that is open now is cancelled. No cancel after this call is missed, even if the
+    /// future is polled later.
     pub fn cancelled(&self) -> impl Future<Output = ()> + '_ {
         self.cancelled.notified()
     }
