--- a/src/client/client_event.rs
+++ b/src/client/client_event.rs
@@ -1,4 +1,4 @@
-//! What a client sent: events for the state machine of its connection, with the data that came with them.
+//! Events on a client's connection for its state machine, with the data that belongs to them.
 
 use crate::postgres::cancel::CancelKey;
 use crate::postgres::Malformed;
@@ -13,11 +13,11 @@
     pub(super) payload: Payload,
 }
 
-/// What came with an event.
+/// The data of an event.
 pub(super) enum Payload {
     None,
     Startup {
-        /// The minor version of the protocol that the client asked for.
+        /// The minor protocol version that the client requested.
         minor_version: u16,
     },
     Cancel(CancelKey),
@@ -31,7 +31,7 @@
     pub(super) arrived_at: Time,
 }
 
-/// A violation of the protocol, for which the client is cut off with an error.
+/// A protocol violation, for which the client is disconnected with an error.
 #[derive(Clone, Copy)]
 pub(super) struct ProtocolError {
     pub(super) end: End,
@@ -39,7 +39,7 @@
     pub(super) message: &'static str,
 }
 
-/// Why nothing more is read from a client.
+/// Why reading from a client ended.
 pub(super) enum ReadError {
     /// The client violated the protocol.
     Protocol(ProtocolError),
