--- a/src/client/context.rs
+++ b/src/client/context.rs
@@ -1,5 +1,5 @@
-//! What all client sessions share: the routing decisions, the database hosts, the process's limits and the
-//! state of the gateway.
+//! State shared by all client sessions: the routing decisions, the database hosts, the limits of the process
+//! and the state of the gateway.
 
 use crate::client::cancel_registry::CancelRegistry;
 use crate::facade::Facade;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What all client sessions share.
+/// State shared by all client sessions.
 pub struct ClientContext {
     /// The routing decisions.
     pub facade: Facade,
@@ -32,15 +32,15 @@
     pub counters: Rc<Counters>,
     /// The buffer that all connections read into.
     pub read_buffer: Rc<ReadBuffer>,
-    /// How clients are treated: whether they are accepted, and whether idle ones are closed.
+    /// Whether clients are accepted, and whether idle ones are closed.
     pub serving_state: watch::Receiver<ServingState>,
     /// Number of open sessions.
     pub open_sessions: Gauge,
     /// The keys by which clients cancel their open queries.
     pub cancel_registry: Rc<CancelRegistry>,
-    /// The ids that clients chose for their open requests; at most one for each session.
+    /// The ids that clients chose for their open requests; at most one per session.
     pub open_request_ids: RefCell<BTreeSet<Rc<str>>>,
-    /// Clock time of the last answers of a stopping gateway; [`Time::MAX`] until it stops.
+    /// Clock time until which a stopping gateway answers requests; [`Time::MAX`] until it stops.
     pub final_answer_deadline: Cell<Time>,
     /// Clock times until which a stopping gateway reads from its clients.
     pub final_read_deadlines: Cell<ReadDeadlines>,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Reserves the id of a request for as long as the returned value lives. None if another open request has
-    /// it.
+    /// Reserves the id of a request until the returned value is dropped. None if another open request has the
+    /// same id.
     pub(super) fn reserve_request_id(self: &Rc<Self>, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
         let is_new = self.open_request_ids.borrow_mut().insert(id.clone());
