--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -5,22 +5,23 @@
 //! | --- | --- |
 //! | [`accept_loop`] | the loop that accepts clients until the gateway stops |
 //! | `acceptor` | a session for each accepted client |
-//! | `session` | the connection of one client: its state machine, driven by input, timers and the gateway's state |
-//! | `reader` | the messages of one client, read ahead within bounds |
-//! | `client_event` | what a client sent |
-//! | `query` | a query: a request, or a statement that the gateway answers by itself |
-//! | `request_parser` | what a request has to satisfy to be admitted |
+//! | `session` | one client's connection: drives its state machine from input, timers and gateway state |
+//! | `reader` | the messages of one client, with bounded read-ahead |
+//! | `client_event` | events on a client's connection |
+//! | `query` | a query: a request, or a statement that the gateway answers itself |
+//! | `request_parser` | parsing and validation of a request before its admission |
 //! | `request` | a request, from its admission to its one final answer |
 //! | `answer` | the final answer on the wire |
 //! | [`cancel_registry`] | keys of cancel requests |
-//! | [`context`] | what all sessions share |
+//! | [`context`] | state shared by all sessions |
 //!
-//! Each connection is one task that owns its session. It has at most one open request, and reads ahead while
-//! that is open. Nothing here decides where a request goes: it is admitted to the [facade](crate::facade),
-//! and each attempt is made by [`crate::host`]. When a connection is read, paused or closed is decided by
-//! [`petrelgauge_lifecycle::client`] and [`petrelgauge_lifecycle::read_ahead`].
+//! Each connection is served by one task that owns its session. It has at most one open request and reads
+//! ahead while that is open. Routing is not decided here: requests are admitted to the
+//! [facade](crate::facade), and attempts are made by [`crate::host`]. [`petrelgauge_lifecycle::client`] and
+//! [`petrelgauge_lifecycle::read_ahead`] decide when a connection is read, paused or closed.
 //!
-//! The folder owns the clients' sockets, what was read from them, the ids and cancel keys of open requests.
+//! This module owns the clients' sockets, the data read from them, and the ids and cancel keys of open
+//! requests.
 //!
 //! May import: `facade`, `host`, `sql`, `postgres`, `resources`, `os`.
 
