--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -59,7 +59,7 @@
                     self.has_result = true;
                 }
                 b'S' => {
-                    let parameter = postgres::parameter(body);
+                    let parameter = postgres::parse_parameter(body);
                     if let Some(token) =
                         parameter.filter(|parameter| parameter.name == SESSION_TOKEN_PARAMETER)
                     {
--- a/src/postgres/cancel.rs
+++ b/src/postgres/cancel.rs
@@ -1,11 +1,11 @@
 //! The key of a cancel request (the protocol's BackendKeyData).
 
-/// Names a client in a cancel request: it is sent to the client with the answer to its startup message, and
-/// brought back on a connection of its own.
+/// Identifies a client in a cancel request. The gateway sends it with the answer to the startup message; the
+/// client returns it in a cancel request on a separate connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelKey {
-    /// The number of the client's connection (the protocol's process ID).
+    /// Number of the client's connection (the protocol's process ID).
     pub process: u32,
-    /// Known to its client alone.
+    /// Secret that only the client knows, which keeps others from cancelling its queries.
     pub secret: u32,
 }
--- a/src/postgres/framer.rs
+++ b/src/postgres/framer.rs
@@ -1,14 +1,14 @@
-//! Splits the bytes of a connection into messages.
+//! Splits a byte stream into protocol messages.
 
 use crate::postgres::cancel::CancelKey;
 use crate::postgres::message::{Malformed, Message};
 use crate::postgres::message_type;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest message that is accepted, without its type (bytes). A value has 64 KiB at most, and twice that as
-/// hexadecimal digits.
+/// Longest message that is accepted, without its type (bytes). Values have at most 64 KiB, which take twice
+/// that as hexadecimal digits.
 pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Longest DataRow that is buffered (bytes): a value of 64 KiB and its header. A longer one is streamed.
+/// Longest DataRow that is buffered (bytes): a value of 64 KiB and its header. Longer ones are streamed.
 pub const MAX_BUFFERED_ROW_BYTES: usize = 64 * 1024 + ROW_HEADER_BYTES;
 /// Longest DataRow (bytes): a value of 4 MiB and its header.
 pub const MAX_ROW_BYTES: usize = 4 * 1024 * 1024 + ROW_HEADER_BYTES;
@@ -23,35 +23,35 @@
 /// Bytes of a message type.
 const TYPE_BYTES: usize = 1;
 
-/// Major version of an opening message that is no startup message.
+/// Major version in an opening message that is not a startup message.
 const REQUEST_CODE: u16 = 1234;
 /// Minor version of a cancel request, with [`REQUEST_CODE`].
 const CANCEL_REQUEST: u16 = 5678;
-/// Minor version of a request for SSL, with [`REQUEST_CODE`].
+/// Minor version of an SSL request, with [`REQUEST_CODE`].
 const SSL_REQUEST: u16 = 5679;
-/// Minor version of a request for GSS encryption, with [`REQUEST_CODE`].
+/// Minor version of a GSS encryption request, with [`REQUEST_CODE`].
 const GSS_REQUEST: u16 = 5680;
 /// Bytes of the key in a cancel request.
 const CANCEL_KEY_BYTES: usize = 8;
-/// The protocol's major version.
+/// Major version of the supported protocol.
 const PROTOCOL_MAJOR: u16 = 3;
 
 /// The first message of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Opening {
-    /// A request for SSL or GSS encryption.
+    /// An SSL or GSS encryption request.
     Encryption,
-    /// A cancel request with the key of the client whose query it cancels.
+    /// A cancel request, with the key of the client whose query is to be cancelled.
     Cancel(CancelKey),
     /// The startup message.
     Startup {
-        /// The minor version of the protocol that the client asks for.
+        /// Minor protocol version that the client requests.
         minor: u16,
     },
 }
 
-/// Splits the bytes of a connection into messages. It holds all bytes that were fed and not taken, and has no
-/// bound of its own: the caller decides how much to feed.
+/// Splits a byte stream into messages. It buffers all bytes that were fed and not yet taken. The buffer
+/// has no limit of its own: the caller limits how much it feeds.
 #[derive(Debug, Default)]
 pub struct Framer {
     buffer: BytesMut,
@@ -63,22 +63,22 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Number of bytes that have not been taken.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether all bytes have been taken.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Drops all bytes that have not been taken.
+    /// Drops all buffered bytes.
     pub fn clear(&mut self) {
         self.buffer = BytesMut::new();
     }
 
-    /// The type of the next message, once its first byte has been fed.
+    /// Type of the next message, if its first byte has been fed.
     pub fn kind(&self) -> Option<u8> {
         self.buffer.first().copied()
     }
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are no opening message.
+    /// Fails if the bytes are not a valid opening message.
     pub fn opening(&mut self) -> Result<Option<Opening>, Malformed> {
         let Some(length) = self.length_at(0) else { return Ok(None) };
         if !(MIN_STARTUP_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as soon as the length has been fed, if it is out of range.
+    /// Fails if the length is out of range, as soon as it has been fed.
     pub fn message(&mut self) -> Result<Option<Message>, Malformed> {
         let Some(length) = self.length_at(TYPE_BYTES) else { return Ok(None) };
         if !(LENGTH_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
@@ -136,8 +136,7 @@
         Ok(Some(Message { raw }))
     }
 
-    /// The size of the next message (bytes), if it is a DataRow with one column that is too long to be
-    /// buffered.
+    /// Size of the next message (bytes), if it is a DataRow with one column that is too long to be buffered.
     pub fn long_row(&self) -> Option<usize> {
         let lengths = MAX_BUFFERED_ROW_BYTES + 1..=MAX_ROW_BYTES;
         let length = self.length_at(TYPE_BYTES).filter(|length| lengths.contains(length))?;
@@ -148,15 +147,14 @@
         (is_row && has_one_column && fits).then_some(TYPE_BYTES + length)
     }
 
-    /// Takes bytes, `max_bytes` at most, without splitting them into messages.
+    /// Takes up to `max_bytes` bytes without splitting them into messages.
     pub fn take_raw(&mut self, max_bytes: usize) -> Bytes {
         let taken = self.buffer.split_to(max_bytes.min(self.buffer.len())).freeze();
         self.free_empty_buffer();
         taken
     }
 
-    /// Frees the buffer once it is empty. Otherwise an idle connection would keep the memory of its longest
-    /// message.
+    /// Frees an empty buffer. Otherwise an idle connection would keep the memory of its longest message.
     fn free_empty_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
--- a/src/postgres/message.rs
+++ b/src/postgres/message.rs
@@ -1,4 +1,4 @@
-//! One message of the protocol and its body.
+//! A protocol message, and parsers for message bodies.
 
 use bytes::Bytes;
 use thiserror::Error;
@@ -6,7 +6,7 @@
 /// Bytes of a message before its body: its type and its length.
 pub(super) const HEADER_BYTES: usize = 5;
 
-/// A peer violated the protocol; the text says how.
+/// A client or host violated the protocol; the text says how.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct Malformed(pub &'static str);
@@ -14,12 +14,12 @@
 /// One message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// All its bytes as on the wire, with its type and length.
+    /// The whole message as received, including its type and length.
     pub raw: Bytes,
 }
 
 impl Message {
-    /// Its type byte, one of [`message_type`](crate::postgres::message_type) or an unknown one.
+    /// The type byte: one of [`message_type`](crate::postgres::message_type) or an unknown one.
     pub fn kind(&self) -> u8 {
         self.raw[0]
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// The field with this type in the body of an ErrorResponse.
+/// The field of type `wanted` in the body of an ErrorResponse.
 pub fn error_field(body: &[u8], wanted: u8) -> Option<&str> {
     let mut fields = body.split(|byte| *byte == 0);
     fields
@@ -59,8 +59,8 @@
     pub value: String,
 }
 
-/// Parses the body of a ParameterStatus message.
-pub fn parameter(body: &[u8]) -> Option<Parameter> {
+/// Parses the body of a ParameterStatus message. Returns `None` if it is invalid.
+pub fn parse_parameter(body: &[u8]) -> Option<Parameter> {
     let text = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?;
     let (name, value) = text.split_once('\0').filter(|(_, value)| !value.contains('\0'))?;
     Some(Parameter { name: name.to_string(), value: value.to_string() })
--- a/src/postgres/message_type.rs
+++ b/src/postgres/message_type.rs
@@ -1,4 +1,4 @@
-//! Type bytes of messages, by PostgreSQL's names of the messages.
+//! Type bytes of messages, named after PostgreSQL's messages.
 
 /// Authentication, from a server.
 pub const AUTHENTICATION: u8 = b'R';
--- a/src/postgres/message_writer.rs
+++ b/src/postgres/message_writer.rs
@@ -1,4 +1,4 @@
-//! Appends the messages that the gateway writes to a buffer.
+//! Encodes the messages that the gateway sends.
 
 use crate::postgres::cancel::CancelKey;
 use crate::postgres::message_type;
@@ -12,9 +12,9 @@
 const CODE_FIELD: u8 = b'C';
 const MESSAGE_FIELD: u8 = b'M';
 const DETAIL_FIELD: u8 = b'D';
-/// Transaction status of a ReadyForQuery outside of a transaction.
+/// Transaction status in a ReadyForQuery outside of a transaction.
 const IDLE: u8 = b'I';
-/// Parameters that drivers need to have reported with the answer to their startup message.
+/// Parameters that drivers expect to be reported after their startup message.
 const STARTUP_PARAMETERS: [(&str, &str); 3] =
     [("server_version", "15.0"), ("client_encoding", "UTF8"), ("standard_conforming_strings", "on")];
 
@@ -27,7 +27,7 @@
     Fatal,
 }
 
-/// Appends a message with this type and the body that `write` appends.
+/// Appends a message of type `kind` whose body is appended by `write`.
 pub fn put(out: &mut Vec<u8>, kind: u8, write: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     put_sized(out, write);
@@ -56,8 +56,8 @@
     });
 }
 
-/// Appends the answer to a startup message that asks for this minor version: authenticated and ready for
-/// queries.
+/// Appends the answer to a startup message that requests the minor version `minor`: the client is
+/// authenticated, and the gateway is ready for queries.
 pub fn put_startup_answer(out: &mut Vec<u8>, minor: u16, key: CancelKey) {
     if minor > 0 {
         put(out, message_type::NEGOTIATE_PROTOCOL_VERSION, |body| body.extend_from_slice(&[0; 8]));
@@ -114,7 +114,7 @@
     });
 }
 
-/// A Query message with a statement in three parts, which are not copied.
+/// Builds a Query message from a statement in three parts, without copying them.
 pub fn query(parts: [Bytes; 3]) -> impl Buf {
     let [first, second, third] = parts;
     let length = (first.len() + second.len() + third.len() + 5) as u32;
--- a/src/postgres/read_buffer.rs
+++ b/src/postgres/read_buffer.rs
@@ -1,5 +1,5 @@
-//! The buffer that all connections read into. The gateway has one thread, which reads from one connection at
-//! a time: a connection that waits needs no buffer.
+//! The read buffer that all connections share. The gateway has one thread, which reads from one connection at
+//! a time, so a connection that waits for bytes needs no buffer of its own.
 
 use crate::os::socket::{uninterrupted, Call, SocketError};
 use crate::postgres::Framer;
@@ -7,21 +7,21 @@
 use std::io;
 use std::rc::Rc;
 
-/// Most bytes that are read at once: a usual row, or many small messages.
+/// Maximum number of bytes per read: enough for a typical row or many small messages.
 pub const SIZE: usize = 64 * 1024;
 
 /// A buffer of [`SIZE`] bytes, shared by all connections.
 pub struct ReadBuffer(RefCell<Box<[u8]>>);
 
 impl ReadBuffer {
-    /// A buffer for all connections.
+    /// Creates the buffer.
     pub fn new() -> Rc<ReadBuffer> {
         Rc::new(ReadBuffer(RefCell::new(vec![0; SIZE].into())))
     }
 
-    /// Reads once without waiting, and feeds the framer if there is one. Returns the number of bytes read, 0
-    /// at the end of the stream, and None if the connection was not ready. A call that a signal interrupts is
-    /// repeated.
+    /// Reads once without waiting, and feeds the bytes to `framer` if given. Returns the number of bytes
+    /// read, 0 at the end of the stream, or `None` if the connection was not ready. A call that is
+    /// interrupted by a signal is repeated.
     ///
     /// # Errors
     ///
--- a/src/sql/set_statement.rs
+++ b/src/sql/set_statement.rs
@@ -1,30 +1,31 @@
-//! Statements that the gateway answers by itself: SET, RESET and DISCARD. Settings of drivers have no effect;
-//! the only one that has holds the session tokens of the client.
+//! Statements that the gateway answers itself: SET, RESET and DISCARD. Drivers send these for many settings;
+//! only [`TOKEN_SETTING`], which holds the client's session tokens, has an effect.
 
 use crate::sql::statement::verb;
 
-/// The setting that holds a client's session tokens, and the parameter that reports a token to it.
+/// Name of the setting that holds a client's session tokens, and of the parameter that reports a token to
+/// the client.
 pub const TOKEN_SETTING: &str = "petrelgauge.mark";
-/// The scopes that may precede the name of a setting. They make no difference here.
+/// Scopes that may precede the name of a setting. They are accepted and ignored.
 const SCOPES: [&str; 2] = ["SESSION ", "LOCAL "];
 
-/// A statement that the gateway answers by itself.
+/// A statement that the gateway answers itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Setting {
-    /// `SET petrelgauge.mark`, with its tokens separated by `+`.
+    /// `SET petrelgauge.mark`, with tokens separated by `+`.
     SetTokens(String),
     /// `RESET petrelgauge.mark`.
     ResetTokens,
-    /// Another `SET`.
+    /// `SET` of another setting.
     Other,
-    /// Another `RESET`.
+    /// `RESET` of another setting.
     Reset,
     /// `DISCARD`.
     Discard,
 }
 
 impl Setting {
-    /// The tag of its CommandComplete.
+    /// The command tag of the CommandComplete message that answers it.
     pub fn tag(&self) -> &'static str {
         match self {
             Setting::SetTokens(_) | Setting::Other => "SET",
@@ -34,7 +35,7 @@
     }
 }
 
-/// Parses a statement. None if it is no SET, RESET or DISCARD.
+/// Parses a statement. Returns `None` if it is not a SET, RESET or DISCARD.
 pub fn parse(text: &[u8]) -> Option<Setting> {
     let verb = verb(text);
     let rest = text.trim_ascii_start().get(verb.len()..).unwrap_or_default().trim_ascii();
@@ -57,7 +58,7 @@
     Some(String::from_utf8_lossy(value).into_owned())
 }
 
-/// The text after a word in any case and whitespace.
+/// Strips a word, compared without case, and the whitespace after it.
 fn strip_word<'a>(text: &'a [u8], word: &str) -> Option<&'a [u8]> {
     let (head, rest) = text.split_at_checked(word.len())?;
     head.eq_ignore_ascii_case(word.as_bytes()).then(|| rest.trim_ascii_start())
--- a/src/sql/statement.rs
+++ b/src/sql/statement.rs
@@ -1,5 +1,5 @@
-//! Statements of the platform's protocol: one SELECT or INSERT with a quoted key, and a comment with the
-//! fields of the request. Hosts execute no other form, so nothing else is forwarded.
+//! Statements that are forwarded to hosts: one SELECT or INSERT with a quoted key, and a comment with the
+//! fields of the request. Hosts support no other syntax, so other statements are rejected here.
 
 use crate::postgres;
 pub use crate::sql::statement_error::StatementError;
@@ -17,29 +17,29 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
     text: Bytes,
-    /// The range of the wait's digits in the text.
+    /// Range of the digits of the wait (field `d`) in the text, which [`Statement::query`] replaces.
     wait_digits: Range<usize>,
     /// Whether it is an INSERT.
     pub is_write: bool,
-    /// The quoted key, without its quotes and with quotes in it still doubled.
+    /// The quoted key without its enclosing quotes; quotes inside it are still doubled.
     pub name: String,
-    /// The id that the client chose for the request.
+    /// Id of the request, chosen by the client.
     pub id: String,
-    /// The name of its class.
+    /// Name of the request's class.
     pub class: String,
     /// How long the client waits for the answer (milliseconds).
     pub wait_ms: u64,
-    /// Whether it carries an idempotency key.
+    /// Whether the request has an idempotency key.
     pub idempotency_key: IdempotencyKey,
-    /// The group.
+    /// Number of the group that holds the key.
     pub group: u64,
-    /// The name of its session; the quoted key if there is none.
+    /// Name of the session. Without one, the quoted key identifies the session.
     pub session: Option<String>,
     /// Session tokens, separated by `+`.
     pub session_tokens: Option<String>,
     /// The commit that a session read must see (Unix time, milliseconds).
     pub after_ms: Option<u64>,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
 }
 
@@ -48,13 +48,13 @@
     ///
     /// # Errors
     ///
-    /// Why no host could execute it.
+    /// Fails if hosts do not support the statement, or if a required field is missing or invalid.
     pub fn parse(text: &Bytes) -> Result<Statement, StatementError> {
         let mut scanner = StatementScanner::new(text);
         let is_write = match verb(text).to_ascii_uppercase().as_slice() {
             b"SELECT" => false,
             b"INSERT" => true,
-            _ => return Err(StatementError::OtherVerb),
+            _ => return Err(StatementError::UnsupportedVerb),
         };
         let name = if is_write { scanner.insert()? } else { scanner.select()? };
         let comment = scanner.comment()?;
@@ -85,7 +85,7 @@
         })
     }
 
-    /// The Query message for a host: the client's statement with another wait.
+    /// Builds the Query message for a host: the client's statement with its wait replaced.
     pub fn query(&self, wait_ms: u64) -> impl Buf {
         let before = self.text.slice(..self.wait_digits.start);
         let after = self.text.slice(self.wait_digits.end..);
@@ -100,7 +100,7 @@
     digits: Range<usize>,
 }
 
-/// The fields of a comment. Each may be given once.
+/// The fields of a comment. Each field may occur once.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<&'a str>,
@@ -115,14 +115,14 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Parses a comment that starts at this offset of its statement. Unknown fields are ignored.
+    /// Parses a comment that starts at the offset `start` of its statement. Unknown fields are ignored.
     fn parse(comment: &'a str, start: usize) -> Result<CommentFields<'a>, StatementError> {
         let mut fields = CommentFields::default();
         let mut position = start;
         for pair in comment.split(',') {
             let (name, value) = pair.split_once('=').ok_or(StatementError::FieldWithoutValue)?;
             if value.len() > MAX_FIELD_BYTES || !value.bytes().all(|byte| byte.is_ascii_graphic()) {
-                return Err(StatementError::BadValue);
+                return Err(StatementError::InvalidValue);
             }
             let value_at = position + name.len() + 1;
             position += pair.len() + 1;
@@ -137,10 +137,10 @@
             "c" => set_once(&mut self.class, value),
             "d" => {
                 let digits = value_at..value_at + value.len();
-                set_once(&mut self.wait, WaitField { milliseconds: number(value)?, digits })
+                set_once(&mut self.wait, WaitField { milliseconds: parse_number(value)?, digits })
             }
-            "cluster" => set_once(&mut self.cluster, number(value)?),
-            "after" => set_once(&mut self.after_ms, number(value)?),
+            "cluster" => set_once(&mut self.cluster, parse_number(value)?),
+            "after" => set_once(&mut self.after_ms, parse_number(value)?),
             "k" => set_once(&mut self.idempotency_key, value),
             "r" => set_once(&mut self.retry, value),
             "session" => set_once(&mut self.session, value),
@@ -164,7 +164,7 @@
     }
 }
 
-fn number(text: &str) -> Result<u64, StatementError> {
+fn parse_number(text: &str) -> Result<u64, StatementError> {
     let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-    text.parse().ok().filter(|_| digits).ok_or(StatementError::BadNumber)
+    text.parse().ok().filter(|_| digits).ok_or(StatementError::InvalidNumber)
 }
--- a/src/sql/statement_error.rs
+++ b/src/sql/statement_error.rs
@@ -1,23 +1,23 @@
-//! Why a statement is unusable for any database host.
+//! Why a statement is rejected without being forwarded to a host.
 
 use thiserror::Error;
 
-/// Why a statement is unusable. The text is the message that the client gets.
+/// Why a statement is rejected. The text is sent to the client as the error message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum StatementError {
-    /// Neither a SELECT nor an INSERT.
+    /// The statement is neither a SELECT nor an INSERT.
     #[error("only SELECT and INSERT are served")]
-    OtherVerb,
-    /// It has another syntax.
+    UnsupportedVerb,
+    /// The syntax is not supported.
     #[error("the statement has another form than the one that is served")]
-    OtherForm,
-    /// A quoted text is missing.
+    UnsupportedSyntax,
+    /// A quoted string is missing.
     #[error("there is no quoted key")]
     MissingQuote,
-    /// A quoted text has no closing quote.
+    /// A quoted string has no closing quote.
     #[error("a quote is not closed")]
     UnclosedQuote,
-    /// A quoted text is longer than the longest value.
+    /// A quoted string is longer than the longest value.
     #[error("what is quoted is longer than a value of 64 KiB")]
     QuotedTooLong,
     /// The quoted key is not UTF-8.
@@ -43,10 +43,10 @@
     FieldWithoutValue,
     /// A field's value is too long or has characters that are not printable.
     #[error("the comment holds a value that is none")]
-    BadValue,
-    /// A field's value is no number.
+    InvalidValue,
+    /// A field's value is not a number.
     #[error("the comment holds a number that is none")]
-    BadNumber,
+    InvalidNumber,
     /// A field is given twice.
     #[error("the comment says something twice")]
     DuplicateField,
--- a/src/sql/statement_scanner.rs
+++ b/src/sql/statement_scanner.rs
@@ -1,21 +1,21 @@
-//! The syntax of a statement, scanned from its beginning to its end.
+//! Scanner for the syntax of a statement.
 
 use crate::sql::statement_error::StatementError;
 use std::ops::Range;
 
 /// Longest value (bytes).
 const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// Longest quoted text (bytes): `\x` and two digits for each byte of a value.
+/// Longest quoted string (bytes): `\x` and two digits for each byte of a value.
 const MAX_QUOTED_BYTES: usize = 2 * MAX_VALUE_BYTES + 2;
 
-/// Scans a statement. Each method continues where the one before has ended.
+/// Scans a statement from left to right. Each method continues where the previous one ended.
 pub(super) struct StatementScanner<'a> {
     text: &'a [u8],
     position: usize,
 }
 
 impl StatementScanner<'_> {
-    /// A scanner at the beginning of a statement.
+    /// Creates a scanner at the beginning of a statement.
     pub(super) fn new(text: &[u8]) -> StatementScanner<'_> {
         StatementScanner { text, position: 0 }
     }
@@ -51,7 +51,7 @@
         Ok(start..start + self.text[start..end].trim_ascii_end().len())
     }
 
-    /// Scans the end of the statement, which may have a semicolon.
+    /// Scans the end of the statement, with an optional semicolon.
     pub(super) fn end(&mut self) -> Result<(), StatementError> {
         let rest = self.text[self.position..].trim_ascii();
         match rest.strip_prefix(b";").unwrap_or(rest) {
@@ -76,14 +76,14 @@
             let next_byte = rest.get(word.len()).copied().unwrap_or(b' ');
             let continues_word = next_byte.is_ascii_alphanumeric() || next_byte == b'_';
             if !is_found || (word.as_bytes()[0].is_ascii_alphabetic() && continues_word) {
-                return Err(StatementError::OtherForm);
+                return Err(StatementError::UnsupportedSyntax);
             }
             self.position += word.len();
         }
         Ok(())
     }
 
-    /// Scans a quoted text, in which a quote is doubled.
+    /// Scans a quoted string, in which quotes are escaped by doubling.
     fn quoted(&mut self) -> Result<Range<usize>, StatementError> {
         self.words(&["'"]).map_err(|_| StatementError::MissingQuote)?;
         let start = self.position;
@@ -95,7 +95,7 @@
         Ok(start..end)
     }
 
-    /// The offset of the first quote from `start` on that is not doubled.
+    /// Offset of the first quote at or after `start` that is not doubled.
     fn closing_quote(&self, start: usize) -> Result<usize, StatementError> {
         let mut position = start;
         loop {
