--- a/src/client/reader.rs
+++ b/src/client/reader.rs
@@ -324,7 +324,7 @@
             match self.read_buffer.read(read_once, framer.as_deref_mut()) {
                 Ok(Some(read_bytes @ 1..)) => break (read_bytes, capacity),
                 Ok(None) => {}
-                Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
+                Err(SocketError::ResourceShortage(_)) => socket::pause_after_shortage().await,
                 Ok(Some(0)) | Err(_) => return Err(End::ClientLeft),
             }
         };
--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -150,6 +150,6 @@
     address: SocketAddr,
     bind: impl Fn(SocketAddr) -> F,
 ) -> Result<S, ControlError> {
-    let socket = socket::through_shortages(BIND_ATTEMPTS, || bind(address)).await;
+    let socket = socket::retry_on_shortage(BIND_ATTEMPTS, || bind(address)).await;
     socket.map_err(|source| ControlError::Bind { address, source })
 }
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -168,5 +168,5 @@
 
 /// Whether an error is a fault of this machine.
 fn is_own_fault(error: &SocketError) -> bool {
-    matches!(error, SocketError::OwnShortage(_))
+    matches!(error, SocketError::ResourceShortage(_))
 }
--- a/src/host/attempt_io.rs
+++ b/src/host/attempt_io.rs
@@ -221,7 +221,7 @@
                 None
             }
             Err(SocketError::WouldBlock) => None,
-            Err(SocketError::OwnShortage(_)) => {
+            Err(SocketError::ResourceShortage(_)) => {
                 io.is_write_delayed = true;
                 None
             }
--- a/src/host/connection.rs
+++ b/src/host/connection.rs
@@ -78,7 +78,7 @@
             match buffer.read(read_once, Some(&mut self.framer)) {
                 Ok(Some(1..)) => return Ok(()),
                 Ok(None) => {}
-                Err(SocketError::OwnShortage(_)) => socket::pause_after_shortage().await,
+                Err(SocketError::ResourceShortage(_)) => socket::pause_after_shortage().await,
                 Ok(Some(0)) | Err(_) => return Err(Event::ConnectionLost),
             }
         }
--- a/src/host/pool.rs
+++ b/src/host/pool.rs
@@ -231,7 +231,7 @@
         let slot = self.budget.acquire_host_slot();
         self.counters.host_connects.add();
         let connected =
-            socket::through_shortages(CONNECT_ATTEMPTS, || socket::connect(endpoint.address)).await;
+            socket::retry_on_shortage(CONNECT_ATTEMPTS, || socket::connect(endpoint.address)).await;
         let stream = connected.map_err(|error| after_failed_connect(&error))?;
         let _ = stream.set_nodelay(true);
         let connection = HostConnection::new(stream, endpoint, slot);
@@ -247,7 +247,7 @@
 pub fn after_failed_connect(error: &SocketError) -> Event {
     match error {
         SocketError::Unreachable(_) | SocketError::Broken(_) => Event::Refused,
-        SocketError::OwnShortage(_) | SocketError::Interrupted | SocketError::WouldBlock => {
+        SocketError::ResourceShortage(_) | SocketError::Interrupted | SocketError::WouldBlock => {
             Event::NotConnected(End::NoDescriptor)
         }
     }
--- a/src/os/clock.rs
+++ b/src/os/clock.rs
@@ -1,17 +1,18 @@
-//! The gateway's clock: Unix time in microseconds, read from the system once and advanced by the monotonic
-//! clock, so that it never jumps when the system's time does.
+//! The gateway's clock: Unix time in microseconds, read from the system clock once and advanced by the
+//! monotonic clock, so that it does not jump when the system clock is adjusted.
 //!
-//! Differences between its times are exact. The times themselves are as wrong as the system's time was at the
-//! start, and are compared with times of other machines only through `petrelgauge_policy::HostClock`.
+//! Differences between two times are exact. The times themselves have the error that the system clock had at
+//! the start; they are compared with times of other machines only through `petrelgauge_policy::HostClock`.
 
 use crate::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The longest sleep (microseconds): a day, which no request outlives. Deadlines may be [`Time::MAX`].
+/// Longest sleep (microseconds): a day, longer than any request. Limits sleeps until [`Time::MAX`], which
+/// stands for no deadline.
 const MAX_SLEEP: Time = 86_400_000_000;
 
-/// A clock. Copies show the same time.
+/// A clock. All copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -20,13 +21,13 @@
 }
 
 impl Clock {
-    /// Starts a clock with the system's time.
+    /// Creates a clock that starts at the system's time.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), started_unix: unix.as_micros() as Time }
     }
 
-    /// The same clock, ahead by `span` microseconds.
+    /// Returns this clock set ahead by `span` microseconds.
     #[must_use]
     pub fn ahead(self, span: Time) -> Clock {
         Clock { started_unix: self.started_unix + span, ..self }
@@ -37,7 +38,7 @@
         self.started_unix + self.started.elapsed().as_micros() as Time
     }
 
-    /// Waits until a clock time, or for a day if that is sooner.
+    /// Sleeps until a clock time, but for a day at most.
     pub async fn sleep_until(&self, at: Time) {
         let remaining = (at - self.now()).clamp(0, MAX_SLEEP);
         tokio::time::sleep_until(Instant::now() + Duration::from_micros(remaining as u64)).await
--- a/src/os/mod.rs
+++ b/src/os/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | [`socket`] | calls on stream sockets |
-//! | [`datagram`] | calls on datagram sockets |
-//! | [`socket_error`] | their failures, classified by what the caller has to do |
-//! | [`system_call`] | the names of these calls, and the faults that tests inject |
-//! | [`clock`] | Unix time that never jumps |
-//! | [`signals`] | the signals that the gateway acts on |
-//! | [`inherited`] | the listening socket that the platform holds |
+//! | [`socket`] | system calls on stream sockets |
+//! | [`datagram`] | system calls on datagram sockets |
+//! | [`socket_error`] | their errors, classified by how the caller must react |
+//! | [`system_call`] | the kinds of these calls, and fault injection for tests |
+//! | [`clock`] | Unix time that does not jump |
+//! | [`signals`] | the signals that the gateway handles |
+//! | [`inherited`] | the listening socket inherited from the platform |
 //!
-//! Every system call on a socket is made here, so that no call misses its retry or its error class. The
-//! folder keeps no state but the fault schedule of a test's thread. It may import no other folder.
+//! All system calls on sockets are made here, so that each is retried if interrupted and its errors are
+//! classified. The only state is the fault schedule of a test's thread. May import no other folder.
 
 pub mod clock;
 pub mod datagram;
--- a/src/os/signals.rs
+++ b/src/os/signals.rs
@@ -1,17 +1,17 @@
-//! The signals that the gateway acts on. Their handlers are registered before anything else: a signal without
-//! a handler ends the process, and a reload that is requested while the configuration is read must not be
-//! lost.
+//! The signals that the gateway handles. The handlers are registered before anything else: a signal without a
+//! handler terminates the process, and a reload that is requested while the configuration is being read must
+//! not be lost.
 
 use std::io;
 use thiserror::Error;
 use tokio::signal::unix::{self, signal, SignalKind};
 
-/// The handler of a signal could not be registered.
+/// A signal handler could not be registered.
 #[derive(Debug, Error)]
-#[error("cannot listen to signals: {0}")]
+#[error("cannot register signal handlers: {0}")]
 pub struct SignalError(#[from] io::Error);
 
-/// The registered handlers.
+/// The registered signal handlers.
 pub struct Signals {
     terminate: unix::Signal,
     interrupt: unix::Signal,
@@ -19,7 +19,7 @@
     hangup: unix::Signal,
 }
 
-/// A signal that the gateway acts on.
+/// A signal that the gateway handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM or SIGINT: stop.
@@ -31,11 +31,11 @@
 }
 
 impl Signals {
-    /// Registers the handlers of all signals.
+    /// Registers handlers for all signals that the gateway handles.
     ///
     /// # Errors
     ///
-    /// Fails if the system refuses one of them.
+    /// Fails if a handler cannot be registered.
     pub fn listen() -> Result<Signals, SignalError> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -49,7 +49,7 @@
     pub async fn next(&mut self) -> Signal {
         tokio::select! {
             biased;
-            // First, so that a reload that was requested before a stop is done.
+            // Polled first, so that a reload that was requested before a stop is still handled.
             _ = self.hangup.recv() => Signal::Reload,
             _ = self.terminate.recv() => Signal::Stop,
             _ = self.interrupt.recv() => Signal::Stop,
--- a/src/os/socket.rs
+++ b/src/os/socket.rs
@@ -1,8 +1,8 @@
-//! Calls on stream sockets: every accept, connect, read, write and peek of the gateway.
+//! System calls on stream sockets: every listen, accept, connect, read, write and peek of the gateway.
 //!
-//! Failures are classified by what the caller has to do ([`SocketError`]). A call that a signal interrupted
-//! is repeated here. Short reads and writes are left to the caller, except by [`write_all`]. Tests implement
-//! the traits [`Acceptor`] and [`ByteStream`] to inject failures; the program uses tokio's types.
+//! Failures are classified by how the caller must react ([`SocketError`]). A call that is interrupted by a
+//! signal is repeated here. Short reads and writes are left to the caller, except by [`write_all`]. Tests
+//! implement the traits [`Acceptor`] and [`ByteStream`] to inject failures; the program uses tokio's types.
 
 pub use crate::os::socket_error::{classify, SocketError};
 pub use crate::os::system_call::Call;
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Pause before a call that failed for lack of local resources is repeated.
+/// Pause before repeating a call that failed because local resources were exhausted.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
 /// Length of a listen backlog (connections).
 const BACKLOG: u32 = 1024;
-/// Most buffers that one call writes (count).
+/// Maximum number of buffers that one call writes.
 const MAX_WRITE_SLICES: usize = 64;
 
-/// Called before each system call. Returns the most bytes that the call may move, or the failure that a test
-/// injects.
-pub(super) fn begin(call: Call) -> io::Result<usize> {
+/// Applies the fault that a test has scheduled for this call, if any. Called before each system call. Returns
+/// the maximum number of bytes that the call may transfer, or fails with the injected error.
+pub(super) fn apply_fault(call: Call) -> io::Result<usize> {
     match next_fault(call) {
         None => Ok(usize::MAX),
         Some(Fault::Short) => Ok(1),
@@ -31,50 +31,50 @@
     }
 }
 
-/// Makes a call that does not wait, and repeats it while signals interrupt it. `operation` gets the most
-/// bytes that it may move.
+/// Makes a non-blocking call and repeats it while it is interrupted by signals. `operation` is passed the
+/// maximum number of bytes that it may transfer.
 ///
 /// # Errors
 ///
-/// Fails with any error of the call except an interruption.
-pub fn uninterrupted<T>(
+/// Fails with any error of the call other than an interruption.
+pub fn retry_interrupted<T>(
     call: Call,
     mut operation: impl FnMut(usize) -> io::Result<T>,
 ) -> Result<T, SocketError> {
     loop {
-        match begin(call).and_then(&mut operation).map_err(|cause| classify(call, cause)) {
+        match apply_fault(call).and_then(&mut operation).map_err(|cause| classify(call, cause)) {
             Err(SocketError::Interrupted) => {}
             done => return done,
         }
     }
 }
 
-/// Makes a call, at most `attempts` times while it fails for lack of local resources, which may pass in a
-/// moment.
+/// Makes a call up to `attempts` times while it fails because local resources are exhausted, which may be
+/// temporary.
 ///
 /// # Errors
 ///
-/// Fails as the last attempt did, and with any other error at once.
-pub async fn through_shortages<T, F>(attempts: u32, mut call: impl FnMut() -> F) -> Result<T, SocketError>
+/// Fails with the error of the last attempt, or at once with any other error.
+pub async fn retry_on_shortage<T, F>(attempts: u32, mut call: impl FnMut() -> F) -> Result<T, SocketError>
 where
     F: Future<Output = Result<T, SocketError>>,
 {
     for _ in 1..attempts {
         match call().await {
-            Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
+            Err(SocketError::ResourceShortage(_)) => pause_after_shortage().await,
             done => return done,
         }
     }
     call().await
 }
 
-/// Listens on an address.
+/// Opens a socket that listens on an address.
 ///
 /// # Errors
 ///
-/// Fails if the address is not available, or for lack of local resources.
+/// Fails if the address is not available or local resources are exhausted.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
-    uninterrupted(Call::Listen, |_| {
+    retry_interrupted(Call::Listen, |_| {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
         // After a restart, connections of the previous process may still be in TIME_WAIT.
         socket.set_reuseaddr(true)?;
@@ -85,10 +85,10 @@
 
 /// A listening socket.
 pub trait Acceptor {
-    /// An accepted connection.
+    /// The type of an accepted connection.
     type Stream;
 
-    /// Makes one call. Cancel safe.
+    /// Waits for a connection and makes one system call to accept it. Cancel safe.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
@@ -96,7 +96,7 @@
     type Stream = TcpStream;
 
     async fn accept(&self) -> io::Result<TcpStream> {
-        begin(Call::Accept)?;
+        apply_fault(Call::Accept)?;
         Ok(TcpListener::accept(self).await?.0)
     }
 }
@@ -105,7 +105,8 @@
 ///
 /// # Errors
 ///
-/// Fails for lack of local resources, or because the client has disconnected. The listener still works.
+/// Fails if local resources are exhausted or the client has already disconnected. The listener remains
+/// usable.
 pub async fn accept<A: Acceptor>(acceptor: &A) -> Result<A::Stream, SocketError> {
     loop {
         match acceptor.accept().await.map_err(|cause| classify(Call::Accept, cause)) {
@@ -115,31 +116,31 @@
     }
 }
 
-/// Connects to a peer.
+/// Connects to an address.
 ///
 /// # Errors
 ///
-/// Fails for lack of local resources, or because the peer is unreachable.
+/// Fails if local resources are exhausted or the address is unreachable.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, SocketError> {
     let call = || async {
-        begin(Call::Connect)?;
+        apply_fault(Call::Connect)?;
         TcpStream::connect(address).await
     };
     connect_with(call).await
 }
 
-/// Connects by `call`, which creates a new socket each time.
+/// Connects with `call`, which must create a new socket each time it is called.
 ///
 /// # Errors
 ///
-/// Fails with any error of the call except an interruption.
+/// Fails with any error of the call other than an interruption.
 pub async fn connect_with<S, F>(mut call: impl FnMut() -> F) -> Result<S, SocketError>
 where
     F: Future<Output = io::Result<S>>,
 {
     loop {
         match call().await.map_err(|cause| classify(Call::Connect, cause)) {
-            // A connect that fails at once does not yield by itself, and the caller's timers have to run.
+            // A connect that fails at once does not yield, which would keep the caller's timers from running.
             Err(SocketError::Interrupted) => tokio::task::yield_now().await,
             connected => return connected,
         }
@@ -154,18 +155,18 @@
     /// Waits until the stream is writable.
     fn writable(&self) -> impl Future<Output = io::Result<()>>;
 
-    /// Reads once.
+    /// Makes one system call to read.
     ///
     /// # Errors
     ///
-    /// Fails as the call did, also if it was interrupted or would block.
+    /// Fails if the call fails, including when it is interrupted or would block.
     fn try_read(&self, bytes: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes once.
+    /// Makes one system call to write.
     ///
     /// # Errors
     ///
-    /// Fails as the call did, also if it was interrupted or would block.
+    /// Fails if the call fails, including when it is interrupted or would block.
     fn try_write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize>;
 }
 
@@ -187,8 +188,8 @@
     }
 }
 
-/// Reads once, as soon as bytes are available. Returns 0 at the end of the stream. A short read does not mean
-/// that no more bytes are available. Cancel safe.
+/// Waits until bytes are available and reads once. Returns 0 at the end of the stream. More bytes may be
+/// available even after a short read. Cancel safe.
 ///
 /// # Errors
 ///
@@ -196,15 +197,15 @@
 pub async fn read(stream: &impl ByteStream, bytes: &mut [u8]) -> Result<usize, SocketError> {
     loop {
         stream.readable().await.map_err(SocketError::Broken)?;
-        // A peer that always has more must not keep other tasks from running.
+        // A stream that always has bytes available must not keep other tasks from running.
         tokio::task::coop::consume_budget().await;
         let read_once = |max_bytes: usize| {
             let capacity = max_bytes.min(bytes.len());
             stream.try_read(&mut bytes[..capacity])
         };
-        match uninterrupted(Call::Read, read_once) {
+        match retry_interrupted(Call::Read, read_once) {
             Err(SocketError::WouldBlock) => {}
-            Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
+            Err(SocketError::ResourceShortage(_)) => pause_after_shortage().await,
             done => return done,
         }
     }
@@ -221,13 +222,13 @@
     Ok(())
 }
 
-/// Writes a part of `bytes` without waiting, and advances `bytes` by it. Nothing was written if it fails.
+/// Writes part of `bytes` without waiting, and advances `bytes` past it. If it fails, nothing was written.
 ///
 /// # Errors
 ///
-/// Fails if the connection has ended, if the call would block, or for lack of local resources.
+/// Fails if the connection has ended, the call would block, or local resources are exhausted.
 pub fn write_now(stream: &impl ByteStream, bytes: &mut impl Buf) -> Result<(), SocketError> {
-    match uninterrupted(Call::Write, |max_bytes| try_write(stream, bytes, max_bytes))? {
+    match retry_interrupted(Call::Write, |max_bytes| try_write(stream, bytes, max_bytes))? {
         0 => Err(SocketError::Broken(io::ErrorKind::WriteZero.into())),
         count => {
             bytes.advance(count);
@@ -236,7 +237,7 @@
     }
 }
 
-/// Writes a part of `bytes`, and advances `bytes` by it. Cancel safe.
+/// Waits until the stream is writable, writes part of `bytes` and advances `bytes` past it. Cancel safe.
 ///
 /// # Errors
 ///
@@ -246,13 +247,13 @@
         writable(stream).await?;
         match write_now(stream, bytes) {
             Err(SocketError::WouldBlock) => {}
-            Err(SocketError::OwnShortage(_)) => pause_after_shortage().await,
+            Err(SocketError::ResourceShortage(_)) => pause_after_shortage().await,
             done => return done,
         }
     }
 }
 
-/// Writes all of `bytes`. If it is cancelled, `bytes` holds what is left to be written.
+/// Writes all of `bytes`. If it is cancelled, `bytes` holds the part that was not written.
 ///
 /// # Errors
 ///
@@ -273,33 +274,33 @@
     stream.try_write(&slices[..count])
 }
 
-/// Waits before a call that failed for lack of local resources is repeated.
+/// Waits before a call that failed because local resources were exhausted is repeated.
 pub async fn pause_after_shortage() {
     tokio::time::sleep(SHORTAGE_PAUSE).await;
 }
 
-/// What a socket has to be read.
+/// What can be read from a socket without waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing.
+    /// No bytes, and the stream has not ended.
     Nothing,
-    /// Bytes.
+    /// At least one byte.
     Bytes,
     /// The end of the stream, or an error that ended it.
     End,
 }
 
-/// What a call that peeks without waiting finds unread.
+/// Classifies the result of a non-blocking peek. Exhausted local resources count as nothing to read.
 pub fn unread(mut peek: impl FnMut() -> io::Result<usize>) -> Unread {
-    match uninterrupted(Call::Peek, |_| peek()) {
+    match retry_interrupted(Call::Peek, |_| peek()) {
         Ok(1..) => Unread::Bytes,
-        Err(SocketError::WouldBlock | SocketError::OwnShortage(_)) => Unread::Nothing,
+        Err(SocketError::WouldBlock | SocketError::ResourceShortage(_)) => Unread::Nothing,
         Ok(0) | Err(_) => Unread::End,
     }
 }
 
-/// What this connection has to be read. Asks the kernel, since the reactor may not know yet of bytes that
-/// have just arrived.
+/// Peeks at a connection. Asks the kernel, since the reactor may not yet know of bytes that have just
+/// arrived.
 pub fn unread_on(stream: &TcpStream) -> Unread {
     let socket = socket2::SockRef::from(stream);
     unread(|| socket.peek(&mut [std::mem::MaybeUninit::uninit()]))
--- a/src/os/system_call.rs
+++ b/src/os/system_call.rs
@@ -1,11 +1,12 @@
-//! The system calls that the gateway makes on sockets, and the faults that tests inject into them.
+//! The system calls that the gateway makes on sockets, and fault injection into them for tests.
 //!
-//! Every call checks the fault schedule of its thread first. The program sets none, and no variable, file or
-//! signal does: only a test that links this library and runs the gateway in a thread of its own can.
+//! Every call checks the fault schedule of its thread first. The gateway program never sets one, and no
+//! environment variable, file or signal can: only a test that links this library and runs the gateway in a
+//! thread of its own.
 
 use std::cell::Cell;
 
-/// A system call on a socket. The same error number means different things to different calls.
+/// A kind of system call on a socket. The meaning of an error number depends on the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Creates a socket and listens on it.
@@ -26,28 +27,28 @@
     ReceiveDatagram,
 }
 
-/// A fault that is injected into a call.
+/// A fault to be injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The call fails with this error number and does nothing.
+    /// The call fails with this error number and has no effect.
     Error(i32),
-    /// The call moves at most one byte.
+    /// The call transfers at most one byte.
     Short,
 }
 
-/// Returns the fault of the next call, if it has one.
+/// A function that returns the fault to inject into the next call, if any.
 pub type FaultSchedule = fn(Call) -> Option<Fault>;
 
 thread_local! {
     static FAULT_SCHEDULE: Cell<Option<FaultSchedule>> = const { Cell::new(None) };
 }
 
-/// Injects faults into the calls of this thread by this schedule. For tests.
+/// Sets the schedule of faults that are injected into the calls of this thread. For tests only.
 pub fn set_fault_schedule(schedule: FaultSchedule) {
     FAULT_SCHEDULE.set(Some(schedule));
 }
 
-/// The fault of the next call, if it has one.
+/// Returns the fault scheduled for the next call of this thread, if any.
 pub(super) fn next_fault(call: Call) -> Option<Fault> {
-    FAULT_SCHEDULE.get().and_then(|draw| draw(call))
+    FAULT_SCHEDULE.get().and_then(|schedule| schedule(call))
 }
--- a/src/postgres/read_buffer.rs
+++ b/src/postgres/read_buffer.rs
@@ -1,7 +1,7 @@
 //! The read buffer that all connections share. The gateway has one thread, which reads from one connection at
 //! a time, so a connection that waits for bytes needs no buffer of its own.
 
-use crate::os::socket::{uninterrupted, Call, SocketError};
+use crate::os::socket::{retry_interrupted, Call, SocketError};
 use crate::postgres::Framer;
 use std::cell::RefCell;
 use std::io;
@@ -36,7 +36,7 @@
             let capacity = max_bytes.min(bytes.len());
             read(&mut bytes[..capacity])
         };
-        match uninterrupted(Call::Read, read_once) {
+        match retry_interrupted(Call::Read, read_once) {
             Ok(count) => {
                 if let Some(framer) = framer {
                     framer.feed(&bytes[..count]);
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -249,7 +249,7 @@
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, SocketError> {
-    socket::through_shortages(LISTEN_ATTEMPTS, || async { socket::listen(address) }).await
+    socket::retry_on_shortage(LISTEN_ATTEMPTS, || async { socket::listen(address) }).await
 }
 
 impl ClientListener {
--- a/src/resources/budget/descriptors.rs
+++ b/src/resources/budget/descriptors.rs
@@ -1,4 +1,4 @@
-//! The number of open connections.
+//! Counts of open connections, each of which uses a descriptor.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub(super) struct DescriptorCounts {
     open: Cell<usize>,
-    /// Of the open ones, the clients'.
+    /// Number of open connections that are clients'.
     clients: Cell<usize>,
 }
 
@@ -21,26 +21,26 @@
     }
 }
 
-/// What a connection leads to.
+/// The remote side of a connection.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Peer {
+pub(super) enum ConnectionKind {
     Client,
     Host,
 }
 
-/// The descriptor of one open connection, counted until it is dropped.
+/// The descriptor of an open connection, counted until the slot is dropped.
 pub struct DescriptorSlot {
     counts: Rc<DescriptorCounts>,
-    peer: Peer,
+    kind: ConnectionKind,
 }
 
 impl DescriptorSlot {
-    pub(super) fn new(counts: &Rc<DescriptorCounts>, peer: Peer) -> DescriptorSlot {
+    pub(super) fn new(counts: &Rc<DescriptorCounts>, kind: ConnectionKind) -> DescriptorSlot {
         counts.open.set(counts.open.get() + 1);
-        if peer == Peer::Client {
+        if kind == ConnectionKind::Client {
             counts.clients.set(counts.clients.get() + 1);
         }
-        DescriptorSlot { counts: counts.clone(), peer }
+        DescriptorSlot { counts: counts.clone(), kind }
     }
 }
 
@@ -48,7 +48,7 @@
     fn drop(&mut self) {
         let counts = &self.counts;
         counts.open.set(counts.open.get() - 1);
-        if self.peer == Peer::Client {
+        if self.kind == ConnectionKind::Client {
             counts.clients.set(counts.clients.get() - 1);
         }
     }
--- a/src/resources/budget/idle_clients.rs
+++ b/src/resources/budget/idle_clients.rs
@@ -1,4 +1,4 @@
-//! The clients that can be closed to free their descriptors.
+//! The idle clients, which can be closed to free descriptors.
 
 use crate::Time;
 use petrelgauge_lifecycle::client::Idleness;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Idle clients by their idleness, and by the order of registration within it.
+/// Idle clients, ordered by idleness and then by registration.
 #[derive(Default)]
 pub(super) struct IdleClients {
     clients: RefCell<BTreeMap<IdleKey, IdleClient>>,
@@ -22,12 +22,12 @@
 
 struct IdleClient {
     idle_since: Time,
-    /// Notified when the client has to close.
+    /// Notified when the client must close.
     close: Rc<Notify>,
 }
 
 impl IdleClients {
-    /// Registers a client until the guard is dropped.
+    /// Registers a client until the returned guard is dropped.
     pub(super) fn register(
         idle_clients: &Rc<IdleClients>,
         idleness: Idleness,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The registration of a client that can be closed, which ends when it is dropped.
+/// The registration of an idle client, removed when the guard is dropped.
 pub struct IdleGuard {
     idle_clients: Rc<IdleClients>,
     key: IdleKey,
--- a/src/resources/budget/memory.rs
+++ b/src/resources/budget/memory.rs
@@ -1,4 +1,4 @@
-//! The memory for messages, reserved by each connection.
+//! The memory for messages, which each connection reserves.
 
 use crate::postgres;
 use std::cell::Cell;
@@ -6,11 +6,11 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// Clients may use `CLIENT_MEMORY_PARTS` of `MESSAGE_MEMORY_PARTS` of the message memory; the rest is left to
-/// answers of hosts.
+/// Clients may use `CLIENT_MEMORY_PARTS` of `MESSAGE_MEMORY_PARTS` of the message memory; the rest is left
+/// for hosts' answers.
 const MESSAGE_MEMORY_PARTS: usize = 4;
 const CLIENT_MEMORY_PARTS: usize = 3;
-/// Bytes that any connection may hold, however much all connections hold together; enough for usual messages.
+/// Bytes that each connection may hold regardless of the total usage; enough for typical messages.
 const GUARANTEED_BYTES: usize = 4 * 1024;
 
 /// Limit and usage of the message memory.
@@ -43,14 +43,14 @@
     }
 }
 
-/// The bytes that one connection holds, released when it is dropped.
+/// The bytes reserved by one connection, released on drop.
 pub struct MemoryReservation {
     budget: Rc<MemoryBudget>,
     bytes: usize,
-    /// The connection may hold more than the guaranteed bytes while all connections hold at most this many
-    /// bytes.
+    /// The connection may exceed the guaranteed bytes as long as the total of all connections is within this
+    /// limit.
     max_total_bytes: usize,
-    /// Whether it may exceed `max_total_bytes` to complete one message.
+    /// Whether the connection holds the reserve: it may exceed `max_total_bytes` to complete one message.
     has_reserve: Cell<bool>,
 }
 
@@ -68,8 +68,8 @@
         MemoryReservation { budget: budget.clone(), bytes: 0, max_total_bytes, has_reserve: Cell::new(false) }
     }
 
-    /// Sets the number of bytes that the connection holds. Returns whether they are within the limits; a
-    /// smaller number than before always is. They are counted in either case.
+    /// Sets the number of bytes that the connection holds. Returns whether they are within the limits, which
+    /// a reduction always is. The bytes are counted in either case.
     pub fn resize(&mut self, bytes: usize) -> bool {
         let used_bytes = self.budget.used_bytes.get() - self.bytes + bytes;
         self.budget.used_bytes.set(used_bytes);
@@ -80,9 +80,9 @@
         bytes <= previous_bytes || bytes <= GUARANTEED_BYTES || used_bytes <= self.max_total_bytes
     }
 
-    /// Takes the reserve of one message, unless another connection holds it; returns whether this connection
-    /// holds it now. Without the reserve, incomplete messages could fill the memory so that none could ever
-    /// be completed.
+    /// Acquires the reserve for one message, unless another connection holds it. Returns whether this
+    /// connection holds it now. Without the reserve, incomplete messages could fill the memory so that none
+    /// could ever be completed (deadlock).
     pub fn acquire_reserve(&self) -> bool {
         if !self.budget.is_reserve_in_use.replace(true) {
             self.has_reserve.set(true);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Bytes that this connection may hold in addition to those it holds.
+    /// Number of further bytes that this connection may hold.
     pub fn available(&self) -> usize {
         if self.has_reserve.get() {
             return postgres::MAX_MESSAGE_BYTES;
--- a/src/resources/budget/mod.rs
+++ b/src/resources/budget/mod.rs
@@ -1,8 +1,8 @@
-//! The process's descriptors and its memory for messages, shared by the connections of clients and hosts.
+//! The process's descriptors and its message memory, shared by the connections to clients and hosts.
 //!
 //! Each connection holds a [`DescriptorSlot`] for its descriptor and a [`MemoryReservation`] for its bytes.
-//! Slots are handed out beyond the limit, too: the caller has to close an idle connection first. A client
-//! that can be closed registers itself and is asked to close by [`Budget::shed_client`].
+//! Slots are granted even beyond the limit: the caller must check it and close an idle connection first. A
+//! client that can be closed registers itself; [`Budget::shed_client`] asks it to close.
 
 mod descriptors;
 mod idle_clients;
@@ -13,7 +13,7 @@
 pub use memory::MemoryReservation;
 pub use petrelgauge_lifecycle::client::Idleness;
 
-use crate::resources::budget::descriptors::{DescriptorCounts, Peer};
+use crate::resources::budget::descriptors::{ConnectionKind, DescriptorCounts};
 use crate::resources::budget::idle_clients::IdleClients;
 use crate::resources::budget::memory::MemoryBudget;
 use crate::Time;
@@ -23,21 +23,21 @@
 use tokio::sync::Notify;
 
 /// Descriptors reserved for everything except client and host connections: standard streams, the listener,
-/// the reactor, signals, discovery, and a few to accept with while others are being closed.
+/// the reactor, signals, discovery, and a few to accept with while other connections are being closed.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Of the reserved descriptors, those that are always open.
+/// Number of the reserved descriptors that are always open.
 const ALWAYS_OPEN_DESCRIPTORS: usize = 16;
 /// Smallest number of descriptors for connections: one client and one host.
 const MIN_CONNECTIONS: usize = 2;
-/// Clients beyond this fraction of the descriptors, as a divisor, are excess. Clients with open requests hold
-/// up to a third; the difference is left to the next ones.
+/// Clients that use more than one CLIENT_DIVISOR-th of the descriptors are in excess. Clients with open
+/// requests use up to a third; the difference is left for new clients.
 const CLIENT_DIVISOR: usize = 4;
-/// Messages may take this fraction of the memory, as a divisor. The rest is for the program and its state.
+/// One MESSAGE_MEMORY_DIVISOR-th of the memory is for messages. The rest is for the program and its state.
 const MESSAGE_MEMORY_DIVISOR: usize = 4;
 
 /// Limits and usage of descriptors and message memory.
 pub struct Budget {
-    /// Descriptors that the process may hold.
+    /// Number of descriptors that the process may hold.
     max_descriptors: Cell<usize>,
     connections: Rc<DescriptorCounts>,
     memory: Rc<MemoryBudget>,
@@ -45,7 +45,7 @@
 }
 
 impl Budget {
-    /// The budget of a process that may hold `max_descriptors` and `max_memory` (bytes).
+    /// Creates the budget of a process that may hold `max_descriptors` and `max_memory` (bytes).
     pub fn new(max_descriptors: usize, max_memory: usize) -> Rc<Budget> {
         Rc::new(Budget {
             max_descriptors: Cell::new(max_descriptors),
@@ -55,15 +55,15 @@
         })
     }
 
-    /// Changes the limits. Connections beyond a lower limit are closed when they are idle; existing memory
+    /// Changes the limits. Connections in excess of a lower limit are closed once idle; existing memory
     /// reservations keep their limit.
     pub fn set_limits(&self, max_descriptors: usize, max_memory: usize) {
         self.max_descriptors.set(max_descriptors);
         self.memory.set_limit(max_memory / MESSAGE_MEMORY_DIVISOR);
     }
 
-    /// What is in use now: descriptors, including those that are always open, and message bytes. Open
-    /// requests are not counted here.
+    /// Returns the current usage: descriptors, including those that are always open, and message memory. Open
+    /// requests are not counted here and returned as 0.
     pub fn usage(&self) -> Reservation {
         let sockets = self.connections.open_count() + ALWAYS_OPEN_DESCRIPTORS;
         Reservation { sockets, memory: self.memory.used_bytes(), open_requests: 0 }
@@ -71,28 +71,28 @@
 
     /// Counts a connection to a host until the slot is dropped.
     pub fn acquire_host_slot(&self) -> DescriptorSlot {
-        DescriptorSlot::new(&self.connections, Peer::Host)
+        DescriptorSlot::new(&self.connections, ConnectionKind::Host)
     }
 
     /// Counts a client until the slot is dropped.
     pub fn acquire_client_slot(&self) -> DescriptorSlot {
-        DescriptorSlot::new(&self.connections, Peer::Client)
+        DescriptorSlot::new(&self.connections, ConnectionKind::Client)
     }
 
-    /// Whether no descriptor is left for another connection.
+    /// Whether no descriptor is available for another connection.
     pub fn is_exhausted(&self) -> bool {
         let max_connections =
             self.max_descriptors.get().saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
         self.connections.open_count() >= max_connections
     }
 
-    /// Number of clients beyond their share of the descriptors.
+    /// Number of clients in excess of their share of the descriptors.
     pub fn excess_clients(&self) -> usize {
         self.connections.client_count().saturating_sub(self.max_descriptors.get() / CLIENT_DIVISOR)
     }
 
     /// Registers a client that can be closed and has been idle since `idle_since`, until the guard is
-    /// dropped. `close` is notified when it has to close.
+    /// dropped. `close` is notified when the client must close.
     pub fn register_idle(&self, idleness: Idleness, idle_since: Time, close: &Rc<Notify>) -> IdleGuard {
         IdleClients::register(&self.idle_clients, idleness, idle_since, close)
     }
@@ -103,13 +103,13 @@
         self.idle_clients.shed(idleness, idle_before)
     }
 
-    /// Starts an empty memory reservation of a client. Clients leave a quarter of the message memory to the
-    /// answers of hosts.
+    /// Creates an empty memory reservation for a client. Clients leave a quarter of the message memory for
+    /// hosts' answers.
     pub fn reserve_client_memory(&self) -> MemoryReservation {
         MemoryReservation::for_client(&self.memory)
     }
 
-    /// Starts an empty memory reservation of a connection to a host.
+    /// Creates an empty memory reservation for a connection to a host.
     pub fn reserve_host_memory(&self) -> MemoryReservation {
         MemoryReservation::for_host(&self.memory)
     }
--- a/src/resources/counters.rs
+++ b/src/resources/counters.rs
@@ -1,5 +1,5 @@
-//! The counters of the gateway, logged at exit and on SIGUSR1. The names of the fields are an interface to
-//! operators.
+//! The counters of the gateway, logged at exit and on SIGUSR1. The field names are logged, so they are part
+//! of the operators' interface.
 
 use petrelgauge_lifecycle::ending::End;
 use std::cell::Cell;
@@ -36,19 +36,19 @@
     served,
     /// Requests rejected.
     rejected,
-    /// Requests that failed in another way.
+    /// Requests that failed for another reason.
     failed,
     /// Requests cancelled by their client.
     cancelled,
     /// Requests whose client disconnected before the answer.
     left,
-    /// Pauses of reading from a client because it reached a limit.
+    /// Times that reading from a client was paused because it reached a limit.
     read_pauses,
     /// Statements rejected as malformed.
     bad_statements,
     /// Load reports with invalid values.
     bad_reports,
-    /// Attempts decided on.
+    /// Attempts that the router decided to send.
     attempts,
     /// Attempts written completely to a database host.
     sent,
@@ -56,7 +56,7 @@
     host_connects,
     /// Endpoint lists applied.
     lists,
-    /// Endpoint lists and responses of discovery rejected.
+    /// Endpoint lists and discovery responses rejected.
     bad_lists,
     /// Configurations reloaded.
     reloads,
@@ -80,13 +80,13 @@
     primary_announcements,
     /// Datagrams about leadership roles that were rejected.
     bad_leadership_datagrams,
-    /// Callers of the operators' address.
+    /// Connections accepted at the operators' address.
     calls,
-    /// Callers whose command was denied.
+    /// Connections at the operators' address whose command was denied.
     calls_denied,
 }
 
-/// A counter that only grows.
+/// A counter that only increases.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
@@ -101,30 +101,30 @@
         self.0.set(self.0.get() + count as u64);
     }
 
-    /// The present value.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// The number of things that exist now.
+/// A number that rises and falls, such as that of open sessions.
 #[derive(Default)]
 pub struct Gauge(Cell<usize>);
 
 impl Gauge {
-    /// Counts one more until the guard is dropped, which also happens when a task panics.
+    /// Adds one until the guard is dropped, which also happens if the task panics.
     pub fn enter(&self) -> GaugeGuard<'_> {
         self.0.set(self.0.get() + 1);
         GaugeGuard(self)
     }
 
-    /// The present number.
+    /// Returns the current number.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 }
 
-/// Counts one in a [`Gauge`] until it is dropped.
+/// Adds one to a [`Gauge`] until it is dropped.
 pub struct GaugeGuard<'a>(&'a Gauge);
 
 impl Drop for GaugeGuard<'_> {
@@ -137,7 +137,7 @@
 impl Counters {
     /// Counts the end of a connection or an attempt.
     pub fn ended(&self, end: End) {
-        // An end that is missing in `End::ALL` must not bring the gateway down.
+        // An end that is missing from `End::ALL` must not crash the gateway.
         if let Some(count) = self.ends.get(end as usize) {
             count.add();
         }
--- a/src/resources/mod.rs
+++ b/src/resources/mod.rs
@@ -1,12 +1,12 @@
-//! What a process may use and what it counts: descriptors, memory for messages, counters.
+//! Resource limits of the process (descriptors and memory for messages) and its counters.
 //!
 //! | folder or file | job |
 //! | --- | --- |
 //! | `budget` | shares descriptors and message memory among the connections of clients and hosts |
-//! | `counters` | the counters that operators see |
+//! | `counters` | the counters reported to operators |
 //!
-//! Owns the number of open connections, the bytes that they hold, and the list of clients that can be closed.
-//! Who is closed first is decided by the callers.
+//! Owns the number of open connections, the bytes reserved for them, and the list of clients that can be
+//! closed. The callers decide which kind of client is closed first.
 //!
 //! May import: `postgres`.
 
--- a/tests/datagram_calls.rs
+++ b/tests/datagram_calls.rs
@@ -115,7 +115,7 @@
         {
             match classify(call, error(number)) {
                 SocketError::Unreachable(_) => assert!(is_peer_fault, "{call:?}: {}", error(number)),
-                SocketError::OwnShortage(_) => assert!(!is_peer_fault, "{call:?}: {}", error(number)),
+                SocketError::ResourceShortage(_) => assert!(!is_peer_fault, "{call:?}: {}", error(number)),
                 other => panic!("{call:?}: {} is {other:?}", error(number)),
             }
         }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -48,7 +48,7 @@
     match classify(call, error(number)) {
         SocketError::Interrupted => Interrupted,
         SocketError::WouldBlock => WouldBlock,
-        SocketError::OwnShortage(_) => OwnShortage,
+        SocketError::ResourceShortage(_) => OwnShortage,
         SocketError::Unreachable(_) => Unreachable,
         SocketError::Broken(_) => Broken,
     }
@@ -125,7 +125,7 @@
         match (last, connected) {
             (None, Ok("connected")) => {}
             (Some(libc::ETIMEDOUT), Err(SocketError::Unreachable(_))) => {}
-            (Some(libc::ENOBUFS), Err(SocketError::OwnShortage(_))) => {}
+            (Some(libc::ENOBUFS), Err(SocketError::ResourceShortage(_))) => {}
             (_, other) => panic!("{last:?} gave {other:?}"),
         }
     }
@@ -135,7 +135,7 @@
 fn only_a_lack_of_local_resources_is_retried() {
     let play = |shortages: u32, last: Result<u32, i32>| {
         let calls = Cell::new(0);
-        let done = block_on(socket::through_shortages(3, || {
+        let done = block_on(socket::retry_on_shortage(3, || {
             calls.set(calls.get() + 1);
             let result = if calls.get() <= shortages { Err(libc::ENOBUFS) } else { last };
             std::future::ready(result.map_err(|number| classify(Call::Connect, error(number))))
@@ -145,7 +145,7 @@
     for shortages in 0..3 {
         assert!(matches!(play(shortages, Ok(7)), (Ok(7), calls) if calls == shortages + 1));
     }
-    assert!(matches!(play(3, Ok(7)), (Err(SocketError::OwnShortage(_)), 3)));
+    assert!(matches!(play(3, Ok(7)), (Err(SocketError::ResourceShortage(_)), 3)));
     assert!(matches!(play(0, Err(libc::EHOSTUNREACH)), (Err(SocketError::Unreachable(_)), 1)));
     assert!(matches!(play(1, Err(libc::ETIMEDOUT)), (Err(SocketError::Unreachable(_)), 2)));
 }
@@ -274,7 +274,7 @@
         let message = loop {
             match buffer.read(|bytes| stream.try_read(bytes), Some(&mut framer)) {
                 Ok(Some(0)) => panic!("seed {seed}: it ended"),
-                Ok(_) | Err(SocketError::OwnShortage(_)) => {}
+                Ok(_) | Err(SocketError::ResourceShortage(_)) => {}
                 Err(other) => panic!("seed {seed}: {other:?}"),
             }
             if let Some(message) = framer.message().expect("it makes sense") {
