--- a/src/settings/deployment/classes.rs
+++ b/src/settings/deployment/classes.rs
@@ -1,13 +1,13 @@
-//! Request classes, from their JSON form to the decisions'.
+//! Converts request classes from their JSON form to the router's.
 
 use crate::settings::deployment::error::DeploymentError;
 use crate::settings::deployment::json_form::{DeploymentSettings, Family, WireClass};
 use crate::{Class, Effect, Need, Scope, Time};
 
-/// Stands for a bound that is missing; `Settings::check` rejects it.
+/// Replaces a missing bound; `Settings::check` rejects it.
 const INVALID_STALENESS_BOUND: Time = -1;
 
-/// The classes of a deployment.
+/// Converts the classes of a deployment.
 pub(super) fn classes(deployment: &DeploymentSettings) -> Result<Vec<Class>, DeploymentError> {
     let mut classes = Vec::new();
     for (index, class) in deployment.classes.iter().enumerate() {
@@ -16,7 +16,7 @@
             need: need(&deployment.family_info, index, &class.name)?,
             effect: effect(class)?,
             attempts: deployment.bounds.attempts_cap,
-            // A later target than the deadline must not keep an attempt from being started.
+            // A target after the deadline must not prevent an attempt from being started.
             latency_target: class.aim_us.min(class.deadline_us),
             deadline: class.deadline_us,
             priority_weight: class.points,
--- a/src/settings/deployment/error.rs
+++ b/src/settings/deployment/error.rs
@@ -1,8 +1,8 @@
-//! Why a deployment's settings are unusable.
+//! Errors in a deployment's settings.
 
 use thiserror::Error;
 
-/// Why a deployment's settings are unusable. The messages are shown to operators.
+/// Why a deployment's settings are invalid. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeploymentError {
     /// A class has no read level, or an unknown one.
@@ -10,7 +10,7 @@
     UnknownReadLevel {
         /// The class.
         class: String,
-        /// Its value in the settings, if there is one.
+        /// The value in the settings, if any.
         level: Option<String>,
     },
     /// The value of `idempotency` is unknown.
@@ -18,7 +18,7 @@
     UnknownEffect {
         /// The class.
         class: String,
-        /// Its value in the settings.
+        /// The value in the settings.
         effect: String,
     },
     /// The scope of a class's idempotency keys is unknown.
@@ -26,11 +26,11 @@
     UnknownScope {
         /// The class.
         class: String,
-        /// Its value in the settings.
+        /// The value in the settings.
         scope: String,
     },
-    /// A class with idempotency keys lacks the time for which hosts remember them.
-    #[error("class {class:?} is keyed and names no window_us")]
+    /// A class with idempotency keys lacks the window for which hosts remember them.
+    #[error("class {class:?} is keyed but has no window_us")]
     MissingWindow {
         /// The class.
         class: String,
--- a/src/settings/deployment/json_form.rs
+++ b/src/settings/deployment/json_form.rs
@@ -1,5 +1,5 @@
-//! The JSON form of a deployment's settings. The names of the fields are those of the platform's keys;
-//! `DEFAULT_` constants stand where a key is missing.
+//! The JSON form of a deployment's settings. Fields are named after the platform's keys; the `DEFAULT_`
+//! constants apply where a key is missing.
 
 use crate::Time;
 use serde::Deserialize;
@@ -7,8 +7,8 @@
 const DEFAULT_CONNECTION_IDLE: Time = 30_000_000;
 const DEFAULT_CONNECT_TIMEOUT: Time = 250_000;
 
-/// A deployment's settings as the operators write them. Unknown keys are skipped.
-// Operators see `expecting` in the message about settings of another type.
+/// A deployment's settings as operators write them. Unknown keys are ignored.
+// `expecting` is part of the error message that operators see for a value of another type.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Info")]
 pub struct DeploymentSettings {
@@ -31,7 +31,7 @@
     pub(super) zone: String,
 }
 
-/// What a gateway may do.
+/// Limits and optional features of a gateway.
 #[derive(Debug, Deserialize)]
 pub(super) struct Bounds {
     pub(super) attempts_cap: u32,
@@ -43,10 +43,10 @@
     pub(super) conn_idle_us: Time,
     #[serde(default = "default_connect_timeout")]
     pub(super) connect_timeout_us: Time,
-    /// Hedged requests.
+    /// Whether hedged requests are allowed.
     #[serde(default)]
     pub(super) second_copies: bool,
-    /// Health checks.
+    /// Whether health checks are allowed.
     #[serde(default)]
     pub(super) probes: bool,
     #[serde(default)]
@@ -78,7 +78,7 @@
     #[serde(default)]
     pub(super) group: String,
     pub(super) idempotency: String,
-    /// Time for which hosts remember its idempotency keys.
+    /// Time for which hosts remember its idempotency keys (microseconds).
     pub(super) window_us: Option<Time>,
     #[serde(default)]
     pub(super) late_share: f64,
@@ -86,7 +86,7 @@
     pub(super) points: f64,
 }
 
-/// How the hosts replicate.
+/// The replication of the hosts' data, and the consistency of reads.
 #[derive(Debug, Deserialize)]
 pub(super) struct Family {
     /// By the index of the class.
@@ -112,7 +112,7 @@
     true
 }
 
-/// What the gateways owe the hosts and clients.
+/// Rules that a gateway must follow towards hosts and clients.
 #[derive(Debug, Deserialize)]
 pub(super) struct Obligations {
     pub(super) answer_slack_us: Time,
@@ -127,7 +127,7 @@
     pub(super) soft_removal: bool,
 }
 
-/// Prices of routing choices per request, as shares of the value of all requests.
+/// Costs of routing choices per request, as shares of the value of all requests.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct Penalties {
     #[serde(default)]
@@ -136,7 +136,7 @@
     pub(super) probe: f64,
 }
 
-/// What hosts report of their load.
+/// The contents of the hosts' load reports.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct Reporting {
     #[serde(default)]
--- a/src/settings/deployment/load_report.rs
+++ b/src/settings/deployment/load_report.rs
@@ -1,14 +1,14 @@
-//! Load reports of hosts, whose values the deployment's settings name.
+//! Load reports of hosts. The deployment's settings name their values.
 
 use crate::{Report, Role, Time};
 
 /// Microseconds in a second, the unit of reported positions.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Values of a reported role from this one on mean a primary.
+/// Smallest value of a reported role that means a primary.
 const MIN_PRIMARY_ROLE: f64 = 0.5;
 
-/// Builds a load report from named values; positions among them are in seconds after `position_origin`
-/// (microseconds). Unknown names are ignored.
+/// Builds a load report from named values. Positions are in seconds since `position_origin` (microseconds).
+/// Unknown names are ignored.
 pub fn load_report<'a>(position_origin: Time, values: impl Iterator<Item = (&'a str, f64)>) -> Report {
     let mut report = Report::default();
     for (name, value) in values {
--- a/src/settings/deployment/mod.rs
+++ b/src/settings/deployment/mod.rs
@@ -1,5 +1,5 @@
-//! A deployment's settings, from their JSON form to [`Settings`]. The gateway and the adapter to the
-//! simulator both read them here, so that they decide by the same values.
+//! Converts a deployment's settings from their JSON form to [`Settings`]. The gateway and the simulator's
+//! adapter both use this code, so that they decide by the same values.
 
 mod classes;
 mod error;
@@ -15,34 +15,34 @@
 use crate::{ListRole, Settings, StaleReadPolicy, Time};
 
 impl DeploymentSettings {
-    /// This gateway's number among the gateways, from 0, if the settings name it.
+    /// This gateway's number among the gateways, counted from 0, if the settings specify it.
     pub fn gateway_number(&self) -> Option<usize> {
         self.my_number
     }
 
-    /// The time that reported positions are counted from (microseconds of Unix time); 0 where they are Unix
+    /// The time from which reported positions are counted (Unix time, microseconds); 0 if they are Unix
     /// times.
     pub fn position_origin(&self) -> Time {
         self.family_info.origin_time_us
     }
 
-    /// Whether session reads must see the writes that this gateway has answered. Otherwise clients name the
-    /// commit that a read must see.
+    /// Whether session reads must see the writes that this gateway has answered. Otherwise the client
+    /// specifies the commit that a read must see.
     pub fn tracks_sessions(&self) -> bool {
         self.family_info.session_marks == "kept"
     }
 
-    /// Whether hosts report their position with each answer.
+    /// Whether hosts report their replication position with each answer.
     pub fn hosts_report_positions(&self) -> bool {
         self.family_info.stamps
     }
 
-    /// Whether hosts that lag too far behind for a read reject it.
+    /// Whether a host rejects or delays a read if its position is too old for it.
     pub fn hosts_enforce_positions(&self) -> bool {
         self.family_info.when_behind != "off"
     }
 
-    /// Names of the values of a load report, in their order.
+    /// Names of the values in a load report, in order.
     pub fn report_names(&self) -> &[String] {
         &self.reporting.names
     }
@@ -57,11 +57,11 @@
         self.bounds.conn_idle_us
     }
 
-    /// The settings in the form of the routing decisions.
+    /// Converts the settings to the router's.
     ///
     /// # Errors
     ///
-    /// Fails if a value is missing or unknown. Ranges are checked by [`Settings::check`].
+    /// Fails if a value is missing or unknown. [`Settings::check`] checks the ranges.
     pub fn settings(&self) -> Result<Settings, DeploymentError> {
         let (bounds, obligations) = (&self.bounds, &self.obligations);
         Ok(Settings {
@@ -89,7 +89,7 @@
             list_role: list_role(&self.family_info),
             read_wait_bound: 0,
             discovery_interval_factor: 1,
-            // The caller knows which clock it gives to the decisions.
+            // Set by the caller, which knows the clock that the router uses.
             clock_may_be_wrong: false,
             crossing_price: self.penalties.cross_zone,
             probe_price: self.penalties.probe,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,9 @@
-//! Settings that decide what the gateway does: the deployment's, in the platform's JSON, and the operator's,
-//! in a file of typed records.
+//! The gateway's settings: the deployment's, in the platform's JSON, and the operator's, in a file of typed
+//! records.
 //!
-//! Both are checked once, when they are read; an unusable value ends in one sentence for the operator. Owns
-//! nothing: the values belong to the [configuration](crate::control::config). Imports no other folder.
+//! Both are validated once, when they are read; an invalid value is reported to the operator in one sentence.
+//! Keeps no state: the values are owned by the [configuration](crate::control::config). Imports no other
+//! folder.
 
 pub mod deployment;
 pub mod operator;
--- a/src/settings/operator/mod.rs
+++ b/src/settings/operator/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's file: typed records that enable features beside the platform's settings. Without the file,
-//! none is enabled.
+//! The operator's file: typed records that enable features in addition to the platform's settings. Without
+//! the file, none of them is enabled.
 
 mod ownership_record;
 mod sessions_record;
@@ -12,30 +12,30 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the operator's file is unusable. The messages are shown to operators.
+/// Why the operator's file cannot be used. The messages are shown to operators.
 #[derive(Debug, Error)]
 pub enum OperatorError {
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The path, as in the environment.
+        /// The path, as set in the environment.
         path: String,
         /// The failed system call.
         source: io::Error,
     },
-    /// A record or field of the file is wrong.
+    /// A record or field of the file is invalid.
     #[error(transparent)]
     Invalid(#[from] RecordError),
 }
 
-/// What the operator's file enables.
+/// The contents of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
     /// Sessions across gateways.
     pub sessions: Option<SessionsRecord>,
     /// Leadership roles of the fleet.
     pub ownership: Option<OwnershipRecord>,
-    /// Added to the system's clock (microseconds), on a machine whose clock is known to be late.
+    /// Added to the system clock's time (microseconds), for a machine whose clock is known to be slow.
     pub clock_shift: Time,
 }
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Fails at the first invalid record, with its place and the reason.
+    /// Fails at the first invalid record, with its location in the file and the reason.
     pub fn parse(file_name: &str, text: &str) -> Result<OperatorConfig, RecordError> {
         let mut file = Record::read(file_name, text)?;
         let sessions = file.record("sessions")?.map(SessionsRecord::parse).transpose()?;
--- a/src/settings/operator/ownership_record.rs
+++ b/src/settings/operator/ownership_record.rs
@@ -1,38 +1,39 @@
-//! The record `ownership` of the operator's file.
+//! The record `ownership` of the operator's file, which enables leadership roles.
 
 use petrelgauge_config_language::{Record, RecordError};
 use petrelgauge_ownership::{Settings, SettingsError, MAX_SHARDS};
 
-/// Values of `duties`: primary discovery, quota lending.
+/// Values of `duties`: primary discovery and quota lending.
 const ROLES: [&str; 2] = ["scout", "shares"];
-/// Acceptors where the record gives no number.
+/// Number of acceptors if the record specifies none.
 const DEFAULT_ACCEPTORS: u64 = 3;
-/// Largest number of acceptors that is checked; every number above the limit is rejected alike.
+/// Numbers of acceptors are capped here before the check, which rejects every number above its limit, so
+/// that a huge number builds no huge list.
 const MAX_CHECKED_ACCEPTORS: usize = 1000;
 
 /// The record `ownership`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnershipRecord {
-    /// Number of acceptors, which are spread over the configuration's peers.
+    /// Number of acceptors, which are spread evenly over the configured gateways.
     pub acceptors: usize,
-    /// Durations of the leases, without the gateways and acceptors.
+    /// Lease settings, without the gateways and acceptors.
     pub lease_settings: Settings,
-    /// Secret of the fleet, the same at all gateways.
+    /// Secret shared by all gateways.
     pub secret: u64,
     /// Whether acceptors are candidates for primary discovery.
     pub primary_discovery: bool,
-    /// Number of shards of each role; each shard can have another leader.
+    /// Number of shards of each role; each shard may have a different leader.
     pub shards: u16,
     /// Whether this gateway lends and borrows quota, and acceptors are candidates for quota lending.
     pub quota_lending: bool,
 }
 
 impl OwnershipRecord {
-    /// The lease settings of the gateway with number `self_id` among `gateways`.
+    /// The lease settings of the gateway with number `self_id` out of `gateways`.
     ///
     /// # Errors
     ///
-    /// Fails if the durations or the acceptors are unusable with so many gateways.
+    /// Fails if the durations or the number of acceptors are invalid for this number of gateways.
     pub fn settings(&self, self_id: usize, gateways: usize) -> Result<Settings, SettingsError> {
         let count = self.acceptors.min(gateways);
         let settings = Settings {
@@ -52,15 +53,16 @@
         let lease_settings = parse_lease_settings(&mut record, acceptors)?;
         let shards = record.unsigned("shards")?.unwrap_or(1);
         if !(1..=u64::from(MAX_SHARDS)).contains(&shards) {
-            return Err(record.error(format!("ownership: shards are from 1 to {MAX_SHARDS}")));
+            return Err(record.error(format!("ownership: shards must be from 1 to {MAX_SHARDS}")));
         }
         let roles = record.strings("duties")?.unwrap_or_else(|| vec!["scout".into()]);
         if let Some(other) = roles.iter().find(|name| !ROLES.contains(&name.as_str())) {
-            return Err(record.error(format!("duties are \"scout\" and \"shares\", not {other:?}")));
+            return Err(record.error(format!("duties must be \"scout\" or \"shares\", not {other:?}")));
         }
         let [primary_discovery, quota_lending] = ROLES.map(|role| roles.iter().any(|name| name == role));
         if quota_lending && !lease_settings.loans_outlast_grants() {
-            return Err(record.error("ownership: shares need a lower drift, or a lease of more delays"));
+            return Err(record
+                .error("ownership: shares require a lower drift_percent, or a longer lease for this delay"));
         }
         record.end()?;
         let shards = shards as u16;
@@ -71,12 +73,12 @@
 fn parse_secret(record: &mut Record) -> Result<u64, RecordError> {
     let text = record.string("secret")?.unwrap_or_default();
     u64::from_str_radix(&text, 16).map_err(|_| {
-        record.error("ownership: a secret of up to 16 hexadecimal digits, the same at all gateways")
+        record.error("ownership: secret must be 1 to 16 hexadecimal digits, the same at all gateways")
     })
 }
 
-/// Parses the durations, and checks them with as many gateways as acceptors: the number of gateways is not
-/// known here, but an error can name the place in the file.
+/// Parses the durations, and checks them as if there were as many gateways as acceptors: the number of
+/// gateways is not known yet, but an error reported here has a location in the file.
 fn parse_lease_settings(record: &mut Record, acceptors: usize) -> Result<Settings, RecordError> {
     let base = Settings::default();
     let drift_bound =
--- a/src/settings/operator/sessions_record.rs
+++ b/src/settings/operator/sessions_record.rs
@@ -1,4 +1,4 @@
-//! The record `sessions` of the operator's file.
+//! The record `sessions` of the operator's file, which enables sessions across gateways.
 
 use crate::{Class, Need};
 use petrelgauge_config_language::{Record, RecordError};
@@ -7,23 +7,23 @@
 
 /// Values of `sources`, in the order of [`SessionSources`]' fields.
 const SOURCES: [&str; 2] = ["token", "peers"];
-/// Values of `promise`.
+/// Values of `promise`, and the guarantee that each selects.
 const PROMISES: [(&str, SessionGuarantee); 2] = [
     ("writes", SessionGuarantee::ReadYourWrites),
     ("writes-and-reads", SessionGuarantee::ReadYourWritesAndMonotonicReads),
 ];
-/// Values of `positions`.
+/// Values of `positions`, and the scope that each selects.
 const POSITION_SCOPES: [(&str, PositionScope); 2] =
     [("read", PositionScope::DataRead), ("answer", PositionScope::HostAtAnswer)];
 
-/// Why sessions cannot be tracked for the classes that the record names.
+/// Why sessions cannot be tracked for the classes in the record.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SessionClassesError {
     /// The deployment has no class of this name.
     #[error("sessions: classes: the deployment has no class {0:?}")]
     UnknownClass(String),
-    /// All classes read, or all write, so that sessions have no effect.
-    #[error("sessions: classes: at least one class that writes and one that reads")]
+    /// The classes all read or all write, so sessions would have no effect.
+    #[error("sessions: classes must include at least one class that writes and one that reads")]
     ReadsAndWritesNeeded,
 }
 
@@ -34,11 +34,11 @@
     pub classes: Vec<String>,
     /// Whether watermarks are exchanged with the other gateways.
     pub peers: bool,
-    /// Settings of the session tracker, without the number of this gateway and of all gateways.
+    /// Settings of the session tracker, without this gateway's number and the number of gateways.
     pub settings: Settings,
 }
 
-/// Where a gateway learns the watermark of a session from.
+/// The sources from which a gateway learns a session's watermark.
 struct SessionSources {
     tokens: bool,
     peers: bool,
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the deployment lacks one of the classes, or unless at least one reads and one writes.
+    /// Fails if the deployment has no class of one of the names, or if the classes all read or all write.
     pub fn class_indices(&self, classes: &[Class]) -> Result<Vec<usize>, SessionClassesError> {
         let index_of = |name: &String| {
             let index = classes.iter().position(|class| class.name == *name);
@@ -67,7 +67,7 @@
     pub(super) fn parse(mut record: Record) -> Result<SessionsRecord, RecordError> {
         let classes = record.strings("classes")?.unwrap_or_default();
         if classes.is_empty() {
-            return Err(record.error("sessions: classes names the classes that carry sessions"));
+            return Err(record.error("sessions: classes must name the classes that carry sessions"));
         }
         let sources = parse_sources(&mut record)?;
         let guarantee = parse_choice(&mut record, "promise", PROMISES)?;
@@ -99,13 +99,13 @@
 fn parse_sources(record: &mut Record) -> Result<SessionSources, RecordError> {
     let names = record.strings("sources")?.unwrap_or_else(|| vec!["token".into()]);
     if let Some(other) = names.iter().find(|name| !SOURCES.contains(&name.as_str())) {
-        return Err(record.error(format!("sources are \"token\" and \"peers\", not {other:?}")));
+        return Err(record.error(format!("sources must be \"token\" or \"peers\", not {other:?}")));
     }
     let [tokens, peers] = SOURCES.map(|source| names.iter().any(|name| name == source));
     Ok(SessionSources { tokens, peers })
 }
 
-/// Parses a field whose value is one of a few names.
+/// Parses a field whose value is one of two names.
 fn parse_choice<T: Copy>(
     record: &mut Record,
     field: &str,
@@ -117,8 +117,8 @@
 
 fn parse_secret(record: &mut Record) -> Result<u64, RecordError> {
     let Some(text) = record.string("secret")? else {
-        return Err(record.error("sessions: a secret is needed, the same at all instances"));
+        return Err(record.error("sessions: secret is missing; it must be the same at all gateways"));
     };
     let secret = u64::from_str_radix(&text, 16);
-    secret.map_err(|_| record.error("secret is up to 16 hexadecimal digits"))
+    secret.map_err(|_| record.error("secret must be 1 to 16 hexadecimal digits"))
 }
