--- a/src/bin/petrelgauge-simulator-adapter.rs
+++ b/src/bin/petrelgauge-simulator-adapter.rs
@@ -1,6 +1,6 @@
-//! Adapter to the simulator: reads batches of events as JSON lines and answers each with a line of actions.
-//! One process runs the routers of many gateway instances. It only translates; all decisions are made by the
-//! library.
+//! Adapter for the simulator: reads batches of events as JSON lines and replies to each with a line of
+//! actions. One process runs the routers of many gateway instances. The adapter only translates; the library
+//! makes all decisions.
 #![forbid(unsafe_code)]
 
 #[path = "petrelgauge-simulator-adapter/adapter.rs"]
@@ -18,7 +18,7 @@
 use error::AdapterError;
 use std::io::{BufRead, Write};
 
-/// Exit code if a reply cannot be written because the simulator has ended.
+/// Exit code if a reply cannot be written, usually because the simulator has ended.
 const OUTPUT_CLOSED: i32 = 1;
 /// Exit code if a line cannot be read or is invalid.
 const INVALID_INPUT: i32 = 2;
--- a/src/bin/petrelgauge-simulator-adapter/adapter.rs
+++ b/src/bin/petrelgauge-simulator-adapter/adapter.rs
@@ -1,4 +1,4 @@
-//! All instances of the process: dispatches batches of events to them and collects their actions.
+//! Dispatches batches of events to the process's gateway instances and collects their actions.
 
 use crate::error::{AdapterError, EventError};
 use crate::instance::Instance;
@@ -8,23 +8,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// All instances of this process.
+/// The gateway instances of this process and the endpoint lists they share.
 #[derive(Default)]
 pub struct Adapter {
-    /// Endpoint lists by slot. All instances share them.
+    /// Endpoint lists by slot, shared by all instances.
     lists: BTreeMap<u64, Arc<[Entry]>>,
-    /// By number.
+    /// The instances by their number.
     instances: BTreeMap<u64, Instance>,
 }
 
 impl Adapter {
-    /// Handles one line of events and returns the line of actions that answers it.
+    /// Handles one line of events and returns the line of actions to reply with.
     ///
     /// # Errors
     ///
-    /// Fails if the line is not a batch or contains an invalid event.
+    /// Fails if the line is not a valid batch or contains an invalid event.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, AdapterError> {
-        let batch: Batch = serde_json::from_slice(line).map_err(AdapterError::NotABatch)?;
+        let batch: Batch = serde_json::from_slice(line).map_err(AdapterError::InvalidBatch)?;
         let now = batch.now;
         let mut groups = Vec::new();
         for group in batch.groups {
@@ -42,8 +42,8 @@
         Ok(json!({ "groups": groups }).to_string())
     }
 
-    /// Translates the events of one instance. Those that define lists or start or end the instance are
-    /// applied at once.
+    /// Translates the events of one instance. Events that define a list, or start or end the instance, are
+    /// applied immediately.
     fn translate(
         &mut self,
         now: Time,
--- a/src/bin/petrelgauge-simulator-adapter/error.rs
+++ b/src/bin/petrelgauge-simulator-adapter/error.rs
@@ -1,18 +1,18 @@
-//! Errors of the simulator's input.
+//! Errors in the simulator's input.
 
 use petrelgauge::settings::deployment::DeploymentError;
 use petrelgauge::SettingsError;
 use thiserror::Error;
 
-/// Why a line was not answered.
+/// Why a line of input was not answered.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
     #[error("cannot read standard input: {0}")]
     Input(std::io::Error),
-    /// The line is not a batch of events.
+    /// The line is not a valid batch of events.
     #[error("not a batch: {0}")]
-    NotABatch(serde_json::Error),
+    InvalidBatch(serde_json::Error),
     /// An event of an instance is invalid.
     #[error("instance {instance}: {cause}")]
     Event {
@@ -36,18 +36,18 @@
     #[error("info: {0}")]
     Settings(#[from] SettingsError),
     /// No endpoint list is defined in this slot.
-    #[error("slot: no Page {0} was defined")]
+    #[error("slot: no Page defines {0}")]
     UnknownSlot(u64),
-    /// Unknown kind of list delivery.
+    /// The kind of list delivery is unknown.
     #[error("mode: unknown value {0:?}")]
     UnknownMode(String),
-    /// The settings contain no class of this name.
+    /// The settings define no class with this name.
     #[error("service: unknown class {0:?}")]
     UnknownClass(String),
-    /// Unknown status of a member.
+    /// The status of a member is unknown.
     #[error("stage_state: unknown value {0:?}")]
     UnknownMemberStatus(String),
-    /// Unknown outcome of an attempt.
+    /// The outcome of an attempt or health check is unknown.
     #[error("status: unknown outcome {0:?}")]
     UnknownEnding(String),
 }
--- a/src/bin/petrelgauge-simulator-adapter/instance.rs
+++ b/src/bin/petrelgauge-simulator-adapter/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway instance: its router, and the translation of its events.
+//! A simulated gateway instance: its router and the translation of its events.
 
 use crate::error::EventError;
 use crate::sessions::Sessions;
@@ -10,22 +10,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// One simulated gateway instance.
+/// A simulated gateway instance.
 pub struct Instance {
     router: Router,
-    /// Indices of the classes, by name.
+    /// Class indices by class name.
     class_indices: BTreeMap<String, usize>,
-    /// What data the classes need, by index.
+    /// Consistency needs of the classes, by class index.
     needs: Vec<Need>,
-    /// The clock time from which positions are counted.
+    /// The clock time from which replication positions are counted.
     position_origin: Time,
-    /// Names of the values in a load report, in order.
+    /// Names of the values in load reports, in order.
     report_names: Vec<String>,
     sessions: Option<Sessions>,
 }
 
 impl Instance {
-    /// Creates an instance with the settings of its deployment.
+    /// Creates an instance from the settings of its deployment.
     ///
     /// # Errors
     ///
@@ -52,7 +52,7 @@
         actions
     }
 
-    /// Translates an event of the simulator; `None` if it does not concern the router.
+    /// Translates an event of the simulator. Returns `None` if the router does not handle it.
     ///
     /// # Errors
     ///
@@ -99,8 +99,8 @@
         }))
     }
 
-    /// The commit that a read must include: its session's last write through this instance, or else the
-    /// commit that the client names.
+    /// The minimum position of a session read: that of the session's last write through this instance, or
+    /// else of the commit that the client specifies.
     fn minimum_position(
         &mut self,
         now: Time,
@@ -113,8 +113,8 @@
             (Some(sessions), Some(name)) => sessions.begin_request(now, &message.request, need, group, name),
             _ => None,
         };
-        let named_age = message.commit_age().filter(|_| need == Need::Session);
-        tracked.or(named_age.map(|age| now - age))
+        let commit_age = message.commit_age().filter(|_| need == Need::Session);
+        tracked.or(commit_age.map(|age| now - age))
     }
 
     fn outcome_event(&mut self, now: Time, message: OutcomeMessage) -> Result<Event, EventError> {
@@ -147,8 +147,8 @@
     }
 }
 
-/// Translates a delivery of the endpoint list; `None` for a failed one, after which the last list stays in
-/// force.
+/// Translates a delivery of the endpoint list. Returns `None` for a failed delivery, after which the previous
+/// list remains in use.
 fn list_event(
     mode: &str,
     slot: u64,
--- a/src/bin/petrelgauge-simulator-adapter/sessions.rs
+++ b/src/bin/petrelgauge-simulator-adapter/sessions.rs
@@ -1,20 +1,20 @@
-//! Session consistency of one instance, for deployments in which gateways remember their clients' writes.
+//! Session consistency of an instance, for deployments in which gateways track their clients' writes.
 
 use petrelgauge::settings::deployment::DeploymentSettings;
 use petrelgauge::{GroupId, Need, RequestId, Time};
 use petrelgauge_sessions::{SessionKey, SessionTracker};
 use std::collections::BTreeMap;
 
-/// The watermarks of one instance's own answers since its start.
+/// Tracks session watermarks from the answers of one instance since its start.
 pub struct Sessions {
     tracker: SessionTracker,
-    /// The sessions of writes in flight.
+    /// Session keys of the writes in flight.
     open_writes: BTreeMap<RequestId, SessionKey>,
 }
 
 impl Sessions {
-    /// Creates the state of sessions; `None` if the deployment has no class for them, or if clients name
-    /// commits themselves.
+    /// Creates the session state. Returns `None` if the deployment has no class with session consistency, or
+    /// if clients specify the commits that reads must see.
     pub fn new(info: &DeploymentSettings, needs: &[Need]) -> Option<Sessions> {
         if !info.tracks_sessions() || !needs.contains(&Need::Session) {
             return None;
@@ -24,7 +24,7 @@
         Some(Sessions { tracker, open_writes: BTreeMap::new() })
     }
 
-    /// Records the start of a request. Returns its minimum position if it must read its session's writes.
+    /// Records the start of a request. Returns the minimum position if the request is a session read.
     pub fn begin_request(
         &mut self,
         now: Time,
@@ -40,7 +40,7 @@
         (need == Need::Session).then(|| self.tracker.begin_read(now, key, None).position())
     }
 
-    /// Records that a write was served with this commit. Other requests are ignored.
+    /// Records the commit position of a served write. Requests that are not writes are ignored.
     pub fn record_commit(&mut self, now: Time, request: &RequestId, commit: Time) {
         if let Some(key) = self.open_writes.get(request) {
             self.tracker.record_write(now, *key, 0, Some(commit));
--- a/src/bin/petrelgauge-simulator-adapter/wire.rs
+++ b/src/bin/petrelgauge-simulator-adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's JSON messages, and the translation of their codes and actions.
+//! The simulator's JSON messages, and their translation to and from the router's types.
 
 use crate::error::EventError;
 use petrelgauge::settings::deployment::DeploymentSettings;
@@ -9,11 +9,11 @@
 
 /// Flag of a request that its client has marked as a retry.
 const RETRY_FLAG: u64 = 2;
-/// Lowest bits of a stamp, which hold the role. The others hold the position.
+/// Number of low-order bits of a stamp that hold the role. The other bits hold the position.
 const ROLE_BITS: u32 = 2;
 const MICROSECONDS_PER_MILLISECOND: Time = 1_000;
 
-/// One line of input: the events of all instances at one time.
+/// One line of input: the events of all instances at one point in time.
 #[derive(Deserialize)]
 pub struct Batch {
     /// Clock time (microseconds).
@@ -51,7 +51,7 @@
         #[serde(rename = "rows_in")]
         rows: Vec<Row>,
     },
-    /// Delivers a defined list, or changes to the last one.
+    /// Delivers a defined list, which is complete or holds changes to the previous one.
     #[serde(rename = "Membership")]
     List {
         mode: String,
@@ -99,23 +99,23 @@
     flags: u64,
     #[serde(default, rename = "group_no")]
     pub group: f64,
-    /// Age of the commit that its client names (milliseconds); 0 for none.
+    /// Age of the commit that the read must see, as specified by the client (milliseconds); 0 for none.
     #[serde(default, rename = "token_ms")]
     commit_age_ms: f64,
     #[serde(default)]
     pub session: Option<Arc<str>>,
-    /// Name of its class.
+    /// Name of the request's class.
     #[serde(rename = "service")]
     pub class: String,
 }
 
 impl RequestMessage {
-    /// Whether the client has marked it as a retry.
+    /// Whether the client has marked the request as a retry.
     pub fn is_marked_retry(&self) -> bool {
         self.flags & RETRY_FLAG != 0
     }
 
-    /// Age of the commit that its client names (microseconds).
+    /// Age of the commit that the client specifies (microseconds), if any.
     pub fn commit_age(&self) -> Option<Time> {
         (self.commit_age_ms > 0.0).then_some((self.commit_age_ms * 1e3) as Time)
     }
@@ -126,7 +126,7 @@
 pub struct OutcomeMessage {
     #[serde(rename = "txn")]
     pub request: RequestId,
-    /// Whether the request has ended with it.
+    /// Whether the request ends with this attempt.
     #[serde(default, rename = "no_more")]
     pub is_final: bool,
     #[serde(rename = "node")]
@@ -143,13 +143,13 @@
     pub report: Option<Vec<f64>>,
 }
 
-/// Position and role of the member that answered, packed into one number; 0 if both are unknown.
+/// Replication position and role of the member that answered, packed into one number; 0 if both are unknown.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(transparent)]
 pub struct Stamp(u64);
 
 impl Stamp {
-    /// The member's position, as a clock time.
+    /// The member's replication position, as a clock time.
     pub fn position(self, origin: Time) -> Option<Time> {
         let milliseconds = self.0 >> ROLE_BITS;
         let since_origin = (milliseconds as Time).saturating_mul(MICROSECONDS_PER_MILLISECOND);
@@ -190,7 +190,7 @@
 }
 
 impl Row {
-    /// Translates the entry for the router.
+    /// Translates the entry into the router's type.
     ///
     /// # Errors
     ///
@@ -214,7 +214,7 @@
     }
 }
 
-/// Translates the outcome of an attempt or a health check.
+/// Translates the code for the outcome of an attempt or health check.
 ///
 /// # Errors
 ///
@@ -234,7 +234,7 @@
     })
 }
 
-/// Translates an action for the simulator.
+/// Translates an action of the router into the simulator's JSON.
 pub fn action_to_json(action: &Action) -> Value {
     match action {
         Action::Send { request, member, until } => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! petrelgauge is a gateway between PostgreSQL clients and replicated groups of database hosts: it routes
 //! each read and write to a member of the right group.
 //!
-//! Which member gets a request is decided in the crate `petrelgauge-policy`, whose items are re-exported
-//! here. The modules below serve clients with these decisions, a folder for each concern. The [`facade`]
-//! stands between them and the decisions and knows no protocol. Imports between folders run one way; the page
-//! of each folder says what it does, what it owns and what it may import.
+//! The crate `petrelgauge-policy` decides which member gets a request; its items are re-exported here. The
+//! modules below do the input and output, with a folder for each concern. They access the decisions through
+//! the [`facade`], which is independent of any protocol. Imports between folders run one way; the
+//! documentation of each folder says what it does, what it owns and what it may import.
 
 pub mod client;
 pub mod control;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway program. The README says what it is for, docs/ARCHITECTURE.md how it works.
+//! The gateway program. README.md describes its purpose, docs/ARCHITECTURE.md its design.
 #![forbid(unsafe_code)]
 
 mod process;
@@ -9,7 +9,7 @@
 use process::error::GatewayError;
 use std::process::ExitCode;
 
-/// Exit code of a gateway that cannot start or has ended by itself.
+/// Exit code of a gateway that cannot start or has ended because of an error.
 const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -27,7 +27,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(GatewayError::Runtime)?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        // Before anything else: a signal without a handler kills the process.
+        // Before anything else: a signal without a handler terminates the process.
         let signals = Signals::listen()?;
         let variable = |name: &str| std::env::var(name).ok();
         let config = Config::read(variable)?;
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why the gateway cannot start, why it has ended by itself, and why a reload fails.
+//! Errors that prevent the gateway from starting, end it while it runs, or reject a reload.
 
 use petrelgauge::control::config::ConfigError;
 use petrelgauge::control::ControlError;
@@ -22,7 +22,7 @@
     /// The configuration cannot be read or used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The clients' socket that the platform holds cannot be inherited.
+    /// The clients' listening socket cannot be inherited from the platform.
     #[error(transparent)]
     InheritedSocket(#[from] InheritedSocketError),
     /// The control plane cannot start.
@@ -39,21 +39,21 @@
     ListenForOperators {
         /// The address.
         address: SocketAddr,
-        /// The failed system call.
+        /// Why it cannot be bound.
         source: SocketError,
     },
-    /// A task that must run as long as the gateway has ended.
-    #[error("a task ended: {0:?}")]
+    /// A task that must run for the lifetime of the gateway has ended.
+    #[error("a background task ended unexpectedly: {0:?}")]
     TaskEnded(Result<(), JoinError>),
 }
 
 /// Why a reloaded configuration is rejected. The message is logged.
 #[derive(Debug, Error)]
 pub enum ReloadError {
-    /// It cannot be read or used.
+    /// The configuration cannot be read or used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The running gateway cannot change to it.
+    /// The running gateway cannot switch to the configuration.
     #[error(transparent)]
     Control(#[from] ControlError),
 }
--- a/src/process/gateway.rs
+++ b/src/process/gateway.rs
@@ -1,4 +1,4 @@
-//! The event loop of a running gateway: handles signals and operators' commands, and steps the lifecycle.
+//! The event loop of a running gateway: handles signals and operators' commands, and advances the lifecycle.
 
 use crate::process::error::{GatewayError, ReloadError};
 use petrelgauge::client::context::ClientContext;
@@ -19,52 +19,52 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Time between two checks for open sessions and attempts while the gateway closes (microseconds).
+/// Interval between checks for open sessions and attempts while the gateway is closing (microseconds).
 const CLOSING_POLL_INTERVAL: Time = 10_000;
 
 /// A gateway whose tasks are running. `S` is the socket for datagrams between gateways.
 pub struct GatewayProcess<S> {
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Config,
-    /// Clock of the lifecycle.
+    /// Clock for the lifecycle's timeouts.
     pub clock: Clock,
-    /// Decisions, hosts, discovery and the gateway's part in the fleet.
+    /// Routing decisions, hosts, discovery and communication with the other gateways.
     pub control: ControlPlane<S>,
-    /// Counters that operators see.
+    /// Counters reported to operators.
     pub counters: Rc<Counters>,
-    /// What the client sessions share.
+    /// State shared by all client sessions.
     pub client_context: Rc<ClientContext>,
-    /// Exchange with sibling processes, where the platform holds the clients' socket.
+    /// State exchange with sibling processes, if the clients' socket is inherited from the platform.
     pub handover: Option<Rc<HandoverExchange>>,
     /// Clock time from which the configuration's endpoint list is accepted, if discovery has sent none
     /// (microseconds).
     pub initial_list_deadline: Time,
-    /// Limits of the gateway, which sibling processes share.
+    /// Limits of the gateway, which its processes share during a handover.
     pub limits: Rc<Cell<Reservation>>,
-    /// The state of the gateway between start and end.
+    /// The lifecycle of the gateway, from start to end.
     pub lifecycle: Gateway,
     /// Channels between the event loop and the tasks.
     pub channels: Channels,
-    /// Signals to the process.
+    /// Signals received by the process.
     pub signals: Signals,
-    /// The tasks, none of which ends by itself.
+    /// The background tasks. None of them ends while the gateway is serving.
     pub tasks: JoinSet<()>,
 }
 
 /// Channels between the event loop and the tasks.
 pub struct Channels {
-    /// Notifies the client sessions how to treat clients.
+    /// Notifies the client sessions of changes of the serving state.
     pub serving_state: watch::Sender<ServingState>,
-    /// Notifies the discovery watch which address to use.
+    /// Notifies the discovery watch of changes of its address.
     pub discovery_address: watch::Sender<SocketAddr>,
-    /// Commands of operators.
+    /// Operators' commands.
     pub commands: mpsc::Receiver<CommandRequest>,
-    /// Keeps the channel of commands open where no address for operators is configured.
+    /// Keeps the command channel open if no address for operators is configured.
     pub _command_sender: mpsc::Sender<CommandRequest>,
 }
 
-/// What the event loop handles next.
-enum Wakeup {
+/// The next event for the event loop.
+enum LoopEvent {
     Signal(Signal),
     Command(CommandRequest),
     Lifecycle(Event),
@@ -75,14 +75,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if a task ends, because the gateway would go on without serving anyone.
+    /// Fails if a task ends, because the gateway would keep running without serving clients.
     pub async fn run(mut self) -> Result<(), GatewayError> {
         loop {
             self.publish_serving_state();
-            match self.next_wakeup().await? {
-                Wakeup::Signal(signal) => self.handle_signal(signal),
-                Wakeup::Command(command) => self.execute(command),
-                Wakeup::Lifecycle(event) => {
+            match self.next_event().await? {
+                LoopEvent::Signal(signal) => self.handle_signal(signal),
+                LoopEvent::Command(command) => self.execute(command),
+                LoopEvent::Lifecycle(event) => {
                     if self.lifecycle.on(self.clock.now(), event) == Action::End {
                         break;
                     }
@@ -101,21 +101,21 @@
         self.channels.serving_state.send_if_modified(|state| std::mem::replace(state, new) != new);
     }
 
-    async fn next_wakeup(&mut self) -> Result<Wakeup, GatewayError> {
+    async fn next_event(&mut self) -> Result<LoopEvent, GatewayError> {
         let clock = self.clock;
         let timeout_at = self.lifecycle.timeout_at();
         let is_serving = self.lifecycle.state() == GatewayState::Serving;
         let is_closing = self.lifecycle.state() == GatewayState::Closing;
         tokio::select! {
-            signal = self.signals.next() => Ok(Wakeup::Signal(signal)),
-            Some(command) = self.channels.commands.recv() => Ok(Wakeup::Command(command)),
+            signal = self.signals.next() => Ok(LoopEvent::Signal(signal)),
+            Some(command) = self.channels.commands.recv() => Ok(LoopEvent::Command(command)),
             () = clock.sleep_until(timeout_at.unwrap_or_default()), if timeout_at.is_some() => {
-                Ok(Wakeup::Lifecycle(Event::Timeout))
+                Ok(LoopEvent::Lifecycle(Event::Timeout))
             }
             () = clock.sleep_until(clock.now() + CLOSING_POLL_INTERVAL), if is_closing => {
                 let clients = self.client_context.open_sessions.get();
                 let attempts = self.control.host_pool.open_attempts();
-                Ok(Wakeup::Lifecycle(Event::Remaining { clients, attempts }))
+                Ok(LoopEvent::Lifecycle(Event::Remaining { clients, attempts }))
             }
             Some(ended) = self.tasks.join_next(), if is_serving => {
                 Err(GatewayError::TaskEnded(ended))
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Reads the configuration again and applies it. An unusable one changes nothing.
+    /// Rereads the configuration and applies it. An invalid one is rejected without any change.
     fn reload(&mut self) {
         let new = self.config.reread(|name| std::env::var(name).ok());
         let event = Event::Reload { usable: new.is_ok() };
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    /// Version of the settings in force; each reload increments it.
+    /// Version of the active settings; each reload increments it.
     fn settings_version(&self) -> u64 {
         self.control.facade.read(|table| table.settings_version())
     }
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,13 +1,13 @@
-//! The gateway process: startup, event loop, shutdown.
+//! The gateway process: startup, event loop and shutdown.
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `startup` | builds the parts of the gateway, opens its sockets and starts its tasks |
+//! | `startup` | builds the gateway's components, opens its sockets and starts its tasks |
 //! | `gateway` | the event loop: signals, operators' commands, lifecycle |
-//! | `error` | the errors that end the program, or reject a reload |
+//! | `error` | the errors that end the program or reject a reload |
 //!
-//! Owns the configuration in force and the lifecycle's state. Part of the program, not of the library; may
-//! import every folder of the library. No folder imports it.
+//! Owns the active configuration and the lifecycle state. It is part of the program, not of the library: it
+//! may import every folder of the library, and none of them imports it.
 
 pub mod error;
 pub mod gateway;
--- a/src/process/startup.rs
+++ b/src/process/startup.rs
@@ -1,4 +1,4 @@
-//! Builds a gateway from its configuration and starts its tasks.
+//! Builds a gateway from its configuration, opens its sockets and starts its tasks.
 
 use crate::process::error::GatewayError;
 use crate::process::gateway::{Channels, GatewayProcess};
@@ -30,29 +30,29 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Time after the start for which the configuration's endpoint list counts as outdated, unless discovery
-/// sends one (microseconds).
+/// Time after the start for which the gateway waits for an endpoint list from discovery before it accepts the
+/// configuration's (microseconds).
 const INITIAL_LIST_TIMEOUT: Time = 1_500_000;
-/// Time between two checks whether hosts are known (microseconds).
+/// Interval between checks whether hosts are known (microseconds).
 const HOSTS_POLL_INTERVAL: Time = 10_000;
-/// Attempts to listen at startup while the machine lacks descriptors or memory (count).
+/// Maximum number of attempts to listen at startup while the machine lacks descriptors or memory.
 const LISTEN_ATTEMPTS: u32 = 500;
 
-/// What the parts of a gateway have in common.
-struct SharedParts {
+/// State shared by the components of a gateway.
+struct SharedState {
     clock: Clock,
     facade: Facade,
     budget: Rc<Budget>,
     read_buffer: Rc<ReadBuffer>,
     counters: Rc<Counters>,
-    /// Limits of the gateway, which sibling processes share.
+    /// Limits of the gateway, which its processes share during a handover.
     limits: Rc<Cell<Reservation>>,
 }
 
 /// The socket that clients connect to.
 struct ClientListener {
     socket: TcpListener,
-    /// Whether a sibling process may accept from it, too.
+    /// Whether a sibling process may also accept connections from it.
     sharing: ListenerSharing,
     has_received_list: Rc<Cell<bool>>,
     /// Clock time from which the configuration's endpoint list is accepted, if discovery has sent none.
@@ -60,25 +60,26 @@
 }
 
 /// A gateway whose tasks have not been started.
-struct Parts<S> {
-    shared: SharedParts,
+struct UnstartedGateway<S> {
+    shared: SharedState,
     control: ControlPlane<S>,
     handover: Option<Rc<HandoverExchange>>,
     client_listener: ClientListener,
 }
 
-/// Builds the gateway and starts all of its tasks. `inherited` is the clients' socket, if the platform holds
-/// it.
+/// Builds the gateway and starts all of its tasks. `inherited` is the clients' listening socket, if it is
+/// inherited from the platform.
 ///
 /// # Errors
 ///
-/// Fails if the configuration is unusable or an address cannot be bound.
+/// Fails if the configuration is invalid or an address cannot be bound.
 pub async fn start(
     mut config: Config,
     inherited: Option<StdTcpListener>,
     signals: Signals,
 ) -> Result<GatewayProcess<impl DatagramSocket>, GatewayError> {
-    let Parts { shared, mut control, handover, client_listener } = build(&mut config, inherited).await?;
+    let UnstartedGateway { shared, mut control, handover, client_listener } =
+        build(&mut config, inherited).await?;
     let ClientListener { sharing, initial_list_deadline, .. } = client_listener;
     let (discovery_address, discovery_address_changes) = watch::channel(config.discovery);
     let (serving_state, serving_state_changes) = watch::channel(ServingState::Serving);
@@ -114,16 +115,16 @@
     })
 }
 
-/// Builds the parts of a gateway and opens its sockets.
+/// Builds the components of a gateway and opens its sockets.
 async fn build(
     config: &mut Config,
     inherited: Option<StdTcpListener>,
-) -> Result<Parts<impl DatagramSocket + 'static>, GatewayError> {
+) -> Result<UnstartedGateway<impl DatagramSocket + 'static>, GatewayError> {
     let clock = Clock::start().ahead(config.operator.clock_shift);
     let decisions = RoutingDecisions::new(config, clock.now())?;
-    let shared = SharedParts::new(config, clock, &decisions);
-    // Where the platform holds the clients' socket, another process of this gateway may be running or have
-    // just ended.
+    let shared = SharedState::new(config, clock, &decisions);
+    // If the clients' socket is inherited, another process of this gateway may still be running or have just
+    // ended.
     let sharing =
         if inherited.is_some() { ListenerSharing::WithSuccessor } else { ListenerSharing::Exclusive };
     let handover = inherited.is_some().then(|| Rc::new(open_handover(config)));
@@ -137,17 +138,17 @@
     let socket = listen_for_clients(inherited, config.listen).await?;
     let has_received_list = control.has_received_list.clone();
     let client_listener = ClientListener { socket, sharing, has_received_list, initial_list_deadline };
-    Ok(Parts { shared, control, handover, client_listener })
+    Ok(UnstartedGateway { shared, control, handover, client_listener })
 }
 
-impl SharedParts {
-    fn new(config: &Config, clock: Clock, decisions: &RoutingDecisions) -> SharedParts {
+impl SharedState {
+    fn new(config: &Config, clock: Clock, decisions: &RoutingDecisions) -> SharedState {
         let limits = Reservation {
             sockets: config.max_descriptors,
             memory: config.max_memory,
             open_requests: decisions.max_open_requests as usize,
         };
-        SharedParts {
+        SharedState {
             clock,
             facade: decisions.facade.clone(),
             budget: Budget::new(config.max_descriptors, config.max_memory),
@@ -157,7 +158,8 @@
         }
     }
 
-    /// What the control plane needs. `assigned_ids` are the numbers of the hosts that another process knew.
+    /// The dependencies of the control plane. `assigned_ids` holds the member ids that another process of
+    /// this gateway had assigned to hosts.
     fn dependencies(&self, assigned_ids: BTreeMap<String, MemberId>) -> Dependencies {
         let facade = self.facade.clone();
         Dependencies {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// What the client sessions share.
+    /// The state shared by all client sessions.
     fn client_context(
         &self,
         config: &Config,
@@ -212,8 +214,8 @@
         }
     }
 
-    /// Adopts what another process of this gateway has learned, if it left a usable record. Returns the
-    /// numbers that it had assigned to hosts.
+    /// Adopts the learned state of another process of this gateway, if it left a usable record. Returns the
+    /// member ids that it had assigned to hosts.
     fn inherit_learned_state(&self, exchange: &HandoverExchange) -> BTreeMap<String, MemberId> {
         let Some(InheritedRecord { record, age }) = exchange.inherit(self.clock.now()) else {
             return BTreeMap::new();
@@ -253,7 +255,8 @@
 }
 
 impl ClientListener {
-    /// Accepts clients. Beside a sibling process that may still serve, waits until hosts are known.
+    /// Accepts clients. If a sibling process may still be serving, first waits until hosts are known or the
+    /// initial list's deadline has passed.
     async fn accept(self, client_context: Rc<ClientContext>) {
         let clock = client_context.clock;
         while self.sharing == ListenerSharing::WithSuccessor && self.is_missing_hosts(&client_context) {
