--- a/crates/config-language/src/grammar.rs
+++ b/crates/config-language/src/grammar.rs
@@ -1,4 +1,4 @@
-//! The grammar: parses text into fields and values, each with its byte offset.
+//! Parser of the file grammar: turns text into fields and values, each with its byte offset.
 
 use crate::MAX_DEPTH;
 use winnow::ascii::{digit1, multispace1};
@@ -47,7 +47,7 @@
 /// Why a text cannot be parsed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SyntaxError {
-    /// Byte offset of the first character that doesn't fit.
+    /// Byte offset of the first unexpected character.
     pub offset: usize,
     /// What was expected there.
     pub reason: String,
@@ -57,17 +57,16 @@
 ///
 /// # Errors
 ///
-/// Fails with the place and the reason if the text is not in the language.
-pub fn file(text: &str) -> Result<Vec<Field>, SyntaxError> {
-    let all_fields = terminated(|input: &mut Input| fields(input, MAX_DEPTH), blank);
+/// Fails with the offset and the reason if the text is syntactically invalid.
+pub fn parse_file(text: &str) -> Result<Vec<Field>, SyntaxError> {
+    let all_fields = terminated(|input: &mut Input| fields(input, MAX_DEPTH), skip_blanks);
     let mut file = terminated(all_fields, eof.context(expected("a field")));
     file.parse(LocatingSlice::new(text)).map_err(|error| {
-        let wanted = error.inner().context().find_map(|context| match context {
+        let expectation = error.inner().context().find_map(|context| match context {
             StrContext::Expected(StrContextValue::Description(what)) => Some(*what),
             _ => None,
         });
-        let reason =
-            wanted.map_or("this is not understood".into(), |what| format!("{what} is expected here"));
+        let reason = expectation.map_or("invalid syntax".into(), |what| format!("expected {what}"));
         SyntaxError { offset: error.offset(), reason }
     })
 }
@@ -77,20 +76,20 @@
 }
 
 /// Skips white space and comments.
-fn blank(input: &mut Input) -> ModalResult<()> {
+fn skip_blanks(input: &mut Input) -> ModalResult<()> {
     let comment = ("//", take_till(0.., '\n')).void();
     repeat(0.., alt((multispace1.void(), comment))).parse_next(input)
 }
 
 fn fields(input: &mut Input, depth: usize) -> ModalResult<Vec<Field>> {
-    let one_field = terminated(|input: &mut Input| field(input, depth), (blank, opt(',')));
+    let one_field = terminated(|input: &mut Input| field(input, depth), (skip_blanks, opt(',')));
     repeat(0.., one_field).parse_next(input)
 }
 
 fn field(input: &mut Input, depth: usize) -> ModalResult<Field> {
-    let name = preceded(blank, located(alt((plain_name, quoted)))).parse_next(input)?;
-    cut_err((blank, ':')).context(expected("a colon")).parse_next(input)?;
-    let value = cut_err(preceded(blank, located(|input: &mut Input| value(input, depth))))
+    let name = preceded(skip_blanks, located(alt((identifier, quoted_string)))).parse_next(input)?;
+    cut_err((skip_blanks, ':')).context(expected("a colon")).parse_next(input)?;
+    let value = cut_err(preceded(skip_blanks, located(|input: &mut Input| value(input, depth))))
         .context(expected("a value"))
         .parse_next(input)?;
     Ok(Field { name, value })
@@ -106,26 +105,26 @@
     }
 }
 
-fn plain_name(input: &mut Input) -> ModalResult<String> {
+fn identifier(input: &mut Input) -> ModalResult<String> {
     let first = one_of(|c: char| c.is_ascii_alphabetic() || c == '_');
     let rest = take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-');
     (first, rest).map(|(first, rest): (char, &str)| format!("{first}{rest}")).parse_next(input)
 }
 
-fn quoted(input: &mut Input) -> ModalResult<String> {
-    let closing_quote = cut_err('"').context(expected("the end of a text"));
+fn quoted_string(input: &mut Input) -> ModalResult<String> {
+    let closing_quote = cut_err('"').context(expected("a closing quotation mark"));
     let content = take_till(0.., |c: char| c == '"' || c == '\\' || c == '\n');
     delimited('"', content, closing_quote).map(str::to_string).parse_next(input)
 }
 
 fn value(input: &mut Input, depth: usize) -> ModalResult<Value> {
     if depth == 0 {
-        return cut_err(fail).context(expected("no further record inside this one")).parse_next(input);
+        return cut_err(fail).context(expected("a value that is nested less deeply")).parse_next(input);
     }
     alt((
         |input: &mut Input| record(input, depth - 1),
         |input: &mut Input| list(input, depth - 1),
-        quoted.map(Value::String),
+        quoted_string.map(Value::String),
         boolean,
         number,
     ))
@@ -133,16 +132,16 @@
 }
 
 fn record(input: &mut Input, depth: usize) -> ModalResult<Value> {
-    let closing_brace = (blank, cut_err('}').context(expected("a closing brace")));
+    let closing_brace = (skip_blanks, cut_err('}').context(expected("a closing brace")));
     delimited('{', |input: &mut Input| fields(input, depth), closing_brace)
         .map(Value::Record)
         .parse_next(input)
 }
 
 fn list(input: &mut Input, depth: usize) -> ModalResult<Value> {
-    let item = preceded(blank, located(|input: &mut Input| value(input, depth)));
-    let items = terminated(separated(0.., item, (blank, ',')), (blank, opt(',')));
-    let closing_bracket = (blank, cut_err(']').context(expected("a closing bracket")));
+    let item = preceded(skip_blanks, located(|input: &mut Input| value(input, depth)));
+    let items = terminated(separated(0.., item, (skip_blanks, ',')), (skip_blanks, opt(',')));
+    let closing_bracket = (skip_blanks, cut_err(']').context(expected("a closing bracket")));
     delimited('[', items, closing_bracket).map(Value::List).parse_next(input)
 }
 
--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -1,7 +1,7 @@
 //! The language of the operator's file: records of named, typed values, a subset of CUE.
 //!
-//! The reader of a [`Record`] takes its fields one by one, each by name and expected type. A value of another
-//! type is an error, and so is a field that no reader has taken.
+//! The fields of a [`Record`] are taken one by one, each by name and expected type. A value of another type
+//! is an error, and so is a field that was not taken, because its name is unknown.
 //!
 //! ```
 //! use petrelgauge_config_language::Record;
--- a/crates/config-language/src/record.rs
+++ b/crates/config-language/src/record.rs
@@ -1,4 +1,4 @@
-//! Records, whose fields are taken by name and type, and errors with file, line and reason.
+//! Records, whose fields are taken by name and type, and errors with file, position and reason.
 
 use crate::grammar::{self, Field, Located, Quantity, Value};
 use crate::MAX_FILE_BYTES;
@@ -25,7 +25,7 @@
     Unit { name: "GiB", factor: 1 << 30 },
 ];
 
-/// Why a file is invalid: one plain sentence with its place.
+/// Why a file is invalid, and where.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{file}:{line}:{column}: {reason}")]
 pub struct RecordError {
@@ -35,7 +35,7 @@
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// What is invalid there.
+    /// What is invalid at this position.
     pub reason: String,
 }
 
@@ -58,21 +58,21 @@
     ///
     /// # Errors
     ///
-    /// Fails if the text is too long, is not in the language, or sets a field twice.
+    /// Fails if the text is too long, is syntactically invalid, or sets a field twice.
     pub fn read(file: &str, text: &str) -> Result<Record, RecordError> {
         let source = Rc::new(Source { file: file.to_string(), text: text.to_string() });
         if text.len() > MAX_FILE_BYTES {
             return Err(source.error(0, "the file is longer than 1 MiB".into()));
         }
-        let fields = grammar::file(text).map_err(|cause| source.error(cause.offset, cause.reason))?;
+        let fields = grammar::parse_file(text).map_err(|cause| source.error(cause.offset, cause.reason))?;
         Record { source, offset: 0, fields: Vec::new() }.with_fields(fields)
     }
 
-    /// Takes a record; `None` if the field is not set, as in all methods below.
+    /// Takes a field that is a record. Like all methods below, returns `None` if the field is not set.
     ///
     /// # Errors
     ///
-    /// Fails if the field is not a record, or sets a field of its own twice.
+    /// Fails if the field is not a record, or if a field is set twice in that record.
     pub fn record(&mut self, name: &str) -> Result<Option<Record>, RecordError> {
         match self.take(name) {
             None => Ok(None),
@@ -94,7 +94,7 @@
         match self.take(name) {
             None => Ok(None),
             Some(Located { value: Value::String(text), .. }) => Ok(Some(text)),
-            Some(other) => Err(self.type_mismatch(name, "a text in double quotes", &other)),
+            Some(other) => Err(self.type_mismatch(name, "a string in double quotes", &other)),
         }
     }
 
@@ -106,10 +106,13 @@
     pub fn one_of(&mut self, name: &str, choices: &[&str]) -> Result<Option<usize>, RecordError> {
         let offset = self.offset_of(name);
         let Some(text) = self.string(name)? else { return Ok(None) };
-        let listed = || choices.iter().map(|choice| format!("{choice:?}")).collect::<Vec<_>>().join(", ");
+        let quoted_choices =
+            || choices.iter().map(|choice| format!("{choice:?}")).collect::<Vec<_>>().join(", ");
         match choices.iter().position(|choice| *choice == text) {
             Some(index) => Ok(Some(index)),
-            None => Err(self.source.error(offset, format!("{name} is one of {}, not {text:?}", listed()))),
+            None => Err(self
+                .source
+                .error(offset, format!("{name} must be one of {}, not {text:?}", quoted_choices()))),
         }
     }
 
@@ -119,16 +122,16 @@
     ///
     /// Fails if the field is not a list of strings.
     pub fn strings(&mut self, name: &str) -> Result<Option<Vec<String>>, RecordError> {
-        let found = match self.take(name) {
+        let items = match self.take(name) {
             None => return Ok(None),
             Some(Located { value: Value::List(items), .. }) => items,
-            Some(other) => return Err(self.type_mismatch(name, "a list of texts", &other)),
+            Some(other) => return Err(self.type_mismatch(name, "a list of strings", &other)),
         };
         let text = |item: Located<Value>| match item.value {
             Value::String(text) => Ok(text),
-            _ => Err(self.type_mismatch(name, "a list of texts", &item)),
+            _ => Err(self.type_mismatch(name, "a list of strings", &item)),
         };
-        found.into_iter().map(text).collect::<Result<_, _>>().map(Some)
+        items.into_iter().map(text).collect::<Result<_, _>>().map(Some)
     }
 
     /// Takes `true` or `false`.
@@ -167,7 +170,7 @@
     ///
     /// Fails if the field is not a number with a unit of time, or is out of range.
     pub fn duration(&mut self, name: &str) -> Result<Option<i64>, RecordError> {
-        self.quantity(name, &DURATION_UNITS, "a span such as 20ms, 3s or 2m")
+        self.quantity(name, &DURATION_UNITS, "a duration such as 20ms, 3s or 2m")
     }
 
     /// Takes a size (bytes).
@@ -179,7 +182,7 @@
         self.quantity(name, &SIZE_UNITS, "a size such as 64KiB or 8MiB")
     }
 
-    /// An error about this record as a whole.
+    /// Creates an error about the record as a whole, at the position of the record.
     pub fn error(&self, reason: impl Into<String>) -> RecordError {
         self.source.error(self.offset, reason.into())
     }
@@ -188,12 +191,12 @@
     ///
     /// # Errors
     ///
-    /// Fails if one is left.
+    /// Fails if a field is left, which means that its name is unknown.
     pub fn end(self) -> Result<(), RecordError> {
         match self.fields.first() {
             None => Ok(()),
             Some(Field { name, .. }) => {
-                Err(self.source.error(name.offset, format!("there is no field {:?} here", name.value)))
+                Err(self.source.error(name.offset, format!("unknown field {:?}", name.value)))
             }
         }
     }
@@ -202,7 +205,7 @@
         for (index, field) in fields.iter().enumerate() {
             let name = &field.name;
             if fields[..index].iter().any(|other| other.name.value == name.value) {
-                return Err(self.source.error(name.offset, format!("{:?} is set twice", name.value)));
+                return Err(self.source.error(name.offset, format!("field {:?} is set twice", name.value)));
             }
         }
         self.fields = fields;
@@ -235,7 +238,7 @@
     }
 
     fn type_mismatch(&self, name: &str, expected: &str, found: &Located<Value>) -> RecordError {
-        self.source.error(found.offset, format!("{name} is {expected}"))
+        self.source.error(found.offset, format!("{name} must be {expected}"))
     }
 }
 
