--- a/crates/handover/src/record.rs
+++ b/crates/handover/src/record.rs
@@ -22,17 +22,18 @@
 /// Maximum time between stamping a record and the modification of its file (microseconds): the write waits
 /// for a thread and the disk.
 const MAX_WRITE_DELAY: Time = 1_000_000;
-/// Granularity of modification times, which may lie that far in the past (microseconds).
+/// Granularity of modification times, which may therefore be this much too early (microseconds).
 const FILE_TIME_GRANULARITY: Time = 20_000;
 
-/// What a process leaves to its siblings and its successor. The order of the fields is part of the encoding.
+/// What a process publishes for its siblings and its successor. The order of the fields is part of the
+/// encoding.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HandoverRecord {
     /// Identity of the writer's gateway, since gateways may share a directory. See [`gateway_identity`].
     pub gateway: String,
     /// Digest of the writer's settings.
     pub settings_digest: u64,
-    /// The writer, by a number that is unique among the gateway's processes.
+    /// Number of the writer, unique among the gateway's processes.
     pub process: u64,
     /// When it was written, by the writer's clock (microseconds of Unix time).
     pub written_at: Time,
@@ -40,7 +41,7 @@
     pub reservation: Reservation,
     /// The identifier of each member in the learned state, by the member's name on the endpoint list.
     pub member_ids: Vec<(String, MemberId)>,
-    /// What the writer has learned of the members, with times by the writer's clock.
+    /// What the writer has learned about the members, with times by the writer's clock.
     pub learned_state: LearnedState,
 }
 
@@ -48,22 +49,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// It is truncated or corrupted, or its file could not be read.
-    #[error("it is incomplete or damaged")]
+    #[error("record is truncated, corrupted or unreadable")]
     Damaged,
     /// It has another version of the encoding.
-    #[error("it is of version {0}, and this program reads version {VERSION}")]
+    #[error("record has version {0}, but this build reads version {VERSION}")]
     UnknownVersion(u8),
     /// It is longer than [`MAX_RECORD_BYTES`].
-    #[error("it is longer than {MAX_RECORD_BYTES} bytes")]
+    #[error("record is longer than {MAX_RECORD_BYTES} bytes")]
     TooLong,
     /// It is too old for its learned state to be valid (microseconds).
-    #[error("it is {0} us old")]
+    #[error("record is {0} us old")]
     TooOld(Time),
     /// It was written later than now: a clock was set back.
-    #[error("it was written in the future")]
+    #[error("record was written in the future")]
     InFuture,
     /// It was written under other settings, which give its learned state another meaning.
-    #[error("it was written by other settings")]
+    #[error("record was written under other settings")]
     OtherSettings,
 }
 
@@ -90,14 +91,14 @@
         if bytes.len() <= MAX_RECORD_BYTES {
             return bytes;
         }
-        // Siblings have to know of the writer and its reservation in any case.
-        let without_learned_state = HandoverRecord {
+        // Siblings need the writer's reservation even if nothing else fits.
+        let shortened = HandoverRecord {
             gateway: self.gateway.clone(),
             member_ids: Vec::new(),
             learned_state: LearnedState::default(),
             ..*self
         };
-        without_learned_state.encode_all()
+        shortened.encode_all()
     }
 
     fn encode_all(&self) -> Vec<u8> {
@@ -161,7 +162,7 @@
         self
     }
 
-    /// The age (microseconds) of a record whose times are by the reader's clock.
+    /// Returns the age (microseconds) of a record whose times are by the reader's clock.
     ///
     /// # Errors
     ///
--- a/crates/handover/src/reservation.rs
+++ b/crates/handover/src/reservation.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Every process may use 1 / `MIN_SHARE_DIVISOR` of the limits, whatever its siblings reserve: clients
+/// Every process may use 1 / `MIN_SHARE_DIVISOR` of the limits, however much its siblings reserve: clients
 /// already connect to it, and without descriptors and memory it could not even reject them.
 pub const MIN_SHARE_DIVISOR: usize = 8;
 
@@ -55,19 +55,19 @@
         self.zip(other, usize::max)
     }
 
-    fn map(self, change: impl Fn(usize) -> usize) -> Reservation {
+    fn map(self, transform: impl Fn(usize) -> usize) -> Reservation {
         Reservation {
-            sockets: change(self.sockets),
-            memory: change(self.memory),
-            open_requests: change(self.open_requests),
+            sockets: transform(self.sockets),
+            memory: transform(self.memory),
+            open_requests: transform(self.open_requests),
         }
     }
 
-    fn zip(self, other: Reservation, join: impl Fn(usize, usize) -> usize) -> Reservation {
+    fn zip(self, other: Reservation, combine: impl Fn(usize, usize) -> usize) -> Reservation {
         Reservation {
-            sockets: join(self.sockets, other.sockets),
-            memory: join(self.memory, other.memory),
-            open_requests: join(self.open_requests, other.open_requests),
+            sockets: combine(self.sockets, other.sockets),
+            memory: combine(self.memory, other.memory),
+            open_requests: combine(self.open_requests, other.open_requests),
         }
     }
 }
--- a/crates/handover/src/retention.rs
+++ b/crates/handover/src/retention.rs
@@ -24,8 +24,8 @@
 ///
 /// A file is abandoned if this process has not seen it change for [`RECORD_RETENTION`], or for
 /// [`LIVENESS_TIMEOUT`] if its age by the file system's clock also exceeds [`RECORD_RETENTION`]. The second
-/// rule removes the files of processes that crash one after the other, none of which runs long enough for the
-/// first. The file system's clock alone is no proof, since it may be stepped while a process runs.
+/// rule removes the files of processes that crash in quick succession, none of which runs long enough for the
+/// first rule. The file system's clock alone is not reliable: it may be stepped while a process runs.
 #[derive(Clone, Debug, Default)]
 pub struct RetentionTracker {
     files: BTreeMap<String, TrackedFile>,
--- a/crates/handover/tests/records.rs
+++ b/crates/handover/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records that are truncated, corrupted, old or of another build.
+//! Records that are truncated, corrupted, too old or written by another build.
 
 use petrelgauge_handover::{HandoverRecord, RecordError, MAX_RECORD_BYTES};
 use petrelgauge_policy::{
@@ -20,7 +20,7 @@
         late_share: 0.0,
     };
     let settings = Settings { classes: vec![class], ..Settings::default() };
-    let mut router = Router::new(settings, 7).expect("sound settings");
+    let mut router = Router::new(settings, 7).expect("valid settings");
     let entry = |member, primary| Entry {
         member,
         group: 9,
@@ -36,7 +36,7 @@
     for turn in 0..10 {
         let now = 1_100_000 + turn * 50_000;
         let request: RequestId = turn.to_string().into();
-        let ask = Event::Request(RequestArrival {
+        let arrival = Event::Request(RequestArrival {
             request: request.clone(),
             class: 0,
             group: 9,
@@ -45,7 +45,7 @@
             minimum_position: None,
         });
         actions.clear();
-        router.step(now, &[ask], &mut actions);
+        router.step(now, &[arrival], &mut actions);
         let Some(Action::Send { member, .. }) =
             actions.iter().find(|action| matches!(action, Action::Send { .. }))
         else {
@@ -100,8 +100,8 @@
     let mut bytes = record().encode();
     bytes[6] = 9;
     let end = bytes.len() - 4;
-    let check = crc32c::crc32c(&bytes[..end]).to_be_bytes();
-    bytes[end..].copy_from_slice(&check);
+    let checksum = crc32c::crc32c(&bytes[..end]).to_be_bytes();
+    bytes[end..].copy_from_slice(&checksum);
     assert_eq!(HandoverRecord::decode(&bytes).err(), Some(RecordError::UnknownVersion(9)));
     assert_eq!(HandoverRecord::decode(&vec![0; MAX_RECORD_BYTES + 1]).err(), Some(RecordError::TooLong));
 }
@@ -118,17 +118,25 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..Default::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 256,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(3),
+        ..Default::default()
+    })]
 
     #[test]
-    fn a_truncated_or_corrupted_record_is_rejected(cut in 0usize..4000, place in 0usize..4000, bit in 0u8..8) {
+    fn a_truncated_or_corrupted_record_is_rejected(
+        cut in 0usize..4000,
+        index in 0usize..4000,
+        bit in 0u8..8,
+    ) {
         let complete = record().encode();
-        let short = &complete[..cut % complete.len()];
-        prop_assert_eq!(HandoverRecord::decode(short).err(), Some(RecordError::Damaged));
-        let mut changed = complete.clone();
-        let place = place % complete.len();
-        changed[place] ^= 1 << bit;
-        prop_assert!(HandoverRecord::decode(&changed).is_err());
+        let truncated = &complete[..cut % complete.len()];
+        prop_assert_eq!(HandoverRecord::decode(truncated).err(), Some(RecordError::Damaged));
+        let mut corrupted = complete.clone();
+        let index = index % complete.len();
+        corrupted[index] ^= 1 << bit;
+        prop_assert!(HandoverRecord::decode(&corrupted).is_err());
     }
 }
 
@@ -149,9 +157,9 @@
 const EARLIER_RECORD: &[u8] = include_bytes!("fixtures/record-of-2247fe6.bin");
 const EARLIER_CHECKSUM: u32 = 1_755_156_702;
 
-// Records of an earlier build must stay readable: postcard encodes the order and the types of all fields,
-// without names. The values that a router stores may change with its decisions, so this build's own record
-// may have other bytes.
+// Records of earlier builds must stay readable. Postcard encodes fields by order and type, without names, so
+// reordering or retyping a field would break them. The values in a record may change with the decisions of
+// the router, so this build's own record may have other bytes.
 #[test]
 fn a_record_of_an_earlier_build_round_trips_byte_for_byte() {
     assert_eq!(crc32c::crc32c(EARLIER_RECORD), EARLIER_CHECKSUM);
@@ -166,6 +174,6 @@
     let own = record().encode();
     let read = HandoverRecord::decode(&own).expect("complete");
     assert_eq!(read.encode(), own);
-    // Only numbers of fixed size may differ: every field is as long as it was.
+    // Only the values of fixed-size numbers may differ, so the length is the same.
     assert_eq!(own.len(), EARLIER_RECORD.len());
 }
--- a/crates/handover/tests/retention.rs
+++ b/crates/handover/tests/retention.rs
@@ -1,4 +1,4 @@
-//! When files count as abandoned.
+//! When files are considered abandoned.
 
 use petrelgauge_handover::retention::{FileState, RetentionTracker, MAX_FILES, RECORD_RETENTION};
 use petrelgauge_handover::siblings::{HEARTBEAT_INTERVAL, LIVENESS_TIMEOUT};
@@ -42,14 +42,14 @@
 #[test]
 fn the_number_of_tracked_files_is_bounded_and_all_are_removed_in_turn() {
     let mut tracker = RetentionTracker::default();
-    let mut left: Vec<FileState> = (0..200).map(|number| file(&number.to_string(), 0, 0)).collect();
+    let mut remaining: Vec<FileState> = (0..200).map(|number| file(&number.to_string(), 0, 0)).collect();
     let mut rounds = 0;
-    while !left.is_empty() {
+    while !remaining.is_empty() {
         let now = rounds * (RECORD_RETENTION + 1);
-        let gone = tracker.find_abandoned(now, &left);
-        assert!(gone.len() <= MAX_FILES);
-        left.retain(|file| !gone.contains(&file.name));
+        let abandoned = tracker.find_abandoned(now, &remaining);
+        assert!(abandoned.len() <= MAX_FILES);
+        remaining.retain(|file| !abandoned.contains(&file.name));
         rounds += 1;
-        assert!(rounds <= 2 + 2 * 200 / MAX_FILES as i64, "{} files are never removed", left.len());
+        assert!(rounds <= 2 + 2 * 200 / MAX_FILES as i64, "{} files are never removed", remaining.len());
     }
 }
--- a/crates/handover/tests/siblings.rs
+++ b/crates/handover/tests/siblings.rs
@@ -11,7 +11,7 @@
     Reservation { sockets, memory: 1 << 20, open_requests }
 }
 
-/// Reads a record at `now` by this process's clock, which was written at `written_at` by its writer's.
+/// Reads, at `now` by this process's clock, a record that was written at `written_at` by its writer's clock.
 fn read(siblings: &mut SiblingRegistry, now: i64, process: u64, written_at: i64, reservation: Reservation) {
     let fingerprint = written_at as u64;
     siblings.record_seen(now, process, RecordStamp { written_at, fingerprint }, reservation);
@@ -29,7 +29,7 @@
     read(&mut siblings, 250_000, 1, 250_000, reserving(30, 2));
     read(&mut siblings, 250_000, 2, 250_000, reserving(20, 0));
     assert_eq!(siblings.available(250_000, LIMITS).sockets, 334);
-    // The first sibling writes no more.
+    // The first sibling has stopped writing.
     read(&mut siblings, LIVENESS_TIMEOUT, 2, LIVENESS_TIMEOUT, reserving(20, 0));
     assert_eq!(siblings.available(LIVENESS_TIMEOUT + 250_001, LIMITS).sockets, 364);
     assert_eq!(siblings.available(2 * LIVENESS_TIMEOUT + 1, LIMITS), LIMITS);
@@ -84,7 +84,7 @@
             assert_eq!(siblings.live_count(now), 1, "{offset} us apart");
         }
         let last = 2 * HOUR + 39 * HEARTBEAT_INTERVAL;
-        // The sibling writes no more; its record is read as often as before.
+        // The sibling has stopped writing; its record is still read at every heartbeat.
         for heartbeat in 0..40 {
             let now = last + heartbeat * HEARTBEAT_INTERVAL;
             read(&mut siblings, now, 1, last + offset, reserving(100, 40));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_record_found_for_the_first_time_counts_for_one_liveness_timeout() {
+fn a_sibling_found_for_the_first_time_is_alive_for_one_liveness_timeout() {
     let mut siblings = SiblingRegistry::default();
     read(&mut siblings, HOUR, 1, 7, reserving(100, 40));
     assert_eq!(siblings.available(HOUR + LIVENESS_TIMEOUT, LIMITS).sockets, 284);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_process_that_reuses_the_number_of_an_ended_one_counts_though_its_clock_is_earlier() {
+fn a_process_that_reuses_the_number_of_an_ended_one_is_alive_though_its_clock_is_earlier() {
     let mut siblings = SiblingRegistry::default();
     read(&mut siblings, 0, 1, HOUR, reserving(100, 40));
     let later = LIVENESS_TIMEOUT + 1;
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_unreadable_record_leaves_the_last_reservation_in_force_while_its_file_changes() {
+fn the_last_reservation_stays_in_force_while_an_unreadable_record_changes() {
     let mut siblings = SiblingRegistry::default();
     read(&mut siblings, 0, 1, 0, reserving(100, 40));
     for heartbeat in 1..40 {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_sibling_counts_half_the_limits_if_never_read_and_the_minimum_share_without_a_record() {
+fn half_of_the_limits_is_assumed_for_an_unreadable_record_and_the_minimum_share_for_an_unfinished_one() {
     let mut siblings = SiblingRegistry::default();
     siblings.unreadable_record_seen(0, 1, 1);
     assert_eq!(
--- a/crates/handover/tests/stored_form.rs
+++ b/crates/handover/tests/stored_form.rs
@@ -1,4 +1,4 @@
-//! The encoding of records must not change: `fixtures/record-version-2.bin` was recorded from commit a97f0e8.
+//! The encoding of records must not change. `fixtures/record-version-2.bin` was recorded from commit a97f0e8.
 
 use petrelgauge_handover::{HandoverRecord, Reservation};
 use serde::Deserialize;
@@ -10,7 +10,7 @@
 
 type Samples<T> = Vec<(i64, T)>;
 
-/// The stored fields in order, in types independent of the program's.
+/// The stored fields in order, in types that are independent of the program's.
 #[derive(Debug, PartialEq, Deserialize)]
 struct StoredRecord {
     gateway: String,
@@ -28,10 +28,10 @@
     members: Vec<(u32, StoredMember)>,
     groups: Vec<(u64, StoredGroup)>,
     sojourns: Samples<f64>,
-    rate: f64,
-    rated_at: i64,
-    work: [f64; 2],
-    shed: f64,
+    served_rate: f64,
+    served_rate_at: i64,
+    service_time: [f64; 2],
+    shed_share: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -40,31 +40,31 @@
     zone: String,
     weight: f64,
     status: u32,
-    drained: bool,
+    listed_draining: bool,
     started: i64,
-    revived: i64,
-    primary_at: i64,
-    replica_at: i64,
+    recovered_at: i64,
+    primary_evidence_at: i64,
+    replica_evidence_at: i64,
     position: i64,
     lags: Samples<i64>,
     sojourns: Samples<f64>,
-    load: f64,
-    limit: f64,
+    mean_sojourn: f64,
+    concurrency_limit: f64,
     paced_until: i64,
-    out: u32,
-    lost: u32,
-    quiet: (f64, i64),
-    named: i64,
-    heard: i64,
-    lost_at: i64,
-    suspect: bool,
+    in_flight: u32,
+    presumed_lost: u32,
+    silent_waits: (f64, i64),
+    last_listed_at: i64,
+    last_heard_at: i64,
+    last_loss_at: i64,
+    suspected: bool,
     down: bool,
-    strikes: u32,
-    barred_until: i64,
-    probe_out: bool,
+    consecutive_failures: u32,
+    ejected_until: i64,
+    probe_in_flight: bool,
     probed_at: i64,
-    credit: f64,
-    credited_at: i64,
+    slow_start_tokens: f64,
+    slow_start_refilled_at: i64,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
@@ -72,9 +72,9 @@
     members: Vec<u32>,
     waiting: Vec<u64>,
     commits: Vec<i64>,
-    scout_at: i64,
-    /// Extra, and until when.
-    share: (f64, i64),
+    last_discovery_at: i64,
+    /// Extra quota, and when it expires.
+    quota_adjustment: (f64, i64),
 }
 
 fn primary() -> StoredMember {
@@ -85,56 +85,62 @@
         zone: "here".into(),
         weight: 1.0,
         status: 0,
-        drained: false,
+        listed_draining: false,
         started: 0,
-        revived: 0,
-        primary_at: 2_950_000,
-        replica_at: 0,
+        recovered_at: 0,
+        primary_evidence_at: 2_950_000,
+        replica_evidence_at: 0,
         position: 2_920_000,
         lags: vec![],
         sojourns: early.into_iter().chain(late.map(|at| (at, 0.15))).collect(),
-        load: 0.1265460369623311,
-        limit: 6.0,
+        mean_sojourn: 0.1265460369623311,
+        concurrency_limit: 6.0,
         paced_until: 2_950_000,
-        out: 0,
-        lost: 0,
-        quiet: (0.0, 0),
-        named: 2_950_000,
-        heard: 2_950_000,
-        lost_at: 0,
-        suspect: false,
+        in_flight: 0,
+        presumed_lost: 0,
+        silent_waits: (0.0, 0),
+        last_listed_at: 2_950_000,
+        last_heard_at: 2_950_000,
+        last_loss_at: 0,
+        suspected: false,
         down: false,
-        strikes: 0,
-        barred_until: 2_670_000,
-        probe_out: false,
+        consecutive_failures: 0,
+        ejected_until: 2_670_000,
+        probe_in_flight: false,
         probed_at: 0,
-        credit: 9.807948470645663,
-        credited_at: 2_920_000,
+        slow_start_tokens: 9.807948470645663,
+        slow_start_refilled_at: 2_920_000,
     }
 }
 
 fn replica() -> StoredMember {
     let late = [2_470_000, 2_510_000, 2_550_000, 2_590_000];
     StoredMember {
-        primary_at: 0,
-        replica_at: 2_590_000,
+        primary_evidence_at: 0,
+        replica_evidence_at: 2_590_000,
         position: 2_560_000,
         lags: [(1_120_000, 20_000)].into_iter().chain(late.map(|at| (at, 30_000))).collect(),
         sojourns: [(1_120_000, 0.1)].into_iter().chain(late.map(|at| (at, 0.15))).collect(),
-        load: 0.07952915625,
+        mean_sojourn: 0.07952915625,
         paced_until: 2_830_000,
-        heard: 2_590_000,
-        suspect: true,
-        strikes: 6,
-        barred_until: 3_150_000,
-        credit: 12.196232206243419,
-        credited_at: 2_800_000,
+        last_heard_at: 2_590_000,
+        suspected: true,
+        consecutive_failures: 6,
+        ejected_until: 3_150_000,
+        slow_start_tokens: 12.196232206243419,
+        slow_start_refilled_at: 2_800_000,
         ..primary()
     }
 }
 
 fn group() -> StoredGroup {
-    StoredGroup { members: vec![1, 2], waiting: vec![], commits: vec![], scout_at: 0, share: (0.0, 0) }
+    StoredGroup {
+        members: vec![1, 2],
+        waiting: vec![],
+        commits: vec![],
+        last_discovery_at: 0,
+        quota_adjustment: (0.0, 0),
+    }
 }
 
 fn learned_state() -> StoredState {
@@ -145,10 +151,10 @@
         members: vec![(1, primary()), (2, replica())],
         groups: vec![(9, group())],
         sojourns: [(1_570_000, 0.1)].into_iter().chain(late).collect(),
-        rate: 4.264272860550044,
-        rated_at: 2_950_000,
-        work: [485206.00929876644, 0.0],
-        shed: 0.0,
+        served_rate: 4.264272860550044,
+        served_rate_at: 2_950_000,
+        service_time: [485206.00929876644, 0.0],
+        shed_share: 0.0,
     }
 }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -168,7 +168,9 @@
         std::fs::write(format!("{}/petrelgauge-{name}.letter", harness.folder()), bytes).expect("written");
     }
     let free = harness.start_with(&harness.config());
-    assert!(free.line_with("handover record rejected").contains("it is incomplete or damaged"));
+    assert!(free
+        .line_with("handover record rejected")
+        .contains("record is truncated, corrupted or unreadable"));
     free.line_with("gateway serving");
     let processes = [harness.beside(), harness.beside()];
     free.line_with("sibling processes changed live=2");
