--- a/src/handover/exchange.rs
+++ b/src/handover/exchange.rs
@@ -11,11 +11,11 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Age up to which the learned state of another process is used (microseconds). Latency samples are from the
-/// last seconds, and roles may have changed since.
+/// Maximum age of another process's learned state (microseconds). Its latency samples cover only the last few
+/// seconds, and roles may have changed since.
 const LEARNED_STATE_MAX_AGE: Time = 10_000_000;
 
-/// What a [`HandoverExchange`] on disk is built from.
+/// Options of a [`HandoverExchange`] on disk.
 pub struct ExchangeOptions<'a> {
     /// Directory of the records.
     pub directory: PathBuf,
@@ -29,7 +29,7 @@
     pub settings_digest: u64,
 }
 
-/// The record of another process whose learned state can be used.
+/// A record of another process whose learned state is valid here.
 pub struct InheritedRecord {
     /// The record, with its times on this process's clock.
     pub record: HandoverRecord,
@@ -37,7 +37,7 @@
     pub age: Time,
 }
 
-/// This process's record, and what is known of its siblings.
+/// Publishes this process's record and tracks those of its siblings.
 pub struct HandoverExchange {
     store: RecordStore,
     /// Name of the directory in log lines.
@@ -47,7 +47,7 @@
 }
 
 impl HandoverExchange {
-    /// An exchange through a directory of the file system.
+    /// Creates an exchange through a directory of the file system.
     pub fn new(options: ExchangeOptions) -> HandoverExchange {
         let ExchangeOptions { directory, gateway_name, listen, process_id, settings_digest } = options;
         let directory_name = directory.display().to_string();
@@ -57,7 +57,7 @@
         HandoverExchange { directory_name, ..exchange }
     }
 
-    /// An exchange through any directory, for a process of the gateway with identity `gateway`.
+    /// Creates an exchange through any directory, for a process of the gateway with identity `gateway`.
     pub fn in_directory(
         directory: Arc<dyn RecordDirectory>,
         gateway: String,
@@ -66,7 +66,7 @@
     ) -> HandoverExchange {
         HandoverExchange {
             store: RecordStore::new(directory, gateway, process_id),
-            directory_name: "its directory".to_string(),
+            directory_name: "handover directory".to_string(),
             settings_digest: Cell::new(settings_digest),
             state: RefCell::default(),
         }
@@ -77,8 +77,8 @@
         self.settings_digest.set(settings_digest);
     }
 
-    /// Returns the newest record of another process whose learned state can be used here: not older than 10
-    /// s, learned under the same settings, and not empty. Blocks on file operations; called once, at startup.
+    /// Returns the newest record of another process whose learned state is valid here: not older than 10 s,
+    /// learned under the same settings, and not empty. Blocks on file operations; called once, at startup.
     pub fn inherit(&self, now: Time) -> Option<InheritedRecord> {
         let scan = self.store.scan();
         self.state.borrow_mut().on_scan(now, &scan, &self.directory_name);
@@ -109,7 +109,7 @@
         self.store.withdraw();
     }
 
-    /// Prepares a heartbeat that publishes what this process uses and has learned.
+    /// Prepares a heartbeat that publishes this process's usage and learned state.
     pub fn begin_heartbeat(&self, now: Time, usage: Reservation, content: RecordContent) -> Heartbeat {
         let mut state = self.state.borrow_mut();
         state.publication.begin(now);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Records the outcome of a heartbeat that has ended now.
+    /// Processes the outcome of a heartbeat that ended at `now`.
     pub fn finish_heartbeat(&self, now: Time, result: HeartbeatResult) {
         let directory = &self.directory_name;
         let mut state = self.state.borrow_mut();
@@ -148,7 +148,7 @@
         state.siblings.live_count(state.last_scan_or(now))
     }
 
-    /// What this process may use now of the gateway's `limits`.
+    /// The part of the gateway's `limits` that this process may use at `now`.
     pub fn limit(&self, now: Time, limits: Reservation) -> Reservation {
         let state = self.state.borrow();
         if state.siblings.is_empty() {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Moves a record to this process's clock and checks that its learned state applies here.
+    /// Converts a record to this process's clock and checks that its learned state is valid here.
     fn check_learned_state(&self, found: FoundRecord, now: Time) -> Result<InheritedRecord, RecordError> {
         let record = found.record.on_reader_clock(now.saturating_sub(found.age));
         record.check_settings(self.settings_digest.get())?;
--- a/src/handover/exchange_state.rs
+++ b/src/handover/exchange_state.rs
@@ -1,4 +1,4 @@
-//! What a process knows of its record and of its siblings, updated by each heartbeat.
+//! The state of this process's record and of its siblings, updated by each heartbeat.
 
 use crate::handover::heartbeat::HeartbeatResult;
 use crate::handover::record_store::Scan;
@@ -8,13 +8,13 @@
 use petrelgauge_handover::siblings::{RecordStamp, SiblingRegistry};
 use std::io;
 
-/// The state of an exchange. Failures are logged when they begin and when they end.
+/// The state of an exchange. A failure is logged only when it begins and when it ends.
 #[derive(Default)]
 pub(super) struct ExchangeState {
     pub(super) siblings: SiblingRegistry,
     pub(super) publication: Publication,
     retention: RetentionTracker,
-    /// When the directory was last read.
+    /// When the directory was last scanned.
     last_scan_at: Option<Time>,
     pub(super) is_scan_failing: bool,
     has_unreadable_records: bool,
@@ -23,7 +23,7 @@
 }
 
 impl ExchangeState {
-    /// When the directory was last read; `now` if it never was.
+    /// When the directory was last scanned; `now` if it never was.
     pub(super) fn last_scan_or(&self, now: Time) -> Time {
         self.last_scan_at.unwrap_or(now)
     }
@@ -32,7 +32,7 @@
         std::mem::take(&mut self.abandoned_files)
     }
 
-    /// Records whether a heartbeat has published this process's record.
+    /// Processes the result of publishing this process's record.
     pub(super) fn on_publish(&mut self, result: &HeartbeatResult, directory: &str) {
         match &result.published {
             Ok(()) => {
@@ -42,7 +42,7 @@
                 }
             }
             Err(cause) => {
-                let refresh = if result.is_refreshed { FileRefresh::Refreshed } else { FileRefresh::Failed };
+                let refresh = if result.was_refreshed { FileRefresh::Refreshed } else { FileRefresh::Failed };
                 let is_first_failure = self.publication.record_failure(result.started_at, refresh);
                 if is_first_failure {
                     log::warn!("handover record not written directory={directory} cause={cause}");
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Records what was found in the directory.
+    /// Processes what was found in the directory.
     pub(super) fn on_scan(&mut self, now: Time, scan: &io::Result<Scan>, directory: &str) {
         match scan {
             Ok(scan) => {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Determines which files the next heartbeat removes. None while this process cannot write: its siblings
-    /// may not be able to either, and their files are all that shows of them.
+    /// Determines which files the next heartbeat removes. While this process cannot write, it removes none:
+    /// its siblings may be unable to write too, and are known by their unchanged files alone.
     pub(super) fn update_abandoned_files(&mut self, now: Time, scan: &Scan, can_write: bool) {
         let abandoned = self.retention.find_abandoned(now, &scan.files);
         self.abandoned_files = if can_write { abandoned } else { Vec::new() };
--- a/src/handover/heartbeat.rs
+++ b/src/handover/heartbeat.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// What a record passes on to the next process.
+/// The part of a record that the next process adopts.
 #[derive(Clone, Debug, Default)]
 pub struct RecordContent {
-    /// The number of each host, by its name.
+    /// The identifier of each host, by its name.
     pub host_ids: BTreeMap<String, MemberId>,
-    /// What the decisions have learned.
+    /// What the router has learned.
     pub learned_state: LearnedState,
 }
 
@@ -20,7 +20,7 @@
 pub struct Heartbeat {
     pub(super) store: RecordStore,
     pub(super) started_at: Time,
-    /// What the record states as used.
+    /// The reservation in the record.
     pub(super) reservation: Reservation,
     /// The encoded record.
     pub(super) record: Vec<u8>,
@@ -35,7 +35,7 @@
     pub(super) published: Result<(), PublishError>,
     /// Whether the modification time of the last record was advanced, because a new record could not be
     /// published.
-    pub(super) is_refreshed: bool,
+    pub(super) was_refreshed: bool,
     pub(super) scan: io::Result<Scan>,
 }
 
@@ -45,8 +45,8 @@
     pub fn run(self) -> HeartbeatResult {
         let Heartbeat { store, started_at, reservation, record, abandoned_files } = self;
         let published = store.publish(&record);
-        let is_refreshed = published.is_err() && store.refresh().is_ok();
+        let was_refreshed = published.is_err() && store.refresh().is_ok();
         abandoned_files.iter().for_each(|name| store.remove_abandoned(name));
-        HeartbeatResult { started_at, reservation, published, is_refreshed, scan: store.scan() }
+        HeartbeatResult { started_at, reservation, published, was_refreshed, scan: store.scan() }
     }
 }
--- a/src/handover/heartbeat_task.rs
+++ b/src/handover/heartbeat_task.rs
@@ -1,4 +1,4 @@
-//! Makes heartbeats for as long as the gateway runs, and keeps the process to its limit.
+//! Runs heartbeats for as long as the gateway runs, and enforces the limit of this process.
 
 use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
@@ -11,24 +11,24 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The task and what it works on.
+/// The heartbeat task and its dependencies.
 pub struct HeartbeatTask {
-    /// This process's record and its siblings.
+    /// Publishes this process's record and tracks its siblings.
     pub exchange: Rc<HandoverExchange>,
     /// Clock of the heartbeats.
     pub clock: Clock,
-    /// The decisions: their learned state is published, their open requests are limited.
+    /// Access to the request table, whose learned state is published and whose open requests are limited.
     pub facade: Facade,
-    /// The descriptors and memory that are limited.
+    /// Budget of descriptors and memory, which is limited.
     pub budget: Rc<Budget>,
-    /// Names and numbers of the hosts, which are published.
+    /// Names and identifiers of the hosts, which are published.
     pub host_names: Rc<HostNames>,
     /// The gateway's limits, which the processes share.
     pub limits: Rc<Cell<Reservation>>,
 }
 
 impl HeartbeatTask {
-    /// Makes a heartbeat, waits and repeats. Never returns.
+    /// Runs a heartbeat every [`HEARTBEAT_INTERVAL`]. Never returns.
     pub async fn run(self) {
         let mut enforced_limit = None;
         let mut live_siblings = 0;
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Runs a heartbeat on a thread of its own, because a write can take longer than clients may wait.
-    /// Meanwhile the limit is enforced, which falls while this process's record grows old. `None` if the
-    /// thread has panicked.
+    /// Runs a heartbeat on a blocking thread, because a write can take longer than clients may wait.
+    /// Meanwhile the limit is enforced, since it falls as this process's record becomes out of date. Returns
+    /// `None` if the thread has panicked.
     async fn run_blocking(
         &self,
         heartbeat: Heartbeat,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Applies the present limit if it differs from the one in force, which at first are the gateway's
-    /// limits.
+    /// Applies the current limit if it differs from the one in force. Initially, the gateway's limits are in
+    /// force.
     fn enforce_limit(&self, enforced_limit: &mut Option<Reservation>) {
         let limits = self.limits.get();
         let limit = self.exchange.limit(self.clock.now(), limits);
--- a/src/handover/record_directory.rs
+++ b/src/handover/record_directory.rs
@@ -1,4 +1,4 @@
-//! The directory that the processes of a gateway share, behind a trait so that tests can inject faults.
+//! The directory that the processes of a gateway share. It is a trait so that tests can inject faults.
 
 use crate::Time;
 use std::fs;
@@ -44,7 +44,8 @@
     ///
     /// Fails if the file does not exist or cannot be read.
     fn read(&self, name: &str, max_bytes: usize) -> io::Result<FileContent>;
-    /// Creates a file or replaces its content. Not atomic: after a failure, any part may have been written.
+    /// Creates a file or replaces its content. Not atomic: after a failure, part of the content may have been
+    /// written.
     ///
     /// # Errors
     ///
@@ -56,7 +57,7 @@
     ///
     /// Fails if nothing was renamed.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Sets the modification time of a file (microseconds of Unix time). Needs no space.
+    /// Sets the modification time of a file (microseconds of Unix time). Works on a full disk.
     ///
     /// # Errors
     ///
--- a/src/handover/record_store.rs
+++ b/src/handover/record_store.rs
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Maximum number of records that are read, of this gateway and of other gateways each.
+/// Maximum number of records that are read of this gateway, and separately of all other gateways.
 const MAX_RECORDS: usize = 8;
 /// Maximum number of files that are listed.
 const MAX_LISTED_FILES: usize = 256;
-/// Step by which the modification time of a record advances as a sign of life (microseconds): visible on file
-/// systems with coarse times, and too short to make the record look newer than it is.
+/// Step by which a refresh advances the modification time of a record (microseconds): large enough to be
+/// visible on file systems with coarse times, and too small to make the record appear newer than it is.
 const REFRESH_STEP: Time = 1_000;
-// File names are stored data and must not change.
+// File names are part of the stored format and must not change.
 const PREFIX: &str = "petrelgauge-";
 const RECORD_SUFFIX: &str = ".letter";
 const UNFINISHED_SUFFIX: &str = ".half";
@@ -44,10 +44,10 @@
     pub age: Time,
 }
 
-/// A file that looks like a record and cannot be read as one.
+/// A file with the name of a record that cannot be read or decoded.
 #[derive(Debug)]
 pub struct UnreadableRecord {
-    /// The sibling that it belongs to by its name, if any.
+    /// The sibling that it belongs to according to its name, if any.
     pub process: Option<u64>,
     /// A value that changes with the file.
     pub fingerprint: u64,
@@ -69,7 +69,7 @@
 pub struct Scan {
     /// Readable records of siblings.
     pub records: Vec<FoundRecord>,
-    /// Files that look like records and cannot be read as one.
+    /// Files with the name of a record that cannot be read or decoded.
     pub unreadable: Vec<UnreadableRecord>,
     /// Siblings without a record that have begun to write one.
     pub unfinished: Vec<UnfinishedRecord>,
@@ -79,7 +79,7 @@
     pub files: Vec<FileState>,
 }
 
-/// Access to the record of one process, and to its siblings' records.
+/// Reads and writes the record of one process, and reads its siblings' records.
 #[derive(Clone)]
 pub struct RecordStore {
     directory: Arc<dyn RecordDirectory>,
@@ -91,7 +91,7 @@
 }
 
 impl RecordStore {
-    /// The record store of a process of the gateway with identity `gateway`.
+    /// Creates the record store of a process of the gateway with identity `gateway`.
     pub fn new(directory: Arc<dyn RecordDirectory>, gateway: String, process_id: u64) -> RecordStore {
         RecordStore { directory, gateway, process_id, is_withdrawn: Arc::default() }
     }
@@ -122,7 +122,8 @@
         renamed.map_err(PublishError::Rename)
     }
 
-    /// Advances the modification time of the last record: a sign of life where no new record can be written.
+    /// Advances the modification time of the last record, which shows siblings that this process is alive
+    /// when it cannot write a new record.
     ///
     /// # Errors
     ///
@@ -133,7 +134,8 @@
         self.directory.set_modified(&record, modified.at + REFRESH_STEP)
     }
 
-    /// Removes this process's files at its end. A write in progress on another thread removes what it writes.
+    /// Removes this process's files when it ends. A write in progress on another thread removes the files
+    /// that it writes.
     pub fn withdraw(&self) {
         self.is_withdrawn.store(true, Ordering::Relaxed);
         self.remove_own();
@@ -172,7 +174,7 @@
         Ok(scan)
     }
 
-    /// Files of this gateway's other processes, the last modified first.
+    /// Files of this gateway's other processes, most recently modified first.
     fn sibling_files(&self) -> io::Result<Vec<FileState>> {
         let own = self.file_name(self.process_id, "");
         let mut files = Vec::new();
@@ -184,7 +186,7 @@
             match self.directory.modified_at(&name) {
                 Ok(modified) => files.push(FileState { name, modified_at: modified.at, age: modified.age }),
                 Err(cause) if cause.kind() == io::ErrorKind::NotFound => {}
-                // The file exists, which is all that is known of it.
+                // The file exists, but nothing else is known about it.
                 Err(_) => files.push(FileState { name, modified_at: 0, age: 0 }),
             }
         }
@@ -238,7 +240,7 @@
         unfinished.filter(|record| !published.contains(&record.process)).take(MAX_RECORDS).collect()
     }
 
-    /// The process of this gateway that a file belongs to by its name.
+    /// The process of this gateway that a file belongs to according to its name.
     fn process_of(&self, name: &str, suffix: &str) -> Option<u64> {
         let digits = name.strip_prefix(&self.prefix())?.strip_suffix(suffix)?;
         u64::from_str_radix(digits, 16).ok()
