--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -6,7 +6,8 @@
 //! ```
 //! use petrelgauge_config_language::Record;
 //!
-//! let text = "sessions: {\n  // Which classes carry sessions.\n  classes: [\"balance-view\"]\n  pace: 100ms\n}\n";
+//! let text = "sessions: {\n  // Which classes carry sessions.\n\
+//!     \x20 classes: [\"balance-view\"]\n  pace: 100ms\n}\n";
 //! let mut file = Record::read("petrelgauge.cue", text).expect("a valid file");
 //! let mut sessions = file.record("sessions").expect("a record").expect("the field exists");
 //! assert_eq!(sessions.strings("classes").expect("strings"), Some(vec!["balance-view".to_string()]));
--- a/crates/config-language/tests/files.rs
+++ b/crates/config-language/tests/files.rs
@@ -25,7 +25,11 @@
     let cases = [
         ("", ""),
         ("// nothing\n", ""),
-        ("r: {span: 20ms, truth: true,\n count: 3 // three\n texts: [\"a\", \"b\",], size: 64KiB, kind: \"b\"}", ""),
+        (
+            "r: {span: 20ms, truth: true,\
+              \n count: 3 // three\n texts: [\"a\", \"b\",], size: 64KiB, kind: \"b\"}",
+            "",
+        ),
         ("\"r\": {}\n", ""),
         ("x: 1", "f.cue:1:1: unknown field \"x\""),
         ("r: {\n  other: 1\n}", "f.cue:2:3: unknown field \"other\""),
@@ -56,7 +60,12 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(5), ..Default::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 300,
+        failure_persistence: None,
+        rng_seed: prop::test_runner::RngSeed::Fixed(5),
+        ..Default::default()
+    })]
 
     #[test]
     fn no_text_makes_the_parser_panic(text in "[a-z{}\\[\\]:,\"0-9 /\n#-]{0,80}") {
