--- a/crates/handover/src/publication.rs
+++ b/crates/handover/src/publication.rs
@@ -7,7 +7,7 @@
 //! | its record | limit |
 //! | --- | --- |
 //! | replaced at the last heartbeat | what the siblings' reservations leave |
-//! | refreshed, or not replaced for less than [`PUBLICATION_TIMEOUT`] | the same, up to what it published |
+//! | write failed, replaced or refreshed within [`PUBLICATION_TIMEOUT`] | the same, up to what it published |
 //! | neither replaced nor refreshed for [`PUBLICATION_TIMEOUT`], or never written | the minimum share |
 //! | replaced again after a failure | the earlier limit for [`RECOVERY_DELAY`], then what siblings leave |
 //!
