--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -1,12 +1,13 @@
 //! The language of the operator's file: records of named, typed values, a subset of CUE.
 //!
-//! The reader of a [`Record`] takes its fields one by one, each by name and expected type. A value of another
-//! type is an error, and so is a field that no reader has taken.
+//! The fields of a [`Record`] are taken one by one, each by name and expected type. A value of another type
+//! is an error, and so is a field that was not taken, because its name is unknown.
 //!
 //! ```
 //! use petrelgauge_config_language::Record;
 //!
-//! let text = "sessions: {\n  // Which classes carry sessions.\n  classes: [\"balance-view\"]\n  pace: 100ms\n}\n";
+//! let text = "sessions: {\n  // Which classes carry sessions.\n\
+//!     \x20 classes: [\"balance-view\"]\n  pace: 100ms\n}\n";
 //! let mut file = Record::read("petrelgauge.cue", text).expect("a valid file");
 //! let mut sessions = file.record("sessions").expect("a record").expect("the field exists");
 //! assert_eq!(sessions.strings("classes").expect("strings"), Some(vec!["balance-view".to_string()]));
