--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -89,7 +89,7 @@
         let mut answer = PartialAnswer::default();
         // The first messages of a connection are the answer to its startup.
         while !answer.has_result {
-            answer.read(&connection.until_ready().await.ok()?)?;
+            answer.read(&connection.read_until_ready().await.ok()?)?;
         }
         Some(answer.finish())
     };
--- a/crates/lab/src/gateways.rs
+++ b/crates/lab/src/gateways.rs
@@ -180,5 +180,5 @@
         ..history
     };
     let classes = vec![view, history, pay];
-    DeploymentSettings { gateways, zone, classes, slow_start: SlowStart::USUAL }.json()
+    DeploymentSettings { gateways, zone, classes, slow_start: SlowStart::DEFAULT }.json()
 }
--- a/crates/test-support/src/connection.rs
+++ b/crates/test-support/src/connection.rs
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// Says how the connection ended if it ended before.
-    pub async fn until_ready(&mut self) -> Result<Vec<Message>, ConnectionEnd> {
+    pub async fn read_until_ready(&mut self) -> Result<Vec<Message>, ConnectionEnd> {
         let (mut messages, mut buffer) = (Vec::new(), [0; READ_BUFFER]);
         loop {
             while let Some(message) = self.framer.message().map_err(|_| ConnectionEnd::Malformed)? {
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -5,7 +5,7 @@
 use crate::messages::{kinds, query};
 use crate::network::ReservedPort;
 use crate::scripted_discovery::ScriptedDiscovery;
-use crate::time::NEVER;
+use crate::time::TEST_TIMEOUT;
 use petrelgauge_lifecycle::client::{MAX_BACKOFF, MIN_BACKOFF};
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,14 +15,14 @@
 use std::time::Duration;
 
 /// Microseconds of a millisecond.
-const MICROSECONDS: u64 = 1_000;
+const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
 /// How often a state is polled, and how many times: a minute in all.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-const POLLS: u128 = NEVER.as_millis() / POLL_INTERVAL.as_millis();
+const POLLS: u128 = TEST_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
 /// A connection that has answered may be used again after this.
 const REUSE_DELAY: Duration = Duration::from_millis(100);
 /// Receive buffer of a client that reads little (bytes).
-const NARROW_RECEIVE_BUFFER: usize = 4 * 1024;
+const SMALL_RECEIVE_BUFFER: usize = 4 * 1024;
 
 /// A running gateway. Dropping it kills its process.
 pub struct Gateway {
@@ -44,16 +44,16 @@
     }
 
     /// A connection to its operations address.
-    pub fn caller(&self) -> TcpStream {
+    pub fn operator_connection(&self) -> TcpStream {
         let stream =
             TcpStream::connect(self.ops.as_ref().expect("it has an operations address")).expect("it accepts");
-        stream.set_read_timeout(Some(NEVER)).expect("a limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         stream
     }
 
     /// The response to a request of an operator.
-    pub fn call(&self, line: &[u8]) -> String {
-        let mut caller = self.caller();
+    pub fn operator_request(&self, line: &[u8]) -> String {
+        let mut caller = self.operator_connection();
         caller.write_all(line).expect("it is read");
         let mut answer = String::new();
         caller.read_to_string(&mut answer).expect("an answer");
@@ -61,9 +61,9 @@
     }
 
     /// Repeats a request of an operator until the response begins like this.
-    pub fn call_until(&self, line: &[u8], begins: &str) {
+    pub fn repeat_operator_request(&self, line: &[u8], begins: &str) {
         for _ in 0..POLLS {
-            if self.call(line).starts_with(begins) {
+            if self.operator_request(line).starts_with(begins) {
                 return;
             }
             thread::sleep(POLL_INTERVAL);
@@ -78,17 +78,17 @@
 
     /// A client whose startup has been answered.
     pub fn client(&self) -> Client {
-        Client::admitted(self.socket_address())
+        Client::started(self.socket_address())
     }
 
     /// The same, with a small receive buffer.
-    pub fn narrow_client(&self) -> Client {
+    pub fn small_buffer_client(&self) -> Client {
         let address = self.socket_address();
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.set_recv_buffer_size(NARROW_RECEIVE_BUFFER).expect("an option");
+        socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER).expect("an option");
         socket.connect(&address.into()).expect("it accepts");
-        let mut client = Client::over(TcpStream::from(socket), address);
+        let mut client = Client::from_stream(TcpStream::from(socket), address);
         client.start();
         client
     }
@@ -96,7 +96,7 @@
     /// A client that has sent nothing, if the gateway still listens.
     pub fn try_client(&self) -> Option<Client> {
         let address = self.socket_address();
-        Some(Client::over(TcpStream::connect(address).ok()?, address))
+        Some(Client::from_stream(TcpStream::connect(address).ok()?, address))
     }
 
     fn socket_address(&self) -> SocketAddr {
@@ -104,21 +104,21 @@
     }
 
     /// Replaces its configuration file and has it read.
-    pub fn configure(&self, config: &str) {
+    pub fn reload_config(&self, config: &str) {
         std::fs::write(&self.config_path, config).expect("a place to write");
         self.signal("HUP");
     }
 
     /// Its resident memory (bytes).
-    pub fn memory(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.id())).expect("it runs");
+    pub fn resident_memory(&self) -> usize {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process_id())).expect("it runs");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a size");
         let kilobytes: usize = line.trim().trim_end_matches("kB").trim().parse().expect("a number");
         kilobytes * 1024
     }
 
     /// The id of its process.
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Reads the log up to a line that contains this text, and returns the line.
-    pub fn line_with(&self, text: &str) -> String {
+    pub fn wait_for_log_line(&self, text: &str) -> String {
         let (mut log, mut last) = (self.log.borrow_mut(), String::new());
         loop {
             let mut line = String::new();
@@ -147,7 +147,7 @@
     }
 
     /// Has the counters logged until the one of this name, its equals sign included, has an accepted value.
-    pub fn wait_for(&self, name: &str, is_accepted: impl Fn(u64) -> bool) {
+    pub fn wait_for_counter_value(&self, name: &str, is_accepted: impl Fn(u64) -> bool) {
         self.wait_for_counters(|counters| {
             let words = counters.split_ascii_whitespace();
             words.filter_map(|word| word.strip_prefix(name)?.parse().ok()).any(&is_accepted)
@@ -157,7 +157,7 @@
     fn wait_for_counters(&self, is_accepted: impl Fn(&str) -> bool) {
         for _ in 0..POLLS {
             self.signal("USR1");
-            if is_accepted(&self.line_with("requests=")) {
+            if is_accepted(&self.wait_for_log_line("requests=")) {
                 return;
             }
             thread::sleep(POLL_INTERVAL);
@@ -169,8 +169,11 @@
     /// slow the machine is.
     ///
     /// The timers are the growing pauses that a client gets behind statements that cannot be used.
-    pub fn wait_by_its_timers(&self, span_ms: u64) {
-        let (first, longest) = (MIN_BACKOFF as u64 / MICROSECONDS, MAX_BACKOFF as u64 / MICROSECONDS);
+    pub fn wait_on_gateway_timers(&self, span_ms: u64) {
+        let (first, longest) = (
+            MIN_BACKOFF as u64 / MICROSECONDS_PER_MILLISECOND,
+            MAX_BACKOFF as u64 / MICROSECONDS_PER_MILLISECOND,
+        );
         let (mut pause, mut paused, mut statements) = (first, 0, 1);
         while paused < span_ms {
             paused += pause;
@@ -180,28 +183,28 @@
         let mut client = self.client();
         client.write(&query("unusable").repeat(statements));
         for _ in 0..statements {
-            assert_eq!(kinds(&client.until_ready()), "EZ");
+            assert_eq!(kinds(&client.read_until_ready()), "EZ");
         }
     }
 
     /// The first line of the next watch that it begins.
     pub fn next_watch(&self) -> String {
-        self.discovery().next()
+        self.discovery().next_request()
     }
 
     /// Waits until a connection that has answered may be used again.
-    pub fn rest(&self) {
+    pub fn wait_until_reusable(&self) {
         thread::sleep(REUSE_DELAY);
     }
 
     /// Lets the watch bring its later updates.
     pub fn send_later_updates(&self) {
-        self.discovery().go();
+        self.discovery().release();
     }
 
     /// Ends the watch.
     pub fn end_watch(&self) {
-        self.discovery().go();
+        self.discovery().release();
     }
 
     fn discovery(&self) -> &ScriptedDiscovery {
@@ -209,7 +212,7 @@
     }
 
     /// Waits for its end. Returns its exit code and the rest of its log.
-    pub fn ended(&mut self) -> (Option<i32>, String) {
+    pub fn wait_for_exit(&mut self) -> (Option<i32>, String) {
         let mut log = String::new();
         self.log.borrow_mut().read_to_string(&mut log).expect("its log");
         (self.child.wait().expect("it ends"), log)
--- a/crates/test-support/src/gateway_process.rs
+++ b/crates/test-support/src/gateway_process.rs
@@ -76,7 +76,7 @@
 
     async fn answers_startup(&self) -> bool {
         let Ok(mut connection) = Connection::open(self.listen).await else { return false };
-        connection.until_ready().await.is_ok()
+        connection.read_until_ready().await.is_ok()
     }
 
     /// The id of its process, if there is one.
--- a/crates/test-support/src/harness.rs
+++ b/crates/test-support/src/harness.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 /// Last byte of the address of database hosts, discovery and operators.
-const PEERS_HOST: u8 = 1;
+const SERVICES_HOST: u8 = 1;
 /// Last byte of the address of the gateway.
 const GATEWAY_HOST: u8 = 2;
 
@@ -45,7 +45,7 @@
     /// A harness for this program, in a loopback network of its own.
     pub fn new(program: GatewayProgram) -> Harness {
         let network = LoopbackNetwork::claim();
-        let discovery = network.tcp_listener(PEERS_HOST);
+        let discovery = network.tcp_listener(SERVICES_HOST);
         let port = ReservedPort::at(network.address(GATEWAY_HOST));
         let listen = port.address();
         Harness {
@@ -71,17 +71,17 @@
 
     /// Starts a host that answers queries from this script.
     pub fn host(&self, script: Vec<Reply>) -> Host {
-        Host::start(self.network.address(PEERS_HOST), script)
+        Host::start(self.network.address(SERVICES_HOST), script)
     }
 
-    /// The same, but from connection `first_slow` on, counted from 0, startups are answered only after [`Host::go`].
+    /// The same, but from connection `first_slow` on, counted from 0, startups are answered only after [`Host::release`].
     pub fn slow_host(&self, first_slow: usize, script: Vec<Reply>) -> Host {
-        Host::slow_from(self.network.address(PEERS_HOST), script, first_slow)
+        Host::slow_from(self.network.address(SERVICES_HOST), script, first_slow)
     }
 
     /// A host at whose address nobody listens.
     pub fn closed_host(&self) -> Host {
-        Host::closed(ReservedPort::at(self.network.address(PEERS_HOST)))
+        Host::closed(ReservedPort::at(self.network.address(SERVICES_HOST)))
     }
 
     /// List entries of hosts, each with its phase and its role, as JSON separated by commas.
@@ -114,13 +114,13 @@
     }
 
     /// Sets the operator's file.
-    pub fn operator(mut self, text: &str) -> Harness {
+    pub fn operator_file(mut self, text: &str) -> Harness {
         self.operator = Some(text.to_string());
         self
     }
 
     /// Several processes of the gateway inherit one listening socket and share a folder for their handover records.
-    pub fn shared(mut self) -> Harness {
+    pub fn with_shared_listener(mut self) -> Harness {
         let folder = format!("{}/{}", self.program.folder, self.listen);
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a place to write");
@@ -129,29 +129,29 @@
     }
 
     /// Replaces the folder by that of another gateway.
-    pub fn share(mut self, folder: &str) -> Harness {
+    pub fn with_handover_folder(mut self, folder: &str) -> Harness {
         self.shared.as_mut().expect("it is shared").1 = folder.to_string();
         self
     }
 
     /// The folder for handover records.
-    pub fn folder(&self) -> &str {
+    pub fn handover_folder(&self) -> &str {
         &self.shared.as_ref().expect("it is shared").1
     }
 
     /// Starts one more process of the gateway, with an operations address of its own, and waits until it serves.
-    pub fn beside(&mut self) -> Gateway {
+    pub fn start_another(&mut self) -> Gateway {
         self.ops = Some(self.reserve_port());
-        let gateway = self.start_with(&self.config());
-        gateway.line_with("gateway serving");
+        let gateway = self.spawn(&self.config());
+        gateway.wait_for_log_line("gateway serving");
         gateway
     }
 
     /// Serves discovery: each watch gets the updates of this harness.
-    pub fn discover(&self) {
+    pub fn serve_discovery(&self) {
         let listener = self.discovery.try_clone().expect("a second handle");
         let script = watch_script(&self.updates, vec![Step::Heartbeat]);
-        ScriptedDiscovery::serve(listener, Connections::SideBySide, std::iter::repeat(script));
+        ScriptedDiscovery::serve(listener, Connections::Concurrent, std::iter::repeat(script));
     }
 
     /// Adds an operations address.
@@ -162,7 +162,7 @@
 
     /// Reserves one more port for a gateway of this harness and returns its address.
     pub fn reserve_port(&mut self) -> String {
-        let port = ReservedPort::at(self.network.address(PEERS_HOST));
+        let port = ReservedPort::at(self.network.address(SERVICES_HOST));
         let address = port.address();
         self.ports.push(Rc::new(port));
         address
@@ -184,7 +184,7 @@
         let (listen, sockets, known) =
             (&self.listen, self.sockets, list_line(FIRST_REVISION, true, &self.known));
         let discovery = self.discovery_address();
-        let settings = DeploymentSettings::of_one_gateway().json();
+        let settings = DeploymentSettings::single_gateway().json();
         let ops = self.ops.as_ref().map(|ops| format!(r#""ops":"{ops}","#)).unwrap_or_default();
         format!(
             r#"{{{ops}"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f","limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
@@ -192,12 +192,12 @@
     }
 
     /// Starts the program with this configuration, without waiting for it.
-    pub fn start_with(&self, config: &str) -> Gateway {
-        self.start_env(config, &[])
+    pub fn spawn(&self, config: &str) -> Gateway {
+        self.spawn_with_env(config, &[])
     }
 
     /// The same, with more variables in its environment.
-    pub fn start_env(&self, config: &str, more: &[(&str, &str)]) -> Gateway {
+    pub fn spawn_with_env(&self, config: &str, more: &[(&str, &str)]) -> Gateway {
         let path = format!("{}/{}.json", self.program.folder, self.listen);
         std::fs::write(&path, config).expect("a place to write");
         let program = self.program.path;
@@ -234,47 +234,47 @@
     /// Starts the program and waits until it serves.
     pub fn start(self) -> Gateway {
         let config = self.config();
-        self.start_as(&config)
+        self.start_with_config(&config)
     }
 
     /// The same, with a changed configuration.
-    pub fn start_changed(self, change: impl FnOnce(&str) -> String) -> Gateway {
+    pub fn start_with_changed_config(self, change: impl FnOnce(&str) -> String) -> Gateway {
         let config = change(&self.config());
-        self.start_as(&config)
+        self.start_with_config(&config)
     }
 
     /// The same, with this configuration.
-    pub fn start_as(self, config: &str) -> Gateway {
-        let mut gateway = self.start_with(config);
-        gateway.line_with("gateway serving");
+    pub fn start_with_config(self, config: &str) -> Gateway {
+        let mut gateway = self.spawn(config);
+        gateway.wait_for_log_line("gateway serving");
         gateway.discovery = Some(serve_updates(self.discovery, &self.updates, &self.later_updates));
         gateway
     }
 
     /// The same, with a discovery service that follows these scripts.
     pub fn start_scripted(self, config: &str, scripts: Vec<Vec<Step>>) -> (Gateway, ScriptedDiscovery) {
-        let gateway = self.start_with(config);
-        gateway.line_with("gateway serving");
+        let gateway = self.spawn(config);
+        gateway.wait_for_log_line("gateway serving");
         (gateway, ScriptedDiscovery::play(self.discovery, scripts))
     }
 
     /// Starts another discovery service, whose first watch brings these lines.
-    pub fn other_source(&self, updates: &[&str]) -> ScriptedDiscovery {
+    pub fn start_second_discovery(&self, updates: &[&str]) -> ScriptedDiscovery {
         let updates: Vec<String> = updates.iter().map(|line| line.to_string()).collect();
-        serve_updates(self.network.tcp_listener(PEERS_HOST), &updates, &[])
+        serve_updates(self.network.tcp_listener(SERVICES_HOST), &updates, &[])
     }
 }
 
 /// A discovery service whose first watch brings these updates, the later ones after a go; each further go ends a watch.
 fn serve_updates(listener: TcpListener, updates: &[String], later_updates: &[String]) -> ScriptedDiscovery {
-    let mut first = watch_script(updates, vec![Step::HeartbeatUntilGo]);
+    let mut first = watch_script(updates, vec![Step::HeartbeatUntilRelease]);
     if !later_updates.is_empty() {
         first.extend(later_updates.iter().map(|line| Step::Write(line_chunk(line))));
-        first.push(Step::HeartbeatUntilGo);
+        first.push(Step::HeartbeatUntilRelease);
     }
-    let other = watch_script(&[], vec![Step::HeartbeatUntilGo]);
+    let other = watch_script(&[], vec![Step::HeartbeatUntilRelease]);
     let scripts = std::iter::once(first).chain(std::iter::repeat(other));
-    ScriptedDiscovery::serve(listener, Connections::InTurn, scripts)
+    ScriptedDiscovery::serve(listener, Connections::Sequential, scripts)
 }
 
 /// A gateway and its only host, a primary that answers queries from this script.
--- a/crates/test-support/src/host.rs
+++ b/crates/test-support/src/host.rs
@@ -4,7 +4,7 @@
 use crate::messages::{message, read_message, ready_for_query, row};
 use crate::network::ReservedPort;
 use crate::reply::Reply;
-use crate::time::NEVER;
+use crate::time::TEST_TIMEOUT;
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -31,7 +31,7 @@
         Host::slow_from(ip, script, usize::MAX)
     }
 
-    /// The same, but from this connection on, counted from 0, startups are answered only after [`Host::go`].
+    /// The same, but from this connection on, counted from 0, startups are answered only after [`Host::release`].
     pub(crate) fn slow_from(ip: Ipv4Addr, script: Vec<Reply>, slow_from: usize) -> Host {
         let listener = TcpListener::bind((ip, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
@@ -62,31 +62,31 @@
     /// Waits for the next query and returns it.
     pub fn next_query(&self) -> String {
         self.count.set(self.count.get() + 1);
-        self.seen.recv_timeout(NEVER).expect("a query arrives")
+        self.seen.recv_timeout(TEST_TIMEOUT).expect("a query arrives")
     }
 
     /// How many queries it has received in all.
-    pub fn queries(&self) -> usize {
+    pub fn query_count(&self) -> usize {
         self.count.get() + self.seen.try_iter().count()
     }
 
     /// The queries that it has received since the last call.
-    pub fn queries_by_now(&self) -> Vec<String> {
+    pub fn new_queries(&self) -> Vec<String> {
         self.seen.try_iter().collect()
     }
 
     /// Waits for a connection whose startup has to be let go on.
     pub fn next_connection(&self) {
-        self.came.recv_timeout(NEVER).expect("a connection comes");
+        self.came.recv_timeout(TEST_TIMEOUT).expect("a connection comes");
     }
 
     /// Waits until a connection to it has ended.
     pub fn wait_for_disconnect(&self) {
-        self.ended.recv_timeout(NEVER).expect("the gateway closes");
+        self.ended.recv_timeout(TEST_TIMEOUT).expect("the gateway closes");
     }
 
     /// Lets what waits for the test go on: a startup of a slow connection, or a reply.
-    pub fn go(&self) {
+    pub fn release(&self) {
         self.go.send(()).expect("it waits");
     }
 }
@@ -105,7 +105,7 @@
         // One at a time waits, in the order in which the test is notified of them.
         let turn = go.lock().expect("a signal");
         let _ = come.send(());
-        turn.recv_timeout(NEVER).expect("it may go on");
+        turn.recv_timeout(TEST_TIMEOUT).expect("it may go on");
     }
     // The gateway may have closed the connection meanwhile.
     let _ = stream.write_all(&[message(b'R', &[0; 4]), ready_for_query()].concat());
@@ -141,38 +141,38 @@
 }
 
 fn send_reply(stream: &mut TcpStream, query: &str, reply: Reply, go: &Mutex<Receiver<()>>) -> Next {
-    let wait_for_go = || go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on");
+    let wait_for_go = || go.lock().expect("a signal").recv_timeout(TEST_TIMEOUT).expect("it may go on");
     match reply {
-        Reply::Nothing => {}
-        Reply::NothingTo(text, _) if query.contains(text) => {}
+        Reply::NoAnswer => {}
+        Reply::NoAnswerTo(text, _) if query.contains(text) => {}
         Reply::Close => return Next::Close,
-        Reply::CloseOnGo => {
+        Reply::CloseOnRelease => {
             wait_for_go();
             return Next::Close;
         }
         Reply::Bytes(bytes) => {
             let _ = stream.write_all(bytes);
         }
-        Reply::Cut(bytes) => {
+        Reply::BytesThenClose(bytes) => {
             let _ = stream.write_all(bytes);
             return Next::Close;
         }
-        Reply::Surplus(value, behind) => {
+        Reply::RowThenBytes(value, behind) => {
             let _ = stream.write_all(&[row(value), ready_for_query(), behind.to_vec()].concat());
         }
-        Reply::Pieces(value, size, apart) => {
+        Reply::RowInPieces(value, size, apart) => {
             for piece in [row(value), ready_for_query()].concat().chunks(size) {
                 let _ = stream.write_all(piece);
                 thread::sleep(Duration::from_millis(apart));
             }
         }
-        Reply::ResetOnGo(value) => {
+        Reply::ResetOnRelease(value) => {
             let _ = stream.write_all(&[row(value), ready_for_query()].concat());
             wait_for_go();
             return Next::Reset;
         }
         complete => {
-            if matches!(complete, Reply::WaitForGo(..) | Reply::RowAtOnGo(..)) {
+            if matches!(complete, Reply::WaitForRelease(..) | Reply::RowAtOnRelease(..)) {
                 wait_for_go();
             }
             if let Reply::Delayed(delay_ms, _) = complete {
@@ -192,7 +192,7 @@
     let (host, gateway) = (stream.local_addr().expect("an address"), stream.peer_addr().expect("an address"));
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
     drop(stream);
-    let until = Instant::now() + NEVER;
+    let until = Instant::now() + TEST_TIMEOUT;
     while is_connected(gateway, host) {
         assert!(Instant::now() < until, "the reset never arrives");
         thread::sleep(Duration::from_millis(1));
--- a/crates/test-support/src/network.rs
+++ b/crates/test-support/src/network.rs
@@ -16,7 +16,7 @@
 /// Claims of this process, held until it ends.
 static CLAIMS: Mutex<Vec<UdpSocket>> = Mutex::new(Vec::new());
 /// Networks that this process has tried to claim.
-static TRIED: AtomicU32 = AtomicU32::new(0);
+static ATTEMPTED_CLAIMS: AtomicU32 = AtomicU32::new(0);
 
 /// A network of 256 loopback addresses that no other test of this machine is given while this process runs.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
         // Processes begin far apart, so that they seldom try the same ones.
         let first = std::process::id().wrapping_mul(251);
         for _ in 0..NETWORKS {
-            let index = first.wrapping_add(TRIED.fetch_add(1, Ordering::Relaxed)) % NETWORKS;
+            let index = first.wrapping_add(ATTEMPTED_CLAIMS.fetch_add(1, Ordering::Relaxed)) % NETWORKS;
             let second_byte = (FIRST_SECOND_BYTE + index / 256) as u8;
             let network = LoopbackNetwork { second_byte, third_byte: (index % 256) as u8 };
             if let Ok(claim) = UdpSocket::bind((network.address(CLAIM_HOST), CLAIM_PORT)) {
--- a/crates/test-support/src/reply.rs
+++ b/crates/test-support/src/reply.rs
@@ -3,7 +3,7 @@
 use crate::messages::{error, parameter_status, ready_for_query, row};
 use crate::time::unix_ms;
 
-/// What a scripted host does with a query. "On go" is after [`Host::go`](crate::Host::go).
+/// What a scripted host does with a query. "On go" is after [`Host::release`](crate::Host::release).
 pub enum Reply {
     /// Answers with a row.
     Row(&'static [u8]),
@@ -16,21 +16,21 @@
     /// The same from a replica that is behind by the second number of milliseconds.
     ReplicaByClock(&'static [u8], i64, i64),
     /// Answers with a row, and sends these bytes after it.
-    Surplus(&'static [u8], &'static [u8]),
+    RowThenBytes(&'static [u8], &'static [u8]),
     /// Sends these bytes.
     Bytes(&'static [u8]),
     /// Sends these bytes and closes the connection.
-    Cut(&'static [u8]),
+    BytesThenClose(&'static [u8]),
     /// Answers with a row, so many bytes at a time and so many milliseconds apart.
-    Pieces(&'static [u8], usize, u64),
+    RowInPieces(&'static [u8], usize, u64),
     /// Answers with a row, and resets the connection on go.
-    ResetOnGo(&'static [u8]),
+    ResetOnRelease(&'static [u8]),
     /// Answers with a row on go.
-    WaitForGo(&'static [u8]),
+    WaitForRelease(&'static [u8]),
     /// The same, at this position.
-    RowAtOnGo(&'static [u8], u64),
+    RowAtOnRelease(&'static [u8], u64),
     /// Closes the connection on go, without an answer.
-    CloseOnGo,
+    CloseOnRelease,
     /// Answers with an error of this SQLSTATE.
     Error(&'static str),
     /// The same, from a replica at this position.
@@ -38,9 +38,9 @@
     /// Closes the connection.
     Close,
     /// Does nothing.
-    Nothing,
+    NoAnswer,
     /// Does nothing with a query that contains this text; answers another with a row.
-    NothingTo(&'static str, &'static [u8]),
+    NoAnswerTo(&'static str, &'static [u8]),
     /// Gives this reply so many milliseconds later.
     Delayed(u64, Box<Reply>),
     /// Answers with the query's own text, in this role.
@@ -51,8 +51,8 @@
     /// The messages of a complete answer: a row or an error, the host's role and position, and the end.
     pub(crate) fn messages(&self, query: &str) -> Vec<u8> {
         let answer = match self {
-            Reply::Row(value) | Reply::WaitForGo(value) | Reply::NothingTo(_, value) => row(value),
-            Reply::RowAt(value, at) | Reply::ReplicaAt(value, at) | Reply::RowAtOnGo(value, at) => {
+            Reply::Row(value) | Reply::WaitForRelease(value) | Reply::NoAnswerTo(_, value) => row(value),
+            Reply::RowAt(value, at) | Reply::ReplicaAt(value, at) | Reply::RowAtOnRelease(value, at) => {
                 [row(value), log_position(*at)].concat()
             }
             Reply::RowByClock(value, ahead) => [row(value), log_position_by_clock(*ahead)].concat(),
--- a/crates/test-support/src/scripted_discovery.rs
+++ b/crates/test-support/src/scripted_discovery.rs
@@ -2,7 +2,7 @@
 //! keeps a list.
 
 use crate::endpoint_list::{line_chunk, RESPONSE_HEAD};
-use crate::time::NEVER;
+use crate::time::TEST_TIMEOUT;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
@@ -24,14 +24,14 @@
     Write(Vec<u8>),
     /// Writes these bytes in segments of one byte each.
     WriteBytesApart(Vec<u8>),
-    /// Waits for [`ScriptedDiscovery::go`].
-    WaitForGo,
+    /// Waits for [`ScriptedDiscovery::release`].
+    WaitForRelease,
     /// Writes these bytes every 200 ms until the connection ends.
     Trickle(Vec<u8>),
     /// Writes a heartbeat every second until the connection ends.
     Heartbeat,
-    /// Writes a heartbeat every second until the connection ends or the test calls [`ScriptedDiscovery::go`].
-    HeartbeatUntilGo,
+    /// Writes a heartbeat every second until the connection ends or the test calls [`ScriptedDiscovery::release`].
+    HeartbeatUntilRelease,
     /// Waits until the gateway closes the connection.
     Silence,
 }
@@ -39,8 +39,8 @@
 /// Whether a new connection is served while an earlier one is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Connections {
-    SideBySide,
-    InTurn,
+    Concurrent,
+    Sequential,
 }
 
 /// A script that sends these lines and then what follows them.
@@ -61,7 +61,7 @@
     /// scripts get no answer.
     pub fn play(listener: TcpListener, scripts: Vec<Vec<Step>>) -> ScriptedDiscovery {
         let silence = std::iter::repeat_with(|| vec![Step::Silence]);
-        ScriptedDiscovery::serve(listener, Connections::SideBySide, scripts.into_iter().chain(silence))
+        ScriptedDiscovery::serve(listener, Connections::Concurrent, scripts.into_iter().chain(silence))
     }
 
     /// Serves each connection by the next script.
@@ -77,8 +77,8 @@
             for (stream, script) in listener.incoming().zip(scripts) {
                 let (stream, seen, gone) = (stream.expect("a connection"), seen.clone(), gone.clone());
                 match connections {
-                    Connections::InTurn => follow(stream, script, &seen, &gone),
-                    Connections::SideBySide => {
+                    Connections::Sequential => follow(stream, script, &seen, &gone),
+                    Connections::Concurrent => {
                         thread::spawn(move || follow(stream, script, &seen, &gone));
                     }
                 }
@@ -93,12 +93,12 @@
     }
 
     /// The first line of the next request.
-    pub fn next(&self) -> String {
-        self.requests.recv_timeout(NEVER).expect("a request arrives")
+    pub fn next_request(&self) -> String {
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request arrives")
     }
 
     /// Lets the connection that waits continue its script.
-    pub fn go(&self) {
+    pub fn release(&self) {
         self.go.send(()).expect("it waits");
     }
 }
@@ -127,7 +127,9 @@
                     thread::sleep(BYTE_INTERVAL);
                 }
             }
-            Step::WaitForGo => go.lock().expect("a signal").recv_timeout(NEVER).expect("it may go on"),
+            Step::WaitForRelease => {
+                go.lock().expect("a signal").recv_timeout(TEST_TIMEOUT).expect("it may go on")
+            }
             Step::Trickle(bytes) => {
                 thread::sleep(TRICKLE_INTERVAL);
                 while stream.write_all(&bytes).is_ok() {
@@ -139,7 +141,7 @@
                     thread::sleep(HEARTBEAT_INTERVAL);
                 }
             }
-            Step::HeartbeatUntilGo => {
+            Step::HeartbeatUntilRelease => {
                 let go = go.lock().expect("a signal");
                 while stream.write_all(&line_chunk("")).is_ok()
                     && go.recv_timeout(HEARTBEAT_INTERVAL) == Err(RecvTimeoutError::Timeout)
--- a/crates/test-support/src/settings.rs
+++ b/crates/test-support/src/settings.rs
@@ -58,7 +58,7 @@
 
 impl SlowStart {
     /// The slow start of most deployments.
-    pub const USUAL: SlowStart = SlowStart {
+    pub const DEFAULT: SlowStart = SlowStart {
         initial_share: 0.24,
         span: Duration::from_secs(16),
         overload_factor: 4.0,
@@ -110,7 +110,7 @@
     }
 
     /// One gateway, a class of reads and one of keyed writes.
-    pub(crate) fn of_one_gateway() -> DeploymentSettings {
+    pub(crate) fn single_gateway() -> DeploymentSettings {
         let read = ClassSettings {
             name: "view",
             read_level: "eventual",
@@ -133,7 +133,7 @@
             gateways: 1,
             zone: 'a',
             classes: vec![read, write],
-            slow_start: SlowStart::USUAL,
+            slow_start: SlowStart::DEFAULT,
         }
     }
 }
--- a/crates/test-support/src/time.rs
+++ b/crates/test-support/src/time.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Nothing that works takes so long; what does not work fails then and does not hang.
-pub(crate) const NEVER: Duration = Duration::from_secs(60);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The machine's time, in milliseconds.
 pub fn unix_ms() -> u64 {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -12,7 +12,7 @@
             gateway_program!(),
             vec![Reply::Close, Reply::Error("25006"), Reply::Row(b"v")],
         );
-        assert_eq!(kinds(&gateway.client().ask(&text)), "TDCZ");
+        assert_eq!(kinds(&gateway.client().query(&text)), "TDCZ");
         let ids = [host.next_query(), host.next_query(), host.next_query()]
             .map(|seen| seen.split("id=").nth(1).map(|rest| rest[..4].to_string()));
         assert_eq!(ids, [Some("9b1f".to_string()), Some("9b1f".into()), Some("9b1f".into())]);
@@ -24,16 +24,16 @@
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![]);
     let gateway = harness.list(&[(&host, "draining", "primary")]).start();
-    let answer = gateway.client().ask(&select("a", "view", 200));
+    let answer = gateway.client().query(&select("a", "view", 200));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "53300"));
     assert_eq!(field(&answer[0].1, b'D'), "500");
-    assert_eq!(host.queries(), 0);
+    assert_eq!(host.query_count(), 0);
 }
 
 #[test]
 fn a_write_whose_attempt_may_have_run_fails_and_is_not_rejected() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Nothing, Reply::Nothing]);
-    let answer = gateway.client().ask(&insert("a", 2000));
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::NoAnswer, Reply::NoAnswer]);
+    let answer = gateway.client().query(&insert("a", 2000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "40003"));
     host.next_query();
     host.wait_for_disconnect();
@@ -57,7 +57,7 @@
                 let harness = Harness::new(gateway_program!());
                 let host = script.map_or_else(|| harness.closed_host(), |script| harness.host(script));
                 let gateway = harness.list(&[(&host, "up", "primary")]).start();
-                let answer = gateway.client().ask(&insert("a", 2000));
+                let answer = gateway.client().query(&insert("a", 2000));
                 assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", code));
             });
         }
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_client_that_disconnects_has_its_attempt_cancelled() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Nothing]);
+    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::NoAnswer]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", 60_000)));
     host.next_query();
@@ -93,7 +93,7 @@
                     gateway_program!(),
                     vec![Reply::Bytes(bytes), Reply::Row(b"complete")],
                 );
-                let answer = gateway.client().ask(&select("a", "view", 20000));
+                let answer = gateway.client().query(&select("a", "view", 20000));
                 assert_eq!((kinds(&answer).as_str(), &answer[1].1[6..]), ("TDCZ", &b"complete"[..]));
                 host.wait_for_disconnect();
             });
@@ -106,17 +106,17 @@
 fn bytes_after_an_answer_are_not_the_next_answer() {
     let harness = Harness::new(gateway_program!());
     let copy: &[u8] = b"C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I";
-    let script = (0..6).flat_map(|_| [Reply::Surplus(b"one", copy), Reply::Row(b"two")]).collect();
+    let script = (0..6).flat_map(|_| [Reply::RowThenBytes(b"one", copy), Reply::Row(b"two")]).collect();
     let host = harness.host(script);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     for _ in 0..6 {
         for value in [b"one", b"two"] {
-            assert_eq!(client.ask(&select("a", "view", 20000))[1].1[6..], *value);
-            gateway.rest();
+            assert_eq!(client.query(&select("a", "view", 20000))[1].1[6..], *value);
+            gateway.wait_until_reusable();
         }
     }
-    gateway.wait_for("HostSurplus=", |count| count >= 6);
+    gateway.wait_for_counter_value("HostSurplus=", |count| count >= 6);
 }
 
 // A duplicate that arrives after the next query was written looks like the answer to it.
@@ -131,9 +131,9 @@
     let (_host, gateway) = gateway_with_primary(gateway_program!(), script);
     let mut client = gateway.client();
     client.write(&[query(&select("a", "view", 20000)), query(&select("b", "view", 20000))].concat());
-    assert_eq!(client.until_ready()[1].1[6..], *b"one");
+    assert_eq!(client.read_until_ready()[1].1[6..], *b"one");
     // The second query is written at once on the same connection: the first answer to it is the duplicate.
-    assert_eq!(client.until_ready()[1].1[6..], *b"two");
+    assert_eq!(client.read_until_ready()[1].1[6..], *b"two");
     gateway.wait_for_counter("HostRepeated=1");
 }
 
@@ -144,7 +144,7 @@
 fn two_equal_rejections_are_not_duplicates() {
     let script = vec![Reply::ErrorAt("25006", 5), Reply::ErrorAt("25006", 5), Reply::RowAt(b"one", 6)];
     let (_host, gateway) = gateway_with_primary(gateway_program!(), script);
-    let answer = gateway.client().ask(&insert("a", 20000));
+    let answer = gateway.client().query(&insert("a", 20000));
     assert_eq!(answer[1].1[6..], *b"one");
     gateway.wait_for_counter("Served=1 Rejected=2");
 }
@@ -154,7 +154,7 @@
 #[test]
 fn a_statement_that_a_host_finds_unusable_is_answered_at_once() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Error("08P01")]);
-    let answer = gateway.client().ask(&insert("a", 20000));
+    let answer = gateway.client().query(&insert("a", 20000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "08P01"));
-    assert_eq!(host.queries(), 1);
+    assert_eq!(host.query_count(), 1);
 }
--- a/tests/changes_during_connect.rs
+++ b/tests/changes_during_connect.rs
@@ -21,22 +21,22 @@
         let script = vec![
             Step::Write(RESPONSE_HEAD.to_vec()),
             Step::Write(chunk(&format!("{}\n", list_line(42, true, &up)))),
-            Step::WaitForGo,
+            Step::WaitForRelease,
             Step::Write(chunk(&format!("{}\n", list_line(43, false, &updates)))),
             Step::Heartbeat,
         ];
         let config = with_long_connect_timeout(&harness.config());
         let (gateway, source) = harness.start_scripted(&config, vec![script]);
-        gateway.wait_for("lists=", |count| count >= 2);
+        gateway.wait_for_counter_value("lists=", |count| count >= 2);
         let mut client = gateway.client();
         client.write(&query(&select("a", "view", 60_000)));
         slow.next_connection();
-        source.go();
-        gateway.wait_for("lists=", |count| count >= 3);
-        slow.go();
-        let answer = client.until_ready();
+        source.release();
+        gateway.wait_for_counter_value("lists=", |count| count >= 3);
+        slow.release();
+        let answer = client.read_until_ready();
         assert!(answer[1].1.ends_with(b"next"), "{change}: {answer:?}");
-        assert_eq!(slow.queries(), 0, "{change}");
+        assert_eq!(slow.query_count(), 0, "{change}");
     }
 }
 
@@ -45,7 +45,7 @@
 fn a_keyed_write_is_not_retried_after_its_key_window_over_a_late_connection() {
     let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(1, vec![Reply::Close]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(|config| {
+    let gateway = harness.list(&[(&host, "up", "primary")]).start_with_changed_config(|config| {
         with_long_connect_timeout(config).replace("\"window_us\":30000000", "\"window_us\":1500000")
     });
     let mut client = gateway.client();
@@ -55,10 +55,10 @@
     host.next_connection();
     // The one wait by the clock: up to the window's end, however long the way to here took.
     std::thread::sleep(std::time::Duration::from_millis(2_000));
-    host.go();
-    let answer = client.until_ready();
+    host.release();
+    let answer = client.read_until_ready();
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "40003"));
-    assert_eq!(host.queries(), 1);
+    assert_eq!(host.query_count(), 1);
 }
 
 // Within the window it is.
@@ -66,12 +66,13 @@
 fn a_keyed_write_is_retried_within_its_key_window() {
     let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(1, vec![Reply::Close, Reply::Row(b"v")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
+    let gateway =
+        harness.list(&[(&host, "up", "primary")]).start_with_changed_config(with_long_connect_timeout);
     let mut client = gateway.client();
     client.write(&query(&insert("a", 25_000)));
     host.next_query();
     host.next_connection();
-    host.go();
-    assert_eq!(kinds(&client.until_ready()), "TDCZ");
-    assert_eq!(host.queries(), 2);
+    host.release();
+    assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
+    assert_eq!(host.query_count(), 2);
 }
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -61,28 +61,28 @@
                     let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
                     let harness = harness.list(&[(&host, "up", "primary")]);
                     let config = config(&harness, cancel);
-                    let gateway = harness.start_as(&config);
+                    let gateway = harness.start_with_config(&config);
                     let mut client = gateway.client();
                     client.write(&named("first", "9b1f"));
                     host.next_connection();
                     let kept = leave(client, how);
                     gateway.wait_for_counter("left=1 ");
-                    host.go();
+                    host.release();
                     if !cancel {
                         // Its connection is good for the next one.
                         gateway.wait_for_counter(" NotWanted=1");
-                        gateway.rest();
+                        gateway.wait_until_reusable();
                     }
                     let mut next = gateway.client();
                     next.write(&named("second", "9b20"));
                     if cancel {
                         // The connection went with the attempt; the next request has one of its own.
                         host.next_connection();
-                        host.go();
+                        host.release();
                     }
-                    assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?} {cancel}");
+                    assert_eq!(kinds(&next.read_until_ready()), "TDCZ", "{how:?} {cancel}");
                     assert!(host.next_query().contains("'second'"), "{how:?} {cancel}");
-                    assert_eq!(host.queries(), 1, "{how:?} {cancel}");
+                    assert_eq!(host.query_count(), 1, "{how:?} {cancel}");
                     drop(kept);
                 });
             }
@@ -94,17 +94,17 @@
 fn a_pipelined_query_is_not_sent_after_its_client_has_disconnected() {
     for how in WAYS {
         let harness = Harness::new(gateway_program!());
-        let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"third")]);
+        let host = harness.host(vec![Reply::WaitForRelease(b"first"), Reply::Row(b"third")]);
         let gateway = harness.list(&[(&host, "up", "primary")]).start();
         let mut client = gateway.client();
         client.write(&[named("first", "9b1f"), named("second", "9b20")].concat());
         assert!(host.next_query().contains("'first'"));
         let kept = leave(client, how);
         gateway.wait_for_counter("left=1 ");
-        host.go();
+        host.release();
         let mut next = gateway.client();
         next.write(&named("third", "9b1f"));
-        assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?}: its name is free again");
+        assert_eq!(kinds(&next.read_until_ready()), "TDCZ", "{how:?}: its name is free again");
         assert!(host.next_query().contains("'third'"), "{how:?}");
         drop(kept);
     }
@@ -119,7 +119,7 @@
         let harness = harness.list(&[(&host, "draining", "primary")]);
         let script = vec![
             Step::Write(RESPONSE_HEAD.to_vec()),
-            Step::WaitForGo,
+            Step::WaitForRelease,
             Step::Write(chunk(&format!("{}\n", list_line(42, true, &up.replace("s-0", "s-1"))))),
             Step::Heartbeat,
         ];
@@ -130,13 +130,13 @@
         gateway.wait_for_counter("requests=1 ");
         let kept = leave(client, how);
         gateway.wait_for_counter("left=1 ");
-        source.go();
-        gateway.wait_for("lists=", |count| count >= 2);
+        source.release();
+        gateway.wait_for_counter_value("lists=", |count| count >= 2);
         let mut next = gateway.client();
         next.write(&named("second", "9b1f"));
-        assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?}");
+        assert_eq!(kinds(&next.read_until_ready()), "TDCZ", "{how:?}");
         assert!(host.next_query().contains("'second'"), "{how:?}");
-        assert_eq!(host.queries(), 1, "{how:?}");
+        assert_eq!(host.query_count(), 1, "{how:?}");
         drop(kept);
     }
 }
@@ -149,18 +149,18 @@
         let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
         let config = config(&harness, false);
-        let gateway = harness.start_as(&config);
+        let gateway = harness.start_with_config(&config);
         let mut client = gateway.client();
         client.write(&named("first", "9b1f").repeat(200));
         host.next_connection();
         leave(client, how);
         gateway.wait_for_counter("left=1 ");
-        host.go();
+        host.release();
         gateway.wait_for_counter(" NotWanted=1");
-        gateway.rest();
+        gateway.wait_until_reusable();
         let mut next = gateway.client();
         next.write(&named("second", "9b1f"));
-        assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?}");
+        assert_eq!(kinds(&next.read_until_ready()), "TDCZ", "{how:?}");
         assert!(host.next_query().contains("'second'"), "{how:?}");
     }
 }
@@ -176,10 +176,10 @@
     let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = config(&harness, true);
-    let gateway = harness.start_as(&config);
+    let gateway = harness.start_with_config(&config);
     let mut client = gateway.raw_client();
     client.write(&startup());
-    let welcome = client.until_ready();
+    let welcome = client.read_until_ready();
     let (_, key) = welcome.iter().find(|(kind, _)| *kind == b'K').expect("a key");
     let number = |from: usize| u32::from_be_bytes([key[from], key[from + 1], key[from + 2], key[from + 3]]);
     let (process, secret) = (number(0), number(4));
@@ -188,25 +188,25 @@
     for (process, secret) in [(process, secret ^ 1), (process ^ 1, secret), (process, secret)] {
         let mut other = gateway.raw_client();
         other.write(&cancel_request(process, secret));
-        assert_eq!(other.until_end(), b"");
+        assert_eq!(other.read_until_end(), b"");
     }
-    let answer = client.until_ready();
+    let answer = client.read_until_ready();
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "57014"));
     gateway.wait_for_counter("cancelled=1 ");
-    host.go();
+    host.release();
     // The connection stays, and the next query is served.
     client.write(&named("second", "9b20"));
     host.next_connection();
-    host.go();
-    assert_eq!(kinds(&client.until_ready()), "TDCZ");
+    host.release();
+    assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
     assert!(host.next_query().contains("'second'"));
-    assert_eq!(host.queries(), 1);
+    assert_eq!(host.query_count(), 1);
 }
 
 /// Stops the process while this is done, so that all of it is there when it goes on.
 fn while_stopped(gateway: &Gateway, happens: impl FnOnce()) {
     gateway.signal("STOP");
-    let status = format!("/proc/{}/status", gateway.id());
+    let status = format!("/proc/{}/status", gateway.process_id());
     while !std::fs::read_to_string(&status).expect("it runs").contains("State:\tT") {
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -218,7 +218,7 @@
 fn client_with_key(gateway: &Gateway) -> (Client, (u32, u32)) {
     let mut client = gateway.raw_client();
     client.write(&startup());
-    let welcome = client.until_ready();
+    let welcome = client.read_until_ready();
     let (_, key) = welcome.iter().find(|(kind, _)| *kind == b'K').expect("a key");
     let number = |from: usize| u32::from_be_bytes([key[from], key[from + 1], key[from + 2], key[from + 3]]);
     (client, (number(0), number(4)))
@@ -228,22 +228,22 @@
 #[test]
 fn a_cancel_in_the_same_turn_as_a_failed_attempt_leaves_no_retry() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
+    let host = harness.host(vec![Reply::CloseOnRelease, Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut client, (process, secret)) = client_with_key(&gateway);
     let mut other = gateway.raw_client();
     client.write(&named("first", "9b1f"));
     assert!(host.next_query().contains("'first'"));
-    gateway.wait_for("clients=", |count| count >= 2);
+    gateway.wait_for_counter_value("clients=", |count| count >= 2);
     while_stopped(&gateway, || {
-        host.go();
+        host.release();
         host.wait_for_disconnect();
         other.write(&cancel_request(process, secret));
     });
-    let answer = client.until_ready();
+    let answer = client.read_until_ready();
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "57014"));
     gateway.wait_for_counter("cancelled=1 ");
-    assert_eq!(host.queries(), 1);
+    assert_eq!(host.query_count(), 1);
 }
 
 // The end of a client's bytes was seen only behind all bytes before it, and a query of theirs went out meanwhile.
@@ -259,19 +259,19 @@
         // The kernel takes more from a client that has sent much.
         for _ in 0..WARM_QUERIES {
             client.write(&large);
-            assert_eq!(kinds(&client.until_ready()), "TDCZ");
+            assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
             host.next_query();
         }
-        gateway.rest();
+        gateway.wait_until_reusable();
         while_stopped(&gateway, || {
             client.write(&[named("first", "9b1f"), large.repeat(LARGE_QUERIES)].concat());
             leave(client, how);
         });
         let mut next = gateway.client();
         next.write(&named("second", "9b20"));
-        assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?}");
+        assert_eq!(kinds(&next.read_until_ready()), "TDCZ", "{how:?}");
         assert!(host.next_query().contains("'second'"), "{how:?}");
-        assert_eq!(host.queries(), WARM_QUERIES + 1, "{how:?}");
+        assert_eq!(host.query_count(), WARM_QUERIES + 1, "{how:?}");
     }
 }
 
@@ -279,27 +279,27 @@
 fn a_retry_due_with_a_reload_is_not_sent_after_its_client_has_disconnected() {
     for how in WAYS {
         let harness = Harness::new(gateway_program!());
-        let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"second")]);
+        let host = harness.host(vec![Reply::CloseOnRelease, Reply::Row(b"second")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
         let config = config(&harness, false);
-        let gateway = harness.start_as(&config);
+        let gateway = harness.start_with_config(&config);
         let mut client = gateway.client();
         client.write(&named("first", "9b1f"));
         assert!(host.next_query().contains("'first'"));
         let mut kept = None;
         while_stopped(&gateway, || {
-            gateway.configure(&config.replace("\"attempts_cap\":8", "\"attempts_cap\":4"));
-            host.go();
+            gateway.reload_config(&config.replace("\"attempts_cap\":8", "\"attempts_cap\":4"));
+            host.release();
             host.wait_for_disconnect();
             kept = leave(client, how);
         });
-        gateway.line_with("configuration reloaded");
+        gateway.wait_for_log_line("configuration reloaded");
         gateway.wait_for_counter("left=1 ");
         let mut next = gateway.client();
         next.write(&named("second", "9b20"));
-        assert_eq!(kinds(&next.until_ready()), "TDCZ", "{how:?}");
+        assert_eq!(kinds(&next.read_until_ready()), "TDCZ", "{how:?}");
         assert!(host.next_query().contains("'second'"), "{how:?}");
-        assert_eq!(host.queries(), 2, "{how:?}");
+        assert_eq!(host.query_count(), 2, "{how:?}");
         drop(kept);
     }
 }
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -19,15 +19,15 @@
     let path = format!("{}/{}.pipe", env!("CARGO_TARGET_TMPDIR"), harness.listen);
     let _ = std::fs::remove_file(&path);
     assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo is there").success());
-    let gateway = harness.start_env(&config, &[("GW_CONFIG", &path)]);
+    let gateway = harness.spawn_with_env(&config, &[("GW_CONFIG", &path)]);
     let mut file = std::fs::OpenOptions::new().write(true).open(&path).expect("it reads");
     file.write_all(&config.as_bytes()[..20]).expect("it reads");
     gateway.signal("HUP");
     file.write_all(&config.as_bytes()[20..]).expect("it reads on");
     drop(file);
-    gateway.line_with("gateway serving");
+    gateway.wait_for_log_line("gateway serving");
     std::fs::write(&path, config.replace("30000000", "20000000")).expect("it reads again");
-    gateway.line_with("configuration reloaded");
+    gateway.wait_for_log_line("configuration reloaded");
     let _ = std::fs::remove_file(&path);
 }
 
@@ -35,34 +35,36 @@
 // learned, and kept to what the other left of its own limits.
 #[test]
 fn handover_records_of_another_gateway_are_ignored() {
-    let (mut one, mut other) =
-        (Harness::new(gateway_program!()).shared(), Harness::new(gateway_program!()).shared());
+    let (mut one, mut other) = (
+        Harness::new(gateway_program!()).with_shared_listener(),
+        Harness::new(gateway_program!()).with_shared_listener(),
+    );
     let hosts = [one.host(rows()), other.host(rows())];
     one = one.list(&[(&hosts[0], "up", "primary")]);
-    other = other.list(&[(&hosts[1], "up", "primary")]).share(one.folder());
-    [&one, &other].iter().for_each(|harness| harness.discover());
-    let first = one.beside();
-    first.call_until(b"ready\n", "YES");
-    assert_eq!(kinds(&first.client().ask(&select("a", "view", 20_000))), "TDCZ");
-    let records = || std::fs::read_dir(one.folder()).expect("a folder").count();
+    other = other.list(&[(&hosts[1], "up", "primary")]).with_handover_folder(one.handover_folder());
+    [&one, &other].iter().for_each(|harness| harness.serve_discovery());
+    let first = one.start_another();
+    first.repeat_operator_request(b"ready\n", "YES");
+    assert_eq!(kinds(&first.client().query(&select("a", "view", 20_000))), "TDCZ");
+    let records = || std::fs::read_dir(one.handover_folder()).expect("a folder").count();
     // Its record is there, and it is one that tells something, before the other starts.
     let begun = std::time::Instant::now();
     while records() == 0 && begun.elapsed().as_secs() < 60 {
-        first.rest();
+        first.wait_until_reusable();
     }
-    let second = other.start_env(&other.config(), &[]);
-    let line = second.line_with("foreign handover records ignored");
+    let second = other.spawn_with_env(&other.config(), &[]);
+    let line = second.wait_for_log_line("foreign handover records ignored");
     assert!(
         line.contains("foreign handover records ignored count=1 ") && line.contains(&one.listen),
         "{line}"
     );
-    second.line_with("gateway serving");
+    second.wait_for_log_line("gateway serving");
     let mut client = second.client();
-    assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ");
-    second.rest();
+    assert_eq!(kinds(&client.query(&select("a", "view", 20_000))), "TDCZ");
+    second.wait_until_reusable();
     for mut gateway in [first, second] {
         gateway.signal("TERM");
-        let (code, log) = gateway.ended();
+        let (code, log) = gateway.wait_for_exit();
         assert_eq!(code, Some(0), "{log}");
         assert!(!log.contains("other processes of this gateway"), "{log}");
         assert!(!log.contains("learned state adopted"), "{log}");
@@ -76,14 +78,14 @@
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
-    let gateway = harness.start_as(&config);
+    let gateway = harness.start_with_config(&config);
     let mut client = gateway.client();
-    assert_eq!(kinds(&client.ask(&select("a", "view", 25_000))), "TDCZ");
-    gateway.configure(&config.replace("\"deadline_us\":30000000", "\"deadline_us\":6000000"));
-    gateway.line_with("configuration reloaded");
-    assert_eq!(kinds(&client.ask(&select("b", "view", 25_000))), "TDCZ");
+    assert_eq!(kinds(&client.query(&select("a", "view", 25_000))), "TDCZ");
+    gateway.reload_config(&config.replace("\"deadline_us\":30000000", "\"deadline_us\":6000000"));
+    gateway.wait_for_log_line("configuration reloaded");
+    assert_eq!(kinds(&client.query(&select("b", "view", 25_000))), "TDCZ");
     std::thread::sleep(std::time::Duration::from_millis(2_200));
-    let answer = client.ask(&select("c", "view", 25_000));
+    let answer = client.query(&select("c", "view", 25_000));
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "22023"));
 }
 
@@ -109,10 +111,10 @@
     for (usual, odd) in odd {
         let config = harness.config();
         assert!(config.contains(usual), "{usual}");
-        let mut gateway = harness.start_with(&config.replace(usual, odd));
-        gateway.line_with("gateway serving");
-        assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ", "{odd}");
+        let mut gateway = harness.spawn(&config.replace(usual, odd));
+        gateway.wait_for_log_line("gateway serving");
+        assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ", "{odd}");
         gateway.signal("TERM");
-        assert_eq!(gateway.ended().0, Some(0), "{odd}");
+        assert_eq!(gateway.wait_for_exit().0, Some(0), "{odd}");
     }
 }
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -24,17 +24,17 @@
 #[test]
 fn queries_before_malformed_bytes_are_answered_before_the_connection_ends() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.host(vec![Reply::Nothing]);
+    let host = harness.host(vec![Reply::NoAnswer]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&[identified("1", 60_000), identified("2", 60_000), MALFORMED.to_vec()].concat());
-    let answers = client.rest();
+    let answers = client.read_messages_until_end();
     assert_eq!(kinds(&answers), "EZEZE");
     // The first may have run; the second went nowhere.
     assert_eq!(codes(&answers), ["40003", "53300", "08P01"]);
     assert!(host.next_query().contains("id=1"));
     host.wait_for_disconnect();
-    assert_eq!(host.queries(), 1);
+    assert_eq!(host.query_count(), 1);
     gateway.wait_for_counter("requests=2 served=0 rejected=1 failed=1 ");
 }
 
@@ -45,7 +45,7 @@
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&[identified("1", 60_000), identified("2", 60_000), MALFORMED.to_vec()].concat());
-    let answers = client.rest();
+    let answers = client.read_messages_until_end();
     assert_eq!(kinds(&answers), "TDCZTDCZE");
     assert_eq!(codes(&answers), ["08P01"]);
 }
@@ -56,22 +56,22 @@
 fn an_answer_that_is_read_slowly_is_completed_through_a_shutdown_and_a_query_behind_it() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
     let harness = Harness::new(gateway_program!());
-    let host = harness.host(vec![Reply::WaitForGo(&VALUE)]);
+    let host = harness.host(vec![Reply::WaitForRelease(&VALUE)]);
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
-    let (mut idle, mut client) = (gateway.client(), gateway.narrow_client());
+    let (mut idle, mut client) = (gateway.client(), gateway.small_buffer_client());
     client.write(&identified("1", 25_000));
     host.next_query();
     gateway.signal("TERM");
-    assert_eq!(kinds(&idle.rest()), "", "from now on clients are closed");
-    host.go();
+    assert_eq!(kinds(&idle.read_messages_until_end()), "", "from now on clients are closed");
+    host.release();
     // By the clock: the answer is written, and the connection closed for writing.
     std::thread::sleep(Duration::from_millis(200));
     client.write(&identified("2", 25_000));
-    let answer = client.rest();
+    let answer = client.read_messages_until_end();
     assert_eq!(kinds(&answer), "TDCZ");
     assert!(answer[1].1.ends_with(&VALUE));
     drop(client);
-    let (code, log) = gateway.ended();
+    let (code, log) = gateway.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(log.contains("requests=1 served=1 "), "the second was not read: {log}");
 }
@@ -83,27 +83,24 @@
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(&VALUE)]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
-    let mut client = gateway.narrow_client();
+    let mut client = gateway.small_buffer_client();
     client.write(&identified("1", 25_000));
     // By the clock: the connection is closed for writing after 2.1 s, and given up a second later.
     std::thread::sleep(Duration::from_millis(2_300));
     let _ = client.try_write(&identified("2", 25_000));
-    let answer = client.rest();
+    let answer = client.read_messages_until_end();
     assert_eq!(kinds(&answer), "TDCZ");
     assert!(answer[1].1.ends_with(&VALUE));
-    gateway.wait_for("ClientIdle=", |count| count >= 1);
+    gateway.wait_for_counter_value("ClientIdle=", |count| count >= 1);
 }
 
 /// Whether the query that came with the startup message had its final answer. One that had none was not read: the
 /// kernel resets a connection that is closed over unread bytes, or to which bytes come after it was closed.
 fn was_answered(client: &mut Client) -> bool {
-    let (messages, reset) = client.rest_and_reset();
+    let (messages, reset) = client.read_until_end_or_reset();
     let kinds = kinds(&messages);
     let answered = kinds.ends_with("TDCZ") || kinds.ends_with("EZ");
-    assert!(
-        answered || reset || client.is_reset_behind_its_end(),
-        "read and closed without an answer: {kinds}"
-    );
+    assert!(answered || reset || client.is_reset_after_end(), "read and closed without an answer: {kinds}");
     answered
 }
 
@@ -128,7 +125,7 @@
     let answered = clients.iter_mut().map(was_answered).filter(|answered| *answered).count();
     assert!(answered >= 20, "{answered}");
     drop(clients);
-    let (code, log) = gateway.ended();
+    let (code, log) = gateway.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(log.contains(&format!("requests={answered} ")), "{answered} answers: {log}");
 }
@@ -160,7 +157,7 @@
     assert!(answered > 0);
     gateway.signal("TERM");
     drop((idle, clients));
-    let (code, log) = gateway.ended();
+    let (code, log) = gateway.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(log.contains(&format!("requests={answered} ")), "{answered} answers: {log}");
 }
@@ -169,16 +166,16 @@
 #[test]
 fn queries_in_one_segment_with_the_startup_message_are_all_answered_in_a_stop() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.host(vec![Reply::WaitForGo(b"one"), Reply::Row(b"two")]);
+    let host = harness.host(vec![Reply::WaitForRelease(b"one"), Reply::Row(b"two")]);
     let mut gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut idle, mut client) = (gateway.client(), gateway.raw_client());
     client.write(&[startup(), identified("1", 25_000), identified("2", 25_000)].concat());
     host.next_query();
     gateway.signal("TERM");
-    assert_eq!(kinds(&idle.rest()), "", "from now on clients are closed");
-    host.go();
-    client.until_ready();
-    assert_eq!(kinds(&client.rest()), "TDCZTDCZ");
+    assert_eq!(kinds(&idle.read_messages_until_end()), "", "from now on clients are closed");
+    host.release();
+    client.read_until_ready();
+    assert_eq!(kinds(&client.read_messages_until_end()), "TDCZTDCZ");
     drop(client);
-    assert_eq!(gateway.ended().0, Some(0));
+    assert_eq!(gateway.wait_for_exit().0, Some(0));
 }
--- a/tests/deadline_propagation.rs
+++ b/tests/deadline_propagation.rs
@@ -34,39 +34,41 @@
 fn the_stated_time_excludes_a_slow_connect() {
     let harness = Harness::new(gateway_program!());
     let host = harness.slow_host(0, vec![Reply::Row(b"a")]);
-    let gateway = harness.list(&[(&host, "up", "primary")]).start_changed(with_long_connect_timeout);
+    let gateway =
+        harness.list(&[(&host, "up", "primary")]).start_with_changed_config(with_long_connect_timeout);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     host.next_connection();
     delay();
-    host.go();
-    assert_eq!(kinds(&client.until_ready()), "TDCZ");
+    host.release();
+    assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
     expect_delay_taken_off(&host.next_query());
 }
 
 #[test]
 fn the_stated_time_of_a_retry_excludes_the_attempt_before_it() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::CloseOnGo, Reply::Row(b"a")]);
+    let (host, gateway) =
+        gateway_with_primary(gateway_program!(), vec![Reply::CloseOnRelease, Reply::Row(b"a")]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     assert!(time_left(&host.next_query()) <= WAIT_MS);
     delay();
-    host.go();
-    assert_eq!(kinds(&client.until_ready()), "TDCZ");
+    host.release();
+    assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
     expect_delay_taken_off(&host.next_query());
 }
 
 #[test]
 fn the_stated_time_of_a_pipelined_query_excludes_the_one_before_it() {
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"a"), Reply::Row(b"b")]);
+        gateway_with_primary(gateway_program!(), vec![Reply::WaitForRelease(b"a"), Reply::Row(b"b")]);
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)).repeat(2));
     host.next_query();
     delay();
-    host.go();
-    assert_eq!(kinds(&client.until_ready()), "TDCZ");
-    assert_eq!(kinds(&client.until_ready()), "TDCZ");
+    host.release();
+    assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
+    assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
     expect_delay_taken_off(&host.next_query());
 }
 
@@ -81,11 +83,11 @@
     client.write(&query(&select("a", "view", WAIT_MS)));
     host.next_query();
     // The row has begun, and is longer than what the sockets hold.
-    client.bytes(1);
+    client.read_bytes(1);
     client.write(&query(&select("b", "view", WAIT_MS)));
     delay();
-    client.bytes(row(value).len() - 1);
-    assert_eq!(kinds(&client.until_ready()), "Z");
-    assert_eq!(kinds(&client.until_ready()), "TDCZ");
+    client.read_bytes(row(value).len() - 1);
+    assert_eq!(kinds(&client.read_until_ready()), "Z");
+    assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
     expect_delay_taken_off(&host.next_query());
 }
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -12,18 +12,18 @@
 #[test]
 fn a_request_without_a_descriptor_for_its_connection_is_sent_when_one_is_free() {
     let harness = Harness::new(gateway_program!()).sockets(THREE);
-    let host = harness.host(vec![Reply::WaitForGo(b"first"), Reply::Row(b"second")]);
+    let host = harness.host(vec![Reply::WaitForRelease(b"first"), Reply::Row(b"second")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.write(&named("1"));
     assert!(host.next_query().contains("id=1"));
     second.write(&named("2"));
     // All three are in use, and nothing rests that could be closed.
-    gateway.wait_for("NoDescriptor=", |count| count >= 1);
-    host.go();
-    assert!(first.until_ready()[1].1.ends_with(b"first"));
-    assert!(second.until_ready()[1].1.ends_with(b"second"));
-    assert_eq!(host.queries(), 2);
+    gateway.wait_for_counter_value("NoDescriptor=", |count| count >= 1);
+    host.release();
+    assert!(first.read_until_ready()[1].1.ends_with(b"first"));
+    assert!(second.read_until_ready()[1].1.ends_with(b"second"));
+    assert_eq!(host.query_count(), 2);
 }
 
 // Recorded day r755591: clients that had asked once kept all the connections that clients may hold, and half of
@@ -34,12 +34,12 @@
     let clients: Vec<Client> = (0..45)
         .map(|_| {
             let mut client = gateway.client();
-            client.ask("");
+            client.query("");
             client
         })
         .collect();
-    gateway.wait_for("ClientShed=", |count| count >= 1);
-    assert_eq!(kinds(&gateway.client().ask("")), "IZ");
+    gateway.wait_for_counter_value("ClientShed=", |count| count >= 1);
+    assert_eq!(kinds(&gateway.client().query("")), "IZ");
     drop(clients);
 }
 
@@ -49,6 +49,6 @@
     let host = harness.host(vec![Reply::Row(b"v")]);
     let gateway = harness.sockets(50).list(&[(&host, "up", "primary")]).start();
     let idle: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
-    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20000))), "TDCZ");
+    assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20000))), "TDCZ");
     drop(idle);
 }
--- a/tests/discovery_outage.rs
+++ b/tests/discovery_outage.rs
@@ -33,8 +33,8 @@
         let drained = harness.entries(&[(&hosts[0], "draining", "standby"), (&hosts[1], "up", "primary")]);
         let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
         let discovery = ReservedPort::at(harness.network().address(CLOSED_HOST));
-        let gateway = harness.start_env(&harness.config(), &[("GW_DISCOVERY", &discovery.address())]);
-        gateway.line_with("gateway serving");
+        let gateway = harness.spawn_with_env(&harness.config(), &[("GW_DISCOVERY", &discovery.address())]);
+        gateway.wait_for_log_line("gateway serving");
         Refused { gateway, discovery, hosts, drained }
     }
 
@@ -45,15 +45,15 @@
         let line = format!("{}\n", list_line(42, true, &self.drained));
         let script = vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk(&line)), Step::Heartbeat];
         let source = ScriptedDiscovery::play(listener, vec![script]);
-        source.next();
+        source.next_request();
         assert!(begun.elapsed() < NOTIFIED_WITHIN, "asked only after {:?}", begun.elapsed());
-        self.gateway.wait_for("lists=", |count| count >= 2);
-        let before = self.hosts[0].queries();
+        self.gateway.wait_for_counter_value("lists=", |count| count >= 2);
+        let before = self.hosts[0].query_count();
         let mut client = self.gateway.client();
         for _ in 0..30 {
-            assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"new");
+            assert_eq!(client.query(&select("a", "view", 20_000))[1].1[6..], *b"new");
         }
-        assert_eq!(self.hosts[0].queries(), before);
+        assert_eq!(self.hosts[0].query_count(), before);
     }
 }
 
@@ -92,9 +92,9 @@
         let closed = ReservedPort::at(harness.network().address(CLOSED_HOST));
         let discovery = if refuses { closed.address() } else { slow };
         let begun = Instant::now();
-        let gateway = harness.start_env(&harness.config(), &[("GW_DISCOVERY", &discovery)]);
-        gateway.line_with("gateway serving");
-        assert_eq!(kinds(&gateway.client().ask("")), "IZ");
+        let gateway = harness.spawn_with_env(&harness.config(), &[("GW_DISCOVERY", &discovery)]);
+        gateway.wait_for_log_line("gateway serving");
+        assert_eq!(kinds(&gateway.client().query("")), "IZ");
         assert!(begun.elapsed() < READY, "ready only after {:?}", begun.elapsed());
     }
 }
--- a/tests/discovery_watch.rs
+++ b/tests/discovery_watch.rs
@@ -33,12 +33,12 @@
 
     /// Waits until so many lists are applied, then checks that the draining host gets no queries.
     fn drained_with(&self, lists: u64) {
-        self.gateway.wait_for("lists=", |count| count >= lists);
+        self.gateway.wait_for_counter_value("lists=", |count| count >= lists);
         let mut client = self.gateway.client();
         for _ in 0..30 {
-            assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"new");
+            assert_eq!(client.query(&select("a", "view", 20_000))[1].1[6..], *b"new");
         }
-        assert_eq!(self.hosts[0].queries(), 0);
+        assert_eq!(self.hosts[0].query_count(), 0);
     }
 }
 
@@ -84,8 +84,8 @@
             );
             vec![watch, followed_by(script_with_list(43, true, &entries.drained), vec![Step::Silence])]
         });
-        assert!(watched.source.next().contains("watch=1&after=41"));
-        assert_eq!(watched.source.next(), COMPLETE_LIST, "{line}");
+        assert!(watched.source.next_request().contains("watch=1&after=41"));
+        assert_eq!(watched.source.next_request(), COMPLETE_LIST, "{line}");
         // The configuration's list, the first and the empty update of the watch, and the requested complete list.
         watched.drained_with(4);
         watched.gateway.wait_for_counter("bad_lists=1 ");
@@ -111,9 +111,9 @@
             followed_by(script_with_list(44, true, &entries.drained), vec![Step::Silence]),
         ]
     });
-    watched.source.next();
+    watched.source.next_request();
     for _ in 0..4 {
-        assert_eq!(watched.source.next(), COMPLETE_LIST);
+        assert_eq!(watched.source.next_request(), COMPLETE_LIST);
     }
     watched.drained_with(3);
 }
@@ -125,8 +125,8 @@
         let watch = followed_by(script_with_list(41, true, &entries.up), vec![Step::Write(chunk("noise\n"))]);
         vec![watch, followed_by(script_with_list(44, true, &entries.drained), vec![Step::Heartbeat])]
     });
-    watched.source.next();
-    let second = watched.source.next();
+    watched.source.next_request();
+    let second = watched.source.next_request();
     assert!(!second.contains("after="), "{second}");
     watched.drained_with(3);
 }
@@ -139,8 +139,8 @@
             followed_by(script_with_list(45, true, &entries.drained), vec![older_update, Step::Heartbeat]);
         vec![watch, followed_by(script_with_list(45, true, &entries.drained), vec![Step::Silence])]
     });
-    watched.source.next();
-    assert_eq!(watched.source.next(), COMPLETE_LIST);
+    watched.source.next_request();
+    assert_eq!(watched.source.next_request(), COMPLETE_LIST);
     watched.drained_with(3);
 }
 
@@ -209,8 +209,8 @@
                         followed_by(script_with_list(42, true, &entries.drained), vec![Step::Heartbeat]),
                     ]
                 });
-                watched.source.next();
-                let second = watched.source.next();
+                watched.source.next_request();
+                let second = watched.source.next_request();
                 assert!(second.contains("watch=1&after=41"), "{place}: {second}");
                 watched.drained_with(2);
             });
@@ -239,10 +239,10 @@
         );
         let config = harness.config();
         let (gateway, _source) = harness.start_scripted(&config, vec![script]);
-        gateway.wait_for("lists=", |count| count >= 3);
+        gateway.wait_for_counter_value("lists=", |count| count >= 3);
         let mut client = gateway.client();
         for _ in 0..5 {
-            assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ", "{phase}");
+            assert_eq!(kinds(&client.query(&select("a", "view", 20_000))), "TDCZ", "{phase}");
         }
     }
 }
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -17,9 +17,9 @@
     gateway.wait_for_counter("bad_lists=2");
     let mut client = gateway.client();
     for _ in 0..20 {
-        assert_eq!(kinds(&client.ask(&select("a", "view", 20000))), "TDCZ");
+        assert_eq!(kinds(&client.query(&select("a", "view", 20000))), "TDCZ");
     }
-    assert_eq!((old.queries(), new.queries()), (0, 20));
+    assert_eq!((old.query_count(), new.query_count()), (0, 20));
 }
 
 // A connection to an earlier run of a host is reset when it is used.
@@ -31,13 +31,13 @@
     let gateway =
         harness.list(&[(&host, "up", "primary")]).later_updates(&[&list_line(42, false, &anew)]).start();
     let mut client = gateway.client();
-    client.ask(&select("a", "view", 20000));
-    gateway.rest();
-    client.ask(&select("a", "view", 20000));
+    client.query(&select("a", "view", 20000));
+    gateway.wait_until_reusable();
+    client.query(&select("a", "view", 20000));
     gateway.wait_for_counter("host_connects=1 ");
     gateway.send_later_updates();
     host.wait_for_disconnect();
-    assert_eq!(kinds(&client.ask(&select("a", "view", 20000))), "TDCZ");
+    assert_eq!(kinds(&client.query(&select("a", "view", 20000))), "TDCZ");
     gateway.wait_for_counter("host_connects=2 ");
 }
 
@@ -61,7 +61,7 @@
     let harness = Harness::new(gateway_program!());
     let (old, new) = (harness.host(vec![Reply::Row(b"old")]), harness.host(vec![Reply::Row(b"new")]));
     let entries = harness.entries(&[(&old, "removed", "standby"), (&new, "up", "primary")]);
-    let other_source = harness.other_source(&[&list_line(3, true, &entries)]);
+    let other_source = harness.start_second_discovery(&[&list_line(3, true, &entries)]);
     let harness = harness.list(&[(&old, "up", "primary")]);
     let config = harness.config();
     let named = format!("\"discovery\":\"{}\"", harness.discovery_address());
@@ -71,15 +71,15 @@
     for bad in
         ["{", &config.replace("\"seed\":\"8c1f\"", "\"seed\":\"spring\""), &config.replace("mutate", "x")]
     {
-        gateway.configure(bad);
+        gateway.reload_config(bad);
     }
     // Signals that come close together may arrive as one.
-    gateway.wait_for("bad_configs=", |count| count >= 1);
-    assert_eq!(client.ask(&select("a", "view", 5000))[1].1[6..], *b"old");
-    gateway.configure(&config.replace(&named, &format!("\"discovery\":\"{}\"", other_source.address())));
-    assert_eq!(other_source.next(), "GET /discovery/hosts?watch=1 HTTP/1.1");
-    gateway.wait_for("lists=", |count| count >= 2);
-    assert_eq!(client.ask(&select("a", "view", 5000))[1].1[6..], *b"new");
+    gateway.wait_for_counter_value("bad_configs=", |count| count >= 1);
+    assert_eq!(client.query(&select("a", "view", 5000))[1].1[6..], *b"old");
+    gateway.reload_config(&config.replace(&named, &format!("\"discovery\":\"{}\"", other_source.address())));
+    assert_eq!(other_source.next_request(), "GET /discovery/hosts?watch=1 HTTP/1.1");
+    gateway.wait_for_counter_value("lists=", |count| count >= 2);
+    assert_eq!(client.query(&select("a", "view", 5000))[1].1[6..], *b"new");
 }
 
 // An update binds 2 s after the discovery agent has it, also for a gateway that has just started with an old list.
@@ -93,10 +93,10 @@
     let gateway = harness
         .list(&[(&old, "up", "primary")])
         .updates(&[&list_line(42, false, &updates)])
-        .start_changed(|config| config.replace("\"balancers\":1", "\"balancers\":10000"));
+        .start_with_changed_config(|config| config.replace("\"balancers\":1", "\"balancers\":10000"));
     gateway.next_watch();
     assert!(begun.elapsed() < std::time::Duration::from_secs(2), "its first call came too late");
-    gateway.wait_for("lists=", |count| count >= 2);
-    assert_eq!(gateway.client().ask(&select("a", "view", 20000))[1].1[6..], *b"new");
-    assert_eq!(old.queries(), 0);
+    gateway.wait_for_counter_value("lists=", |count| count >= 2);
+    assert_eq!(gateway.client().query(&select("a", "view", 20000))[1].1[6..], *b"new");
+    assert_eq!(old.query_count(), 0);
 }
--- a/tests/fault_schedule.rs
+++ b/tests/fault_schedule.rs
@@ -225,7 +225,7 @@
 
 /// What may have run at the hosts: no write without a key twice, one with a key under no other, none that was refused, all that was served.
 fn check_ledger(hosts: &[Host; 2], answers: &[Answered]) {
-    let queries: Vec<String> = hosts.iter().flat_map(Host::queries_by_now).collect();
+    let queries: Vec<String> = hosts.iter().flat_map(Host::new_queries).collect();
     let repeats = |text: &str| queries.iter().filter(|query| query.contains(text)).count();
     let runs = |name: &str| repeats(&format!("'{name}'"));
     for (client, number) in (0..CLIENTS).flat_map(|client| (0..REQUESTS).map(move |number| (client, number)))
@@ -293,7 +293,7 @@
     let harness = harness.list(&listed).updates(&[&updates]);
     let other = harness.network().udp_socket(1);
     let (config, peer_listen) = configure(&harness, &other);
-    harness.discover();
+    harness.serve_discovery();
     let path = format!("{}/faults-{}", env!("CARGO_TARGET_TMPDIR"), harness.listen);
     std::fs::write(&path, config.to_string()).expect("a place to write");
     std::fs::write(format!("{path}.cue"), OPERATOR).expect("a place to write");
--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -171,7 +171,7 @@
         }
         let open = Connection::open(self.gateway.process.listen);
         let mut connection = timeout(CONNECT_WITHIN, open).await.ok()?.ok()?;
-        timeout(LATEST_ANSWER, connection.until_ready()).await.ok()?.ok()?;
+        timeout(LATEST_ANSWER, connection.read_until_ready()).await.ok()?.ok()?;
         Some(connection)
     }
 
@@ -190,7 +190,7 @@
             self.clock.sleep(deadline / 8).await;
             return Reply::Fate(Fate::Disconnected);
         }
-        let fate = match timeout(deadline + LATEST_ANSWER, connection.until_ready()).await {
+        let fate = match timeout(deadline + LATEST_ANSWER, connection.read_until_ready()).await {
             Err(_) => return Reply::Fate(Fate::Lost("no final answer in time")),
             Ok(Ok(messages)) => fate(&messages, id),
             // A reset means that the query was not read, or that the process was killed; see the rules.
--- a/tests/gateway_fleet/mod.rs
+++ b/tests/gateway_fleet/mod.rs
@@ -36,7 +36,7 @@
         let others = (1..GATEWAYS).map(|_| Harness::new(gateway_program!()));
         let harnesses = std::iter::once(first).chain(others);
         let members = (0..GATEWAYS).zip(harnesses).map(|(place, harness)| {
-            let harness = harness.list(&[(&host, "up", "primary")]).operator(file);
+            let harness = harness.list(&[(&host, "up", "primary")]).operator_file(file);
             let peers: Vec<String> = peers_of(place).iter().map(|peer| format!("\"{peer}\"")).collect();
             let peer_listen = &peer_listen[usize::from(place)];
             let more = format!("{{\"peer_listen\":\"{peer_listen}\",\"peers\":[{}],", peers.join(","));
@@ -51,8 +51,8 @@
     /// Starts a process of this gateway and waits until it serves.
     pub fn start(&mut self, place: u16) {
         let member = &mut self.members[usize::from(place)];
-        let gateway = member.harness.start_with(&member.config);
-        gateway.line_with("gateway serving");
+        let gateway = member.harness.spawn(&member.config);
+        gateway.wait_for_log_line("gateway serving");
         member.process = Some(gateway);
     }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 fn shared(answers: usize) -> (Harness, Host) {
-    let harness = Harness::new(gateway_program!()).shared();
+    let harness = Harness::new(gateway_program!()).with_shared_listener();
     let host = harness.host((0..answers).map(|_| Reply::Row(b"v")).collect());
     let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let harness = harness.updates(&[&line]);
-    harness.discover();
+    harness.serve_discovery();
     (harness, host)
 }
 
@@ -35,7 +35,7 @@
                         return;
                     }
                     let text = select("a", "view", 20000).replace("9b1f", &format!("{number}x{turn}"));
-                    let answer = client.ask(&text);
+                    let answer = client.query(&text);
                     assert_eq!(kinds(&answer), "TDCZ", "{}", String::from_utf8_lossy(&answer[0].1));
                     answers.fetch_add(1, Ordering::Relaxed);
                 }
@@ -70,23 +70,23 @@
 #[test]
 fn a_process_takes_over_under_load_and_no_request_is_lost() {
     let (mut harness, _host) = shared(200_000);
-    let mut old = harness.beside();
-    old.call_until(b"ready\n", "YES");
+    let mut old = harness.start_another();
+    old.repeat_operator_request(b"ready\n", "YES");
     let load = Load::start(&old, 4);
     load.goes_on();
     // Its record tells what it has learned by now.
     thread::sleep(Duration::from_millis(600));
-    let before = processes_with_files(harness.folder());
+    let before = processes_with_files(harness.handover_folder());
     assert_eq!(before.len(), 1, "{before:?}");
-    let new = harness.beside();
-    new.call_until(b"ready\n", "YES");
-    old.line_with("sibling processes changed live=1");
+    let new = harness.start_another();
+    new.repeat_operator_request(b"ready\n", "YES");
+    old.wait_for_log_line("sibling processes changed live=1");
     old.signal("TERM");
-    assert_eq!(old.ended().0, Some(0));
+    assert_eq!(old.wait_for_exit().0, Some(0));
     load.goes_on();
     load.end();
-    new.wait_for("requests=", |count| count > 0);
-    let remaining = processes_with_files(harness.folder());
+    new.wait_for_counter_value("requests=", |count| count > 0);
+    let remaining = processes_with_files(harness.handover_folder());
     assert_eq!(remaining.len(), 1, "{remaining:?}");
     assert!(remaining.is_disjoint(&before), "the old one removed its record: {remaining:?}");
 }
@@ -94,17 +94,17 @@
 #[test]
 fn a_process_started_beside_another_inherits_its_learned_state() {
     let (mut harness, _host) = shared(200_000);
-    let old = harness.beside();
-    old.call_until(b"ready\n", "YES");
+    let old = harness.start_another();
+    old.repeat_operator_request(b"ready\n", "YES");
     let load = Load::start(&old, 2);
     load.goes_on();
     thread::sleep(Duration::from_millis(600));
     let ops = harness.reserve_port();
-    let mut new = harness.start_env(&harness.config(), &[("GW_OPS", &ops)]);
-    assert!(new.line_with("learned state adopted").contains(" hosts=1 "));
-    new.line_with("gateway serving");
+    let mut new = harness.spawn_with_env(&harness.config(), &[("GW_OPS", &ops)]);
+    assert!(new.wait_for_log_line("learned state adopted").contains(" hosts=1 "));
+    new.wait_for_log_line("gateway serving");
     new.signal("TERM");
-    assert_eq!(new.ended().0, Some(0));
+    assert_eq!(new.wait_for_exit().0, Some(0));
     load.goes_on();
     load.end();
 }
@@ -112,103 +112,106 @@
 #[test]
 fn a_new_process_that_dies_before_it_is_ready_changes_nothing() {
     let (mut harness, _host) = shared(200_000);
-    let old = harness.beside();
-    old.call_until(b"ready\n", "YES");
+    let old = harness.start_another();
+    old.repeat_operator_request(b"ready\n", "YES");
     let load = Load::start(&old, 3);
     for _ in 0..3 {
-        let new = harness.beside();
+        let new = harness.start_another();
         new.signal("KILL");
         load.goes_on();
     }
     load.end();
-    assert!(old.call(b"ready\n").starts_with("YES"));
-    assert_eq!(kinds(&old.client().ask(&select("a", "view", 20000))), "TDCZ");
+    assert!(old.operator_request(b"ready\n").starts_with("YES"));
+    assert_eq!(kinds(&old.client().query(&select("a", "view", 20000))), "TDCZ");
 }
 
 #[test]
 fn a_stalled_old_process_does_not_keep_clients_from_the_new_one() {
     let (mut harness, _host) = shared(1000);
-    let mut old = harness.beside();
-    old.call_until(b"ready\n", "YES");
+    let mut old = harness.start_another();
+    old.repeat_operator_request(b"ready\n", "YES");
     old.signal("STOP");
-    let new = harness.beside();
-    new.call_until(b"ready\n", "YES");
+    let new = harness.start_another();
+    new.repeat_operator_request(b"ready\n", "YES");
     for _ in 0..8 {
-        assert_eq!(kinds(&new.client().ask(&select("a", "view", 20000))), "TDCZ");
+        assert_eq!(kinds(&new.client().query(&select("a", "view", 20000))), "TDCZ");
     }
     // It wakes to find itself replaced, and goes.
     old.signal("TERM");
     old.signal("CONT");
-    assert_eq!(old.ended().0, Some(0));
-    assert_eq!(kinds(&new.client().ask(&select("a", "view", 20000))), "TDCZ");
+    assert_eq!(old.wait_for_exit().0, Some(0));
+    assert_eq!(kinds(&new.client().query(&select("a", "view", 20000))), "TDCZ");
 }
 
 #[test]
 fn an_old_process_killed_while_it_drains_does_not_disturb_the_new_one() {
     let (mut harness, host) = shared(0);
     drop(host);
-    let host = harness.host(vec![Reply::Nothing, Reply::Row(b"v"), Reply::Row(b"v")]);
+    let host = harness.host(vec![Reply::NoAnswer, Reply::Row(b"v"), Reply::Row(b"v")]);
     let line = list_line(43, true, &harness.entries(&[(&host, "up", "primary")]));
     harness = harness.updates(&[&line]);
-    harness.discover();
-    let old = harness.beside();
-    old.call_until(b"ready\n", "YES");
-    let new = harness.beside();
-    new.call_until(b"ready\n", "YES");
+    harness.serve_discovery();
+    let old = harness.start_another();
+    old.repeat_operator_request(b"ready\n", "YES");
+    let new = harness.start_another();
+    new.repeat_operator_request(b"ready\n", "YES");
     old.signal("TERM");
     old.signal("KILL");
-    new.line_with("sibling processes changed live=0");
-    assert!(new.call(b"ready\n").starts_with("YES"));
+    new.wait_for_log_line("sibling processes changed live=0");
+    assert!(new.operator_request(b"ready\n").starts_with("YES"));
 }
 
 #[test]
 fn a_damaged_record_is_logged_and_a_third_process_is_counted() {
     let (mut harness, _host) = shared(1000);
     for (name, bytes) in [("1", &b"petrel\x01torn"[..]), ("2", b""), ("3", &[7; 5000])] {
-        std::fs::write(format!("{}/petrelgauge-{name}.letter", harness.folder()), bytes).expect("written");
+        std::fs::write(format!("{}/petrelgauge-{name}.letter", harness.handover_folder()), bytes)
+            .expect("written");
     }
-    let free = harness.start_with(&harness.config());
-    assert!(free.line_with("handover record rejected").contains("it is incomplete or damaged"));
-    free.line_with("gateway serving");
-    let processes = [harness.beside(), harness.beside()];
-    free.line_with("sibling processes changed live=2");
+    let free = harness.spawn(&harness.config());
+    assert!(free.wait_for_log_line("handover record rejected").contains("it is incomplete or damaged"));
+    free.wait_for_log_line("gateway serving");
+    let processes = [harness.start_another(), harness.start_another()];
+    free.wait_for_log_line("sibling processes changed live=2");
     for gateway in &processes {
-        gateway.call_until(b"ready\n", "YES");
+        gateway.repeat_operator_request(b"ready\n", "YES");
     }
-    assert_eq!(kinds(&free.client().ask(&select("a", "view", 20000))), "TDCZ");
+    assert_eq!(kinds(&free.client().query(&select("a", "view", 20000))), "TDCZ");
 }
 
 /// Two processes whose wall clocks were this far apart when they started: the later one starts from what the other
 /// learned, and each counts the other for as long as both run.
 fn clocks_apart(old_shift: &str, new_shift: &str) {
     let (harness, _host) = shared(200_000);
-    let mut harness = harness.operator(&format!("clock_shift: {old_shift}"));
-    let mut old = harness.beside();
-    old.call_until(b"ready\n", "YES");
+    let mut harness = harness.operator_file(&format!("clock_shift: {old_shift}"));
+    let mut old = harness.start_another();
+    old.repeat_operator_request(b"ready\n", "YES");
     let load = Load::start(&old, 1);
     load.goes_on();
     thread::sleep(Duration::from_millis(600));
-    let mut harness = harness.operator(&format!("clock_shift: {new_shift}"));
+    let mut harness = harness.operator_file(&format!("clock_shift: {new_shift}"));
     let ops = harness.reserve_port();
-    let mut new = harness.start_env(&harness.config(), &[("GW_OPS", &ops)]);
+    let mut new = harness.spawn_with_env(&harness.config(), &[("GW_OPS", &ops)]);
     // Longer than a record may stay unchanged, and no wait for a line that never comes.
     thread::sleep(Duration::from_secs(6));
     load.goes_on();
     load.end();
     // A record that is being replaced has the beginning of the next one beside it.
-    let names =
-        std::fs::read_dir(harness.folder()).expect("a folder").flatten().map(|entry| entry.file_name());
+    let names = std::fs::read_dir(harness.handover_folder())
+        .expect("a folder")
+        .flatten()
+        .map(|entry| entry.file_name());
     let records = names.filter(|name| name.to_string_lossy().ends_with(".letter")).count();
     assert_eq!(records, 2, "both run");
     new.signal("TERM");
-    let (code, log) = new.ended();
+    let (code, log) = new.wait_for_exit();
     assert_eq!(code, Some(0));
     let learned = log.lines().find(|line| line.contains("learned state adopted"));
     assert!(learned.is_some_and(|line| line.contains(" hosts=1 ")), "{log}");
     assert!(log.contains("sibling processes changed live=1"), "{log}");
     assert!(!log.contains("sibling processes changed live=0"), "the old one was lost sight of: {log}");
     old.signal("TERM");
-    let (code, log) = old.ended();
+    let (code, log) = old.wait_for_exit();
     assert_eq!(code, Some(0));
     assert_eq!(log.matches("sibling processes changed live=1").count(), 1, "{log}");
     assert!(log.matches("sibling processes changed live=0").count() <= 1, "{log}");
@@ -235,14 +238,14 @@
 #[test]
 fn a_directory_that_vanishes_for_a_while_is_logged_once_and_the_process_goes_on() {
     let (mut harness, _host) = shared(1_000);
-    let gateway = harness.beside();
-    gateway.call_until(b"ready\n", "YES");
-    std::fs::remove_dir_all(harness.folder()).expect("it was there");
-    gateway.line_with("handover record not written");
-    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
-    std::fs::create_dir_all(harness.folder()).expect("a place to write");
-    gateway.line_with("handover record written again");
-    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
+    let gateway = harness.start_another();
+    gateway.repeat_operator_request(b"ready\n", "YES");
+    std::fs::remove_dir_all(harness.handover_folder()).expect("it was there");
+    gateway.wait_for_log_line("handover record not written");
+    assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ");
+    std::fs::create_dir_all(harness.handover_folder()).expect("a place to write");
+    gateway.wait_for_log_line("handover record written again");
+    assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ");
 }
 
 #[test]
@@ -252,7 +255,7 @@
     for (text, cause) in
         [("three", "is not the number of a descriptor"), ("1", "is not the number"), ("999", "GW_ACCEPT_FD")]
     {
-        let (code, log) = harness.start_env(&config, &[("GW_ACCEPT_FD", text)]).ended();
+        let (code, log) = harness.spawn_with_env(&config, &[("GW_ACCEPT_FD", text)]).wait_for_exit();
         assert_eq!(code, Some(2));
         assert!(log.starts_with("petrelgauge: GW_ACCEPT_FD") && log.contains(cause), "{log}");
     }
--- a/tests/invalid_settings.rs
+++ b/tests/invalid_settings.rs
@@ -32,7 +32,7 @@
     );
     let mut client = gateway.client();
     for report in reports {
-        assert_eq!(kinds(&client.ask(&select("a", "view", 20_000))), "TDCZ", "{report}");
+        assert_eq!(kinds(&client.query(&select("a", "view", 20_000))), "TDCZ", "{report}");
     }
     gateway.wait_for_counter("bad_reports=6 ");
 }
@@ -43,14 +43,14 @@
     let host = harness.host(vec![Reply::Row(b"v")]);
     let config = harness.config();
     let without = config.replace("\"window_us\":30000000,", "");
-    let (code, log) = harness.start_with(&without).ended();
+    let (code, log) = harness.spawn(&without).wait_for_exit();
     assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
     assert!(log.contains("class \"post\" is keyed and names no window_us"), "{log}");
     let harness = harness.list(&[(&host, "up", "primary")]);
     let gateway = harness.start();
-    gateway.configure(&without);
-    gateway.line_with("configuration rejected");
-    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
+    gateway.reload_config(&without);
+    gateway.wait_for_log_line("configuration rejected");
+    assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ");
 }
 
 #[test]
@@ -59,11 +59,11 @@
     let host = harness.host(vec![Reply::Row(b"v")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config().replace("\"balancers\":1,", "\"balancers\":1,\"weather\":{\"rain\":1},");
-    let gateway = harness.start_with(&config);
-    let line = gateway.line_with("unknown setting ignored");
+    let gateway = harness.spawn(&config);
+    let line = gateway.wait_for_log_line("unknown setting ignored");
     assert!(line.contains("weather"), "{line}");
-    gateway.line_with("gateway serving");
-    assert_eq!(kinds(&gateway.client().ask(&select("a", "view", 20_000))), "TDCZ");
+    gateway.wait_for_log_line("gateway serving");
+    assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ");
 }
 
 #[test]
@@ -81,7 +81,7 @@
         (good.replace("\"attempts_cap\":8", "\"attempts_cap\":0"), "the maximum number of attempts"),
     ];
     for (config, cause) in cases {
-        let (code, log) = harness.start_with(&config).ended();
+        let (code, log) = harness.spawn(&config).wait_for_exit();
         assert_eq!(code, Some(2), "{cause}: {log}");
         assert_eq!(log.lines().count(), 1, "{log}");
         assert!(log.starts_with("petrelgauge: ") && log.contains(cause), "{log} should name {cause}");
--- a/tests/operator_commands.rs
+++ b/tests/operator_commands.rs
@@ -13,47 +13,47 @@
     let host = harness.host(script);
     let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
-    gateway.call_until(b"ready\n", "YES");
+    gateway.repeat_operator_request(b"ready\n", "YES");
     (gateway, host)
 }
 
 #[test]
 fn a_draining_gateway_is_not_ready_closes_idle_clients_and_answers_open_requests() {
-    let (gateway, host) = at_work(vec![Reply::WaitForGo(b"late"), Reply::Row(b"new")]);
+    let (gateway, host) = at_work(vec![Reply::WaitForRelease(b"late"), Reply::Row(b"new")]);
     let (mut idle, mut busy) = (gateway.client(), gateway.client());
     busy.write(&query(&select("a", VIEW, 20000)));
     host.next_query();
-    assert_eq!(kinds(&idle.ask("")), "IZ");
-    assert!(gateway.call(b"drain\n").starts_with("YES"));
-    assert!(gateway.call(b"ready\n").starts_with("NO"));
+    assert_eq!(kinds(&idle.query("")), "IZ");
+    assert!(gateway.operator_request(b"drain\n").starts_with("YES"));
+    assert!(gateway.operator_request(b"ready\n").starts_with("NO"));
     // The front learns of it by the empty query, on whatever connection.
-    let answer = idle.ask("");
+    let answer = idle.query("");
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "57P03"));
-    assert!(idle.rest().is_empty(), "closed when the front knows");
+    assert!(idle.read_messages_until_end().is_empty(), "closed when the front knows");
     // Whoever still comes is served.
     let mut late = gateway.client();
-    assert_eq!(late.ask(&select("b", VIEW, 20000).replace("9b1f", "9b20"))[1].1[6..], *b"new");
-    assert!(late.rest().is_empty(), "and closed after the answer");
-    host.go();
-    assert_eq!(busy.until_ready()[1].1[6..], *b"late");
-    assert!(busy.rest().is_empty());
+    assert_eq!(late.query(&select("b", VIEW, 20000).replace("9b1f", "9b20"))[1].1[6..], *b"new");
+    assert!(late.read_messages_until_end().is_empty(), "and closed after the answer");
+    host.release();
+    assert_eq!(busy.read_until_ready()[1].1[6..], *b"late");
+    assert!(busy.read_messages_until_end().is_empty());
 }
 
 #[test]
 fn resume_ends_a_drain_and_repeated_commands_are_idempotent() {
     let (gateway, _host) = at_work(vec![Reply::Row(b"one")]);
     for line in [b"drain\n", b"drain\n"] {
-        assert!(gateway.call(line).starts_with("YES"));
+        assert!(gateway.operator_request(line).starts_with("YES"));
     }
     let mut waits = gateway.client();
-    assert!(waits.rest().is_empty(), "nobody stays who asks for nothing");
+    assert!(waits.read_messages_until_end().is_empty(), "nobody stays who asks for nothing");
     for line in [b"resume\n", b"resume\n"] {
-        assert!(gateway.call(line).starts_with("YES"));
+        assert!(gateway.operator_request(line).starts_with("YES"));
     }
-    assert!(gateway.call(b"ready\n").starts_with("YES"));
+    assert!(gateway.operator_request(b"ready\n").starts_with("YES"));
     let mut client = gateway.client();
-    assert_eq!(kinds(&client.ask("")), "IZ");
-    assert_eq!(client.ask(&select("a", VIEW, 20000))[1].1[6..], *b"one");
+    assert_eq!(kinds(&client.query("")), "IZ");
+    assert_eq!(client.query(&select("a", VIEW, 20000))[1].1[6..], *b"one");
 }
 
 #[test]
@@ -61,21 +61,21 @@
     let harness = Harness::new(gateway_program!()).ops();
     let config = harness.config();
     let gateway = harness.start();
-    assert!(gateway.call(b"ready\n").starts_with("NO"));
-    assert!(gateway.call(b"drain\n").starts_with("YES"), "also while the list is empty");
-    gateway.configure(&config);
-    gateway.wait_for("reloads=", |count| count == 1);
-    assert!(gateway.call(b"ready\n").starts_with("NO"));
-    assert!(gateway.call(b"resume\n").starts_with("YES"));
+    assert!(gateway.operator_request(b"ready\n").starts_with("NO"));
+    assert!(gateway.operator_request(b"drain\n").starts_with("YES"), "also while the list is empty");
+    gateway.reload_config(&config);
+    gateway.wait_for_counter_value("reloads=", |count| count == 1);
+    assert!(gateway.operator_request(b"ready\n").starts_with("NO"));
+    assert!(gateway.operator_request(b"resume\n").starts_with("YES"));
 }
 
 #[test]
 fn commands_during_a_shutdown_are_denied_and_do_not_delay_it() {
     let (mut gateway, _host) = at_work(vec![]);
     gateway.signal("TERM");
-    gateway.call_until(b"ready\n", "NO stopping");
-    assert!(gateway.call(b"drain\n").starts_with("NO"));
-    assert_eq!(gateway.ended().0, Some(0));
+    gateway.repeat_operator_request(b"ready\n", "NO stopping");
+    assert!(gateway.operator_request(b"drain\n").starts_with("NO"));
+    assert_eq!(gateway.wait_for_exit().0, Some(0));
 }
 
 #[test]
@@ -86,7 +86,7 @@
     let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
     for line in [&b"READY\n"[..], b"ready please\n", b"\n", b"dra", &[b'x'; 1 << 20]] {
-        let mut caller = gateway.caller();
+        let mut caller = gateway.operator_connection();
         let _ = caller.write_all(line);
         let _ = caller.shutdown(std::net::Shutdown::Write);
         let mut answer = String::new();
@@ -94,10 +94,10 @@
         assert!(answer.starts_with("NO ") && answer.ends_with('\n'), "{answer:?}");
     }
     let _clients: Vec<Client> = (0..24).map(|_| gateway.raw_client()).collect();
-    let silent: Vec<_> = (0..40).map(|_| gateway.caller()).collect();
-    let mut half = gateway.caller();
+    let silent: Vec<_> = (0..40).map(|_| gateway.operator_connection()).collect();
+    let mut half = gateway.operator_connection();
     half.write_all(b"rea").expect("it is read");
-    gateway.call_until(b"ready\n", "YES");
+    gateway.repeat_operator_request(b"ready\n", "YES");
     half.write_all(b"dy\n").expect("it is read");
     let mut answer = String::new();
     half.read_to_string(&mut answer).expect("an answer");
@@ -109,7 +109,7 @@
 fn without_an_operators_address_nothing_listens_and_an_invalid_one_is_reported() {
     let harness = Harness::new(gateway_program!());
     let config = harness.config().replacen('{', r#"{"ops":"nowhere","#, 1);
-    let (code, log) = harness.start_with(&config).ended();
+    let (code, log) = harness.spawn(&config).wait_for_exit();
     assert_eq!(code, Some(2));
     assert!(log.contains("ops: \"nowhere\" is not an address with a port"), "{log}");
 }
@@ -124,7 +124,7 @@
 }
 
 fn taken(gateway: &Gateway, reloads: u64) {
-    gateway.wait_for("reloads=", |count| count == reloads);
+    gateway.wait_for_counter_value("reloads=", |count| count == reloads);
 }
 
 #[test]
@@ -136,40 +136,40 @@
     let gateway = harness.start();
     let mut client = gateway.client();
     let extra = select("a", "extra", 20000);
-    assert_eq!(field(&client.ask(&extra)[0].1, b'C'), "22023", "not yet");
-    gateway.configure(&grown(&config));
+    assert_eq!(field(&client.query(&extra)[0].1, b'C'), "22023", "not yet");
+    gateway.reload_config(&grown(&config));
     taken(&gateway, 1);
-    assert!(gateway.call(b"ready\n").contains("settings 2"));
-    assert_eq!(kinds(&client.ask(&extra)), "TDCZ");
-    assert_eq!(kinds(&client.ask(&select("a", VIEW, 20000))), "TDCZ", "the others go on");
-    gateway.configure(&config);
+    assert!(gateway.operator_request(b"ready\n").contains("settings 2"));
+    assert_eq!(kinds(&client.query(&extra)), "TDCZ");
+    assert_eq!(kinds(&client.query(&select("a", VIEW, 20000))), "TDCZ", "the others go on");
+    gateway.reload_config(&config);
     taken(&gateway, 2);
-    assert_eq!(kinds(&client.ask(&extra)), "TDCZ", "its clients do not know yet");
+    assert_eq!(kinds(&client.query(&extra)), "TDCZ", "its clients do not know yet");
     std::thread::sleep(std::time::Duration::from_millis(2100));
-    let answer = client.ask(&extra);
+    let answer = client.query(&extra);
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "22023"));
-    assert_eq!(kinds(&client.ask(&select("a", VIEW, 20000))), "TDCZ");
+    assert_eq!(kinds(&client.query(&select("a", VIEW, 20000))), "TDCZ");
 }
 
 #[test]
 fn an_open_request_keeps_its_settings_through_a_reload_and_the_next_one_has_the_new() {
     let harness = Harness::new(gateway_program!()).ops();
-    let host = harness.host(vec![Reply::CloseOnGo, Reply::Row(b"again"), Reply::Close]);
+    let host = harness.host(vec![Reply::CloseOnRelease, Reply::Row(b"again"), Reply::Close]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
     let gateway = harness.start();
     let mut client = gateway.client();
     client.write(&query(&insert("a", 20000)));
     host.next_query();
-    gateway.configure(&grown(&config));
+    gateway.reload_config(&grown(&config));
     taken(&gateway, 1);
-    host.go();
+    host.release();
     // Keyed when it came: what may have run goes out again.
-    assert_eq!(client.until_ready()[1].1[6..], *b"again");
+    assert_eq!(client.read_until_ready()[1].1[6..], *b"again");
     host.next_query();
-    let answer = client.ask(&insert("b", 20000));
+    let answer = client.query(&insert("b", 20000));
     assert_eq!(field(&answer[0].1, b'C'), "40003", "no longer");
-    assert_eq!(host.queries(), 3, "it went out once");
+    assert_eq!(host.query_count(), 3, "it went out once");
 }
 
 #[test]
@@ -196,13 +196,13 @@
     ];
     for (number, text) in broken.iter().enumerate() {
         assert_ne!(*text, grown, "number {number} is not broken");
-        gateway.configure(text);
-        gateway.wait_for("bad_configs=", |count| count == number as u64 + 1);
-        assert!(gateway.call(b"ready\n").contains("settings 1"), "{text}");
-        assert_eq!(field(&client.ask(&select("a", "extra", 20000))[0].1, b'C'), "22023");
-        assert_eq!(kinds(&client.ask(&select("a", VIEW, 20000))), "TDCZ");
+        gateway.reload_config(text);
+        gateway.wait_for_counter_value("bad_configs=", |count| count == number as u64 + 1);
+        assert!(gateway.operator_request(b"ready\n").contains("settings 1"), "{text}");
+        assert_eq!(field(&client.query(&select("a", "extra", 20000))[0].1, b'C'), "22023");
+        assert_eq!(kinds(&client.query(&select("a", VIEW, 20000))), "TDCZ");
     }
-    gateway.configure(&grown);
+    gateway.reload_config(&grown);
     taken(&gateway, 1);
-    assert_eq!(kinds(&client.ask(&select("a", "extra", 20000))), "TDCZ");
+    assert_eq!(kinds(&client.query(&select("a", "extra", 20000))), "TDCZ");
 }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -45,7 +45,7 @@
     let late = ledger.admitted[before..].iter().map(|admitted| admitted.holder);
     let late = late.filter(|holder| holder.gateway == stalled && holder.term <= next.term);
     assert_eq!(late.count(), 0, "nothing of the old lease holder is admitted");
-    fleet.gateway(stalled).wait_for("leases_lost=", |count| count >= 1);
+    fleet.gateway(stalled).wait_for_counter_value("leases_lost=", |count| count >= 1);
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let LeaseHolder { gateway: leader, term } = ledger.holder_after(0);
     let mut gateway = fleet.take(leader);
     gateway.signal("TERM");
-    assert_eq!(gateway.ended().0, Some(0));
+    assert_eq!(gateway.wait_for_exit().0, Some(0));
     assert!(ledger.holder_after(term).term > term);
 }
 
@@ -63,13 +63,13 @@
     let (fleet, mut ledger) = fleet_with_ledger(FILE);
     ledger.holder_after(0);
     for place in 0..GATEWAYS {
-        assert_eq!(kinds(&fleet.gateway(place).client().ask(&select("a", "view", 20000))), "TDCZ");
+        assert_eq!(kinds(&fleet.gateway(place).client().query(&select("a", "view", 20000))), "TDCZ");
     }
     let member = ledger.primary();
     assert_eq!(member, xxhash_rust::xxh3::xxh3_64(b"s-0"));
     let leader = ledger.holder_after(0).gateway;
     let other = (0..GATEWAYS).find(|place| *place != leader).expect("four others");
-    fleet.gateway(other).wait_for("primary_announcements=", |count| count >= 1);
+    fleet.gateway(other).wait_for_counter_value("primary_announcements=", |count| count >= 1);
 }
 
 #[test]
@@ -98,8 +98,8 @@
     for bytes in &bad {
         ledger.socket.send_to(bytes, &target).expect("sent");
     }
-    fleet.gateway(1).wait_for("bad_leadership_datagrams=", |count| count >= 3);
-    fleet.gateway(1).wait_for("notifications_rejected=", |count| count >= 1);
+    fleet.gateway(1).wait_for_counter_value("bad_leadership_datagrams=", |count| count >= 3);
+    fleet.gateway(1).wait_for_counter_value("notifications_rejected=", |count| count >= 1);
     ledger.read(Duration::from_millis(1200));
     assert_eq!(ledger.holder_after(0), holder, "the lease holder goes on");
 }
@@ -122,8 +122,8 @@
         let mut lines: Vec<&str> = FILE.lines().filter(|one| !one.trim_start().starts_with(key)).collect();
         lines.insert(1, line);
         let file = lines.join("\n");
-        let harness = Harness::new(gateway_program!()).operator(&file);
-        let (code, log) = harness.start_with(&config).ended();
+        let harness = Harness::new(gateway_program!()).operator_file(&file);
+        let (code, log) = harness.spawn(&config).wait_for_exit();
         assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
         assert!(log.contains(".cue:") && log.contains(cause), "{log} should name {cause}");
     }
@@ -221,7 +221,7 @@
     }
     for kill in [true, false] {
         let LeaseHolder { gateway: who, term } = *borrower.holders.last().expect("somebody grants");
-        fleet.gateway(who).wait_for("pool_lent=", |lent| lent >= 2_000);
+        fleet.gateway(who).wait_for_counter_value("pool_lent=", |lent| lent >= 2_000);
         if kill {
             fleet.kill(who);
         } else {
@@ -243,17 +243,17 @@
     // Without a lease holder a gateway returns to its even quota.
     let who = borrower.holders.last().expect("somebody grants").gateway;
     let other = (0..GATEWAYS).find(|place| *place != who).expect("four others");
-    fleet.gateway(other).wait_for("quota_lent=", |lent| lent == 500);
+    fleet.gateway(other).wait_for_counter_value("quota_lent=", |lent| lent == 500);
     [0, 2, 4].into_iter().for_each(|place| fleet.kill(place));
-    fleet.gateway(1).wait_for("quota_lent=", |lent| lent == 0);
-    assert_eq!(kinds(&fleet.gateway(1).client().ask(&select("a", "view", 20000))), "TDCZ");
+    fleet.gateway(1).wait_for_counter_value("quota_lent=", |lent| lent == 0);
+    assert_eq!(kinds(&fleet.gateway(1).client().query(&select("a", "view", 20000))), "TDCZ");
 }
 
 // On the platform each gateway reaches the others through proxies, so that none of `peers` is the address at which it
 // listens. Its number in the settings is its index among them.
 #[test]
 fn a_gateway_listed_under_another_address_is_known_by_its_number() {
-    let harness = Harness::new(gateway_program!()).operator(FILE);
+    let harness = Harness::new(gateway_program!()).operator_file(FILE);
     let network = LoopbackNetwork::claim();
     let [heard, other, free] = [(); 3].map(|()| network.udp_socket(1));
     heard.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
@@ -263,12 +263,12 @@
     let peers =
         format!("{{\"peer_listen\":\"{listen}\",\"peers\":[\"{heard_at}\",\"{other_at}\",\"{heard_at}\"],");
     let config = harness.config().replacen('{', &peers, 1);
-    let (code, log) = harness.start_with(&config).ended();
+    let (code, log) = harness.spawn(&config).wait_for_exit();
     assert_eq!(code, Some(2));
     assert!(log.contains("this gateway is none of the peers"), "{log}");
     let config = config.replacen("\"settings\":{", "\"settings\":{\"my_number\":1,", 1);
-    let gateway = harness.start_with(&config);
-    gateway.line_with("gateway serving");
+    let gateway = harness.spawn(&config);
+    gateway.wait_for_log_line("gateway serving");
     // As number 1 of three acceptors it sends requests to the other two.
     let (mut bytes, fleet) = (
         [0; 300],
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -34,12 +34,12 @@
 /// A host that answers the first query when the test allows it, and the others at once.
 fn script(count: usize) -> Vec<Reply> {
     let others = (1..count).map(|number| Reply::Row(value(number)));
-    std::iter::once(Reply::WaitForGo(value(0))).chain(others).collect()
+    std::iter::once(Reply::WaitForRelease(value(0))).chain(others).collect()
 }
 
 fn expect_rows(client: &mut Client, count: usize) {
     for number in 0..count {
-        let answer = client.until_ready();
+        let answer = client.read_until_ready();
         assert_eq!(kinds(&answer), "TDCZ", "answer {number}");
         assert!(answer[1].1.ends_with(value(number)), "answer {number} out of order");
     }
@@ -50,16 +50,16 @@
         let name = format!("'row-{number}'");
         assert!(host.next_query().contains(&name), "query {number} out of order");
     }
-    assert_eq!(host.queries(), count);
+    assert_eq!(host.query_count(), count);
 }
 
 #[test]
 fn a_batch_over_the_message_bound_is_answered_completely_and_in_order() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
-    let written = client.write_behind(batch(|number| read(number, 60_000), BATCH));
-    gateway.wait_for("read_pauses=", |count| count >= 1);
-    host.go();
+    let written = client.write_in_background(batch(|number| read(number, 60_000), BATCH));
+    gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
+    host.release();
     expect_rows(&mut client, BATCH);
     expect_queries(&host, BATCH);
     written.join().expect("it ends").expect("all is read");
@@ -70,9 +70,9 @@
     const COUNT: usize = 40;
     let (host, gateway) = gateway_with_primary(gateway_program!(), script(COUNT));
     let mut client = gateway.client();
-    let written = client.write_behind(batch(|number| write(number, LARGE), COUNT));
-    gateway.wait_for("read_pauses=", |count| count >= 1);
-    host.go();
+    let written = client.write_in_background(batch(|number| write(number, LARGE), COUNT));
+    gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
+    host.release();
     expect_rows(&mut client, COUNT);
     expect_queries(&host, COUNT);
     written.join().expect("it ends").expect("all is read");
@@ -84,26 +84,26 @@
     const COUNT: usize = 8;
     const CLIENTS: usize = 3;
     let harness = Harness::new(gateway_program!());
-    let mut script: Vec<Reply> = (0..CLIENTS).map(|_| Reply::WaitForGo(b"first")).collect();
+    let mut script: Vec<Reply> = (0..CLIENTS).map(|_| Reply::WaitForRelease(b"first")).collect();
     script.extend((0..CLIENTS * (COUNT - 1)).map(|_| Reply::Row(b"later")));
     let host = harness.host(script);
     let gateway = harness
         .list(&[(&host, "up", "primary")])
-        .start_changed(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":1"));
+        .start_with_changed_config(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":1"));
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     let mut writers = Vec::new();
     for (place, client) in clients.iter().enumerate() {
         let first = place * COUNT;
-        writers.push(client.write_behind(batch(|number| write(first + number, LARGE), COUNT)));
+        writers.push(client.write_in_background(batch(|number| write(first + number, LARGE), COUNT)));
     }
-    gateway.wait_for("read_pauses=", |count| count >= 1);
-    (0..CLIENTS).for_each(|_| host.go());
+    gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
+    (0..CLIENTS).for_each(|_| host.release());
     for client in &mut clients {
         for number in 0..COUNT {
-            assert_eq!(kinds(&client.until_ready()), "TDCZ", "answer {number}");
+            assert_eq!(kinds(&client.read_until_ready()), "TDCZ", "answer {number}");
         }
     }
-    assert_eq!(host.queries(), CLIENTS * COUNT);
+    assert_eq!(host.query_count(), CLIENTS * COUNT);
     writers.into_iter().for_each(|written| written.join().expect("it ends").expect("all is read"));
 }
 
@@ -126,18 +126,20 @@
 #[test]
 fn a_disconnect_is_noticed_while_reading_is_paused() {
     for how in [Leave::Fin, Leave::Reset, Leave::Terminate] {
-        let (host, gateway) =
-            gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
+        let (host, gateway) = gateway_with_primary(
+            gateway_program!(),
+            vec![Reply::WaitForRelease(b"first"), Reply::Row(b"other")],
+        );
         let mut client = gateway.client();
         client.write(&batch(|number| read(number, 60_000), BATCH));
         host.next_query();
-        gateway.wait_for("read_pauses=", |count| count >= 1);
+        gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
         leave(client, how);
         // Its first request is abandoned while it is in flight, and none after it is sent.
         gateway.wait_for_counter("left=1 ");
-        host.go();
-        assert_eq!(kinds(&gateway.client().ask(&select("other", "view", 25_000))), "TDCZ", "{how:?}");
-        assert_eq!(host.queries(), 2, "{how:?}");
+        host.release();
+        assert_eq!(kinds(&gateway.client().query(&select("other", "view", 25_000))), "TDCZ", "{how:?}");
+        assert_eq!(host.query_count(), 2, "{how:?}");
         gateway.wait_for_counter("requests=2 ");
     }
 }
@@ -146,33 +148,33 @@
 fn a_client_that_sends_endlessly_uses_bounded_memory_and_starves_no_other() {
     const MOST: usize = 64 * 1024 * 1024;
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), vec![Reply::WaitForGo(b"first"), Reply::Row(b"other")]);
+        gateway_with_primary(gateway_program!(), vec![Reply::WaitForRelease(b"first"), Reply::Row(b"other")]);
     let mut client = gateway.client();
-    let before = gateway.memory();
-    let written = client.flood(&batch(|number| read(number, 60_000), 1000), MOST);
+    let before = gateway.resident_memory();
+    let written = client.write_until_full(&batch(|number| read(number, 60_000), 1000), MOST);
     assert!(written < MOST, "the sockets are full at some time");
-    gateway.wait_for("read_pauses=", |count| count >= 1);
-    let grown = gateway.memory().saturating_sub(before);
+    gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
+    let grown = gateway.resident_memory().saturating_sub(before);
     assert!(grown < 2 * 1024 * 1024, "{written} bytes written, {grown} held");
-    assert_eq!(kinds(&gateway.client().ask(&select("other", "view", 25_000))), "TDCZ");
-    assert_eq!(host.queries(), 2);
+    assert_eq!(kinds(&gateway.client().query(&select("other", "view", 25_000))), "TDCZ");
+    assert_eq!(host.query_count(), 2);
 }
 
 #[test]
 fn unread_pipelined_requests_end_by_their_deadline_and_in_order() {
     let (host, gateway) =
-        gateway_with_primary(gateway_program!(), vec![Reply::Nothing, Reply::Row(b"after")]);
+        gateway_with_primary(gateway_program!(), vec![Reply::NoAnswer, Reply::Row(b"after")]);
     let mut client = gateway.client();
-    let written = client.write_behind(batch(|number| read(number, 1_500), BATCH));
-    gateway.wait_for("read_pauses=", |count| count >= 1);
+    let written = client.write_in_background(batch(|number| read(number, 1_500), BATCH));
+    gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     // A read may be retried, so that the first, which was sent, may be rejected as well.
     for number in 0..BATCH {
-        let answer = client.until_ready();
+        let answer = client.read_until_ready();
         assert_eq!(kinds(&answer), "EZ", "answer {number}");
         assert_eq!(field(&answer[0].1, b'C'), "53300", "answer {number}");
     }
     // None of them was sent after its deadline.
-    assert_eq!(host.queries(), 1);
+    assert_eq!(host.query_count(), 1);
     written.join().expect("it ends").expect("all is read");
 }
 
@@ -180,13 +182,13 @@
 fn a_stop_answers_queries_that_were_not_read_yet() {
     let (host, mut gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
-    let written = client.write_behind(batch(|number| read(number, 25_000), BATCH));
-    gateway.wait_for("read_pauses=", |count| count >= 1);
+    let written = client.write_in_background(batch(|number| read(number, 25_000), BATCH));
+    gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     gateway.signal("TERM");
-    gateway.line_with("stopping");
-    host.go();
+    gateway.wait_for_log_line("stopping");
+    host.release();
     // Rows until the last answers of a stop are due, and rejections after that.
-    let answers: Vec<_> = (0..BATCH).map(|_| client.until_ready()).collect();
+    let answers: Vec<_> = (0..BATCH).map(|_| client.read_until_ready()).collect();
     let served = answers.iter().take_while(|answer| kinds(answer) == "TDCZ").count();
     assert!(served > 0);
     for (number, answer) in answers.iter().enumerate() {
@@ -195,8 +197,8 @@
             false => assert_eq!(kinds(answer), "EZ", "answer {number}"),
         }
     }
-    assert_eq!(client.until_end(), b"");
-    assert_eq!(gateway.ended().0, Some(0));
+    assert_eq!(client.read_until_end(), b"");
+    assert_eq!(gateway.wait_for_exit().0, Some(0));
     written.join().expect("it ends").expect("all is read");
 }
 
@@ -205,20 +207,20 @@
 #[test]
 fn a_stop_answers_queries_that_are_unread_in_its_second_half() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.host(vec![Reply::Row(b"before"), Reply::Nothing]);
+    let host = harness.host(vec![Reply::Row(b"before"), Reply::NoAnswer]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config().replace("\"deadline_us\":30000000", "\"deadline_us\":1000000");
     let config = config.replace("\"aim_us\":4000000", "\"aim_us\":900000");
-    let mut gateway = harness.start_as(&config);
+    let mut gateway = harness.start_with_config(&config);
     let mut client = gateway.client();
-    assert_eq!(kinds(&client.ask(&select("before", "view", 900))), "TDCZ");
-    let written = client.write_behind(batch(|number| read(number, 2_000), BATCH));
-    gateway.wait_for("read_pauses=", |count| count >= 1);
+    assert_eq!(kinds(&client.query(&select("before", "view", 900))), "TDCZ");
+    let written = client.write_in_background(batch(|number| read(number, 2_000), BATCH));
+    gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     gateway.signal("TERM");
     for number in 0..BATCH {
-        assert_eq!(kinds(&client.until_ready()), "EZ", "answer {number}");
+        assert_eq!(kinds(&client.read_until_ready()), "EZ", "answer {number}");
     }
-    assert_eq!(client.until_end(), b"");
-    assert_eq!(gateway.ended().0, Some(0));
+    assert_eq!(client.read_until_end(), b"");
+    assert_eq!(gateway.wait_for_exit().0, Some(0));
     written.join().expect("it ends").expect("all is read");
 }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -149,7 +149,7 @@
         Reply::RowAt(b"two", commit + 2),
     ];
     let host = harness.host(script);
-    let gateway = harness.list(&[(&host, "up", "primary")]).operator(OPERATOR).start();
+    let gateway = harness.list(&[(&host, "up", "primary")]).operator_file(OPERATOR).start();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let address = gateway.address().to_string();
@@ -193,7 +193,7 @@
         );
         assert!(mark("RESET petrelgauge.mark".into()).await.0.is_ok());
     });
-    assert_eq!(host.queries(), 3, "what cannot be used reaches no host");
+    assert_eq!(host.query_count(), 3, "what cannot be used reaches no host");
 }
 
 // The only host is behind: reads are rejected in time, but never served from it.
@@ -202,20 +202,20 @@
     let harness = Harness::new(gateway_program!());
     let old = unix_ms() - 60_000;
     let host = harness.host((0..100).map(|_| Reply::ReplicaAt(b"old", old)).collect());
-    let gateway = harness.list(&[(&host, "up", "standby")]).operator(OPERATOR).start();
-    let answer = gateway.client().ask(&select("a", "view", 1000));
+    let gateway = harness.list(&[(&host, "up", "standby")]).operator_file(OPERATOR).start();
+    let answer = gateway.client().query(&select("a", "view", 1000));
     assert_eq!(kinds(&answer), "EZ");
     assert!(answer[0].1.windows(6).any(|code| code == b"C53300"));
-    assert!(host.queries() >= 1, "it was asked");
-    gateway.wait_for("unproven=", |count| count >= 1);
+    assert!(host.query_count() >= 1, "it was asked");
+    gateway.wait_for_counter_value("unproven=", |count| count >= 1);
 }
 
 #[test]
 fn without_an_operators_file_no_token_is_issued_or_accepted() {
     let (_host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Row(b"one")]);
     let mut client = gateway.client();
-    assert_eq!(kinds(&client.ask(&select("a", "view", 5000))), "TDCZ", "no token is issued");
-    assert_eq!(kinds(&client.ask("SET petrelgauge.mark = 'x'")), "CZ", "as any other setting");
+    assert_eq!(kinds(&client.query(&select("a", "view", 5000))), "TDCZ", "no token is issued");
+    assert_eq!(kinds(&client.query("SET petrelgauge.mark = 'x'")), "CZ", "as any other setting");
 }
 
 #[test]
@@ -240,8 +240,8 @@
     }
     for (classes, cause) in [("\"view\"", "one class that writes"), ("\"view\", \"nope\"", "no class")] {
         let text = format!("sessions: {{classes: [{classes}], secret: \"1\"}}\n");
-        let harness = Harness::new(gateway_program!()).operator(&text);
-        let (code, log) = harness.start_with(&harness.config()).ended();
+        let harness = Harness::new(gateway_program!()).operator_file(&text);
+        let (code, log) = harness.spawn(&harness.config()).wait_for_exit();
         assert_eq!(code, Some(2), "{log}");
         assert!(log.contains(cause) && log.trim().lines().count() == 1, "{log}");
     }
--- a/tests/sharded_roles.rs
+++ b/tests/sharded_roles.rs
@@ -83,14 +83,14 @@
     /// Waits until each gateway holds as many leases as stated beside it.
     fn wait_until_held(&self, held: &[(u16, u64)]) {
         for (gateway, leases) in held {
-            self.gateway(*gateway).wait_for("leases_held=", |count| count == *leases);
+            self.gateway(*gateway).wait_for_counter_value("leases_held=", |count| count == *leases);
         }
     }
 
     /// Waits until each of these gateways knows the leaders of so many roles.
     fn wait_until_known(&self, places: &[u16], known: u64) {
         places.iter().for_each(|place| {
-            self.gateway(*place).wait_for("leaders_known=", |count| count == known);
+            self.gateway(*place).wait_for_counter_value("leaders_known=", |count| count == known);
         });
     }
 
@@ -119,7 +119,7 @@
     fleet.gateway(3).signal("STOP");
     fleet.wait_until_held(&[(0, 2 * EACH), (1, EACH)]);
     fleet.gateway(3).signal("CONT");
-    fleet.gateway(3).wait_for("leases_lost=", |lost| lost >= EACH);
+    fleet.gateway(3).wait_for_counter_value("leases_lost=", |lost| lost >= EACH);
     fleet.wait_until_even();
 }
 
@@ -134,8 +134,8 @@
     fleet.wait_until_known(&most, ROLES);
     fleet.wait_until_known(&rest, 0);
     // Without a leader of quota lending nothing is lent, and clients are served all the same.
-    fleet.gateway(4).wait_for("quota_lent=", |lent| lent == 0);
-    assert_eq!(kinds(&fleet.gateway(4).client().ask(&select("a", "view", 20000))), "TDCZ");
+    fleet.gateway(4).wait_for_counter_value("quota_lent=", |lent| lent == 0);
+    assert_eq!(kinds(&fleet.gateway(4).client().query(&select("a", "view", 20000))), "TDCZ");
     links.heal();
     fleet.wait_until_even();
 }
--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -37,7 +37,7 @@
 fn a_client_and_a_host_that_send_one_byte_at_a_time_are_served() {
     let (host, gateway) = gateway_with_primary(
         gateway_program!(),
-        vec![Reply::Pieces(b"first", 1, 1), Reply::Pieces(b"second", 1, 1)],
+        vec![Reply::RowInPieces(b"first", 1, 1), Reply::RowInPieces(b"second", 1, 1)],
     );
     let mut client = TcpStream::connect(gateway.address()).expect("it accepts");
     write_bytes_apart(&mut client, &startup());
@@ -47,7 +47,7 @@
         let answer = read_until(&mut client, b'Z');
         assert_eq!((kinds(&answer).as_str(), &answer[1].1[6..]), ("TDCZ", value));
     }
-    assert_eq!(host.queries(), 2, "each went out once");
+    assert_eq!(host.query_count(), 2, "each went out once");
     gateway.wait_for_counter("Served=2");
 }
 
@@ -64,12 +64,12 @@
     let config = harness.config();
     let (gateway, _source) = harness.start_scripted(&config, vec![script]);
     // The first is the one that it was configured with.
-    gateway.wait_for("lists=", |count| count >= 2);
+    gateway.wait_for_counter_value("lists=", |count| count >= 2);
     let mut client = gateway.client();
     for _ in 0..20 {
-        assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"stays");
+        assert_eq!(client.query(&select("a", "view", 20_000))[1].1[6..], *b"stays");
     }
-    assert_eq!(hosts[0].queries(), 0, "it drains");
+    assert_eq!(hosts[0].query_count(), 0, "it drains");
 }
 
 #[test]
@@ -78,8 +78,8 @@
     let host = harness.host(vec![]);
     let line = list_line(42, true, &harness.entries(&[(&host, "up", "primary")]));
     let gateway = harness.updates(&[&line]).start();
-    gateway.call_until(b"ready\n", "YES");
-    let mut caller = gateway.caller();
+    gateway.repeat_operator_request(b"ready\n", "YES");
+    let mut caller = gateway.operator_connection();
     write_bytes_apart(&mut caller, b"drain\n");
     let mut answer = String::new();
     caller.read_to_string(&mut answer).expect("an answer");
--- a/tests/streamed_rows.rs
+++ b/tests/streamed_rows.rs
@@ -22,15 +22,15 @@
     let mut client = gateway.client();
     client.write(&query(&select("a", VIEW, 20000)));
     // The first bytes come although nobody takes the rest.
-    let mut got = client.bytes(1000);
+    let mut got = client.read_bytes(1000);
     std::thread::sleep(std::time::Duration::from_millis(700));
-    got.extend(client.bytes(complete.len() - 1000));
+    got.extend(client.read_bytes(complete.len() - 1000));
     assert!(got == complete, "every byte in its place");
-    assert_eq!(kinds(&client.until_ready()), "Z");
-    gateway.rest();
-    assert_eq!(client.ask(&select("b", VIEW, 20000))[1].1[6..], *b"short");
-    gateway.rest();
-    assert_eq!(kinds(&client.ask(&select("c", VIEW, 20000))), "TDCZ");
+    assert_eq!(kinds(&client.read_until_ready()), "Z");
+    gateway.wait_until_reusable();
+    assert_eq!(client.query(&select("b", VIEW, 20000))[1].1[6..], *b"short");
+    gateway.wait_until_reusable();
+    assert_eq!(kinds(&client.query(&select("c", VIEW, 20000))), "TDCZ");
     gateway.wait_for_counter("host_connects=1 ");
 }
 
@@ -38,15 +38,15 @@
 fn a_host_that_disconnects_within_a_streamed_row_ends_the_client_connection_without_a_retry() {
     let harness = Harness::new(gateway_program!());
     let begun: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
-    let host = harness.host(vec![Reply::Cut(begun), Reply::Row(b"other")]);
+    let host = harness.host(vec![Reply::BytesThenClose(begun), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", VIEW, 20000)));
-    let mut got = client.bytes(begun.len());
-    got.extend(client.until_end());
+    let mut got = client.read_bytes(begun.len());
+    got.extend(client.read_until_end());
     assert!(got == begun, "what came, and then the end");
-    assert_eq!(kinds(&gateway.client().ask(&select("b", VIEW, 20000))), "TDCZ", "the next is served");
-    assert_eq!(host.queries(), 2);
+    assert_eq!(kinds(&gateway.client().query(&select("b", VIEW, 20000))), "TDCZ", "the next is served");
+    assert_eq!(host.query_count(), 2);
 }
 
 #[test]
@@ -55,13 +55,14 @@
     let begun: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
     let host = harness.host(vec![Reply::Bytes(begun), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
-    assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"other");
+    assert_eq!(gateway.client().query(&select("a", VIEW, 20000))[1].1[6..], *b"other");
     gateway.wait_for_counter("HostMalformed=1");
 }
 
 #[test]
 fn an_answer_received_in_pieces_is_assembled() {
-    let (host, gateway) = gateway_with_primary(gateway_program!(), vec![Reply::Pieces(b"in pieces", 20, 40)]);
-    assert_eq!(gateway.client().ask(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
-    assert_eq!(host.queries(), 1);
+    let (host, gateway) =
+        gateway_with_primary(gateway_program!(), vec![Reply::RowInPieces(b"in pieces", 20, 40)]);
+    assert_eq!(gateway.client().query(&select("a", VIEW, 20000))[1].1[6..], *b"in pieces");
+    assert_eq!(host.query_count(), 1);
 }
--- a/tests/unreachable_hosts.rs
+++ b/tests/unreachable_hosts.rs
@@ -16,13 +16,13 @@
     let closed = address.expect("an address").to_string();
     let mut gateway = harness
         .list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")])
-        .start_changed(|config| config.replace(&closed, NO_ROUTE));
+        .start_with_changed_config(|config| config.replace(&closed, NO_ROUTE));
     let mut client = gateway.client();
     for _ in 0..30 {
-        assert_eq!(client.ask(&select("a", "view", 20_000))[1].1[6..], *b"served");
+        assert_eq!(client.query(&select("a", "view", 20_000))[1].1[6..], *b"served");
     }
-    gateway.wait_for("NoDescriptor=", |count| count >= 1);
+    gateway.wait_for_counter_value("NoDescriptor=", |count| count >= 1);
     gateway.signal("TERM");
-    let (_, log) = gateway.ended();
+    let (_, log) = gateway.wait_for_exit();
     assert!(!log.contains("ConnectRefused="), "{log}");
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -40,15 +40,15 @@
     let started_ms = unix_ms() as i64 + shift_ms - 1_800_000;
     let config = with_unchecked_reads(&harness.config(), &[BOUNDED])
         .replace(r#""up_since_ms":0"#, &format!(r#""up_since_ms":{started_ms}"#));
-    let gateway = harness.start_as(&config);
+    let gateway = harness.start_with_config(&config);
     let mut client = gateway.client();
     let mut answered = [0; 3];
     for round in 0..count {
         if round % 5 == 0 {
-            client.ask(&insert("a", 20_000));
-            client.ask(&select("a", "view", 20_000));
+            client.query(&insert("a", 20_000));
+            client.query(&select("a", "view", 20_000));
         }
-        let answer = client.ask(&select("a", "bounded", 20_000));
+        let answer = client.query(&select("a", "bounded", 20_000));
         assert_eq!(kinds(&answer), "TDCZ", "{shift_ms}");
         let place =
             [&b"primary"[..], b"fresh", b"stale"].iter().position(|value| answer[1].1[6..] == **value);
