--- a/crates/test-support/src/child_process.rs
+++ b/crates/test-support/src/child_process.rs
@@ -1,12 +1,12 @@
-//! A child process that is killed together with its value.
+//! A child process that is killed when its handle is dropped.
 
 use std::process::{Child, ChildStderr, Command};
 
-/// A running child process. Dropping it kills the process and waits for its end.
+/// A child process. Dropping it kills the process and waits until it exits.
 pub struct ChildProcess(Child);
 
 impl ChildProcess {
-    /// Starts the process that the command describes.
+    /// Spawns the command.
     ///
     /// # Errors
     ///
@@ -20,21 +20,21 @@
         self.0.id()
     }
 
-    /// Whether it runs.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.0.try_wait(), Ok(None))
     }
 
-    /// Waits for its end. Returns its exit code, or none if a signal ended it.
+    /// Waits until the process exits. Returns its exit code, or none if a signal terminated it.
     ///
     /// # Errors
     ///
-    /// Fails if the system does not report its end.
+    /// Fails if waiting for the process fails.
     pub fn wait(&mut self) -> std::io::Result<Option<i32>> {
         Ok(self.0.wait()?.code())
     }
 
-    /// Takes the other end of its standard error, which has to be piped.
+    /// Takes the read end of standard error; none unless it is piped.
     pub fn take_stderr(&mut self) -> Option<ChildStderr> {
         self.0.stderr.take()
     }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of a gateway that waits for each byte.
+//! A blocking client of a gateway.
 
 use crate::messages::{query, read_message, startup};
 use crate::time::TEST_TIMEOUT;
@@ -7,16 +7,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a socket is asked whether it has been reset.
+/// Interval of checks for a reset.
 const RESET_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How many times it is asked: three seconds in all.
+/// Number of checks: three seconds in total.
 const RESET_POLLS: usize = 150;
-/// A socket that takes no more bytes for this long is full.
+/// A socket that accepts no bytes for this long counts as full.
 const FULL_AFTER: Duration = Duration::from_secs(1);
-/// The type of the message that ends each answer.
+/// Type of the message that ends each answer.
 const READY_FOR_QUERY: u8 = b'Z';
 
-/// A client's connection.
+/// A client's connection to a gateway.
 pub struct Client {
     stream: TcpStream,
     gateway: SocketAddr,
@@ -25,26 +25,26 @@
 impl Client {
     /// Closes the connection with a reset.
     pub fn reset(self) {
-        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("an option");
+        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("set a socket option");
     }
 
-    /// Closes its own direction of the connection; it can still read.
+    /// Shuts down the write side; the client can still read.
     pub fn shutdown_write(&self) {
-        self.stream.shutdown(Shutdown::Write).expect("it is open");
+        self.stream.shutdown(Shutdown::Write).expect("shut down the write side");
     }
 
-    /// A connection that has sent nothing.
+    /// Connects without sending the startup message.
     pub(crate) fn connected(address: SocketAddr) -> Client {
-        Client::from_stream(TcpStream::connect(address).expect("it accepts"), address)
+        Client::from_stream(TcpStream::connect(address).expect("connect to the gateway"), address)
     }
 
-    /// A connection over this stream, whose reads fail after a minute.
+    /// Wraps a stream and lets its reads time out after a minute.
     pub(crate) fn from_stream(stream: TcpStream, gateway: SocketAddr) -> Client {
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set a socket timeout");
         Client { stream, gateway }
     }
 
-    /// A connection whose startup the gateway has answered.
+    /// Connects and completes the startup.
     pub(crate) fn started(address: SocketAddr) -> Client {
         let mut client = Client::connected(address);
         client.start();
@@ -59,10 +59,10 @@
 
     /// Writes bytes.
     pub fn write(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("it is read");
+        self.stream.write_all(bytes).expect("write to the gateway");
     }
 
-    /// Writes bytes to a connection that may have been closed.
+    /// Writes bytes to a connection that the gateway may have closed.
     ///
     /// # Errors
     ///
@@ -71,15 +71,16 @@
         self.stream.write_all(bytes)
     }
 
-    /// Writes bytes in a thread of its own: what the gateway does not read may not fit into the sockets.
+    /// Writes bytes in a separate thread: bytes that the gateway does not read may exceed the socket buffers.
     pub fn write_in_background(&self, bytes: Vec<u8>) -> thread::JoinHandle<std::io::Result<()>> {
-        let mut stream = self.stream.try_clone().expect("a second handle");
+        let mut stream = self.stream.try_clone().expect("duplicate the descriptor");
         thread::spawn(move || stream.write_all(&bytes))
     }
 
-    /// Writes these bytes again and again until the sockets are full or `max_count` bytes are written. Returns how many were.
+    /// Writes these bytes repeatedly until the socket buffers are full or `max_count` bytes are written.
+    /// Returns the number of bytes written.
     pub fn write_until_full(&mut self, bytes: &[u8], max_count: usize) -> usize {
-        self.stream.set_write_timeout(Some(FULL_AFTER)).expect("a limit");
+        self.stream.set_write_timeout(Some(FULL_AFTER)).expect("set a socket timeout");
         let mut written = 0;
         while written < max_count {
             let from = written % bytes.len();
@@ -91,45 +92,46 @@
         written
     }
 
-    /// Reads this many bytes.
+    /// Reads exactly `count` bytes.
     pub fn read_bytes(&mut self, count: usize) -> Vec<u8> {
         let mut bytes = vec![0; count];
-        self.stream.read_exact(&mut bytes).expect("so many bytes");
+        self.stream.read_exact(&mut bytes).expect("read the expected number of bytes");
         bytes
     }
 
-    /// Reads until the connection ends.
+    /// Reads bytes until the connection ends.
     pub fn read_until_end(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let _ = self.stream.read_to_end(&mut bytes);
         bytes
     }
 
-    /// Reads the messages of an answer, its end included.
+    /// Reads the messages of an answer, up to and including ReadyForQuery.
     pub fn read_until_ready(&mut self) -> Vec<(u8, Vec<u8>)> {
         let mut messages = Vec::new();
         while messages.last().is_none_or(|(kind, _)| *kind != READY_FOR_QUERY) {
-            messages.push(read_message(&mut self.stream).expect("a message"));
+            messages.push(read_message(&mut self.stream).expect("read a message"));
         }
         messages
     }
 
-    /// Reads all further messages until the connection ends.
+    /// Reads messages until the connection ends.
     pub fn read_messages_until_end(&mut self) -> Vec<(u8, Vec<u8>)> {
         std::iter::from_fn(|| read_message(&mut self.stream)).collect()
     }
 
-    /// The messages that have arrived by now, and whether the connection has ended.
+    /// Reads the messages that have already arrived, without blocking. Also returns whether the connection
+    /// has ended.
     pub fn available_messages(&mut self) -> (Vec<(u8, Vec<u8>)>, bool) {
         let mut bytes = Vec::new();
-        self.stream.set_nonblocking(true).expect("an option");
+        self.stream.set_nonblocking(true).expect("set a socket option");
         let ended = self.stream.read_to_end(&mut bytes).is_ok();
-        self.stream.set_nonblocking(false).expect("an option");
+        self.stream.set_nonblocking(false).expect("set a socket option");
         let mut unread = &bytes[..];
         (std::iter::from_fn(|| read_message(&mut unread)).collect(), ended)
     }
 
-    /// All further messages until the connection ends, and whether it ended with a reset.
+    /// Reads messages until the connection ends. Also returns whether it ended with a reset.
     pub fn read_until_end_or_reset(&mut self) -> (Vec<(u8, Vec<u8>)>, bool) {
         let mut bytes = Vec::new();
         let ended = self.stream.read_to_end(&mut bytes);
@@ -137,12 +139,12 @@
         (std::iter::from_fn(|| read_message(&mut unread)).collect(), ended.is_err())
     }
 
-    /// Whether a reset follows the end of the connection: a read gives the end alone, and the kernel keeps the reset as the
-    /// socket's pending error. A gateway that closes its side first keeps the socket for a second, so that the reset may
-    /// come as late as that.
+    /// Whether a reset follows the end of the connection. A read reports only the end; the kernel keeps the
+    /// reset as the socket's pending error. A gateway that closes its side first keeps the socket for a
+    /// second, so the reset may arrive up to a second later.
     pub fn is_reset_after_end(&self) -> bool {
         (0..RESET_POLLS).any(|_| {
-            let pending = self.stream.take_error().expect("a socket");
+            let pending = self.stream.take_error().expect("read the pending error");
             if pending.is_none() {
                 thread::sleep(RESET_POLL_INTERVAL);
             }
@@ -150,19 +152,19 @@
         })
     }
 
-    /// Waits for the next byte; false if the connection ends without one. The system does not repeat an interrupted call on
-    /// a socket that has a read timeout.
+    /// Waits for the next byte; false if the connection ends first. Retries interrupted calls, because the
+    /// system does not restart them on a socket with a read timeout.
     fn wait_for_byte(&self) -> bool {
         loop {
             match self.stream.peek(&mut [0]) {
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-                found => return matches!(found, Ok(1)),
+                peeked => return matches!(peeked, Ok(1)),
             }
         }
     }
 
-    /// Sends a query and reads its answer. As the protocol demands of clients, a query that the gateway has not read when it
-    /// closes the connection is sent once more over a new one.
+    /// Sends a query and reads its answer. As the protocol requires of clients, a query that the gateway has
+    /// not read before it closes the connection is sent again over a new connection.
     pub fn query(&mut self, text: &str) -> Vec<(u8, Vec<u8>)> {
         let written = self.stream.write_all(&query(text));
         if written.is_err() || !self.wait_for_byte() {
--- a/crates/test-support/src/connection.rs
+++ b/crates/test-support/src/connection.rs
@@ -1,5 +1,5 @@
-//! A client's connection to a gateway, for clients that run as tasks. [`Client`](crate::Client) is the one of tests that
-//! wait for each byte.
+//! A client's connection to a gateway, for clients that run as asynchronous tasks. Blocking tests use
+//! [`Client`](crate::Client).
 
 use crate::messages::{query, startup};
 use petrelgauge::postgres::Framer;
@@ -8,33 +8,33 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes read from the socket at a time.
+/// Maximum bytes of one read.
 const READ_BUFFER: usize = 4096;
-/// The type of the message that ends each answer.
+/// Type of the message that ends each answer.
 const READY_FOR_QUERY: u8 = b'Z';
 
 /// A message: its type and its body.
 pub type Message = (u8, Vec<u8>);
 
-/// How a connection ended before its answer did.
+/// How a connection ended before the answer was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The gateway closed it.
+    /// The gateway closed the connection.
     Closed,
-    /// It was reset.
+    /// The connection was reset.
     Reset,
-    /// What came is no message.
+    /// The received bytes are not a valid message.
     Malformed,
 }
 
-/// One connection.
+/// A client's connection to a gateway.
 pub struct Connection {
     stream: TcpStream,
     framer: Framer,
 }
 
 impl Connection {
-    /// Connects and sends the startup message, whose answer has yet to be read.
+    /// Connects and sends the startup message, without reading the answer.
     ///
     /// # Errors
     ///
@@ -55,11 +55,11 @@
         self.stream.write_all(&query(text)).await
     }
 
-    /// Reads the messages of an answer, its end included.
+    /// Reads the messages of an answer, up to and including ReadyForQuery.
     ///
     /// # Errors
     ///
-    /// Says how the connection ended if it ended before.
+    /// Returns how the connection ended if it ended before ReadyForQuery.
     pub async fn read_until_ready(&mut self) -> Result<Vec<Message>, ConnectionEnd> {
         let (mut messages, mut buffer) = (Vec::new(), [0; READ_BUFFER]);
         loop {
@@ -78,11 +78,11 @@
         }
     }
 
-    /// The error that the socket has pending, such as a reset behind the connection's end.
+    /// Takes the socket's pending error, such as a reset that arrived after the end of the connection.
     ///
     /// # Errors
     ///
-    /// Fails if the system does not say.
+    /// Fails if the socket option cannot be read.
     pub fn take_error(&self) -> std::io::Result<Option<std::io::Error>> {
         self.stream.take_error()
     }
--- a/crates/test-support/src/endpoint_list.rs
+++ b/crates/test-support/src/endpoint_list.rs
@@ -1,14 +1,15 @@
-//! The wire form of endpoint lists, as the emulated list services send them: lines of JSON in chunks of one HTTP response.
+//! The wire format of endpoint lists, as the emulated list services send them: lines of JSON in the chunks of
+//! one HTTP response.
 
 use std::net::SocketAddr;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Head of the response to every request.
+/// Response head for every request.
 pub const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// The chunk that ends a response.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// Longest head of a request.
+/// Maximum length of a request head (bytes).
 const MAX_REQUEST_HEAD: usize = 8_192;
 
 /// One entry of an endpoint list.
@@ -16,19 +17,19 @@
 pub struct Endpoint {
     /// Name of the host.
     pub name: String,
-    /// Where the host listens.
+    /// The address on which the host listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the host.
     pub zone: char,
-    /// The kind of machine, where the list says it.
+    /// The machine type, if the list states it.
     pub machine_type: Option<&'static str>,
-    /// Its replicated group.
+    /// Replicated group of the host.
     pub group: u64,
-    /// It is draining.
+    /// Whether the host is draining.
     pub draining: bool,
-    /// It is the primary of its group.
+    /// Whether the host is the primary of its group.
     pub primary: bool,
-    /// When it was started (milliseconds); 0 for long ago.
+    /// Start time of the host (Unix milliseconds); 0 for long ago.
     pub started_ms: i64,
 }
 
@@ -45,22 +46,22 @@
     }
 }
 
-/// A line of the list: the complete list, or the entries that changed.
+/// A line of the response: the complete list, or the changed entries.
 pub fn list_line(revision: u64, complete: bool, entries: &str) -> String {
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{entries}]}}"#)
 }
 
-/// A chunk of the response with this text.
+/// Encodes a text as one chunk of the response.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// A chunk with this line and its end; an empty line is a heartbeat.
+/// Encodes a line, with its newline, as one chunk. An empty line is a heartbeat.
 pub fn line_chunk(line: &str) -> Vec<u8> {
     chunk(&format!("{line}\n"))
 }
 
-/// Reads the head of a request; none if the connection ends before it or the head is too long.
+/// Reads the head of a request; none if the connection ends first or the head is too long.
 pub async fn read_request_head(stream: &mut TcpStream) -> Option<String> {
     let (mut head, mut buffer) = (Vec::new(), [0; 512]);
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway whose log is read as it is written.
+//! A gateway process of a blocking test, whose log is read from a pipe while the gateway runs.
 
 use crate::child_process::ChildProcess;
 use crate::client::Client;
@@ -14,14 +14,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// Microseconds of a millisecond.
 const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
-/// How often a state is polled, and how many times: a minute in all.
+/// Interval and number of polls for a state: one minute in total.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const POLLS: u128 = TEST_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
-/// A connection that has answered may be used again after this.
+/// Time after an answer until the connection can be reused.
 const REUSE_DELAY: Duration = Duration::from_millis(100);
-/// Receive buffer of a client that reads little (bytes).
+/// Receive buffer of [`Gateway::small_buffer_client`] (bytes).
 const SMALL_RECEIVE_BUFFER: usize = 4 * 1024;
 
 /// A running gateway. Dropping it kills its process.
@@ -31,109 +30,110 @@
     pub(crate) address: String,
     pub(crate) config_path: String,
     pub(crate) ops: Option<String>,
-    /// The discovery that it watches, where the harness serves it.
+    /// The discovery service that the gateway watches, if the harness runs it.
     pub(crate) discovery: Option<ScriptedDiscovery>,
-    /// Its ports, reserved also while it does not listen.
+    /// Ports of the gateway, reserved even while it does not listen.
     pub(crate) _ports: Vec<Rc<ReservedPort>>,
 }
 
 impl Gateway {
-    /// Where clients connect.
+    /// The address on which it listens for clients.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// A connection to its operations address.
+    /// Opens a connection to the operations address.
     pub fn operator_connection(&self) -> TcpStream {
-        let stream =
-            TcpStream::connect(self.ops.as_ref().expect("it has an operations address")).expect("it accepts");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+        let stream = TcpStream::connect(self.ops.as_ref().expect("the gateway has an operations address"))
+            .expect("connect to the gateway");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set a socket timeout");
         stream
     }
 
-    /// The response to a request of an operator.
+    /// Sends an operator's command and returns the reply.
     pub fn operator_request(&self, line: &[u8]) -> String {
-        let mut caller = self.operator_connection();
-        caller.write_all(line).expect("it is read");
-        let mut answer = String::new();
-        caller.read_to_string(&mut answer).expect("an answer");
-        answer
+        let mut connection = self.operator_connection();
+        connection.write_all(line).expect("write to the gateway");
+        let mut reply = String::new();
+        connection.read_to_string(&mut reply).expect("read the reply");
+        reply
     }
 
-    /// Repeats a request of an operator until the response begins like this.
-    pub fn repeat_operator_request(&self, line: &[u8], begins: &str) {
+    /// Repeats an operator's command until the reply starts with this prefix.
+    pub fn repeat_operator_request(&self, line: &[u8], prefix: &str) {
         for _ in 0..POLLS {
-            if self.operator_request(line).starts_with(begins) {
+            if self.operator_request(line).starts_with(prefix) {
                 return;
             }
             thread::sleep(POLL_INTERVAL);
         }
-        panic!("it never answers {begins:?}");
+        panic!("the gateway never replies {prefix:?}");
     }
 
-    /// A client that has sent nothing.
+    /// Connects a client that has sent nothing.
     pub fn raw_client(&self) -> Client {
         Client::connected(self.socket_address())
     }
 
-    /// A client whose startup has been answered.
+    /// Connects a client and completes its startup.
     pub fn client(&self) -> Client {
         Client::started(self.socket_address())
     }
 
-    /// The same, with a small receive buffer.
+    /// Like [`Gateway::client`], with a small receive buffer.
     pub fn small_buffer_client(&self) -> Client {
         let address = self.socket_address();
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER).expect("an option");
-        socket.connect(&address.into()).expect("it accepts");
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("create a socket");
+        socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER).expect("set a socket option");
+        socket.connect(&address.into()).expect("connect to the gateway");
         let mut client = Client::from_stream(TcpStream::from(socket), address);
         client.start();
         client
     }
 
-    /// A client that has sent nothing, if the gateway still listens.
+    /// Like [`Gateway::raw_client`]; none if the connection fails.
     pub fn try_client(&self) -> Option<Client> {
         let address = self.socket_address();
         Some(Client::from_stream(TcpStream::connect(address).ok()?, address))
     }
 
     fn socket_address(&self) -> SocketAddr {
-        self.address.parse().expect("an address")
+        self.address.parse().expect("valid socket address")
     }
 
-    /// Replaces its configuration file and has it read.
+    /// Replaces the configuration file and makes the gateway reload it.
     pub fn reload_config(&self, config: &str) {
-        std::fs::write(&self.config_path, config).expect("a place to write");
+        std::fs::write(&self.config_path, config).expect("write the file");
         self.signal("HUP");
     }
 
-    /// Its resident memory (bytes).
+    /// Resident memory of the process (bytes).
     pub fn resident_memory(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process_id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a size");
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.process_id())).expect("the process runs");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a VmRSS line");
         let kilobytes: usize = line.trim().trim_end_matches("kB").trim().parse().expect("a number");
         kilobytes * 1024
     }
 
-    /// The id of its process.
+    /// The process id.
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
     /// Sends a signal, named without its `SIG` prefix.
     pub fn signal(&self, name: &str) {
-        assert!(self.child.signal(name).expect("kill is there"));
+        assert!(self.child.signal(name).expect("run the kill program"));
     }
 
-    /// Reads the log up to a line that contains this text, and returns the line.
+    /// Reads the log up to the next line that contains a text, and returns that line.
     pub fn wait_for_log_line(&self, text: &str) -> String {
         let (mut log, mut last) = (self.log.borrow_mut(), String::new());
         loop {
             let mut line = String::new();
-            let read = log.read_line(&mut line).expect("its log");
-            assert!(read > 0, "it ended before it said {text:?}; its last line: {last:?}");
+            let read = log.read_line(&mut line).expect("read the gateway log");
+            assert!(read > 0, "the log ended before a line with {text:?}; last line: {last:?}");
             if line.contains(text) {
                 return line;
             }
@@ -141,12 +141,13 @@
         }
     }
 
-    /// Has the counters logged until their line contains this text.
+    /// Makes the gateway log its counters until the line contains a text.
     pub fn wait_for_counter(&self, text: &str) {
         self.wait_for_counters(|counters| counters.contains(text));
     }
 
-    /// Has the counters logged until the one of this name, its equals sign included, has an accepted value.
+    /// Makes the gateway log its counters until the value of one is accepted. `name` includes the equals
+    /// sign.
     pub fn wait_for_counter_value(&self, name: &str, is_accepted: impl Fn(u64) -> bool) {
         self.wait_for_counters(|counters| {
             let words = counters.split_ascii_whitespace();
@@ -162,13 +163,13 @@
             }
             thread::sleep(POLL_INTERVAL);
         }
-        panic!("its counters never reach the state waited for");
+        panic!("the counters never reach the expected state");
     }
 
-    /// Waits for this span (milliseconds) on the gateway's own timers: whatever it had due sooner has then happened, however
-    /// slow the machine is.
+    /// Waits for a span (milliseconds) measured by the gateway's own timers: all of its timers that were due
+    /// earlier have fired by then, even on a slow machine.
     ///
-    /// The timers are the growing pauses that a client gets behind statements that cannot be used.
+    /// Uses the growing backoff that the gateway applies to a client after each unusable statement.
     pub fn wait_on_gateway_timers(&self, span_ms: u64) {
         let (first, longest) = (
             MIN_BACKOFF as u64 / MICROSECONDS_PER_MILLISECOND,
@@ -187,17 +188,17 @@
         }
     }
 
-    /// The first line of the next watch that it begins.
+    /// Waits for the gateway's next watch and returns the first line of the request.
     pub fn next_watch(&self) -> String {
         self.discovery().next_request()
     }
 
-    /// Waits until a connection that has answered may be used again.
+    /// Waits until a connection that has answered can be reused.
     pub fn wait_until_reusable(&self) {
         thread::sleep(REUSE_DELAY);
     }
 
-    /// Lets the watch bring its later updates.
+    /// Makes the discovery service send the later updates to the watch.
     pub fn send_later_updates(&self) {
         self.discovery().release();
     }
@@ -208,13 +209,13 @@
     }
 
     fn discovery(&self) -> &ScriptedDiscovery {
-        self.discovery.as_ref().expect("the harness serves its discovery")
+        self.discovery.as_ref().expect("the harness runs the discovery service")
     }
 
-    /// Waits for its end. Returns its exit code and the rest of its log.
+    /// Waits until the process exits. Returns its exit code and the rest of its log.
     pub fn wait_for_exit(&mut self) -> (Option<i32>, String) {
         let mut log = String::new();
-        self.log.borrow_mut().read_to_string(&mut log).expect("its log");
-        (self.child.wait().expect("it ends"), log)
+        self.log.borrow_mut().read_to_string(&mut log).expect("read the gateway log");
+        (self.child.wait().expect("wait for the process"), log)
     }
 }
--- a/crates/test-support/src/gateway_process.rs
+++ b/crates/test-support/src/gateway_process.rs
@@ -1,5 +1,5 @@
-//! A gateway's process between fixed files, which tasks start, stop and start again. [`Gateway`](crate::Gateway) is the one
-//! of tests that read the log as it is written.
+//! A gateway process with fixed files that asynchronous tasks start, stop and restart. Blocking tests that
+//! follow the log use [`Gateway`](crate::Gateway).
 
 use crate::child_process::ChildProcess;
 use crate::connection::Connection;
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How often a starting gateway is tried.
+/// Interval of startup attempts against a starting gateway.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The files of a gateway.
+/// Paths of the files that a gateway reads and writes.
 #[derive(Clone, Debug)]
 pub struct GatewayFiles {
-    /// Its configuration.
+    /// The configuration.
     pub config: PathBuf,
-    /// The operator's file, where there is one.
+    /// The operator's file, if any.
     pub operator: Option<PathBuf>,
-    /// Its log, to which each process appends.
+    /// The log; each process appends to it.
     pub log: PathBuf,
 }
 
-/// A gateway that runs or does not. Dropping it kills its process.
+/// A gateway whose process may or may not be running. Dropping it kills the process.
 pub struct GatewayProcess {
-    /// Where clients connect.
+    /// The address on which it listens for clients.
     pub listen: SocketAddr,
     program: PathBuf,
     files: GatewayFiles,
@@ -37,14 +37,14 @@
 }
 
 impl GatewayProcess {
-    /// A gateway that is not started yet, with a free port of this address for its clients.
+    /// Reserves a port at an address for a gateway, without starting it.
     pub fn new(program: PathBuf, ip: Ipv4Addr, files: GatewayFiles) -> GatewayProcess {
         let port = ReservedPort::at(ip);
-        let listen = port.address().parse().expect("an address");
+        let listen = port.address().parse().expect("valid socket address");
         GatewayProcess { listen, program, files, child: RefCell::default(), _port: port }
     }
 
-    /// Starts a process, with these variables in its environment. The files have to be there.
+    /// Starts a process with additional environment variables. The files other than the log must exist.
     ///
     /// # Errors
     ///
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Waits until it answers a client's startup message; false if it does not within the limit.
+    /// Waits until the gateway answers a startup message; false if the limit passes first.
     pub async fn is_ready(&self, limit: Duration) -> bool {
         let answered = async {
             while !self.answers_startup().await {
@@ -79,29 +79,29 @@
         connection.read_until_ready().await.is_ok()
     }
 
-    /// The id of its process, if there is one.
+    /// The process id, if a process was started.
     pub fn process_id(&self) -> Option<u32> {
         self.child.borrow().as_ref().map(ChildProcess::id)
     }
 
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub fn is_running(&self) -> bool {
         self.child.borrow_mut().as_mut().is_some_and(ChildProcess::is_running)
     }
 
-    /// Sends a signal, named without its `SIG` prefix, to its process if there is one.
+    /// Sends a signal, named without its `SIG` prefix, to the process if one was started.
     pub fn signal(&self, name: &str) {
         if let Some(child) = self.child.borrow().as_ref() {
             let _ = child.signal(name);
         }
     }
 
-    /// Kills its process if there is one, and waits for its end. Returns whether there was one.
+    /// Kills the process if one was started, and waits until it exits. Returns whether there was one.
     pub fn kill(&self) -> bool {
         self.child.borrow_mut().take().is_some()
     }
 
-    /// What it has logged; empty if it has no log.
+    /// The content of the log; empty if it cannot be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.files.log).unwrap_or_default()
     }
--- a/crates/test-support/src/harness.rs
+++ b/crates/test-support/src/harness.rs
@@ -1,4 +1,4 @@
-//! A harness for one gateway: its configuration, its hosts and discovery, and how its program is started.
+//! A harness for one gateway: configures it, runs its hosts and discovery service, and starts its program.
 
 use crate::child_process::ChildProcess;
 use crate::endpoint_list::{line_chunk, list_line};
@@ -15,24 +15,24 @@
 use std::process::{Command, Stdio};
 use std::rc::Rc;
 
-/// Last byte of the address of database hosts, discovery and operators.
+/// Last byte of the address of database hosts, the discovery service and the operations listener.
 const SERVICES_HOST: u8 = 1;
-/// Last byte of the address of the gateway.
+/// Last byte of the gateway's client address.
 const GATEWAY_HOST: u8 = 2;
 
-/// Revision of the list that a gateway starts with.
+/// Revision of the endpoint list in the initial configuration.
 const FIRST_REVISION: u64 = 41;
 
-/// What a test sets up before the gateway starts.
+/// The setup of a gateway under test.
 pub struct Harness {
     program: GatewayProgram,
     network: LoopbackNetwork,
-    /// Where clients will reach the gateway.
+    /// The address on which the gateway listens for clients.
     pub listen: String,
-    /// The ports of its gateways, reserved as long as the harness or one of them exists.
+    /// Ports of the gateways, reserved while the harness or one of its gateways exists.
     ports: Vec<Rc<ReservedPort>>,
     discovery: TcpListener,
-    known: String,
+    initial_entries: String,
     updates: Vec<String>,
     later_updates: Vec<String>,
     sockets: usize,
@@ -42,7 +42,7 @@
 }
 
 impl Harness {
-    /// A harness for this program, in a loopback network of its own.
+    /// Creates a harness for a program, in a loopback network of its own.
     pub fn new(program: GatewayProgram) -> Harness {
         let network = LoopbackNetwork::claim();
         let discovery = network.tcp_listener(SERVICES_HOST);
@@ -54,7 +54,7 @@
             listen,
             ports: vec![Rc::new(port)],
             discovery,
-            known: String::new(),
+            initial_entries: String::new(),
             updates: Vec::new(),
             later_updates: Vec::new(),
             sockets: 1024,
@@ -64,27 +64,28 @@
         }
     }
 
-    /// The network of all its addresses.
+    /// The loopback network that contains all addresses of the harness.
     pub fn network(&self) -> LoopbackNetwork {
         self.network
     }
 
-    /// Starts a host that answers queries from this script.
+    /// Starts a host that answers queries from a script.
     pub fn host(&self, script: Vec<Reply>) -> Host {
         Host::start(self.network.address(SERVICES_HOST), script)
     }
 
-    /// The same, but from connection `first_slow` on, counted from 0, startups are answered only after [`Host::release`].
+    /// Like [`Harness::host`], but the host answers the startup of connection number `first_slow` (counted
+    /// from 0) and of all later ones only after [`Host::release`].
     pub fn slow_host(&self, first_slow: usize, script: Vec<Reply>) -> Host {
         Host::slow_from(self.network.address(SERVICES_HOST), script, first_slow)
     }
 
-    /// A host at whose address nobody listens.
+    /// A host whose address refuses connections: nothing listens at its reserved port.
     pub fn closed_host(&self) -> Host {
         Host::closed(ReservedPort::at(self.network.address(SERVICES_HOST)))
     }
 
-    /// List entries of hosts, each with its phase and its role, as JSON separated by commas.
+    /// The list entries of hosts, each given with its phase and role, as comma-separated JSON objects.
     pub fn entries(&self, hosts: &[(&Host, &str, &str)]) -> String {
         let entry = |(place, (host, phase, role)): (usize, &(&Host, &str, &str))| {
             let address = &host.address;
@@ -95,51 +96,52 @@
         hosts.iter().enumerate().map(entry).collect::<Vec<_>>().join(",")
     }
 
-    /// Sets the list that the gateway starts with.
+    /// Sets the endpoint list of the initial configuration.
     pub fn list(mut self, hosts: &[(&Host, &str, &str)]) -> Harness {
-        self.known = self.entries(hosts);
+        self.initial_entries = self.entries(hosts);
         self
     }
 
-    /// Sets the lines that the first watch brings after [`Gateway::send_later_updates`].
+    /// Sets the lines that the first watch receives after [`Gateway::send_later_updates`].
     pub fn later_updates(mut self, lines: &[&str]) -> Harness {
         self.later_updates = lines.iter().map(|line| line.to_string()).collect();
         self
     }
 
-    /// Sets the lines that the first watch brings at once.
+    /// Sets the lines that the first watch receives immediately.
     pub fn updates(mut self, lines: &[&str]) -> Harness {
         self.updates = lines.iter().map(|line| line.to_string()).collect();
         self
     }
 
-    /// Sets the operator's file.
+    /// Sets the content of the operator's file.
     pub fn operator_file(mut self, text: &str) -> Harness {
         self.operator = Some(text.to_string());
         self
     }
 
-    /// Several processes of the gateway inherit one listening socket and share a folder for their handover records.
+    /// Makes all gateway processes of the harness inherit one listening socket and share a folder for
+    /// handover records.
     pub fn with_shared_listener(mut self) -> Harness {
         let folder = format!("{}/{}", self.program.folder, self.listen);
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a place to write");
-        self.shared = Some((TcpListener::bind(&self.listen).expect("it was free"), folder));
+        std::fs::create_dir_all(&folder).expect("write the file");
+        self.shared = Some((TcpListener::bind(&self.listen).expect("bind the reserved port"), folder));
         self
     }
 
-    /// Replaces the folder by that of another gateway.
+    /// Uses the handover folder of another gateway.
     pub fn with_handover_folder(mut self, folder: &str) -> Harness {
-        self.shared.as_mut().expect("it is shared").1 = folder.to_string();
+        self.shared.as_mut().expect("the harness has a shared listener").1 = folder.to_string();
         self
     }
 
     /// The folder for handover records.
     pub fn handover_folder(&self) -> &str {
-        &self.shared.as_ref().expect("it is shared").1
+        &self.shared.as_ref().expect("the harness has a shared listener").1
     }
 
-    /// Starts one more process of the gateway, with an operations address of its own, and waits until it serves.
+    /// Starts another gateway process with its own operations address and waits until it serves.
     pub fn start_another(&mut self) -> Gateway {
         self.ops = Some(self.reserve_port());
         let gateway = self.spawn(&self.config());
@@ -147,14 +149,14 @@
         gateway
     }
 
-    /// Serves discovery: each watch gets the updates of this harness.
+    /// Starts the discovery service; every watch receives the updates of this harness.
     pub fn serve_discovery(&self) {
-        let listener = self.discovery.try_clone().expect("a second handle");
+        let listener = self.discovery.try_clone().expect("duplicate the descriptor");
         let script = watch_script(&self.updates, vec![Step::Heartbeat]);
         ScriptedDiscovery::serve(listener, Connections::Concurrent, std::iter::repeat(script));
     }
 
-    /// Adds an operations address.
+    /// Configures an operations address.
     pub fn ops(mut self) -> Harness {
         self.ops = Some(self.reserve_port());
         self
@@ -168,21 +170,21 @@
         address
     }
 
-    /// Sets the limit on descriptors.
+    /// Sets the gateway's limit on descriptors.
     pub fn sockets(mut self, sockets: usize) -> Harness {
         self.sockets = sockets;
         self
     }
 
-    /// Where discovery listens.
+    /// The address of the discovery service.
     pub fn discovery_address(&self) -> String {
-        self.discovery.local_addr().expect("an address").to_string()
+        self.discovery.local_addr().expect("valid socket address").to_string()
     }
 
     /// The gateway's configuration, as JSON.
     pub fn config(&self) -> String {
         let (listen, sockets, known) =
-            (&self.listen, self.sockets, list_line(FIRST_REVISION, true, &self.known));
+            (&self.listen, self.sockets, list_line(FIRST_REVISION, true, &self.initial_entries));
         let discovery = self.discovery_address();
         let settings = DeploymentSettings::single_gateway().json();
         let ops = self.ops.as_ref().map(|ops| format!(r#""ops":"{ops}","#)).unwrap_or_default();
@@ -191,23 +193,25 @@
         )
     }
 
-    /// Starts the program with this configuration, without waiting for it.
+    /// Starts the program with a configuration, without waiting until it serves.
     pub fn spawn(&self, config: &str) -> Gateway {
         self.spawn_with_env(config, &[])
     }
 
-    /// The same, with more variables in its environment.
+    /// Like [`Harness::spawn`], with additional environment variables.
     pub fn spawn_with_env(&self, config: &str, more: &[(&str, &str)]) -> Gateway {
         let path = format!("{}/{}.json", self.program.folder, self.listen);
-        std::fs::write(&path, config).expect("a place to write");
+        std::fs::write(&path, config).expect("write the file");
         let program = self.program.path;
         let mut command = match &self.shared {
             None => Command::new(program),
             Some((listener, folder)) => {
-                // The shell moves the socket to descriptor 3 and becomes the program.
+                // The shell moves the socket to descriptor 3 and replaces itself with the program.
                 let mut command = Command::new("sh");
                 command.args(["-c", "exec 3<&0 0</dev/null; exec \"$0\"", program]);
-                command.stdin(std::os::fd::OwnedFd::from(listener.try_clone().expect("a second handle")));
+                command.stdin(std::os::fd::OwnedFd::from(
+                    listener.try_clone().expect("duplicate the descriptor"),
+                ));
                 command.env("GW_ACCEPT_FD", "3").env("TMPDIR", folder);
                 command
             }
@@ -215,7 +219,7 @@
         command.env_remove("PETRELGAUGE_FILE");
         if let Some(text) = &self.operator {
             let file = format!("{path}.cue");
-            std::fs::write(&file, text).expect("a place to write");
+            std::fs::write(&file, text).expect("write the file");
             command.env("PETRELGAUGE_FILE", file);
         }
         command
@@ -224,8 +228,8 @@
             .env_remove("RUST_LOG")
             .envs(more.iter().copied())
             .stderr(Stdio::piped());
-        let mut child = ChildProcess::spawn(&mut command).expect("the gateway starts");
-        let log = BufReader::new(child.take_stderr().expect("its log"));
+        let mut child = ChildProcess::spawn(&mut command).expect("start the gateway");
+        let log = BufReader::new(child.take_stderr().expect("stderr is piped"));
         let (address, ops) = (self.listen.clone(), self.ops.clone());
         let _ports = self.ports.clone();
         Gateway { child, log: RefCell::new(log), address, config_path: path, ops, discovery: None, _ports }
@@ -237,13 +241,13 @@
         self.start_with_config(&config)
     }
 
-    /// The same, with a changed configuration.
+    /// Like [`Harness::start`], with a modified configuration.
     pub fn start_with_changed_config(self, change: impl FnOnce(&str) -> String) -> Gateway {
         let config = change(&self.config());
         self.start_with_config(&config)
     }
 
-    /// The same, with this configuration.
+    /// Like [`Harness::start`], with the given configuration.
     pub fn start_with_config(self, config: &str) -> Gateway {
         let mut gateway = self.spawn(config);
         gateway.wait_for_log_line("gateway serving");
@@ -251,21 +255,22 @@
         gateway
     }
 
-    /// The same, with a discovery service that follows these scripts.
+    /// Like [`Harness::start_with_config`], with a discovery service that follows scripts.
     pub fn start_scripted(self, config: &str, scripts: Vec<Vec<Step>>) -> (Gateway, ScriptedDiscovery) {
         let gateway = self.spawn(config);
         gateway.wait_for_log_line("gateway serving");
         (gateway, ScriptedDiscovery::play(self.discovery, scripts))
     }
 
-    /// Starts another discovery service, whose first watch brings these lines.
+    /// Starts a second discovery service, whose first watch receives these lines.
     pub fn start_second_discovery(&self, updates: &[&str]) -> ScriptedDiscovery {
         let updates: Vec<String> = updates.iter().map(|line| line.to_string()).collect();
         serve_updates(self.network.tcp_listener(SERVICES_HOST), &updates, &[])
     }
 }
 
-/// A discovery service whose first watch brings these updates, the later ones after a go; each further go ends a watch.
+/// Starts a discovery service whose first watch receives `updates` immediately and `later_updates` after a
+/// release; each further release ends a watch.
 fn serve_updates(listener: TcpListener, updates: &[String], later_updates: &[String]) -> ScriptedDiscovery {
     let mut first = watch_script(updates, vec![Step::HeartbeatUntilRelease]);
     if !later_updates.is_empty() {
@@ -277,7 +282,7 @@
     ScriptedDiscovery::serve(listener, Connections::Sequential, scripts)
 }
 
-/// A gateway and its only host, a primary that answers queries from this script.
+/// Starts a gateway with a single host, a primary that answers queries from a script.
 pub fn gateway_with_primary(program: GatewayProgram, script: Vec<Reply>) -> (Host, Gateway) {
     let harness = Harness::new(program);
     let host = harness.host(script);
--- a/crates/test-support/src/host.rs
+++ b/crates/test-support/src/host.rs
@@ -1,5 +1,5 @@
-//! A database host that answers one query after the other from its script. The emulated hosts of the laboratory and of the
-//! fault soak answer from their state instead.
+//! A database host that answers successive queries from a script. The emulated hosts of the laboratory and of
+//! the fault soak answer from their state instead.
 
 use crate::messages::{message, read_message, ready_for_query, row};
 use crate::network::ReservedPort;
@@ -13,108 +13,137 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A running host.
+/// A scripted host.
 pub struct Host {
     pub(crate) address: String,
-    seen: Receiver<String>,
-    ended: Receiver<()>,
-    came: Receiver<()>,
-    go: Sender<()>,
+    received_queries: Receiver<String>,
+    disconnects: Receiver<()>,
+    held_connections: Receiver<()>,
+    release_sender: Sender<()>,
     count: Cell<usize>,
-    /// The port of a host that does not listen.
+    /// Reserved port of a host that does not listen.
     _closed_port: Option<ReservedPort>,
 }
 
 impl Host {
-    /// Starts a host at a free port of this address.
+    /// Starts a host at a free port of an address.
     pub(crate) fn start(ip: Ipv4Addr, script: Vec<Reply>) -> Host {
         Host::slow_from(ip, script, usize::MAX)
     }
 
-    /// The same, but from this connection on, counted from 0, startups are answered only after [`Host::release`].
+    /// Like [`Host::start`], but the host answers the startup of connection number `slow_from` (counted from
+    /// 0) and of all later ones only after [`Host::release`].
     pub(crate) fn slow_from(ip: Ipv4Addr, script: Vec<Reply>, slow_from: usize) -> Host {
-        let listener = TcpListener::bind((ip, 0)).expect("a free port");
-        let address = listener.local_addr().expect("an address").to_string();
-        let ((saw, seen), (end, ended), (go, gone), (come, came)) =
-            (channel(), channel(), channel(), channel());
-        // Its connections share the script: whichever gets a query takes the next line.
-        let (script, gone) = (Arc::new(Mutex::new(script.into_iter())), Arc::new(Mutex::new(gone)));
+        let listener = TcpListener::bind((ip, 0)).expect("bind a free port");
+        let address = listener.local_addr().expect("valid socket address").to_string();
+        let (
+            (query_sender, received_queries),
+            (disconnect_sender, disconnects),
+            (release_sender, releases),
+            (hold_sender, held_connections),
+        ) = (channel(), channel(), channel(), channel());
+        // All connections share the script: each query takes the next reply, on whichever connection it
+        // arrives.
+        let (script, releases) = (Arc::new(Mutex::new(script.into_iter())), Arc::new(Mutex::new(releases)));
         thread::spawn(move || {
-            for (place, stream) in listener.incoming().enumerate() {
-                let (script, saw, gone, end) = (script.clone(), saw.clone(), gone.clone(), end.clone());
-                let come = (place >= slow_from).then(|| come.clone());
+            for (index, stream) in listener.incoming().enumerate() {
+                let (script, query_sender, releases, disconnect_sender) =
+                    (script.clone(), query_sender.clone(), releases.clone(), disconnect_sender.clone());
+                let hold_sender = (index >= slow_from).then(|| hold_sender.clone());
                 thread::spawn(move || {
-                    serve(stream.expect("a connection"), &script, &saw, &gone, come.as_ref());
-                    let _ = end.send(());
+                    serve(
+                        stream.expect("accept a connection"),
+                        &script,
+                        &query_sender,
+                        &releases,
+                        hold_sender.as_ref(),
+                    );
+                    let _ = disconnect_sender.send(());
                 });
             }
         });
-        Host { address, seen, ended, came, go, count: Cell::new(0), _closed_port: None }
+        Host {
+            address,
+            received_queries,
+            disconnects,
+            held_connections,
+            release_sender,
+            count: Cell::new(0),
+            _closed_port: None,
+        }
     }
 
-    /// A host that does not listen at its port.
+    /// Creates a host that does not listen at its port.
     pub(crate) fn closed(port: ReservedPort) -> Host {
         let address = port.address();
-        let (seen, ended, came) = (channel().1, channel().1, channel().1);
-        Host { address, seen, ended, came, go: channel().0, count: Cell::new(0), _closed_port: Some(port) }
+        let (received_queries, disconnects, held_connections) = (channel().1, channel().1, channel().1);
+        Host {
+            address,
+            received_queries,
+            disconnects,
+            held_connections,
+            release_sender: channel().0,
+            count: Cell::new(0),
+            _closed_port: Some(port),
+        }
     }
 
     /// Waits for the next query and returns it.
     pub fn next_query(&self) -> String {
         self.count.set(self.count.get() + 1);
-        self.seen.recv_timeout(TEST_TIMEOUT).expect("a query arrives")
+        self.received_queries.recv_timeout(TEST_TIMEOUT).expect("a query arrives")
     }
 
-    /// How many queries it has received in all.
+    /// Number of queries received so far.
     pub fn query_count(&self) -> usize {
-        self.count.get() + self.seen.try_iter().count()
+        self.count.get() + self.received_queries.try_iter().count()
     }
 
-    /// The queries that it has received since the last call.
+    /// Takes the received queries that no earlier call has returned.
     pub fn new_queries(&self) -> Vec<String> {
-        self.seen.try_iter().collect()
+        self.received_queries.try_iter().collect()
     }
 
-    /// Waits for a connection whose startup has to be let go on.
+    /// Waits for a connection whose startup needs [`Host::release`].
     pub fn next_connection(&self) {
-        self.came.recv_timeout(TEST_TIMEOUT).expect("a connection comes");
+        self.held_connections.recv_timeout(TEST_TIMEOUT).expect("a connection arrives");
     }
 
-    /// Waits until a connection to it has ended.
+    /// Waits until a connection to the host has ended.
     pub fn wait_for_disconnect(&self) {
-        self.ended.recv_timeout(TEST_TIMEOUT).expect("the gateway closes");
+        self.disconnects.recv_timeout(TEST_TIMEOUT).expect("the gateway closes a connection");
     }
 
-    /// Lets what waits for the test go on: a startup of a slow connection, or a reply.
+    /// Releases the startup or reply that waits for the test.
     pub fn release(&self) {
-        self.go.send(()).expect("it waits");
+        self.release_sender.send(()).expect("the script still runs");
     }
 }
 
 fn serve(
     mut stream: TcpStream,
     script: &Mutex<impl Iterator<Item = Reply>>,
-    saw: &Sender<String>,
-    go: &Mutex<Receiver<()>>,
-    come: Option<&Sender<()>>,
+    query_sender: &Sender<String>,
+    releases: &Mutex<Receiver<()>>,
+    hold_sender: Option<&Sender<()>>,
 ) {
     if !read_startup(&mut stream) {
         return;
     }
-    if let Some(come) = come {
-        // One at a time waits, in the order in which the test is notified of them.
-        let turn = go.lock().expect("a signal");
-        let _ = come.send(());
-        turn.recv_timeout(TEST_TIMEOUT).expect("it may go on");
+    if let Some(hold_sender) = hold_sender {
+        // The lock lets one connection wait at a time, in the order in which the test is notified of them.
+        let turn = releases.lock().expect("lock the release channel");
+        let _ = hold_sender.send(());
+        turn.recv_timeout(TEST_TIMEOUT).expect("the test releases the script in time");
     }
-    // The gateway may have closed the connection meanwhile.
+    // The gateway may have closed the connection in the meantime.
     let _ = stream.write_all(&[message(b'R', &[0; 4]), ready_for_query()].concat());
     while let Some((kind, body)) = read_message(&mut stream) {
-        assert_eq!(kind, b'Q', "only simple queries");
+        assert_eq!(kind, b'Q', "hosts support simple queries only");
         let query = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
-        let _ = saw.send(query.clone());
-        let Some(reply) = script.lock().expect("a script").next() else { return };
-        match send_reply(&mut stream, &query, reply, go) {
+        let _ = query_sender.send(query.clone());
+        let Some(reply) = script.lock().expect("lock the script").next() else { return };
+        match send_reply(&mut stream, &query, reply, releases) {
             Next::Query => {}
             Next::Close => return,
             Next::Reset => return reset(stream),
@@ -129,25 +158,31 @@
         return false;
     }
     let mut rest = vec![0; u32::from_be_bytes(length) as usize - 4];
-    stream.read_exact(&mut rest).expect("a startup message");
+    stream.read_exact(&mut rest).expect("read the startup message");
     true
 }
 
-/// What becomes of a connection after a reply.
+/// What happens to a connection after a reply.
 enum Next {
     Query,
     Close,
     Reset,
 }
 
-fn send_reply(stream: &mut TcpStream, query: &str, reply: Reply, go: &Mutex<Receiver<()>>) -> Next {
-    let wait_for_go = || go.lock().expect("a signal").recv_timeout(TEST_TIMEOUT).expect("it may go on");
+fn send_reply(stream: &mut TcpStream, query: &str, reply: Reply, releases: &Mutex<Receiver<()>>) -> Next {
+    let wait_for_release = || {
+        releases
+            .lock()
+            .expect("lock the release channel")
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the test releases the script in time")
+    };
     match reply {
         Reply::NoAnswer => {}
         Reply::NoAnswerTo(text, _) if query.contains(text) => {}
         Reply::Close => return Next::Close,
         Reply::CloseOnRelease => {
-            wait_for_go();
+            wait_for_release();
             return Next::Close;
         }
         Reply::Bytes(bytes) => {
@@ -168,12 +203,12 @@
         }
         Reply::ResetOnRelease(value) => {
             let _ = stream.write_all(&[row(value), ready_for_query()].concat());
-            wait_for_go();
+            wait_for_release();
             return Next::Reset;
         }
         complete => {
             if matches!(complete, Reply::WaitForRelease(..) | Reply::RowAtOnRelease(..)) {
-                wait_for_go();
+                wait_for_release();
             }
             if let Reply::Delayed(delay_ms, _) = complete {
                 thread::sleep(Duration::from_millis(delay_ms));
@@ -186,27 +221,31 @@
     Next::Query
 }
 
-/// Resets a connection and waits until the reset has arrived. The kernel sends it only when the last copy of the descriptor
-/// is closed, and a child process that another thread starts holds one until its `exec`.
+/// Resets a connection and waits until the reset has arrived. The kernel sends the reset only when the last
+/// copy of the descriptor is closed, and a child process that another thread starts holds a copy until its
+/// `exec`.
 fn reset(stream: TcpStream) {
-    let (host, gateway) = (stream.local_addr().expect("an address"), stream.peer_addr().expect("an address"));
-    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
+    let (host, gateway) = (
+        stream.local_addr().expect("valid socket address"),
+        stream.peer_addr().expect("valid socket address"),
+    );
+    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set a socket option");
     drop(stream);
-    let until = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while is_connected(gateway, host) {
-        assert!(Instant::now() < until, "the reset never arrives");
+        assert!(Instant::now() < deadline, "the reset did not arrive");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Whether the kernel's table of TCP sockets has this connection; a reset removes it.
+/// Whether the kernel's table of TCP sockets contains a connection; a reset removes it.
 fn is_connected(from: SocketAddr, to: SocketAddr) -> bool {
-    let pair = [table_form(from), table_form(to)].join(" ");
-    std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&pair)
+    let pair = [proc_net_format(from), proc_net_format(to)].join(" ");
+    std::fs::read_to_string("/proc/net/tcp").expect("read /proc/net/tcp").contains(&pair)
 }
 
-/// An IPv4 address as the kernel's table has it: its four bytes as one number in the machine's byte order.
-fn table_form(address: SocketAddr) -> String {
+/// An IPv4 address in the format of `/proc/net/tcp`: its four bytes as one number in native byte order.
+fn proc_net_format(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else { panic!("hosts have IPv4 addresses") };
     format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
 }
--- a/crates/test-support/src/host_connection.rs
+++ b/crates/test-support/src/host_connection.rs
@@ -1,17 +1,18 @@
-//! The host's side of a connection that speaks PostgreSQL's simple query protocol.
+//! The host's side of a connection in PostgreSQL's simple query protocol.
 
 use petrelgauge::postgres::{Framer, Opening};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes read from a connection at a time.
+/// Maximum bytes of one read.
 const READ_BUFFER: usize = 16 * 1024;
-/// The type of a simple query's message.
+/// Message type of a simple query.
 const QUERY: u8 = b'Q';
 
-/// A connection that an emulated host has accepted.
+/// A connection accepted by an emulated host.
 ///
-/// Every method returns nothing once the connection cannot be used: it has ended, or what came is no simple query.
+/// The methods return `None` once the connection is unusable: it has ended, or the client sent something
+/// other than a simple query.
 pub struct HostConnection<'a> {
     stream: &'a mut TcpStream,
     framer: Framer,
@@ -19,13 +20,13 @@
 }
 
 impl HostConnection<'_> {
-    /// A connection from which nothing has been read.
+    /// Wraps a connection from which nothing has been read.
     pub fn new(stream: &mut TcpStream) -> HostConnection<'_> {
         let _ = stream.set_nodelay(true);
         HostConnection { stream, framer: Framer::default(), buffer: vec![0; READ_BUFFER] }
     }
 
-    /// Reads the startup message and returns the minor version of the protocol that it asks for.
+    /// Reads the startup message and returns the requested minor version of the protocol.
     pub async fn startup(&mut self) -> Option<u16> {
         loop {
             match self.framer.opening().ok()? {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,17 +1,20 @@
-//! What the tests of the gateway and the laboratory share: hosts, discovery, clients and gateway processes on loopback.
+//! Test support for the gateway's tests and the laboratory: hosts, discovery services, clients and gateway
+//! processes on loopback addresses.
 //!
-//! | file | what it offers |
+//! | module | contents |
 //! | --- | --- |
-//! | `harness.rs`, `gateway.rs`, `client.rs` | one gateway as a test sets it up, reads its log and talks to it, byte by byte |
-//! | `host.rs`, `reply.rs`, `scripted_discovery.rs` | a database host and a discovery service that follow scripts |
-//! | `gateway_process.rs`, `connection.rs`, `host_connection.rs` | gateways, clients and hosts that run as tasks, for fleets |
-//! | `list_service.rs`, `endpoint_list.rs` | the list service of fleets, its faults and its wire form |
-//! | `messages.rs`, `settings.rs` | PostgreSQL messages and statements; settings of a gateway |
-//! | `network.rs` | loopback networks and ports that no other test has |
-//! | `program.rs`, `child_process.rs`, `temporary_folder.rs`, `local_runtime.rs`, `time.rs` | programs, folders, the runtime, time limits |
+//! | `harness.rs`, `gateway.rs`, `client.rs` | one gateway under test and its blocking clients |
+//! | `host.rs`, `reply.rs`, `scripted_discovery.rs` | a scripted host and a scripted discovery service |
+//! | `gateway_process.rs`, `connection.rs`, `host_connection.rs` | processes and async connections for fleets |
+//! | `list_service.rs`, `endpoint_list.rs` | an emulated list service with faults, and the list format |
+//! | `messages.rs`, `settings.rs` | PostgreSQL messages and statements; deployment settings |
+//! | `network.rs` | loopback networks and ports reserved for one test |
+//! | `program.rs`, `child_process.rs` | the gateway's program and child processes |
+//! | `temporary_folder.rs`, `local_runtime.rs`, `time.rs` | folders, the async runtime, time limits |
 //!
-//! What belongs to one experiment or to the fault soak stays there: what hosts answer, what clients ask, schedules, rules.
-//! Everything here panics where the machine refuses what a test needs, unless it returns an error.
+//! Code that belongs to one experiment or to the fault soak stays there: the hosts' answers, the clients'
+//! requests, schedules and rules. Functions that do not return an error panic if the system refuses a
+//! resource that they need.
 
 mod child_process;
 mod client;
--- a/crates/test-support/src/list_service.rs
+++ b/crates/test-support/src/list_service.rs
@@ -1,4 +1,4 @@
-//! An emulated list service: it pushes endpoint lists to every gateway that watches, unless a fault keeps it from that.
+//! An emulated list service that pushes endpoint lists to every watching gateway, unless a fault is injected.
 
 use crate::endpoint_list::{line_chunk, list_line, read_request_head, LAST_CHUNK, RESPONSE_HEAD};
 use std::cell::{Cell, RefCell};
@@ -9,42 +9,42 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How often a watch without changes gets a heartbeat, as the protocol page states.
+/// Interval of heartbeats on a watch without changes, as the protocol page states.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Whether the service works.
+/// Whether the service works or has a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It answers.
+    /// The service answers.
     Up,
-    /// Connections get nothing more, even after the service has returned.
+    /// Connections receive nothing more, not even after the service has recovered.
     Silent,
-    /// Connections are reset, new ones too.
+    /// Existing and new connections are reset.
     Refusing,
 }
 
-/// What a new watch gets first.
+/// What a new watch receives first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstUpdate {
-    /// The complete list, whatever the watch holds already.
+    /// The complete list, whatever revision the watch already has.
     CompleteList,
-    /// What changed after the revision that the watch states; the complete list if it states none.
+    /// The changes since the revision in the request; the complete list if the request has none.
     Changes,
 }
 
-/// An entry of the list, as JSON, and the revision that brought it.
+/// A list entry as JSON, and the revision that last changed it.
 struct Entry {
     json: String,
     revision: u64,
 }
 
-/// A list service.
+/// An emulated list service.
 pub struct ListService {
-    /// Where it listens.
+    /// The address of the service.
     pub address: SocketAddr,
     first_update: FirstUpdate,
     entries: RefCell<Vec<Entry>>,
-    /// The last revision that replaced all entries: what is older needs the complete list.
+    /// The last revision that replaced all entries. Watches with an older revision need the complete list.
     replaced_at: Cell<u64>,
     revision: watch::Sender<u64>,
     state: watch::Sender<ServiceState>,
@@ -53,7 +53,7 @@
 }
 
 impl ListService {
-    /// Starts the service at a free port of this address, with these entries as revision 1.
+    /// Starts the service at a free port of an address, with these entries as revision 1.
     ///
     /// # Errors
     ///
@@ -84,31 +84,31 @@
         *self.revision.borrow()
     }
 
-    /// Bytes of lists and heartbeats that were sent.
+    /// Bytes of lists and heartbeats sent so far.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent.get()
     }
 
-    /// Bytes of the last complete list.
+    /// Size of the last complete list (bytes).
     pub fn complete_list_bytes(&self) -> u64 {
         self.complete_list_bytes.get()
     }
 
-    /// The complete list as it is now.
+    /// The current complete list.
     pub fn complete_list(&self) -> String {
         let line = list_line(self.revision(), true, &self.entries_since(0));
         self.complete_list_bytes.set(line.len() as u64);
         line
     }
 
-    /// Publishes a change of one entry.
+    /// Publishes a new revision that changes one entry.
     pub fn replace_entry(&self, index: usize, json: String) {
         let revision = self.revision() + 1;
         self.entries.borrow_mut()[index] = Entry { json, revision };
         self.revision.send_replace(revision);
     }
 
-    /// Publishes a new complete list.
+    /// Publishes a new revision that replaces all entries.
     pub fn replace_all(&self, entries: Vec<String>) {
         let revision = self.revision() + 1;
         *self.entries.borrow_mut() = entries.into_iter().map(|json| Entry { json, revision }).collect();
@@ -116,7 +116,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Lets the service fail, or return.
+    /// Injects a fault or ends it.
     pub fn set_state(&self, state: ServiceState) {
         self.state.send_replace(state);
     }
@@ -127,7 +127,7 @@
         newer.map(|entry| entry.json.as_str()).collect::<Vec<_>>().join(",")
     }
 
-    /// What a watch that holds this revision has to receive.
+    /// The update for a watch that has this revision.
     fn update_since(&self, revision: u64) -> String {
         if revision < self.replaced_at.get() {
             return self.complete_list();
@@ -153,12 +153,13 @@
         }
     }
 
-    /// Answers a poll, or a watch until its connection ends. One that has fallen silent stays so.
+    /// Answers a poll, or serves a watch until its connection ends. A connection that became silent stays
+    /// silent.
     async fn answer(&self, stream: &mut TcpStream) -> Option<()> {
         let head = read_request_head(stream).await?;
         let _ = stream.set_nodelay(true);
         let mut state = self.state.subscribe();
-        // The value that is waited for locks the state, so it is dropped at once.
+        // `wait_for` returns a guard that locks the state, so the guard is dropped immediately.
         let silent = async { state.wait_for(|state| *state == ServiceState::Silent).await.is_ok() };
         tokio::select! {
             biased;
@@ -199,7 +200,7 @@
     }
 }
 
-/// The revision that a watch says it holds; 0 for none.
+/// The revision in the request of a watch; 0 if there is none.
 fn revision_of_request(head: &str) -> u64 {
     let after = head.split_once("after=").map_or("", |(_, rest)| rest);
     let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
--- a/crates/test-support/src/local_runtime.rs
+++ b/crates/test-support/src/local_runtime.rs
@@ -1,12 +1,12 @@
-//! The single-threaded runtime that every experiment runs on.
+//! The single-threaded async runtime of the experiments.
 
 use std::future::Future;
 
-/// Runs a future to its end on a new current-thread runtime with local tasks.
+/// Runs a future to completion on a new current-thread runtime that supports local tasks.
 ///
 /// # Errors
 ///
-/// Fails if the runtime cannot be built, or with the error of the future.
+/// Fails if the runtime cannot be built, and returns the error of the future if it fails.
 pub fn block_on<T, E>(future: impl Future<Output = Result<T, E>>) -> Result<T, E>
 where
     E: From<std::io::Error>,
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -1,17 +1,18 @@
-//! Where the gateway's program is.
+//! The location of the gateway's program.
 
-/// The gateway's program, and a folder for the files of its processes.
+/// Paths of the gateway's program and of a folder for the files of its processes.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayProgram {
     /// Path of the program.
     pub path: &'static str,
-    /// A folder that tests may write to.
+    /// Path of a folder that tests can write to.
     pub folder: &'static str,
 }
 
-/// The [`GatewayProgram`] of the package whose tests call this.
+/// The [`GatewayProgram`] of the calling package.
 ///
-/// A macro, because cargo names program and folder only while it builds the tests of the program's own package.
+/// This is a macro because cargo sets the two environment variables only while it builds the tests of the
+/// program's own package.
 #[macro_export]
 macro_rules! gateway_program {
     () => {
--- a/crates/test-support/src/reply.rs
+++ b/crates/test-support/src/reply.rs
@@ -1,54 +1,56 @@
-//! What a scripted host does with a query, and the messages of complete answers.
+//! Replies of a scripted host, and the messages of complete answers.
 
 use crate::messages::{error, parameter_status, ready_for_query, row};
 use crate::time::unix_ms;
 
-/// What a scripted host does with a query. "On go" is after [`Host::release`](crate::Host::release).
+/// The reaction of a scripted host to a query. "On release" means after
+/// [`Host::release`](crate::Host::release).
 pub enum Reply {
     /// Answers with a row.
     Row(&'static [u8]),
-    /// The same, at this position (Unix milliseconds).
+    /// Answers as the primary with a row, at this position (Unix milliseconds).
     RowAt(&'static [u8], u64),
-    /// The same, from a replica.
+    /// Answers as a replica with a row, at this position.
     ReplicaAt(&'static [u8], u64),
-    /// Answers with a row at the present position, by a clock that is so many milliseconds ahead of the machine's.
+    /// Answers with a row at the current position by a clock that is this many milliseconds ahead of the
+    /// machine's.
     RowByClock(&'static [u8], i64),
-    /// The same from a replica that is behind by the second number of milliseconds.
+    /// Like [`Reply::RowByClock`], from a replica whose lag is the second number (milliseconds).
     ReplicaByClock(&'static [u8], i64, i64),
-    /// Answers with a row, and sends these bytes after it.
+    /// Answers with a row and sends these bytes after ReadyForQuery.
     RowThenBytes(&'static [u8], &'static [u8]),
     /// Sends these bytes.
     Bytes(&'static [u8]),
     /// Sends these bytes and closes the connection.
     BytesThenClose(&'static [u8]),
-    /// Answers with a row, so many bytes at a time and so many milliseconds apart.
+    /// Answers with a row in pieces of this many bytes, this many milliseconds apart.
     RowInPieces(&'static [u8], usize, u64),
-    /// Answers with a row, and resets the connection on go.
+    /// Answers with a row and resets the connection on release.
     ResetOnRelease(&'static [u8]),
-    /// Answers with a row on go.
+    /// Answers with a row on release.
     WaitForRelease(&'static [u8]),
-    /// The same, at this position.
+    /// Answers with a row at this position on release.
     RowAtOnRelease(&'static [u8], u64),
-    /// Closes the connection on go, without an answer.
+    /// Closes the connection on release, without an answer.
     CloseOnRelease,
     /// Answers with an error of this SQLSTATE.
     Error(&'static str),
-    /// The same, from a replica at this position.
+    /// Answers as a replica with an error of this SQLSTATE, at this position.
     ErrorAt(&'static str, u64),
-    /// Closes the connection.
+    /// Closes the connection without an answer.
     Close,
-    /// Does nothing.
+    /// Sends no answer.
     NoAnswer,
-    /// Does nothing with a query that contains this text; answers another with a row.
+    /// Sends no answer to a query that contains this text; answers other queries with a row.
     NoAnswerTo(&'static str, &'static [u8]),
-    /// Gives this reply so many milliseconds later.
+    /// Sends this reply after a delay (milliseconds).
     Delayed(u64, Box<Reply>),
-    /// Answers with the query's own text, in this role.
+    /// Answers with a row that contains the text of the query, in this role.
     Echo(&'static str),
 }
 
 impl Reply {
-    /// The messages of a complete answer: a row or an error, the host's role and position, and the end.
+    /// The messages of a complete answer: a row or an error, the host's position and role, and ReadyForQuery.
     pub(crate) fn messages(&self, query: &str) -> Vec<u8> {
         let answer = match self {
             Reply::Row(value) | Reply::WaitForRelease(value) | Reply::NoAnswerTo(_, value) => row(value),
@@ -81,7 +83,7 @@
     parameter_status("log_position", &unix_ms.to_string())
 }
 
-/// The present position by a clock that is so many milliseconds ahead of the machine's.
+/// The current position by a clock that is this many milliseconds ahead of the machine's.
 fn log_position_by_clock(ahead_ms: i64) -> Vec<u8> {
-    log_position(unix_ms().checked_add_signed(ahead_ms).expect("after 1970"))
+    log_position(unix_ms().checked_add_signed(ahead_ms).expect("a time after 1970"))
 }
--- a/crates/test-support/src/settings.rs
+++ b/crates/test-support/src/settings.rs
@@ -1,28 +1,28 @@
-//! The settings of a deployment, as gateways are started with them, and changes that several tests make to them.
+//! Deployment settings of gateways under test, and modifications that several tests share.
 
 use std::time::Duration;
 
-/// Attempts that a request may have.
+/// Maximum attempts of a request.
 pub const MAX_ATTEMPTS: usize = 8;
 
-/// A class of requests in a deployment's settings.
+/// The settings of a class of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassSettings {
     /// Its name.
     pub name: &'static str,
-    /// How new the data of its reads must be, as the settings name it; `mutate` for writes.
+    /// Required freshness of reads, as a value of the setting `read_level`; `mutate` for writes.
     pub read_level: &'static str,
-    /// How old the data of its reads may be, where `read_level` sets a bound.
+    /// Maximum staleness of reads, if `read_level` sets a bound.
     pub staleness_bound: Duration,
-    /// The latency objective.
+    /// The latency target.
     pub latency_target: Duration,
-    /// How long clients wait.
+    /// How long clients wait for an answer.
     pub deadline: Duration,
-    /// How long the idempotency key of a write is remembered; none for a read.
+    /// How long the idempotency key of a write is remembered; `None` for reads.
     pub key_window: Option<Duration>,
-    /// What an answer is worth.
+    /// The value of an answer on time.
     pub points: f64,
-    /// The share of that which a late answer is still worth.
+    /// The share of the value that a late answer retains.
     pub late_share: f64,
 }
 
@@ -43,21 +43,21 @@
     }
 }
 
-/// How hosts start, and what a gateway may send to one that has started.
+/// Slow start of hosts, and the limit on the requests that a gateway sends to a started host.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its capacity that a host has right after its start.
+    /// Share of its capacity that a host has immediately after its start.
     pub initial_share: f64,
-    /// The time until it has all of it.
+    /// Time from the start until full capacity.
     pub span: Duration,
-    /// How many times its capacity a host may be sent.
+    /// Limit on the requests to a host, as a multiple of its capacity.
     pub overload_factor: f64,
-    /// The window in which that is counted.
+    /// The window in which these requests are counted.
     pub overload_span: Duration,
 }
 
 impl SlowStart {
-    /// The slow start of most deployments.
+    /// The slow start of most test deployments.
     pub const DEFAULT: SlowStart = SlowStart {
         initial_share: 0.24,
         span: Duration::from_secs(16),
@@ -65,23 +65,23 @@
         overload_span: Duration::from_secs(1),
     };
 
-    /// The share of its capacity that a host of this age has.
+    /// The share of its capacity that a host has at this age.
     pub fn share(&self, age: Duration) -> f64 {
-        let grown = age.as_secs_f64() / self.span.as_secs_f64();
-        (self.initial_share + (1.0 - self.initial_share) * grown).min(1.0)
+        let progress = age.as_secs_f64() / self.span.as_secs_f64();
+        (self.initial_share + (1.0 - self.initial_share) * progress).min(1.0)
     }
 }
 
 /// The settings of a deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentSettings {
-    /// How many gateways it has.
+    /// Number of gateways.
     pub gateways: usize,
-    /// The zone of the gateway that reads them.
+    /// Zone of the gateway that reads the settings.
     pub zone: char,
-    /// Its classes of requests.
+    /// The classes of requests.
     pub classes: Vec<ClassSettings>,
-    /// How its hosts start.
+    /// Slow start of the hosts.
     pub slow_start: SlowStart,
 }
 
@@ -109,7 +109,7 @@
         .replace('\n', "")
     }
 
-    /// One gateway, a class of reads and one of keyed writes.
+    /// Settings for one gateway, with a class of reads and a class of keyed writes.
     pub(crate) fn single_gateway() -> DeploymentSettings {
         let read = ClassSettings {
             name: "view",
@@ -138,30 +138,30 @@
     }
 }
 
-/// The configuration with the first text of each pair replaced by the second. Panics if one is missing.
+/// Replaces the first text of each pair by the second in a configuration. Panics if a text is missing.
 pub fn replace_parts(config: &str, changes: &[(&str, &str)]) -> String {
     changes.iter().fold(config.to_string(), |config, (old, new)| {
-        assert!(config.contains(old), "{old}");
+        assert!(config.contains(old), "the configuration lacks {old}");
         config.replace(old, new)
     })
 }
 
-/// The configuration with so much time for a connection that a busy machine does not make it fail.
+/// Sets a connect timeout so long that a busy machine does not exceed it.
 pub fn with_long_connect_timeout(config: &str) -> String {
     replace_parts(config, &[("\"connect_timeout_us\":250000", "\"connect_timeout_us\":50000000")])
 }
 
-/// A further class of reads.
+/// An additional class of reads.
 pub struct ReadClass {
     /// Its name.
     pub name: &'static str,
     /// Its read level.
     pub read_level: &'static str,
-    /// How old its data may be (microseconds).
+    /// Maximum staleness of the data (microseconds).
     pub staleness_bound_us: u64,
 }
 
-/// The configuration for hosts that do not check how far behind they are, with these classes of reads added.
+/// Changes a configuration to hosts that do not check their lag, and adds classes of reads.
 pub fn with_unchecked_reads(config: &str, classes: &[ReadClass]) -> String {
     let (mut levels, mut bounds, mut records) = (String::new(), String::new(), String::new());
     for ReadClass { name, read_level, staleness_bound_us } in classes {
--- a/crates/test-support/src/temporary_folder.rs
+++ b/crates/test-support/src/temporary_folder.rs
@@ -1,23 +1,23 @@
-//! A folder below the system's temporary folder that is removed together with its value.
+//! A folder in the system's temporary directory that is removed when its handle is dropped.
 
 use std::path::{Path, PathBuf};
 
-/// A temporary folder. Dropping it removes the folder and everything in it.
+/// A temporary folder. Dropping it removes the folder with its content.
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
-    /// Creates the folder of this name.
+    /// Creates the folder.
     ///
     /// # Errors
     ///
-    /// Fails if the system refuses to create it.
+    /// Fails if the folder cannot be created.
     pub fn create(name: &str) -> std::io::Result<TemporaryFolder> {
         let folder = TemporaryFolder(std::env::temp_dir().join(name));
         std::fs::create_dir_all(&folder.0)?;
         Ok(folder)
     }
 
-    /// Where the folder is.
+    /// The path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/test-support/src/time.rs
+++ b/crates/test-support/src/time.rs
@@ -1,11 +1,12 @@
-//! Time limits of tests, and the machine's time.
+//! The time limit of test operations, and the system time.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Nothing that works takes so long; what does not work fails then and does not hang.
+/// Limit on blocking operations: far longer than a working operation takes, so that a broken one fails
+/// instead of hanging.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The machine's time, in milliseconds.
+/// The system time (Unix milliseconds).
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis() as u64
 }
