--- a/crates/test-support/src/endpoint_list.rs
+++ b/crates/test-support/src/endpoint_list.rs
@@ -29,7 +29,7 @@
     pub draining: bool,
     /// Whether the host is the primary of its group.
     pub primary: bool,
-    /// Start time of the host (Unix milliseconds); 0 for long ago.
+    /// Start time of the host, the value of `up_since_ms` (milliseconds); 0 for long ago.
     pub started_ms: i64,
 }
 
--- a/crates/test-support/src/harness.rs
+++ b/crates/test-support/src/harness.rs
@@ -74,10 +74,10 @@
         Host::start(self.network.address(SERVICES_HOST), script)
     }
 
-    /// Like [`Harness::host`], but the host answers the startup of connection number `first_slow` (counted
+    /// Like [`Harness::host`], but the host answers the startup of connection number `first_held` (counted
     /// from 0) and of all later ones only after [`Host::release`].
-    pub fn slow_host(&self, first_slow: usize, script: Vec<Reply>) -> Host {
-        Host::slow_from(self.network.address(SERVICES_HOST), script, first_slow)
+    pub fn host_holding_startups(&self, first_held: usize, script: Vec<Reply>) -> Host {
+        Host::holding_startups(self.network.address(SERVICES_HOST), script, first_held)
     }
 
     /// A host whose address refuses connections: nothing listens at its reserved port.
@@ -125,7 +125,7 @@
     pub fn with_shared_listener(mut self) -> Harness {
         let folder = format!("{}/{}", self.program.folder, self.listen);
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("write the file");
+        std::fs::create_dir_all(&folder).expect("create the folder");
         self.shared = Some((TcpListener::bind(&self.listen).expect("bind the reserved port"), folder));
         self
     }
--- a/crates/test-support/src/host.rs
+++ b/crates/test-support/src/host.rs
@@ -28,12 +28,12 @@
 impl Host {
     /// Starts a host at a free port of an address.
     pub(crate) fn start(ip: Ipv4Addr, script: Vec<Reply>) -> Host {
-        Host::slow_from(ip, script, usize::MAX)
+        Host::holding_startups(ip, script, usize::MAX)
     }
 
-    /// Like [`Host::start`], but the host answers the startup of connection number `slow_from` (counted from
+    /// Like [`Host::start`], but the host answers the startup of connection number `first_held` (counted from
     /// 0) and of all later ones only after [`Host::release`].
-    pub(crate) fn slow_from(ip: Ipv4Addr, script: Vec<Reply>, slow_from: usize) -> Host {
+    pub(crate) fn holding_startups(ip: Ipv4Addr, script: Vec<Reply>, first_held: usize) -> Host {
         let listener = TcpListener::bind((ip, 0)).expect("bind a free port");
         let address = listener.local_addr().expect("valid socket address").to_string();
         let (
@@ -49,7 +49,7 @@
             for (index, stream) in listener.incoming().enumerate() {
                 let (script, query_sender, releases, disconnect_sender) =
                     (script.clone(), query_sender.clone(), releases.clone(), disconnect_sender.clone());
-                let hold_sender = (index >= slow_from).then(|| hold_sender.clone());
+                let hold_sender = (index >= first_held).then(|| hold_sender.clone());
                 thread::spawn(move || {
                     serve(
                         stream.expect("accept a connection"),
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -5,7 +5,7 @@
 //! | --- | --- |
 //! | `harness.rs`, `gateway.rs`, `client.rs` | one gateway under test and its blocking clients |
 //! | `host.rs`, `reply.rs`, `scripted_discovery.rs` | a scripted host and a scripted discovery service |
-//! | `gateway_process.rs`, `connection.rs`, `host_connection.rs` | processes and async connections for fleets |
+//! | `gateway_process.rs`, `connection.rs`, `host_connection.rs` | processes and connections for fleets |
 //! | `list_service.rs`, `endpoint_list.rs` | an emulated list service with faults, and the list format |
 //! | `messages.rs`, `settings.rs` | PostgreSQL messages and statements; deployment settings |
 //! | `network.rs` | loopback networks and ports reserved for one test |
--- a/crates/test-support/src/settings.rs
+++ b/crates/test-support/src/settings.rs
@@ -57,7 +57,7 @@
 }
 
 impl SlowStart {
-    /// The slow start of most test deployments.
+    /// The slow start of most deployments.
     pub const DEFAULT: SlowStart = SlowStart {
         initial_share: 0.24,
         span: Duration::from_secs(16),
--- a/tests/changes_during_connect.rs
+++ b/tests/changes_during_connect.rs
@@ -11,7 +11,8 @@
 fn no_query_is_sent_to_a_host_whose_drain_is_announced_during_connect() {
     for change in ["draining", "removed", "another address", "another run"] {
         let harness = Harness::new(gateway_program!());
-        let (slow, next) = (harness.slow_host(0, vec![]), harness.host(vec![Reply::Row(b"next")]));
+        let (slow, next) =
+            (harness.host_holding_startups(0, vec![]), harness.host(vec![Reply::Row(b"next")]));
         let up = harness.entries(&[(&slow, "up", "primary")]);
         let updates = match change {
             "another address" => harness.entries(&[(&next, "up", "primary")]),
@@ -44,7 +45,7 @@
 #[test]
 fn a_keyed_write_is_not_retried_after_its_key_window_over_a_late_connection() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.slow_host(1, vec![Reply::Close]);
+    let host = harness.host_holding_startups(1, vec![Reply::Close]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_with_changed_config(|config| {
         with_long_connect_timeout(config).replace("\"window_us\":30000000", "\"window_us\":1500000")
     });
@@ -65,7 +66,7 @@
 #[test]
 fn a_keyed_write_is_retried_within_its_key_window() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.slow_host(1, vec![Reply::Close, Reply::Row(b"v")]);
+    let host = harness.host_holding_startups(1, vec![Reply::Close, Reply::Row(b"v")]);
     let gateway =
         harness.list(&[(&host, "up", "primary")]).start_with_changed_config(with_long_connect_timeout);
     let mut client = gateway.client();
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -58,7 +58,7 @@
             for cancel in [false, true] {
                 scope.spawn(move || {
                     let harness = Harness::new(gateway_program!());
-                    let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
+                    let host = harness.host_holding_startups(0, vec![Reply::Row(b"second")]);
                     let harness = harness.list(&[(&host, "up", "primary")]);
                     let config = config(&harness, cancel);
                     let gateway = harness.start_with_config(&config);
@@ -146,7 +146,7 @@
 fn a_client_that_disconnects_after_a_large_batch_leaves_no_request_behind() {
     for how in [Leave::Fin, Leave::Reset] {
         let harness = Harness::new(gateway_program!());
-        let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
+        let host = harness.host_holding_startups(0, vec![Reply::Row(b"second")]);
         let harness = harness.list(&[(&host, "up", "primary")]);
         let config = config(&harness, false);
         let gateway = harness.start_with_config(&config);
@@ -173,7 +173,7 @@
 #[test]
 fn a_cancelled_request_is_not_sent_and_only_its_own_key_cancels_it() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.slow_host(0, vec![Reply::Row(b"second")]);
+    let host = harness.host_holding_startups(0, vec![Reply::Row(b"second")]);
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = config(&harness, true);
     let gateway = harness.start_with_config(&config);
--- a/tests/deadline_propagation.rs
+++ b/tests/deadline_propagation.rs
@@ -33,7 +33,7 @@
 #[test]
 fn the_stated_time_excludes_a_slow_connect() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.slow_host(0, vec![Reply::Row(b"a")]);
+    let host = harness.host_holding_startups(0, vec![Reply::Row(b"a")]);
     let gateway =
         harness.list(&[(&host, "up", "primary")]).start_with_changed_config(with_long_connect_timeout);
     let mut client = gateway.client();
--- a/tests/faults_in_operation.rs
+++ b/tests/faults_in_operation.rs
@@ -143,7 +143,7 @@
 fn every_request_is_answered_before_the_kill_while_hosts_hang() {
     let harness = Harness::new(gateway_program!());
     let (silent, mute) =
-        (harness.host((0..9).map(|_| Reply::NoAnswer).collect()), harness.slow_host(0, vec![]));
+        (harness.host((0..9).map(|_| Reply::NoAnswer).collect()), harness.host_holding_startups(0, vec![]));
     let mut gateway = harness.list(&[(&silent, "up", "primary"), (&mute, "up", "standby")]).start();
     let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -27,7 +27,8 @@
 fn a_bounded_read_is_not_sent_once_what_is_known_of_its_host_has_grown_too_old() {
     let harness = Harness::new(gateway_program!());
     let at = unix_ms();
-    let host = harness.slow_host(1, vec![Reply::ReplicaAt(b"v", at), Reply::NoAnswer, Reply::Row(b"old")]);
+    let host = harness
+        .host_holding_startups(1, vec![Reply::ReplicaAt(b"v", at), Reply::NoAnswer, Reply::Row(b"old")]);
     let gateway = harness.list(&[(&host, "up", "standby")]).start_with_changed_config(unchecked);
     let (mut first, mut second, mut third) = (gateway.client(), gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
@@ -51,7 +52,7 @@
 #[test]
 fn a_read_of_the_newest_is_not_sent_to_a_host_that_has_said_meanwhile_that_it_does_not_lead() {
     let harness = Harness::new(gateway_program!());
-    let host = harness.slow_host(0, vec![Reply::ReplicaAt(b"v", unix_ms()), Reply::Row(b"old")]);
+    let host = harness.host_holding_startups(0, vec![Reply::ReplicaAt(b"v", unix_ms()), Reply::Row(b"old")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start_with_changed_config(unchecked);
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.write(&ask("view", "1", 25_000));
@@ -77,7 +78,7 @@
     let harness = Harness::new(gateway_program!());
     let at = unix_ms();
     let script = vec![Reply::ReplicaAt(b"v", at), Reply::NoAnswer, Reply::ReplicaAt(b"new", at)];
-    let host = harness.slow_host(1, script);
+    let host = harness.host_holding_startups(1, script);
     let gateway = harness
         .list(&[(&host, "up", "standby")])
         .start_with_changed_config(|config| unchecked(config).replace("4000000,0]", "60000000,0]"));
