--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -1,4 +1,4 @@
-//! The control plane of one gateway: how its parts are connected, and the tasks that it runs.
+//! The control plane of one gateway: connects its components and starts their background tasks.
 
 use crate::control::config::Config;
 use crate::control::decisions::RoutingDecisions;
@@ -24,39 +24,38 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Attempts to open the datagram socket at startup while the machine lacks descriptors or memory (count).
+/// Maximum number of attempts to open the datagram socket at startup while descriptors or memory run out.
 const BIND_ATTEMPTS: u32 = 500;
 
-/// The control plane of one gateway. `S` is the socket for datagrams between gateways.
+/// The control plane of one gateway. `S` is the type of the socket for datagrams between gateways.
 pub struct ControlPlane<S> {
     /// The routing decisions.
     pub facade: Facade,
     /// Connections to the database hosts.
     pub host_pool: Rc<HostPool>,
-    /// This gateway's part in the fleet's leadership roles, if the operator has enabled any.
+    /// This gateway's participation in the fleet's leadership roles, if the operator has enabled any.
     pub leadership: Option<Rc<FleetLeadership>>,
-    /// Names and numbers of the hosts.
+    /// Names and IDs of the hosts.
     pub host_names: Rc<HostNames>,
-    /// Whether a usable endpoint list has been received from discovery since the start.
+    /// Whether discovery has sent a valid endpoint list since startup.
     pub has_received_list: Rc<Cell<bool>>,
-    /// Revision of the endpoint list in force.
+    /// Revision of the current endpoint list.
     pub list_revision: Rc<Cell<u64>>,
     pub(super) read_wait_bound: Time,
     clock: Clock,
     /// Taken by [`ControlPlane::start`].
     discovery_watch: Option<DiscoveryWatch>,
-    /// Taken by [`ControlPlane::start`]. `None` where gateways exchange no datagrams.
+    /// Taken by [`ControlPlane::start`]. `None` if gateways exchange no datagrams.
     peer_exchange: Option<PeerExchange<S>>,
 }
 
 impl<S: DatagramSocket + 'static> ControlPlane<S> {
-    /// Builds a control plane and applies the configuration's initial endpoint list, which it takes out of
-    /// `config`. `bind` opens the socket for datagrams between gateways; it is called only if the
-    /// configuration needs one.
+    /// Builds a control plane and applies the initial endpoint list, which is moved out of `config`. `bind`
+    /// opens the socket for datagrams between gateways; it is called only if the configuration requires one.
     ///
     /// # Errors
     ///
-    /// Fails if the configuration is unusable or the datagram socket cannot be opened.
+    /// Fails if the configuration is invalid or the datagram socket cannot be opened.
     pub async fn new<F: Future<Output = Result<S, SocketError>>>(
         config: &mut Config,
         decisions: RoutingDecisions,
@@ -98,8 +97,8 @@
         })
     }
 
-    /// Spawns the background tasks, none of which ends by itself. The discovery watch follows the latest
-    /// address of `discovery`. A second call spawns the periodic tasks alone.
+    /// Spawns the background tasks, none of which returns. The discovery watch connects to the latest address
+    /// of `discovery`. A second call spawns only the periodic tasks.
     pub fn start(&mut self, tasks: &mut JoinSet<()>, discovery: watch::Receiver<SocketAddr>) {
         if let Some(discovery_watch) = self.discovery_watch.take() {
             tasks.spawn_local(discovery_watch.follow(discovery));
@@ -145,7 +144,7 @@
     })
 }
 
-/// Opens the socket for datagrams between gateways at `address`, retrying while the machine lacks resources.
+/// Opens the socket for datagrams between gateways at `address`, retrying while system resources run out.
 async fn open_socket<S, F: Future<Output = Result<S, SocketError>>>(
     address: SocketAddr,
     bind: impl Fn(SocketAddr) -> F,
