--- a/src/control/decisions.rs
+++ b/src/control/decisions.rs
@@ -8,27 +8,27 @@
 use crate::Time;
 use std::net::SocketAddr;
 
-/// The routing decisions of one gateway before its first endpoint list, and the settings that other parts
-/// derive from.
+/// The routing decisions of one gateway before its first endpoint list, and the derived settings that other
+/// components need.
 pub struct RoutingDecisions {
-    /// The decisions.
+    /// Access to the decisions.
     pub facade: Facade,
     /// Maximum number of concurrently open requests.
     pub max_open_requests: u32,
-    /// Longest time that a read waits for a replica to catch up (microseconds).
+    /// Maximum time that a read waits for a replica to catch up (microseconds).
     pub read_wait_bound: Time,
     /// Number of gateways that share the hosts.
     pub(super) gateway_count: u32,
-    /// Where watermark broadcasts of other gateways arrive, if sessions use them.
+    /// Listen address for watermark broadcasts from other gateways, if sessions use them.
     pub(super) broadcast_address: Option<SocketAddr>,
 }
 
 impl RoutingDecisions {
-    /// Builds the decisions that `config` asks for.
+    /// Builds the decisions from `config`.
     ///
     /// # Errors
     ///
-    /// Fails if the deployment's settings or the operator's `sessions` record are unusable.
+    /// Fails if the deployment's settings or the operator's `sessions` record are invalid.
     pub fn new(config: &Config, now: Time) -> Result<RoutingDecisions, ControlError> {
         let mut settings = effective_settings(config)?;
         let SessionSetup { tracking, broadcast_address } = session_tracking(config, &settings.classes, now)?;
