--- a/src/control/dependencies.rs
+++ b/src/control/dependencies.rs
@@ -1,4 +1,4 @@
-//! What the control plane needs from its process.
+//! Resources that the process provides to the control plane.
 
 use crate::fleet::quota_lending::Demand;
 use crate::os::clock::Clock;
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a control plane needs from its process.
+/// Resources that the process provides to the control plane.
 pub struct Dependencies {
     /// Clock of all deadlines.
     pub clock: Clock,
     /// Limits on descriptors and message memory.
     pub budget: Rc<Budget>,
-    /// Buffer that all connections read into.
+    /// Read buffer shared by all connections.
     pub read_buffer: Rc<ReadBuffer>,
-    /// Counters that operators see.
+    /// Counters reported to operators.
     pub counters: Rc<Counters>,
-    /// Requests received per group, the base of quota lending.
+    /// Requests received per group, the input of quota lending.
     pub demand: Demand,
-    /// Numbers of the hosts that another process of this gateway knew, by their names; empty without one.
+    /// Host IDs by host name, handed over by a previous process of this gateway; empty without a handover.
     pub assigned_ids: BTreeMap<String, MemberId>,
 }
