--- a/src/control/effective_settings.rs
+++ b/src/control/effective_settings.rs
@@ -1,17 +1,18 @@
-//! The routing settings that a configuration puts into effect at a gateway.
+//! Derives the effective routing settings of a gateway from its configuration.
 
 use crate::control::config::Config;
 use crate::settings::deployment::DeploymentError;
 use crate::{Settings, Time};
 
-/// Time that a request and its rejection spend queued in this process (microseconds). A larger value would
-/// have rejected clients return after their Retry-After with no time left.
+/// Time that a request and its rejection spend queued in this process (microseconds). With a larger value,
+/// rejected clients would return after their Retry-After with no time left.
 const QUEUEING_ALLOWANCE: Time = 3_000;
-/// Clients may use this fraction of the descriptors, as a divisor; each open request belongs to one client.
+/// The descriptors are divided by this number to get the maximum number of clients. Each open request
+/// belongs to one client.
 const CLIENT_DESCRIPTOR_DIVISOR: u32 = 3;
 
-/// The deployment's settings, adjusted to what a gateway with this wire protocol and these descriptors can
-/// do.
+/// Returns the deployment's settings, restricted to what the wire protocol and the descriptor limit of this
+/// gateway support.
 pub(super) fn effective_settings(config: &Config) -> Result<Settings, DeploymentError> {
     let mut settings = config.deployment.settings()?;
     // The wire protocol has no health checks, and the discovery watch is always open.
@@ -23,7 +24,7 @@
     Ok(settings)
 }
 
-/// Maximum number of clients that the configuration's descriptors admit.
+/// Returns the maximum number of clients for the configured descriptor limit.
 pub(super) fn max_clients(config: &Config) -> u32 {
     config.max_descriptors as u32 / CLIENT_DESCRIPTOR_DIVISOR
 }
