--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -1,4 +1,4 @@
-//! This gateway's part in the fleet's leadership roles, built from its configuration.
+//! Builds this gateway's participation in the fleet's leadership roles from its configuration.
 
 use crate::control::config::Config;
 use crate::control::dependencies::Dependencies;
@@ -14,7 +14,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 
-/// Builds the leadership roles of the operator's `ownership` record; `None` without one.
+/// Builds the leadership roles that the operator's `ownership` record enables; `None` without that record.
 pub(super) fn fleet_leadership(
     config: &Config,
     dependencies: &Dependencies,
@@ -69,7 +69,7 @@
     })
 }
 
-/// Differs at each start: a restarted process must not accept quota that was granted to its predecessor.
+/// Random for each start, because a restarted process must not accept quota granted to the previous process.
 fn first_report_number(seed: u64, now: Time) -> u32 {
     Pcg64Mcg::seed_from_u64(seed ^ now as u64).next_u32()
 }
