--- a/src/control/ops.rs
+++ b/src/control/ops.rs
@@ -1,5 +1,5 @@
-//! The address for operators' commands: one line per connection, one line back. Commands and replies are
-//! defined in `petrelgauge_lifecycle::ops`; the gateway's event loop executes them.
+//! Listener for operators' commands: each connection sends one command line and receives one reply line.
+//! Commands and replies are defined in `petrelgauge_lifecycle::ops`; the gateway's event loop executes them.
 
 use crate::host::pool::HostPool;
 use crate::os::clock::Clock;
@@ -16,16 +16,16 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Time within which a caller must read the reply and close the connection (microseconds).
+/// Time limit for the caller to read the reply and close the connection (microseconds).
 const REPLY_TIMEOUT: Time = 500_000;
 /// Pause after a failed accept (microseconds).
 const ACCEPT_RETRY_PAUSE: Time = 10_000;
 
-/// A command on its way to the event loop.
+/// A command for the event loop, with the channel for its reply.
 pub struct CommandRequest {
     /// The command.
     pub command: Command,
-    /// Receives the reply. Dropped without one, the caller reads that the gateway is stopping.
+    /// Channel for the reply. If it is dropped unused, the caller is told that the gateway is stopping.
     pub reply: oneshot::Sender<Reply>,
 }
 
@@ -33,17 +33,17 @@
 pub struct CommandListener {
     /// Channel to the event loop.
     pub commands: mpsc::Sender<CommandRequest>,
-    /// Gives up an idle connection when no descriptor is left to accept with.
+    /// Closes an idle connection if accepting fails for lack of descriptors.
     pub host_pool: Rc<HostPool>,
-    /// Clock of all deadlines.
+    /// Clock for all deadlines.
     pub clock: Clock,
     /// Counts callers.
     pub counters: Rc<Counters>,
 }
 
 impl CommandListener {
-    /// Accepts callers. Never returns. Beyond [`MAX_CALLERS`], the caller that has waited longest is
-    /// disconnected.
+    /// Accepts callers; never returns. With [`MAX_CALLERS`] connected, the oldest connection is closed to
+    /// accept a new one.
     pub async fn accept(self, listener: TcpListener) {
         let this = Rc::new(self);
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
@@ -52,7 +52,7 @@
             callers.retain(|caller| !caller.is_finished());
             if callers.len() >= MAX_CALLERS {
                 callers.pop_front().into_iter().for_each(|caller| caller.abort());
-                // The aborted task is dropped, and with it its descriptor, when the runtime gets to run.
+                // The runtime drops the aborted task, and with it the descriptor, only after a yield.
                 tokio::task::yield_now().await;
             }
             let caller = tokio::task::spawn_local(this.clone().serve(stream));
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Accepts one caller. After a failure, waits for as long as the cause needs and returns `None`.
+    /// Accepts one caller. After a failure, waits as long as its cause requires and returns `None`.
     async fn accept_one(&self, listener: &TcpListener) -> Option<TcpStream> {
         match socket::accept(listener).await {
             Ok(stream) => return Some(stream),
-            // This caller has disconnected; the next one may be waiting already.
+            // This caller has disconnected; another connection may already be pending.
             Err(SocketError::Broken(_)) => tokio::task::yield_now().await,
             Err(_) => {
                 self.host_pool.ensure_descriptor();
@@ -74,7 +74,7 @@
         None
     }
 
-    /// Reads one command, has it executed and writes the reply.
+    /// Reads one command, executes it on the event loop and writes the reply.
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
         self.counters.calls.add();
         let Some(reply) = self.read_and_execute(&stream).await else { return };
@@ -83,13 +83,14 @@
         }
         let clock = self.clock;
         tokio::select! {
-            // The reply is best effort: a caller may disconnect without reading it.
+            // The reply is best effort, because a caller may disconnect without reading it.
             _ = write_reply(&mut stream, &reply) => {}
             () = clock.sleep_until(clock.now() + REPLY_TIMEOUT) => {}
         }
     }
 
-    /// Returns the reply to the caller's line, or `None` if the caller disconnects without sending one.
+    /// Reads a command line, executes it and returns the reply. Returns `None` if the caller disconnects
+    /// without sending a line.
     async fn read_and_execute(&self, stream: &TcpStream) -> Option<Reply> {
         let clock = self.clock;
         let line = tokio::select! {
@@ -119,29 +120,29 @@
     }
 }
 
-/// Why a caller's line was not read.
+/// Error from reading a caller's line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineError {
-    /// The line is no command; the caller is sent the reason.
+    /// The line is not a valid command; the caller is sent the reason.
     Invalid(CommandError),
-    /// The caller disconnected without sending a line, or the connection broke.
+    /// The caller disconnected without sending a line, or the connection failed.
     Disconnected,
 }
 
 async fn write_reply(stream: &mut TcpStream, reply: &Reply) -> Result<(), SocketError> {
     socket::write_all(stream, &mut reply.to_string().as_bytes()).await?;
     stream.shutdown().await.map_err(SocketError::Broken)?;
-    // Closing a socket with unread bytes resets the connection, and the reply would be lost.
+    // Closing a socket with unread bytes resets the connection, which would discard the reply.
     let mut discarded = [0; MAX_LINE_BYTES];
     while socket::read(stream, &mut discarded).await? > 0 {}
     Ok(())
 }
 
-/// Reads a caller's line, without its line end. The end of the stream ends a line, too.
+/// Reads a caller's line and returns it without the line terminator. End of stream also terminates a line.
 ///
 /// # Errors
 ///
-/// Fails if the line is longer than [`MAX_LINE_BYTES`], the caller sends nothing, or the connection breaks.
+/// Fails if the line exceeds [`MAX_LINE_BYTES`], the caller sends nothing, or the connection fails.
 pub async fn read_line(stream: &impl ByteStream) -> Result<Vec<u8>, LineError> {
     let (mut line, mut bytes) = (Vec::new(), [0; MAX_LINE_BYTES]);
     loop {
