--- a/src/control/session_tracking.rs
+++ b/src/control/session_tracking.rs
@@ -1,4 +1,4 @@
-//! The session tracking that a configuration asks for.
+//! Builds the session tracking from the configuration.
 
 use crate::control::config::Config;
 use crate::control::error::ControlError;
@@ -8,17 +8,17 @@
 use petrelgauge_sessions::{SessionTracker, Settings};
 use std::net::SocketAddr;
 
-/// Session tracking, and what it needs from the fleet.
+/// Session tracking and the address for its broadcasts.
 #[derive(Default)]
 pub(super) struct SessionSetup {
-    /// The tracker and the classes it serves; `None` where no class carries sessions.
+    /// The tracker and the classes it applies to; `None` if no class has sessions.
     pub(super) tracking: Option<SessionTracking>,
-    /// Where watermark broadcasts of other gateways arrive, if they are exchanged.
+    /// Listen address for watermark broadcasts from other gateways, if they are exchanged.
     pub(super) broadcast_address: Option<SocketAddr>,
 }
 
-/// Sets up the sessions of the operator's `sessions` record. Without one, session reads that the deployment
-/// asks for see the writes that this gateway has answered since its start.
+/// Builds session tracking from the operator's `sessions` record. Without that record, the session reads of
+/// the deployment see only the writes that this gateway has answered since it started.
 pub(super) fn session_tracking(
     config: &Config,
     classes: &[Class],
@@ -32,7 +32,7 @@
     }
 }
 
-/// Sessions as the operator's record describes them.
+/// Builds session tracking from the operator's `sessions` record.
 fn operator_sessions(
     config: &Config,
     record: &SessionsRecord,
@@ -52,7 +52,7 @@
     Ok(SessionSetup { tracking: Some(SessionTracking { tracker, classes }), broadcast_address })
 }
 
-/// Sessions that live in this gateway alone: no tokens, no broadcasts.
+/// Builds session tracking that is local to this gateway: no tokens, no broadcasts.
 fn local_sessions(config: &Config, classes: Vec<usize>) -> Result<SessionSetup, ControlError> {
     let settings = Settings {
         roams: false,
@@ -65,8 +65,8 @@
     Ok(SessionSetup { tracking: Some(SessionTracking { tracker, classes }), broadcast_address: None })
 }
 
-/// Indices of the classes that carry sessions: those that the operator's record names, or else the writes and
-/// session reads of a deployment that asks for them.
+/// Returns the indices of the classes with sessions: those that the operator's record names, or else the
+/// write and session-read classes of a deployment that tracks sessions.
 pub(super) fn session_class_indices(
     config: &Config,
     classes: &[Class],
@@ -78,6 +78,6 @@
     if !has_session_reads || !config.deployment.tracks_sessions() {
         return Ok(Vec::new());
     }
-    let carries_sessions = |index: &usize| matches!(classes[*index].need, Need::Write | Need::Session);
-    Ok((0..classes.len()).filter(carries_sessions).collect())
+    let has_sessions = |index: &usize| matches!(classes[*index].need, Need::Write | Need::Session);
+    Ok((0..classes.len()).filter(has_sessions).collect())
 }
