--- a/src/control/tasks.rs
+++ b/src/control/tasks.rs
@@ -1,4 +1,4 @@
-//! The periodic tasks of the control plane. None of them ends by itself.
+//! The periodic tasks of the control plane. None of them returns.
 
 use crate::facade::Facade;
 use crate::host::pool::HostPool;
@@ -6,12 +6,12 @@
 use crate::Time;
 use std::rc::Rc;
 
-/// Time between two sweeps of idle host connections (microseconds).
+/// Interval between sweeps of idle host connections (microseconds).
 const IDLE_SWEEP_INTERVAL: Time = 500_000;
-/// Time between two checks for excess clients (microseconds).
+/// Interval between checks for excess clients (microseconds).
 const SHED_INTERVAL: Time = 50_000;
 
-/// Steps the decisions whenever an event has arrived or a timer is due.
+/// Advances the routing decisions whenever an event has arrived or a timer is due.
 pub(super) async fn step_decisions(facade: Facade, clock: Clock) {
     loop {
         match facade.tick(clock.now()) {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Closes expired idle connections to hosts, and idle clients beyond the client share of the descriptors.
+/// Closes expired idle host connections, and idle clients in excess of their share of the descriptors.
 pub(super) async fn close_unused_connections(host_pool: Rc<HostPool>, clock: Clock) {
     loop {
         let sweep_at = clock.now() + IDLE_SWEEP_INTERVAL;
