--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -15,32 +15,32 @@
 
 const BYTES_PER_MEGABYTE: usize = 1024 * 1024;
 
-/// Why a configuration cannot be read or used. The messages are shown to operators.
+/// Error from reading or validating the configuration. The messages are shown to operators.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no configuration file.
+    /// `GW_CONFIG` is not set in the environment.
     #[error("GW_CONFIG is not set: it names the configuration file")]
     PathNotSet,
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The path, as in the environment.
+        /// Path from the environment.
         path: String,
-        /// The failed system call.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// The operator's file is unusable.
+    /// The operator's file cannot be read or is invalid.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// The file was read, but its content is unusable.
+    /// The file was read, but its content is invalid.
     #[error("{path}: {source}")]
     InvalidFile {
-        /// The path, as in the environment.
+        /// Path from the environment.
         path: String,
-        /// What is wrong with the content.
+        /// The error in its content.
         source: ConfigFileError,
     },
-    /// A reloaded file lacks a key that the settings in force have.
+    /// A reloaded file lacks a key that the current settings have.
     #[error("settings: {0} is missing")]
     MissingKey(String),
     /// A value of the deployment's settings is missing or unknown.
@@ -51,17 +51,17 @@
     Settings(#[from] SettingsError),
 }
 
-/// What is wrong with the content of a configuration file.
+/// Error in the content of a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
-    /// It is not JSON, lacks a key, or a key has a value of another type.
+    /// The file is not valid JSON, lacks a required key, or has a value of the wrong type.
     #[error(transparent)]
     InvalidJson(#[from] serde_json::Error),
-    /// Its `settings` lack a key, or a key has a value of another type.
+    /// `settings` lacks a required key or has a value of the wrong type.
     #[error("settings: {0}")]
     InvalidSettings(#[source] serde_json::Error),
-    /// Neither the file nor this environment variable gives a required value.
-    #[error("neither {0} nor the file says it")]
+    /// A required value is set neither in the file nor by this environment variable.
+    #[error("neither {0} nor the file sets it")]
     MissingValue(&'static str),
     /// A value is not an IP address with a port.
     #[error("{name}: {text:?} is not an address with a port")]
@@ -81,37 +81,38 @@
 pub struct Config {
     /// Name of the gateway.
     pub name: String,
-    /// Address for clients.
+    /// Listen address for clients.
     pub listen: SocketAddr,
     /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Address for operators' commands, if they are accepted.
+    /// Listen address for operators' commands, if they are enabled.
     pub ops: Option<SocketAddr>,
-    /// Seed of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
     /// Maximum number of file descriptors.
     pub max_descriptors: usize,
     /// Maximum memory (bytes).
     pub max_memory: usize,
-    /// The endpoint list in use until discovery sends one.
+    /// Endpoint list used until discovery sends one.
     pub initial_list: Option<EndpointList>,
     /// The deployment's settings.
     pub deployment: DeploymentSettings,
-    /// Digest of the deployment's settings, independent of the order of their keys.
+    /// Hash of the deployment's settings, independent of key order.
     pub settings_digest: u64,
     /// Paths of all keys of the deployment's settings.
     settings_keys: BTreeSet<String>,
-    /// Address for datagrams of other gateways, if any are exchanged.
+    /// Listen address for datagrams from other gateways, if gateways exchange any.
     pub peer_listen: Option<SocketAddr>,
-    /// Addresses of all gateways of the fleet, this one included, in the order of their numbers.
+    /// Addresses of all gateways of the fleet, including this one, ordered by gateway number.
     pub peers: Vec<SocketAddr>,
-    /// What the operator's file enables.
+    /// Configuration from the operator's file.
     pub operator: OperatorConfig,
 }
 
-/// The keys of the configuration file.
+/// The configuration file.
 #[derive(Deserialize)]
-struct File {
+#[serde(expecting = "struct File")]
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -139,7 +140,7 @@
     }
 }
 
-/// Which source wins where both the environment and the file give a value.
+/// Which source takes precedence if both the environment and the file set a value.
 #[derive(Clone, Copy, PartialEq)]
 enum Precedence {
     Environment,
@@ -147,23 +148,23 @@
 }
 
 impl Config {
-    /// Reads the environment through `var` and the file that `GW_CONFIG` names. The environment takes
+    /// Reads environment variables through `var` and the file at `GW_CONFIG`. The environment takes
     /// precedence.
     ///
     /// # Errors
     ///
-    /// Fails if the configuration file or the operator's file cannot be read or used.
+    /// Fails if the configuration file or the operator's file cannot be read or is invalid.
     pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         Config::load(var, Precedence::Environment)
     }
 
-    /// Reads the configuration again while the gateway runs. The environment is still that of the start, so
-    /// the file takes precedence for the discovery address, which may move.
+    /// Reads the configuration again while the gateway runs. The environment of a running process cannot be
+    /// changed, so the file takes precedence for the discovery address, which may change.
     ///
     /// # Errors
     ///
-    /// Fails if a file cannot be read or used. Fails also if the settings lack a key that those in force
-    /// have: the file is then taken for incomplete, because the missing key would silently get its default.
+    /// Fails if a file cannot be read or is invalid. Also fails if the settings lack a key that the current
+    /// ones have: the missing key would silently get its default, so the file is treated as incomplete.
     pub fn reread(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let config = Config::load(var, Precedence::File)?;
         if let Some(key) = self.settings_keys.difference(&config.settings_keys).next() {
@@ -173,27 +174,27 @@
         Ok(config)
     }
 
-    /// This gateway's index among the peers. If the peers reach each other through other addresses than those
-    /// they listen at, the gateway's number in the deployment's settings is its index.
+    /// This gateway's index in `peers`. If the peers reach each other at addresses other than their listen
+    /// addresses, the gateway's number in the deployment's settings is its index.
     pub fn peer_index(&self) -> Option<usize> {
         let listed = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
         listed.or(self.deployment.gateway_number().filter(|number| *number < self.peers.len()))
     }
 
-    /// Keys that differ in `new` and that only a restart can change.
+    /// Returns the keys that differ in `new` and take effect only after a restart.
     pub fn keys_needing_restart(&self, new: &Config) -> Vec<&'static str> {
-        let differs = [
+        let changed = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("ops", self.ops != new.ops),
             ("limits", self.max_descriptors != new.max_descriptors || self.max_memory != new.max_memory),
             ("peers", self.peer_listen != new.peer_listen || self.peers != new.peers),
         ];
-        differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
+        changed.into_iter().filter(|(_, is_changed)| *is_changed).map(|(key, _)| key).collect()
     }
 
-    /// This configuration with the values of `new` that a running gateway can change to.
-    pub fn with_reloadable_part_of(&self, new: Config) -> Config {
+    /// Returns this configuration with the values of `new` that can be changed without a restart.
+    pub fn with_reloadable_values_of(&self, new: Config) -> Config {
         Config {
             name: self.name.clone(),
             listen: self.listen,
@@ -226,21 +227,21 @@
         var: impl Fn(&str) -> Option<String>,
         precedence: Precedence,
     ) -> Result<Config, ConfigFileError> {
-        let file: File = serde_json::from_str(text)?;
-        let values = Values { var };
+        let file: ConfigFile = serde_json::from_str(text)?;
+        let sources = ConfigSources { var };
         let settings_keys = key_paths(&file.settings);
         let settings_digest = digest(&file.settings);
         let deployment = parse_settings(file.settings)?;
-        let listen = values.required("GW_LISTEN", file.listen, Precedence::Environment)?;
-        let discovery = values.required("GW_DISCOVERY", file.discovery, precedence)?;
-        let ops = values.optional("GW_OPS", file.ops);
+        let listen = sources.required("GW_LISTEN", file.listen, Precedence::Environment)?;
+        let discovery = sources.required("GW_DISCOVERY", file.discovery, precedence)?;
+        let ops = sources.optional("GW_OPS", file.ops);
         let peers = file.peers.into_iter().map(|text| parse_address("peers", text));
         Ok(Config {
             listen: parse_address("GW_LISTEN", listen)?,
             discovery: parse_address("GW_DISCOVERY", discovery)?,
             ops: ops.map(|text| parse_address("ops", text)).transpose()?,
             seed: parse_seed(file.seed)?,
-            name: values.required("GW_NAME", file.name, Precedence::Environment)?,
+            name: sources.required("GW_NAME", file.name, Precedence::Environment)?,
             max_descriptors: file.limits.sockets,
             max_memory: file.limits.memory_mb.saturating_mul(BYTES_PER_MEGABYTE),
             initial_list: file.known,
@@ -254,12 +255,12 @@
     }
 }
 
-/// Values that the environment or the file may give.
-struct Values<V> {
+/// Looks up values that either the environment or the file can set.
+struct ConfigSources<V> {
     var: V,
 }
 
-impl<V: Fn(&str) -> Option<String>> Values<V> {
+impl<V: Fn(&str) -> Option<String>> ConfigSources<V> {
     fn required(
         &self,
         variable: &'static str,
@@ -273,7 +274,7 @@
         value.ok_or(ConfigFileError::MissingValue(variable))
     }
 
-    /// The environment's value or else the file's.
+    /// Returns the value from the environment, or else from the file.
     fn optional(&self, variable: &str, in_file: Option<String>) -> Option<String> {
         (self.var)(variable).or(in_file)
     }
@@ -293,7 +294,7 @@
     hasher.finish()
 }
 
-/// Parses the deployment's settings. Unknown keys are logged and skipped.
+/// Parses the deployment's settings. Unknown keys are logged and ignored.
 fn parse_settings(settings: Value) -> Result<DeploymentSettings, ConfigFileError> {
     let mut unknown_keys = Vec::new();
     let deployment = serde_ignored::deserialize(settings, |path| unknown_keys.push(path.to_string()))
@@ -304,8 +305,8 @@
     Ok(deployment)
 }
 
-/// Paths of all keys of nested objects, without those inside lists: which keys a list's entry needs depends
-/// on the entry.
+/// Returns the paths of all keys of nested objects. Objects inside arrays are skipped, because which keys an
+/// element requires depends on the element.
 fn key_paths(settings: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     collect_key_paths("", settings, &mut paths);
