--- a/src/control/error.rs
+++ b/src/control/error.rs
@@ -1,4 +1,4 @@
-//! Why the control plane cannot start, or cannot apply a reloaded configuration.
+//! The error type of the control plane.
 
 use crate::facade::SettingsRejected;
 use crate::os::socket::SocketError;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the control plane cannot start, or cannot apply a reloaded configuration. The messages are shown to
+/// Error from starting the control plane or applying a reloaded configuration. The messages are shown to
 /// operators.
 #[derive(Debug, Error)]
 pub enum ControlError {
@@ -18,10 +18,10 @@
     /// A value of the deployment's settings is out of range.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The running gateway cannot change to the new settings.
+    /// The new settings cannot be applied while the gateway runs.
     #[error("settings: {0}")]
     SettingsRejected(SettingsRejected),
-    /// The operator's `sessions` record names unusable classes.
+    /// The operator's `sessions` record names invalid classes.
     #[error(transparent)]
     SessionClasses(#[from] SessionClassesError),
     /// The session settings are out of range.
@@ -30,28 +30,27 @@
     /// The lease settings are out of range.
     #[error("ownership: {0}")]
     Ownership(#[from] petrelgauge_ownership::SettingsError),
-    /// A record of the operator's file needs other gateways, and the configuration has no address to receive
-    /// from them.
-    #[error("{record}: the configuration names no peer_listen")]
+    /// A record of the operator's file requires datagrams from other gateways, but `peer_listen` is not set.
+    #[error("{record}: the configuration does not set peer_listen")]
     MissingPeerListen {
         /// Name of the record.
         record: &'static str,
     },
-    /// A record of the operator's file needs other gateways, and this one is not among the configured peers.
-    #[error("{record}: this gateway is none of the peers")]
+    /// A record of the operator's file requires other gateways, but this gateway is not listed in `peers`.
+    #[error("{record}: this gateway is not listed in peers")]
     NotListedFor {
         /// Name of the record.
         record: &'static str,
     },
-    /// This gateway is not among the configured peers.
-    #[error("peers: this gateway is none of them")]
+    /// This gateway is not listed in `peers`.
+    #[error("peers: this gateway is not listed")]
     NotListed,
     /// The socket for datagrams between gateways cannot be opened.
-    #[error("cannot listen to other instances at {address}: {source}")]
+    #[error("cannot bind the datagram socket for other gateways at {address}: {source}")]
     Bind {
         /// Address of the socket.
         address: SocketAddr,
-        /// The failed system call.
+        /// Error of the system call.
         source: SocketError,
     },
 }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -265,7 +265,7 @@
     let config = harness.config().replacen('{', &peers, 1);
     let (code, log) = harness.start_with(&config).ended();
     assert_eq!(code, Some(2));
-    assert!(log.contains("this gateway is none of the peers"), "{log}");
+    assert!(log.contains("this gateway is not listed in peers"), "{log}");
     let config = config.replacen("\"settings\":{", "\"settings\":{\"my_number\":1,", 1);
     let gateway = harness.start_with(&config);
     gateway.line_with("gateway serving");
