--- a/src/control/control_plane.rs
+++ b/src/control/control_plane.rs
@@ -101,7 +101,7 @@
     /// of `discovery`. A second call spawns only the periodic tasks.
     pub fn start(&mut self, tasks: &mut JoinSet<()>, discovery: watch::Receiver<SocketAddr>) {
         if let Some(discovery_watch) = self.discovery_watch.take() {
-            tasks.spawn_local(discovery_watch.follow(discovery));
+            tasks.spawn_local(discovery_watch.run(discovery));
         }
         tasks.spawn_local(step_decisions(self.facade.clone(), self.clock));
         tasks.spawn_local(close_unused_connections(self.host_pool.clone(), self.clock));
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! Keeps a watch of the endpoint list open: one long HTTP response, retried with backoff, and beside it a
-//! request for the complete list after an update that could not be used.
+//! Watches the endpoint list over one long-lived HTTP response, which is reopened with backoff. After an
+//! update that cannot be used, requests the complete list over a second connection.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::endpoint_table::EndpointTable;
@@ -25,7 +25,7 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// Why a list is not applied.
+/// Reason why a list is not applied.
 #[derive(Debug, Error)]
 enum ListError {
     #[error(transparent)]
@@ -34,9 +34,9 @@
     Truncated,
     #[error("host {0} has no address")]
     HostWithoutAddress(String),
-    #[error("revision {0} is older than the one before it")]
+    #[error("revision {0} is older than the current one")]
     Outdated(u64),
-    #[error("revision {0} is not complete")]
+    #[error("the list of revision {0} is not complete")]
     NotComplete(u64),
     #[error(transparent)]
     Request(#[from] RequestError),
@@ -45,25 +45,25 @@
 /// A request for the complete list that is in flight.
 type CompleteListRequest = Pin<Box<dyn Future<Output = Result<EndpointList, RequestError>>>>;
 
-/// What a [`DiscoveryWatch`] is built from.
+/// Options of [`DiscoveryWatch::new`].
 pub struct WatchOptions {
-    /// The decisions that follow the list.
+    /// The routing decisions, which are updated with each list.
     pub facade: Facade,
-    /// The connections that follow the list.
+    /// The host connections, which are updated with each list.
     pub host_pool: Rc<HostPool>,
-    /// Counters that operators see.
+    /// Counters reported to operators.
     pub counters: Rc<Counters>,
-    /// Clock of all deadlines.
+    /// Clock for all deadlines.
     pub clock: Clock,
-    /// Pauses between attempts to watch.
+    /// Backoff between watch requests.
     pub backoff: Backoff,
-    /// The list in force until discovery sends one.
+    /// The list used until discovery sends one.
     pub initial_list: Option<EndpointList>,
-    /// Numbers of the hosts that another process of this gateway knew, by their names.
+    /// Host IDs by host name, handed over by a previous process of this gateway.
     pub assigned_ids: BTreeMap<String, MemberId>,
 }
 
-/// Follows the endpoint list of discovery.
+/// Watches the endpoint list of discovery and applies its updates.
 pub struct DiscoveryWatch {
     endpoint_table: EndpointTable,
     watch_state: WatchState,
@@ -75,8 +75,8 @@
 }
 
 impl DiscoveryWatch {
-    /// Builds a watch and applies the initial list. A list that lacks the address of a host is logged and
-    /// ignored.
+    /// Builds a watch and applies the initial list. An initial list with a host without an address is logged
+    /// and ignored.
     pub fn new(options: WatchOptions) -> DiscoveryWatch {
         let WatchOptions { facade, host_pool, counters, clock, backoff, initial_list, assigned_ids } =
             options;
@@ -89,29 +89,29 @@
             has_received_list: Rc::default(),
         };
         if let Some(list) = initial_list {
-            // Without an earlier list there is nothing that an incomplete one could change.
+            // There is no earlier list that a partial one could update.
             watch.apply_initial_list(EndpointList { complete: true, ..list });
         }
         watch
     }
 
-    /// Names and numbers of the hosts, kept up to date.
+    /// Names and IDs of the hosts, updated with each list.
     pub fn host_names(&self) -> Rc<HostNames> {
         self.endpoint_table.host_names()
     }
 
-    /// Revision of the list in force, kept up to date.
+    /// Revision of the current list, updated with each list.
     pub fn revision(&self) -> Rc<Cell<u64>> {
         self.endpoint_table.revision()
     }
 
-    /// Whether a usable list has been received from discovery, kept up to date.
+    /// Whether discovery has sent a valid list; updated by the watch.
     pub fn has_received_list(&self) -> Rc<Cell<bool>> {
         self.has_received_list.clone()
     }
 
-    /// Keeps a watch open at the latest address of `addresses`. Never returns.
-    pub async fn follow(mut self, mut addresses: watch::Receiver<SocketAddr>) {
+    /// Keeps a watch open to the latest address of `addresses`. Never returns.
+    pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
         let clock = self.clock;
         let mut last_cause = String::new();
         loop {
@@ -121,13 +121,13 @@
                 error = self.watch(address) => error,
                 Ok(()) = addresses.changed() => {
                     // The new source may number revisions differently, so its complete list is requested. The
-                    // present list stays in force until it arrives.
+                    // current list stays in use until it arrives.
                     self.watch_state.on_source_changed();
                     last_cause.clear();
                     continue;
                 }
             };
-            // Logged once per cause, not at every attempt while discovery is down.
+            // Logged only if the cause changes, not at every attempt while discovery is down.
             let cause = error.to_string();
             if cause != last_cause {
                 log::warn!("discovery watch ended address={address} cause={cause}");
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Watches until the request ends, and returns why it did.
+    /// Watches until the request ends, and returns the reason.
     async fn watch(&mut self, address: SocketAddr) -> RequestError {
         let query = match self.watch_state.resume_after() {
             Some(revision) => ListQuery::WatchAfter(revision),
@@ -178,8 +178,8 @@
             if response.is_accepted() {
                 self.backoff.reset();
             }
-            let has_lost_update = self.apply_updates(&response.take_texts());
-            if has_lost_update && list_request.is_none() {
+            let has_unusable_update = self.apply_updates(&response.take_texts());
+            if has_unusable_update && list_request.is_none() {
                 list_request = self.request_complete_list(address);
             }
             if let Err(error) = read {
@@ -188,18 +188,19 @@
         }
     }
 
-    /// Applies updates of the watch. An unusable one leaves the list in force, and the complete list is
-    /// needed from then on, because what it changed is not repeated. Returns whether there was one.
+    /// Applies updates of the watch and returns whether any was unusable. An unusable update leaves the
+    /// current list unchanged; the complete list is needed afterwards, because the watch does not resend
+    /// changes.
     fn apply_updates(&mut self, updates: &[ListText]) -> bool {
-        let mut has_lost_update = false;
+        let mut has_unusable_update = false;
         for text in updates {
             let Err(cause) = parse_list(text).and_then(|list| self.apply_update(list)) else { continue };
             log::warn!("endpoint list update rejected cause={cause}");
             self.watch_state.on_unusable_line();
             self.counters.bad_lists.add();
-            has_lost_update = true;
+            has_unusable_update = true;
         }
-        has_lost_update
+        has_unusable_update
     }
 
     fn apply_update(&mut self, list: EndpointList) -> Result<(), ListError> {
@@ -215,7 +216,7 @@
         Ok(())
     }
 
-    /// Schedules a request for the complete list, if it is still needed.
+    /// Schedules a request for the complete list if it is still needed.
     fn request_complete_list(&self, address: SocketAddr) -> Option<CompleteListRequest> {
         if !self.watch_state.needs_complete_list() {
             return None;
@@ -236,7 +237,7 @@
         self.request_complete_list(address)
     }
 
-    /// Applies a complete list that was requested beside the watch, unless the watch has brought a newer one.
+    /// Applies a complete list that was requested separately, unless the watch has received a newer one.
     fn apply_complete_list(&mut self, list: EndpointList) -> Result<(), ListError> {
         if !list.complete {
             return Err(ListError::NotComplete(list.revision));
@@ -276,7 +277,7 @@
     }
 }
 
-/// Waits for the request in flight; forever if there is none. Cancel safe.
+/// Waits for the request in flight, or forever if there is none. Cancel safe.
 async fn completed(request: &mut Option<CompleteListRequest>) -> Result<EndpointList, RequestError> {
     match request {
         Some(request) => request.await,
