--- a/src/discovery/endpoint_table.rs
+++ b/src/discovery/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! Applies endpoint lists to the host pool, the routing decisions and the table of host names, and numbers
-//! the hosts.
+//! Applies endpoint lists to the host pool, the routing decisions and the table of host names, and assigns
+//! IDs to the hosts.
 
 use crate::discovery::endpoint_list::{EndpointList, EndpointRow, Phase};
 use crate::discovery::host_names::HostNames;
@@ -11,34 +11,35 @@
 use std::rc::Rc;
 
 const MICROSECONDS_PER_MILLISECOND: Time = 1000;
-/// Time for which a removed host keeps its number (microseconds): by then no attempt at it is open, and the
-/// decisions have forgotten it.
+/// Time for which the ID of a removed host stays reserved (microseconds). After it, no attempt to the host
+/// is open, and the decisions keep no state about it.
 const REMOVED_HOST_RETENTION: Time = 60_000_000;
 
-/// The hosts of the endpoint list in force.
+/// The hosts of the current endpoint list.
 pub(super) struct EndpointTable {
     facade: Facade,
     host_pool: Rc<HostPool>,
     known_hosts: BTreeMap<String, KnownHost>,
-    /// Number of the next new host.
+    /// ID of the next new host.
     next_id: MemberId,
-    /// Names and numbers, shared with the rest of the gateway.
+    /// Host names and IDs, shared with the rest of the gateway.
     host_names: Rc<HostNames>,
-    /// Revision in force, shared with the rest of the gateway.
+    /// Revision of the current list, shared with the rest of the gateway.
     revision: Rc<Cell<u64>>,
 }
 
-/// A host that discovery lists, or has listed within [`REMOVED_HOST_RETENTION`].
+/// A host that is on the list, or was within the last [`REMOVED_HOST_RETENTION`].
 struct KnownHost {
     id: MemberId,
-    /// When it last started (microseconds of Unix time).
+    /// Latest start time of the host (Unix time, microseconds).
     started_at: Time,
-    /// When it was removed from the list (microseconds of the gateway's clock).
+    /// When the host was removed from the list (microseconds of the gateway's clock).
     removed_at: Option<Time>,
 }
 
 impl EndpointTable {
-    /// A table without a list. The hosts in `assigned_ids` keep their numbers if a list names them in time.
+    /// Creates a table without a list. Hosts in `assigned_ids` keep their IDs if a list contains them within
+    /// [`REMOVED_HOST_RETENTION`].
     pub(super) fn new(
         facade: Facade,
         host_pool: Rc<HostPool>,
@@ -55,12 +56,12 @@
         EndpointTable { facade, host_pool, known_hosts, next_id, host_names, revision: Rc::default() }
     }
 
-    /// Names and numbers of the hosts, kept up to date.
+    /// Names and IDs of the hosts, updated with each list.
     pub(super) fn host_names(&self) -> Rc<HostNames> {
         self.host_names.clone()
     }
 
-    /// Revision in force, kept up to date.
+    /// Revision of the current list, updated with each list.
     pub(super) fn revision(&self) -> Rc<Cell<u64>> {
         self.revision.clone()
     }
@@ -70,7 +71,7 @@
         self.known_hosts.is_empty()
     }
 
-    /// Puts a list in force.
+    /// Applies a list.
     pub(super) fn apply(&mut self, mut list: EndpointList, now: Time) {
         let restarted_since = self.remove_outdated_rows(&mut list);
         let update = list.update();
@@ -80,7 +81,7 @@
             let listed = entries.iter().map(|entry| entry.member).chain(restarted_since).collect();
             self.remove_unlisted(&listed, now);
         }
-        self.forget_removed(now);
+        self.drop_expired_hosts(now);
         self.revision.set(revision);
         log::debug!(
             "endpoint list applied revision={revision} entries={} complete={complete}",
@@ -89,8 +90,8 @@
         self.facade.update(|table| table.update_endpoints(update, entries));
     }
 
-    /// Removes rows about an earlier run of a host than the latest known one. Returns the numbers of these
-    /// hosts, which count as listed.
+    /// Removes rows whose start time is earlier than the latest known start of the host. Returns the IDs of
+    /// these hosts, which count as listed.
     fn remove_outdated_rows(&self, list: &mut EndpointList) -> BTreeSet<MemberId> {
         let mut outdated_names = BTreeSet::new();
         let mut restarted_since = BTreeSet::new();
@@ -105,7 +106,7 @@
         restarted_since
     }
 
-    /// Applies one row to the host pool, and returns it in the form of the decisions.
+    /// Applies one row to the host pool, and converts it to an entry of the decisions.
     fn apply_row(&mut self, row: &EndpointRow, revision: u64, now: Time) -> Entry {
         let id = self.register(row, now);
         log::debug!(
@@ -127,7 +128,7 @@
         row.to_entry(id)
     }
 
-    /// Records the host of a row and returns its number; a new host gets the next one.
+    /// Records the host of a row and returns its ID. A new host gets the next free ID.
     fn register(&mut self, row: &EndpointRow, now: Time) -> MemberId {
         let new_host = KnownHost { id: self.next_id, started_at: 0, removed_at: None };
         let host = self.known_hosts.entry(row.id.clone()).or_insert(new_host);
@@ -148,7 +149,7 @@
         host.id
     }
 
-    /// Marks hosts that a complete list does not name as removed.
+    /// Marks the hosts that are missing from a complete list as removed.
     fn remove_unlisted(&mut self, listed: &BTreeSet<MemberId>, now: Time) {
         self.host_pool.retain_listed(&|id| listed.contains(&id));
         for host in self.known_hosts.values_mut().filter(|host| !listed.contains(&host.id)) {
@@ -156,9 +157,9 @@
         }
     }
 
-    /// Forgets hosts that were removed longer than [`REMOVED_HOST_RETENTION`] ago. One that is listed again
-    /// later is new.
-    fn forget_removed(&mut self, now: Time) {
+    /// Drops hosts that were removed more than [`REMOVED_HOST_RETENTION`] ago. If such a host is listed
+    /// again, it is treated as new.
+    fn drop_expired_hosts(&mut self, now: Time) {
         let host_names = &self.host_names;
         self.known_hosts.retain(|name, host| {
             let is_retained =
