--- a/src/discovery/http_response.rs
+++ b/src/discovery/http_response.rs
@@ -1,17 +1,17 @@
-//! Reads an HTTP/1.1 response whose body is a sequence of lines.
+//! Incremental parser for HTTP/1.1 responses whose body is a sequence of lines.
 
 use thiserror::Error;
 
-/// Longest head of a response (bytes).
+/// Maximum length of a response head (bytes).
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Longest line of a body (bytes). A complete endpoint list may be written on one line.
+/// Maximum length of a body line (bytes). A complete endpoint list may be a single line.
 pub(super) const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
-/// Longest line that states the size of a chunk (bytes).
+/// Maximum length of a chunk size line (bytes).
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why reading a response has ended.
+/// Reason why reading a response has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResponseError {
     /// The body is complete.
@@ -24,59 +24,59 @@
     #[error("the response head is too long")]
     HeadTooLong,
     /// The head is not UTF-8.
-    #[error("the response head is not text")]
+    #[error("the response head is not UTF-8")]
     HeadNotText,
     /// `Content-Length` is not a number.
     #[error("the response has an invalid Content-Length")]
     InvalidLength,
-    /// The line that states the size of a chunk is longer than the limit.
-    #[error("the size line of a chunk is too long")]
+    /// A chunk size line is longer than the limit.
+    #[error("a chunk size line is too long")]
     ChunkSizeTooLong,
-    /// The size of a chunk is not a hexadecimal number.
-    #[error("the size of a chunk is not a hexadecimal number")]
+    /// A chunk size is not a hexadecimal number.
+    #[error("a chunk size is not a hexadecimal number")]
     InvalidChunkSize,
-    /// No line end follows the data of a chunk.
-    #[error("a chunk is not followed by a line end")]
+    /// The data of a chunk is not followed by CRLF.
+    #[error("the data of a chunk is not followed by CRLF")]
     UnterminatedChunk,
     /// A line of the body is longer than the limit.
     #[error("a line of the response is too long")]
     LineTooLong,
 }
 
-/// Incremental reader of one response. Memory is bounded by the longest head and the longest line.
+/// Incremental parser of one response. Its memory is bounded by the maximum lengths of a head and of a line.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    /// Bytes received and not parsed yet.
+    /// Received bytes that have not been parsed yet.
     unparsed: Vec<u8>,
     state: ReadState,
-    /// The line that has begun.
+    /// The incomplete line at the end of the parsed body.
     line: Vec<u8>,
 }
 
-/// What the next unparsed byte belongs to.
+/// The part of the response that the next unparsed byte belongs to.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 enum ReadState {
     #[default]
     Head,
-    /// A body that lasts until the connection closes.
+    /// A body that ends when the connection is closed.
     UntilClose,
-    /// A body of stated length with this many bytes left.
+    /// A body with `Content-Length` and this many bytes left.
     FixedLength(usize),
     ChunkSize,
     /// A chunk with this many bytes left.
     ChunkData(usize),
-    /// The line end after the data of a chunk.
+    /// The CRLF after the data of a chunk.
     ChunkEnd,
     Complete,
 }
 
 impl ResponseReader {
-    /// Parses `bytes`, the next ones of the response, and appends the lines of the body that are now complete
-    /// to `lines`, without their line ends.
+    /// Parses the next `bytes` of the response and appends the body lines that are now complete to `lines`,
+    /// without their line terminators.
     ///
     /// # Errors
     ///
-    /// Fails when the body is complete or the response is malformed. Lines found before that have been
+    /// Fails if the body is complete or the response is malformed. Lines parsed before that are still
     /// appended.
     pub fn feed(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), ResponseError> {
         self.unparsed.extend_from_slice(bytes);
@@ -94,7 +94,7 @@
         result
     }
 
-    /// Returns the line that had begun when the response ended, if there is one.
+    /// Takes the incomplete line that is left after the end of the response, if there is one.
     pub fn take_unterminated_line(&mut self) -> Option<Vec<u8>> {
         Some(std::mem::take(&mut self.line)).filter(|line| !line.is_empty())
     }
@@ -104,7 +104,7 @@
         self.state != ReadState::Head
     }
 
-    /// Makes one transition. Returns the number of bytes parsed; 0 if more bytes are needed.
+    /// Makes one state transition. Returns the number of bytes parsed, or 0 if more bytes are needed.
     fn step(&mut self, bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<usize, ResponseError> {
         match self.state {
             ReadState::Head => self.read_head(bytes),
@@ -175,17 +175,17 @@
     bytes.windows(pattern.len()).position(|window| window == pattern)
 }
 
-/// Parses the line that states the size of a chunk, ignoring its extensions.
+/// Parses a chunk size line, ignoring chunk extensions.
 fn parse_chunk_size(line: &[u8]) -> Result<usize, ResponseError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
     let text = std::str::from_utf8(digits).unwrap_or_default();
-    // `from_str_radix` alone would accept a sign.
+    // `from_str_radix` also accepts a sign, which is invalid here.
     let is_hexadecimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let size = usize::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
     size.ok_or(ResponseError::InvalidChunkSize)
 }
 
-/// Determines from a head without its end how its body is delimited.
+/// Determines from a head, without its final empty line, how the body is delimited.
 fn state_after_head(head: &[u8]) -> Result<ReadState, ResponseError> {
     let text = std::str::from_utf8(head).map_err(|_| ResponseError::HeadNotText)?;
     let mut lines = text.split("\r\n");
