--- a/src/discovery/list_request.rs
+++ b/src/discovery/list_request.rs
@@ -1,4 +1,4 @@
-//! HTTP requests for endpoint lists: one for the complete list, or a watch whose response never ends.
+//! HTTP requests for endpoint lists: for the complete list, or a watch, whose response does not end.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::http_response::{ResponseError, ResponseReader};
@@ -11,23 +11,23 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Largest read from the connection (bytes).
+/// Maximum size of one read from the connection (bytes).
 const MAX_READ_BYTES: usize = 16 * 1024;
 
-/// Why a request to discovery has ended.
+/// Reason why a request to discovery has ended.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection was not established, or the request not written, within [`WATCH_TIMEOUT`].
-    #[error("connecting timed out")]
+    /// Connecting and sending the request took longer than [`WATCH_TIMEOUT`].
+    #[error("connecting to discovery timed out")]
     ConnectTimeout,
-    /// The connection cannot be established or has broken.
+    /// The connection cannot be established or has failed.
     #[error(transparent)]
     Socket(#[from] SocketError),
     /// Discovery closed the connection.
     #[error("discovery closed the connection")]
     Closed,
     /// No line was received within [`WATCH_TIMEOUT`].
-    #[error("discovery fell silent")]
+    #[error("no line received from discovery within the watch timeout")]
     Silent,
     /// The response is complete or malformed.
     #[error(transparent)]
@@ -35,7 +35,7 @@
 }
 
 impl RequestError {
-    /// Whether the response was no usable list response.
+    /// Whether the response was malformed or had a status other than 200.
     pub(super) fn is_malformed(&self) -> bool {
         matches!(self, RequestError::Response(cause) if *cause != ResponseError::Complete)
     }
@@ -46,14 +46,14 @@
     }
 }
 
-/// What a request asks discovery for.
+/// The kind of list request.
 #[derive(Clone, Copy)]
 pub(super) enum ListQuery {
     /// The complete list, once.
     Complete,
-    /// A watch: the complete list, then every change.
+    /// A watch that starts with the complete list and continues with every change.
     Watch,
-    /// A watch of the changes after this revision.
+    /// A watch that starts with the changes after this revision.
     WatchAfter(u64),
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Requests the complete list, starting at clock time `starts_at`.
+/// Waits until `starts_at` on the clock, then requests the complete list.
 pub(super) async fn fetch_complete_list(
     address: SocketAddr,
     starts_at: Time,
@@ -110,24 +110,24 @@
     }
 }
 
-/// A response that is being read.
+/// Reads a response and assembles the endpoint lists in it.
 #[derive(Default)]
 pub struct ListResponse {
     reader: ResponseReader,
     assembler: ListAssembler,
     texts: Vec<ListText>,
-    /// Bytes that were read and not counted yet.
+    /// Number of bytes read since the last call of `take_byte_count`.
     uncounted_bytes: usize,
-    /// When the last line was received; the first read, before one was.
+    /// When the last line or the head was received; before that, the time of the first read.
     last_line_at: Option<Time>,
 }
 
 impl ListResponse {
-    /// Reads once. Cancel safe: no bytes are lost if the future is dropped.
+    /// Reads once from `stream`. Cancel safe: no bytes are lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// Fails when the response has ended for whatever reason. A last line without a line end is still used if
+    /// Fails if the response has ended for any reason. A last line without a line terminator is still used if
     /// it is a list or completes one.
     pub async fn read(&mut self, stream: &impl ByteStream, clock: Clock) -> Result<(), RequestError> {
         let silent_at = *self.last_line_at.get_or_insert_with(|| clock.now()) + WATCH_TIMEOUT;
@@ -147,12 +147,12 @@
         read
     }
 
-    /// The texts of lists that are complete and were not taken yet.
+    /// The texts of lists that have ended and have not been taken yet.
     pub fn texts(&self) -> &[ListText] {
         &self.texts
     }
 
-    /// Takes the texts of lists that have been completed since the last call.
+    /// Takes the texts of lists that have ended since the last call.
     pub(super) fn take_texts(&mut self) -> Vec<ListText> {
         std::mem::take(&mut self.texts)
     }
@@ -162,7 +162,7 @@
         std::mem::take(&mut self.uncounted_bytes)
     }
 
-    /// Whether discovery has accepted the request.
+    /// Whether discovery has answered the request with status 200.
     pub(super) fn is_accepted(&self) -> bool {
         self.reader.has_read_head()
     }
