--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,22 +1,22 @@
-//! The JSON form of an endpoint list: complete, or only the rows that changed.
+//! The JSON representation of an endpoint list: the complete list, or only the rows that changed.
 
 use crate::{Entry, MemberId, MemberStatus, Time, Update};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Value of `replication` that marks a group's primary.
+/// Value of `replication` for the primary of a group.
 const PRIMARY: &str = "primary";
-/// Weight of a host whose row has none.
+/// Weight of a host whose row sets none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 const MICROSECONDS_PER_MILLISECOND: Time = 1000;
 
-/// An endpoint list. The names of its fields are those of its JSON form.
-// Operators see `expecting` in the message about a list of another type.
+/// An endpoint list. The field names are the JSON keys.
+// `expecting` is part of the error message for a value of the wrong type, which operators see.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(expecting = "struct List")]
 pub struct EndpointList {
     pub(super) revision: u64,
-    /// Whether it has a row for every host, not only for those that changed.
+    /// Whether the list has a row for every host, or only for those that changed.
     pub(super) complete: bool,
     pub(super) members: Vec<EndpointRow>,
 }
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(expecting = "struct Row")]
 pub(super) struct EndpointRow {
-    /// Name of the host, the same at every gateway and across restarts.
+    /// Name of the host; the same at every gateway and across restarts.
     pub(super) id: String,
     /// Address of the host. Optional for a removed host.
     pub(super) host_port: Option<SocketAddr>,
@@ -39,7 +39,7 @@
     /// Weight of the host.
     #[serde(default = "default_weight")]
     pub(super) size: f64,
-    /// When the host started (milliseconds of Unix time).
+    /// Start time of the host (Unix time, milliseconds).
     #[serde(default)]
     pub(super) up_since_ms: Time,
     #[serde(default)]
@@ -56,7 +56,7 @@
 }
 
 impl EndpointList {
-    /// What its rows stand for.
+    /// Whether the rows are the complete list or a partial update.
     pub(super) fn update(&self) -> Update {
         if self.complete {
             Update::Complete
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The first host that is in service and has no address. A list with such a host is rejected.
+    /// Returns the first host that is not removed and has no address. A list with such a host is rejected.
     pub(super) fn host_without_address(&self) -> Option<&str> {
         let mut rows = self.members.iter();
         let found = rows.find(|row| row.phase != Phase::Removed && row.host_port.is_none());
@@ -74,12 +74,12 @@
 }
 
 impl EndpointRow {
-    /// When the host started (microseconds of Unix time).
+    /// Start time of the host (Unix time, microseconds).
     pub(super) fn started_at(&self) -> Time {
         self.up_since_ms.saturating_mul(MICROSECONDS_PER_MILLISECOND).max(0)
     }
 
-    /// The row in the form of the routing decisions, which know the host as `member`.
+    /// Converts the row to an entry of the routing decisions, where the host has the ID `member`.
     pub(super) fn to_entry(&self, member: MemberId) -> Entry {
         Entry {
             member,
