--- a/src/discovery/host_names.rs
+++ b/src/discovery/host_names.rs
@@ -1,13 +1,13 @@
-//! Names, numbers and hashes of the hosts: discovery knows a host by its name, the decisions by its number,
-//! and other gateways by the hash of its name.
+//! Maps between the names, IDs and name hashes of hosts: discovery identifies a host by its name, the
+//! routing decisions by its ID, and datagrams between gateways by the hash of its name.
 
 use crate::MemberId;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The table of hosts. Has an entry for each listed host, and for removed ones until their number is free
-/// again.
+/// The names and IDs of hosts. Has an entry for each listed host, and for each removed one until its ID is
+/// released.
 #[derive(Default)]
 pub struct HostNames {
     id_by_name: RefCell<BTreeMap<String, MemberId>>,
@@ -16,7 +16,7 @@
 }
 
 impl HostNames {
-    /// Assigns a number to a name, in place of an earlier one.
+    /// Assigns an ID to a name, replacing a previous one.
     pub fn insert(&self, name: &str, id: MemberId) {
         if self.by_name(name) == Some(id) {
             return;
@@ -30,7 +30,7 @@
         self.hash_by_id.borrow_mut().insert(id, hash);
     }
 
-    /// Removes a host.
+    /// Removes the host with this name.
     pub fn remove(&self, name: &str) {
         let Some(id) = self.id_by_name.borrow_mut().remove(name) else { return };
         if let Some(hash) = self.hash_by_id.borrow_mut().remove(&id) {
@@ -38,22 +38,22 @@
         }
     }
 
-    /// The number of the host whose name has this hash.
+    /// Returns the ID of the host whose name has this hash.
     pub fn by_hash(&self, hash: u64) -> Option<MemberId> {
         self.id_by_hash.borrow().get(&hash).copied()
     }
 
-    /// The hash of a host's name.
+    /// Returns the hash of a host's name.
     pub fn hash(&self, id: MemberId) -> Option<u64> {
         self.hash_by_id.borrow().get(&id).copied()
     }
 
-    /// The number of the host of this name.
+    /// Returns the ID of the host with this name.
     pub fn by_name(&self, name: &str) -> Option<MemberId> {
         self.id_by_name.borrow().get(name).copied()
     }
 
-    /// The numbers of all hosts by their names.
+    /// Returns the IDs of all hosts, by name.
     pub fn all(&self) -> BTreeMap<String, MemberId> {
         self.id_by_name.borrow().clone()
     }
