--- a/src/discovery/list_assembler.rs
+++ b/src/discovery/list_assembler.rs
@@ -1,39 +1,40 @@
-//! Assembles the lines of a discovery response into the texts of endpoint lists, each on one line or indented
-//! over several.
+//! Assembles the lines of a discovery response into JSON texts of endpoint lists. A list is either on one
+//! line or pretty-printed over several.
 
 use crate::discovery::http_response::MAX_LINE_BYTES;
 
-/// Longest text of a list (bytes).
+/// Maximum length of a list's text (bytes).
 const MAX_LIST_BYTES: usize = MAX_LINE_BYTES;
 
-/// The text of one endpoint list, not parsed yet.
+/// The unparsed text of one endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListText {
-    /// A text whose brackets match; or a line that opens none, which is no list.
+    /// A text with balanced brackets, or a line without brackets, which is not a list.
     Complete(Vec<u8>),
-    /// A text that ended before its brackets were closed, closed one too many, or exceeded the size limit.
+    /// A text that ended with open brackets, has an unmatched closing bracket, or exceeds the size limit.
     Truncated,
 }
 
-/// Assembles lists line by line. Holds the text of at most one incomplete list.
+/// Assembles lists line by line. Buffers the text of at most one incomplete list.
 #[derive(Debug, Default)]
 pub struct ListAssembler {
     text: Vec<u8>,
-    /// Brackets that are open.
+    /// Number of open brackets.
     depth: usize,
-    /// Whether the scan is inside a JSON string, and behind a backslash in it.
+    /// Whether the scan is inside a JSON string.
     is_in_string: bool,
+    /// Whether the previous character in the string was an unescaped backslash.
     is_escaped: bool,
 }
 
 impl ListAssembler {
-    /// Whether no list has begun.
+    /// Whether no incomplete list is buffered.
     pub fn is_empty(&self) -> bool {
         self.text.is_empty()
     }
 
-    /// Adds a line without its line end, and appends what it completes or cuts off to `texts`. An empty line,
-    /// or a line that is a list by itself according to `is_list`, ends an incomplete list.
+    /// Adds a line without its line terminator, and appends the texts that it completes or truncates to
+    /// `texts`. An empty line, or a line for which `is_list` returns true, truncates an incomplete list.
     pub fn add_line(&mut self, line: &[u8], is_list: impl Fn(&[u8]) -> bool, texts: &mut Vec<ListText>) {
         let is_empty_line = line.trim_ascii().is_empty();
         if !self.is_empty() && (is_empty_line || line.starts_with(b"{") && is_list(line)) {
@@ -45,7 +46,7 @@
         self.text.extend_from_slice(line);
         self.text.push(b'\n');
         let is_balanced = self.scan(line);
-        // JSON strings contain no line ends.
+        // JSON strings cannot contain line breaks.
         if !is_balanced || self.is_in_string || self.text.len() > MAX_LIST_BYTES {
             self.truncate(texts);
         } else if self.depth == 0 {
@@ -58,7 +59,7 @@
         texts.push(ListText::Truncated);
     }
 
-    /// Follows the brackets and strings of a line. Returns whether no bracket is closed that was not opened.
+    /// Tracks the brackets and strings of a line. Returns false if a closing bracket is unmatched.
     fn scan(&mut self, line: &[u8]) -> bool {
         for byte in line {
             match (byte, self.is_in_string) {
