--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,16 +1,16 @@
-//! Service discovery: keeps a watch of the endpoint list open and applies each list to the gateway.
+//! Service discovery: watches the endpoint list and applies each update to the gateway.
 //!
-//! | file | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `watch` | keeps the watch open; requests the complete list after a lost update |
+//! | `watch` | keeps the watch open; requests the complete list after an unusable update |
 //! | `list_request` | one HTTP request for endpoint lists and its response |
-//! | `http_response`, `list_assembler` | cut the response into lines and the lines into lists |
-//! | `endpoint_list` | the JSON form of a list |
+//! | `http_response`, `list_assembler` | split the response into lines and assemble the lines into lists |
+//! | `endpoint_list` | the JSON representation of a list |
 //! | `endpoint_table` | applies a list to the [host pool](crate::host::pool) and the decisions |
-//! | `host_names` | names and numbers of the hosts |
+//! | `host_names` | names and IDs of the hosts |
 //!
-//! Owns the revision in force, the numbers of the hosts and the table of their names. Which revision is
-//! requested next, and when the complete list is needed, is decided in `petrelgauge_lifecycle::watch`.
+//! Owns the current revision and the names and IDs of the hosts. `petrelgauge_lifecycle::watch` decides which
+//! revision is requested next and when the complete list is needed.
 //!
 //! May import: `facade`, `host`, `os`, `resources`.
 
