--- a/src/fleet/leadership.rs
+++ b/src/fleet/leadership.rs
@@ -1,9 +1,9 @@
-//! This gateway's part in the fleet's leadership roles: routes messages between the lease manager, primary
-//! discovery, quota lending and the other gateways.
+//! This gateway's participation in the fleet's leadership roles: routes messages between the lease manager,
+//! primary discovery, quota lending and the other gateways.
 //!
-//! Who leads, and whether a notification is admitted, is decided in `petrelgauge_ownership`. Each role can
-//! have several shards with a leader each; acceptors then place the shards among themselves, and learn from
-//! heartbeats which of them are present.
+//! `petrelgauge_ownership` decides who leads and whether a notification is admitted. Each role can have
+//! several shards with one leader each. Acceptors then distribute the shards among themselves, and detect
+//! through heartbeats which acceptors are present.
 
 use crate::fleet::codec::{FleetCodec, OutgoingDatagram};
 use crate::fleet::primary_discovery::{discovery_role, PrimaryDiscovery, PRIMARY_DISCOVERY};
@@ -18,10 +18,10 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Time between two checks of who leads and what is to be announced (microseconds).
+/// Interval between checks for new leaders and due announcements (microseconds).
 const CHECK_INTERVAL: Time = 50_000;
 
-/// Which roles exist; the same at all gateways.
+/// The enabled roles. Must be the same at all gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct LeadershipConfig {
     /// Whether primary discovery has a leader.
@@ -32,15 +32,15 @@
     pub secret: u64,
 }
 
-/// What a [`FleetLeadership`] is built from.
+/// Options of [`FleetLeadership::new`].
 pub struct LeadershipOptions {
-    /// Which roles exist.
+    /// The enabled roles.
     pub config: LeadershipConfig,
-    /// The leases of this gateway.
+    /// Acquires and renews the leases of this gateway.
     pub lease_manager: LeaseManager,
-    /// The part in primary discovery, also where it has no leader.
+    /// Primary discovery at this gateway; required even if the role has no leader.
     pub primary_discovery: PrimaryDiscovery,
-    /// The part in quota lending, if this gateway takes part.
+    /// Quota lending at this gateway, if enabled.
     pub quota_lending: Option<QuotaLending>,
     /// Clock of the leases.
     pub clock: Clock,
@@ -48,12 +48,12 @@
     pub counters: Rc<Counters>,
 }
 
-/// This gateway's part in the fleet's leadership roles.
+/// This gateway's participation in the fleet's leadership roles.
 pub struct FleetLeadership {
     lease_manager: RefCell<LeaseManager>,
     primary_discovery: RefCell<PrimaryDiscovery>,
     quota_lending: Option<RefCell<QuotaLending>>,
-    /// Which shards this gateway campaigns for; only at an acceptor of a fleet with several shards.
+    /// Decides which shards this gateway campaigns for; set only at acceptors of a fleet with several shards.
     placement: Option<RefCell<Placement>>,
     /// All roles of the fleet.
     roles: Vec<LeadershipRole>,
@@ -61,14 +61,14 @@
     clock: Clock,
     counters: Rc<Counters>,
     next_check_at: Cell<Time>,
-    /// Whether the last datagram was rejected: the first of several in a row is logged.
+    /// Whether the last datagram was rejected. Only the first of consecutive rejections is logged.
     is_rejecting: Cell<bool>,
     is_stopping: Cell<bool>,
 }
 
 impl FleetLeadership {
-    /// Starts taking part. Acceptors are the only candidates, however many gateways there are; without
-    /// shards, each campaigns for every role at once.
+    /// Joins the leadership roles. Only acceptors are candidates, regardless of the number of gateways. With
+    /// a single shard, each acceptor campaigns for every role at once.
     pub fn new(options: LeadershipOptions) -> Rc<FleetLeadership> {
         let LeadershipOptions {
             config,
@@ -81,9 +81,9 @@
         let now = clock.now();
         let settings = lease_manager.settings().clone();
         let roles = all_roles(config, quota_lending.is_some());
-        let is_placed = settings.is_acceptor() && config.shards > 1;
-        let placement = is_placed.then(|| Placement::new(&settings, config.shards, now));
-        if settings.is_acceptor() && !is_placed {
+        let uses_placement = settings.is_acceptor() && config.shards > 1;
+        let placement = uses_placement.then(|| Placement::new(&settings, config.shards, now));
+        if settings.is_acceptor() && !uses_placement {
             roles.iter().for_each(|role| lease_manager.campaign(now, *role));
         }
         Rc::new(FleetLeadership {
@@ -101,12 +101,12 @@
         })
     }
 
-    /// Whether a datagram is about leadership roles.
-    pub fn is_for(datagram: &[u8]) -> bool {
+    /// Whether a datagram is a leadership message, judged by its first byte.
+    pub fn is_leadership_datagram(datagram: &[u8]) -> bool {
         Message::has_magic_byte(datagram)
     }
 
-    /// The latest time to call [`FleetLeadership::on_deadline`].
+    /// When [`FleetLeadership::on_deadline`] must be called at the latest.
     pub fn next_deadline(&self) -> Time {
         let leases = self.lease_manager.borrow().next_deadline();
         let quota_reports = self.quota_lending.as_ref().and_then(|lending| lending.borrow().next_deadline());
@@ -115,7 +115,7 @@
         deadlines.fold(self.next_check_at.get(), Time::min)
     }
 
-    /// Returns the datagrams that are due.
+    /// Processes all due timers and returns the datagrams to send.
     pub fn on_deadline(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         if self.is_stopping.get() {
@@ -135,7 +135,7 @@
         datagrams
     }
 
-    /// Handles a datagram and returns the responses.
+    /// Processes a datagram and returns the datagrams to send in response.
     pub fn on_datagram(&self, bytes: &[u8]) -> Vec<OutgoingDatagram> {
         let received = match self.codec.decode(bytes) {
             Ok(received) => received,
@@ -155,13 +155,13 @@
         self.deliver(responses)
     }
 
-    /// Begins a graceful shutdown: from the next deadline on, this gateway releases its leases and is no
+    /// Begins a graceful shutdown: at the next deadline, this gateway releases its leases and stops being a
     /// candidate.
     pub fn stop(&self) {
         self.is_stopping.set(true);
     }
 
-    /// Number of leases that this gateway holds now.
+    /// Number of leases that this gateway currently holds.
     pub fn held_leases(&self) -> usize {
         let now = self.clock.now();
         let lease_manager = self.lease_manager.borrow();
@@ -181,7 +181,7 @@
         self.primary_discovery.borrow().entry_count() + quota_entries
     }
 
-    /// The counters in their text form. Their names are an interface to operators.
+    /// Formats the counters as text. Their names are part of the operators' interface.
     pub fn counts(&self) -> String {
         let lease_holder = self.lease_manager.borrow().lease_holder(self.clock.now(), discovery_role(0));
         let leader = match lease_holder {
@@ -202,7 +202,7 @@
         self.deliver(releases)
     }
 
-    /// Campaigns for the shards that this acceptor should lead and withdraws from the others. Returns
+    /// Campaigns for the shards that this acceptor should lead and withdraws from the others. Returns lease
     /// releases and due heartbeats.
     fn place_shards(&self, now: Time) -> Vec<Outgoing> {
         let Some(placement) = &self.placement else { return Vec::new() };
@@ -227,7 +227,7 @@
             }
             return Vec::new();
         }
-        // A held lease is kept until a preferred acceptor has settled.
+        // A held lease is kept until a preferred acceptor has settled (see [`Placement`]).
         let is_holding = lease_manager.held_term(now, role).is_some();
         let should_withdraw = if is_holding { should_yield } else { !should_campaign };
         if should_withdraw {
@@ -244,7 +244,7 @@
         primary_discovery.due_datagrams(now, &mut lease_manager, &self.codec)
     }
 
-    /// Handles a message and returns the responses. A notification takes effect only if its term is admitted.
+    /// Processes a message and returns the responses. A notification is applied only if its term is admitted.
     fn on_message(&self, from: GatewayId, message: Message) -> Vec<Outgoing> {
         let now = self.clock.now();
         let mut responses = Vec::new();
@@ -281,8 +281,8 @@
         lending.borrow_mut().on_message(from, message, &mut lease_manager)
     }
 
-    /// Encodes the messages to other gateways. Messages to this gateway itself are handled at once, and their
-    /// responses delivered.
+    /// Encodes the messages to other gateways. Messages to this gateway itself are processed immediately, and
+    /// so are their responses.
     fn deliver(&self, messages: Vec<Outgoing>) -> Vec<OutgoingDatagram> {
         let self_id = self.lease_manager.borrow().settings().self_id;
         let mut pending = messages;
@@ -298,7 +298,7 @@
     }
 }
 
-/// The primaries that a message announces or reports.
+/// Returns the primaries that a message announces or reports.
 fn announced_primaries(message: &Message) -> &[PrimaryAnnouncement] {
     match message {
         Message::PrimaryReport(primary) => std::slice::from_ref(primary),
@@ -314,7 +314,7 @@
     }
 }
 
-/// All roles of a fleet: each shard of each kind.
+/// Returns all roles of a fleet: one for each shard of each enabled kind.
 fn all_roles(config: LeadershipConfig, lends_quota: bool) -> Vec<LeadershipRole> {
     let kinds = [(config.primary_discovery, PRIMARY_DISCOVERY), (lends_quota, QUOTA_LENDING)];
     let enabled_kinds = kinds.into_iter().filter(|(is_enabled, _)| *is_enabled).map(|(_, kind)| kind);
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -1,6 +1,5 @@
-//! The datagram socket between gateways: sends watermark broadcasts and messages about leadership roles when
-//! they are due, and dispatches those that arrive. What they say is decided in the sessions and in
-//! `leadership`.
+//! Exchange of datagrams between gateways: sends due watermark broadcasts and leadership messages, and
+//! dispatches received ones. Session tracking and `leadership` decide on their content.
 
 use crate::facade::Facade;
 use crate::fleet::codec::OutgoingDatagram;
@@ -15,19 +14,19 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What a [`PeerExchange`] is built from, beside its socket.
+/// Options of [`PeerExchange::new`].
 pub struct PeerOptions {
-    /// Addresses of all gateways, in the order of their numbers.
+    /// Addresses of all gateways, ordered by gateway number.
     pub addresses: Vec<SocketAddr>,
-    /// This gateway's index among them.
+    /// This gateway's index in `addresses`.
     pub self_index: usize,
-    /// The decisions, with the sessions whose watermarks are exchanged.
+    /// The decisions, which include the sessions whose watermarks are exchanged.
     pub facade: Facade,
-    /// This gateway's part in the leadership roles, if there are any.
+    /// This gateway's participation in the leadership roles, if any are enabled.
     pub leadership: Option<Rc<FleetLeadership>>,
-    /// Clock of all deadlines.
+    /// Clock for all deadlines.
     pub clock: Clock,
-    /// Counts datagrams.
+    /// Counts sent and received datagrams.
     pub counters: Rc<Counters>,
 }
 
@@ -36,28 +35,27 @@
     /// Bound to this gateway's address.
     socket: S,
     options: PeerOptions,
-    failures: ReportedFailures,
+    failure_log: FailureLog,
 }
 
-/// Failures that persist. The first of several in a row is logged.
+/// Logs failures; of consecutive failures of a kind, only the first.
 #[derive(Default)]
-struct ReportedFailures {
+struct FailureLog {
     is_send_failing: Cell<bool>,
     is_receive_failing: Cell<bool>,
     is_rejecting: Cell<bool>,
 }
 
 impl<S: DatagramSocket> PeerExchange<S> {
-    /// An exchange over the socket that is bound to this gateway's address.
+    /// Creates an exchange over a socket that is bound to this gateway's address.
     pub fn new(socket: S, options: PeerOptions) -> PeerExchange<S> {
-        PeerExchange { socket, options, failures: ReportedFailures::default() }
+        PeerExchange { socket, options, failure_log: FailureLog::default() }
     }
 
-    /// Sends and receives datagrams. Never returns, whatever fails.
+    /// Sends and receives datagrams. Never returns, even after failures.
     pub async fn run(self) {
         let clock = self.options.clock;
-        // One byte more than the longest valid datagram, so that truncated ones are recognized by their
-        // length.
+        // One byte more than the longest valid datagram, so that longer ones are detected by their length.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let DueBroadcasts { datagrams: broadcasts, next_at: next_broadcast_at } =
@@ -73,8 +71,8 @@
                 received = datagram::receive(&self.socket, &mut bytes) => match received {
                     Ok(length) => self.on_datagram(&bytes[..length]),
                     Err(error) => {
-                        self.failures.on_receive_error(&error);
-                        // Without a pause, a receive that fails each time would take all processor time.
+                        self.failure_log.on_receive_error(&error);
+                        // Without a pause, a receive that keeps failing would use all CPU time.
                         socket::pause_after_shortage().await;
                     }
                 }
@@ -83,18 +81,18 @@
         }
     }
 
-    /// Handles a datagram of another gateway.
+    /// Processes a received datagram.
     fn on_datagram(&self, datagram: &[u8]) {
-        self.failures.is_receive_failing.set(false);
+        self.failure_log.is_receive_failing.set(false);
         self.options.counters.datagrams_received.add();
         self.options.counters.datagram_bytes_received.add_many(datagram.len());
         let dispatched = self.dispatch(datagram);
-        self.failures.on_dispatched(dispatched);
+        self.failure_log.on_dispatched(dispatched);
     }
 
     fn dispatch(&self, datagram: &[u8]) -> Result<(), BroadcastError> {
         match &self.options.leadership {
-            Some(leadership) if FleetLeadership::is_for(datagram) => {
+            Some(leadership) if FleetLeadership::is_leadership_datagram(datagram) => {
                 self.send_all(leadership.on_datagram(datagram));
                 Ok(())
             }
@@ -122,8 +120,8 @@
         }
     }
 
-    /// Sends datagrams to the configured addresses of their receivers; never to an address that a datagram
-    /// came from.
+    /// Sends datagrams to the configured addresses of their receivers, never to the source address of a
+    /// datagram.
     fn send_all(&self, datagrams: Vec<OutgoingDatagram>) {
         for OutgoingDatagram { to, bytes } in datagrams {
             if let Some(address) = self.options.addresses.get(usize::from(to)) {
@@ -132,28 +130,28 @@
         }
     }
 
-    /// Sends a datagram. One that cannot be sent is lost, as any datagram may be.
+    /// Sends a datagram. It is not retried on failure, because any datagram may be lost anyway.
     fn send(&self, datagram: &[u8], to: SocketAddr) {
         self.options.counters.datagrams_sent.add();
         self.options.counters.datagram_bytes_sent.add_many(datagram.len());
         match datagram::send(&self.socket, datagram, to) {
-            Ok(()) => self.failures.is_send_failing.set(false),
-            Err(error) => self.failures.on_send_error(&error),
+            Ok(()) => self.failure_log.is_send_failing.set(false),
+            Err(error) => self.failure_log.on_send_error(&error),
         }
     }
 }
 
-impl ReportedFailures {
-    /// A failed send. An unreachable peer is no fault of this machine and is not logged.
+impl FailureLog {
+    /// Logs a failed send, unless the peer is unreachable, which is not a local failure.
     fn on_send_error(&self, error: &SocketError) {
-        if is_own_fault(error) && !self.is_send_failing.replace(true) {
+        if is_local_shortage(error) && !self.is_send_failing.replace(true) {
             log::warn!("peer datagram not sent cause={error}");
         }
     }
 
-    /// A failed receive. The kernel also reports here that no peer listens at an address; that is not logged.
+    /// Logs a failed receive, unless the kernel reports that no peer listens at an address.
     fn on_receive_error(&self, error: &SocketError) {
-        if is_own_fault(error) && !self.is_receive_failing.replace(true) {
+        if is_local_shortage(error) && !self.is_receive_failing.replace(true) {
             log::warn!("peer datagram not received cause={error}");
         }
     }
@@ -166,7 +164,7 @@
     }
 }
 
-/// Whether an error is a fault of this machine.
-fn is_own_fault(error: &SocketError) -> bool {
+/// Whether an error is caused by a lack of local resources.
+fn is_local_shortage(error: &SocketError) -> bool {
     matches!(error, SocketError::OwnShortage(_))
 }
