--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -1,9 +1,9 @@
 //! Primary discovery for the whole fleet.
 //!
-//! The leader of a shard announces to all gateways which member answered as the primary of a group; a gateway
-//! that has received such an answer reports it to the leader. While every shard has a leader, the other
-//! gateways try members of a group without a known primary less often, the more gateways there are: together
-//! about as often as one gateway alone.
+//! A gateway that receives an answer from the primary of a group reports this member to the leader of the
+//! group's shard, which announces it to all gateways. While every shard has a leader, the other gateways try
+//! the members of a group without a known primary less often. The interval grows with the number of gateways,
+//! so that all of them together try about as often as a single gateway.
 
 use crate::discovery::host_names::HostNames;
 use crate::facade::Facade;
@@ -20,52 +20,52 @@
 
 /// Kind of the leadership role of primary discovery; each shard has a lease of its own.
 pub const PRIMARY_DISCOVERY: u8 = 1;
-/// Largest factor by which the interval between attempts at unknown primaries grows. Even if no announcement
-/// arrives, a write then finds its primary within seconds.
+/// Maximum factor for the interval between attempts to find an unknown primary. With this limit, a write
+/// finds its primary within seconds even if no announcement arrives.
 const MAX_ATTEMPT_INTERVAL_FACTOR: Time = 64;
-/// Maximum number of groups that are announced in a fleet without shards, where each takes a datagram.
+/// Maximum number of groups that are announced in a fleet with one shard, where each takes one datagram.
 const MAX_UNSHARDED_GROUPS: usize = 64;
 
-/// The leadership role of primary discovery for a shard.
+/// Returns the leadership role of primary discovery for a shard.
 pub(super) fn discovery_role(shard: u16) -> LeadershipRole {
     LeadershipRole { kind: PRIMARY_DISCOVERY, shard: u64::from(shard) }
 }
 
-/// What a [`PrimaryDiscovery`] is built from.
+/// Options of [`PrimaryDiscovery::new`].
 pub struct PrimaryDiscoveryOptions {
     /// Number of shards, at least 1.
     pub shards: u16,
-    /// The decisions: they know primaries from answers and use announced ones.
+    /// The decisions, which learn primaries from answers and use announced ones.
     pub facade: Facade,
     /// Clock of the leases.
     pub clock: Clock,
-    /// Counts announcements.
+    /// Counts received announcements.
     pub counters: Rc<Counters>,
-    /// Names and numbers of the hosts; announcements carry the hash of a name.
+    /// Names and IDs of the hosts; announcements identify a host by its name hash.
     pub host_names: Rc<HostNames>,
 }
 
-/// This gateway's part in primary discovery.
+/// Primary discovery at this gateway.
 pub struct PrimaryDiscovery {
     options: PrimaryDiscoveryOptions,
-    /// The last known leaders, by shard.
+    /// The last known leader of each shard.
     leaders: Vec<Option<LeaseHolder>>,
     announced: AnnouncedPrimaries,
 }
 
 impl PrimaryDiscovery {
-    /// Starts without known leaders.
+    /// Creates primary discovery with no known leaders.
     pub fn new(options: PrimaryDiscoveryOptions) -> PrimaryDiscovery {
         let leaders = vec![None; usize::from(options.shards)];
         PrimaryDiscovery { options, leaders, announced: AnnouncedPrimaries::default() }
     }
 
-    /// Handles a primary that another gateway announced or reported. One that is not on this gateway's
+    /// Processes a primary that another gateway announced or reported. A host that is not on this gateway's
     /// endpoint list is ignored.
     pub(super) fn on_announcement(&mut self, now: Time, announcement: PrimaryAnnouncement) {
         let Some(member) = self.options.host_names.by_hash(announcement.member) else { return };
         self.options.counters.primary_announcements.add();
-        // Recorded as announced, so that it is not sent back.
+        // Recorded as announced, so that it is not reported back.
         let group = self.options.facade.read(|table| table.group_of(member));
         if let Some(group) = group {
             self.announced.insert(now, group, member);
@@ -75,7 +75,7 @@
             .update(|table| table.record_gossiped_primary(now, member, announcement.evidence_at));
     }
 
-    /// Updates the known leaders and adapts how often this gateway tries members without a known primary.
+    /// Updates the known leaders and adjusts how often this gateway tries to find unknown primaries.
     pub(super) fn update_leaders(&mut self, now: Time, lease_manager: &LeaseManager) {
         let shards = self.options.shards;
         let leaders: Vec<Option<LeaseHolder>> =
@@ -83,7 +83,7 @@
         if leaders == self.leaders {
             return;
         }
-        // The next leader of a shard without one has to be sent everything.
+        // The next leader of a shard that has none now must be sent all its primaries.
         self.announced.remove_groups(|group| leaders[usize::from(shard_of(group, shards))].is_none());
         self.leaders = leaders;
         let interval_factor = self.attempt_interval_factor(lease_manager);
@@ -91,8 +91,8 @@
         self.log_leaders();
     }
 
-    /// Returns the announcements that are due: to all gateways for the shards that this gateway leads, and to
-    /// the leaders of the other shards.
+    /// Returns the due datagrams: announcements to all gateways for the shards that this gateway leads, and
+    /// reports to the leaders of the other shards.
     pub(super) fn due_datagrams(
         &mut self,
         now: Time,
@@ -104,7 +104,7 @@
         for shard in 0..self.options.shards {
             let Some(leader) = lease_manager.lease_holder(now, discovery_role(shard)) else { continue };
             if leader.gateway == lease_manager.settings().self_id {
-                // Repeated, since a notification may be lost and gateways restart.
+                // Repeated, because notifications may be lost and gateways restart.
                 let due = self.due_announcements(now, &known_primaries, shard, Repeats::Periodic);
                 datagrams.extend(self.notify_all(lease_manager, codec, shard, &due));
             } else {
@@ -120,14 +120,14 @@
         self.announced.len()
     }
 
-    /// The factor by which the interval between this gateway's attempts at unknown primaries grows: 1 unless
-    /// every shard has a leader that tries members in its place.
+    /// Returns the factor for the interval between this gateway's attempts to find unknown primaries. It is 1
+    /// unless every shard has a leader that makes the attempts in place of this gateway.
     fn attempt_interval_factor(&self, lease_manager: &LeaseManager) -> Time {
         let settings = lease_manager.settings();
-        let is_relieved = |leader: &Option<LeaseHolder>| {
+        let leader_makes_attempts = |leader: &Option<LeaseHolder>| {
             leader.is_some_and(|leader| leader.gateway != settings.self_id || self.options.shards > 1)
         };
-        if !self.leaders.iter().all(is_relieved) {
+        if !self.leaders.iter().all(leader_makes_attempts) {
             return 1;
         }
         (Time::from(settings.gateways) / 2).clamp(1, MAX_ATTEMPT_INTERVAL_FACTOR)
@@ -172,7 +172,7 @@
         due
     }
 
-    /// Encodes reports to a shard's leader.
+    /// Encodes reports to the leader of a shard.
     fn report_to(
         &self,
         leader: GatewayId,
@@ -187,7 +187,7 @@
         parts.map(|part| OutgoingDatagram { to: leader, bytes: codec.encode(&to_message(part)) }).collect()
     }
 
-    /// Encodes notifications to all gateways under this gateway's lease. Stops when the lease is lost.
+    /// Encodes notifications to all other gateways under this gateway's lease. Stops if the lease is lost.
     fn notify_all(
         &self,
         lease_manager: &mut LeaseManager,
@@ -203,7 +203,7 @@
                 1 => Notification::Primary(part[0]),
                 _ => Notification::Primaries { primaries: part.to_vec() },
             };
-            // The time is read again for each part: the lease must be held right before it is sent.
+            // The clock is read again for each part, because the lease must still be held when it is sent.
             let now = self.options.clock.now();
             let message = lease_manager.notification(now, discovery_role(shard), notification);
             let Some(message) = message else { break };
