--- a/src/fleet/codec.rs
+++ b/src/fleet/codec.rs
@@ -1,27 +1,27 @@
-//! Encoding and decoding of datagrams about leadership roles.
+//! Encodes and decodes leadership datagrams.
 
 use petrelgauge_ownership::{DatagramError, GatewayId, Message, ReceivedMessage, Settings};
 
-/// An encoded message and its receiver.
+/// An encoded message and its destination.
 pub struct OutgoingDatagram {
-    /// Index of the receiver among the peers.
+    /// Index of the receiving gateway among the peers.
     pub to: GatewayId,
     /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// Encodes and decodes messages for one gateway of a fleet. Gateways with other lease settings, shards or
-/// secret cannot read them.
+/// Encodes and decodes messages for one gateway of a fleet. Gateways with different lease settings, number of
+/// shards or secret cannot decode them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetCodec {
     self_id: GatewayId,
-    /// Fingerprint of the acceptors, durations and shards.
+    /// Fingerprint of the acceptors, the durations and the number of shards.
     fleet_fingerprint: u32,
     secret: u64,
 }
 
 impl FleetCodec {
-    /// The codec of a gateway with these settings in a fleet whose roles have `shards` shards.
+    /// Creates the codec of a gateway with these settings in a fleet with `shards` shards per role.
     pub(super) fn new(settings: &Settings, shards: u16, secret: u64) -> FleetCodec {
         let fleet_fingerprint = settings.sharded_fingerprint(shards);
         FleetCodec { self_id: settings.self_id, fleet_fingerprint, secret }
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is malformed, or of another version, fleet or secret.
+    /// Fails if the datagram is malformed or has a different version, fleet fingerprint or secret.
     pub(super) fn decode(&self, bytes: &[u8]) -> Result<ReceivedMessage, DatagramError> {
         Message::decode(bytes, self.fleet_fingerprint, self.secret)
     }
