--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,19 +1,19 @@
-//! Coordination of the gateways of a fleet over datagrams: watermark broadcasts of sessions, leases of
-//! leadership roles, announced primaries, and quotas lent between gateways.
+//! Coordination between the gateways of a fleet over datagrams: session watermark broadcasts, leases of
+//! leadership roles, announcements of primaries, and quota lending.
 //!
-//! | file | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `peers` | the datagram socket: sends what is due, dispatches what arrives |
+//! | `peers` | the datagram socket: sends due datagrams and dispatches received ones |
 //! | `leadership` | routes messages between the lease manager, the roles and the other gateways |
-//! | `primary_discovery`, `announced_primaries` | the role that announces each group's primary |
+//! | `primary_discovery`, `announced_primaries` | the role that announces the primary of each group |
 //! | `quota_lending` | the role that lends unused quota to gateways that need it |
-//! | `codec` | encoding of messages under the fleet's settings and secret |
+//! | `codec` | encodes and decodes messages with the fleet's fingerprint and secret |
 //!
-//! Owns the lease manager, the announced primaries and the quotas. Who leads and what may be lent is decided
-//! in `petrelgauge_ownership`; what follows for requests, in the decisions behind the
-//! [facade](crate::facade). Without any leader, or without other gateways, a gateway works by itself.
+//! Owns the lease manager, the announced primaries and the quotas. `petrelgauge_ownership` decides who leads
+//! and what may be lent; the decisions behind the [facade](crate::facade) apply the result to requests.
+//! Without a leader or without other gateways, a gateway keeps working on its own.
 //!
-//! May import: `discovery` (the host names alone), `facade`, `os`, `resources`.
+//! May import: `discovery` (only the host names), `facade`, `os`, `resources`.
 
 mod announced_primaries;
 mod codec;
