--- a/src/fleet/quota_lending.rs
+++ b/src/fleet/quota_lending.rs
@@ -1,6 +1,6 @@
 //! Quota lending at one gateway: exchanges the reports, rounds and grants of each shard, and applies the
-//! resulting quotas to the decisions. What is lent and granted, and until when, is decided in
-//! `petrelgauge_ownership::quota`.
+//! resulting quotas to the decisions. `petrelgauge_ownership::quota` decides what is lent and granted, and
+//! until when.
 
 use crate::facade::Facade;
 use crate::os::clock::Clock;
@@ -16,41 +16,41 @@
 
 /// Kind of the leadership role of quota lending; each shard has a lease of its own.
 pub const QUOTA_LENDING: u8 = 2;
-/// Unit of quotas in counters: thousandths of an even quota.
+/// Quotas in counters are in thousandths of an even quota.
 const THOUSANDTHS: f64 = 1000.0;
 
-/// Returns the number of requests received so far, by group.
+/// Callback that returns the number of requests received so far, by group.
 pub type Demand = Rc<dyn Fn() -> BTreeMap<GroupId, u64>>;
 
-/// The state of one shard.
+/// The state of quota lending for one shard.
 struct Shard {
     /// This gateway's quotas for the shard's groups.
     quota: Quota,
-    /// The quotas of all gateways, while this one holds the shard's lease.
+    /// The quotas of all gateways; present only while this gateway holds the shard's lease.
     pool: Option<QuotaPool>,
 }
 
-/// What a [`QuotaLending`] is built from.
+/// Options of [`QuotaLending::new`].
 pub struct QuotaLendingOptions {
-    /// Gateways, acceptors and durations of the leases.
+    /// Lease settings: gateways, acceptors and durations.
     pub settings: Settings,
     /// Number of shards, at least 1.
     pub shards: u16,
-    /// Number of the first report, drawn at random; see [`Quota::new`].
+    /// Random number of the first report; see [`Quota::new`].
     pub first_report_number: u32,
     /// The decisions that apply the quotas.
     pub facade: Facade,
-    /// Clock of the leases and loans.
+    /// Clock for leases and loans.
     pub clock: Clock,
     /// Requests received per group.
     pub demand: Demand,
 }
 
-/// This gateway's part in quota lending.
+/// Quota lending at this gateway.
 pub struct QuotaLending {
     shards: Vec<Shard>,
     request_rates: RequestRates,
-    /// Quotas that the decisions apply, of the groups whose quota is not the even one.
+    /// Quotas applied to the decisions, for the groups whose quota differs from the even one.
     applied: BTreeMap<GroupId, QuotaAdjustment>,
     facade: Facade,
     clock: Clock,
@@ -71,13 +71,13 @@
         QuotaLending { shards, request_rates, applied, facade, clock, demand }
     }
 
-    /// When the next report is due, the latest time to call [`QuotaLending::on_deadline`]. A due round is
-    /// opened at any call.
+    /// When the next report is due; [`QuotaLending::on_deadline`] must be called by then. Every call also
+    /// opens due rounds.
     pub(super) fn next_deadline(&self) -> Option<Time> {
         self.shards.iter().filter_map(|shard| shard.quota.next_deadline()).min()
     }
 
-    /// Opens due rounds, and returns these and due reports as messages.
+    /// Opens due rounds and returns the messages for them and for due reports.
     pub(super) fn on_deadline(&mut self, lease_manager: &mut LeaseManager) -> Vec<Outgoing> {
         let now = self.clock.now();
         let mut outgoing = Vec::new();
@@ -90,7 +90,7 @@
         outgoing
     }
 
-    /// Handles a message whose term the lease manager has admitted, and returns the responses.
+    /// Processes a message whose term the lease manager has admitted, and returns the responses.
     pub(super) fn on_message(
         &mut self,
         from: GatewayId,
@@ -117,8 +117,8 @@
         groups.sum::<usize>() + pools.map(QuotaPool::entries).sum::<usize>()
     }
 
-    /// The counters in their text form, in thousandths of an even quota. Their names are an interface to
-    /// operators.
+    /// Formats the counters as text, in thousandths of an even quota. Their names are part of the operators'
+    /// interface.
     pub(super) fn counts(&self) -> String {
         let now = self.clock.now();
         let extras = self.shards.iter().flat_map(|shard| shard_extras(now, shard));
@@ -145,7 +145,8 @@
         usize::from(shard_of(group, self.shards.len() as u16))
     }
 
-    /// Opens a round of a shard if it is due and this gateway holds the lease. Drops the pool if it does not.
+    /// Opens a round of a shard if one is due and this gateway holds the lease. Without the lease, drops the
+    /// pool.
     fn open_round(&mut self, now: Time, shard: usize, lease_manager: &mut LeaseManager) -> Vec<Outgoing> {
         let pool = &mut self.shards[shard].pool;
         let Some(term) = lease_manager.held_term(now, lending_role(shard)) else {
@@ -166,8 +167,8 @@
         outgoing
     }
 
-    /// Returns one part of a round as messages to all gateways, this one included; `None` if the lease is
-    /// lost. The lease must be held right before each part is sent.
+    /// Returns one part of a round as messages to all gateways, including this one; `None` if the lease is
+    /// lost. The lease is checked for each part, because it must still be held when the part is sent.
     fn round_messages(
         &self,
         shard: usize,
@@ -181,8 +182,8 @@
         Some(gateways.map(|to| Outgoing { to, message: message.clone() }).collect())
     }
 
-    /// Returns the reports that are due. What they lend is deducted from this gateway's own quota before they
-    /// are sent.
+    /// Returns the due reports. Lent quota is deducted from this gateway's own quota before the reports are
+    /// sent.
     fn due_reports(&mut self, now: Time, lease_manager: &LeaseManager) -> Vec<Outgoing> {
         let request_counts = (self.demand)();
         self.request_rates.observe(now, &request_counts);
@@ -218,8 +219,8 @@
         }
     }
 
-    /// Returns the grant for a report, if there is one. All groups of a report are of one shard; others are
-    /// ignored.
+    /// Returns the grant for a report, if any. A report concerns the shard of its first group; groups of
+    /// other shards are ignored.
     fn grant(
         &mut self,
         now: Time,
@@ -243,7 +244,7 @@
         Some(Outgoing { to: from, message })
     }
 
-    /// Applies the quotas of these groups to the decisions, where they have changed.
+    /// Applies changed quotas of these groups to the decisions.
     fn apply(&mut self, now: Time, groups: impl Iterator<Item = GroupId>) {
         for group in groups {
             let adjustment = self.shards[self.shard_of(group)].quota.current(now, group);
@@ -263,7 +264,7 @@
 }
 
 /// Addresses a report to the lease holder that opened its round. A later holder cannot use the report, so it
-/// is dropped; what it lends stays in force.
+/// is dropped then; the loans in it remain in effect.
 fn to_lease_holder(
     now: Time,
     shard: usize,
@@ -277,7 +278,8 @@
     Some(Outgoing { to: holder.gateway, message: Message::QuotaReport(report) })
 }
 
-/// What this gateway borrows of each group of a shard, in thousandths of an even quota; negative if it lends.
+/// Returns how much this gateway borrows in each group of a shard, in thousandths of an even quota; negative
+/// if it lends.
 fn shard_extras(now: Time, shard: &Shard) -> impl Iterator<Item = i64> + '_ {
     let extra = move |group| (shard.quota.current(now, group).extra * THOUSANDTHS).round() as i64;
     shard.quota.groups().map(extra)
