--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -110,6 +110,7 @@
 }
 
 /// The configuration file.
+// `expecting` is part of the error message for a value of the wrong type, which operators see.
 #[derive(Deserialize)]
 #[serde(expecting = "struct File")]
 struct ConfigFile {
--- a/src/control/effective_settings.rs
+++ b/src/control/effective_settings.rs
@@ -11,7 +11,7 @@
 /// belongs to one client.
 const CLIENT_DESCRIPTOR_DIVISOR: u32 = 3;
 
-/// Returns the deployment's settings, restricted to what the wire protocol and the descriptor limit of this
+/// Returns the deployment's settings, adjusted to what the wire protocol and the descriptor limit of this
 /// gateway support.
 pub(super) fn effective_settings(config: &Config) -> Result<Settings, DeploymentError> {
     let mut settings = config.deployment.settings()?;
