--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -5,12 +5,12 @@
 };
 use petrelgauge_sessions::{Counts, SessionKey, SessionTracker, Token};
 
-/// A request of a client.
+/// A request of a client, to be passed to [`RequestTable::admit`](super::RequestTable::admit).
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Index of its class, as returned by [`RequestTable::find_class`](super::RequestTable::find_class).
     pub class: usize,
-    /// Its group.
+    /// The group whose members may execute it.
     pub group: GroupId,
     /// Clock time at which the client stops waiting.
     pub deadline: Time,
@@ -24,16 +24,16 @@
     pub session: Option<SessionRef>,
 }
 
-/// The session of a request.
+/// The session that a request belongs to, with the token that its client sent.
 #[derive(Clone, Debug)]
 pub struct SessionRef {
     /// The session in the request's group.
     pub key: SessionKey,
-    /// The token that the client sent.
+    /// The valid token that the client sent, if any; the join of them if it sent several.
     pub token: Option<Token>,
 }
 
-/// The sessions that a request table tracks.
+/// What a request table needs for session consistency.
 #[derive(Clone, Debug)]
 pub struct SessionTracking {
     /// The watermarks of the sessions.
@@ -45,14 +45,14 @@
 /// How an attempt ended and what the member reported with its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// How it ended.
+    /// Whether the member served the request and, if not, whether the attempt may have run.
     pub ending: Ending,
     /// Time of the hosts' clock up to which the member has applied all commits; for a served write the time
     /// of its commit.
     pub position: Option<Time>,
-    /// The member's role.
+    /// Role that the member stated in its answer.
     pub role: Option<Role>,
-    /// The member's load report.
+    /// The load report in the member's answer; empty if there was none.
     pub report: Report,
     /// Whether no member can execute the request: the member's error is the final answer, and no other member
     /// is tried.
@@ -73,18 +73,18 @@
 /// attempts are left out, and timers are handled by the table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TableCommand {
-    /// Make this attempt.
+    /// Send this attempt to its member and report its outcome.
     Send(AttemptSpec),
     /// The request ends as rejected, and is safe to retry.
     Reject {
-        /// The request.
+        /// Id of the request, as returned by [`RequestTable::admit`](super::RequestTable::admit).
         request: RequestId,
         /// Retry-After for the client (microseconds); 0 for none.
         wait: Time,
     },
     /// The request ends as failed, and may have run.
     Fail {
-        /// The request.
+        /// Id of the request, as returned by [`RequestTable::admit`](super::RequestTable::admit).
         request: RequestId,
     },
     /// Cancel an attempt in flight: close its connection, then report it.
@@ -96,7 +96,7 @@
 /// What [`RequestTable::tick`](super::RequestTable::tick) returns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tick {
-    /// What the caller has to do.
+    /// Commands to execute in this order; none if no step was due.
     pub commands: Vec<TableCommand>,
     /// Clock time of the next call, if one is needed even without further events.
     pub next_at: Option<Time>,
@@ -105,7 +105,7 @@
 /// An attempt, by its request and its number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// Its request.
+    /// Id of its request, as returned by [`RequestTable::admit`](super::RequestTable::admit).
     pub request: RequestId,
     /// Number of attempts of the request that were issued before it.
     pub number: u32,
@@ -114,9 +114,9 @@
 /// An attempt to make. It must be reported exactly once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptSpec {
-    /// Its request and number.
+    /// Identifies the attempt in a later [`TableCommand::Cancel`].
     pub id: AttemptId,
-    /// The member to send to.
+    /// The member to send to, one of the request's group.
     pub host: MemberId,
     /// Clock time at which to abandon it.
     pub deadline: Time,
@@ -127,12 +127,12 @@
     pub issued_at: Time,
 }
 
-/// A request class and its index.
+/// The class that a request names, with its index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassLookup {
-    /// Its index, for [`Request::class`].
+    /// Index in the class table, as needed for [`Request::class`].
     pub index: usize,
-    /// The class.
+    /// A copy of the class: of the settings in force, or of earlier ones that the client may still know.
     pub class: Class,
 }
 
@@ -141,7 +141,7 @@
 pub struct SessionCounts {
     /// Counters of the reads, tokens and broadcasts.
     pub counts: Counts,
-    /// Gaps in the broadcasts of other gateways.
+    /// Gaps in the broadcasts of other gateways that were closed with an upper bound.
     pub broadcast_gaps: u64,
 }
 
@@ -157,7 +157,7 @@
 /// The reason why new settings were rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SettingsRejected {
-    /// They are invalid.
+    /// They have no classes or a value that is out of range.
     Invalid(SettingsError),
     /// They have too many classes, together with those of open requests.
     TooManyClasses,
