--- a/crates/ownership/src/datagram.rs
+++ b/crates/ownership/src/datagram.rs
@@ -19,7 +19,7 @@
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// First byte of each datagram. Watermark broadcasts begin with their version, which is a lower value.
 const MAGIC: u8 = 0xA7;
-/// Version of the encoding.
+/// Second byte of each datagram. Datagrams with another version are rejected.
 const VERSION: u8 = 1;
 /// Length of magic byte, version and fingerprint (bytes).
 const HEADER_BYTES: usize = 2 + 4;
@@ -48,7 +48,7 @@
 pub struct ReceivedMessage {
     /// The sender, as the datagram states it.
     pub from: GatewayId,
-    /// The message.
+    /// The decoded content. The version, fingerprint and checksum of the datagram were valid.
     pub message: Message,
 }
 
