--- a/crates/ownership/src/lease_manager.rs
+++ b/crates/ownership/src/lease_manager.rs
@@ -19,21 +19,21 @@
 /// of the role's kind.
 const SHARD_SEED_ROTATION: u32 = 17;
 
-/// A message and its receiver.
+/// A message that the caller has to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// The receiver. It may be this gateway itself.
     pub to: GatewayId,
-    /// The message.
+    /// The content, to be encoded with the number of this gateway as the sender.
     pub message: Message,
 }
 
 /// The holder of a lease, as far as this gateway knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseHolder {
-    /// The gateway.
+    /// Number of the holder, which may be this gateway.
     pub gateway: GatewayId,
-    /// The term of its lease.
+    /// Fencing term of the lease, higher than those of earlier holders.
     pub term: Term,
 }
 
@@ -48,9 +48,9 @@
 /// Counters since the start. The names that `Display` prints are an interface to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Leases acquired.
+    /// Leases acquired, not counting renewals.
     pub acquired: u64,
-    /// Leases lost or released.
+    /// Leases that expired or were released by [`LeaseManager::withdraw`].
     pub lost: u64,
     /// Notifications rejected because of a stale term.
     pub rejected: u64,
@@ -99,12 +99,12 @@
         })
     }
 
-    /// The settings.
+    /// The settings that the lease manager was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Counters since the start.
+    /// Counters since the lease manager was created.
     pub fn counts(&self) -> Counts {
         Counts { rejected: self.fence.rejected(), ..self.counts }
     }
@@ -120,7 +120,7 @@
         self.candidates.entry(role).or_insert_with(new);
     }
 
-    /// Whether this gateway is a candidate for the role.
+    /// Whether this gateway is a candidate for the role, with or without the lease.
     pub fn is_campaigning(&self, role: LeadershipRole) -> bool {
         self.candidates.contains_key(&role)
     }
@@ -145,7 +145,7 @@
         self.held_term(now, role) == Some(term)
     }
 
-    /// The holder of the lease, as far as this gateway knows.
+    /// The holder of the lease: this gateway, or the one that last announced a lease that is still in force.
     pub fn lease_holder(&self, now: Time, role: LeadershipRole) -> Option<LeaseHolder> {
         if let Some(term) = self.held_term(now, role) {
             return Some(LeaseHolder { gateway: self.settings.self_id, term });
