--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -123,6 +123,6 @@
 pub struct Ballot {
     /// The term of the lease if the attempt succeeds.
     pub term: Term,
-    /// The candidate.
+    /// Number of the candidate's gateway, which the low bits of `term` also contain.
     pub proposer: GatewayId,
 }
