--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -14,25 +14,25 @@
 pub enum LeaseRequest {
     /// Asks for a promise to accept no lower ballot.
     Prepare {
-        /// The candidate's ballot.
+        /// A new ballot. An acceptor rejects a second prepare request with the same one.
         ballot: Ballot,
     },
     /// Asks the acceptor to accept the lease.
     Propose {
-        /// The candidate's ballot.
+        /// The ballot that a majority has promised. Renewals repeat it.
         ballot: Ballot,
         /// Number of this proposal, so that a late response to an earlier one cannot renew the lease.
         round: u32,
     },
     /// Tells the acceptor that the holder has released the lease.
     Release {
-        /// The holder's ballot.
+        /// The ballot of the released lease. A lease with another ballot is kept.
         ballot: Ballot,
     },
 }
 
 impl LeaseRequest {
-    /// The ballot of the request.
+    /// The ballot, which every kind of request contains.
     pub fn ballot(&self) -> Ballot {
         match self {
             LeaseRequest::Prepare { ballot }
@@ -45,7 +45,7 @@
 /// A lease that an acceptor has accepted, as reported to other candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantedLease {
-    /// The holder's ballot.
+    /// The ballot of the accepted proposal, whose proposer holds the lease.
     pub ballot: Ballot,
     /// Time until the acceptor forgets the lease (microseconds).
     pub remaining: Time,
@@ -56,23 +56,23 @@
 pub enum LeaseResponse {
     /// The acceptor promises to accept no lower ballot.
     Promised {
-        /// The ballot of the request.
+        /// The promised ballot, as in the prepare request.
         ballot: Ballot,
         /// The lease that the acceptor has accepted and that has not expired yet.
         granted: Option<GrantedLease>,
     },
-    /// The acceptor has accepted the lease.
+    /// The acceptor has accepted the lease or its renewal.
     Accepted {
-        /// The ballot of the request.
+        /// The ballot of the accepted proposal.
         ballot: Ballot,
-        /// Number of the proposal.
+        /// Number of the accepted proposal. Responses to earlier proposals are ignored.
         round: u32,
     },
-    /// The acceptor has promised a higher ballot.
+    /// The acceptor has promised a higher ballot, or has promised this one before.
     Rejected {
-        /// The ballot of the request.
+        /// The ballot of the rejected request.
         ballot: Ballot,
-        /// The ballot that the acceptor has promised.
+        /// The ballot that the acceptor has promised; equal to `ballot` for a repeated prepare request.
         highest: Ballot,
     },
 }
@@ -93,7 +93,7 @@
 pub struct PrimaryAnnouncement {
     /// Hash of the member's name on the endpoint list.
     pub member: u64,
-    /// Time of the member's answer (microseconds).
+    /// Time of the member's answer, by the hosts' clock (microseconds).
     pub evidence_at: Time,
 }
 
@@ -110,7 +110,7 @@
     Primary(PrimaryAnnouncement),
     /// A round of quota lending has begun: every gateway is to report its demand.
     QuotaRound {
-        /// Number of the round.
+        /// Number of the round, counted from 1 under each term. Reports repeat it.
         round: u32,
         /// Mean request rates of some or all groups, over the gateways that have reported.
         mean_rates: Vec<MeanRate>,
@@ -119,12 +119,12 @@
     QuotaGrant {
         /// Number of the report that requested the quota.
         report_number: u32,
-        /// The amount for each group.
+        /// The amounts. Groups without a grant are omitted.
         granted: Vec<GroupGrant>,
     },
     /// Members answered as their groups' primaries.
     Primaries {
-        /// The members, at most [`MAX_ANNOUNCEMENTS`].
+        /// Members of groups in the role's shard, at most [`MAX_ANNOUNCEMENTS`].
         primaries: Vec<PrimaryAnnouncement>,
     },
 }
@@ -134,16 +134,16 @@
 pub enum Message {
     /// From a candidate to an acceptor.
     LeaseRequest {
-        /// The role of the lease.
+        /// The role whose lease the request is about.
         role: LeadershipRole,
-        /// The request.
+        /// What the acceptor is asked to do. Ignored unless the sender is the proposer of its ballot.
         request: LeaseRequest,
     },
     /// From an acceptor to a candidate.
     LeaseResponse {
-        /// The role of the lease.
+        /// The role whose lease the request was about.
         role: LeadershipRole,
-        /// The response.
+        /// The acceptor's answer. Ignored unless it is for the candidate's current ballot.
         response: LeaseResponse,
     },
     /// From the holder of a lease to other gateways.
@@ -152,7 +152,7 @@
         role: LeadershipRole,
         /// The fencing term of the lease.
         term: Term,
-        /// The effect.
+        /// The effect, which receivers ignore if the term is stale.
         notification: Notification,
     },
     /// From any gateway to the leader of primary discovery, which forwards it under its own term. A report is
@@ -169,7 +169,7 @@
     QuotaReport(QuotaReport),
     /// From any gateway to the leader of a shard of primary discovery.
     PrimaryReports {
-        /// The members, at most [`MAX_ANNOUNCEMENTS`].
+        /// Members of groups in the shard, at most [`MAX_ANNOUNCEMENTS`].
         primaries: Vec<PrimaryAnnouncement>,
     },
     /// From an acceptor to the other acceptors: the sender is alive.
