--- a/crates/ownership/src/quota/demand.rs
+++ b/crates/ownership/src/quota/demand.rs
@@ -11,7 +11,7 @@
 pub(super) const EVEN_QUOTA: f64 = 1000.0;
 /// Maximum loan. It leaves the lender [`QuotaAdjustment::MIN_QUOTA`], on which the routing policy relies.
 pub const MAX_LENT: Thousandths = (EVEN_QUOTA * (1.0 - QuotaAdjustment::MIN_QUOTA)) as Thousandths;
-/// Maximum grant.
+/// Maximum grant of a group to one gateway: 30 even quotas.
 pub const MAX_GRANTED: Thousandths = 30_000;
 /// Maximum number of groups whose quotas are lent. All other groups keep their even quotas.
 pub const MAX_GROUPS: usize = 256;
@@ -34,7 +34,7 @@
 /// One gateway's demand for a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupDemand {
-    /// The group.
+    /// The group whose limits the quota applies to.
     pub group: GroupId,
     /// Rate of the group's requests at this gateway (thousandths of a request per second).
     pub rate: u32,
@@ -45,7 +45,7 @@
 /// The mean rate of a group over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MeanRate {
-    /// The group.
+    /// The group that the requests are for.
     pub group: GroupId,
     /// Mean rate of a gateway (thousandths of a request per second).
     pub rate: u32,
@@ -54,22 +54,22 @@
 /// Quota of a group that is granted to a gateway in addition to its even quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupGrant {
-    /// The group.
+    /// The group whose limits the quota applies to.
     pub group: GroupId,
-    /// The amount.
+    /// The additional quota. More than [`MAX_GRANTED`] counts as that much.
     pub amount: Thousandths,
 }
 
 /// A gateway's report for a round, or as much of it as fits into one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// The lease holder's term.
+    /// Term of the lease holder that opened the round and that the loans are made to.
     pub term: Term,
-    /// The round.
+    /// Number of the round that the report responds to.
     pub round: u32,
     /// Number of the report, consecutive at each gateway.
     pub number: u32,
-    /// The amounts that the gateway lends and requests.
+    /// What the gateway lends or requests, at most one entry per group.
     pub demands: Vec<GroupDemand>,
 }
 
