--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -11,26 +11,26 @@
     Up,
     /// Shutting down gracefully: it completes requests in progress and accepts no new ones.
     Draining,
-    /// Removed from service.
+    /// Out of service. A known member that a complete list omits is treated like this.
     Removed,
 }
 
-/// An entry of the endpoint list.
+/// What the endpoint list states about one member.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The member.
+    /// Identifier of the member, which stays the same when it restarts.
     pub member: MemberId,
     /// The group it belongs to.
     pub group: GroupId,
     /// The zone it runs in.
     pub zone: String,
-    /// Capacity relative to the other members.
+    /// Capacity relative to the other members. A value that is not finite and positive counts as 1.
     pub weight: f64,
     /// Time of its last start, by the hosts' clock; 0 if it started long ago.
     pub started: Time,
-    /// Listed status.
+    /// Whether the member is in service, as the list states it.
     pub status: MemberStatus,
-    /// Whether the list marks it as the primary.
+    /// Whether the list marks it as the primary. Roles that members report take precedence.
     pub primary: bool,
 }
 
@@ -70,20 +70,21 @@
 /// The member that a router currently considers the primary of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownPrimary {
-    /// The group.
+    /// The group that the member is the primary of.
     pub group: GroupId,
-    /// The member.
+    /// The member with the latest evidence of being the primary.
     pub member: MemberId,
     /// Time of the latest evidence that the member itself provided, by the router's clock.
     pub evidence_at: Time,
 }
 
-/// A load report sent by a member.
+/// What a member reports about itself with an answer or a health check. Values that it did not report are
+/// `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
     /// Replication position: all commits up to this time are applied (hosts' clock).
     pub position: Option<Time>,
-    /// Role of the member at that position.
+    /// Role that the member had at that position.
     pub role: Option<Role>,
     /// Number of requests in the member's queue.
     pub waiting: Option<f64>,
