--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -11,51 +11,51 @@
     List {
         /// Whether the entries are the complete list or only changes.
         update: Update,
-        /// The entries.
+        /// The entries to apply. One with an earlier start than the member's known start is ignored.
         entries: Arc<[Entry]>,
     },
-    /// A new request.
+    /// A request has arrived, to be queued or rejected.
     Request(RequestArrival),
     /// The minimum position of a queued request was lowered.
     MinimumPositionLowered {
-        /// The request.
+        /// The queued request. The event is ignored if the router does not know it.
         request: RequestId,
-        /// The new minimum position.
+        /// The new minimum position (hosts' clock). It is ignored if it is higher than the current one.
         minimum_position: Time,
     },
     /// An attempt ended.
     Outcome(AttemptOutcome),
     /// Gossip: this member has answered another router as the primary of its group.
     GossipedPrimary {
-        /// The member.
+        /// The member that answered. The event is ignored if the router does not know it.
         member: MemberId,
         /// Time of that answer, converted to this router's clock.
         at: Time,
     },
     /// This router's quota for a group changed.
     QuotaAdjusted {
-        /// The group.
+        /// The group whose members' concurrency limits the quota applies to.
         group: GroupId,
         /// The adjustment that replaces the previous one.
         adjustment: QuotaAdjustment,
     },
     /// The client stopped waiting for the request.
     Abandoned {
-        /// The request.
+        /// The request to close without an answer. The event is ignored if the router does not know it.
         request: RequestId,
     },
-    /// A health check ended.
+    /// A health check ended, or a member sent a load report outside of an attempt.
     Probed {
-        /// The member.
+        /// The member of [`Action::Probe`](super::Action::Probe), or the sender of the load report.
         member: MemberId,
-        /// Ending of the health check.
+        /// How the health check ended; [`Ending::Served`] for a load report outside of an attempt.
         ending: Ending,
-        /// Load report of the member.
+        /// The load report in the answer; empty if there was none.
         report: Report,
     },
-    /// A timer fired.
+    /// A timer set by [`Action::Timer`](super::Action::Timer) has fired.
     Timer {
-        /// The token of [`Action::Timer`](super::Action::Timer).
+        /// The token of that action.
         token: u64,
     },
 }
@@ -69,10 +69,10 @@
     Partial,
 }
 
-/// A new request.
+/// A request of a client, as it arrives at the router.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// Identifier of the request.
+    /// Identifier of the request in later events and in actions, chosen by the embedding program.
     pub request: RequestId,
     /// Index of its class in the settings.
     pub class: usize,
@@ -86,16 +86,16 @@
     pub minimum_position: Option<Time>,
 }
 
-/// The outcome of an attempt.
+/// How an attempt ended, and what the member reported with its answer.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// The request.
+    /// The request that the attempt served. It may be closed already.
     pub request: RequestId,
     /// Index of the attempt, counted from 0 in send order.
     pub attempt: u32,
     /// The member that the attempt was sent to.
     pub member: MemberId,
-    /// Ending of the attempt.
+    /// How the attempt ended. Together with the class it determines whether another attempt may follow.
     pub ending: Ending,
     /// Time from send to end (microseconds).
     pub took: Time,
@@ -103,9 +103,9 @@
     pub closed: bool,
     /// Replication position of the member (hosts' clock); for a served write, the position of its commit.
     pub position: Option<Time>,
-    /// Role of the member.
+    /// Role that the member stated in its answer, valid as of the answer.
     pub role: Option<Role>,
-    /// Load report of the member.
+    /// The load report in the member's answer; empty if there was none.
     pub report: Report,
 }
 
