--- a/crates/policy/src/interface/notes.rs
+++ b/crates/policy/src/interface/notes.rs
@@ -8,7 +8,7 @@
 pub enum Note {
     /// The member has not answered for too long: until it answers, it receives only trials.
     MemberSuspected {
-        /// The member.
+        /// The suspected member, displayed as `host`.
         member: MemberId,
         /// Longest wait of an unanswered attempt since the member last answered (microseconds).
         silence: Time,
@@ -19,12 +19,12 @@
     },
     /// The member failed a health check: no requests are sent to it.
     MemberDown {
-        /// The member.
+        /// The member that failed the health check, displayed as `host`.
         member: MemberId,
     },
     /// A suspected or down member has answered.
     MemberRecovered {
-        /// The member.
+        /// The member that answered, displayed as `host`.
         member: MemberId,
     },
 }
@@ -46,7 +46,7 @@
 /// A note to write to the log. Notes are rate-limited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LogEntry {
-    /// The note.
+    /// The note that the rate limit let through.
     pub note: Note,
     /// Number of notes suppressed by the rate limit since the last entry.
     pub suppressed: u32,
