--- a/crates/sessions/src/session_key.rs
+++ b/crates/sessions/src/session_key.rs
@@ -10,7 +10,7 @@
 /// raise the minimum positions of their reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SessionKey {
-    /// The group.
+    /// The group of the session's requests. Each group has a watermark of its own.
     pub group: GroupId,
     /// Hash of the session name; below 2^[`NAME_HASH_BITS`].
     pub name_hash: u64,
