--- a/crates/sessions/src/session_tracker/mod.rs
+++ b/crates/sessions/src/session_tracker/mod.rs
@@ -101,7 +101,7 @@
         self.latest_call_at = now;
     }
 
-    /// Takes a snapshot of all watermarks.
+    /// Takes a snapshot of the exact watermarks, and of an upper bound of all others.
     pub fn snapshot(&self, now: Time, kind: SnapshotKind) -> Snapshot {
         let highest_evicted = self.memory.highest_evicted().required_position(self.settings.guarantee);
         Snapshot {
@@ -113,22 +113,22 @@
         }
     }
 
-    /// The settings.
+    /// The settings that the tracker was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The counters since the start.
+    /// Counters since the tracker was created. Snapshots do not contain them.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The watermarks stored in this instance.
+    /// The stored watermarks: exact ones, and the sketch of those that were evicted.
     pub fn memory(&self) -> &SessionMemory {
         &self.memory
     }
 
-    /// The key of the session with this name.
+    /// The key of a session, hashed with the secret of the settings.
     pub fn session_key(&self, group: GroupId, name: &str) -> SessionKey {
         SessionKey::new(self.settings.secret, group, name)
     }
