--- a/crates/lifecycle/src/request_table/types.rs
+++ b/crates/lifecycle/src/request_table/types.rs
@@ -145,7 +145,7 @@
     pub broadcast_gaps: u64,
 }
 
-/// Watermark broadcasts that are due.
+/// Watermark broadcasts to send now, and when more are due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DueBroadcasts {
     /// The datagrams, each for every other gateway.
@@ -154,7 +154,7 @@
     pub next_at: Option<Time>,
 }
 
-/// The reason why new settings were rejected.
+/// Why new settings were rejected. The previous ones stay in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SettingsRejected {
     /// They have no classes or a value that is out of range.
