--- a/crates/ownership/src/datagram.rs
+++ b/crates/ownership/src/datagram.rs
@@ -43,7 +43,7 @@
     ChecksumMismatch,
 }
 
-/// A decoded datagram.
+/// The sender and the content of a valid datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedMessage {
     /// The sender, as the datagram states it.
