--- a/crates/ownership/src/message.rs
+++ b/crates/ownership/src/message.rs
@@ -160,9 +160,9 @@
     PrimaryReport(PrimaryAnnouncement),
     /// From a receiver to the sender of a notification that the receiver's fence has rejected.
     StaleTerm {
-        /// The role of the notification.
+        /// The role that the rejected notification named.
         role: LeadershipRole,
-        /// The highest term that the receiver has seen.
+        /// The highest term that the receiver has seen for the role. The next ballot must have a higher one.
         highest: Term,
     },
     /// From any gateway to the holder of the quota lease: the quota that it lends or requests.
