--- a/crates/policy/src/interface/endpoints.rs
+++ b/crates/policy/src/interface/endpoints.rs
@@ -22,7 +22,7 @@
     pub member: MemberId,
     /// The group it belongs to.
     pub group: GroupId,
-    /// The zone it runs in.
+    /// Name of the zone it runs in. The members of a zone may become unreachable together.
     pub zone: String,
     /// Capacity relative to the other members. A value that is not finite and positive counts as 1.
     pub weight: f64,
