--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -23,7 +23,7 @@
         /// The new minimum position (hosts' clock). It is ignored if it is higher than the current one.
         minimum_position: Time,
     },
-    /// An attempt ended.
+    /// An attempt ended, whether or not its member answered.
     Outcome(AttemptOutcome),
     /// Gossip: this member has answered another router as the primary of its group.
     GossipedPrimary {
