--- a/tests/deadline_propagation.rs
+++ b/tests/deadline_propagation.rs
@@ -1,5 +1,6 @@
-//! The time that a gateway states to a database host is at most what its client has left, however long the way to the host's
-//! first byte took. The waits by the clock only ever make less time be left, so that a slow machine changes no verdict.
+//! The remaining time that a gateway states to a host is at most what its client has left, however long it
+//! took to send the query. A wait that takes longer than planned only lowers the remaining time, so that a
+//! slow machine does not fail these tests.
 
 use petrelgauge_test_support::{
     gateway_program, gateway_with_primary, kinds, query, row, select, with_long_connect_timeout, Harness,
@@ -7,11 +8,11 @@
 };
 use std::time::Duration;
 
-/// How long the clients wait (milliseconds).
+/// The time that the clients' queries state (milliseconds).
 const WAIT_MS: u64 = 20_000;
-/// Span between a client's query and the moment at which it can be passed on (milliseconds).
+/// Delay between a client's query and the time at which it can be sent to a host (milliseconds).
 const DELAY_MS: u64 = 1_000;
-/// What a host may be given beyond what is left (milliseconds).
+/// By how much the time stated to a host may exceed the remaining time (milliseconds).
 const SLACK_MS: u64 = 150;
 
 fn delay() {
@@ -25,7 +26,7 @@
     digits.parse().expect("a number")
 }
 
-fn expect_delay_taken_off(text: &str) {
+fn expect_delay_subtracted(text: &str) {
     let stated = time_left(text);
     assert!(stated > 0 && stated <= WAIT_MS - DELAY_MS + SLACK_MS, "{stated} stated in {text}");
 }
@@ -42,7 +43,7 @@
     delay();
     host.release();
     assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
-    expect_delay_taken_off(&host.next_query());
+    expect_delay_subtracted(&host.next_query());
 }
 
 #[test]
@@ -55,7 +56,7 @@
     delay();
     host.release();
     assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
-    expect_delay_taken_off(&host.next_query());
+    expect_delay_subtracted(&host.next_query());
 }
 
 #[test]
@@ -69,10 +70,11 @@
     host.release();
     assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
     assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
-    expect_delay_taken_off(&host.next_query());
+    expect_delay_subtracted(&host.next_query());
 }
 
-// Nothing was read while an answer was being written, so that a query which came meanwhile was taken for a new one.
+// The gateway once read nothing while it wrote an answer, so that the time of a query that arrived meanwhile
+// was counted from the end of that answer.
 #[test]
 fn the_stated_time_excludes_the_rest_of_an_answer_that_is_being_written() {
     let harness = Harness::new(gateway_program!());
@@ -82,12 +84,12 @@
     let mut client = gateway.client();
     client.write(&query(&select("a", "view", WAIT_MS)));
     host.next_query();
-    // The row has begun, and is longer than what the sockets hold.
+    // The row has begun, and is longer than the socket buffers.
     client.read_bytes(1);
     client.write(&query(&select("b", "view", WAIT_MS)));
     delay();
     client.read_bytes(row(value).len() - 1);
     assert_eq!(kinds(&client.read_until_ready()), "Z");
     assert_eq!(kinds(&client.read_until_ready()), "TDCZ");
-    expect_delay_taken_off(&host.next_query());
+    expect_delay_subtracted(&host.next_query());
 }
