--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -76,8 +76,8 @@
     assert!(log.contains("requests=1 served=1 "), "the second was not read: {log}");
 }
 
-// The connection was once closed immediately, and what the client had not yet read of its answer was lost when it
-// wrote again.
+// The connection was once closed immediately, and what the client had not yet read of its answer was lost
+// when it wrote again.
 #[test]
 fn an_answer_that_is_read_slowly_is_completed_when_its_connection_is_closed_for_age() {
     static VALUE: [u8; 60_000] = [b'v'; 60_000];
@@ -96,7 +96,7 @@
 }
 
 /// Whether the query sent after the startup message got its final answer. A query without one was not read:
-/// the kernel resets a connection that is closed with unread bytes, or that receives bytes after it was closed.
+/// the kernel resets a connection that is closed with unread bytes or receives bytes after it was closed.
 fn was_answered(client: &mut Client) -> bool {
     let (messages, reset) = client.read_until_end_or_reset();
     let kinds = kinds(&messages);
