--- a/tests/socket_calls.rs
+++ b/tests/socket_calls.rs
@@ -1,6 +1,7 @@
-//! Which files may call the kernel on a socket of the gateway.
+//! Which source files may make system calls on sockets.
 
-/// What only `socket.rs` calls itself; the others go through it, so that no call misses its retry or its class.
+/// Calls that only `socket.rs` makes. Other files use its functions, so that every call is retried after an
+/// interruption and its errors are classified.
 const DIRECT_CALLS: [&str; 18] = [
     "TcpStream::connect",
     ".accept().await",
@@ -21,17 +22,18 @@
     "try_send_to",
     "recv_from(",
 ];
-/// What `datagram.rs` calls beside it, for datagrams.
+
+/// Calls that `datagram.rs` may make too.
 const DATAGRAM_CALLS: [&str; 4] = ["UdpSocket", "SockRef", "send_to(&", "recv_from("];
 
-/// What `socket_error.rs` reads beside it, to sort failures.
+/// What `socket_error.rs` may read too, to classify errors.
 const ERROR_CALLS: [&str; 1] = ["raw_os_error"];
 
 #[test]
-fn sockets_are_called_in_the_socket_modules_alone() {
+fn only_the_socket_modules_make_system_calls_on_sockets() {
     let (mut files, mut direct) = (0, Vec::new());
     for path in files_below(&std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src")) {
-        let text = std::fs::read_to_string(&path).expect("a file of text");
+        let text = std::fs::read_to_string(&path).expect("a text file");
         files += 1;
         if path.ends_with("os/socket.rs") {
             continue;
@@ -45,13 +47,16 @@
         direct.extend(calls.map(|call| format!("{}: {call}", path.display())));
     }
     assert!(files > 50, "only {files} files: have the sources moved?");
-    assert!(direct.is_empty(), "these calls miss their retry or their class: {direct:#?}");
+    assert!(
+        direct.is_empty(),
+        "these calls bypass the retry and the error classes of os/socket.rs: {direct:#?}"
+    );
 }
 
 /// All files below a folder.
 fn files_below(folder: &std::path::Path) -> Vec<std::path::PathBuf> {
     let mut found = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
+    for entry in std::fs::read_dir(folder).expect("a source folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
             found.extend(files_below(&path));
@@ -62,16 +67,17 @@
     found
 }
 
-/// Names of the files below a folder whose text has this in it.
-fn files_with(folder: &std::path::Path, wanted: &str) -> Vec<String> {
+/// Names of the files below a folder that contain this text.
+fn files_containing(folder: &std::path::Path, pattern: &str) -> Vec<String> {
     let files = files_below(folder).into_iter();
-    let files = files.filter(|path| std::fs::read_to_string(path).is_ok_and(|text| text.contains(wanted)));
+    let files = files.filter(|path| std::fs::read_to_string(path).is_ok_and(|text| text.contains(pattern)));
     files.map(|path| path.file_name().expect("a name").to_string_lossy().into_owned()).collect()
 }
 
 #[test]
 fn no_program_injects_faults_into_its_calls() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
-    let found = ["src", "crates"].map(|folder| files_with(&root.join(folder), "set_fault_schedule")).concat();
+    let found =
+        ["src", "crates"].map(|folder| files_containing(&root.join(folder), "set_fault_schedule")).concat();
     assert_eq!(found, ["system_call.rs"]);
 }
