--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -30,47 +30,47 @@
 #[test]
 fn an_answer_is_final_only_while_its_request_is_open() {
     let mut simulation = simulation();
-    let mut ticket = simulation.admit(2, 900 * MS, &[]);
-    let attempt = simulation.send(&mut ticket);
+    let mut handle = simulation.admit(2, 900 * MS, &[]);
+    let attempt = simulation.send(&mut handle);
     assert!(attempt.report(simulation.now + MS, Outcome::without_report(Ending::Served)));
     simulation.step();
     assert!(
-        matches!(ready(ticket.next_decision()), Some(Decision::Fail)),
+        matches!(ready(handle.next_decision()), Some(Decision::Fail)),
         "no decision follows the final one"
     );
 
-    let mut ticket = simulation.admit(2, 900 * MS, &[]);
-    let attempt = simulation.send(&mut ticket);
-    drop(ticket);
+    let mut handle = simulation.admit(2, 900 * MS, &[]);
+    let attempt = simulation.send(&mut handle);
+    drop(handle);
     assert!(
         !attempt.report(simulation.now + MS, Outcome::without_report(Ending::Served)),
-        "its client has left"
+        "its client has disconnected"
     );
 }
 
 #[test]
-fn dropping_a_ticket_cancels_its_attempt() {
+fn dropping_a_request_handle_cancels_its_attempt() {
     let mut simulation = simulation();
-    let mut ticket = simulation.admit(2, 900 * MS, &[]);
-    let mut attempt = simulation.send(&mut ticket);
+    let mut handle = simulation.admit(2, 900 * MS, &[]);
+    let mut attempt = simulation.send(&mut handle);
     assert!(ready(attempt.cancelled()).is_none());
-    drop(ticket);
+    drop(handle);
     simulation.step();
     assert!(ready(attempt.cancelled()).is_some());
 }
 
-// An attempt whose client left before receiving it was once counted as in flight for good.
+// An attempt whose client disconnected before receiving it was once counted as in flight for good.
 #[test]
 fn attempts_dropped_unreceived_free_their_capacity() {
     let mut simulation = simulation();
     for _ in 0..200 {
-        let ticket = simulation.admit(5, 900 * MS, &[]);
+        let handle = simulation.admit(5, 900 * MS, &[]);
         simulation.step();
-        drop(ticket);
+        drop(handle);
         simulation.step();
     }
-    let mut ticket = simulation.admit(5, 900 * MS, &[]);
-    assert_eq!(simulation.send(&mut ticket).host(), 1, "the primary has capacity for a write");
+    let mut handle = simulation.admit(5, 900 * MS, &[]);
+    assert_eq!(simulation.send(&mut handle).host(), 1, "the primary has capacity for a write");
 }
 
 // A write with an idempotency key fails for its client while its attempt may still run.
@@ -78,12 +78,12 @@
 fn the_attempt_of_a_failed_write_stays_in_flight_until_it_is_reported() {
     let mut simulation = simulation();
     for _ in 0..40 {
-        let mut ticket = simulation.admit(5, 100 * MS, &[]);
-        let mut attempt = simulation.send(&mut ticket);
+        let mut handle = simulation.admit(5, 100 * MS, &[]);
+        let mut attempt = simulation.send(&mut handle);
         let mut decision = None;
         while decision.is_none() {
             simulation.step();
-            decision = ready(ticket.next_decision());
+            decision = ready(handle.next_decision());
         }
         assert!(matches!(decision, Some(Decision::Fail)), "{decision:?}");
         assert!(ready(attempt.cancelled()).is_none());
@@ -98,17 +98,17 @@
 #[test]
 fn the_router_steps_at_most_once_per_granularity() {
     let mut simulation = simulation();
-    let mut ticket = simulation.admit(2, 900 * MS, &[]);
+    let mut handle = simulation.admit(2, 900 * MS, &[]);
     let early = simulation.now + MS;
     assert_eq!(simulation.facade.tick(early), Some(simulation.now + STEP), "too early to step");
-    assert!(ready(ticket.next_decision()).is_none());
+    assert!(ready(handle.next_decision()).is_none());
     assert!(simulation.step().is_some(), "an open request sets a timer");
-    assert!(matches!(ready(ticket.next_decision()), Some(Decision::Send(_))));
+    assert!(matches!(ready(handle.next_decision()), Some(Decision::Send(_))));
 }
 
 #[test]
 fn any_group_may_be_served_until_a_list_names_groups() {
-    let facade = Facade::new(settings(), 11).expect("sound settings");
+    let facade = Facade::new(settings(), 11).expect("valid settings");
     assert!(facade.read(|table| table.may_serve_group(99)), "no list has been received");
     facade
         .update(|table| table.update_endpoints(Update::Complete, vec![entry(1, MemberStatus::Up, true, 0)]));
--- a/tests/facade_simulation/mod.rs
+++ b/tests/facade_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions of one gateway behind their facade, in simulated time, before three members of one group.
+//! The facade of one gateway with three members of one group, in simulated time.
 
 #![allow(dead_code, unused_imports)]
 
@@ -14,11 +14,12 @@
 use std::task::{Context, Poll, Waker};
 
 pub const STEP: Time = 5 * MS;
-/// Places of a read of any data and of a keyed write among the classes.
+/// Class index of reads of any data.
 pub const READ: usize = 2;
+/// Class index of writes with an idempotency key.
 pub const WRITE: usize = 5;
 
-/// The value of a future that needs to wait for nothing.
+/// The value of a future if it is ready when polled once.
 pub fn ready<T>(future: impl Future<Output = T>) -> Option<T> {
     match pin!(future).poll(&mut Context::from_waker(Waker::noop())) {
         Poll::Ready(value) => Some(value),
@@ -29,7 +30,7 @@
 pub struct Simulation {
     pub facade: Facade,
     pub now: Time,
-    keeps_sessions: bool,
+    tracks_sessions: bool,
 }
 
 impl Simulation {
@@ -39,19 +40,19 @@
         settings: Settings,
         sessions: Option<petrelgauge_sessions::Settings>,
     ) -> Simulation {
-        let keeps_sessions = sessions.is_some();
+        let tracks_sessions = sessions.is_some();
         let tracking = sessions.map(|set| SessionTracking {
-            tracker: SessionTracker::new(set, now).expect("sound settings"),
+            tracker: SessionTracker::new(set, now).expect("valid settings"),
             classes: vec![READ, WRITE],
         });
-        let facade = Facade::with_sessions(settings, 11, tracking).expect("sound settings");
+        let facade = Facade::with_sessions(settings, 11, tracking).expect("valid settings");
         facade.update(|table| {
             table.update_endpoints(
                 Update::Complete,
                 (1..=3).map(|member| entry(member, MemberStatus::Up, member == 1, 0)).collect(),
             )
         });
-        let mut simulation = Simulation { facade, now, keeps_sessions };
+        let mut simulation = Simulation { facade, now, tracks_sessions };
         simulation.step();
         simulation
     }
@@ -65,12 +66,12 @@
         let session = self
             .facade
             .read(|table| table.session_ref(self.now, GROUP, "one", tokens))
-            .expect("sound tokens");
-        assert_eq!(session.is_some(), self.keeps_sessions);
+            .expect("valid tokens");
+        assert_eq!(session.is_some(), self.tracks_sessions);
         session
     }
 
-    /// A request of session `one`, where sessions are kept.
+    /// Admits a request. It belongs to session `one` if sessions are tracked.
     pub fn admit(&mut self, class: usize, time_left: Time, tokens: &[&str]) -> RequestHandle {
         self.facade.admit(Request {
             class,
@@ -83,20 +84,20 @@
         })
     }
 
-    /// The next attempt of this request, which has to be sent in one step.
-    pub fn send(&mut self, ticket: &mut RequestHandle) -> Attempt {
-        self.send_within(ticket, 1)
+    /// The next attempt of this request, which must be sent within one step.
+    pub fn send(&mut self, handle: &mut RequestHandle) -> Attempt {
+        self.send_within(handle, 1)
     }
 
-    pub fn send_within(&mut self, ticket: &mut RequestHandle, steps: usize) -> Attempt {
+    pub fn send_within(&mut self, handle: &mut RequestHandle, steps: usize) -> Attempt {
         for _ in 0..steps {
             self.step();
-            match ready(ticket.next_decision()) {
+            match ready(handle.next_decision()) {
                 Some(Decision::Send(attempt)) => return attempt,
-                Some(other) => panic!("no send but {other:?}"),
+                Some(other) => panic!("expected a send, got {other:?}"),
                 None => {}
             }
         }
-        panic!("nothing is decided");
+        panic!("no decision in {steps} steps");
     }
 }
