--- a/tests/accept_loop.rs
+++ b/tests/accept_loop.rs
@@ -16,7 +16,7 @@
 /// A test that takes this long fails instead of hanging.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A listener whose calls return these results in order. After them, and for None, no client is there.
+/// A listener whose calls return these results in order. After them, and for None, a call waits forever.
 struct ScriptedAcceptor {
     script: RefCell<VecDeque<Option<Result<u32, i32>>>>,
 }
@@ -57,9 +57,9 @@
     let (acceptor, accepted) = (ScriptedAcceptor { script: RefCell::new(script) }, Accepted::default());
     let (states, receiver) = watch::channel(state);
     let accept_loop = AcceptLoop { clock: Clock::start(), state: receiver, sharing };
-    play(async {
+    block_on_with_timeout(async {
         tokio::join!(accept_loop.run(&acceptor, &accepted), async {
-            // The stop comes in the middle of the script.
+            // The gateway stops in the middle of the script.
             tokio::time::sleep(Duration::from_millis(1)).await;
             states.send_replace(ServingState::Stopped);
         })
@@ -67,9 +67,9 @@
     accepted
 }
 
-fn play(played: impl std::future::Future) {
+fn block_on_with_timeout(future: impl std::future::Future) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(async { tokio::time::timeout(TEST_TIMEOUT, played).await.expect("it returns") });
+    runtime.block_on(async { tokio::time::timeout(TEST_TIMEOUT, future).await.expect("completed in time") });
 }
 
 #[test]
@@ -102,12 +102,12 @@
 // Such failures were once treated as a shortage: the loop paused, and idle clients were closed.
 #[test]
 fn a_disconnected_client_or_a_signal_is_no_resource_shortage() {
-    let gone = [libc::ECONNABORTED, libc::EINTR, libc::EPROTO, libc::ENETUNREACH].repeat(200);
-    let script = gone.into_iter().map(|number| Some(Err(number))).chain([Some(Ok(1))]).collect();
+    let not_shortages = [libc::ECONNABORTED, libc::EINTR, libc::EPROTO, libc::ENETUNREACH].repeat(200);
+    let script = not_shortages.into_iter().map(|number| Some(Err(number))).chain([Some(Ok(1))]).collect();
     let accepted = accept_all(script, ServingState::Stopped, ListenerSharing::Exclusive);
     assert_eq!((accepted.clients.take(), accepted.shortages.get()), (vec![1], 0));
-    let short = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    let script = short.into_iter().map(|number| Some(Err(number))).chain([Some(Ok(1))]).collect();
+    let shortages = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+    let script = shortages.into_iter().map(|number| Some(Err(number))).chain([Some(Ok(1))]).collect();
     let accepted = accept_all(script, ServingState::Stopped, ListenerSharing::Exclusive);
     assert_eq!((accepted.clients.take(), accepted.shortages.get()), (vec![1], 4));
 }
@@ -156,5 +156,7 @@
     let accept_loop =
         AcceptLoop { clock: Clock::start(), state: receiver, sharing: ListenerSharing::Exclusive };
     let accepted = Accepted::default();
-    play(async { tokio::join!(accept_loop.run(&acceptor, &accepted), async { other_ran.set(true) }) });
+    block_on_with_timeout(async {
+        tokio::join!(accept_loop.run(&acceptor, &accepted), async { other_ran.set(true) })
+    });
 }
