--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -42,12 +42,12 @@
 // What is known of an attempt decides the client's answer: a rejection promises that a retry is harmless.
 #[test]
 fn a_write_that_never_ran_is_rejected_and_one_that_may_have_run_fails() {
-    let endless = |say: fn() -> Reply| std::iter::repeat_with(say).take(8).collect::<Vec<_>>();
+    let repeated = |reply: fn() -> Reply| std::iter::repeat_with(reply).take(8).collect::<Vec<_>>();
     let cases = [
-        (Some(endless(|| Reply::Close)), "40003"),
-        (Some(endless(|| Reply::Error("XX000"))), "40003"),
-        (Some(endless(|| Reply::Error("53300"))), "53300"),
-        (Some(endless(|| Reply::Error("25006"))), "53300"),
+        (Some(repeated(|| Reply::Close)), "40003"),
+        (Some(repeated(|| Reply::Error("XX000"))), "40003"),
+        (Some(repeated(|| Reply::Error("53300"))), "53300"),
+        (Some(repeated(|| Reply::Error("25006"))), "53300"),
         // Its port is closed.
         (None, "53300"),
     ];
