--- a/tests/client_protocol.rs
+++ b/tests/client_protocol.rs
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn an_empty_query_admits_the_gateway_and_encryption_is_declined() {
+fn an_empty_query_is_answered_and_encryption_is_declined() {
     let gateway = Harness::new(gateway_program!()).start();
     let mut client = gateway.raw_client();
     client.write(&[0, 0, 0, 8, 4, 210, 22, 47]);
@@ -28,7 +28,7 @@
     let mut client = gateway.client();
     let text = select("it''s /* no comment */", "view", 5000);
     let answer = client.query(&text);
-    assert_eq!(kinds(&answer), "TDCZ", "what the host says of itself stays here");
+    assert_eq!(kinds(&answer), "TDCZ", "parameter reports of the host are not passed on");
     assert_eq!(answer[1].1, [&[0, 1, 0, 0, 0, 7][..], b"\x00\xffvalue"].concat());
     let seen = host.next_query();
     let (before, rest) = seen.split_once(",d=").expect("it names d");
