--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -12,18 +12,18 @@
 /// A value whose statement is nearly as long as the longest message.
 const LARGE: usize = 50_000;
 
-fn read(number: usize, wait_ms: u64) -> Vec<u8> {
+fn read_query(number: usize, wait_ms: u64) -> Vec<u8> {
     query(&select(&format!("row-{number}"), "view", wait_ms).replace("9b1f", &format!("{number:x}")))
 }
 
-fn write(number: usize, size: usize) -> Vec<u8> {
+fn write_query(number: usize, size: usize) -> Vec<u8> {
     let text = insert(&format!("row-{number}"), 60_000).replace("9b1f", &format!("{number:x}"));
     let value = "9f".repeat(size);
     query(&text.replace("5c0f", &format!("{number:x}")).replace("9f03", &value))
 }
 
-fn batch(one: impl Fn(usize) -> Vec<u8>, count: usize) -> Vec<u8> {
-    (0..count).flat_map(one).collect()
+fn batch(make_query: impl Fn(usize) -> Vec<u8>, count: usize) -> Vec<u8> {
+    (0..count).flat_map(make_query).collect()
 }
 
 /// The value that a host returns for the query with this number.
@@ -57,12 +57,12 @@
 fn a_batch_over_the_message_bound_is_answered_completely_and_in_order() {
     let (host, gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
-    let written = client.write_in_background(batch(|number| read(number, 60_000), BATCH));
+    let written = client.write_in_background(batch(|number| read_query(number, 60_000), BATCH));
     gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     host.release();
     expect_rows(&mut client, BATCH);
     expect_queries(&host, BATCH);
-    written.join().expect("it ends").expect("all is read");
+    written.join().expect("the writer ends").expect("everything is read");
 }
 
 #[test]
@@ -70,12 +70,12 @@
     const COUNT: usize = 40;
     let (host, gateway) = gateway_with_primary(gateway_program!(), script(COUNT));
     let mut client = gateway.client();
-    let written = client.write_in_background(batch(|number| write(number, LARGE), COUNT));
+    let written = client.write_in_background(batch(|number| write_query(number, LARGE), COUNT));
     gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     host.release();
     expect_rows(&mut client, COUNT);
     expect_queries(&host, COUNT);
-    written.join().expect("it ends").expect("all is read");
+    written.join().expect("the writer ends").expect("everything is read");
 }
 
 // With one megabyte of memory, all clients together may buffer 192 KiB: less than two of these messages each.
@@ -92,9 +92,9 @@
         .start_with_changed_config(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":1"));
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     let mut writers = Vec::new();
-    for (place, client) in clients.iter().enumerate() {
-        let first = place * COUNT;
-        writers.push(client.write_in_background(batch(|number| write(first + number, LARGE), COUNT)));
+    for (index, client) in clients.iter().enumerate() {
+        let first = index * COUNT;
+        writers.push(client.write_in_background(batch(|number| write_query(first + number, LARGE), COUNT)));
     }
     gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     (0..CLIENTS).for_each(|_| host.release());
@@ -104,37 +104,39 @@
         }
     }
     assert_eq!(host.query_count(), CLIENTS * COUNT);
-    writers.into_iter().for_each(|written| written.join().expect("it ends").expect("all is read"));
+    writers
+        .into_iter()
+        .for_each(|written| written.join().expect("the writer ends").expect("everything is read"));
 }
 
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leave {
+enum Disconnect {
     Fin,
     Reset,
     Terminate,
 }
 
-fn leave(mut client: Client, how: Leave) {
+fn disconnect(mut client: Client, how: Disconnect) {
     match how {
-        Leave::Fin => {}
-        Leave::Reset => client.reset(),
-        Leave::Terminate => client.write(&message(b'X', b"")),
+        Disconnect::Fin => {}
+        Disconnect::Reset => client.reset(),
+        Disconnect::Terminate => client.write(&message(b'X', b"")),
     }
 }
 
 #[test]
 fn a_disconnect_is_noticed_while_reading_is_paused() {
-    for how in [Leave::Fin, Leave::Reset, Leave::Terminate] {
+    for how in [Disconnect::Fin, Disconnect::Reset, Disconnect::Terminate] {
         let (host, gateway) = gateway_with_primary(
             gateway_program!(),
             vec![Reply::WaitForRelease(b"first"), Reply::Row(b"other")],
         );
         let mut client = gateway.client();
-        client.write(&batch(|number| read(number, 60_000), BATCH));
+        client.write(&batch(|number| read_query(number, 60_000), BATCH));
         host.next_query();
         gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
-        leave(client, how);
+        disconnect(client, how);
         // Its first request is abandoned while it is in flight, and none after it is sent.
         gateway.wait_for_counter("left=1 ");
         host.release();
@@ -146,13 +148,13 @@
 
 #[test]
 fn a_client_that_sends_endlessly_uses_bounded_memory_and_starves_no_other() {
-    const MOST: usize = 64 * 1024 * 1024;
+    const MAX_BYTES: usize = 64 * 1024 * 1024;
     let (host, gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::WaitForRelease(b"first"), Reply::Row(b"other")]);
     let mut client = gateway.client();
     let before = gateway.resident_memory();
-    let written = client.write_until_full(&batch(|number| read(number, 60_000), 1000), MOST);
-    assert!(written < MOST, "the sockets are full at some time");
+    let written = client.write_until_full(&batch(|number| read_query(number, 60_000), 1000), MAX_BYTES);
+    assert!(written < MAX_BYTES, "the socket buffers never filled up");
     gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     let grown = gateway.resident_memory().saturating_sub(before);
     assert!(grown < 2 * 1024 * 1024, "{written} bytes written, {grown} held");
@@ -165,7 +167,7 @@
     let (host, gateway) =
         gateway_with_primary(gateway_program!(), vec![Reply::NoAnswer, Reply::Row(b"after")]);
     let mut client = gateway.client();
-    let written = client.write_in_background(batch(|number| read(number, 1_500), BATCH));
+    let written = client.write_in_background(batch(|number| read_query(number, 1_500), BATCH));
     gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     // A read may be retried, so that the first, which was sent, may be rejected as well.
     for number in 0..BATCH {
@@ -175,14 +177,14 @@
     }
     // None of them was sent after its deadline.
     assert_eq!(host.query_count(), 1);
-    written.join().expect("it ends").expect("all is read");
+    written.join().expect("the writer ends").expect("everything is read");
 }
 
 #[test]
 fn a_stop_answers_queries_that_were_not_read_yet() {
     let (host, mut gateway) = gateway_with_primary(gateway_program!(), script(BATCH));
     let mut client = gateway.client();
-    let written = client.write_in_background(batch(|number| read(number, 25_000), BATCH));
+    let written = client.write_in_background(batch(|number| read_query(number, 25_000), BATCH));
     gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     gateway.signal("TERM");
     gateway.wait_for_log_line("stopping");
@@ -199,7 +201,7 @@
     }
     assert_eq!(client.read_until_end(), b"");
     assert_eq!(gateway.wait_for_exit().0, Some(0));
-    written.join().expect("it ends").expect("all is read");
+    written.join().expect("the writer ends").expect("everything is read");
 }
 
 // The first request ends when clients that had an answer are no longer read; the queries after it, still in
@@ -214,7 +216,7 @@
     let mut gateway = harness.start_with_config(&config);
     let mut client = gateway.client();
     assert_eq!(kinds(&client.query(&select("before", "view", 900))), "TDCZ");
-    let written = client.write_in_background(batch(|number| read(number, 2_000), BATCH));
+    let written = client.write_in_background(batch(|number| read_query(number, 2_000), BATCH));
     gateway.wait_for_counter_value("read_pauses=", |count| count >= 1);
     gateway.signal("TERM");
     for number in 0..BATCH {
@@ -222,5 +224,5 @@
     }
     assert_eq!(client.read_until_end(), b"");
     assert_eq!(gateway.wait_for_exit().0, Some(0));
-    written.join().expect("it ends").expect("all is read");
+    written.join().expect("the writer ends").expect("everything is read");
 }
