--- a/tests/streamed_rows.rs
+++ b/tests/streamed_rows.rs
@@ -6,9 +6,9 @@
 
 const VIEW: &str = "view";
 
-/// A row of this length, cut into its head and a value that tells where it is out of order.
+/// A row of this length, whose bytes show by their value if one is missing or out of order.
 fn long_row(length: usize) -> Vec<u8> {
-    row(&(0..length).map(|place| (place % 251) as u8).collect::<Vec<u8>>())
+    row(&(0..length).map(|index| (index % 251) as u8).collect::<Vec<u8>>())
 }
 
 #[test]
@@ -21,11 +21,11 @@
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", VIEW, 20000)));
-    // The first bytes come although nobody takes the rest.
+    // The first bytes arrive although the client does not read the rest.
     let mut got = client.read_bytes(1000);
     std::thread::sleep(std::time::Duration::from_millis(700));
     got.extend(client.read_bytes(complete.len() - 1000));
-    assert!(got == complete, "every byte in its place");
+    assert!(got == complete, "the row arrived changed");
     assert_eq!(kinds(&client.read_until_ready()), "Z");
     gateway.wait_until_reusable();
     assert_eq!(client.query(&select("b", VIEW, 20000))[1].1[6..], *b"short");
@@ -37,14 +37,14 @@
 #[test]
 fn a_host_that_disconnects_within_a_streamed_row_ends_the_client_connection_without_a_retry() {
     let harness = Harness::new(gateway_program!());
-    let begun: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
-    let host = harness.host(vec![Reply::BytesThenClose(begun), Reply::Row(b"other")]);
+    let partial: &'static [u8] = long_row(1 << 20)[..300_000].to_vec().leak();
+    let host = harness.host(vec![Reply::BytesThenClose(partial), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     let mut client = gateway.client();
     client.write(&query(&select("a", VIEW, 20000)));
-    let mut got = client.read_bytes(begun.len());
+    let mut got = client.read_bytes(partial.len());
     got.extend(client.read_until_end());
-    assert!(got == begun, "what came, and then the end");
+    assert!(got == partial, "expected the bytes that the host sent, then the end");
     assert_eq!(kinds(&gateway.client().query(&select("b", VIEW, 20000))), "TDCZ", "the next is served");
     assert_eq!(host.query_count(), 2);
 }
@@ -52,8 +52,8 @@
 #[test]
 fn a_row_longer_than_any_value_is_malformed() {
     let harness = Harness::new(gateway_program!());
-    let begun: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
-    let host = harness.host(vec![Reply::Bytes(begun), Reply::Row(b"other")]);
+    let partial: &'static [u8] = long_row((4 << 20) + 1)[..100].to_vec().leak();
+    let host = harness.host(vec![Reply::Bytes(partial), Reply::Row(b"other")]);
     let gateway = harness.list(&[(&host, "up", "primary")]).start();
     assert_eq!(gateway.client().query(&select("a", VIEW, 20000))[1].1[6..], *b"other");
     gateway.wait_for_counter("HostMalformed=1");
