--- a/tests/short_transfers.rs
+++ b/tests/short_transfers.rs
@@ -9,18 +9,18 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Sends it in segments of one byte each.
+/// Sends the bytes in segments of one byte each.
 fn write_bytes_apart(stream: &mut TcpStream, bytes: &[u8]) {
-    stream.set_nodelay(true).expect("an option");
+    stream.set_nodelay(true).expect("nodelay is set");
     for byte in bytes {
-        stream.write_all(&[*byte]).expect("it is read");
+        stream.write_all(&[*byte]).expect("the peer reads");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// What comes up to the first message of this type that is complete.
+/// The messages up to and including the first of this type.
 fn read_until(stream: &mut TcpStream, kind: u8) -> Vec<(u8, Vec<u8>)> {
-    stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
+    stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a timeout is set");
     let mut messages = Vec::new();
     while messages.last().is_none_or(|(last, _)| *last != kind) {
         let mut head = [0; 5];
@@ -47,7 +47,7 @@
         let answer = read_until(&mut client, b'Z');
         assert_eq!((kinds(&answer).as_str(), &answer[1].1[6..]), ("TDCZ", value));
     }
-    assert_eq!(host.query_count(), 2, "each went out once");
+    assert_eq!(host.query_count(), 2, "each query was sent once");
     gateway.wait_for_counter("Served=2");
 }
 
@@ -63,13 +63,13 @@
     let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
     let config = harness.config();
     let (gateway, _source) = harness.start_scripted(&config, vec![script]);
-    // The first is the one that it was configured with.
+    // The first list is the configured one.
     gateway.wait_for_counter_value("lists=", |count| count >= 2);
     let mut client = gateway.client();
     for _ in 0..20 {
         assert_eq!(client.query(&select("a", "view", 20_000))[1].1[6..], *b"stays");
     }
-    assert_eq!(hosts[0].query_count(), 0, "it drains");
+    assert_eq!(hosts[0].query_count(), 0, "a draining host gets no queries");
 }
 
 #[test]
