--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -142,7 +142,7 @@
     reader.write(&read_query("newest", "3", 4_000));
     let answer = reader.read_until_ready();
     assert_eq!((kinds(&answer).as_str(), field(&answer[0].1, b'C').as_str()), ("EZ", "53300"));
-    assert_eq!(hosts[1].query_count(), 0, "the replica may lack the write");
+    assert_eq!(hosts[1].query_count(), 0, "the replica lacks what was committed since");
     // Reads of another session are not affected.
     reader.write(&query(&select("b", "newest", 25_000)));
     assert_eq!(kinds(&reader.read_until_ready()), "TDCZ");
@@ -156,7 +156,7 @@
     let (reply, at) = (Reply::RowAtOnRelease(b"v", start + 1_100), start + 900);
     let (gateway, hosts, writer) = write_in_flight_on_a_draining_primary(reply, at);
     drop(writer);
-    // From here on the write is assumed to be committed by now, at a position that the replica has.
+    // The write is assumed to be committed by now, at a position that the replica has.
     gateway.wait_for_counter("left=1 ");
     // The only wait by the clock: the write is committed after that, and after the replica's position.
     std::thread::sleep(Duration::from_millis((start + 1_200).saturating_sub(unix_ms())));
