--- a/tests/changes_during_connect.rs
+++ b/tests/changes_during_connect.rs
@@ -1,12 +1,12 @@
-//! A drain that is announced, a window that closes or an address that changes while an attempt is on its way to its first
-//! byte: a host welcomes a connection only when the test says so.
+//! Changes while an attempt waits for its connection: a drain, a new address or run of the host, the end of a key
+//! window. The host completes the startup of a connection only when the test releases it.
 
 use petrelgauge_test_support::{
     chunk, field, gateway_program, insert, kinds, list_line, query, select, with_long_connect_timeout,
     Harness, Reply, Step, RESPONSE_HEAD,
 };
 
-// The attempt was written as soon as its connection was up, however long the host had been known to drain.
+// Regression: the attempt was written as soon as its connection was up, even if the host's drain was already known.
 #[test]
 fn no_query_is_sent_to_a_host_whose_drain_is_announced_during_connect() {
     for change in ["draining", "removed", "another address", "another run"] {
@@ -41,7 +41,7 @@
     }
 }
 
-// Its window was looked at when the repeat was decided on, and not when it was written.
+// Regression: the window was checked when the retry was decided, but not when it was written.
 #[test]
 fn a_keyed_write_is_not_retried_after_its_key_window_over_a_late_connection() {
     let harness = Harness::new(gateway_program!());
@@ -54,7 +54,7 @@
     host.next_query();
     host.wait_for_disconnect();
     host.next_connection();
-    // The one wait by the clock: up to the window's end, however long the way to here took.
+    // Longer than the window of 1.5 s, so it has ended however long the steps before took.
     std::thread::sleep(std::time::Duration::from_millis(2_000));
     host.release();
     let answer = client.read_until_ready();
@@ -62,7 +62,6 @@
     assert_eq!(host.query_count(), 1);
 }
 
-// Within the window it is.
 #[test]
 fn a_keyed_write_is_retried_within_its_key_window() {
     let harness = Harness::new(gateway_program!());
