--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -1,4 +1,5 @@
-//! Whose settings: what belongs to another gateway, another customer or another moment stays out of this one.
+//! Configuration changes: reloads, handover records of another gateway, clients with an earlier deadline, unusual
+//! settings.
 
 use petrelgauge_test_support::{field, gateway_program, kinds, select, Harness, Reply};
 use std::io::Write;
@@ -8,31 +9,32 @@
     (0..50).map(|_| Reply::Row(b"v")).collect()
 }
 
-// A signal that nobody listened to yet ended the process: a new configuration, signalled to an entire fleet while it starts.
+// Regression: SIGHUP before its handler was installed ended the process. This happens when a new configuration is
+// signalled to an entire fleet while it starts.
 #[test]
 fn a_reload_that_is_signalled_during_a_reload_is_made_too() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(rows());
     let harness = harness.list(&[(&host, "up", "primary")]);
     let config = harness.config();
-    // It reads its file for as long as the test likes.
+    // With a named pipe, the test decides how long the gateway reads its configuration.
     let path = format!("{}/{}.pipe", env!("CARGO_TARGET_TMPDIR"), harness.listen);
     let _ = std::fs::remove_file(&path);
-    assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo is there").success());
+    assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo is installed").success());
     let gateway = harness.spawn_with_env(&config, &[("GW_CONFIG", &path)]);
-    let mut file = std::fs::OpenOptions::new().write(true).open(&path).expect("it reads");
-    file.write_all(&config.as_bytes()[..20]).expect("it reads");
+    let mut file = std::fs::OpenOptions::new().write(true).open(&path).expect("the gateway reads the pipe");
+    file.write_all(&config.as_bytes()[..20]).expect("the gateway reads the pipe");
     gateway.signal("HUP");
-    file.write_all(&config.as_bytes()[20..]).expect("it reads on");
+    file.write_all(&config.as_bytes()[20..]).expect("the gateway reads the rest");
     drop(file);
     gateway.wait_for_log_line("gateway serving");
-    std::fs::write(&path, config.replace("30000000", "20000000")).expect("it reads again");
+    std::fs::write(&path, config.replace("30000000", "20000000")).expect("the pipe is read again");
     gateway.wait_for_log_line("configuration reloaded");
     let _ = std::fs::remove_file(&path);
 }
 
-// Where two gateways of a machine share a folder, each read the other's handover records: it started from what the other had
-// learned, and kept to what the other left of its own limits.
+// Regression: two gateways that share a handover folder read each other's records. Each adopted the other's learned
+// state and restricted itself to what the other left of its limits.
 #[test]
 fn handover_records_of_another_gateway_are_ignored() {
     let (mut one, mut other) = (
@@ -46,10 +48,11 @@
     let first = one.start_another();
     first.repeat_operator_request(b"ready\n", "YES");
     assert_eq!(kinds(&first.client().query(&select("a", "view", 20_000))), "TDCZ");
-    let records = || std::fs::read_dir(one.handover_folder()).expect("a folder").count();
-    // Its record is there, and it is one that tells something, before the other starts.
-    let begun = std::time::Instant::now();
-    while records() == 0 && begun.elapsed().as_secs() < 60 {
+    let records =
+        || std::fs::read_dir(one.handover_folder()).expect("the handover folder is readable").count();
+    // The first gateway has learned state and has written its record before the second one starts.
+    let started = std::time::Instant::now();
+    while records() == 0 && started.elapsed().as_secs() < 60 {
         first.wait_until_reusable();
     }
     let second = other.spawn_with_env(&other.config(), &[]);
@@ -71,7 +74,7 @@
     }
 }
 
-// What its clients wait was held against the new deadline as soon as that was there.
+// Regression: requests with the previous deadline were checked against the new one as soon as it was loaded.
 #[test]
 fn clients_with_the_previous_longer_deadline_are_still_served() {
     let harness = Harness::new(gateway_program!());
@@ -91,7 +94,7 @@
 
 #[test]
 fn unusual_but_usable_settings_do_not_prevent_the_start() {
-    let odd = [
+    let changes = [
         ("\"aim_us\":4000000", "\"aim_us\":40000000"),
         ("\"connect_timeout_us\":250000", "\"connect_timeout_us\":20000000"),
         ("\"max_retry_after_us\":500000,\"retry_after\":true", "\"retry_after\":false"),
@@ -108,13 +111,13 @@
     let harness = Harness::new(gateway_program!());
     let host = harness.host((0..50).map(|_| Reply::Row(b"v")).collect());
     let harness = harness.list(&[(&host, "up", "primary")]);
-    for (usual, odd) in odd {
+    for (usual, unusual) in changes {
         let config = harness.config();
         assert!(config.contains(usual), "{usual}");
-        let mut gateway = harness.spawn(&config.replace(usual, odd));
+        let mut gateway = harness.spawn(&config.replace(usual, unusual));
         gateway.wait_for_log_line("gateway serving");
-        assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ", "{odd}");
+        assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ", "{unusual}");
         gateway.signal("TERM");
-        assert_eq!(gateway.wait_for_exit().0, Some(0), "{odd}");
+        assert_eq!(gateway.wait_for_exit().0, Some(0), "{unusual}");
     }
 }
