--- a/tests/discovery_watch.rs
+++ b/tests/discovery_watch.rs
@@ -9,14 +9,14 @@
 const COMPLETE_LIST: &str = "GET /discovery/hosts HTTP/1.1";
 
 /// A gateway with two hosts and scripted discovery. The scripts drain the first host.
-struct Watched {
+struct WatchTest {
     gateway: Gateway,
     source: ScriptedDiscovery,
     hosts: [Host; 2],
 }
 
-impl Watched {
-    fn new(scripts: impl Fn(&HostEntries) -> Vec<Vec<Step>>) -> Watched {
+impl WatchTest {
+    fn new(scripts: impl Fn(&HostEntries) -> Vec<Vec<Step>>) -> WatchTest {
         let harness = Harness::new(gateway_program!());
         let rows = |value| (0..40).map(|_| Reply::Row(value)).collect();
         let hosts = [harness.host(rows(b"old")), harness.host(rows(b"new"))];
@@ -28,11 +28,11 @@
         let harness = harness.list(&[(&hosts[0], "up", "standby"), (&hosts[1], "up", "primary")]);
         let config = harness.config();
         let (gateway, source) = harness.start_scripted(&config, scripts);
-        Watched { gateway, source, hosts }
+        WatchTest { gateway, source, hosts }
     }
 
-    /// Waits until so many lists are applied, then checks that the draining host gets no queries.
-    fn drained_with(&self, lists: u64) {
+    /// Waits until this many lists are applied, then checks that the draining host gets no queries.
+    fn assert_drained_after(&self, lists: u64) {
         self.gateway.wait_for_counter_value("lists=", |count| count >= lists);
         let mut client = self.gateway.client();
         for _ in 0..30 {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The rows of both hosts, before and after the first one drains.
+/// The entries of both hosts, before and after the first one drains.
 struct HostEntries {
     up: String,
     drained: String,
@@ -56,7 +56,7 @@
     ]
 }
 
-fn followed_by(mut script: Vec<Step>, more: Vec<Step>) -> Vec<Step> {
+fn concat_steps(mut script: Vec<Step>, more: Vec<Step>) -> Vec<Step> {
     script.extend(more);
     script
 }
@@ -76,18 +76,18 @@
         "{}\n",
     ];
     for line in malformed {
-        let watched = Watched::new(|entries| {
+        let watched = WatchTest::new(|entries| {
             let empty_update = Step::Write(chunk(&format!("{}\n", list_line(43, false, ""))));
-            let watch = followed_by(
+            let watch = concat_steps(
                 script_with_list(41, true, &entries.up),
                 vec![Step::Write(chunk(line)), empty_update, Step::Heartbeat],
             );
-            vec![watch, followed_by(script_with_list(43, true, &entries.drained), vec![Step::Silence])]
+            vec![watch, concat_steps(script_with_list(43, true, &entries.drained), vec![Step::Silence])]
         });
         assert!(watched.source.next_request().contains("watch=1&after=41"));
         assert_eq!(watched.source.next_request(), COMPLETE_LIST, "{line}");
         // The configuration's list, the first and the empty update of the watch, and the requested complete list.
-        watched.drained_with(4);
+        watched.assert_drained_after(4);
         watched.gateway.wait_for_counter("bad_lists=1 ");
         watched.gateway.wait_for_counter("watches=1 ");
     }
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_complete_list_request_without_a_list_in_response_is_repeated() {
-    let watched = Watched::new(|entries| {
-        let watch = followed_by(
+    let watched = WatchTest::new(|entries| {
+        let watch = concat_steps(
             script_with_list(41, true, &entries.up),
             vec![Step::Write(chunk("noise\n")), Step::Heartbeat],
         );
@@ -108,56 +108,57 @@
             rejected,
             malformed,
             Vec::new(),
-            followed_by(script_with_list(44, true, &entries.drained), vec![Step::Silence]),
+            concat_steps(script_with_list(44, true, &entries.drained), vec![Step::Silence]),
         ]
     });
     watched.source.next_request();
     for _ in 0..4 {
         assert_eq!(watched.source.next_request(), COMPLETE_LIST);
     }
-    watched.drained_with(3);
+    watched.assert_drained_after(3);
 }
 
 // The complete list is still needed after the watch with the unusable event has ended.
 #[test]
 fn a_watch_that_ends_after_an_unusable_event_is_reopened_for_the_complete_list() {
-    let watched = Watched::new(|entries| {
-        let watch = followed_by(script_with_list(41, true, &entries.up), vec![Step::Write(chunk("noise\n"))]);
-        vec![watch, followed_by(script_with_list(44, true, &entries.drained), vec![Step::Heartbeat])]
+    let watched = WatchTest::new(|entries| {
+        let watch =
+            concat_steps(script_with_list(41, true, &entries.up), vec![Step::Write(chunk("noise\n"))]);
+        vec![watch, concat_steps(script_with_list(44, true, &entries.drained), vec![Step::Heartbeat])]
     });
     watched.source.next_request();
     let second = watched.source.next_request();
     assert!(!second.contains("after="), "{second}");
-    watched.drained_with(3);
+    watched.assert_drained_after(3);
 }
 
 #[test]
 fn changes_with_a_decreasing_revision_are_rejected_and_the_complete_list_is_requested() {
-    let watched = Watched::new(|entries| {
+    let watched = WatchTest::new(|entries| {
         let older_update = Step::Write(chunk(&format!("{}\n", list_line(40, false, &entries.up))));
         let watch =
-            followed_by(script_with_list(45, true, &entries.drained), vec![older_update, Step::Heartbeat]);
-        vec![watch, followed_by(script_with_list(45, true, &entries.drained), vec![Step::Silence])]
+            concat_steps(script_with_list(45, true, &entries.drained), vec![older_update, Step::Heartbeat]);
+        vec![watch, concat_steps(script_with_list(45, true, &entries.drained), vec![Step::Silence])]
     });
     watched.source.next_request();
     assert_eq!(watched.source.next_request(), COMPLETE_LIST);
-    watched.drained_with(3);
+    watched.assert_drained_after(3);
 }
 
 // Regression: the list was cut at each line end, and no part was a list.
 #[test]
 fn an_indented_list_is_read_like_one_on_a_single_line() {
-    let watched = Watched::new(|entries| {
+    let watched = WatchTest::new(|entries| {
         let first = indented(&list_line(42, true, &entries.up));
         let second = indented(&list_line(43, false, &entries.drained));
         let (one, other) = second.split_at(second.len() / 2);
         let updates = [&first, one, other].map(|text| Step::Write(chunk(text)));
-        vec![followed_by(
+        vec![concat_steps(
             vec![Step::Write(RESPONSE_HEAD.to_vec())],
-            followed_by(updates.to_vec(), vec![Step::Heartbeat]),
+            concat_steps(updates.to_vec(), vec![Step::Heartbeat]),
         )]
     });
-    watched.drained_with(3);
+    watched.assert_drained_after(3);
     watched.gateway.wait_for_counter("bad_lists=0 ");
 }
 
@@ -165,77 +166,77 @@
 #[test]
 fn a_response_with_a_length_or_an_end_is_read_to_its_last_byte() {
     let complete = |entries: &HostEntries| list_line(42, true, &entries.drained);
-    let fixed_length = Watched::new(|entries| {
+    let fixed_length = WatchTest::new(|entries| {
         let text = complete(entries);
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
         vec![vec![Step::Write(response.into_bytes()), Step::Silence]]
     });
-    fixed_length.drained_with(2);
-    let until_close = Watched::new(|entries| {
+    fixed_length.assert_drained_after(2);
+    let until_close = WatchTest::new(|entries| {
         vec![vec![Step::Write(format!("HTTP/1.1 200 OK\r\n\r\n{}", complete(entries)).into_bytes())]]
     });
-    until_close.drained_with(2);
-    let chunked = Watched::new(|entries| {
+    until_close.assert_drained_after(2);
+    let chunked = WatchTest::new(|entries| {
         vec![vec![
             Step::Write(RESPONSE_HEAD.to_vec()),
             Step::Write(chunk(&complete(entries))),
             Step::Write(b"0\r\n\r\n".to_vec()),
         ]]
     });
-    chunked.drained_with(2);
+    chunked.assert_drained_after(2);
 }
 
 // Regression: bytes that complete no line kept a dead watch open.
 #[test]
 fn a_silent_watch_is_reopened_wherever_its_response_stopped() {
-    let half = "{\"revision\":42,\"comp";
+    let partial_list = "{\"revision\":42,\"comp";
     let stops: Vec<Vec<Step>> = vec![
         vec![],
         vec![Step::Write(b"HTTP/1.1 200".to_vec())],
         vec![Step::Write(RESPONSE_HEAD.to_vec())],
         vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(b"ff\r\n{\"revi".to_vec())],
-        vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk(half))],
+        vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk(partial_list))],
         vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk("\n"))],
         vec![Step::Write(RESPONSE_HEAD.to_vec()), Step::Write(chunk("\n")), Step::Trickle(chunk(" "))],
         vec![Step::Trickle(b"H".to_vec())],
     ];
     std::thread::scope(|scope| {
-        for (place, stop) in stops.into_iter().enumerate() {
+        for (index, stop) in stops.into_iter().enumerate() {
             scope.spawn(move || {
-                let watched = Watched::new(|entries| {
-                    let stop = followed_by(stop.clone(), vec![Step::Silence]);
+                let watched = WatchTest::new(|entries| {
+                    let stop = concat_steps(stop.clone(), vec![Step::Silence]);
                     vec![
                         stop,
-                        followed_by(script_with_list(42, true, &entries.drained), vec![Step::Heartbeat]),
+                        concat_steps(script_with_list(42, true, &entries.drained), vec![Step::Heartbeat]),
                     ]
                 });
                 watched.source.next_request();
                 let second = watched.source.next_request();
-                assert!(second.contains("watch=1&after=41"), "{place}: {second}");
-                watched.drained_with(2);
+                assert!(second.contains("watch=1&after=41"), "{index}: {second}");
+                watched.assert_drained_after(2);
             });
         }
     });
 }
 
-// Regression: a row about an earlier run removed the host's address, although the decisions ignored the row.
+// Regression: an entry of an earlier run removed the host's address, although the router ignored the entry.
 #[test]
 fn an_update_about_an_earlier_run_of_a_host_is_ignored_everywhere() {
     for phase in ["removed", "up"] {
         let harness = Harness::new(gateway_program!());
-        let (host, nobody) =
+        let (host, closed_host) =
             (harness.host((0..9).map(|_| Reply::Row(b"v")).collect()), harness.closed_host());
-        let runs = |host: &Host, phase: &str, since: u64| {
+        let entries_of_run = |host: &Host, phase: &str, since: u64| {
             let entries = harness.entries(&[(host, phase, "primary")]);
             entries.replace("ms\":0", &format!("ms\":{since}"))
         };
-        let now = runs(&host, "up", 1_764_000_000_000);
-        let old = runs(&nobody, phase, 1_763_000_000_000);
+        let now = entries_of_run(&host, "up", 1_764_000_000_000);
+        let old = entries_of_run(&closed_host, phase, 1_763_000_000_000);
         let (now, old) = (list_line(42, true, &now), list_line(43, false, &old));
         let updates = [now, old].map(|text| Step::Write(chunk(&format!("{text}\n"))));
-        let script = followed_by(
+        let script = concat_steps(
             vec![Step::Write(RESPONSE_HEAD.to_vec())],
-            followed_by(updates.to_vec(), vec![Step::Heartbeat]),
+            concat_steps(updates.to_vec(), vec![Step::Heartbeat]),
         );
         let config = harness.config();
         let (gateway, _source) = harness.start_scripted(&config, vec![script]);
