--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -27,9 +27,9 @@
 fn connections_are_reused_until_their_host_restarts() {
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"one"), Reply::Row(b"two"), Reply::Row(b"three")]);
-    let anew = harness.entries(&[(&host, "up", "primary")]).replace("ms\":0", "ms\":1000");
+    let restarted = harness.entries(&[(&host, "up", "primary")]).replace("ms\":0", "ms\":1000");
     let gateway =
-        harness.list(&[(&host, "up", "primary")]).later_updates(&[&list_line(42, false, &anew)]).start();
+        harness.list(&[(&host, "up", "primary")]).later_updates(&[&list_line(42, false, &restarted)]).start();
     let mut client = gateway.client();
     client.query(&select("a", "view", 20000));
     gateway.wait_until_reusable();
@@ -82,20 +82,23 @@
     assert_eq!(client.query(&select("a", "view", 5000))[1].1[6..], *b"new");
 }
 
-// An update binds 2 s after the discovery agent has it, also for a gateway that has just started with an old list.
-// Regression: a fleet that spread its first requests over 8 s sent to draining hosts.
+// An update takes effect 2 s after the discovery agent has it, also for a gateway that has just started with an old
+// list. Regression: a fleet that spread its first requests over 8 s sent to draining hosts.
 #[test]
-fn a_gateway_of_the_largest_fleet_polls_for_updates_before_old_updates_bind() {
+fn a_gateway_of_the_largest_fleet_requests_updates_before_they_take_effect() {
     let harness = Harness::new(gateway_program!());
     let (old, new) = (harness.host(vec![]), harness.host(vec![Reply::Row(b"new")]));
     let updates = harness.entries(&[(&old, "draining", "standby"), (&new, "up", "primary")]);
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let gateway = harness
         .list(&[(&old, "up", "primary")])
         .updates(&[&list_line(42, false, &updates)])
         .start_with_changed_config(|config| config.replace("\"balancers\":1", "\"balancers\":10000"));
     gateway.next_watch();
-    assert!(begun.elapsed() < std::time::Duration::from_secs(2), "its first call came too late");
+    assert!(
+        started.elapsed() < std::time::Duration::from_secs(2),
+        "the first discovery request came too late"
+    );
     gateway.wait_for_counter_value("lists=", |count| count >= 2);
     assert_eq!(gateway.client().query(&select("a", "view", 20000))[1].1[6..], *b"new");
     assert_eq!(old.query_count(), 0);
