--- a/tests/invalid_settings.rs
+++ b/tests/invalid_settings.rs
@@ -1,5 +1,5 @@
-//! What one deployment's settings and hosts have and another's lack: it is used, or passed over, and never a reason to
-//! fail.
+//! Invalid and unknown input: implausible load reports and unknown settings are ignored; an unusable configuration
+//! fails the start with one sentence, or leaves the current settings in place on reload.
 
 use petrelgauge_test_support::{
     gateway_program, gateway_with_primary, kinds, parameter_status, ready_for_query, row, select, unix_ms,
@@ -10,8 +10,8 @@
     unix_ms() as f64 / 1_000.0
 }
 
-/// A row, and this load report behind it.
-fn with_report(report: &str) -> &'static [u8] {
+/// A response with one row, followed by this load report.
+fn row_with_load_report(report: &str) -> &'static [u8] {
     let parts = [
         row(b"v"),
         parameter_status("replication_role", "primary"),
@@ -24,11 +24,11 @@
 #[test]
 fn an_implausible_load_report_is_dropped_and_counted_and_its_answer_is_delivered() {
     let ahead = format!("x0={:.3},x1=1", unix_s() + 60.0);
-    let sound = format!("x0={:.3},x1=1", unix_s() - 1.0);
-    let reports = ["x0=-5,x1=1", "x0=NaN", "x0=inf", "x0", "q=-1", &ahead, &sound, "inflight=7,util=0.61"];
+    let valid = format!("x0={:.3},x1=1", unix_s() - 1.0);
+    let reports = ["x0=-5,x1=1", "x0=NaN", "x0=inf", "x0", "q=-1", &ahead, &valid, "inflight=7,util=0.61"];
     let (_host, gateway) = gateway_with_primary(
         gateway_program!(),
-        reports.iter().map(|report| Reply::Bytes(with_report(report))).collect(),
+        reports.iter().map(|report| Reply::Bytes(row_with_load_report(report))).collect(),
     );
     let mut client = gateway.client();
     for report in reports {
@@ -42,13 +42,13 @@
     let harness = Harness::new(gateway_program!());
     let host = harness.host(vec![Reply::Row(b"v")]);
     let config = harness.config();
-    let without = config.replace("\"window_us\":30000000,", "");
-    let (code, log) = harness.spawn(&without).wait_for_exit();
+    let without_window = config.replace("\"window_us\":30000000,", "");
+    let (code, log) = harness.spawn(&without_window).wait_for_exit();
     assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
     assert!(log.contains("class \"post\" is keyed but has no window_us"), "{log}");
     let harness = harness.list(&[(&host, "up", "primary")]);
     let gateway = harness.start();
-    gateway.reload_config(&without);
+    gateway.reload_config(&without_window);
     gateway.wait_for_log_line("configuration rejected");
     assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ");
 }
@@ -69,16 +69,16 @@
 #[test]
 fn an_unusable_start_is_reported_in_one_sentence() {
     let harness = Harness::new(gateway_program!());
-    let good = harness.config();
-    let held = harness.network().tcp_listener(1);
-    let taken = held.local_addr().expect("an address").to_string();
+    let valid = harness.config();
+    let listener = harness.network().tcp_listener(1);
+    let taken = listener.local_addr().expect("the listener has an address").to_string();
     let cases = [
         ("{".to_string(), "EOF"),
-        (good.replace("\"seed\":\"8c1f\"", "\"seed\":\"spring\""), "seed"),
-        (good.replace(&harness.listen, "nowhere"), "GW_LISTEN"),
-        (good.replace(&harness.listen, &taken), "cannot listen"),
-        (good.replace("\"mutate\"", "\"sometimes\""), "read_level"),
-        (good.replace("\"attempts_cap\":8", "\"attempts_cap\":0"), "the maximum number of attempts"),
+        (valid.replace("\"seed\":\"8c1f\"", "\"seed\":\"spring\""), "seed"),
+        (valid.replace(&harness.listen, "nowhere"), "GW_LISTEN"),
+        (valid.replace(&harness.listen, &taken), "cannot listen"),
+        (valid.replace("\"mutate\"", "\"sometimes\""), "read_level"),
+        (valid.replace("\"attempts_cap\":8", "\"attempts_cap\":0"), "the maximum number of attempts"),
     ];
     for (config, cause) in cases {
         let (code, log) = harness.spawn(&config).wait_for_exit();
