--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! Hosts whose clock differs from the machine's, as it does for a gateway whose machine has a wrong wall clock: hosts'
-//! positions and starts are shifted here, and the machine's clock is left alone.
+//! A gateway whose wall clock is wrong. The tests shift the positions and start times of the hosts and leave the
+//! machine's clock unchanged.
 
 mod facade_simulation;
 
@@ -17,12 +17,12 @@
 const BOUNDED: ReadClass =
     ReadClass { name: "bounded", read_level: "lag_bound", staleness_bound_us: 1_000_000 };
 
-/// How much longer the primary takes for an answer than the replicas (milliseconds). Which of two fresh members gets a read
-/// follows from how quickly each answers: where both take as long, the machine's load decides.
+/// Extra delay of the primary's answers (milliseconds). The faster of two fresh members gets more reads; with equal
+/// delays the machine's load would decide.
 const PRIMARY_DELAY_MS: u64 = 10;
 
-/// What answered so many bounded reads, one after the other, from a primary, a fresh replica and one whose data are about as
-/// old as the machine's clock is behind the hosts'.
+/// Sends `count` bounded reads in sequence and returns how many the primary, a fresh replica and a stale replica
+/// answered. The stale replica lags about as much as the gateway's clock is behind the hosts' clock, at least 2.8 s.
 fn bounded_reads(shift_ms: i64, count: usize) -> [usize; 3] {
     let harness = Harness::new(gateway_program!());
     let stale_ms = shift_ms.max(3_000) - 200;
@@ -50,15 +50,15 @@
         }
         let answer = client.query(&select("a", "bounded", 20_000));
         assert_eq!(kinds(&answer), "TDCZ", "{shift_ms}");
-        let place =
+        let index =
             [&b"primary"[..], b"fresh", b"stale"].iter().position(|value| answer[1].1[6..] == **value);
-        answered[place.expect("one of the hosts")] += 1;
+        answered[index.expect("one of the hosts")] += 1;
     }
     answered
 }
 
 #[test]
-fn bounded_reads_are_spread_over_fresh_replicas_and_no_others_whatever_the_wall_clock() {
+fn bounded_reads_go_to_fresh_replicas_only_with_any_clock_shift() {
     for shift_ms in SHIFTS_MS {
         let [primary, fresh, stale] = bounded_reads(shift_ms, 60);
         println!("{shift_ms}: {primary} {fresh} {stale}");
@@ -67,20 +67,20 @@
     }
 }
 
-/// Some time of the hosts' clock (microseconds).
-const NOON: Time = 1_000_000_000 * MS;
+/// Start time by the hosts' clock (microseconds).
+const START: Time = 1_000_000_000 * MS;
 
-/// The decisions of one gateway, whose clock shows the hosts' time less `offset`.
-struct Shifted {
+/// Simulates the router of one gateway whose clock is behind the hosts' clock by `offset`.
+struct ShiftedGateway {
     simulation: Simulation,
     offset: Time,
 }
 
-impl Shifted {
-    fn new(shift_ms: i64, sessions: Option<petrelgauge_sessions::Settings>) -> Shifted {
+impl ShiftedGateway {
+    fn new(shift_ms: i64, sessions: Option<petrelgauge_sessions::Settings>) -> ShiftedGateway {
         let offset = shift_ms * MS;
         let settings = Settings { may_probe: false, clock_may_be_wrong: true, ..settings() };
-        Shifted { simulation: Simulation::new(NOON - offset, settings, sessions), offset }
+        ShiftedGateway { simulation: Simulation::new(START - offset, settings, sessions), offset }
     }
 
     fn hosts_now(&self) -> Time {
@@ -91,23 +91,23 @@
         self.simulation.step();
     }
 
-    /// A request of session `one`, and its first attempt.
+    /// Admits a request of session `one` and returns it with its first attempt.
     fn send(&mut self, class: usize) -> (RequestHandle, Attempt) {
         let mut ticket = self.simulation.admit(class, 900 * MS, &[]);
         let attempt = self.simulation.send(&mut ticket);
         (ticket, attempt)
     }
 
-    /// The host of this attempt answers as served, at this position; whether that is the answer.
+    /// Reports a served answer at this position. Returns whether it becomes the answer of the request.
     fn answer(&mut self, attempt: Attempt, position: Time, role: Role) -> bool {
         self.simulation.now += 2 * MS;
-        let silent = Outcome::without_report(Ending::Served);
-        let mut outcome = Outcome { position: Some(position), role: Some(role), ..silent };
+        let without_report = Outcome::without_report(Ending::Served);
+        let mut outcome = Outcome { position: Some(position), role: Some(role), ..without_report };
         attempt.validate_times(self.simulation.now, &mut outcome);
         attempt.report(self.simulation.now, outcome)
     }
 
-    /// A write that the member which gets it has served: the member, and the commit.
+    /// Sends a write that is served. Returns the member that served it and the commit position.
     fn write(&mut self) -> (MemberId, Time) {
         let (_ticket, attempt) = self.send(WRITE);
         let (host, commit) = (attempt.host(), self.hosts_now() + MS);
@@ -116,26 +116,27 @@
         (host, commit)
     }
 
-    fn leader(&self) -> Option<MemberId> {
+    fn primary(&self) -> Option<MemberId> {
         self.simulation.facade.read(|table| table.primaries()).first().map(|primary| primary.member)
     }
 }
 
-// One gateway alone is wrong: what the others announce of a takeover must count, and its own announcement must not outlive the truth.
+// One gateway's clock is wrong: it must accept the other gateways' announcements of a new primary, and its own
+// announcement must not outlast a newer one.
 #[test]
-fn a_gossiped_leader_counts_whatever_the_clocks_of_the_gateways() {
+fn a_gossiped_primary_is_accepted_with_any_clock_shift() {
     for shift_ms in SHIFTS_MS {
-        let (mut right, mut wrong) = (Shifted::new(0, None), Shifted::new(shift_ms, None));
+        let (mut right, mut wrong) = (ShiftedGateway::new(0, None), ShiftedGateway::new(shift_ms, None));
         for _ in 0..3 {
             right.write();
             wrong.write();
         }
-        assert_eq!((right.leader(), wrong.leader()), (Some(1), Some(1)));
+        assert_eq!((right.primary(), wrong.primary()), (Some(1), Some(1)));
         let announced_at =
-            |from: &Shifted| from.simulation.facade.read(|table| table.primaries())[0].evidence_at;
+            |from: &ShiftedGateway| from.simulation.facade.read(|table| table.primaries())[0].evidence_at;
         let (by_right, by_wrong) = (announced_at(&right), announced_at(&wrong));
         assert!((by_right - by_wrong).abs() <= 20 * MS, "{shift_ms}: {by_right} and {by_wrong}");
-        // Some time later member 2 has taken over, and one gateway had its answer.
+        // Member 2 has become primary, and the announcement of another gateway arrives.
         for gateway in [&mut right, &mut wrong] {
             gateway.simulation.now += 1_000 * MS;
             let at = by_right + 900 * MS;
@@ -144,17 +145,18 @@
                 .facade
                 .update(|table| table.record_gossiped_primary(gateway.simulation.now, 2, at));
             gateway.step();
-            assert_eq!(gateway.leader(), Some(2), "{shift_ms}");
+            assert_eq!(gateway.primary(), Some(2), "{shift_ms}");
         }
     }
 }
 
-// Commits were cut to the gateway's clock: with one behind, reads of a session asked for less than it had written.
+// Regression: commit positions were limited to the gateway's clock. With a clock that was behind, session reads
+// required a lower position than the session had written.
 #[test]
-fn a_session_reads_its_write_and_is_not_asked_for_more_whatever_the_clock() {
+fn a_session_read_requires_its_write_and_no_more_with_any_clock_shift() {
     let kept = petrelgauge_sessions::Settings { roams: false, tokens: false, ..Default::default() };
     for shift_ms in SHIFTS_MS {
-        let mut shifted = Shifted::new(shift_ms, Some(kept.clone()));
+        let mut shifted = ShiftedGateway::new(shift_ms, Some(kept.clone()));
         for n in 0..4 {
             let (_, commit) = shifted.write();
             let (_ticket, attempt) = shifted.send(READ);
@@ -173,24 +175,24 @@
     }
 }
 
-// What a write without an answer may have made was committed before now, by the hosts' clock.
+// A write without an answer may have committed at any position up to the present time of the hosts' clock.
 #[test]
-fn a_write_without_an_answer_binds_its_session_by_the_hosts_clock() {
+fn a_write_without_an_answer_raises_the_minimum_position_by_the_hosts_clock() {
     let kept = petrelgauge_sessions::Settings { roams: false, tokens: false, ..Default::default() };
     for shift_ms in SHIFTS_MS {
-        let mut shifted = Shifted::new(shift_ms, Some(kept.clone()));
+        let mut shifted = ShiftedGateway::new(shift_ms, Some(kept.clone()));
         shifted.write();
         let (ticket, attempt) = shifted.send(WRITE);
         shifted.simulation.now += 50 * MS;
-        let lost = shifted.hosts_now();
+        let lost_at = shifted.hosts_now();
         assert!(!attempt.report(shifted.simulation.now, Outcome::without_report(Ending::ConnectionLost)));
         drop(ticket);
         shifted.step();
         let (_ticket, attempt) = shifted.send(READ);
-        assert!(!shifted.answer(attempt, lost - 10 * MS, Role::Replica), "{shift_ms}: it may lack it");
+        assert!(!shifted.answer(attempt, lost_at - 10 * MS, Role::Replica), "{shift_ms}: it may lack it");
         shifted.simulation.now += 100 * MS;
         shifted.step();
         let (_ticket, attempt) = shifted.send(READ);
-        assert!(shifted.answer(attempt, lost + 20 * MS, Role::Replica), "{shift_ms}: it has all of it");
+        assert!(shifted.answer(attempt, lost_at + 20 * MS, Role::Replica), "{shift_ms}: it has all of it");
     }
 }
