--- a/tests/startup_errors.rs
+++ b/tests/startup_errors.rs
@@ -1,11 +1,11 @@
-//! What an operator reads when a start fails: one sentence with file, place and reason, and exit code 2. The sentences are
-//! compared word for word, so that a change of the error types cannot change them.
+//! Startup errors: exit code 2 and one sentence with the file, the place and the reason. The tests compare the whole
+//! text, so that changes to the error types cannot alter it unnoticed.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
 /// A usable configuration.
-const SOUND: &str = r#"{"name":"n1","listen":"127.79.1.1:0","discovery":"127.79.1.2:8500","seed":"8c1f30d27a5be964",
+const VALID_CONFIG: &str = r#"{"name":"n1","listen":"127.79.1.1:0","discovery":"127.79.1.2:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.79.1.1:7946","peers":["127.79.1.1:7946"],
 "settings":{"balancers":1,"zone":"a","granularity_us":5000,"membership_mode":"pushed",
 "bounds":{"attempts_cap":8,"cancel":true,"probes":false,"second_copies":false},
@@ -15,21 +15,21 @@
 "obligations":{"answer_slack_us":20000,"cold_from":0.24,"cold_us":16000000,"drain_grace_us":2000000,
 "fall_us":1000000,"overload_factor":4.0}}}"#;
 
-/// A folder of one test, with the files that the program reads.
-struct Folder(PathBuf);
+/// The working folder of one test, removed on drop. It holds the files that the program reads.
+struct TestFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TestFolder {
+    fn new(name: &str) -> TestFolder {
         let path = std::env::temp_dir().join(format!("startup-errors-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("the folder can be created");
+        TestFolder(path)
     }
 
     fn write(&self, name: &str, text: &str) {
-        std::fs::write(self.0.join(name), text).expect("a file");
+        std::fs::write(self.0.join(name), text).expect("the file can be written");
     }
 
-    /// Starts the program in the folder, so that the paths in its sentences are the same on every machine.
+    /// Starts the program in the folder, so that the paths in its messages are the same on every machine.
     fn start(&self, variables: &[(&str, &str)]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_petrelgauge"));
         command.current_dir(&self.0).env("RUST_LOG", "error");
@@ -45,38 +45,38 @@
             command.env_remove(name);
         }
         command.envs(variables.iter().copied());
-        command.output().expect("it starts and ends")
+        command.output().expect("the program runs")
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn sentence(output: &Output) -> String {
+fn startup_error(output: &Output) -> String {
     assert_eq!(output.status.code(), Some(2), "{output:?}");
-    String::from_utf8(output.stderr.clone()).expect("text").trim_end().to_string()
+    String::from_utf8(output.stderr.clone()).expect("stderr is UTF-8").trim_end().to_string()
 }
 
-/// Starts with a configuration in which `old` is replaced by `new`, and returns the sentence.
-fn rejection(name: &str, old: &str, new: &str) -> String {
-    assert!(SOUND.contains(old), "{old}");
-    let folder = Folder::new(name);
-    folder.write("config.json", &SOUND.replacen(old, new, 1));
-    sentence(&folder.start(&[("GW_CONFIG", "config.json")]))
+/// Starts the program with a configuration in which `old` is replaced by `new`, and returns its error message.
+fn error_with_changed_config(name: &str, old: &str, new: &str) -> String {
+    assert!(VALID_CONFIG.contains(old), "{old}");
+    let folder = TestFolder::new(name);
+    folder.write("config.json", &VALID_CONFIG.replacen(old, new, 1));
+    startup_error(&folder.start(&[("GW_CONFIG", "config.json")]))
 }
 
 #[test]
 fn a_missing_configuration_is_named_in_one_sentence() {
-    let folder = Folder::new("none");
+    let folder = TestFolder::new("none");
     assert_eq!(
-        sentence(&folder.start(&[])),
+        startup_error(&folder.start(&[])),
         "petrelgauge: GW_CONFIG is not set: it names the configuration file"
     );
     assert_eq!(
-        sentence(&folder.start(&[("GW_CONFIG", "missing.json")])),
+        startup_error(&folder.start(&[("GW_CONFIG", "missing.json")])),
         "petrelgauge: cannot read missing.json: No such file or directory (os error 2)"
     );
 }
@@ -116,8 +116,11 @@
         (r#""aim_us":400000"#, r#""aim_us":0"#, "settings: class number 0 has a value that is out of range"),
         ("\"classes\":[{\"aim_us\":400000,\"deadline_us\":3000000,\"idempotency\":\"safe\",\"name\":\"view\",\"points\":2.0},\n{\"aim_us\":400000,\"deadline_us\":3000000,\"idempotency\":\"keyed\",\"group\":\"cell\",\"window_us\":5000000,\"name\":\"post\",\"points\":4.0}]", r#""classes":[]"#, "settings: no request classes are defined"),
     ];
-    for (place, (old, new, expected)) in cases.into_iter().enumerate() {
-        assert_eq!(rejection(&format!("config-{place}"), old, new), format!("petrelgauge: {expected}"));
+    for (index, (old, new, expected)) in cases.into_iter().enumerate() {
+        assert_eq!(
+            error_with_changed_config(&format!("config-{index}"), old, new),
+            format!("petrelgauge: {expected}")
+        );
     }
 }
 
@@ -186,12 +189,12 @@
         ("other: 1\n", r#"gateway.cue:1:1: unknown field "other""#),
         ("clock_shift: \"x\"\n", "gateway.cue:1:14: clock_shift must be a duration such as 20ms, 3s or 2m"),
     ];
-    for (place, (text, expected)) in cases.into_iter().enumerate() {
-        let folder = Folder::new(&format!("operator-{place}"));
-        folder.write("config.json", SOUND);
+    for (index, (text, expected)) in cases.into_iter().enumerate() {
+        let folder = TestFolder::new(&format!("operator-{index}"));
+        folder.write("config.json", VALID_CONFIG);
         folder.write("gateway.cue", text);
         let output = folder.start(&[("GW_CONFIG", "config.json"), ("PETRELGAUGE_FILE", "gateway.cue")]);
-        assert_eq!(sentence(&output), format!("petrelgauge: {expected}"));
+        assert_eq!(startup_error(&output), format!("petrelgauge: {expected}"));
     }
 }
 
@@ -204,9 +207,9 @@
         ("77", "GW_ACCEPT_FD: fd 77 is not a socket"),
     ];
     for (value, expected) in cases {
-        let folder = Folder::new(&format!("descriptor-{value}"));
-        folder.write("config.json", SOUND);
+        let folder = TestFolder::new(&format!("descriptor-{value}"));
+        folder.write("config.json", VALID_CONFIG);
         let output = folder.start(&[("GW_CONFIG", "config.json"), ("GW_ACCEPT_FD", value)]);
-        assert_eq!(sentence(&output), format!("petrelgauge: {expected}"));
+        assert_eq!(startup_error(&output), format!("petrelgauge: {expected}"));
     }
 }
