--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,5 @@
-//! The gateway's parsers against random cuts of valid bytes and against random garbage, from fixed seeds.
+//! Property tests of the gateway's parsers with randomly fragmented valid input and random garbage, from
+//! fixed seeds.
 
 use bytes::Buf;
 use petrelgauge::discovery::http_response::ResponseReader;
@@ -8,24 +9,25 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const READ: &str =
+const SELECT_STATEMENT: &str =
     "SELECT content FROM kv WHERE name = 'it''s /* d=1 */' /* id=9b1f,c=view,d=480,cluster=2 */";
 
 fn check<S: Strategy>(inputs: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    TestRunner::new_with_rng(config, rng).run(&inputs, test).expect("holds for every case");
+    TestRunner::new_with_rng(config, rng).run(&inputs, test).expect("the property holds for every case");
 }
 
-/// Whatever the cuts, `parse` finds the same in `valid`; and it neither panics nor grows on garbage, alone
-/// or behind something valid. It takes the pieces as they come and tells what it found.
-fn sturdy<T: PartialEq + std::fmt::Debug>(valid: &[u8], parse: impl Fn(&[&[u8]]) -> T) {
+/// Checks that the result of `parse` does not depend on how `valid` is fragmented, and that it does not
+/// panic on garbage, alone or after a valid prefix. `parse` takes the fragments in order and returns what it
+/// found.
+fn check_parser<T: PartialEq + std::fmt::Debug>(valid: &[u8], parse: impl Fn(&[&[u8]]) -> T) {
     let complete = parse(&[valid]);
     check(vec(0..=valid.len(), 0..12), |mut cuts| {
         cuts.extend([0, valid.len()]);
         cuts.sort_unstable();
-        let pieces: Vec<&[u8]> = cuts.windows(2).map(|cut| &valid[cut[0]..cut[1]]).collect();
-        prop_assert_eq!(&parse(&pieces), &complete);
+        let fragments: Vec<&[u8]> = cuts.windows(2).map(|cut| &valid[cut[0]..cut[1]]).collect();
+        prop_assert_eq!(&parse(&fragments), &complete);
         Ok(())
     });
     check((0..=valid.len(), vec(any::<u8>(), 0..600)), |(keep, garbage)| {
@@ -34,22 +36,26 @@
     });
 }
 
-/// Feeds the pieces and takes what is complete after each, up to the first flaw.
-fn frames<T>(
-    pieces: &[&[u8]],
-    take: impl Fn(&mut Framer) -> Result<Option<T>, postgres::Malformed>,
+/// Feeds the fragments and collects what is complete after each. Stops at the first malformed one and
+/// returns whether there was one. Asserts that the buffer stays bounded.
+fn read_frames<T>(
+    fragments: &[&[u8]],
+    next: impl Fn(&mut Framer) -> Result<Option<T>, postgres::Malformed>,
 ) -> (Vec<T>, bool) {
     let (mut framer, mut found) = (Framer::default(), Vec::new());
-    for piece in pieces {
-        framer.feed(piece);
+    for fragment in fragments {
+        framer.feed(fragment);
         loop {
-            match take(&mut framer) {
-                Ok(Some(one)) => found.push(one),
+            match next(&mut framer) {
+                Ok(Some(frame)) => found.push(frame),
                 Ok(None) => break,
                 Err(_) => return (found, true),
             }
         }
-        assert!(framer.len() <= MAX_MESSAGE_BYTES + piece.len(), "what waits stays bounded");
+        assert!(
+            framer.len() <= MAX_MESSAGE_BYTES + fragment.len(),
+            "the buffer exceeds one message and one fragment"
+        );
     }
     (found, false)
 }
@@ -71,18 +77,18 @@
 
 #[test]
 fn messages_are_parsed_however_they_are_fragmented() {
-    sturdy(&answers(), |pieces| frames(pieces, Framer::message));
-    assert_eq!(frames(&[&answers()], Framer::message).0.len(), 7);
+    check_parser(&answers(), |fragments| read_frames(fragments, Framer::message));
+    assert_eq!(read_frames(&[&answers()], Framer::message).0.len(), 7);
 }
 
 #[test]
 fn replies_are_assembled_however_they_are_fragmented() {
-    let parse = |pieces: &[&[u8]]| {
-        let (messages, _) = frames(pieces, Framer::message);
+    let parse = |fragments: &[&[u8]]| {
+        let (messages, _) = read_frames(fragments, Framer::message);
         let mut assembler = AnswerAssembler::default();
         messages.into_iter().map(|message| assembler.push(message)).collect::<Vec<_>>()
     };
-    sturdy(&answers(), parse);
+    check_parser(&answers(), parse);
     let replies: Vec<_> = parse(&[&answers()]).into_iter().flatten().flatten().collect();
     assert_eq!(replies.len(), 2);
     assert_eq!(
@@ -96,8 +102,8 @@
 fn opening_messages_are_parsed_however_they_are_fragmented() {
     let mut out = [0, 0, 0, 8, 4, 210, 22, 47].to_vec();
     postgres::put_startup(&mut out);
-    sturdy(&out, |pieces| frames(pieces, Framer::opening));
-    let found = frames(&[&out], Framer::opening);
+    check_parser(&out, |fragments| read_frames(fragments, Framer::opening));
+    let found = read_frames(&[&out], Framer::opening);
     assert_eq!(found, (vec![postgres::Opening::Encryption, postgres::Opening::Startup { minor: 0 }], false));
 }
 
@@ -105,8 +111,8 @@
 fn an_invalid_length_is_malformed_at_once() {
     for length in [0u32, 3, MAX_MESSAGE_BYTES as u32 + 1, u32::MAX] {
         let bytes = [&b"Q"[..], &length.to_be_bytes()].concat();
-        assert!(frames(&[&bytes], Framer::message).1, "{length}");
-        assert!(frames(&[&bytes[1..]], Framer::opening).1, "{length}");
+        assert!(read_frames(&[&bytes], Framer::message).1, "{length}");
+        assert!(read_frames(&[&bytes[1..]], Framer::opening).1, "{length}");
     }
 }
 
@@ -114,12 +120,12 @@
 fn lines_of_a_chunked_response_are_parsed_however_they_are_fragmented() {
     let valid = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7;x=y\r\n{\"a\":1}\r\n1\r\n\n\r\n\
         A\r\n\n{\"b\":2}\n\n\r\n";
-    let parse = |pieces: &[&[u8]]| {
+    let parse = |fragments: &[&[u8]]| {
         let (mut reader, mut lines) = (ResponseReader::default(), Vec::new());
-        let ends: Vec<_> = pieces.iter().map(|piece| reader.feed(piece, &mut lines)).collect();
+        let ends: Vec<_> = fragments.iter().map(|fragment| reader.feed(fragment, &mut lines)).collect();
         (lines, ends.into_iter().find(Result::is_err))
     };
-    sturdy(valid, parse);
+    check_parser(valid, parse);
     assert_eq!(parse(&[valid]), (vec![b"{\"a\":1}".to_vec(), vec![], b"{\"b\":2}".to_vec(), vec![]], None));
     assert!(parse(&[b"HTTP/1.1 503 Busy\r\n\r\n"]).1.is_some());
     assert!(parse(&[b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfoo\r\n"]).1.is_some());
@@ -127,23 +133,24 @@
 
 #[test]
 fn a_statement_is_forwarded_unaltered_except_for_its_wait() {
-    sturdy(READ.as_bytes(), |pieces| Statement::parse(&pieces.concat().into()));
-    let statement = Statement::parse(&READ.into()).expect("a sound statement");
+    check_parser(SELECT_STATEMENT.as_bytes(), |fragments| Statement::parse(&fragments.concat().into()));
+    let statement = Statement::parse(&SELECT_STATEMENT.into()).expect("a valid statement");
     assert_eq!((statement.class.as_str(), statement.wait_ms, statement.group), ("view", 480, 2));
     assert_eq!(statement.name, "it''s /* d=1 */");
     check(any::<u64>(), |wait| {
         let mut query = statement.query(wait);
         let length = query.remaining();
         let bytes = query.copy_to_bytes(length);
-        let (messages, flaw) = frames(&[&bytes], Framer::message);
-        prop_assert!(!flaw && messages.len() == 1);
-        let text = messages[0].text().map_err(|flaw| TestCaseError::fail(flaw.0))?;
-        prop_assert_eq!(text, READ.replace("d=480", &format!("d={wait}")));
+        let (messages, malformed) = read_frames(&[&bytes], Framer::message);
+        prop_assert!(!malformed && messages.len() == 1);
+        let text = messages[0].text().map_err(|error| TestCaseError::fail(error.0))?;
+        prop_assert_eq!(text, SELECT_STATEMENT.replace("d=480", &format!("d={wait}")));
         Ok(())
     });
 }
 
-// A host takes nothing but the protocol's own form: what else is passed on breaks the host's connection.
+// Hosts accept only the statement forms of the protocol. Forwarding any other form breaks the host's
+// connection.
 #[test]
 fn statements_of_another_form_are_rejected_with_the_reason() {
     let write =
@@ -185,12 +192,13 @@
     ];
     for (text, from, to, cause) in cases {
         let text = text.replacen(from, to, 1);
-        let flaw = Statement::parse(&text.clone().into()).expect_err(&text);
-        assert!(flaw.to_string().contains(cause), "{:.200}: {flaw}", text);
+        let error = Statement::parse(&text.clone().into()).expect_err(&text);
+        assert!(error.to_string().contains(cause), "{:.200}: {error}", text);
     }
 }
 
-// An answer that does not fit its type is malformed: passed on, the client would take it for the value.
+// An answer that does not fit its types must be malformed: if it were forwarded, the client would use it as
+// the value.
 #[test]
 fn answers_that_do_not_fit_their_types_are_malformed() {
     let answer = |column: &[u8], row: &[u8], tag: &[u8], status: &[u8]| {
@@ -198,9 +206,9 @@
         for (kind, part) in [(b'T', column), (b'D', row), (b'C', tag), (b'Z', status)] {
             postgres::put(&mut out, kind, |body| body.extend_from_slice(part));
         }
-        let (messages, _) = frames(&[&out], Framer::message);
+        let (messages, _) = read_frames(&[&out], Framer::message);
         let mut assembler = AnswerAssembler::default();
-        messages.into_iter().map(|message| assembler.push(message)).find(|taken| !matches!(taken, Ok(None)))
+        messages.into_iter().map(|message| assembler.push(message)).find(|result| !matches!(result, Ok(None)))
     };
     let row = b"\0\x01\0\0\0\x02\x9f\x03";
     assert!(matches!(answer(COLUMN, row, b"SELECT 1\0", b"I"), Some(Ok(Some(_)))));
@@ -217,7 +225,7 @@
         [COLUMN, row, b"SELECT 1\0", b"II"],
     ];
     for [column, row, tag, status] in cases {
-        let taken = answer(column, row, tag, status);
-        assert!(matches!(taken, Some(Err(_))), "{column:?} {row:?} {tag:?} {status:?}");
+        let result = answer(column, row, tag, status);
+        assert!(matches!(result, Some(Err(_))), "{column:?} {row:?} {tag:?} {status:?}");
     }
 }
