--- a/tests/structure.rs
+++ b/tests/structure.rs
@@ -1,4 +1,5 @@
-//! The shape of the source: which files import each other, what the pages name, what the log says.
+//! Structure of the repository: no import cycles, no missing files in the architecture page, and an
+//! operators' table that lists every log line.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -14,8 +15,8 @@
 /// All Rust files below a folder.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(folder).expect("the source folder is readable") {
+        let path = entry.expect("the folder entry is readable").path();
         if path.is_dir() {
             found.extend(rust_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -29,16 +30,17 @@
 /// The source folder of the root package and of each crate.
 fn source_folders() -> Vec<PathBuf> {
     let mut folders = vec![root().join("src")];
-    for entry in std::fs::read_dir(root().join("crates")).expect("the crates") {
-        folders.push(entry.expect("an entry").path().join("src"));
+    for entry in std::fs::read_dir(root().join("crates")).expect("the crates folder is readable") {
+        folders.push(entry.expect("the folder entry is readable").path().join("src"));
     }
     folders.sort();
     folders
 }
 
-/// The path of a file's module from its crate's root: `host::pool` for `src/host/pool.rs`, nothing for `lib.rs`.
+/// The path of a file's module from its crate's root: `host::pool` for `src/host/pool.rs`, empty for
+/// `lib.rs`.
 fn module_of(folder: &Path, file: &Path) -> String {
-    let relative = file.strip_prefix(folder).expect("a file of the folder").with_extension("");
+    let relative = file.strip_prefix(folder).expect("the file is in the folder").with_extension("");
     let mut parts: Vec<String> = relative.iter().map(|part| part.to_string_lossy().into_owned()).collect();
     if parts.last().is_some_and(|last| ["mod", "lib", "main"].contains(&last.as_str())) {
         parts.pop();
@@ -46,24 +48,23 @@
     parts.join("::")
 }
 
-/// Source text without comments: what a page's example imports is no import of the file.
+/// Source text without comment lines, so that imports in doc examples do not count as imports of the file.
 fn code_of(file: &Path) -> String {
     let text = read(file);
     let lines = text.lines().filter(|line| !line.trim_start().starts_with("//"));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// The paths that a file names from its crate's root, groups in braces spelt out one level deep.
-fn named_paths(code: &str) -> BTreeSet<String> {
+/// The `crate::` paths in the code, with groups in braces expanded one level deep.
+fn crate_paths(code: &str) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     for (start, _) in code.match_indices("crate::") {
         let before = code[..start].chars().next_back();
-        if before.is_some_and(|one| one.is_alphanumeric() || one == '_' || one == ':') {
+        if before.is_some_and(|c| c.is_alphanumeric() || c == '_' || c == ':') {
             continue;
         }
         let rest = &code[start + "crate::".len()..];
-        let end =
-            rest.find(|one: char| !(one.is_alphanumeric() || one == '_' || one == ':')).unwrap_or(rest.len());
+        let end = rest.find(|c: char| !(c.is_alphanumeric() || c == '_' || c == ':')).unwrap_or(rest.len());
         let path = rest[..end].trim_end_matches(':');
         match rest[end..].strip_prefix('{').and_then(|group| group.split('}').next()) {
             Some(group) if rest[..end].ends_with("::") || end == 0 => {
@@ -80,8 +81,9 @@
     paths
 }
 
-/// The module that a path leads into: the longest one that it begins with. The root of a crate counts as none.
-fn target<'a>(path: &str, modules: &'a BTreeMap<String, PathBuf>) -> Option<&'a str> {
+/// The module that a path refers to: the longest module path that is a prefix of it. The crate root is not a
+/// module.
+fn target_module<'a>(path: &str, modules: &'a BTreeMap<String, PathBuf>) -> Option<&'a str> {
     let mut prefix = path;
     loop {
         if let Some((module, _)) = modules.get_key_value(prefix) {
@@ -91,22 +93,22 @@
     }
 }
 
-/// Modules of a source folder and what each imports.
+/// The modules of a source folder, each with the modules that it imports.
 fn imports(folder: &Path) -> BTreeMap<String, BTreeSet<String>> {
     let files = rust_files(folder);
     let modules: BTreeMap<String, PathBuf> =
         files.into_iter().map(|file| (module_of(folder, &file), file)).collect();
     let mut graph = BTreeMap::new();
     for (module, file) in &modules {
-        let paths = named_paths(&code_of(file));
-        let targets = paths.iter().filter_map(|path| target(path, &modules));
+        let paths = crate_paths(&code_of(file));
+        let targets = paths.iter().filter_map(|path| target_module(path, &modules));
         let others = targets.filter(|target| target != module).map(str::to_string).collect();
         graph.insert(module.clone(), others);
     }
     graph
 }
 
-/// Whatever can be reached from a module.
+/// All modules that a module imports, directly or through others.
 fn reachable(graph: &BTreeMap<String, BTreeSet<String>>, from: &str) -> BTreeSet<String> {
     let (mut seen, mut next) = (BTreeSet::new(), vec![from.to_string()]);
     while let Some(module) = next.pop() {
@@ -119,16 +121,16 @@
     seen
 }
 
-/// Modules that import each other, directly or by way of others.
-fn circular(graph: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
+/// Modules that are part of an import cycle.
+fn modules_in_cycles(graph: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
     graph.keys().filter(|module| reachable(graph, module).contains(*module)).cloned().collect()
 }
 
 #[test]
-fn no_two_files_import_each_other() {
+fn files_have_no_import_cycles() {
     for folder in source_folders() {
-        let circle = circular(&imports(&folder));
-        assert!(circle.is_empty(), "{}: {} import each other", folder.display(), circle.join(", "));
+        let cycle = modules_in_cycles(&imports(&folder));
+        assert!(cycle.is_empty(), "{}: {} import each other", folder.display(), cycle.join(", "));
     }
 }
 
@@ -149,25 +151,25 @@
 }
 
 #[test]
-fn imports_between_the_folders_of_the_gateway_run_one_way() {
+fn folders_of_the_gateway_have_no_import_cycles() {
     let folders = folder_imports(&imports(&root().join("src")));
     assert!(folders.len() > 10, "only {} folders: have the sources moved?", folders.len());
-    let circle = circular(&folders);
-    assert!(circle.is_empty(), "{} import each other", circle.join(", "));
+    let cycle = modules_in_cycles(&folders);
+    assert!(cycle.is_empty(), "{} import each other", cycle.join(", "));
 }
 
 #[test]
-fn folders_that_import_each_other_through_different_files_are_found() {
+fn an_import_cycle_of_folders_through_different_files_is_found() {
     let edges = [("a::one", "b::one"), ("b::two", "a::two"), ("c", "a::one")];
     let mut graph: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for (from, to) in edges {
         graph.entry(from.into()).or_default().insert(to.into());
     }
-    assert_eq!(circular(&folder_imports(&graph)), ["a", "b"]);
+    assert_eq!(modules_in_cycles(&folder_imports(&graph)), ["a", "b"]);
 }
 
 #[test]
-fn a_circle_of_imports_is_found() {
+fn an_import_cycle_is_found() {
     let graph = |edges: &[(&str, &str)]| {
         let mut graph: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for (from, to) in edges {
@@ -175,22 +177,22 @@
         }
         graph
     };
-    assert_eq!(circular(&graph(&[("a", "b"), ("b", "c"), ("d", "a")])), Vec::<String>::new());
-    assert_eq!(circular(&graph(&[("a", "b"), ("b", "c"), ("c", "a"), ("d", "a")])), ["a", "b", "c"]);
+    assert_eq!(modules_in_cycles(&graph(&[("a", "b"), ("b", "c"), ("d", "a")])), Vec::<String>::new());
+    assert_eq!(modules_in_cycles(&graph(&[("a", "b"), ("b", "c"), ("c", "a"), ("d", "a")])), ["a", "b", "c"]);
     let paths =
-        named_paths("use crate::net::{hosts, link::Link};\nfn f(a: crate::Time) { crate::net::pg::put() }");
+        crate_paths("use crate::net::{hosts, link::Link};\nfn f(a: crate::Time) { crate::net::pg::put() }");
     assert_eq!(
         paths.into_iter().collect::<Vec<_>>(),
         ["Time", "net::hosts", "net::link::Link", "net::pg::put"]
     );
 }
 
-/// Paths of the repository that a page names between backticks.
+/// Repository paths that a page names between backticks.
 fn named_files(page: &str) -> BTreeSet<String> {
     let quoted = page.split('`').skip(1).step_by(2);
     let is_path = |text: &&str| {
-        let known = ["crates/", "src/", "tests/", "docs/", "deploy/", "tools/", "benches/"];
-        known.iter().any(|start| text.starts_with(start)) && !text.contains([' ', '*', '<'])
+        let prefixes = ["crates/", "src/", "tests/", "docs/", "deploy/", "tools/", "benches/"];
+        prefixes.iter().any(|prefix| text.starts_with(prefix)) && !text.contains([' ', '*', '<'])
     };
     quoted.filter(is_path).map(str::to_string).collect()
 }
@@ -198,9 +200,9 @@
 #[test]
 fn every_file_that_the_architecture_page_names_exists() {
     let named = named_files(&read(&root().join("docs/ARCHITECTURE.md")));
-    assert!(named.len() > 20, "only {} files are named: has the page changed its form?", named.len());
+    assert!(named.len() > 20, "only {} files are named: has the page changed its format?", named.len());
     for name in named {
-        assert!(root().join(&name).exists(), "docs/ARCHITECTURE.md names {name}, which is not there");
+        assert!(root().join(&name).exists(), "docs/ARCHITECTURE.md names {name}, which does not exist");
     }
 }
 
@@ -214,8 +216,8 @@
 }
 
 impl LogLine {
-    /// Reads the format string of a log call: `event words key={} key={}`. A word of placeholders alone writes fields whose
-    /// names the call does not show; it reads as the field `*`.
+    /// Parses the format string of a log call: `event words key={} key={}`. A word that begins with a
+    /// placeholder writes fields whose names the call does not show, and is parsed as the field `*`.
     fn parse(format: &str) -> LogLine {
         let (mut event, mut fields) = (Vec::new(), Vec::new());
         for word in format.split_ascii_whitespace() {
@@ -235,15 +237,16 @@
     for level in ["error", "warn", "info", "debug", "trace"] {
         for call in code.split(&format!("log::{level}!(")).skip(1) {
             let call = call.trim_start();
-            let text =
-                call.strip_prefix('"').unwrap_or_else(|| panic!("a log call without its text: {call:.40}"));
+            let text = call
+                .strip_prefix('"')
+                .unwrap_or_else(|| panic!("a log call without a format string: {call:.40}"));
             formats.push(text.split('"').next().unwrap_or_default().to_string());
         }
     }
     formats
 }
 
-/// The lines of the table in `docs/operate/logs.md`: the first cell is the event, the second its fields.
+/// The rows of the table in `docs/operate/logs.md`: the first cell is the event, the third its fields.
 fn documented_lines(page: &str) -> BTreeSet<LogLine> {
     let rows = page.lines().filter(|line| line.starts_with("| `"));
     rows.map(|row| {
@@ -255,14 +258,14 @@
 }
 
 #[test]
-fn every_log_line_is_in_the_operators_table_and_no_other() {
+fn the_operators_table_lists_exactly_the_log_lines() {
     let mut written = BTreeSet::new();
     for file in rust_files(&root().join("src")) {
         for format in log_formats(&code_of(&file)) {
             let line = LogLine::parse(&format);
             assert!(
                 !line.event.contains('{'),
-                "{}: {format:?} has a value outside its fields",
+                "{}: {format:?} has a value outside of its fields",
                 file.display()
             );
             written.insert(line);
@@ -272,6 +275,13 @@
     let missing: Vec<&LogLine> = written.difference(&documented).collect();
     let unknown: Vec<&LogLine> = documented.difference(&written).collect();
     assert!(missing.is_empty(), "docs/operate/logs.md lacks {missing:#?}");
-    assert!(unknown.is_empty(), "docs/operate/logs.md names lines that the program has not: {unknown:#?}");
-    assert!(written.len() > 15, "only {} lines found: have the calls changed their form?", written.len());
+    assert!(
+        unknown.is_empty(),
+        "docs/operate/logs.md lists lines that the program does not log: {unknown:#?}"
+    );
+    assert!(
+        written.len() > 15,
+        "only {} lines found: have the log calls changed their format?",
+        written.len()
+    );
 }
