--- a/tests/changes_during_connect.rs
+++ b/tests/changes_during_connect.rs
@@ -1,12 +1,13 @@
-//! Changes while an attempt waits for its connection: a drain, a new address or run of the host, the end of a key
-//! window. The host completes the startup of a connection only when the test releases it.
+//! Changes while an attempt waits for its connection: a drain, a new address or run of the host, the end of
+//! a key window. The host completes the startup of a connection only when the test releases it.
 
 use petrelgauge_test_support::{
     chunk, field, gateway_program, insert, kinds, list_line, query, select, with_long_connect_timeout,
     Harness, Reply, Step, RESPONSE_HEAD,
 };
 
-// Regression: the attempt was written as soon as its connection was up, even if the host's drain was already known.
+// Regression: the attempt was written as soon as its connection was up, even if the host's drain was already
+// known.
 #[test]
 fn no_query_is_sent_to_a_host_whose_drain_is_announced_during_connect() {
     for change in ["draining", "removed", "another address", "another run"] {
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -1,5 +1,5 @@
-//! Configuration changes: reloads, handover records of another gateway, clients with an earlier deadline, unusual
-//! settings.
+//! Configuration changes: reloads, handover records of another gateway, clients with an earlier deadline,
+//! unusual settings.
 
 use petrelgauge_test_support::{field, gateway_program, kinds, select, Harness, Reply};
 use std::io::Write;
@@ -9,8 +9,8 @@
     (0..50).map(|_| Reply::Row(b"v")).collect()
 }
 
-// Regression: SIGHUP before its handler was installed ended the process. This happens when a new configuration is
-// signalled to an entire fleet while it starts.
+// Regression: SIGHUP before its handler was installed ended the process. This happens when a new
+// configuration is signalled to an entire fleet while it starts.
 #[test]
 fn a_reload_that_is_signalled_during_a_reload_is_made_too() {
     let harness = Harness::new(gateway_program!());
@@ -33,8 +33,8 @@
     let _ = std::fs::remove_file(&path);
 }
 
-// Regression: two gateways that share a handover folder read each other's records. Each adopted the other's learned
-// state and restricted itself to what the other left of its limits.
+// Regression: two gateways that share a handover folder read each other's records. Each adopted the other's
+// learned state and restricted itself to what the other left of its limits.
 #[test]
 fn handover_records_of_another_gateway_are_ignored() {
     let (mut one, mut other) = (
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -1,5 +1,5 @@
-//! Exhausted descriptors: idle clients are closed to free some, and an accepted request still gets exactly one final
-//! answer.
+//! Exhausted descriptors: idle clients are closed to free some, and an accepted request still gets exactly
+//! one final answer.
 
 use petrelgauge_test_support::{gateway_program, kinds, query, select, Client, Harness, Reply};
 
@@ -27,8 +27,8 @@
     assert_eq!(host.query_count(), 2);
 }
 
-// Regression (recorded day r755591): clients that had sent one request each kept all client connections, and half
-// of the requests of other clients never reached the gateway.
+// Regression (recorded day r755591): clients that had sent one request each kept all client connections, and
+// half of the requests of other clients never reached the gateway.
 #[test]
 fn idle_clients_beyond_a_quarter_of_the_descriptors_are_closed() {
     let gateway = Harness::new(gateway_program!()).sockets(100).start();
--- a/tests/discovery_watch.rs
+++ b/tests/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! A discovery watch that breaks, falls silent or sends unusable events loses no update. Each discovery service follows
-//! a script, byte by byte.
+//! A discovery watch that breaks, falls silent or sends unusable events loses no update. Each discovery
+//! service follows a script, byte by byte.
 
 use petrelgauge_test_support::{
     chunk, gateway_program, kinds, list_line, select, Gateway, Harness, Host, Reply, ScriptedDiscovery, Step,
@@ -86,7 +86,8 @@
         });
         assert!(watched.source.next_request().contains("watch=1&after=41"));
         assert_eq!(watched.source.next_request(), COMPLETE_LIST, "{line}");
-        // The configuration's list, the first and the empty update of the watch, and the requested complete list.
+        // The configuration's list, the first and the empty update of the watch, and the requested complete
+        // list.
         watched.assert_drained_after(4);
         watched.gateway.wait_for_counter("bad_lists=1 ");
         watched.gateway.wait_for_counter("watches=1 ");
--- a/tests/endpoint_updates.rs
+++ b/tests/endpoint_updates.rs
@@ -55,7 +55,8 @@
     assert_eq!(second, "GET /discovery/hosts?watch=1&after=7 HTTP/1.1");
 }
 
-// Without a handler, SIGHUP kills the process. The environment still names the old discovery address after the reload.
+// Without a handler, SIGHUP kills the process. The environment still names the old discovery address after
+// the reload.
 #[test]
 fn a_reload_moves_the_watch_and_an_unusable_configuration_changes_nothing() {
     let harness = Harness::new(gateway_program!());
@@ -82,8 +83,8 @@
     assert_eq!(client.query(&select("a", "view", 5000))[1].1[6..], *b"new");
 }
 
-// An update takes effect 2 s after the discovery agent has it, also for a gateway that has just started with an old
-// list. Regression: a fleet that spread its first requests over 8 s sent to draining hosts.
+// An update takes effect 2 s after the discovery agent has it, also for a gateway that has just started with
+// an old list. Regression: a fleet that spread its first requests over 8 s sent to draining hosts.
 #[test]
 fn a_gateway_of_the_largest_fleet_requests_updates_before_they_take_effect() {
     let harness = Harness::new(gateway_program!());
--- a/tests/invalid_settings.rs
+++ b/tests/invalid_settings.rs
@@ -1,5 +1,5 @@
-//! Invalid and unknown input: implausible load reports and unknown settings are ignored; an unusable configuration
-//! fails the start with one sentence, or leaves the current settings in place on reload.
+//! Invalid and unknown input: implausible load reports and unknown settings are ignored; an unusable
+//! configuration fails the start with one sentence, or leaves the current settings in place on reload.
 
 use petrelgauge_test_support::{
     gateway_program, gateway_with_primary, kinds, parameter_status, ready_for_query, row, select, unix_ms,
--- a/tests/startup_errors.rs
+++ b/tests/startup_errors.rs
@@ -1,5 +1,5 @@
-//! Startup errors: exit code 2 and one sentence with the file, the place and the reason. The tests compare the whole
-//! text, so that changes to the error types cannot alter it unnoticed.
+//! Startup errors: exit code 2 and one sentence with the file, the place and the reason. The tests compare
+//! the whole text, so that changes to the error types cannot alter it unnoticed.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -60,7 +60,8 @@
     String::from_utf8(output.stderr.clone()).expect("stderr is UTF-8").trim_end().to_string()
 }
 
-/// Starts the program with a configuration in which `old` is replaced by `new`, and returns its error message.
+/// Starts the program with a configuration in which `old` is replaced by `new`, and returns its error
+/// message.
 fn error_with_changed_config(name: &str, old: &str, new: &str) -> String {
     assert!(VALID_CONFIG.contains(old), "{old}");
     let folder = TestFolder::new(name);
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! A gateway whose wall clock is wrong. The tests shift the positions and start times of the hosts and leave the
-//! machine's clock unchanged.
+//! A gateway whose wall clock is wrong. The tests shift the positions and start times of the hosts and leave
+//! the machine's clock unchanged.
 
 mod facade_simulation;
 
@@ -17,12 +17,13 @@
 const BOUNDED: ReadClass =
     ReadClass { name: "bounded", read_level: "lag_bound", staleness_bound_us: 1_000_000 };
 
-/// Extra delay of the primary's answers (milliseconds). The faster of two fresh members gets more reads; with equal
-/// delays the machine's load would decide.
+/// Extra delay of the primary's answers (milliseconds). The faster of two fresh members gets more reads;
+/// with equal delays the machine's load would decide.
 const PRIMARY_DELAY_MS: u64 = 10;
 
-/// Sends `count` bounded reads in sequence and returns how many the primary, a fresh replica and a stale replica
-/// answered. The stale replica lags about as much as the gateway's clock is behind the hosts' clock, at least 2.8 s.
+/// Sends `count` bounded reads in sequence and returns how many the primary, a fresh replica and a stale
+/// replica answered. The stale replica lags about as much as the gateway's clock is behind the hosts' clock,
+/// at least 2.8 s.
 fn bounded_reads(shift_ms: i64, count: usize) -> [usize; 3] {
     let harness = Harness::new(gateway_program!());
     let stale_ms = shift_ms.max(3_000) - 200;
@@ -121,8 +122,8 @@
     }
 }
 
-// One gateway's clock is wrong: it must accept the other gateways' announcements of a new primary, and its own
-// announcement must not outlast a newer one.
+// One gateway's clock is wrong: it must accept the other gateways' announcements of a new primary, and its
+// own announcement must not outlast a newer one.
 #[test]
 fn a_gossiped_primary_is_accepted_with_any_clock_shift() {
     for shift_ms in SHIFTS_MS {
@@ -150,8 +151,8 @@
     }
 }
 
-// Regression: commit positions were limited to the gateway's clock. With a clock that was behind, session reads
-// required a lower position than the session had written.
+// Regression: commit positions were limited to the gateway's clock. With a clock that was behind, session
+// reads required a lower position than the session had written.
 #[test]
 fn a_session_read_requires_its_write_and_no_more_with_any_clock_shift() {
     let kept = petrelgauge_sessions::Settings { roams: false, tokens: false, ..Default::default() };
