--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -1,5 +1,5 @@
-//! The clients of one gateway: requests at random times over connections that are kept while they are open, and a ledger of
-//! how each request ended.
+//! The clients of one gateway: they send requests at random times over reused connections, and record the
+//! outcome of each request.
 
 use super::classes::{self, CLASSES};
 use super::gateways::FleetGateway;
@@ -13,65 +13,61 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A final answer that is later than the deadline by more than this counts as lost.
+/// A request counts as lost if its final answer comes later than this after the deadline.
 pub const LATEST_ANSWER: Duration = Duration::from_millis(500);
-/// A reset follows the end of a connection within this time: a gateway that closes its side first keeps the socket for a
-/// second.
+/// Time limit for a reset after the end of a connection. A gateway that closes its side first keeps the
+/// socket for a second.
 const RESET_WITHIN: Duration = Duration::from_millis(1_500);
-/// A connection that is not established within this time was not accepted.
+/// A connection that is not established within this time counts as not accepted.
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
 /// Share of requests whose client disconnects before the answer.
 const DISCONNECTING_SHARE: f64 = 0.01;
-/// Longest pause between two requests of a gateway's clients.
+/// Longest pause before the load is read again.
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 
-/// How a request ended.
+/// The outcome of a request, as its client sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
-    /// With its row.
+pub enum Outcome {
+    /// Answered with its row.
     Served,
-    /// Rejected with this SQLSTATE: it has not run.
+    /// Rejected with this SQLSTATE: it was not executed.
     Rejected(String),
     /// Failed with another SQLSTATE.
     Failed(String),
-    /// No connection read it.
+    /// No connection was established, or the connections ended before the request was read.
     NotAccepted,
     /// Its client disconnected.
     Disconnected,
-    /// It was read and has no valid final answer.
+    /// No valid final answer, though it may have been read; the text says why.
     Lost(&'static str),
 }
 
-/// A request and its end.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Its id.
     pub id: String,
-    /// The gateway that it was sent to.
+    /// Number of the gateway that it was sent to.
     pub gateway: usize,
-    /// Its class.
     pub class: usize,
     /// When its query was written.
     pub sent: Time,
-    /// When it ended.
+    /// When its client got the outcome.
     pub ended: Time,
-    /// How long its client waited at most.
+    /// Its deadline, from `sent` on.
     pub deadline: Duration,
-    /// Its idempotency key.
     pub key: Option<String>,
-    /// How it ended.
-    pub fate: Fate,
+    pub outcome: Outcome,
 }
 
-/// The requests of all clients.
+/// The records of all clients' requests.
 #[derive(Default)]
-pub struct Ledger {
-    /// Those that have ended.
+pub struct RequestLog {
+    /// Requests that have ended.
     pub records: RefCell<Vec<Record>>,
     last_number: Cell<u64>,
 }
 
-impl Ledger {
+impl RequestLog {
     fn next_number(&self) -> u64 {
         self.last_number.set(self.last_number.get() + 1);
         self.last_number.get()
@@ -83,16 +79,15 @@
     plan: Plan,
     clock: Clock,
     gateway: Rc<FleetGateway>,
-    ledger: Rc<Ledger>,
+    request_log: Rc<RequestLog>,
     load: Rc<Cell<f64>>,
-    /// Idle connections.
     idle: Rc<RefCell<Vec<Connection>>>,
 }
 
-/// The result of sending a request.
+/// The result of a request on one connection.
 enum Reply {
-    Fate(Fate),
-    /// The connection ended before the request was read: it may be sent once more.
+    Ended(Outcome),
+    /// The connection ended before the request was read: it may be sent again.
     Unread,
 }
 
@@ -101,13 +96,13 @@
         plan: Plan,
         clock: Clock,
         gateway: Rc<FleetGateway>,
-        ledger: Rc<Ledger>,
+        request_log: Rc<RequestLog>,
         load: Rc<Cell<f64>>,
     ) -> Clients {
-        Clients { plan, clock, gateway, ledger, load, idle: Rc::default() }
+        Clients { plan, clock, gateway, request_log, load, idle: Rc::default() }
     }
 
-    /// Sends requests for as long as there is load.
+    /// Sends requests at the rate of the load; none while the load is 0. Never returns.
     pub async fn run(self) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed << 20 | self.gateway.number as u64);
         let clients = Rc::new(self);
@@ -115,7 +110,8 @@
         loop {
             let rate = clients.load.get() * capacity / clients.plan.gateways as f64;
             let pause = -uniform(&mut rng).max(1e-9).ln() / rate.max(1e-3);
-            // The load may change during a long pause. Exponential pauses have no memory: the rest of one can be sampled anew.
+            // The load may change during a long pause. The exponential distribution is memoryless, so that
+            // the rest of a pause can be sampled again.
             if pause > LONGEST_PAUSE.as_secs_f64() {
                 clients.clock.sleep(LONGEST_PAUSE).await;
                 continue;
@@ -125,46 +121,48 @@
                 let class = classes::sample_class(&clients.plan, &mut rng);
                 let disconnects = uniform(&mut rng) < DISCONNECTING_SHARE;
                 let deadline = CLASSES[class].settings.deadline.mul_f64(0.4 + 0.6 * uniform(&mut rng));
-                tokio::task::spawn_local(clients.clone().ask(class, deadline, disconnects));
+                tokio::task::spawn_local(clients.clone().issue_request(class, deadline, disconnects));
             }
         }
     }
 
-    async fn ask(self: Rc<Self>, class: usize, deadline: Duration, disconnects: bool) {
-        let number = self.ledger.next_number();
+    async fn issue_request(self: Rc<Self>, class: usize, deadline: Duration, disconnects: bool) {
+        let number = self.request_log.next_number();
         let id = format!("{number:016x}");
-        let (kind, wait) = (&CLASSES[class], deadline.as_millis());
-        let key = kind.is_write().then(|| format!("{number:08x}"));
+        let (request_class, wait) = (&CLASSES[class], deadline.as_millis());
+        let key = request_class.is_write().then(|| format!("{number:08x}"));
         let text = match &key {
             None => format!(
                 "SELECT content FROM kv WHERE name = '{id}' /* id={id},c={},d={wait},cluster=2 */",
-                kind.settings.name
+                request_class.settings.name
             ),
             Some(key) => format!(
-                "INSERT INTO kv (name, content) VALUES ('{id}', '\\x9f03') RETURNING content /* id={id},c={},d={wait},k={key},cluster=2 */",
-                kind.settings.name
+                "INSERT INTO kv (name, content) VALUES ('{id}', '\\x9f03') RETURNING content \
+                 /* id={id},c={},d={wait},k={key},cluster=2 */",
+                request_class.settings.name
             ),
         };
         let mut sent = self.clock.now();
-        let mut fate = Fate::NotAccepted;
-        // A request that crosses the end of an idle connection is sent once more over a new one.
+        let mut outcome = Outcome::NotAccepted;
+        // If an idle connection ends before the request is read, the request is sent again over a new
+        // connection.
         for is_new in [false, true] {
             let Some(connection) = self.connection(is_new).await else { break };
             sent = self.clock.now();
             match self.send(connection, &text, &id, deadline, disconnects).await {
-                Reply::Fate(ended) => {
-                    fate = ended;
+                Reply::Ended(ended) => {
+                    outcome = ended;
                     break;
                 }
                 Reply::Unread => {}
             }
         }
         let (gateway, ended) = (self.gateway.number, self.clock.now());
-        let record = Record { id, gateway, class, sent, ended, deadline, key, fate };
-        self.ledger.records.borrow_mut().push(record);
+        let record = Record { id, gateway, class, sent, ended, deadline, key, outcome };
+        self.request_log.records.borrow_mut().push(record);
     }
 
-    /// An idle connection if there is one and no new one is wanted; otherwise a new one.
+    /// Takes an idle connection, or opens one if there is none or `is_new` is set.
     async fn connection(&self, is_new: bool) -> Option<Connection> {
         if let Some(connection) = self.idle.borrow_mut().pop().filter(|_| !is_new) {
             return Some(connection);
@@ -188,27 +186,30 @@
         }
         if disconnects {
             self.clock.sleep(deadline / 8).await;
-            return Reply::Fate(Fate::Disconnected);
+            return Reply::Ended(Outcome::Disconnected);
         }
-        let fate = match timeout(deadline + LATEST_ANSWER, connection.read_until_ready()).await {
-            Err(_) => return Reply::Fate(Fate::Lost("no final answer in time")),
-            Ok(Ok(messages)) => fate(&messages, id),
-            // A reset means that the query was not read, or that the process was killed; see the rules.
+        let outcome = match timeout(deadline + LATEST_ANSWER, connection.read_until_ready()).await {
+            Err(_) => return Reply::Ended(Outcome::Lost("no final answer in time")),
+            Ok(Ok(messages)) => outcome_of(&messages, id),
+            // A reset means that the query was not read, or that the process was killed.
             Ok(Err(ConnectionEnd::Reset)) => return Reply::Unread,
-            Ok(Err(ConnectionEnd::Closed)) if is_reset_behind(&connection, self.clock).await => {
+            Ok(Err(ConnectionEnd::Closed)) if is_followed_by_reset(&connection, self.clock).await => {
                 return Reply::Unread
             }
             Ok(Err(ConnectionEnd::Malformed)) => {
-                return Reply::Fate(Fate::Lost("answered with malformed bytes"))
+                return Reply::Ended(Outcome::Lost("answered with malformed bytes"))
+            }
+            Ok(Err(ConnectionEnd::Closed)) => {
+                return Reply::Ended(Outcome::Lost("connection closed without a reset"))
             }
-            Ok(Err(ConnectionEnd::Closed)) => return Reply::Fate(Fate::Lost("closed after it was read")),
         };
         self.idle.borrow_mut().push(connection);
-        Reply::Fate(fate)
+        Reply::Ended(outcome)
     }
 }
 
-async fn is_reset_behind(connection: &Connection, clock: Clock) -> bool {
+/// Waits for a reset behind the end of a connection.
+async fn is_followed_by_reset(connection: &Connection, clock: Clock) -> bool {
     let until = clock.now() + RESET_WITHIN.as_micros() as Time;
     while clock.now() < until {
         if matches!(connection.take_error(), Ok(Some(_))) {
@@ -219,14 +220,19 @@
     false
 }
 
-fn fate(messages: &[Message], id: &str) -> Fate {
+/// The outcome that the messages of an answer state.
+fn outcome_of(messages: &[Message], id: &str) -> Outcome {
     if let Some((_, body)) = messages.iter().find(|(kind, _)| *kind == b'E') {
         let code = field(body, b'C');
-        return if code == "53300" || code == "57P03" { Fate::Rejected(code) } else { Fate::Failed(code) };
+        return if code == "53300" || code == "57P03" {
+            Outcome::Rejected(code)
+        } else {
+            Outcome::Failed(code)
+        };
     }
     let row = messages.iter().find(|(kind, _)| *kind == b'D');
     match row.and_then(|(_, body)| body.get(6..)) {
-        Some(value) if value == id.as_bytes() => Fate::Served,
-        _ => Fate::Lost("answered with a row of no host"),
+        Some(value) if value == id.as_bytes() => Outcome::Served,
+        _ => Outcome::Lost("answered with a row other than its own"),
     }
 }
--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -1,5 +1,5 @@
-//! Emulated database hosts. A host executes a bounded number of requests at a time, slower during its slow start, and
-//! records every request that reaches it.
+//! Emulated database hosts. A host executes a bounded number of requests at a time, slower during its slow
+//! start, and records every request that reaches it.
 
 use super::classes::{class_index, mean_work, CLASSES};
 use super::{uniform, Clock, Plan, Time};
--- a/tests/faulty_fleet/list.rs
+++ b/tests/faulty_fleet/list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list of a fleet: its entries, the election of primaries, and when gateways count as notified of a change.
+//! The endpoint list of a fleet: its entries, the election of primaries, and when gateways count as notified
+//! of a change.
 
 use super::hosts::{Host, Mode};
 use super::{Clock, Time};
@@ -9,7 +10,8 @@
 
 /// Last byte of the list service's address.
 const LIST_HOST: u8 = 200;
-/// Gateways count as notified of a change in an outage of the list service this long after the outage (microseconds).
+/// Gateways count as notified of a change in an outage of the list service this long after the outage
+/// (microseconds).
 pub const NOTIFIED_AFTER_OUTAGE: Time = 6_000_000;
 /// How late gateways may read what the service has written to their watches (microseconds).
 pub const PUSH_SLACK: Time = 100_000;
--- a/tests/faulty_fleet/mod.rs
+++ b/tests/faulty_fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of gateway processes between emulated hosts, a list service and clients that keep their connections. Faults are
-//! injected into hosts, list service and processes. What happened is read from the records of hosts and clients, never from
-//! what a gateway says.
+//! A fleet of gateway processes with emulated hosts, a list service and clients that reuse their connections.
+//! Faults are injected into the hosts, the list service and the gateway processes. Invariants are checked
+//! against the records of hosts and clients; of a gateway only its crashes and panics count.
 
 #![allow(dead_code)]
 
@@ -8,11 +8,11 @@
 pub mod clients;
 pub mod gateways;
 pub mod hosts;
+pub mod invariants;
 pub mod list;
-pub mod rules;
 pub mod schedule;
 
-use clients::{Clients, Ledger};
+use clients::{Clients, RequestLog};
 use gateways::FleetGateway;
 use hosts::Host;
 use list::EndpointList;
@@ -24,16 +24,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Last byte of the address of the first host; the others follow.
+/// Last byte of the first host's IP address; the others take the bytes that follow.
 const FIRST_HOST: u8 = 1;
 
 /// Microseconds since the fleet's start.
 pub type Time = i64;
 
-/// The clock of a fleet, shared by all its parts.
+/// The clock of a fleet, shared by hosts, gateways and clients.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    begun: Instant,
+    started: Instant,
     unix: Duration,
 }
 
@@ -41,20 +41,19 @@
     fn start(hosts_ahead_ms: i64) -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
         let unix = Duration::from_millis((unix.as_millis() as u64).saturating_add_signed(hosts_ahead_ms));
-        Clock { begun: Instant::now(), unix }
+        Clock { started: Instant::now(), unix }
     }
 
     /// The time since the fleet's start.
     pub fn now(&self) -> Time {
-        self.begun.elapsed().as_micros() as Time
+        self.started.elapsed().as_micros() as Time
     }
 
-    /// The hosts' clock (Unix milliseconds).
+    /// The wall clock of the hosts (Unix milliseconds).
     pub fn unix_ms(&self) -> u64 {
-        (self.unix + self.begun.elapsed()).as_millis() as u64
+        (self.unix + self.started.elapsed()).as_millis() as u64
     }
 
-    /// Waits for this span.
     pub async fn sleep(&self, span: Duration) {
         tokio::time::sleep(span).await;
     }
@@ -92,15 +91,16 @@
     pub hosts: Vec<Rc<Host>>,
     pub list: Rc<EndpointList>,
     pub gateways: Vec<Rc<FleetGateway>>,
-    pub ledger: Rc<Ledger>,
-    /// Offered load now, as a share of the capacity of all warm hosts.
+    pub request_log: Rc<RequestLog>,
+    /// Current offered load, as a share of the capacity of all warm hosts.
     pub load: Rc<Cell<f64>>,
-    /// What was done to the fleet and when, for the report of a failure.
+    /// Faults and other actions with their times, for the report of a violation.
     pub history: RefCell<Vec<String>>,
 }
 
 impl Fleet {
-    /// Starts all parts, and waits until each gateway serves.
+    /// Starts hosts, list service, gateways and clients; waits until each gateway is ready before clients
+    /// start.
     async fn start(plan: Plan) -> Rc<Fleet> {
         let clock = Clock::start(plan.hosts_ahead_ms);
         let network = LoopbackNetwork::claim();
@@ -116,47 +116,47 @@
             gateway.until_ready().await;
         }
         let load = Rc::new(Cell::new(plan.load));
-        let ledger = Rc::new(Ledger::default());
+        let request_log = Rc::new(RequestLog::default());
         for gateway in &gateways {
-            let clients = Clients::new(plan, clock, gateway.clone(), ledger.clone(), load.clone());
+            let clients = Clients::new(plan, clock, gateway.clone(), request_log.clone(), load.clone());
             tokio::task::spawn_local(clients.run());
         }
-        Rc::new(Fleet { plan, clock, hosts, list, gateways, ledger, load, history: RefCell::default() })
+        Rc::new(Fleet { plan, clock, hosts, list, gateways, request_log, load, history: RefCell::default() })
     }
 
-    /// Adds an entry to the history.
-    pub fn note(&self, what: &str) {
+    /// Adds an entry with the current time to the history.
+    pub fn add_to_history(&self, what: &str) {
         let at = self.clock.now() as f64 / 1e6;
         self.history.borrow_mut().push(format!("{at:.3} {what}"));
     }
 
-    /// Waits for this span.
     pub async fn wait(&self, milliseconds: u64) {
         self.clock.sleep(Duration::from_millis(milliseconds)).await;
     }
 
-    /// Restarts a host; the list names the start `listed_after` milliseconds later.
+    /// Restarts a host, and publishes the start in the list `listed_after` milliseconds later.
     pub async fn restart_host(&self, host: usize, listed_after: u64) {
-        self.note(&format!("host {host} starts"));
+        self.add_to_history(&format!("host {host} restarts"));
         self.hosts[host].restart();
         self.wait(listed_after).await;
         self.list.publish_start(host);
     }
 
-    /// Lets the list say that hosts drain.
+    /// Publishes the hosts as draining.
     pub fn drain_hosts(&self, hosts: &[usize]) {
-        self.note(&format!("hosts {hosts:?} drain"));
+        self.add_to_history(&format!("hosts {hosts:?} drain"));
         hosts.iter().for_each(|host| self.list.publish_drain(*host));
     }
 }
 
-/// Starts a fleet, plays a schedule on it, waits until its last requests have ended, and returns it for the rules.
-pub fn play<F: Future<Output = ()>>(plan: Plan, schedule: impl FnOnce(Rc<Fleet>) -> F) -> Rc<Fleet> {
+/// Starts a fleet, runs a schedule on it, and waits until its last requests have ended. Returns the fleet, so
+/// that its invariants can be checked.
+pub fn run_fleet<F: Future<Output = ()>>(plan: Plan, schedule: impl FnOnce(Rc<Fleet>) -> F) -> Rc<Fleet> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let fleet = Fleet::start(plan).await;
         schedule(fleet.clone()).await;
-        fleet.note("no more requests");
+        fleet.add_to_history("offered load set to 0");
         fleet.load.set(0.0);
         fleet.clock.sleep(classes::LONGEST_DEADLINE + clients::LATEST_ANSWER).await;
         fleet
--- a/tests/faulty_fleet/schedule.rs
+++ b/tests/faulty_fleet/schedule.rs
@@ -1,5 +1,5 @@
-//! Schedules of faults, sampled from a seed: what is done to a fleet, and when. A schedule is data that can be printed and
-//! played again.
+//! Schedules of faults, sampled from a seed: what is done to a fleet, and when. A schedule is data that can
+//! be printed and played again.
 
 use super::hosts::Mode;
 use super::{index_below, uniform, Fleet, Plan};
@@ -103,13 +103,13 @@
     }
 
     /// Injects the faults at their times.
-    pub async fn play(self, fleet: Rc<Fleet>) {
+    pub async fn run(self, fleet: Rc<Fleet>) {
         let begun = fleet.clock.now();
         let mut tasks = Vec::new();
         for step in self.steps {
             let elapsed = (fleet.clock.now() - begun) as u64 / 1_000;
             fleet.wait(step.at.saturating_sub(elapsed)).await;
-            fleet.note(&format!("{:?}", step.fault));
+            fleet.add_to_history(&format!("{:?}", step.fault));
             tasks.push(tokio::task::spawn_local(inject(fleet.clone(), step.fault)));
         }
         fleet.wait(REST).await;
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -8,7 +8,7 @@
 
 mod faulty_fleet;
 
-use faulty_fleet::{play, rules, Plan};
+use faulty_fleet::{invariants, run_fleet, Plan};
 use petrelgauge_test_support::SlowStart;
 use std::time::Duration;
 
@@ -32,14 +32,14 @@
             hosts_ahead_ms: 0,
             seed,
         };
-        let fleet = play(plan, |fleet| async move {
+        let fleet = run_fleet(plan, |fleet| async move {
             fleet.wait(4_000).await;
             fleet.restart_host(2, 0).await;
             fleet.wait(2_000).await;
             fleet.drain_hosts(&[1, 3, 4, 5]);
             fleet.wait(5_000).await;
         });
-        println!("seed {seed}: {}", rules::summary(&fleet));
-        assert_eq!(rules::broken(&fleet), Vec::<String>::new(), "seed {seed}");
+        println!("seed {seed}: {}", invariants::summary(&fleet));
+        assert_eq!(invariants::violations(&fleet), Vec::<String>::new(), "seed {seed}");
     }
 }
