--- a/tests/faulty_fleet/classes.rs
+++ b/tests/faulty_fleet/classes.rs
@@ -1,4 +1,4 @@
-//! The classes of the clients' requests: their mix, work and settings.
+//! The request classes of the clients: their shares, execution times and settings.
 
 use super::{uniform, Plan};
 use petrelgauge_test_support::{ClassSettings, DeploymentSettings};
@@ -8,13 +8,13 @@
 /// A class of requests.
 pub struct Class {
     /// Mean execution time at a warm host.
-    pub work: Duration,
-    /// What the deployment's settings say of it.
+    pub execution_time: Duration,
+    /// Its entry in the deployment's settings.
     pub settings: ClassSettings,
 }
 
 impl Class {
-    /// Whether it is a write with an idempotency key.
+    /// Whether its requests are writes with an idempotency key.
     pub fn is_write(&self) -> bool {
         self.settings.key_window.is_some()
     }
@@ -24,18 +24,18 @@
     Duration::from_millis(count)
 }
 
-/// Index of the long statements.
+/// Index of the class of long statements.
 pub const LONG: usize = 2;
-/// Index of the writes.
+/// Index of the class of writes.
 pub const WRITE: usize = 3;
 /// How long hosts remember the idempotency key of a write.
 pub const KEY_WINDOW: Duration = ms(3_000);
-/// The longest deadline of all classes.
+/// The longest deadline of any class.
 pub const LONGEST_DEADLINE: Duration = ms(3_000);
-/// The classes that are no long statements, and their shares.
-const MIX: [(usize, f64); 3] = [(0, 0.46), (1, 0.24), (WRITE, 0.30)];
+/// Indices of the classes other than long statements, with their shares of the requests that are not long.
+const SHORT_CLASS_SHARES: [(usize, f64); 3] = [(0, 0.46), (1, 0.24), (WRITE, 0.30)];
 
-/// A read of any age.
+/// A read without a staleness bound.
 const READ: ClassSettings = ClassSettings {
     name: "browse",
     read_level: "eventual",
@@ -65,12 +65,11 @@
     ..READ
 };
 
-/// All classes.
 pub const CLASSES: [Class; 4] = [
-    Class { work: ms(60), settings: BOUNDED_READ },
-    Class { work: ms(60), settings: READ },
-    Class { work: ms(600), settings: LONG_STATEMENT },
-    Class { work: ms(35), settings: KEYED_WRITE },
+    Class { execution_time: ms(60), settings: BOUNDED_READ },
+    Class { execution_time: ms(60), settings: READ },
+    Class { execution_time: ms(600), settings: LONG_STATEMENT },
+    Class { execution_time: ms(35), settings: KEYED_WRITE },
 ];
 
 /// Samples the class of a request.
@@ -80,7 +79,7 @@
         return LONG;
     }
     sample = (sample - plan.long_share) / (1.0 - plan.long_share);
-    for (class, share) in MIX {
+    for (class, share) in SHORT_CLASS_SHARES {
         if sample < share {
             return class;
         }
@@ -89,19 +88,22 @@
     WRITE
 }
 
-/// Mean execution time of a request at a warm host.
-pub fn mean_work(plan: &Plan) -> Duration {
-    let short = MIX.iter().map(|(class, share)| CLASSES[*class].work.mul_f64(*share)).sum::<Duration>();
-    short.mul_f64(1.0 - plan.long_share) + CLASSES[LONG].work.mul_f64(plan.long_share)
+/// Mean execution time of a request at a warm host, over all classes.
+pub fn mean_execution_time(plan: &Plan) -> Duration {
+    let short = SHORT_CLASS_SHARES
+        .iter()
+        .map(|(class, share)| CLASSES[*class].execution_time.mul_f64(*share))
+        .sum::<Duration>();
+    short.mul_f64(1.0 - plan.long_share) + CLASSES[LONG].execution_time.mul_f64(plan.long_share)
 }
 
-/// The index of the class of this name.
+/// The index of the class with this name.
 pub fn class_index(name: &str) -> Option<usize> {
     CLASSES.iter().position(|class| class.settings.name == name)
 }
 
 /// The deployment's settings, as JSON.
-pub fn settings(plan: &Plan) -> String {
+pub fn settings_json(plan: &Plan) -> String {
     let classes = CLASSES.iter().map(|class| class.settings);
     let Plan { gateways, slow_start, .. } = *plan;
     DeploymentSettings { gateways, zone: 'a', classes: classes.collect(), slow_start }.json()
--- a/tests/faulty_fleet/clients.rs
+++ b/tests/faulty_fleet/clients.rs
@@ -17,9 +17,9 @@
 pub const LATEST_ANSWER: Duration = Duration::from_millis(500);
 /// Time limit for a reset after the end of a connection. A gateway that closes its side first keeps the
 /// socket for a second.
-const RESET_WITHIN: Duration = Duration::from_millis(1_500);
+const RESET_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A connection that is not established within this time counts as not accepted.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Share of requests whose client disconnects before the answer.
 const DISCONNECTING_SHARE: f64 = 0.01;
 /// Longest pause before the load is read again.
@@ -168,7 +168,7 @@
             return Some(connection);
         }
         let open = Connection::open(self.gateway.process.listen);
-        let mut connection = timeout(CONNECT_WITHIN, open).await.ok()?.ok()?;
+        let mut connection = timeout(CONNECT_TIMEOUT, open).await.ok()?.ok()?;
         timeout(LATEST_ANSWER, connection.read_until_ready()).await.ok()?.ok()?;
         Some(connection)
     }
@@ -210,7 +210,7 @@
 
 /// Waits for a reset behind the end of a connection.
 async fn is_followed_by_reset(connection: &Connection, clock: Clock) -> bool {
-    let until = clock.now() + RESET_WITHIN.as_micros() as Time;
+    let until = clock.now() + RESET_TIMEOUT.as_micros() as Time;
     while clock.now() < until {
         if matches!(connection.take_error(), Ok(Some(_))) {
             return true;
--- a/tests/faulty_fleet/gateways.rs
+++ b/tests/faulty_fleet/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of a fleet: their configuration, and the record of what was done to their processes.
+//! The gateways of a fleet: their configuration, and the history of starts and signals of their processes.
 
 use super::classes;
 use super::list::EndpointList;
@@ -9,16 +9,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Last byte of the address of the first gateway; the others follow.
+/// Last byte of the first gateway's IP address; the others take the bytes that follow.
 const FIRST_GATEWAY: u8 = 100;
-/// How long a gateway may take until it serves.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// SIGKILL follows SIGTERM after the longest deadline, which is 3 s, and this.
+/// Time limit for a gateway to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// SIGKILL follows SIGTERM after the longest deadline (3 s) plus this margin.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// What was done to a gateway's process.
+/// A start of a gateway's process, or a signal sent to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Signal {
+pub enum ProcessEvent {
     /// A new process was started.
     Start,
     /// SIGTERM was sent.
@@ -27,35 +27,32 @@
     Kill,
 }
 
-/// When a process got SIGTERM and SIGKILL, as far as it did.
+/// When SIGTERM and SIGKILL were sent to a process; `None` if they were not.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEnd {
-    /// SIGTERM.
     pub terminated_at: Option<Time>,
-    /// SIGKILL.
     pub killed_at: Option<Time>,
 }
 
 /// A gateway of a fleet.
 pub struct FleetGateway {
     clock: Clock,
-    /// Its number in the fleet.
+    /// Index in the fleet.
     pub number: usize,
-    /// Its process.
     pub process: GatewayProcess,
     files: GatewayFiles,
-    /// What was done to its process, and when.
-    pub signals: RefCell<Vec<(Time, Signal)>>,
-    /// Processes that ended by themselves.
+    /// Starts and signals of its process with their times, in order.
+    pub process_events: RefCell<Vec<(Time, ProcessEvent)>>,
+    /// Number of processes that exited without being stopped or killed.
     pub crashes: Cell<usize>,
-    /// Its process has been started, and neither stopped nor killed since.
+    /// Whether its process was started, and not stopped or killed since.
     is_expected_to_run: Cell<bool>,
-    /// A fault is replacing its process: no other may do so meanwhile.
+    /// Whether a fault is replacing its process; other faults may not replace it until that ends.
     is_being_replaced: Cell<bool>,
 }
 
 impl FleetGateway {
-    /// Writes the configuration of a gateway that is not started yet.
+    /// Writes the configuration of a gateway, without starting its process.
     pub fn new(
         plan: Plan,
         number: usize,
@@ -64,26 +61,27 @@
         clock: Clock,
     ) -> Rc<FleetGateway> {
         let (program, ip) = (gateway_program!(), network.address(FIRST_GATEWAY + number as u8));
-        let file = |ending: &str| {
-            PathBuf::from(format!("{}/faulty-fleet-{}-{ip}.{ending}", program.folder, std::process::id()))
+        let file = |extension: &str| {
+            PathBuf::from(format!("{}/faulty-fleet-{}-{ip}.{extension}", program.folder, std::process::id()))
         };
         let files = GatewayFiles { config: file("json"), operator: None, log: file("log") };
         let process = GatewayProcess::new(program.path.into(), ip, files.clone());
         let config = format!(
-            r#"{{"name":"n{number}","listen":"{}","discovery":"{}","seed":"{:x}","limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},"known":{},"settings":{}}}"#,
+            "{{\"name\":\"n{number}\",\"listen\":\"{}\",\"discovery\":\"{}\",\"seed\":\"{:x}\",\
+             \"limits\":{{\"cores\":1.0,\"memory_mb\":192,\"sockets\":512}},\"known\":{},\"settings\":{}}}",
             process.listen,
             list.service.address,
             plan.seed << 16 | number as u64,
             list.service.complete_list(),
-            classes::settings(&plan),
+            classes::settings_json(&plan),
         );
-        std::fs::write(&files.config, config).expect("a place to write");
+        std::fs::write(&files.config, config).expect("the configuration file is writable");
         Rc::new(FleetGateway {
             clock,
             number,
             process,
             files,
-            signals: RefCell::default(),
+            process_events: RefCell::default(),
             crashes: Cell::new(0),
             is_expected_to_run: Cell::new(false),
             is_being_replaced: Cell::new(false),
@@ -95,16 +93,16 @@
         let log_level = std::env::var("FLEET_LOG").unwrap_or_else(|_| "info".to_string());
         self.process.start(&[("RUST_LOG", &log_level)]).expect("the gateway starts");
         self.is_expected_to_run.set(true);
-        self.signals.borrow_mut().push((self.clock.now(), Signal::Start));
+        self.process_events.borrow_mut().push((self.clock.now(), ProcessEvent::Start));
     }
 
-    /// Waits until it serves; panics with its log if it does not.
+    /// Waits until the gateway is ready; panics with its log after `READY_TIMEOUT`.
     pub async fn until_ready(&self) {
-        let is_ready = self.process.is_ready(READY_WITHIN).await;
+        let is_ready = self.process.is_ready(READY_TIMEOUT).await;
         assert!(is_ready, "gateway {} is not ready; its log: {}", self.number, self.process.log());
     }
 
-    /// Counts a crash if its process has ended by itself.
+    /// Counts a crash if the process exited without being stopped or killed.
     pub fn check_crash(&self) {
         if self.is_expected_to_run.get() && !self.process.is_running() {
             self.crashes.set(self.crashes.get() + 1);
@@ -112,52 +110,52 @@
         }
     }
 
-    /// Begins a replacement of its process; false if one is under way.
+    /// Begins a replacement of its process; returns false if one is already in progress.
     pub fn begin_replacement(&self) -> bool {
         !self.is_being_replaced.replace(true)
     }
 
-    /// Ends a replacement by starting a process.
+    /// Ends a replacement by starting the new process.
     pub fn end_replacement(&self) {
         self.start();
         self.is_being_replaced.set(false);
     }
 
-    /// Kills its process.
+    /// Sends SIGKILL, unless its process has already ended.
     pub fn kill(&self) {
         self.check_crash();
         if self.is_expected_to_run.replace(false) {
-            self.signals.borrow_mut().push((self.clock.now(), Signal::Kill));
+            self.process_events.borrow_mut().push((self.clock.now(), ProcessEvent::Kill));
             self.process.kill();
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL as early as the platform may.
+    /// Sends SIGTERM, and SIGKILL at the earliest time at which a platform may send it.
     pub async fn stop(&self) {
         self.check_crash();
         self.is_expected_to_run.set(false);
-        self.signals.borrow_mut().push((self.clock.now(), Signal::Term));
+        self.process_events.borrow_mut().push((self.clock.now(), ProcessEvent::Term));
         self.process.signal("TERM");
         let until = self.clock.now() + (classes::LONGEST_DEADLINE + KILL_MARGIN).as_micros() as Time;
         while self.process.is_running() && self.clock.now() < until {
             self.clock.sleep(Duration::from_millis(10)).await;
         }
         if self.process.is_running() {
-            self.signals.borrow_mut().push((self.clock.now(), Signal::Kill));
+            self.process_events.borrow_mut().push((self.clock.now(), ProcessEvent::Kill));
         }
         self.process.kill();
     }
 
-    /// How the process ended that a request was sent to at this time.
+    /// The signals that ended the process which was running at this time.
     pub fn process_end(&self, sent: Time) -> ProcessEnd {
-        let signals = self.signals.borrow();
-        let next = signals.iter().position(|(at, signal)| *signal == Signal::Start && *at > sent);
-        let until = next.unwrap_or(signals.len());
-        let from = signals[..until].iter().rposition(|(_, signal)| *signal == Signal::Start).unwrap_or(0);
-        let when = |wanted: Signal| {
-            signals[from..until].iter().find(|(_, signal)| *signal == wanted).map(|(at, _)| *at)
+        let events = self.process_events.borrow();
+        let next = events.iter().position(|(at, event)| *event == ProcessEvent::Start && *at > sent);
+        let until = next.unwrap_or(events.len());
+        let from = events[..until].iter().rposition(|(_, event)| *event == ProcessEvent::Start).unwrap_or(0);
+        let when = |wanted: ProcessEvent| {
+            events[from..until].iter().find(|(_, event)| *event == wanted).map(|(at, _)| *at)
         };
-        ProcessEnd { terminated_at: when(Signal::Term), killed_at: when(Signal::Kill) }
+        ProcessEnd { terminated_at: when(ProcessEvent::Term), killed_at: when(ProcessEvent::Kill) }
     }
 }
 
--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -1,7 +1,7 @@
-//! Emulated database hosts. A host executes a bounded number of requests at a time, slower during its slow
-//! start, and records every request that reaches it.
+//! Emulated database hosts. A host executes a bounded number of requests at a time, more slowly during its
+//! slow start, and records every request that reaches it.
 
-use super::classes::{class_index, mean_work, CLASSES};
+use super::classes::{class_index, mean_execution_time, CLASSES};
 use super::{uniform, Clock, Plan, Time};
 use petrelgauge_test_support::{error, message, parameter_status, ready_for_query, row, HostConnection};
 use rand_core::SeedableRng;
@@ -14,17 +14,17 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
-/// Requests that a host executes at a time.
+/// Requests that a host executes concurrently.
 pub const SLOTS: usize = 4;
-/// Requests that may wait for a slot; a host rejects more.
-const QUEUE: usize = 200;
+/// Bound on the requests that wait for a slot or are executed; a host rejects further ones.
+const QUEUE_CAPACITY: usize = 200;
 
-/// Whether a host answers.
+/// How a host reacts to connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// It answers.
+    /// It answers requests.
     Up,
-    /// It accepts connections and requests, and answers none.
+    /// It accepts connections and requests, but does not answer.
     Silent,
     /// It refuses connections.
     Down,
@@ -33,31 +33,28 @@
 #[derive(Clone, Copy, PartialEq)]
 struct State {
     mode: Mode,
-    /// How many times it has started; connections of an earlier start are reset.
+    /// Number of restarts; connections made before the last one are reset.
     start: u64,
 }
 
 /// A request that reached a host.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it was read.
+    /// When the host read it.
     pub at: Time,
-    /// The id that its client gave it.
+    /// The id that its client assigned.
     pub id: String,
-    /// Its class.
     pub class: usize,
-    /// The time that the gateway stated for it (milliseconds).
+    /// The remaining wait that the gateway stated in the request (milliseconds).
     pub wait_ms: u64,
-    /// Its idempotency key.
     pub key: Option<String>,
 }
 
-/// A start of a host.
+/// A restart of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// When it started.
     pub at: Time,
-    /// When all gateways counted as notified of it.
+    /// When all gateways count as notified of it; `None` until the list names it.
     pub notified_at: Option<Time>,
 }
 
@@ -65,20 +62,19 @@
 pub struct Host {
     plan: Plan,
     clock: Clock,
-    /// Its number in the fleet.
+    /// Index in the fleet.
     pub number: usize,
     /// Where it listens.
     pub address: SocketAddr,
     state: watch::Sender<State>,
     slots: Semaphore,
-    waiting: Cell<usize>,
-    /// It is the primary.
+    pending: Cell<usize>,
     pub is_primary: Cell<bool>,
-    /// Every request that reached it.
+    /// All requests that reached it, in order of time.
     pub arrivals: RefCell<Vec<Arrival>>,
-    /// Every start after the fleet's.
+    /// All restarts since the fleet's start, in order of time.
     pub starts: RefCell<Vec<Start>>,
-    /// Its last start by the hosts' clock (Unix milliseconds); 0 for long ago.
+    /// Time of the last restart by the hosts' wall clock (Unix milliseconds); 0 if there was none.
     pub started_ms: Cell<u64>,
     rng: RefCell<Pcg64Mcg>,
 }
@@ -89,10 +85,10 @@
 }
 
 impl Host {
-    /// Starts a warm host at a free port of this address. Host 0 is the primary.
+    /// Starts a host at full capacity on a free port of this address. Host 0 is the primary.
     pub fn start(plan: Plan, number: usize, ip: Ipv4Addr, clock: Clock) -> Rc<Host> {
         let listener = bind(SocketAddr::from((ip, 0)));
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has an address");
         let host = Rc::new(Host {
             plan,
             clock,
@@ -100,7 +96,7 @@
             address,
             state: watch::Sender::new(State { mode: Mode::Up, start: 0 }),
             slots: Semaphore::new(SLOTS),
-            waiting: Cell::new(0),
+            pending: Cell::new(0),
             is_primary: Cell::new(number == 0),
             arrivals: RefCell::default(),
             starts: RefCell::default(),
@@ -111,30 +107,28 @@
         host
     }
 
-    /// Whether it answers.
     pub fn mode(&self) -> Mode {
         self.state.borrow().mode
     }
 
-    /// Lets it answer, fall silent or go down.
     pub fn set_mode(&self, mode: Mode) {
         self.state.send_modify(|state| state.mode = mode);
     }
 
-    /// Restarts it: connections are reset, requests are lost, and a slow start begins.
+    /// Restarts the host: its connections are reset, its requests are lost, and a slow start begins.
     pub fn restart(&self) {
         self.starts.borrow_mut().push(Start { at: self.clock.now(), notified_at: None });
         self.started_ms.set(self.clock.unix_ms());
         self.state.send_modify(|state| *state = State { mode: Mode::Up, start: state.start + 1 });
     }
 
-    /// Capacity of a warm host, in requests of mean execution time a second.
+    /// Capacity of a warm host, in requests of mean execution time per second.
     pub fn capacity(plan: &Plan) -> f64 {
-        SLOTS as f64 / mean_work(plan).as_secs_f64()
+        SLOTS as f64 / mean_execution_time(plan).as_secs_f64()
     }
 
-    /// The share of its capacity that it has now.
-    fn share(&self) -> f64 {
+    /// The current share of its full capacity: below 1 during a slow start.
+    fn capacity_share(&self) -> f64 {
         let Some(start) = self.starts.borrow().last().copied() else { return 1.0 };
         self.plan.slow_start.share(Duration::from_micros((self.clock.now() - start.at) as u64))
     }
@@ -161,10 +155,10 @@
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
         let start = self.state.borrow().start;
         let mut state = self.state.subscribe();
-        let is_over = |state: &State| state.start != start || state.mode == Mode::Down;
+        let is_connection_lost = |state: &State| state.start != start || state.mode == Mode::Down;
         let was_reset = tokio::select! {
             biased;
-            _ = state.wait_for(is_over) => true,
+            _ = state.wait_for(is_connection_lost) => true,
             _ = self.answer_all(&mut stream) => false,
         };
         if was_reset {
@@ -175,20 +169,22 @@
     async fn answer_all(&self, stream: &mut TcpStream) -> Option<()> {
         let mut connection = HostConnection::new(stream);
         connection.startup().await?;
-        self.until_answering().await;
+        self.wait_while_silent().await;
         connection.write(&[message(b'R', &[0; 4]), ready_for_query()].concat()).await?;
         loop {
             let statement = self.record(&connection.next_query().await?)?;
-            let answer = self.work(&statement).await;
-            self.until_answering().await;
+            let answer = self.execute(&statement).await;
+            self.wait_while_silent().await;
             connection.write(&answer).await?;
         }
     }
 
-    async fn until_answering(&self) {
+    /// Waits while the host is silent.
+    async fn wait_while_silent(&self) {
         let _ = self.state.subscribe().wait_for(|state| state.mode != Mode::Silent).await;
     }
 
+    /// Records the arrival of a statement; `None` if its comment is not valid.
     fn record(&self, text: &str) -> Option<Statement> {
         let comment = text.split_once("/* ")?.1.split_once(" */")?.0;
         let fields: BTreeMap<&str, &str> =
@@ -204,20 +200,21 @@
         Some(Statement { arrival, is_write: text.starts_with("INSERT") })
     }
 
-    async fn work(&self, statement: &Statement) -> Vec<u8> {
+    async fn execute(&self, statement: &Statement) -> Vec<u8> {
         if statement.is_write && !self.is_primary.get() {
             return self.answer(error("25006"));
         }
-        if self.waiting.get() >= QUEUE {
+        if self.pending.get() >= QUEUE_CAPACITY {
             return self.answer(error("53300"));
         }
-        self.waiting.set(self.waiting.get() + 1);
-        let _waiting = WaitingRequest(&self.waiting);
+        self.pending.set(self.pending.get() + 1);
+        let _pending = PendingRequest(&self.pending);
         let _slot = self.slots.acquire().await;
-        // Execution times differ: from half to one and a half of the mean.
+        // Execution times vary uniformly from 0.5 to 1.5 times the mean.
         let factor = 0.5 + uniform(&mut self.rng.borrow_mut());
-        let work = CLASSES[statement.arrival.class].work.mul_f64(factor / self.share());
-        self.clock.sleep(work).await;
+        let execution_time =
+            CLASSES[statement.arrival.class].execution_time.mul_f64(factor / self.capacity_share());
+        self.clock.sleep(execution_time).await;
         self.answer(row(statement.arrival.id.as_bytes()))
     }
 
@@ -230,18 +227,18 @@
     }
 }
 
-/// Counts a request as waiting until it is executed or dropped.
-struct WaitingRequest<'a>(&'a Cell<usize>);
+/// Takes a request out of the count of pending ones when it has been executed or dropped.
+struct PendingRequest<'a>(&'a Cell<usize>);
 
-impl Drop for WaitingRequest<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 fn bind(address: SocketAddr) -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_reuseaddr(true).expect("an option");
-    socket.bind(address).expect("a free port");
-    socket.listen(1024).expect("it listens")
+    let socket = TcpSocket::new_v4().expect("a socket is created");
+    socket.set_reuseaddr(true).expect("SO_REUSEADDR is set");
+    socket.bind(address).expect("the address is free");
+    socket.listen(1024).expect("the socket listens")
 }
--- a/tests/faulty_fleet/invariants.rs
+++ b/tests/faulty_fleet/invariants.rs
@@ -18,7 +18,7 @@
 const DISCONNECT_SLACK: Time = 100_000;
 /// Allowance for delays of the test machine in delivering data and in recording it (microseconds).
 const MACHINE_SLACK: Time = 50_000;
-/// A gateway must answer requests that are sent up to this long after SIGTERM before SIGKILL (microseconds).
+/// A request that is sent later than this after SIGTERM must be answered before SIGKILL (microseconds).
 const ANSWERED_BEFORE_KILL: Time = 700_000;
 
 /// A budget below this many requests counts as small.
@@ -58,14 +58,15 @@
 fn busiest_window(fleet: &Fleet, host: &Host, started: Time, arrivals: &[&Arrival]) -> BusiestWindow {
     let slow_start = fleet.plan.slow_start;
     let window = slow_start.overload_span;
-    let mean_work = classes::mean_work(&fleet.plan).as_secs_f64();
+    let mean_execution_time = classes::mean_execution_time(&fleet.plan).as_secs_f64();
     let mut busiest = BusiestWindow { host: host.number, ..BusiestWindow::default() };
     for (index, first) in arrivals.iter().enumerate() {
         let age = first.at - started;
         let end = first.at + window.as_micros() as Time;
         let within = arrivals[index..].iter().take_while(|arrival| arrival.at < end);
         let sent: f64 =
-            within.map(|arrival| CLASSES[arrival.class].work.as_secs_f64()).sum::<f64>() / mean_work;
+            within.map(|arrival| CLASSES[arrival.class].execution_time.as_secs_f64()).sum::<f64>()
+                / mean_execution_time;
         let share = slow_start.share(Duration::from_micros(age as u64));
         let budget = slow_start.overload_factor * share * Host::capacity(&fleet.plan) * window.as_secs_f64();
         // The variation of a Poisson count; small counts are allowed more standard deviations.
@@ -117,8 +118,8 @@
     }
 }
 
-/// Whether the answer was lost because the process was killed while it was still allowed to leave the request
-/// open.
+/// Whether the answer was lost because the process was killed, except where the request had to be answered
+/// before SIGKILL: see `ANSWERED_BEFORE_KILL`.
 fn is_excused(fleet: &Fleet, record: &Record) -> bool {
     let ProcessEnd { terminated_at, killed_at } = fleet.gateways[record.gateway].process_end(record.sent);
     let is_late_in_shutdown = terminated_at.is_some_and(|at| record.sent > at + ANSWERED_BEFORE_KILL);
--- a/tests/faulty_fleet/list.rs
+++ b/tests/faulty_fleet/list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list of a fleet: its entries, the election of primaries, and when gateways count as notified
-//! of a change.
+//! The endpoint list of a fleet: its entries, the election of primaries, and the times at which gateways
+//! count as notified of a change.
 
 use super::hosts::{Host, Mode};
 use super::{Clock, Time};
@@ -8,65 +8,63 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Last byte of the list service's address.
+/// Last byte of the list service's IP address.
 const LIST_HOST: u8 = 200;
-/// Gateways count as notified of a change in an outage of the list service this long after the outage
-/// (microseconds).
+/// Gateways count as notified of a change during an outage of the list service this long after the end of the
+/// outage (microseconds).
 pub const NOTIFIED_AFTER_OUTAGE: Time = 6_000_000;
-/// How late gateways may read what the service has written to their watches (microseconds).
+/// Allowance for the delay until gateways read what the service wrote to their watches (microseconds).
 pub const PUSH_SLACK: Time = 100_000;
 
-/// How often the primary is checked.
+/// Interval between checks of the primary.
 const ELECTION_INTERVAL: Duration = Duration::from_millis(200);
-/// Checks in a row that a primary has to fail to be replaced.
-const LOST_CHECKS: u32 = 8;
+/// Consecutive failed checks after which a primary is replaced.
+const FAILED_CHECKS_LIMIT: u32 = 8;
 
 /// A drain of a host.
 pub struct Drain {
-    /// The host.
     pub host: usize,
-    /// When all gateways count as notified of it.
+    /// When all gateways count as notified of the drain.
     pub notified_at: Time,
-    /// When the list named the host as up again.
+    /// When the list named the host as up again; `Time::MAX` until then.
     pub ended_at: Time,
 }
 
-/// The list and its service.
+/// The endpoint list and the service that publishes it.
 pub struct EndpointList {
     clock: Clock,
-    /// The service that publishes it.
     pub service: Rc<ListService>,
     hosts: Vec<Rc<Host>>,
     endpoints: RefCell<Vec<Endpoint>>,
-    /// Every drain.
+    /// All drains, in order of time.
     pub drains: RefCell<Vec<Drain>>,
-    /// When gateways count as notified of the changes of the last outage.
-    outage_until: RefCell<Option<Time>>,
+    /// When gateways count as notified of the changes during the last outage; `Time::MAX` while it lasts.
+    outage_notified_at: RefCell<Option<Time>>,
 }
 
 impl EndpointList {
-    /// Starts the service with all hosts up.
+    /// Starts the service with entries that name all hosts as up.
     pub async fn start(network: LoopbackNetwork, clock: Clock, hosts: Vec<Rc<Host>>) -> Rc<EndpointList> {
         let endpoints: Vec<Endpoint> = hosts.iter().map(|host| endpoint(host)).collect();
         let entries = endpoints.iter().map(Endpoint::json).collect();
         let service = ListService::start(network.address(LIST_HOST), FirstUpdate::CompleteList, entries);
         let list = Rc::new(EndpointList {
             clock,
-            service: service.await.expect("a free port"),
+            service: service.await.expect("the list service finds a free port"),
             hosts,
             endpoints: RefCell::new(endpoints),
             drains: RefCell::default(),
-            outage_until: RefCell::default(),
+            outage_notified_at: RefCell::default(),
         });
         tokio::task::spawn_local(list.clone().elect_primaries());
         list
     }
 
-    /// Lets the service fail or return.
+    /// Starts or ends an outage of the service.
     pub fn set_state(&self, state: ServiceState) {
         let until =
             if state == ServiceState::Up { self.clock.now() + NOTIFIED_AFTER_OUTAGE } else { Time::MAX };
-        *self.outage_until.borrow_mut() = Some(until);
+        *self.outage_notified_at.borrow_mut() = Some(until);
         if state == ServiceState::Up {
             for drain in self.drains.borrow_mut().iter_mut() {
                 drain.notified_at = drain.notified_at.min(until);
@@ -80,13 +78,13 @@
         self.service.set_state(state);
     }
 
-    /// When all gateways count as notified of a change that is published now.
+    /// When all gateways count as notified of a change that is published at this time.
     fn notified_at(&self) -> Time {
         let by_push = self.clock.now() + PUSH_SLACK;
-        self.outage_until.borrow().map_or(by_push, |until| until.max(by_push))
+        self.outage_notified_at.borrow().map_or(by_push, |until| until.max(by_push))
     }
 
-    /// Names a restarted host as up, with its new start.
+    /// Publishes a restarted host as up, with the time of its restart.
     pub fn publish_start(&self, host: usize) {
         let notified_at = self.notified_at();
         if let Some(start) = self.hosts[host].starts.borrow_mut().last_mut() {
@@ -99,7 +97,7 @@
         self.change(host, |endpoint| (endpoint.draining, endpoint.started_ms) = (false, started_ms as i64));
     }
 
-    /// Names a host as draining.
+    /// Publishes a host as draining.
     pub fn publish_drain(&self, host: usize) {
         let drain = Drain { host, notified_at: self.notified_at(), ended_at: Time::MAX };
         self.drains.borrow_mut().push(drain);
@@ -117,21 +115,21 @@
         self.service.replace_entry(host, endpoints[host].json());
     }
 
-    /// Replaces a primary that has not been able to serve for a while.
+    /// Replaces a primary that fails `FAILED_CHECKS_LIMIT` consecutive checks, if another host can serve.
     async fn elect_primaries(self: Rc<Self>) {
-        let mut lost = 0;
+        let mut failed_checks = 0;
         loop {
             self.clock.sleep(ELECTION_INTERVAL).await;
             let Some(primary) = self.hosts.iter().position(|host| host.is_primary.get()) else { continue };
             let can_serve = |host: usize| self.hosts[host].mode() == Mode::Up && self.is_up(host);
-            lost = if can_serve(primary) { 0 } else { lost + 1 };
+            failed_checks = if can_serve(primary) { 0 } else { failed_checks + 1 };
             let next = (0..self.hosts.len()).find(|host| *host != primary && can_serve(*host));
-            if let Some(next) = next.filter(|_| lost >= LOST_CHECKS) {
+            if let Some(next) = next.filter(|_| failed_checks >= FAILED_CHECKS_LIMIT) {
                 self.hosts[primary].is_primary.set(false);
                 self.hosts[next].is_primary.set(true);
                 self.change(primary, |endpoint| endpoint.primary = false);
                 self.change(next, |endpoint| endpoint.primary = true);
-                lost = 0;
+                failed_checks = 0;
             }
         }
     }
--- a/tests/faulty_fleet/schedule.rs
+++ b/tests/faulty_fleet/schedule.rs
@@ -1,5 +1,5 @@
-//! Schedules of faults, sampled from a seed: what is done to a fleet, and when. A schedule is data that can
-//! be printed and played again.
+//! Fault schedules that are sampled from a seed. A schedule is plain data: it can be printed, and the same
+//! seed samples it again.
 
 use super::hosts::Mode;
 use super::{index_below, uniform, Fleet, Plan};
@@ -12,53 +12,54 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Before the first fault, so that gateways know the hosts' load (milliseconds).
+/// Time before the first fault, in which gateways learn the hosts' load (milliseconds).
 const WARM_UP: u64 = 3_000;
-/// From the first fault to the last (milliseconds).
+/// Range of the times at which faults begin (milliseconds).
 const FAULTS_SPAN: u64 = 9_000;
-/// From the last fault to the last request (milliseconds).
-const REST: u64 = 4_000;
-/// Faults of a schedule.
+/// Time from the last fault to the last request (milliseconds).
+const COOL_DOWN: u64 = 4_000;
+/// Number of faults in a schedule.
 const FAULTS: RangeInclusive<usize> = 4..=8;
-/// Signals of one fault.
-const SIGNALS: RangeInclusive<usize> = 2..=4;
-/// Between two signals (milliseconds).
+/// Number of SIGHUP signals of a reload fault.
+const RELOAD_SIGNALS: RangeInclusive<usize> = 2..=4;
+/// Time between two signals of a fault (milliseconds).
 const SIGNAL_INTERVAL: u64 = 120;
-/// How long a gateway is stalled (milliseconds).
+/// How long a gateway stays stopped by SIGSTOP (milliseconds).
 const STALL_SPAN: u64 = 120;
-/// From the drain of a host to the start of its successor (milliseconds).
+/// Time from the drain of a host to the start of its replacement (milliseconds).
 const REPLACEMENT_DELAY: u64 = 3_000;
-/// Idle clients of a crowd: more than the third of the descriptors that a gateway reserves for clients.
-const CROWD: usize = 250;
-/// A gateway that accepts no more leaves connections unanswered.
-const CONNECT_WITHIN: Duration = Duration::from_millis(20);
+/// Idle connections of `Fault::IdleConnections`: more than the third of its descriptors that a gateway
+/// reserves for clients.
+const IDLE_CONNECTIONS: usize = 250;
+/// Time limit for an idle connection: a gateway that accepts no more leaves connection attempts unanswered.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A fault. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The hosts are down for `down`. The list names their starts `listed_after` later.
+    /// The hosts are down for `down`; the list names their restarts `listed_after` later.
     RestartHosts { hosts: Vec<usize>, down: u64, listed_after: u64 },
-    /// The hosts accept and answer nothing.
+    /// The hosts accept connections and requests, but do not answer.
     SilenceHosts { hosts: Vec<usize>, span: u64 },
-    /// The hosts drain, and successors start at their addresses.
+    /// The hosts drain, and replacements start at their addresses.
     ReplaceHosts { hosts: Vec<usize> },
-    /// SIGTERM, SIGKILL as early as the platform may, and a new process.
+    /// SIGTERM, SIGKILL at the earliest time at which a platform may send it, and a new process.
     StopGateways { gateways: Vec<usize> },
     /// SIGKILL, and a new process.
     KillGateways { gateways: Vec<usize> },
-    /// SIGSTOP, and SIGCONT a moment later.
+    /// SIGSTOP, and SIGCONT after `STALL_SPAN`.
     StallGateways { gateways: Vec<usize> },
-    /// SIGHUP, several times in a row.
+    /// SIGHUP, `times` times.
     ReloadGateways { gateways: Vec<usize>, times: usize },
-    /// The list service fails.
-    Discovery { state: ServiceState, span: u64 },
+    /// An outage of the list service.
+    DiscoveryOutage { state: ServiceState, span: u64 },
     /// The offered load is multiplied.
     Burst { factor: f64, span: u64 },
-    /// Idle clients use up the descriptors of a gateway.
-    Crowd { gateway: usize, span: u64 },
+    /// Idle client connections use up the descriptors of a gateway.
+    IdleConnections { gateway: usize, span: u64 },
 }
 
-/// A fault, and when it begins (milliseconds after the first request).
+/// A fault and its start time (milliseconds after the start of the schedule).
 #[derive(Clone, Debug)]
 pub struct Step {
     pub at: u64,
@@ -73,7 +74,7 @@
 }
 
 impl Schedule {
-    /// Samples a fleet and its faults.
+    /// Samples a fleet and its faults from a seed.
     pub fn sample(seed: u64) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let slow_start = SlowStart {
@@ -104,27 +105,27 @@
 
     /// Injects the faults at their times.
     pub async fn run(self, fleet: Rc<Fleet>) {
-        let begun = fleet.clock.now();
+        let started = fleet.clock.now();
         let mut tasks = Vec::new();
         for step in self.steps {
-            let elapsed = (fleet.clock.now() - begun) as u64 / 1_000;
+            let elapsed = (fleet.clock.now() - started) as u64 / 1_000;
             fleet.wait(step.at.saturating_sub(elapsed)).await;
             fleet.add_to_history(&format!("{:?}", step.fault));
             tasks.push(tokio::task::spawn_local(inject(fleet.clone(), step.fault)));
         }
-        fleet.wait(REST).await;
+        fleet.wait(COOL_DOWN).await;
         for task in tasks {
             task.await.expect("the fault was injected");
         }
     }
 }
 
-/// A sample of the counts in this range.
+/// A uniform sample of this range.
 fn sample_count(rng: &mut Pcg64Mcg, range: &RangeInclusive<usize>) -> usize {
     range.start() + index_below(rng, range.end() - range.start() + 1)
 }
 
-/// A sample of the indices below a count: one at least, and at most this share of them.
+/// Random distinct indices below a count: at least one, and at most this share of them.
 fn sample_indices(rng: &mut Pcg64Mcg, count: usize, share: f64) -> Vec<usize> {
     let most = ((count as f64 * share) as usize).max(1);
     let wanted = 1 + index_below(rng, most);
@@ -147,14 +148,14 @@
         9 => Fault::StallGateways { gateways: sample_indices(rng, plan.gateways, 0.5) },
         10 => Fault::ReloadGateways {
             gateways: sample_indices(rng, plan.gateways, 1.0),
-            times: sample_count(rng, &SIGNALS),
+            times: sample_count(rng, &RELOAD_SIGNALS),
         },
         11 => {
             let state = if index_below(rng, 2) == 0 { ServiceState::Silent } else { ServiceState::Refusing };
-            Fault::Discovery { state, span }
+            Fault::DiscoveryOutage { state, span }
         }
         _ if index_below(rng, 2) == 0 => Fault::Burst { factor: 1.4 + uniform(rng), span },
-        _ => Fault::Crowd { gateway: index_below(rng, plan.gateways), span },
+        _ => Fault::IdleConnections { gateway: index_below(rng, plan.gateways), span },
     }
 }
 
@@ -170,7 +171,7 @@
         Fault::SilenceHosts { hosts, span } => {
             hosts.iter().for_each(|host| fleet.hosts[*host].set_mode(Mode::Silent));
             fleet.wait(span).await;
-            // A host that has gone down meanwhile stays down.
+            // A host that another fault has taken down in the meantime stays down.
             let silent = hosts.iter().filter(|host| fleet.hosts[**host].mode() == Mode::Silent);
             silent.for_each(|host| fleet.hosts[*host].set_mode(Mode::Up));
         }
@@ -193,7 +194,7 @@
                 fleet.wait(SIGNAL_INTERVAL).await;
             }
         }
-        Fault::Discovery { state, span } => {
+        Fault::DiscoveryOutage { state, span } => {
             fleet.list.set_state(state);
             fleet.wait(span).await;
             fleet.list.set_state(ServiceState::Up);
@@ -203,18 +204,19 @@
             fleet.wait(span).await;
             fleet.load.set(fleet.plan.load);
         }
-        Fault::Crowd { gateway, span } => {
+        Fault::IdleConnections { gateway, span } => {
             let mut idle = Vec::new();
-            for _ in 0..CROWD {
+            for _ in 0..IDLE_CONNECTIONS {
                 let connect = TcpStream::connect(fleet.gateways[gateway].process.listen);
-                idle.extend(timeout(CONNECT_WITHIN, connect).await.into_iter().flatten());
+                idle.extend(timeout(CONNECT_TIMEOUT, connect).await.into_iter().flatten());
             }
             fleet.wait(span).await;
         }
     }
 }
 
-/// Stops gateways one after the other, and starts a new process of each.
+/// Stops gateways at intervals of `SIGNAL_INTERVAL`, and starts the new process of each when the old one has
+/// ended.
 async fn stop_gateways(fleet: &Fleet, gateways: &[usize]) {
     let mut stops = Vec::new();
     for gateway in gateways {
@@ -228,10 +230,11 @@
         fleet.wait(SIGNAL_INTERVAL).await;
     }
     for stop in stops {
-        stop.await.expect("it stopped");
+        stop.await.expect("the gateway was replaced");
     }
 }
 
+/// Kills gateways together, and starts a new process of each after five signal intervals.
 async fn kill_gateways(fleet: &Fleet, gateways: &[usize]) {
     let mut killed: Vec<usize> = gateways.to_vec();
     killed.retain(|gateway| fleet.gateways[*gateway].begin_replacement());
