--- a/tests/faulty_fleet/hosts.rs
+++ b/tests/faulty_fleet/hosts.rs
@@ -85,7 +85,7 @@
 }
 
 impl Host {
-    /// Starts a host at full capacity on a free port of this address. Host 0 is the primary.
+    /// Starts a warm host on a free port of this address. Host 0 is the primary.
     pub fn start(plan: Plan, number: usize, ip: Ipv4Addr, clock: Clock) -> Rc<Host> {
         let listener = bind(SocketAddr::from((ip, 0)));
         let address = listener.local_addr().expect("the listener has an address");
--- a/tests/faulty_fleet/schedule.rs
+++ b/tests/faulty_fleet/schedule.rs
@@ -14,7 +14,7 @@
 
 /// Time before the first fault, in which gateways learn the hosts' load (milliseconds).
 const WARM_UP: u64 = 3_000;
-/// Range of the times at which faults begin (milliseconds).
+/// Length of the period in which faults begin (milliseconds).
 const FAULTS_SPAN: u64 = 9_000;
 /// Time from the last fault to the last request (milliseconds).
 const COOL_DOWN: u64 = 4_000;
