--- a/src/fleet/primary_discovery.rs
+++ b/src/fleet/primary_discovery.rs
@@ -137,15 +137,15 @@
         let known: Vec<&LeaseHolder> = self.leaders.iter().flatten().collect();
         let shards = self.leaders.len();
         match known.first() {
-            None => log::info!("primary discovery has no leader"),
+            None => log::info!("primary discovery leader unknown"),
             Some(LeaseHolder { gateway, term }) if shards == 1 => {
-                log::info!("primary discovery has a leader gateway={gateway} term={term}");
+                log::info!("primary discovery leader known gateway={gateway} term={term}");
             }
             Some(_) if known.len() == shards => {
-                log::info!("primary discovery has all leaders shards={shards}")
+                log::info!("primary discovery leaders known for all shards shards={shards}")
             }
             Some(_) => {
-                log::info!("primary discovery lacks leaders");
+                log::info!("primary discovery leaders unknown for some shards");
             }
         }
     }
--- a/src/handover/exchange_state.rs
+++ b/src/handover/exchange_state.rs
@@ -38,14 +38,14 @@
             Ok(()) => {
                 let has_recovered = self.publication.record_success(result.started_at, result.reservation);
                 if has_recovered {
-                    log::info!("handover record written again directory={directory}");
+                    log::info!("publishing the handover record recovered directory={directory}");
                 }
             }
             Err(cause) => {
                 let refresh = if result.was_refreshed { FileRefresh::Refreshed } else { FileRefresh::Failed };
                 let is_first_failure = self.publication.record_failure(result.started_at, refresh);
                 if is_first_failure {
-                    log::warn!("handover record not written directory={directory} cause={cause}");
+                    log::warn!("publishing the handover record failed directory={directory} cause={cause}");
                 }
             }
         }
@@ -61,7 +61,7 @@
             }
             Err(cause) => {
                 if !std::mem::replace(&mut self.is_scan_failing, true) {
-                    log::warn!("handover records not read directory={directory} cause={cause}");
+                    log::warn!("reading handover records failed directory={directory} cause={cause}");
                 }
             }
         }
@@ -76,7 +76,7 @@
 
     fn on_directory_readable(&mut self, now: Time, directory: &str) {
         if std::mem::take(&mut self.is_scan_failing) {
-            log::info!("handover records read again directory={directory}");
+            log::info!("reading handover records recovered directory={directory}");
             self.siblings.unobserved_for(now - self.last_scan_or(now));
         }
         self.last_scan_at = Some(now);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -245,10 +245,10 @@
     let gateway = harness.start_another();
     gateway.repeat_operator_request(b"ready\n", "YES");
     std::fs::remove_dir_all(harness.handover_folder()).expect("the directory exists");
-    gateway.wait_for_log_line("handover record not written");
+    gateway.wait_for_log_line("publishing the handover record failed");
     assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ");
     std::fs::create_dir_all(harness.handover_folder()).expect("directory created");
-    gateway.wait_for_log_line("handover record written again");
+    gateway.wait_for_log_line("publishing the handover record recovered");
     assert_eq!(kinds(&gateway.client().query(&select("a", "view", 20_000))), "TDCZ");
 }
 
--- a/tests/handover_directory.rs
+++ b/tests/handover_directory.rs
@@ -266,14 +266,17 @@
         (0..20).for_each(|_| machine.heartbeat());
     }
     let first = logged();
-    assert_eq!(first.iter().filter(|line| line.contains("handover record not written")).count(), 1);
-    assert_eq!(first.iter().filter(|line| line.contains("handover records not read")).count(), 1);
+    assert_eq!(first.iter().filter(|line| line.contains("publishing the handover record failed")).count(), 1);
+    assert_eq!(first.iter().filter(|line| line.contains("reading handover records failed")).count(), 1);
     assert_eq!(first.len(), 2, "{first:?}");
     machine.fault(0, Faults::default());
     (0..20).for_each(|_| machine.heartbeat());
     let then = logged();
-    assert_eq!(then.iter().filter(|line| line.contains("handover record written again")).count(), 1);
-    assert_eq!(then.iter().filter(|line| line.contains("handover records read again")).count(), 1);
+    assert_eq!(
+        then.iter().filter(|line| line.contains("publishing the handover record recovered")).count(),
+        1
+    );
+    assert_eq!(then.iter().filter(|line| line.contains("reading handover records recovered")).count(), 1);
     assert_eq!(then.len(), 2, "{then:?}");
 }
 
