--- a/tests/faulty_directory/mod.rs
+++ b/tests/faulty_directory/mod.rs
@@ -1,21 +1,21 @@
-//! A directory of handover records in memory, which fails as a test has it.
+//! An in-memory directory of handover records that injects the faults a test sets.
 
 use petrelgauge::handover::record_directory::{FileContent, ModificationTime, RecordDirectory};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex};
 
-/// The files, by name, with their content and when they were modified, and the time of the file system.
+/// The files by name, each with its content and modification time, and the current time of the file system.
 #[derive(Default)]
 pub struct Files {
     pub now: i64,
     pub by_name: BTreeMap<String, (Vec<u8>, i64)>,
 }
 
-/// What fails for one process.
+/// The operations that fail for one process, with their errors.
 #[derive(Clone, Copy, Default)]
 pub struct Faults {
-    /// Writes fail after so many bytes.
+    /// Error of a write, and how many bytes it writes before it fails.
     pub write: Option<(ErrorKind, usize)>,
     pub rename: Option<ErrorKind>,
     pub set_modified: Option<ErrorKind>,
@@ -23,16 +23,16 @@
     pub read: Option<ErrorKind>,
 }
 
-/// The disk is full.
-pub const FULL: Faults = Faults {
+/// The disk is full, but files can be renamed and refreshed.
+pub const DISK_FULL: Faults = Faults {
     write: Some((ErrorKind::StorageFull, 0)),
     rename: None,
     set_modified: None,
     list: None,
     read: None,
 };
-/// Nothing can be changed any more.
-pub const BROKEN: Faults = Faults {
+/// No file can be written, renamed or refreshed.
+pub const ALL_CHANGES_FAIL: Faults = Faults {
     write: Some((ErrorKind::Other, 5)),
     rename: Some(ErrorKind::Other),
     set_modified: Some(ErrorKind::Other),
@@ -47,47 +47,47 @@
     pub faults: Mutex<Faults>,
 }
 
-fn fails(fault: Option<ErrorKind>) -> Result<()> {
+fn inject(fault: Option<ErrorKind>) -> Result<()> {
     fault.map_or(Ok(()), |kind| Err(Error::from(kind)))
 }
 
 impl FaultyDirectory {
     fn faults(&self) -> Faults {
-        *self.faults.lock().expect("no panic")
+        *self.faults.lock().expect("not poisoned")
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut Files) -> T) -> T {
-        act(&mut self.files.lock().expect("no panic"))
+    fn with_files<T>(&self, operation: impl FnOnce(&mut Files) -> T) -> T {
+        operation(&mut self.files.lock().expect("not poisoned"))
     }
 }
 
-fn missing() -> Error {
+fn not_found() -> Error {
     Error::from(ErrorKind::NotFound)
 }
 
 impl RecordDirectory for FaultyDirectory {
     fn list_files(&self, prefix: &str, max_count: usize) -> Result<Vec<String>> {
-        fails(self.faults().list)?;
-        let named = |files: &mut Files| {
+        inject(self.faults().list)?;
+        let matching_names = |files: &mut Files| {
             let names = files.by_name.keys().filter(|name| name.starts_with(prefix));
             names.take(max_count).cloned().collect()
         };
-        Ok(self.with(named))
+        Ok(self.with_files(matching_names))
     }
 
     fn modified_at(&self, name: &str) -> Result<ModificationTime> {
         let modification_time = |files: &mut Files| {
-            let (_, modified) = files.by_name.get(name).ok_or_else(missing)?;
+            let (_, modified) = files.by_name.get(name).ok_or_else(not_found)?;
             Ok(ModificationTime { at: *modified, age: files.now - modified })
         };
-        self.with(modification_time)
+        self.with_files(modification_time)
     }
 
     fn read(&self, name: &str, max_bytes: usize) -> Result<FileContent> {
-        fails(self.faults().read)?;
+        inject(self.faults().read)?;
         let modified = self.modified_at(name)?;
-        let bytes = self.with(|files| files.by_name.get(name).map(|(bytes, _)| bytes.clone()));
-        let mut bytes = bytes.ok_or_else(missing)?;
+        let bytes = self.with_files(|files| files.by_name.get(name).map(|(bytes, _)| bytes.clone()));
+        let mut bytes = bytes.ok_or_else(not_found)?;
         bytes.truncate(max_bytes);
         Ok(FileContent { bytes, modified })
     }
@@ -95,31 +95,31 @@
     fn write(&self, name: &str, bytes: &[u8]) -> Result<()> {
         let fault = self.faults().write;
         let written = fault.map_or(bytes.len(), |(_, count)| count.min(bytes.len()));
-        self.with(|files| {
+        self.with_files(|files| {
             let now = files.now;
             files.by_name.insert(name.to_string(), (bytes[..written].to_vec(), now))
         });
-        fails(fault.map(|(kind, _)| kind))
+        inject(fault.map(|(kind, _)| kind))
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<()> {
-        fails(self.faults().rename)?;
-        self.with(|files| {
-            let file = files.by_name.remove(from).ok_or_else(missing)?;
+        inject(self.faults().rename)?;
+        self.with_files(|files| {
+            let file = files.by_name.remove(from).ok_or_else(not_found)?;
             files.by_name.insert(to.to_string(), file);
             Ok(())
         })
     }
 
     fn set_modified(&self, name: &str, modified: i64) -> Result<()> {
-        fails(self.faults().set_modified)?;
-        self.with(|files| {
-            files.by_name.get_mut(name).ok_or_else(missing)?.1 = modified;
+        inject(self.faults().set_modified)?;
+        self.with_files(|files| {
+            files.by_name.get_mut(name).ok_or_else(not_found)?.1 = modified;
             Ok(())
         })
     }
 
     fn remove(&self, name: &str) -> Result<()> {
-        self.with(|files| files.by_name.remove(name).map(drop).ok_or_else(missing))
+        self.with_files(|files| files.by_name.remove(name).map(drop).ok_or_else(not_found))
     }
 }
--- a/tests/handover_directory.rs
+++ b/tests/handover_directory.rs
@@ -1,9 +1,10 @@
-//! Faults of the directory that the processes of a gateway share: a full disk, I/O errors, truncated records, files of
-//! killed processes. The exchanges of several processes share one directory in memory, in simulated time.
+//! Faults of the directory that the processes of a gateway share: a full disk, I/O errors, truncated records,
+//! files of killed processes. The handover exchanges of several processes share one directory in memory, in
+//! simulated time.
 
 mod faulty_directory;
 
-use faulty_directory::{Faults, FaultyDirectory, Files, BROKEN, FULL};
+use faulty_directory::{Faults, FaultyDirectory, Files, ALL_CHANGES_FAIL, DISK_FULL};
 use petrelgauge::handover::{HandoverExchange, RecordContent};
 use petrelgauge_handover::retention::RECORD_RETENTION;
 use petrelgauge_handover::siblings::{HEARTBEAT_INTERVAL, LIVENESS_TIMEOUT};
@@ -15,8 +16,8 @@
 const GATEWAY: &str = "127.0.0.1:5433 n1";
 const LIMITS: Reservation = Reservation { sockets: 384, memory: 48 << 20, open_requests: 128 };
 const IN_USE: Reservation = Reservation { sockets: 200, memory: 20 << 20, open_requests: 60 };
-/// What [`IN_USE`] leaves of the limits.
-const REST: Reservation = Reservation { sockets: 184, memory: 28 << 20, open_requests: 68 };
+/// The part of [`LIMITS`] that [`IN_USE`] leaves.
+const REMAINING: Reservation = Reservation { sockets: 184, memory: 28 << 20, open_requests: 68 };
 const START: i64 = 1_000_000_000;
 
 /// A process of the gateway.
@@ -27,17 +28,17 @@
 }
 
 /// The processes that share one directory.
-struct Machine {
+struct SharedDirectory {
     files: Arc<Mutex<Files>>,
     now: i64,
     processes: Vec<Process>,
 }
 
-impl Machine {
-    fn new() -> Machine {
-        log_to_thread();
+impl SharedDirectory {
+    fn new() -> SharedDirectory {
+        install_thread_log();
         let files = Arc::new(Mutex::new(Files { now: START, ..Files::default() }));
-        Machine { files, now: START, processes: Vec::new() }
+        SharedDirectory { files, now: START, processes: Vec::new() }
     }
 
     fn start(&mut self, in_use: Reservation, faults: Faults) -> usize {
@@ -51,17 +52,17 @@
     }
 
     /// A process that uses [`IN_USE`] and a sibling that uses nothing; both have published their records.
-    fn pair() -> Machine {
-        let mut machine = Machine::new();
-        machine.start(IN_USE, Faults::default());
-        machine.start(Reservation::default(), Faults::default());
-        machine.heartbeat();
-        machine.heartbeat();
-        assert_eq!(machine.limit(1), REST);
-        machine
+    fn pair() -> SharedDirectory {
+        let mut shared = SharedDirectory::new();
+        shared.start(IN_USE, Faults::default());
+        shared.start(Reservation::default(), Faults::default());
+        shared.heartbeat();
+        shared.heartbeat();
+        assert_eq!(shared.limit(1), REMAINING);
+        shared
     }
 
-    /// Makes a heartbeat of each process in turn, and waits for the interval between heartbeats.
+    /// Runs a heartbeat of each process in turn, and advances the time by the heartbeat interval.
     fn heartbeat(&mut self) {
         for process in &self.processes {
             let heartbeat =
@@ -69,146 +70,153 @@
             process.handover.finish_heartbeat(self.now, heartbeat.run());
         }
         self.now += HEARTBEAT_INTERVAL;
-        self.files.lock().expect("no panic").now = self.now;
+        self.files.lock().expect("not poisoned").now = self.now;
     }
 
     fn limit(&self, process: usize) -> Reservation {
         self.processes[process].handover.limit(self.now, LIMITS)
     }
 
-    fn fault(&self, process: usize, faults: Faults) {
-        *self.processes[process].directory.faults.lock().expect("no panic") = faults;
+    fn set_faults(&self, process: usize, faults: Faults) {
+        *self.processes[process].directory.faults.lock().expect("not poisoned") = faults;
     }
 
-    /// Makes heartbeats for a span, and checks after each that the two processes together may not exceed the limits by more
-    /// than one minimum share.
-    fn stays_within_limits_for(&mut self, span: i64) {
-        let most = LIMITS.saturating_add(LIMITS.minimum_share());
-        let end = self.now + span;
+    /// Runs heartbeats for a duration, and checks after each that the limits of the two processes together
+    /// exceed the total by at most one minimum share.
+    fn check_limits_for(&mut self, duration: i64) {
+        let max_total = LIMITS.saturating_add(LIMITS.minimum_share());
+        let end = self.now + duration;
         while self.now < end {
             self.heartbeat();
             let (one, other) = (self.limit(0), self.limit(1));
-            let all = one.min(IN_USE).max(LIMITS.minimum_share().min(one)).saturating_add(other);
-            assert_eq!(all.min(most), all, "{one:?} and {other:?} at {}", self.now);
+            let total = one.min(IN_USE).max(LIMITS.minimum_share().min(one)).saturating_add(other);
+            assert_eq!(total.min(max_total), total, "{one:?} and {other:?} at {}", self.now);
         }
     }
 
     fn record_name(&self, process: usize) -> String {
-        let files = self.files.lock().expect("no panic");
+        let files = self.files.lock().expect("not poisoned");
         let end = format!("{:016x}.letter", process + 1);
         files.by_name.keys().find(|name| name.ends_with(&end)).expect("a record").clone()
     }
 }
 
 #[test]
-fn on_a_full_disk_both_keep_to_what_the_last_record_states() {
-    let mut machine = Machine::pair();
-    machine.fault(0, FULL);
+fn on_a_full_disk_both_keep_to_the_last_published_reservation() {
+    let mut shared = SharedDirectory::pair();
+    shared.set_faults(0, DISK_FULL);
     for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-        machine.heartbeat();
-        assert_eq!((machine.limit(0), machine.limit(1)), (IN_USE, REST));
+        shared.heartbeat();
+        assert_eq!((shared.limit(0), shared.limit(1)), (IN_USE, REMAINING));
     }
-    // A lower usage frees nothing while it cannot be published.
-    machine.processes[0].in_use = Reservation { sockets: 5, ..IN_USE };
-    machine.heartbeat();
-    assert_eq!(machine.limit(1), REST);
-    machine.fault(0, Faults::default());
-    machine.heartbeat();
-    machine.heartbeat();
-    assert_eq!(machine.limit(1).sockets, LIMITS.sockets - 5);
+    // Lower usage frees nothing for the sibling until it can be published.
+    shared.processes[0].in_use = Reservation { sockets: 5, ..IN_USE };
+    shared.heartbeat();
+    assert_eq!(shared.limit(1), REMAINING);
+    shared.set_faults(0, Faults::default());
+    shared.heartbeat();
+    shared.heartbeat();
+    assert_eq!(shared.limit(1).sockets, LIMITS.sockets - 5);
 }
 
 #[test]
 fn a_process_that_can_write_nothing_falls_to_the_minimum_share_before_its_sibling_uses_all_limits() {
-    for fault in [BROKEN, Faults { rename: None, ..BROKEN }, Faults { write: None, ..BROKEN }] {
-        let mut machine = Machine::pair();
-        machine.fault(0, fault);
-        let mut taken = false;
+    for fault in [
+        ALL_CHANGES_FAIL,
+        Faults { rename: None, ..ALL_CHANGES_FAIL },
+        Faults { write: None, ..ALL_CHANGES_FAIL },
+    ] {
+        let mut shared = SharedDirectory::pair();
+        shared.set_faults(0, fault);
+        let mut sibling_uses_all = false;
         for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-            machine.heartbeat();
-            let (blind, sibling) = (machine.limit(0), machine.limit(1));
-            assert!(sibling == REST || blind == LIMITS.minimum_share(), "{blind:?} beside {sibling:?}");
-            assert_eq!(blind.min(IN_USE), blind, "never more than it has stated");
-            taken |= sibling == LIMITS;
+            shared.heartbeat();
+            let (faulty, sibling) = (shared.limit(0), shared.limit(1));
+            assert!(
+                sibling == REMAINING || faulty == LIMITS.minimum_share(),
+                "{faulty:?} beside {sibling:?}"
+            );
+            assert_eq!(faulty.min(IN_USE), faulty, "it never exceeds its published reservation");
+            sibling_uses_all |= sibling == LIMITS;
         }
-        assert!(taken, "a record that never changes is one of a process that is gone");
-        machine.fault(0, Faults::default());
-        machine.stays_within_limits_for(2 * LIVENESS_TIMEOUT);
-        assert_eq!(machine.limit(1), REST);
+        assert!(sibling_uses_all, "the writer of a record that never changes is considered gone");
+        shared.set_faults(0, Faults::default());
+        shared.check_limits_for(2 * LIVENESS_TIMEOUT);
+        assert_eq!(shared.limit(1), REMAINING);
     }
 }
 
 #[test]
 fn while_no_process_can_write_no_file_is_removed_and_none_uses_all_limits() {
-    let mut machine = Machine::pair();
-    [0, 1].iter().for_each(|process| machine.fault(*process, BROKEN));
-    machine.stays_within_limits_for(2 * RECORD_RETENTION);
-    assert_eq!((machine.limit(0), machine.limit(1)), (LIMITS.minimum_share(), LIMITS.minimum_share()));
-    [0, 1].iter().for_each(|process| machine.fault(*process, Faults::default()));
-    machine.stays_within_limits_for(2 * LIVENESS_TIMEOUT);
-    assert_eq!(machine.limit(1), REST);
+    let mut shared = SharedDirectory::pair();
+    [0, 1].iter().for_each(|process| shared.set_faults(*process, ALL_CHANGES_FAIL));
+    shared.check_limits_for(2 * RECORD_RETENTION);
+    assert_eq!((shared.limit(0), shared.limit(1)), (LIMITS.minimum_share(), LIMITS.minimum_share()));
+    [0, 1].iter().for_each(|process| shared.set_faults(*process, Faults::default()));
+    shared.check_limits_for(2 * LIVENESS_TIMEOUT);
+    assert_eq!(shared.limit(1), REMAINING);
 }
 
 #[test]
 fn a_process_that_starts_on_a_full_disk_keeps_to_the_minimum_share() {
-    let mut machine = Machine::new();
-    machine.start(IN_USE, Faults::default());
-    machine.heartbeat();
-    machine.fault(0, FULL);
-    let second = machine.start(Reservation::default(), FULL);
-    // Before its first heartbeat the second process leaves no trace.
-    machine.heartbeat();
+    let mut shared = SharedDirectory::new();
+    shared.start(IN_USE, Faults::default());
+    shared.heartbeat();
+    shared.set_faults(0, DISK_FULL);
+    let second = shared.start(Reservation::default(), DISK_FULL);
+    // The second process has no file in the directory before its first heartbeat.
+    shared.heartbeat();
     for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-        machine.heartbeat();
-        assert_eq!(machine.limit(second), LIMITS.minimum_share());
-        assert_eq!(machine.limit(0).min(IN_USE), machine.limit(0));
+        shared.heartbeat();
+        assert_eq!(shared.limit(second), LIMITS.minimum_share());
+        assert_eq!(shared.limit(0).min(IN_USE), shared.limit(0));
     }
 }
 
 #[test]
 fn a_process_without_siblings_keeps_its_limits_whatever_its_directory_does() {
-    let mut machine = Machine::new();
-    machine.start(IN_USE, BROKEN);
-    for fault in [BROKEN, FULL, Faults { list: Some(ErrorKind::Other), ..BROKEN }] {
-        machine.fault(0, fault);
+    let mut shared = SharedDirectory::new();
+    shared.start(IN_USE, ALL_CHANGES_FAIL);
+    for fault in [ALL_CHANGES_FAIL, DISK_FULL, Faults { list: Some(ErrorKind::Other), ..ALL_CHANGES_FAIL }] {
+        shared.set_faults(0, fault);
         for _ in 0..2 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-            machine.heartbeat();
-            assert_eq!(machine.limit(0), LIMITS);
+            shared.heartbeat();
+            assert_eq!(shared.limit(0), LIMITS);
         }
     }
 }
 
 #[test]
 fn a_record_cut_at_any_byte_leaves_its_writers_reservation_in_force() {
-    let mut machine = Machine::pair();
-    let name = machine.record_name(0);
-    let complete = machine.files.lock().expect("no panic").by_name[&name].0.clone();
+    let mut shared = SharedDirectory::pair();
+    let name = shared.record_name(0);
+    let complete = shared.files.lock().expect("not poisoned").by_name[&name].0.clone();
     for cut in 0..complete.len() {
-        let cut = (complete[..cut].to_vec(), machine.now);
-        machine.files.lock().expect("no panic").by_name.insert(name.clone(), cut);
-        let process = &machine.processes[1];
+        let cut = (complete[..cut].to_vec(), shared.now);
+        shared.files.lock().expect("not poisoned").by_name.insert(name.clone(), cut);
+        let process = &shared.processes[1];
         let heartbeat =
-            process.handover.begin_heartbeat(machine.now, process.in_use, RecordContent::default());
-        process.handover.finish_heartbeat(machine.now, heartbeat.run());
-        machine.now += HEARTBEAT_INTERVAL;
-        assert_eq!(machine.limit(1), REST);
+            process.handover.begin_heartbeat(shared.now, process.in_use, RecordContent::default());
+        process.handover.finish_heartbeat(shared.now, heartbeat.run());
+        shared.now += HEARTBEAT_INTERVAL;
+        assert_eq!(shared.limit(1), REMAINING);
     }
     // A process that starts now has never read the record.
-    let third = machine.start(Reservation::default(), Faults::default());
-    assert_eq!(machine.limit(third).sockets, LIMITS.sockets / 2);
-    machine.heartbeat();
-    machine.heartbeat();
-    assert_eq!(machine.limit(third), REST);
+    let third = shared.start(Reservation::default(), Faults::default());
+    assert_eq!(shared.limit(third).sockets, LIMITS.sockets / 2);
+    shared.heartbeat();
+    shared.heartbeat();
+    assert_eq!(shared.limit(third), REMAINING);
 }
 
 #[test]
 fn a_write_cut_at_any_byte_leaves_the_old_record_in_force() {
     for cut in 0..200 {
-        let mut machine = Machine::pair();
-        machine.fault(0, Faults { write: Some((ErrorKind::StorageFull, cut)), ..FULL });
-        machine.heartbeat();
-        machine.heartbeat();
-        assert_eq!((machine.limit(0), machine.limit(1)), (IN_USE, REST));
+        let mut shared = SharedDirectory::pair();
+        shared.set_faults(0, Faults { write: Some((ErrorKind::StorageFull, cut)), ..DISK_FULL });
+        shared.heartbeat();
+        shared.heartbeat();
+        assert_eq!((shared.limit(0), shared.limit(1)), (IN_USE, REMAINING));
     }
 }
 
@@ -216,62 +224,62 @@
 fn an_unreadable_directory_does_not_free_what_siblings_reserve() {
     for fault in [
         Faults { list: Some(ErrorKind::Other), ..Faults::default() },
-        Faults { list: Some(ErrorKind::Other), ..BROKEN },
+        Faults { list: Some(ErrorKind::Other), ..ALL_CHANGES_FAIL },
         Faults { read: Some(ErrorKind::Other), ..Faults::default() },
     ] {
-        let mut machine = Machine::pair();
-        machine.fault(1, fault);
+        let mut shared = SharedDirectory::pair();
+        shared.set_faults(1, fault);
         for _ in 0..4 * LIVENESS_TIMEOUT / HEARTBEAT_INTERVAL {
-            machine.heartbeat();
-            let limit = machine.limit(1);
-            assert_eq!(limit.min(REST), limit);
+            shared.heartbeat();
+            let limit = shared.limit(1);
+            assert_eq!(limit.min(REMAINING), limit);
         }
-        machine.fault(1, Faults::default());
-        (0..4).for_each(|_| machine.heartbeat());
-        assert_eq!(machine.limit(1), REST);
+        shared.set_faults(1, Faults::default());
+        (0..4).for_each(|_| shared.heartbeat());
+        assert_eq!(shared.limit(1), REMAINING);
     }
 }
 
 #[test]
 fn abandoned_files_are_removed_in_bounded_time() {
-    let mut machine = Machine::pair();
-    let prefix = machine.record_name(0).replace(&format!("{:016x}.letter", 1), "");
-    let name = machine.record_name(0);
-    let record = machine.files.lock().expect("no panic").by_name[&name].0.clone();
-    let left = [
+    let mut shared = SharedDirectory::pair();
+    let prefix = shared.record_name(0).replace(&format!("{:016x}.letter", 1), "");
+    let name = shared.record_name(0);
+    let record = shared.files.lock().expect("not poisoned").by_name[&name].0.clone();
+    let abandoned = [
         (format!("{prefix}00000000000000aa.half"), vec![7; 3]),
         (format!("{prefix}00000000000000ab.letter"), vec![7; 3]),
         (format!("{prefix}00000000000000ac.letter"), record),
     ];
-    for (name, bytes) in left {
-        machine.files.lock().expect("no panic").by_name.insert(name, (bytes, START + 7_200_000_000));
+    for (name, bytes) in abandoned {
+        shared.files.lock().expect("not poisoned").by_name.insert(name, (bytes, START + 7_200_000_000));
     }
-    let count = |machine: &Machine| machine.files.lock().expect("no panic").by_name.len();
-    machine.heartbeat();
-    assert_eq!(count(&machine), 5);
-    let end = machine.now + RECORD_RETENTION + 4 * HEARTBEAT_INTERVAL;
-    while machine.now < end {
-        machine.heartbeat();
-        assert_eq!(machine.processes[0].handover.live_sibling_count(machine.now).min(1), 1);
+    let count = |shared: &SharedDirectory| shared.files.lock().expect("not poisoned").by_name.len();
+    shared.heartbeat();
+    assert_eq!(count(&shared), 5);
+    let end = shared.now + RECORD_RETENTION + 4 * HEARTBEAT_INTERVAL;
+    while shared.now < end {
+        shared.heartbeat();
+        assert_eq!(shared.processes[0].handover.live_sibling_count(shared.now).min(1), 1);
     }
-    assert_eq!(count(&machine), 2, "the records of the two that run are left");
+    assert_eq!(count(&shared), 2, "only the records of the two running processes remain");
 }
 
 #[test]
 fn a_failure_is_logged_once_and_so_is_its_end() {
-    let mut machine = Machine::pair();
-    logged();
-    for fault in [FULL, BROKEN, Faults { list: Some(ErrorKind::Other), ..BROKEN }] {
-        machine.fault(0, fault);
-        (0..20).for_each(|_| machine.heartbeat());
+    let mut shared = SharedDirectory::pair();
+    take_logged();
+    for fault in [DISK_FULL, ALL_CHANGES_FAIL, Faults { list: Some(ErrorKind::Other), ..ALL_CHANGES_FAIL }] {
+        shared.set_faults(0, fault);
+        (0..20).for_each(|_| shared.heartbeat());
     }
-    let first = logged();
+    let first = take_logged();
     assert_eq!(first.iter().filter(|line| line.contains("publishing the handover record failed")).count(), 1);
     assert_eq!(first.iter().filter(|line| line.contains("reading handover records failed")).count(), 1);
     assert_eq!(first.len(), 2, "{first:?}");
-    machine.fault(0, Faults::default());
-    (0..20).for_each(|_| machine.heartbeat());
-    let then = logged();
+    shared.set_faults(0, Faults::default());
+    (0..20).for_each(|_| shared.heartbeat());
+    let then = take_logged();
     assert_eq!(
         then.iter().filter(|line| line.contains("publishing the handover record recovered")).count(),
         1
@@ -281,10 +289,10 @@
 }
 
 thread_local! {
-    static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
+    static LOG_LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Keeps what a thread logs.
+/// Keeps the log messages of each thread.
 struct ThreadLog;
 
 impl log::Log for ThreadLog {
@@ -293,13 +301,13 @@
     }
 
     fn log(&self, record: &log::Record) {
-        LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
+        LOG_LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
     }
 
     fn flush(&self) {}
 }
 
-fn log_to_thread() {
+fn install_thread_log() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
         log::set_logger(&ThreadLog).expect("the first logger");
@@ -307,7 +315,7 @@
     });
 }
 
-/// What this thread has logged since the last call.
-fn logged() -> Vec<String> {
-    LINES.take()
+/// Takes the messages that this thread has logged since the last call.
+fn take_logged() -> Vec<String> {
+    LOG_LINES.take()
 }
