--- a/tests/lease_ledger/mod.rs
+++ b/tests/leadership_observer/mod.rs
@@ -1,4 +1,5 @@
-//! A sixth address among the peers of a fleet, which reads what its gateways send.
+//! An observer at a sixth address among the peers of a fleet, which reads the messages that its gateways
+//! send.
 
 use crate::gateway_fleet::{peer_addresses, Fleet};
 use petrelgauge_ownership::{
@@ -16,36 +17,36 @@
 pub const FILE: &str =
     "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n}\n";
 
-/// Five gateways, three of them acceptors, and what they send to the sixth address.
-pub fn fleet_with_ledger(file: &str) -> (Fleet, Ledger) {
+/// Starts five gateways, three of them acceptors, and an observer of what they send to the sixth address.
+pub fn fleet_with_observer(file: &str) -> (Fleet, LeadershipObserver) {
     let network = LoopbackNetwork::claim();
-    let ledger = Ledger::new(network, peer_addresses(network));
-    let observer = ledger.socket.local_addr().expect("an address").to_string();
-    let peers = [ledger.gateways.clone(), vec![observer]].concat();
-    (Fleet::start_all(file, &ledger.gateways, |_| peers.clone()), ledger)
+    let observer = LeadershipObserver::new(network, peer_addresses(network));
+    let observer_address = observer.socket.local_addr().expect("an address").to_string();
+    let peers = [observer.gateways.clone(), vec![observer_address]].concat();
+    (Fleet::start_all(file, &observer.gateways, |_| peers.clone()), observer)
 }
 
-/// What arrived at the sixth address, as any gateway would admit it.
-pub struct Ledger {
+/// The notifications that arrived at the sixth address and passed the fence, as at any gateway.
+pub struct LeadershipObserver {
     pub socket: UdpSocket,
-    /// Where the gateways listen to each other.
+    /// The addresses at which the gateways receive datagrams.
     pub gateways: Vec<String>,
     pub settings: Settings,
     pub fence: Fence,
     pub admitted: Vec<Admitted>,
 }
 
-/// A notification that was admitted.
+/// A notification that the fence admitted.
 pub struct Admitted {
     pub holder: LeaseHolder,
     pub notification: Notification,
 }
 
-impl Ledger {
-    pub fn new(network: LoopbackNetwork, gateways: Vec<String>) -> Ledger {
+impl LeadershipObserver {
+    pub fn new(network: LoopbackNetwork, gateways: Vec<String>) -> LeadershipObserver {
         let socket = network.udp_socket(OBSERVER_HOST);
-        socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a limit");
-        // As the file has it for six gateways.
+        socket.set_read_timeout(Some(Duration::from_millis(20))).expect("read timeout set");
+        // The settings that follow from `FILE` for six gateways.
         let settings = Settings {
             self_id: 5,
             gateways: 6,
@@ -54,14 +55,14 @@
             max_delay: 40_000,
             drift_bound: 0.01,
         };
-        Ledger { socket, gateways, settings, fence: Fence::default(), admitted: Vec::new() }
+        LeadershipObserver { socket, gateways, settings, fence: Fence::default(), admitted: Vec::new() }
     }
 
-    /// Reads what arrives for so long. No two gateways may send under the same term.
-    pub fn read(&mut self, span: Duration) {
-        let until = Instant::now() + span;
+    /// Reads messages for a duration. Panics if two gateways send notifications under the same term.
+    pub fn read_for(&mut self, duration: Duration) {
+        let deadline = Instant::now() + duration;
         let mut bytes = [0; 300];
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let Ok((count, _)) = self.socket.recv_from(&mut bytes) else { continue };
             let decoded = Message::decode(&bytes[..count], self.settings.fingerprint(), SECRET);
             let ReceivedMessage { from, message } = decoded.expect("a datagram of this fleet");
@@ -76,22 +77,22 @@
         }
     }
 
-    /// Reads until a gateway holds a lease under a higher term than this.
+    /// Reads until a gateway holds a lease under a higher term than `term`.
     pub fn holder_after(&mut self, term: Term) -> LeaseHolder {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
-            self.read(Duration::from_millis(50));
+            self.read_for(Duration::from_millis(50));
             let mut holders = self.admitted.iter().rev().map(|admitted| admitted.holder);
             if let Some(holder) = holders.find(|holder| holder.term > term) {
                 return holder;
             }
-            assert!(begun.elapsed() < Duration::from_secs(30), "nobody holds the lease");
+            assert!(started_at.elapsed() < Duration::from_secs(30), "no gateway holds the lease");
         }
     }
 
-    /// The primary that was announced last.
-    pub fn primary(&mut self) -> u64 {
-        let begun = Instant::now();
+    /// The primary that was announced last; waits for the first announcement.
+    pub fn announced_primary(&mut self) -> u64 {
+        let started_at = Instant::now();
         loop {
             let announced = self.admitted.iter().rev().find_map(|admitted| match &admitted.notification {
                 Notification::Primary(primary) => Some(primary.member),
@@ -100,8 +101,8 @@
             if let Some(member) = announced {
                 return member;
             }
-            assert!(begun.elapsed() < Duration::from_secs(30), "no primary was announced");
-            self.read(Duration::from_millis(50));
+            assert!(started_at.elapsed() < Duration::from_secs(30), "no primary was announced");
+            self.read_for(Duration::from_millis(50));
         }
     }
 }
