--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail or fall short in the ways that Linux documents, by a schedule drawn from a seed: on
-//! clients, hosts, discovery and the second address.
+//! Socket calls that fail or transfer fewer bytes than asked, in the ways that Linux documents, on a schedule
+//! drawn from a seed: on connections of clients, hosts, discovery and operators.
 
 use bytes::{Buf, Bytes};
 use petrelgauge::control::ops;
@@ -19,10 +19,10 @@
 use std::io::{self, IoSlice};
 use std::time::Duration;
 
-/// Seeds that each schedule is played with.
+/// Number of seeds that each test of a fault schedule runs with.
 const SEEDS: u64 = 200;
-/// A test that takes this long fails instead of hanging.
-const NEVER: Duration = Duration::from_secs(60);
+/// A test that takes longer than this fails instead of hanging.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn error(number: i32) -> io::Error {
     io::Error::from_raw_os_error(number)
@@ -30,15 +30,15 @@
 
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(async { tokio::time::timeout(NEVER, future).await.expect("it goes on") })
+    runtime.block_on(async { tokio::time::timeout(TEST_TIMEOUT, future).await.expect("finished in time") })
 }
 
-/// The names of [`SocketError`], to compare.
+/// The variants of [`SocketError`] without their cause, so that they can be compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Class {
     Interrupted,
     WouldBlock,
-    OwnShortage,
+    ResourceShortage,
     Unreachable,
     Broken,
 }
@@ -48,7 +48,7 @@
     match classify(call, error(number)) {
         SocketError::Interrupted => Interrupted,
         SocketError::WouldBlock => WouldBlock,
-        SocketError::ResourceShortage(_) => OwnShortage,
+        SocketError::ResourceShortage(_) => ResourceShortage,
         SocketError::Unreachable(_) => Unreachable,
         SocketError::Broken(_) => Broken,
     }
@@ -56,27 +56,27 @@
 
 #[test]
 fn each_error_of_each_call_has_its_class() {
-    // In the order: accept, connect, read (and write, peek and listen).
+    // Columns: accept, connect, and all others (read, write, peek and listen).
     let table = [
         (libc::EINTR, [Interrupted; 3]),
-        (libc::EAGAIN, [WouldBlock, OwnShortage, WouldBlock]),
-        (libc::EMFILE, [OwnShortage; 3]),
-        (libc::ENFILE, [OwnShortage; 3]),
-        (libc::ENOBUFS, [OwnShortage; 3]),
-        (libc::ENOMEM, [OwnShortage; 3]),
+        (libc::EAGAIN, [WouldBlock, ResourceShortage, WouldBlock]),
+        (libc::EMFILE, [ResourceShortage; 3]),
+        (libc::ENFILE, [ResourceShortage; 3]),
+        (libc::ENOBUFS, [ResourceShortage; 3]),
+        (libc::ENOMEM, [ResourceShortage; 3]),
         (libc::ECONNABORTED, [Broken, Unreachable, Broken]),
         (libc::EPROTO, [Broken, Unreachable, Broken]),
-        (libc::EPERM, [Broken, OwnShortage, Broken]),
-        (libc::EADDRNOTAVAIL, [OwnShortage, OwnShortage, Broken]),
-        (libc::EADDRINUSE, [OwnShortage, OwnShortage, Broken]),
-        (libc::ENETUNREACH, [Broken, OwnShortage, Broken]),
-        (libc::ENETDOWN, [Broken, OwnShortage, Broken]),
+        (libc::EPERM, [Broken, ResourceShortage, Broken]),
+        (libc::EADDRNOTAVAIL, [ResourceShortage, ResourceShortage, Broken]),
+        (libc::EADDRINUSE, [ResourceShortage, ResourceShortage, Broken]),
+        (libc::ENETUNREACH, [Broken, ResourceShortage, Broken]),
+        (libc::ENETDOWN, [Broken, ResourceShortage, Broken]),
         (libc::EHOSTUNREACH, [Broken, Unreachable, Broken]),
         (libc::ETIMEDOUT, [Broken, Unreachable, Broken]),
-        (libc::ECONNREFUSED, [OwnShortage, Unreachable, Broken]),
+        (libc::ECONNREFUSED, [ResourceShortage, Unreachable, Broken]),
         (libc::ECONNRESET, [Broken, Unreachable, Broken]),
-        (libc::EPIPE, [OwnShortage, Unreachable, Broken]),
-        (libc::EINVAL, [OwnShortage, Unreachable, Broken]),
+        (libc::EPIPE, [ResourceShortage, Unreachable, Broken]),
+        (libc::EINVAL, [ResourceShortage, Unreachable, Broken]),
     ];
     for (number, [accept, connect, transfer]) in table {
         let cause = error(number);
@@ -88,9 +88,9 @@
     }
 }
 
-// ENOBUFS, ENOMEM, EAGAIN and ENETUNREACH once counted as refused by the host, which had done nothing.
+// Regression: the local failures ENOBUFS, ENOMEM, EAGAIN and ENETUNREACH counted as refused by the host.
 #[test]
-fn a_connect_that_fails_here_is_no_evidence_against_its_host() {
+fn a_connect_that_fails_locally_does_not_count_against_the_host() {
     let event = |number| event_for_connect_error(&classify(Call::Connect, error(number)));
     for number in [
         libc::EMFILE,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_interrupted_connect_is_repeated() {
+fn an_interrupted_connect_is_retried() {
     for last in [None, Some(libc::ETIMEDOUT), Some(libc::ENOBUFS)] {
         let calls = Cell::new(0);
         let connected = block_on(socket::connect_with(|| {
@@ -126,39 +126,39 @@
             (None, Ok("connected")) => {}
             (Some(libc::ETIMEDOUT), Err(SocketError::Unreachable(_))) => {}
             (Some(libc::ENOBUFS), Err(SocketError::ResourceShortage(_))) => {}
-            (_, other) => panic!("{last:?} gave {other:?}"),
+            (_, other) => panic!("{last:?} resulted in {other:?}"),
         }
     }
 }
 
 #[test]
-fn only_a_lack_of_local_resources_is_retried() {
-    let play = |shortages: u32, last: Result<u32, i32>| {
+fn only_a_shortage_of_local_resources_is_retried() {
+    let run = |shortages: u32, last: Result<u32, i32>| {
         let calls = Cell::new(0);
-        let done = block_on(socket::retry_on_shortage(3, || {
+        let outcome = block_on(socket::retry_on_shortage(3, || {
             calls.set(calls.get() + 1);
             let result = if calls.get() <= shortages { Err(libc::ENOBUFS) } else { last };
             std::future::ready(result.map_err(|number| classify(Call::Connect, error(number))))
         }));
-        (done, calls.get())
+        (outcome, calls.get())
     };
     for shortages in 0..3 {
-        assert!(matches!(play(shortages, Ok(7)), (Ok(7), calls) if calls == shortages + 1));
+        assert!(matches!(run(shortages, Ok(7)), (Ok(7), calls) if calls == shortages + 1));
     }
-    assert!(matches!(play(3, Ok(7)), (Err(SocketError::ResourceShortage(_)), 3)));
-    assert!(matches!(play(0, Err(libc::EHOSTUNREACH)), (Err(SocketError::Unreachable(_)), 1)));
-    assert!(matches!(play(1, Err(libc::ETIMEDOUT)), (Err(SocketError::Unreachable(_)), 2)));
+    assert!(matches!(run(3, Ok(7)), (Err(SocketError::ResourceShortage(_)), 3)));
+    assert!(matches!(run(0, Err(libc::EHOSTUNREACH)), (Err(SocketError::Unreachable(_)), 1)));
+    assert!(matches!(run(1, Err(libc::ETIMEDOUT)), (Err(SocketError::Unreachable(_)), 2)));
 }
 
-/// A stream whose calls fail or are short by a schedule, until its bytes are exhausted and it breaks.
+/// A stream whose calls fail or are short on a schedule, until its bytes are exhausted and it breaks.
 struct FaultyStream {
     faults: RefCell<Pcg64Mcg>,
     incoming: RefCell<Bytes>,
-    /// What both directions end with; without one, reads end with the end of the stream.
-    broken: Option<i32>,
+    /// The error with which both directions break; without one, reads end with the end of the stream.
+    final_error: Option<i32>,
     written: RefCell<Vec<u8>>,
-    /// Bytes that writes take before they break.
-    takes: usize,
+    /// Number of bytes that writes accept before they break.
+    write_capacity: usize,
 }
 
 impl FaultyStream {
@@ -166,20 +166,20 @@
         FaultyStream {
             faults: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             incoming: RefCell::new(Bytes::copy_from_slice(incoming)),
-            broken: None,
+            final_error: None,
             written: RefCell::default(),
-            takes: usize::MAX,
+            write_capacity: usize::MAX,
         }
     }
 
-    /// Bytes that the next call moves of so many, if it does not fail.
-    fn next_transfer(&self, most: usize) -> io::Result<usize> {
+    /// Returns the number of bytes that the next call transfers, at most `max`, or the error it fails with.
+    fn next_transfer(&self, max: usize) -> io::Result<usize> {
         match self.faults.borrow_mut().next_u32() % 16 {
             0..3 => Err(error(libc::EINTR)),
             3..6 => Err(io::ErrorKind::WouldBlock.into()),
             6 => Err(error(libc::ENOBUFS)),
-            7..14 => Ok(most.min(1)),
-            _ => Ok(most),
+            7..14 => Ok(max.min(1)),
+            _ => Ok(max),
         }
     }
 }
@@ -199,7 +199,7 @@
         let mut incoming = self.incoming.borrow_mut();
         let count = self.next_transfer(bytes.len().min(incoming.len()))?;
         incoming.copy_to_slice(&mut bytes[..count]);
-        match (count, self.broken) {
+        match (count, self.final_error) {
             (0, Some(number)) => Err(error(number)),
             _ => Ok(count),
         }
@@ -208,9 +208,9 @@
     fn try_write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
         let complete: Vec<u8> = slices.iter().flat_map(|slice| slice.iter().copied()).collect();
         let mut written = self.written.borrow_mut();
-        let count = self.next_transfer(complete.len().min(self.takes - written.len()))?;
+        let count = self.next_transfer(complete.len().min(self.write_capacity - written.len()))?;
         written.extend_from_slice(&complete[..count]);
-        match (count, self.broken) {
+        match (count, self.final_error) {
             (0, Some(number)) => Err(error(number)),
             _ => Ok(count),
         }
@@ -222,7 +222,7 @@
     for seed in 0..SEEDS {
         let stream = FaultyStream::new(seed, b"");
         let mut bytes = (&b"the first part, "[..]).chain(&b"and the second"[..]);
-        block_on(socket::write_all(&stream, &mut bytes)).expect("it is written");
+        block_on(socket::write_all(&stream, &mut bytes)).expect("all bytes are written");
         assert_eq!(*stream.written.borrow(), b"the first part, and the second", "seed {seed}");
     }
 }
@@ -232,12 +232,12 @@
     for number in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE] {
         for seed in 0..SEEDS {
             let mut stream = FaultyStream::new(seed, b"");
-            (stream.takes, stream.broken) = (7, Some(number));
+            (stream.write_capacity, stream.final_error) = (7, Some(number));
             let mut bytes = &b"more than it takes"[..];
             let written = block_on(socket::write_all(&stream, &mut bytes));
             assert!(matches!(written, Err(SocketError::Broken(_))), "seed {seed}: {written:?}");
             assert_eq!(*stream.written.borrow(), b"more th");
-            assert_eq!(bytes, b"an it takes", "what is left tells where it broke");
+            assert_eq!(bytes, b"an it takes", "the unwritten rest shows where the write broke");
         }
     }
 }
@@ -245,9 +245,9 @@
 #[test]
 fn all_bytes_are_read_once_and_in_order() {
     for seed in 0..SEEDS {
-        for broken in [None, Some(libc::ETIMEDOUT), Some(libc::EHOSTUNREACH)] {
+        for final_error in [None, Some(libc::ETIMEDOUT), Some(libc::EHOSTUNREACH)] {
             let mut stream = FaultyStream::new(seed, b"what the peer says");
-            stream.broken = broken;
+            stream.final_error = final_error;
             let (mut all, mut bytes) = (Vec::new(), [0; 64]);
             let end = loop {
                 match block_on(socket::read(&stream, &mut bytes)) {
@@ -258,12 +258,12 @@
                 }
             };
             assert_eq!(all, b"what the peer says", "seed {seed}");
-            assert_eq!(end, broken, "seed {seed}");
+            assert_eq!(end, final_error, "seed {seed}");
         }
     }
 }
 
-// A read that a signal interrupted was once taken for a broken connection of a client or host.
+// Regression: a read interrupted by a signal was treated as a broken connection to the client or host.
 #[test]
 fn messages_of_clients_and_hosts_survive_interrupted_and_short_reads() {
     let message = [&b"Q"[..], &9u32.to_be_bytes(), b"text\0"].concat();
@@ -273,11 +273,11 @@
         let mut framer = Framer::default();
         let message = loop {
             match buffer.read(|bytes| stream.try_read(bytes), Some(&mut framer)) {
-                Ok(Some(0)) => panic!("seed {seed}: it ended"),
+                Ok(Some(0)) => panic!("seed {seed}: the stream ended"),
                 Ok(_) | Err(SocketError::ResourceShortage(_)) => {}
                 Err(other) => panic!("seed {seed}: {other:?}"),
             }
-            if let Some(message) = framer.message().expect("it makes sense") {
+            if let Some(message) = framer.message().expect("a well-formed message") {
                 break message;
             }
         };
@@ -285,9 +285,9 @@
     }
 }
 
-// An interrupted peek was once taken for a closed connection.
+// Regression: an interrupted peek was treated as a closed connection.
 #[test]
-fn an_interrupted_peek_is_repeated() {
+fn an_interrupted_peek_is_retried() {
     let cases: [(Result<usize, i32>, Unread); 7] = [
         (Err(libc::EAGAIN), Unread::Nothing),
         (Err(libc::ENOBUFS), Unread::Nothing),
@@ -312,7 +312,7 @@
     }
 }
 
-// An interrupted read once ended the caller's connection without a reply.
+// Regression: an interrupted read closed the operator's connection without a reply.
 #[test]
 fn an_operators_command_survives_interrupted_and_short_reads() {
     for seed in 0..SEEDS {
@@ -322,7 +322,7 @@
     }
 }
 
-// An interrupted read once ended the watch, and lost the update that it was about to bring.
+// Regression: an interrupted read ended the watch and lost the update that was being received.
 #[test]
 fn an_endpoint_list_survives_interrupted_and_short_reads() {
     let list = r#"{"revision":7,"complete":true,"members":[]}"#;
@@ -334,23 +334,23 @@
         block_on(async {
             while response.texts().is_empty() {
                 let read = response.read(&stream, clock).await;
-                read.unwrap_or_else(|over| panic!("seed {seed}: {over}"));
+                read.unwrap_or_else(|cause| panic!("seed {seed}: {cause}"));
             }
         });
         assert_eq!(response.texts(), [ListText::Complete(format!("{list}\n").into())], "seed {seed}");
     }
 }
 
-/// A stream that is always ready and moves one byte at a time, until another task has run.
-struct ReadyUntil<'a> {
+/// A stream that is always ready and transfers one byte per call, until another task has run.
+struct AlwaysReadyStream<'a> {
     other_ran: &'a Cell<bool>,
     calls: Cell<u32>,
 }
 
-impl ReadyUntil<'_> {
+impl AlwaysReadyStream<'_> {
     fn next_transfer(&self) -> io::Result<usize> {
         self.calls.set(self.calls.get() + 1);
-        assert!(self.calls.get() < 10_000, "nothing else gets a turn");
+        assert!(self.calls.get() < 10_000, "no other task has run");
         match self.other_ran.get() {
             false => Ok(1),
             true => Err(error(libc::ECONNRESET)),
@@ -358,7 +358,7 @@
     }
 }
 
-impl ByteStream for ReadyUntil<'_> {
+impl ByteStream for AlwaysReadyStream<'_> {
     async fn readable(&self) -> io::Result<()> {
         Ok(())
     }
@@ -380,13 +380,15 @@
 fn a_peer_that_is_always_ready_does_not_starve_other_tasks() {
     for writes in [false, true] {
         let other_ran = Cell::new(false);
-        let stream = ReadyUntil { other_ran: &other_ran, calls: Cell::new(0) };
+        let stream = AlwaysReadyStream { other_ran: &other_ran, calls: Cell::new(0) };
         let transfer = async {
             match writes {
-                true => socket::write_all(&stream, &mut &[0; 20_000][..]).await.expect_err("it breaks"),
+                true => {
+                    socket::write_all(&stream, &mut &[0; 20_000][..]).await.expect_err("the stream breaks")
+                }
                 false => loop {
-                    if let Err(broken) = socket::read(&stream, &mut [0; 8]).await {
-                        break broken;
+                    if let Err(cause) = socket::read(&stream, &mut [0; 8]).await {
+                        break cause;
                     }
                 },
             }
