--- a/tests/fault_schedule.rs
+++ b/tests/fault_schedule.rs
@@ -1,6 +1,6 @@
-//! The complete gateway over system calls that fail or fall short by a schedule drawn from a seed: at its clients, two hosts,
-//! discovery, the second address and the datagrams of other gateways. After each play the clients' answers, the hosts'
-//! ledger and the gateway's counters are held against each other.
+//! A complete gateway whose system calls fail or are short on a schedule drawn from a seed: on connections of
+//! clients, two hosts, discovery and operators, and on datagrams of other gateways. After each run the
+//! answers to clients, the queries that the hosts received and the gateway's counters are compared.
 
 #[path = "../src/process/mod.rs"]
 mod process;
@@ -25,9 +25,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Seeds that each play is drawn from.
+/// Seeds of the fault schedules.
 const SEEDS: std::ops::Range<u64> = 0..4;
-/// All calls, in the order of their type.
+/// All calls, in the order of the variants of [`Call`].
 const CALLS: [Call; 8] = [
     Call::Listen,
     Call::Accept,
@@ -38,51 +38,53 @@
     Call::SendDatagram,
     Call::ReceiveDatagram,
 ];
-/// Clients that ask at the same time, and what each of them asks.
-const CLIENTS: usize = 4;
-const REQUESTS: usize = 30;
-/// What each request has, and each client waits at most.
+/// Number of concurrent clients, and of requests that each of them sends.
+const CLIENT_COUNT: usize = 4;
+const REQUESTS_PER_CLIENT: usize = 30;
+/// Deadline of each request, and the longest time that a client waits.
 const DEADLINE_MS: u64 = 20_000;
 const DEADLINE: Duration = Duration::from_millis(DEADLINE_MS);
-/// One call in so many fails or falls short.
+/// On average, one call in this many fails or is short.
 const FAULT_INTERVAL: u32 = 6;
-/// The same of calls that a play makes a few of.
+/// The same for calls of which a run makes only a few.
 const RARE_FAULT_INTERVAL: u32 = 2;
-/// One fault of a transfer in so many breaks its connection, where connections may break.
+/// On average, one transfer fault in this many breaks the connection, in runs that allow it.
 const BREAK_INTERVAL: u32 = 8;
-/// Span without requests in which the gateway's use of the processor is measured.
-const IDLE: Duration = Duration::from_millis(200);
+/// Period without requests in which the gateway's CPU time is measured.
+const IDLE_PERIOD: Duration = Duration::from_millis(200);
 
-/// Attempts that a request has at most, as the harness's settings say.
+/// The maximum number of attempts per request in the harness's settings.
 const MAX_ATTEMPTS: usize = 8;
-/// The code of a refusal: no host was touched.
-const UNTOUCHED: &str = "53300";
-/// Three gateways hold leases, so that this one sends datagrams.
-const OPERATOR: &str =
+/// The SQLSTATE of a rejection: no host has run the request.
+const REJECTED_CODE: &str = "53300";
+/// Enables leases among three gateways, so that this one sends datagrams.
+const OPERATOR_CONFIG: &str =
     "ownership: {\n  secret: \"5e\"\n  electors: 3\n  lease: 800ms\n  delay: 40ms\n  drift_percent: 1\n}\n";
 
 thread_local! {
-    /// Where the faults of each call are drawn from: the same for the first of them, the second and so on.
-    static FAULTS: RefCell<Vec<Pcg64Mcg>> = const { RefCell::new(Vec::new()) };
-    static BREAKS: Cell<bool> = const { Cell::new(false) };
-    /// Calls that have had a fault.
-    static FAULTED: RefCell<Vec<Call>> = const { RefCell::new(Vec::new()) };
+    /// One random generator per kind of call: the n-th call of a kind has the same fault whenever a seed is
+    /// run.
+    static FAULT_RNGS: RefCell<Vec<Pcg64Mcg>> = const { RefCell::new(Vec::new()) };
+    /// Whether faults may break connections.
+    static MAY_BREAK: Cell<bool> = const { Cell::new(false) };
+    /// Calls into which a fault was injected.
+    static FAULTED_CALLS: RefCell<Vec<Call>> = const { RefCell::new(Vec::new()) };
 }
 
-/// The fault of the next call of this thread's gateway.
-fn draw(call: Call) -> Option<Fault> {
+/// Returns the fault, if any, of the next call of the gateway that runs in this thread.
+fn draw_fault(call: Call) -> Option<Fault> {
     use libc::*;
-    let [chance, kind, which] =
-        FAULTS.with_borrow_mut(|faults| [0; 3].map(|_: u32| faults[call as usize].next_u32()));
+    let [chance, kind, index] =
+        FAULT_RNGS.with_borrow_mut(|rngs| [0; 3].map(|_: u32| rngs[call as usize].next_u32()));
     let is_rare = matches!(call, Call::Listen | Call::SendDatagram);
     let interval = if is_rare { RARE_FAULT_INTERVAL } else { FAULT_INTERVAL };
     if chance % interval != 0 {
         return None;
     }
-    FAULTED.with_borrow_mut(|faulted| faulted.push(call));
-    let transfers = matches!(call, Call::Read | Call::Write | Call::Peek);
+    FAULTED_CALLS.with_borrow_mut(|calls| calls.push(call));
+    let is_transfer = matches!(call, Call::Read | Call::Write | Call::Peek);
     let errors: &[i32] = match call {
-        _ if transfers && BREAKS.get() && kind % BREAK_INTERVAL == 0 => {
+        _ if is_transfer && MAY_BREAK.get() && kind % BREAK_INTERVAL == 0 => {
             &[ETIMEDOUT, EHOSTUNREACH, ECONNRESET]
         }
         Call::Read | Call::Write if kind % 2 == 0 => return Some(Fault::Short),
@@ -92,18 +94,18 @@
         Call::Connect => &[EINTR, EAGAIN, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, ETIMEDOUT, EHOSTUNREACH],
         Call::SendDatagram | Call::ReceiveDatagram => &[EINTR, EAGAIN, ENOBUFS, ECONNREFUSED, ENETUNREACH],
     };
-    Some(Fault::Error(errors[which as usize % errors.len()]))
+    Some(Fault::Error(errors[index as usize % errors.len()]))
 }
 
-/// What a gateway says of itself at the end of its play.
+/// Measurements of a gateway at the end of its run.
 struct Report {
     counters: BTreeMap<String, u64>,
-    idle_processor_time: Duration,
-    faulted: Vec<Call>,
+    idle_cpu_time: Duration,
+    faulted_calls: Vec<Call>,
 }
 
-/// Runs the program's own parts in this thread until it is asked for its report and has heard discovery.
-fn run(
+/// Runs the gateway in this thread until a report is requested and two endpoint lists have been received.
+fn run_gateway(
     variable: impl Fn(&str) -> Option<String>,
     report: oneshot::Receiver<Sender<Report>>,
 ) -> Result<(), GatewayError> {
@@ -115,68 +117,69 @@
             process::startup::start(Config::read(&variable)?, inherited::listener(&variable)?, signals)
                 .await?;
         let counters = process.counters.clone();
-        let asked = async {
-            let answer = report.await.expect("the test is there");
+        let reported = async {
+            let answer = report.await.expect("the test is still running");
             while counters.lists.get() < 2 {
-                // A watch of discovery that broke is tried again.
+                // A discovery watch that broke is retried.
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
-            let before = processor_time();
-            tokio::time::sleep(IDLE).await;
+            let before = cpu_time();
+            tokio::time::sleep(IDLE_PERIOD).await;
             let counters = counters.to_string();
             let counters = counters.split_ascii_whitespace().filter_map(|word| word.split_once('='));
             let counters = counters.map(|(name, count)| (name.into(), count.parse().expect("a number")));
-            let idle_processor_time = processor_time() - before;
+            let idle_cpu_time = cpu_time() - before;
             let report =
-                Report { counters: counters.collect(), idle_processor_time, faulted: FAULTED.take() };
-            answer.send(report).expect("it listens");
+                Report { counters: counters.collect(), idle_cpu_time, faulted_calls: FAULTED_CALLS.take() };
+            answer.send(report).expect("the test waits for the report");
         };
         tokio::select! {
             ended = process.run() => panic!("the gateway ended: {ended:?}"),
-            () = asked => Ok(()),
+            () = reported => Ok(()),
         }
     })
 }
 
-/// Time that this thread has had a processor.
-fn processor_time() -> Duration {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the kernel counts");
+/// CPU time of this thread.
+fn cpu_time() -> Duration {
+    let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("scheduler statistics");
     Duration::from_nanos(text.split(' ').next().and_then(|word| word.parse().ok()).expect("a number"))
 }
 
 /// The final answer to a request.
-struct Answered {
+struct Answer {
     /// The row that the request names.
     name: String,
     is_write: bool,
-    /// The code of an error; none if it was served.
+    /// The SQLSTATE of an error, or `None` if the request was served.
     code: Option<String>,
 }
 
 fn connect(address: &str) -> Option<TcpStream> {
-    let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(DEADLINE)).expect("a limit");
+    let mut stream = TcpStream::connect(address).expect("the gateway listens");
+    stream.set_read_timeout(Some(DEADLINE)).expect("a read timeout");
     stream.write_all(&startup_message()).ok()?;
-    until_ready(&mut stream).map(|_| stream)
+    read_until_ready(&mut stream).map(|_| stream)
 }
 
-/// What comes up to the message that the next query may follow; none if the connection ends before.
-fn until_ready(stream: &mut TcpStream) -> Option<Vec<(u8, Vec<u8>)>> {
-    let begun = Instant::now();
+/// Reads messages up to ReadyForQuery; returns `None` if the connection ends before.
+fn read_until_ready(stream: &mut TcpStream) -> Option<Vec<(u8, Vec<u8>)>> {
+    let started = Instant::now();
     let mut messages = Vec::new();
     while messages.last().is_none_or(|(kind, _)| *kind != b'Z') {
         let message = read_message(stream);
-        assert!(begun.elapsed() < DEADLINE, "no final answer in time");
+        assert!(started.elapsed() < DEADLINE, "no final answer in time");
         messages.push(message?);
     }
     Some(messages)
 }
 
-/// Sends requests of each class by turns, each once: their final answers, without those of connections that broke.
-fn play_client(address: &str, client: usize, breaks: bool) -> Vec<Answered> {
+/// Sends requests of each class in turn, each once. Returns their final answers, without those of connections
+/// that broke.
+fn run_client(address: &str, client: usize, may_break: bool) -> Vec<Answer> {
     let mut connection: Option<TcpStream> = None;
-    let mut answered = Vec::new();
-    for number in 0..REQUESTS {
+    let mut answers = Vec::new();
+    for number in 0..REQUESTS_PER_CLIENT {
         let name = format!("c{client}n{number}e");
         let text = match number % 3 {
             0 => select(&name, "view", DEADLINE_MS),
@@ -187,85 +190,99 @@
         let mut stream =
             connection.take().or_else(|| (0..1_000).find_map(|_| connect(address))).expect("admitted");
         let sent = stream.write_all(&query(&text));
-        let Some(messages) = sent.ok().and_then(|()| until_ready(&mut stream)) else {
-            assert!(breaks, "{name} got no answer");
+        let Some(messages) = sent.ok().and_then(|()| read_until_ready(&mut stream)) else {
+            assert!(may_break, "{name} received no answer");
             continue;
         };
         connection = Some(stream);
         let code = match kinds(&messages).as_str() {
             "TDCZ" | "TDCSZ" => {
                 let row = String::from_utf8_lossy(&messages[1].1).into_owned();
-                assert!(row.contains(&format!("'{name}'")), "{name} got the answer of {row}");
+                assert!(row.contains(&format!("'{name}'")), "{name} received the answer {row}");
                 None
             }
             "EZ" => Some(field(&messages[0].1, b'C')),
             other => panic!("{name}: {other}"),
         };
-        answered.push(Answered { name, is_write: number % 3 != 0, code });
+        answers.push(Answer { name, is_write: number % 3 != 0, code });
     }
-    answered
+    answers
 }
 
-/// An operations call is answered, at the latest when it is repeated behind a connection that broke.
-fn call_operations(address: &str, breaks: bool) {
+/// Repeats an operator's command until the answer is `YES`. Only a run that may break connections may leave
+/// it unanswered.
+fn wait_until_ready(address: &str, may_break: bool) {
     for _ in 0..100 {
         std::thread::sleep(Duration::from_millis(10));
-        // It may not listen yet.
+        // The gateway may not listen yet.
         let Ok(mut stream) = TcpStream::connect(address) else { continue };
-        stream.set_read_timeout(Some(DEADLINE)).expect("a limit");
+        stream.set_read_timeout(Some(DEADLINE)).expect("a read timeout");
         let mut answer = String::new();
         let _ = stream.write_all(b"ready\n").and_then(|()| stream.read_to_string(&mut answer));
         if answer.starts_with("YES") {
             return;
         }
-        assert!(breaks || answer.starts_with("NO"), "{answer:?} is no answer");
+        assert!(may_break || answer.starts_with("NO"), "unexpected answer {answer:?}");
     }
-    panic!("it is never ready");
+    panic!("the gateway did not become ready");
 }
 
-/// What may have run at the hosts: no write without a key twice, one with a key under no other, none that was refused, all that was served.
-fn check_ledger(hosts: &[Host; 2], answers: &[Answered]) {
+/// Checks the queries that the hosts received: no write without a key runs twice, no write with a key runs
+/// under another key, no rejected write runs, and every served request has run.
+fn check_host_queries(hosts: &[Host; 2], answers: &[Answer]) {
     let queries: Vec<String> = hosts.iter().flat_map(Host::new_queries).collect();
     let repeats = |text: &str| queries.iter().filter(|query| query.contains(text)).count();
     let runs = |name: &str| repeats(&format!("'{name}'"));
-    for (client, number) in (0..CLIENTS).flat_map(|client| (0..REQUESTS).map(move |number| (client, number)))
+    for (client, number) in
+        (0..CLIENT_COUNT).flat_map(|client| (0..REQUESTS_PER_CLIENT).map(move |number| (client, number)))
     {
         let name = format!("c{client}n{number}e");
         match number % 3 {
             0 => {}
-            1 => assert_eq!(runs(&name), repeats(&format!("k={client}{number:03},")), "{name} has one key"),
+            1 => assert_eq!(
+                runs(&name),
+                repeats(&format!("k={client}{number:03},")),
+                "{name} always has the same key"
+            ),
             _ => assert!(runs(&name) <= 1, "{name} has no key and ran {} times", runs(&name)),
         }
-        assert!(runs(&name) <= MAX_ATTEMPTS, "{name} was tried {} times", runs(&name));
+        assert!(runs(&name) <= MAX_ATTEMPTS, "{name} was attempted {} times", runs(&name));
     }
-    for Answered { name, is_write, code } in answers {
+    for Answer { name, is_write, code } in answers {
         match code.as_deref() {
-            None => assert!(runs(name) > 0, "{name} was served and never ran"),
-            Some(UNTOUCHED) if *is_write => assert_eq!(runs(name), 0, "{name} was refused as untouched"),
+            None => assert!(runs(name) > 0, "{name} was served but never ran"),
+            Some(REJECTED_CODE) if *is_write => assert_eq!(runs(name), 0, "{name} was rejected but ran"),
             Some(_) => {}
         }
     }
 }
 
-/// Each request that was read has one end.
-fn check_counters(counters: &BTreeMap<String, u64>, answers: &[Answered], breaks: bool) {
+/// Checks that each request that was read has exactly one outcome.
+fn check_counters(counters: &BTreeMap<String, u64>, answers: &[Answer], may_break: bool) {
     let count = |name: &str| counters[name];
     let ended = ["served", "rejected", "failed", "cancelled", "left"].map(count).iter().sum::<u64>();
     assert_eq!(count("requests"), ended, "{counters:?}");
     let served = answers.iter().filter(|answer| answer.code.is_none()).count() as u64;
-    assert!(served > (CLIENTS * REQUESTS / 2) as u64, "{served} served: the play shows little");
-    if breaks {
+    assert!(
+        served > (CLIENT_COUNT * REQUESTS_PER_CLIENT / 2) as u64,
+        "only {served} served: too few for the run to be meaningful"
+    );
+    if may_break {
         assert!(count("served") >= served && count("requests") >= answers.len() as u64, "{counters:?}");
     } else {
-        assert_eq!((count("requests"), count("served")), ((CLIENTS * REQUESTS) as u64, served));
+        assert_eq!(
+            (count("requests"), count("served")),
+            ((CLIENT_COUNT * REQUESTS_PER_CLIENT) as u64, served)
+        );
     }
     assert!(
         count("datagrams_sent") > 0 && count("datagrams_received") > 0,
-        "datagrams went both ways: {counters:?}"
+        "datagrams were not both sent and received: {counters:?}"
     );
 }
 
-/// The configuration with a class of writes without keys, and with two other gateways at this address.
+/// Returns the harness's configuration with a class of writes without keys added and two other gateways at
+/// the address of `other`, and the address for datagrams of the gateway under test.
 fn configure(harness: &Harness, other: &UdpSocket) -> (Value, SocketAddr) {
     let free = harness.network().udp_socket(1);
     let listen = free.local_addr().expect("an address");
@@ -283,8 +300,8 @@
     (config, listen)
 }
 
-/// Plays a seed: the calls that had a fault.
-fn play(seed: u64, breaks: bool) -> Vec<Call> {
+/// Runs the schedule of one seed and returns the calls that had a fault.
+fn run_schedule(seed: u64, may_break: bool) -> Vec<Call> {
     let harness = Harness::new(gateway_program!()).ops();
     let host = |role| harness.host((0..10_000).map(|_| Reply::Echo(role)).collect());
     let hosts = [host("primary"), host("standby")];
@@ -295,59 +312,63 @@
     let (config, peer_listen) = configure(&harness, &other);
     harness.serve_discovery();
     let path = format!("{}/faults-{}", env!("CARGO_TARGET_TMPDIR"), harness.listen);
-    std::fs::write(&path, config.to_string()).expect("a place to write");
-    std::fs::write(format!("{path}.cue"), OPERATOR).expect("a place to write");
-    let (ask, asked) = oneshot::channel();
+    std::fs::write(&path, config.to_string()).expect("a writable file");
+    std::fs::write(format!("{path}.cue"), OPERATOR_CONFIG).expect("a writable file");
+    let (request_report, report_requested) = oneshot::channel();
     let gateway = std::thread::spawn(move || {
-        FAULTS.set(CALLS.map(|call| Pcg64Mcg::seed_from_u64(seed << 8 | call as u64)).to_vec());
-        BREAKS.set(breaks);
-        set_fault_schedule(draw);
+        FAULT_RNGS.set(CALLS.map(|call| Pcg64Mcg::seed_from_u64(seed << 8 | call as u64)).to_vec());
+        MAY_BREAK.set(may_break);
+        set_fault_schedule(draw_fault);
         let variable = |name: &str| match name {
             "GW_CONFIG" => Some(path.clone()),
             "PETRELGAUGE_FILE" => Some(format!("{path}.cue")),
             _ => None,
         };
-        run(variable, asked).expect("it starts");
+        run_gateway(variable, report_requested).expect("the gateway starts");
     });
     let operations = config["ops"].as_str().expect("an address");
-    call_operations(operations, breaks);
-    let answers: Vec<Answered> = std::thread::scope(|scope| {
+    wait_until_ready(operations, may_break);
+    let answers: Vec<Answer> = std::thread::scope(|scope| {
         let clients = [0, 1, 2, 3].map(|client| {
             scope.spawn({
                 let address = &harness.listen;
-                move || play_client(address, client, breaks)
+                move || run_client(address, client, may_break)
             })
         });
         for _ in 0..20 {
-            call_operations(operations, breaks);
-            other.send_to(b"no datagram of a gateway", peer_listen).expect("it is sent");
+            wait_until_ready(operations, may_break);
+            other.send_to(b"no datagram of a gateway", peer_listen).expect("the datagram is sent");
         }
-        clients.into_iter().flat_map(|client| client.join().expect("its rules hold")).collect()
+        clients.into_iter().flat_map(|client| client.join().expect("the client's checks pass")).collect()
     });
     let (sender, receiver) = channel();
-    ask.send(sender).unwrap_or_else(|_| panic!("the gateway has ended"));
+    request_report.send(sender).unwrap_or_else(|_| panic!("the gateway has exited"));
     let report = receiver.recv_timeout(DEADLINE).expect("a report");
-    gateway.join().expect("it ran to the end");
-    assert!(report.idle_processor_time < IDLE / 2, "it spins: {:?} of {IDLE:?}", report.idle_processor_time);
-    check_ledger(&hosts, &answers);
-    check_counters(&report.counters, &answers, breaks);
-    report.faulted
+    gateway.join().expect("the gateway ended without a panic");
+    assert!(
+        report.idle_cpu_time < IDLE_PERIOD / 2,
+        "busy loop: {:?} CPU time in {IDLE_PERIOD:?}",
+        report.idle_cpu_time
+    );
+    check_host_queries(&hosts, &answers);
+    check_counters(&report.counters, &answers, may_break);
+    report.faulted_calls
 }
 
-/// Plays all seeds, which together let each call fail.
-fn play_all(breaks: bool) {
-    let faulted: Vec<Call> = SEEDS.flat_map(|seed| play(seed, breaks)).collect();
+/// Runs the schedules of all seeds and checks that together they let each call fail.
+fn run_all_schedules(may_break: bool) {
+    let faulted_calls: Vec<Call> = SEEDS.flat_map(|seed| run_schedule(seed, may_break)).collect();
     for call in CALLS {
-        assert!(faulted.contains(&call), "{call:?} never failed");
+        assert!(faulted_calls.contains(&call), "{call:?} never failed");
     }
 }
 
 #[test]
-fn calls_that_fail_for_a_moment_cost_no_request_its_answer() {
-    play_all(false);
+fn transient_failures_of_calls_leave_no_request_unanswered() {
+    run_all_schedules(false);
 }
 
 #[test]
-fn connections_that_break_repeat_no_write_without_a_key() {
-    play_all(true);
+fn broken_connections_cause_no_retry_of_a_write_without_a_key() {
+    run_all_schedules(true);
 }
