--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,10 +1,11 @@
-//! Hosts that start before a fleet of forty real gateways, while other hosts leave the list.
+//! Slow start of a host behind a fleet of forty real gateways, while other hosts leave the endpoint list.
 //!
-//! A host failed because the gateways together sent it more work than its budget: each reckoned its part by itself, by
-//! counting requests and by dividing what it had lately served by the hosts that were left. The test of the decisions,
-//! `crates/policy/tests/slow_start_work.rs`, tells it in full. Here real processes do it: with four of six hosts draining 2 s
-//! after a start, the host was sent 31 and 40 requests of mean work in half a second, where 8 and the spread of chance
-//! were allowed: 1.60 and 1.98 of the bound (seeds 1 and 3, one play each).
+//! Regression: a host failed because the gateways together sent it more work than its budget. Each gateway
+//! computed its share on its own, by counting requests and by dividing the work that it had recently served
+//! among the remaining hosts. `crates/policy/tests/slow_start_work.rs` tests the same failure in the
+//! decisions and describes it in full; this test runs real processes. With four of six hosts draining 2 s
+//! after a start, the host was sent 31 and 40 requests of mean work in half a second, where 8 plus random
+//! variation were allowed: 1.60 and 1.98 times the bound (seeds 1 and 3, one run each).
 
 mod faulty_fleet;
 
@@ -12,7 +13,7 @@
 use petrelgauge_test_support::SlowStart;
 use std::time::Duration;
 
-/// A colder start than most deployments have, so that a few requests too many show.
+/// A lower initial share than in most deployments, so that a few excess requests are detected.
 const SLOW_START: SlowStart = SlowStart {
     initial_share: 0.1,
     span: Duration::from_secs(16),
@@ -21,7 +22,7 @@
 };
 
 #[test]
-fn a_fleet_sends_a_host_that_has_started_no_more_work_than_its_budget() {
+fn a_fleet_sends_a_host_in_slow_start_no_more_work_than_its_budget() {
     for seed in [1, 3] {
         let plan = Plan {
             gateways: 40,
