--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Each parser under many thousand mutations of what our tests know to be sound: nothing ends the program, nothing is
-//! taken that says more than it holds, and what is taken comes back the same. Bounded, from fixed seeds.
+//! Runs each parser on thousands of mutations of valid samples: no input causes a panic, no declared length
+//! beyond the input is accepted, and what is accepted survives a round trip. Bounded, with fixed seeds.
 
 use bytes::Bytes;
 use petrelgauge::discovery::endpoint_list::EndpointList;
@@ -11,10 +11,10 @@
     BroadcastEntry, BroadcastSender, SessionKey, Token, Watermark, WatermarkBroadcast, MAX_DATAGRAM_BYTES,
 };
 
-/// Mutations of each sample.
-const ROUNDS: u32 = 4_000;
+/// Number of mutations per sample.
+const MUTATIONS_PER_SAMPLE: u32 = 4_000;
 
-/// A row of numbers from a seed, the same everywhere.
+/// A seeded random number generator like SplitMix64, but with a single mixing round.
 struct FuzzRng(u64);
 
 impl FuzzRng {
@@ -24,12 +24,13 @@
         mixed ^ (mixed >> 27)
     }
 
-    fn below(&mut self, most: usize) -> usize {
-        (self.next() % most.max(1) as u64) as usize
+    fn below(&mut self, bound: usize) -> usize {
+        (self.next() % bound.max(1) as u64) as usize
     }
 }
 
-/// One to four changes: a bit, a byte of note, a cut, a piece twice, a piece of another sample, a length.
+/// Applies one to four changes to a sample: flips a bit, sets a byte that is special to a parser, truncates,
+/// duplicates a piece, inserts a piece of another sample, overwrites a length or removes a piece.
 fn mutate(rng: &mut FuzzRng, corpus: &[Vec<u8>]) -> Vec<u8> {
     let mut bytes = corpus[rng.below(corpus.len())].clone();
     for _ in 0..=rng.below(4) {
@@ -64,16 +65,17 @@
     bytes
 }
 
-fn rounds(seed: u64, corpus: &[Vec<u8>], mut play: impl FnMut(&[u8])) {
+/// Runs `check` on each sample of the corpus and on mutations of them.
+fn fuzz(seed: u64, corpus: &[Vec<u8>], mut check: impl FnMut(&[u8])) {
     let mut rng = FuzzRng(seed);
-    corpus.iter().for_each(|sample| play(sample));
-    for _ in 0..ROUNDS * corpus.len() as u32 {
-        play(&mutate(&mut rng, corpus));
+    corpus.iter().for_each(|sample| check(sample));
+    for _ in 0..MUTATIONS_PER_SAMPLE * corpus.len() as u32 {
+        check(&mutate(&mut rng, corpus));
     }
 }
 
-fn texts(all: &[&str]) -> Vec<Vec<u8>> {
-    all.iter().map(|text| text.as_bytes().to_vec()).collect()
+fn text_corpus(samples: &[&str]) -> Vec<Vec<u8>> {
+    samples.iter().map(|text| text.as_bytes().to_vec()).collect()
 }
 
 fn message(kind: u8, body: &[u8]) -> Vec<u8> {
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn what_clients_send() {
+fn messages_from_clients() {
     let mut startup = Vec::new();
     postgres::put_startup(&mut startup);
     let select = b"SELECT content FROM kv WHERE name = 'a' /* id=1,c=view,d=9,cluster=2 */\0";
@@ -95,8 +97,8 @@
         vec![0, 0, 0, 8, 4, 210, 22, 47],
     ];
     let mut complete = 0u32;
-    rounds(1, &corpus, |bytes| {
-        // Fed in two pieces, as it may come; what is kept never grows past what came.
+    fuzz(1, &corpus, |bytes| {
+        // Fed in two pieces, as it may arrive; the buffered bytes never exceed the received ones.
         let mut framer = Framer::default();
         let middle = bytes.len() / 2;
         for piece in [&bytes[..middle], &bytes[middle..]] {
@@ -110,11 +112,11 @@
             assert!(framer.len() <= bytes.len());
         }
     });
-    assert!(complete > ROUNDS / 10, "some make sense: {complete}");
+    assert!(complete > MUTATIONS_PER_SAMPLE / 10, "too few complete messages: {complete}");
 }
 
 #[test]
-fn what_hosts_answer() {
+fn answers_from_hosts() {
     let row = [
         message(b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"),
         message(b'D', b"\0\x01\0\0\0\x03abc"),
@@ -125,8 +127,8 @@
     ];
     let error = [message(b'E', b"SERROR\0C72000\0Mbehind\0\0"), message(b'Z', b"I")].concat();
     let corpus = vec![row.concat(), error, message(b'R', &[0; 4])];
-    let (mut replies, mut refused) = (0u32, 0u32);
-    rounds(2, &corpus, |bytes| {
+    let (mut replies, mut rejected) = (0u32, 0u32);
+    fuzz(2, &corpus, |bytes| {
         let (mut framer, mut assembler) = (Framer::default(), AnswerAssembler::default());
         framer.feed(bytes);
         while let Ok(Some(message)) = framer.message() {
@@ -134,19 +136,22 @@
                 Ok(Some(_)) => replies += 1,
                 Ok(None) => {}
                 Err(_) => {
-                    refused += 1;
+                    rejected += 1;
                     break;
                 }
             }
         }
         let _ = assembler.finish();
     });
-    assert!(replies > ROUNDS / 10 && refused > ROUNDS / 10, "{replies} and {refused}");
+    assert!(
+        replies > MUTATIONS_PER_SAMPLE / 10 && rejected > MUTATIONS_PER_SAMPLE / 10,
+        "too few inputs: {replies} replies, {rejected} rejected"
+    );
 }
 
 #[test]
 fn statements_and_settings() {
-    let corpus = texts(&[
+    let corpus = text_corpus(&[
         "SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2 */",
         "SELECT content FROM kv WHERE name = 'it''s' /* id=1,c=a,d=1,cluster=0,after=17,r=1,session=s,mark=AQ+AQ */;",
         "INSERT INTO kv (name, content) VALUES ('a', '\\x9f03') RETURNING content /* id=1,c=o,d=4,k=5c,cluster=2 */",
@@ -154,38 +159,38 @@
         "SET SESSION petrelgauge.mark TO 'AQ+AQ';",
         "RESET petrelgauge.mark",
     ]);
-    let mut read = 0u32;
-    rounds(3, &corpus, |bytes| {
+    let mut accepted = 0u32;
+    fuzz(3, &corpus, |bytes| {
         let _ = set_statement::parse(bytes);
         let text = Bytes::copy_from_slice(bytes);
         if let Ok(statement) = Statement::parse(&text) {
-            read += 1;
+            accepted += 1;
             assert!(!statement.id.is_empty() && statement.name.len() <= bytes.len());
-            // What goes on to a host is the same but for the time, and can be read the same way.
+            // The statement sent to a host differs only in the remaining time and can be parsed again.
             let mut query = statement.query(statement.wait_ms);
             let length = bytes::Buf::remaining(&query);
             let sent = bytes::Buf::copy_to_bytes(&mut query, length);
-            let again =
-                Statement::parse(&sent.slice(5..sent.len() - 1)).expect("what was read once is read again");
+            let reparsed = Statement::parse(&sent.slice(5..sent.len() - 1))
+                .expect("an accepted statement is accepted again");
             assert_eq!(
-                (again.id, again.class, again.group),
+                (reparsed.id, reparsed.class, reparsed.group),
                 (statement.id, statement.class, statement.group)
             );
         }
     });
-    assert!(read > ROUNDS / 10, "some make sense: {read}");
+    assert!(accepted > MUTATIONS_PER_SAMPLE / 10, "too few inputs were accepted: {accepted}");
 }
 
 #[test]
-fn lists_of_discovery() {
-    let corpus = texts(&[
+fn endpoint_lists() {
+    let corpus = text_corpus(&[
         r#"{"revision":41,"complete":true,"members":[{"id":"s-5","host_port":"127.0.0.1:5433","locality":"a","cell":3,"phase":"up","size":1.0,"up_since_ms":0}]}"#,
         r#"{"revision":43,"complete":false,"members":[{"id":"s-5","phase":"removed"},{"id":"t","host_port":"[::1]:1","phase":"draining","replication":"primary"}]}"#,
         "",
     ]);
-    let mut read = 0u32;
-    rounds(4, &corpus, |bytes| read += u32::from(serde_json::from_slice::<EndpointList>(bytes).is_ok()));
-    assert!(read > ROUNDS / 10, "some make sense: {read}");
+    let mut accepted = 0u32;
+    fuzz(4, &corpus, |bytes| accepted += u32::from(serde_json::from_slice::<EndpointList>(bytes).is_ok()));
+    assert!(accepted > MUTATIONS_PER_SAMPLE / 10, "too few inputs were accepted: {accepted}");
 }
 
 #[test]
@@ -205,30 +210,30 @@
     }
     .encode(9);
     assert!(broadcast.len() <= MAX_DATAGRAM_BYTES);
-    // The check lets through what was written and nothing else.
-    rounds(5, &[token.clone().into_bytes()], |bytes| {
+    // The checksum makes decoding accept only the original bytes.
+    fuzz(5, &[token.clone().into_bytes()], |bytes| {
         let text = String::from_utf8_lossy(bytes);
         assert_eq!(Token::decode(&text, 9).is_ok(), *text == *token);
     });
-    rounds(6, std::slice::from_ref(&broadcast), |bytes| {
+    fuzz(6, std::slice::from_ref(&broadcast), |bytes| {
         assert_eq!(WatermarkBroadcast::decode(bytes, 9).is_ok(), *bytes == *broadcast)
     });
 }
 
 #[test]
-fn the_operators_file() {
-    let corpus = texts(&[
+fn operator_file() {
+    let corpus = text_corpus(&[
         "sessions: {classes: [\"view\", \"post\"], secret: \"77\"}\n",
         "// c\nsessions: {\n  classes: [\"a\",]\n  secret: \"1\", pace: 100ms\n  hold: 0\n}\nclock_shift: 5ms\n",
         "\"sessions\": {}",
     ]);
-    let mut read = 0u32;
-    rounds(7, &corpus, |bytes| {
+    let mut accepted = 0u32;
+    fuzz(7, &corpus, |bytes| {
         let text = String::from_utf8_lossy(bytes);
         match OperatorConfig::parse("f.cue", &text) {
-            Ok(_) => read += 1,
+            Ok(_) => accepted += 1,
             Err(cause) => assert!(cause.line >= 1 && cause.line <= text.lines().count() + 1, "{cause}"),
         }
     });
-    assert!(read > ROUNDS / 10, "some make sense: {read}");
+    assert!(accepted > MUTATIONS_PER_SAMPLE / 10, "too few inputs were accepted: {accepted}");
 }
